--- a/crates/foxtide-core/src/membership/machine.rs
+++ b/crates/foxtide-core/src/membership/machine.rs
@@ -38,11 +38,11 @@
 const RUMOURS_MAX_BYTES: usize = DATAGRAM_MAX_BYTES - HEADER_MAX_BYTES;
 
 /// Fresh rumours go out at once, but not more often than this.
-const EAGER_INTERVAL: Duration = Duration::from_millis(20);
+const EAGER_GOSSIP_INTERVAL: Duration = Duration::from_millis(20);
 
 /// With more rumours than this an instance does not compare tables: a fleet
 /// that starts would exchange them for every difference.
-const QUIET_RUMOURS_MAX: usize = 8;
+const DIGEST_QUEUE_MAX: usize = 8;
 
 /// How long a scope stands though the table did not change.
 const SCOPE_AGE_MAX: Duration = Duration::from_secs(1);
@@ -67,7 +67,7 @@
     rumours_at: MonotonicTime,
     pub(super) digest_at: MonotonicTime,
     pub(super) reconnect_at: MonotonicTime,
-    pub(super) remind_at: MonotonicTime,
+    pub(super) notify_suspects_at: MonotonicTime,
 }
 
 /// The membership protocol of one instance.
@@ -79,13 +79,13 @@
     pub(super) suspicions: Suspicions,
     pub(super) queue: RumourQueue,
     pub(super) counts: Counts,
-    pub(super) unsent: bool,
+    pub(super) has_unsent_rumours: bool,
     pub(super) scope: Scope,
     scope_version: u64,
     scope_at: MonotonicTime,
     pub(super) probes: ProbeSchedule,
     pub(super) due: Due,
-    told_at: MonotonicTime,
+    gossiped_at: MonotonicTime,
     pub(super) ticked_at: MonotonicTime,
     configuration_hash: u64,
     pub(super) rng: StdRng,
@@ -103,7 +103,7 @@
             rumours_at: now,
             digest_at: now + options.digest_interval,
             reconnect_at: now + options.reconnect_interval,
-            remind_at: now,
+            notify_suspects_at: now,
         };
         Self {
             own,
@@ -112,13 +112,13 @@
             suspicions: Suspicions::default(),
             queue: RumourQueue::default(),
             counts: Counts::default(),
-            unsent: false,
+            has_unsent_rumours: false,
             scope,
             scope_version,
             scope_at: now,
             probes: ProbeSchedule::default(),
             due,
-            told_at: MonotonicTime::ZERO,
+            gossiped_at: MonotonicTime::ZERO,
             ticked_at: now,
             configuration_hash: 0,
             rng: StdRng::seed_from_u64(seed),
@@ -183,16 +183,16 @@
     /// Does what is due; to be called every few tens of milliseconds.
     pub fn tick(&mut self, now: MonotonicTime) -> Vec<Output> {
         let mut outputs = Vec::new();
-        self.notice_pause(now, &mut outputs);
+        self.detect_pause(now, &mut outputs);
         self.refresh_scope(now);
-        self.bury_expired(now, &mut outputs);
-        self.follow_probes(now, &mut outputs);
-        self.remind(now, &mut outputs);
+        self.expire_suspicions(now, &mut outputs);
+        self.check_probes(now, &mut outputs);
+        self.notify_suspects(now, &mut outputs);
         self.start_probe(now, &mut outputs);
-        self.compare(now, &mut outputs);
+        self.send_digests(now, &mut outputs);
         self.reconnect(now, &mut outputs);
         if now >= self.due.rumours_at {
-            self.tell(now, &mut outputs);
+            self.gossip(now, &mut outputs);
         }
         outputs
     }
@@ -206,13 +206,13 @@
         now: MonotonicTime,
     ) -> Vec<Output> {
         let mut outputs = Vec::new();
-        self.greet(sender, from, &mut outputs);
+        self.check_sender(sender, from, &mut outputs);
         for rumour in packet.rumours {
-            self.hear(rumour, from, now, &mut outputs);
+            self.apply_rumour(rumour, from, now, &mut outputs);
         }
         self.answer(from, packet.message, now, &mut outputs);
-        if self.unsent && now - self.told_at >= EAGER_INTERVAL {
-            self.tell(now, &mut outputs);
+        if self.has_unsent_rumours && now - self.gossiped_at >= EAGER_GOSSIP_INTERVAL {
+            self.gossip(now, &mut outputs);
         }
         outputs
     }
@@ -221,13 +221,13 @@
     pub fn spread(&mut self, rumour: Rumour, now: MonotonicTime) -> Vec<Output> {
         let mut outputs = Vec::new();
         self.push(rumour);
-        self.tell(now, &mut outputs);
+        self.gossip(now, &mut outputs);
         outputs
     }
 
     pub(super) fn push(&mut self, rumour: Rumour) {
         self.queue.push(rumour);
-        self.unsent = true;
+        self.has_unsent_rumours = true;
     }
 
     /// Answers what a packet asks for.
@@ -244,7 +244,7 @@
                 outputs.push(Output::Send { to: from, packet });
             }
             Message::Ping { .. } | Message::Rumours => {}
-            Message::Ack { probe } => self.pass_on(probe, outputs),
+            Message::Ack { probe } => self.forward_ack(probe, outputs),
             Message::PingRequest {
                 probe,
                 target,
@@ -260,8 +260,8 @@
             }
             Message::Digest(theirs) => {
                 // While much news is on its way a difference means little.
-                let quiet = self.queue.len() <= QUIET_RUMOURS_MAX;
-                if quiet && theirs != self.digest() {
+                let is_queue_short = self.queue.len() <= DIGEST_QUEUE_MAX;
+                if is_queue_short && theirs != self.digest() {
                     outputs.push(Output::Synchronise { with: from });
                 }
             }
@@ -292,25 +292,25 @@
         self.scope_at = now;
     }
 
-    fn bury_expired(&mut self, now: MonotonicTime, outputs: &mut Vec<Output>) {
+    fn expire_suspicions(&mut self, now: MonotonicTime, outputs: &mut Vec<Output>) {
         for subject in self.suspicions.expired(&self.options.suspicion, now) {
-            self.bury(&subject, now, outputs);
+            self.declare_dead(&subject, now, outputs);
         }
     }
 
     /// Sends the waiting rumours to a few random members in scope.
-    pub(super) fn tell(&mut self, now: MonotonicTime, outputs: &mut Vec<Output>) {
+    pub(super) fn gossip(&mut self, now: MonotonicTime, outputs: &mut Vec<Output>) {
         self.due.rumours_at = now + self.options.rumour_interval;
-        self.told_at = now;
-        self.unsent = false;
+        self.gossiped_at = now;
+        self.has_unsent_rumours = false;
         if self.queue.is_empty() {
             return;
         }
         let fanout = self.options.rumour_fanout;
-        let mates = self.scope.mates.iter().sample(&mut self.rng, fanout);
+        let zone_peers = self.scope.zone_peers.iter().sample(&mut self.rng, fanout);
         let foreign = &self.scope.foreign_delegates;
         let delegates = foreign.iter().sample(&mut self.rng, fanout);
-        let chosen = mates.into_iter().chain(delegates);
+        let chosen = zone_peers.into_iter().chain(delegates);
         let addresses: Vec<_> = chosen.map(|member| member.peer_address).collect();
         for to in addresses {
             let packet = self.packet(Message::Rumours);
@@ -328,7 +328,7 @@
 }
 
 /// Returns the sending of a belief to the very member that it is about.
-pub(super) fn direct(member: Member) -> Output {
+pub(super) fn send_to_member(member: Member) -> Output {
     Output::Send {
         to: member.peer_address,
         packet: Packet {
--- a/crates/foxtide-core/src/membership/mod.rs
+++ b/crates/foxtide-core/src/membership/mod.rs
@@ -3,7 +3,6 @@
 //! After Das, Gupta and Motivala, "SWIM" (2002), with parts of "Lifeguard"
 //! (2018), within an availability zone; delegates connect the zones.
 
-mod beliefs;
 mod machine;
 mod member;
 mod message;
@@ -15,6 +14,7 @@
 mod scope;
 mod suspicion;
 mod table;
+mod updates;
 
 pub use machine::{
     Counts,
--- a/crates/foxtide-core/src/membership/probe.rs
+++ b/crates/foxtide-core/src/membership/probe.rs
@@ -40,9 +40,9 @@
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Overdue {
     /// To be sent again, with helpers.
-    pub(crate) again: Vec<Probe>,
+    pub(crate) retries: Vec<Probe>,
     /// Silent through all attempts.
-    pub(crate) silent: Vec<InstanceId>,
+    pub(crate) failed: Vec<InstanceId>,
 }
 
 /// The probes under way and the order of those to come.
@@ -126,12 +126,12 @@
                 return true;
             }
             if probe.attempts >= attempts {
-                overdue.silent.push(probe.target.clone());
+                overdue.failed.push(probe.target.clone());
                 return false;
             }
             probe.attempts += 1;
             probe.deadline = now + probe.timeout;
-            overdue.again.push(probe.clone());
+            overdue.retries.push(probe.clone());
             true
         });
         overdue
--- a/crates/foxtide-core/src/membership/probing.rs
+++ b/crates/foxtide-core/src/membership/probing.rs
@@ -2,7 +2,7 @@
 
 use super::machine::{
     Membership,
-    direct, //
+    send_to_member, //
 };
 use super::member::{
     Member,
@@ -23,52 +23,52 @@
 };
 
 /// How many peers a process asks for all that they know when it wakes.
-const CATCH_UP_PEERS: usize = 2;
+const SYNCHRONISED_PEERS: usize = 2;
 
 impl Membership {
     /// Waits that ran while this process stood still prove nothing, and what
     /// it knows is old: peers that thought it dead told it nothing meanwhile.
-    pub(super) fn notice_pause(&mut self, now: MonotonicTime, outputs: &mut Vec<Output>) {
+    pub(super) fn detect_pause(&mut self, now: MonotonicTime, outputs: &mut Vec<Output>) {
         if now - self.ticked_at > self.options.pause_limit {
             self.probes.restart();
             self.suspicions.restart(now);
             self.due.digest_at = now;
             self.counts.pauses += 1;
-            self.catch_up(outputs);
+            self.synchronise_after_pause(outputs);
         }
         self.ticked_at = now;
     }
 
     /// Takes over what a few peers know, without comparing first.
-    fn catch_up(&mut self, outputs: &mut Vec<Output>) {
+    fn synchronise_after_pause(&mut self, outputs: &mut Vec<Output>) {
         let peers = self.scope.peers().map(|member| member.peer_address);
-        let chosen = peers.sample(&mut self.rng, CATCH_UP_PEERS);
+        let chosen = peers.sample(&mut self.rng, SYNCHRONISED_PEERS);
         let exchanges = chosen.into_iter().map(|with| Output::Synchronise { with });
         outputs.extend(exchanges);
     }
 
-    pub(super) fn follow_probes(&mut self, now: MonotonicTime, outputs: &mut Vec<Output>) {
+    pub(super) fn check_probes(&mut self, now: MonotonicTime, outputs: &mut Vec<Output>) {
         let overdue = self.probes.overdue(self.options.probe_attempts, now);
-        for probe in overdue.again {
+        for probe in overdue.retries {
             self.send_ping(probe.id, &probe.target, outputs);
-            self.ask_helpers(&probe, outputs);
+            self.send_ping_requests(&probe, outputs);
         }
-        for target in overdue.silent {
+        for target in overdue.failed {
             self.counts.silent += 1;
-            self.found_silent(&target, now, outputs);
+            self.handle_probe_failure(&target, now, outputs);
         }
     }
 
     /// Tells the suspects that this instance found silent so again, in case the
     /// word to them or their objection was lost.
-    pub(super) fn remind(&mut self, now: MonotonicTime, outputs: &mut Vec<Output>) {
-        if now < self.due.remind_at {
+    pub(super) fn notify_suspects(&mut self, now: MonotonicTime, outputs: &mut Vec<Output>) {
+        if now < self.due.notify_suspects_at {
             return;
         }
-        self.due.remind_at = now + self.options.probe_interval;
+        self.due.notify_suspects_at = now + self.options.probe_interval;
         for subject in self.suspicions.observed() {
             if let Some(member) = self.table.get(subject) {
-                outputs.push(direct(member.clone()));
+                outputs.push(send_to_member(member.clone()));
             }
         }
     }
@@ -115,7 +115,7 @@
         outputs.push(Output::Send { to, packet });
     }
 
-    fn ask_helpers(&mut self, probe: &Probe, outputs: &mut Vec<Output>) {
+    fn send_ping_requests(&mut self, probe: &Probe, outputs: &mut Vec<Output>) {
         let Some(target) = self.table.get(&probe.target).cloned() else {
             return;
         };
@@ -135,7 +135,7 @@
         }
     }
 
-    pub(super) fn pass_on(&mut self, probe: ProbeId, outputs: &mut Vec<Output>) {
+    pub(super) fn forward_ack(&mut self, probe: ProbeId, outputs: &mut Vec<Output>) {
         if let Some((origin, probe)) = self.probes.answered(probe) {
             let packet = self.packet(Message::Ack { probe });
             outputs.push(Output::Send { to: origin, packet });
@@ -144,15 +144,15 @@
 
     /// Compares with one random peer of the zone, and a delegate also with one
     /// of another zone.
-    pub(super) fn compare(&mut self, now: MonotonicTime, outputs: &mut Vec<Output>) {
+    pub(super) fn send_digests(&mut self, now: MonotonicTime, outputs: &mut Vec<Output>) {
         if now < self.due.digest_at {
             return;
         }
         self.due.digest_at = now + self.options.digest_interval;
         self.table.forget(self.options.dead_retention, now);
-        let mate = self.scope.mates.choose(&mut self.rng);
+        let zone_peer = self.scope.zone_peers.choose(&mut self.rng);
         let foreign = self.scope.foreign_delegates.choose(&mut self.rng);
-        let peers = mate.into_iter().chain(foreign);
+        let peers = zone_peer.into_iter().chain(foreign);
         let addresses: Vec<_> = peers.map(|member| member.peer_address).collect();
         for to in addresses {
             let packet = self.packet(Message::Digest(self.digest()));
@@ -171,7 +171,7 @@
             return;
         }
         if let Some(dead) = self.table.dead().choose(&mut self.rng) {
-            outputs.push(direct(dead.clone()));
+            outputs.push(send_to_member(dead.clone()));
         }
     }
 }
--- a/crates/foxtide-core/src/membership/queue.rs
+++ b/crates/foxtide-core/src/membership/queue.rs
@@ -36,11 +36,11 @@
         self.waiting.len()
     }
 
-    /// Takes the rumours for one packet of at most `room_bytes`, and forgets
+    /// Takes the rumours for one packet of at most `bytes_max`, and forgets
     /// those that went out `limit` times.
-    pub(crate) fn take(&mut self, room_bytes: usize, limit: u32) -> Vec<Rumour> {
+    pub(crate) fn take(&mut self, bytes_max: usize, limit: u32) -> Vec<Rumour> {
         self.waiting.sort_by_key(|waiting| waiting.sent);
-        let mut left_bytes = room_bytes;
+        let mut left_bytes = bytes_max;
         let mut taken = Vec::new();
         for waiting in &mut self.waiting {
             let size_bytes = waiting.rumour.size_bound_bytes();
--- a/crates/foxtide-core/src/membership/scope.rs
+++ b/crates/foxtide-core/src/membership/scope.rs
@@ -20,13 +20,13 @@
 
 /// How many more members of a zone are probed for each recent death there,
 /// so that the loss of a whole zone is found in a few rounds.
-const WIDENING: usize = 2;
+const EXTRA_DELEGATES_PER_DEATH: usize = 2;
 
 /// The part of the fleet that one instance deals with directly.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Scope {
     /// The other running members of the own availability zone.
-    pub(crate) mates: Vec<Member>,
+    pub(crate) zone_peers: Vec<Member>,
     /// The delegates of the other zones; empty where this is no delegate.
     pub(crate) foreign_delegates: Vec<Member>,
     /// Whether this instance speaks for its zone.
@@ -43,24 +43,24 @@
     ) -> Self {
         let mut zones = by_zone(table);
         let own_zone = zones.remove(&own.availability_zone).unwrap_or_default();
-        let is_delegate = picks(&own_zone, delegates_per_zone)
+        let is_delegate = pick_delegates(&own_zone, delegates_per_zone)
             .iter()
             .any(|member| member.instance == own.instance);
         let mut foreign_delegates = Vec::new();
         if is_delegate {
             for (zone, members) in &zones {
                 let deaths = table.deaths(zone, DEATH_WINDOW, now);
-                let count = delegates_per_zone + deaths * WIDENING;
-                foreign_delegates.extend(picks(members, count).into_iter().cloned());
+                let count = delegates_per_zone + deaths * EXTRA_DELEGATES_PER_DEATH;
+                foreign_delegates.extend(pick_delegates(members, count).into_iter().cloned());
             }
         }
-        let mates = own_zone
+        let zone_peers = own_zone
             .into_iter()
             .filter(|member| member.instance != own.instance)
             .cloned()
             .collect();
         Self {
-            mates,
+            zone_peers,
             foreign_delegates,
             is_delegate,
         }
@@ -68,12 +68,12 @@
 
     /// Returns everyone in scope.
     pub(crate) fn peers(&self) -> impl Iterator<Item = &Member> {
-        self.mates.iter().chain(&self.foreign_delegates)
+        self.zone_peers.iter().chain(&self.foreign_delegates)
     }
 
     /// Returns how many are in scope.
     pub(crate) fn size(&self) -> usize {
-        self.mates.len() + self.foreign_delegates.len()
+        self.zone_peers.len() + self.foreign_delegates.len()
     }
 }
 
@@ -90,7 +90,7 @@
 
 /// Returns the first `count` delegates among `members`; those that leave are
 /// picked last.
-fn picks<'a>(members: &[&'a Member], count: usize) -> Vec<&'a Member> {
+fn pick_delegates<'a>(members: &[&'a Member], count: usize) -> Vec<&'a Member> {
     let by_name: BTreeMap<&InstanceId, &'a Member> = members
         .iter()
         .map(|member| (&member.instance, *member))
--- a/crates/foxtide-core/src/membership/suspicion.rs
+++ b/crates/foxtide-core/src/membership/suspicion.rs
@@ -36,31 +36,31 @@
 /// They may have missed the objection. Those that saw the silence tell them how
 /// it ended; where that is lost too, comparing with peers does, which takes a few
 /// of its intervals.
-const HEARSAY_FACTOR: u32 = 10;
+const INDIRECT_TIMEOUT_FACTOR: u32 = 10;
 
 /// Who found an instance silent.
 #[derive(Clone, Debug)]
-pub(crate) enum Found {
+pub(crate) enum SuspicionSource {
     /// This instance, by its own probe.
-    Here(InstanceId),
+    OwnProbe(InstanceId),
     /// Another one.
-    Elsewhere(InstanceId),
+    Peer(InstanceId),
     /// It is not known who.
-    Somewhere,
+    Unknown,
 }
 
-impl Found {
+impl SuspicionSource {
     fn by(&self) -> Option<&InstanceId> {
         match self {
-            Self::Here(by) | Self::Elsewhere(by) => Some(by),
-            Self::Somewhere => None,
+            Self::OwnProbe(by) | Self::Peer(by) => Some(by),
+            Self::Unknown => None,
         }
     }
 }
 
 /// One running wait.
 #[derive(Clone, Debug)]
-struct Wait {
+struct SuspicionTimer {
     incarnation: Incarnation,
     started_at: MonotonicTime,
     confirmed_by: Vec<InstanceId>,
@@ -71,32 +71,32 @@
 /// All running waits.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Suspicions {
-    running: BTreeMap<InstanceId, Wait>,
+    running: BTreeMap<InstanceId, SuspicionTimer>,
 }
 
 impl Suspicions {
-    /// Starts a wait, or counts who `found` it as agreeing with the one that
+    /// Starts a wait, or counts the `source` as agreeing with the one that
     /// runs; returns whether that was new.
     pub(crate) fn suspect(
         &mut self,
         subject: &InstanceId,
         incarnation: Incarnation,
-        found: &Found,
+        source: &SuspicionSource,
         now: MonotonicTime,
     ) -> bool {
         let running = self.running.get_mut(subject);
         let Some(running) = running.filter(|running| running.incarnation >= incarnation) else {
-            let started = Wait {
+            let started = SuspicionTimer {
                 incarnation,
                 started_at: now,
-                confirmed_by: found.by().cloned().into_iter().collect(),
-                observed: matches!(found, Found::Here(_)),
+                confirmed_by: source.by().cloned().into_iter().collect(),
+                observed: matches!(source, SuspicionSource::OwnProbe(_)),
             };
             self.running.insert(subject.clone(), started);
             return true;
         };
-        running.observed |= matches!(found, Found::Here(_));
-        let Some(by) = found.by() else {
+        running.observed |= matches!(source, SuspicionSource::OwnProbe(_));
+        let Some(by) = source.by() else {
             return false;
         };
         let fresh = !running.confirmed_by.contains(by);
@@ -123,10 +123,14 @@
         bounds: &SuspicionBounds,
         now: MonotonicTime,
     ) -> Vec<InstanceId> {
-        let over = |running: &Wait| {
+        let over = |running: &SuspicionTimer| {
             let others = running.confirmed_by.len().saturating_sub(1);
             let wait = bounds.wait(u32::try_from(others).unwrap_or(u32::MAX));
-            let times = if running.observed { 1 } else { HEARSAY_FACTOR };
+            let times = if running.observed {
+                1
+            } else {
+                INDIRECT_TIMEOUT_FACTOR
+            };
             now >= running.started_at + wait * times
         };
         let expired = self.running.extract_if(.., |_, running| over(running));
--- a/crates/foxtide-core/src/membership/beliefs.rs
+++ b/crates/foxtide-core/src/membership/updates.rs
@@ -2,7 +2,7 @@
 
 use super::machine::{
     Membership,
-    direct, //
+    send_to_member, //
 };
 use super::member::{
     Member,
@@ -15,7 +15,7 @@
     Rumour,
     Suspicion, //
 };
-use super::suspicion::Found;
+use super::suspicion::SuspicionSource;
 use crate::ids::InstanceId;
 use crate::time::MonotonicTime;
 use std::net::SocketAddr;
@@ -26,7 +26,7 @@
         let mut outputs = Vec::new();
         if self.own.state == MemberState::Joining {
             self.own.state = MemberState::Alive;
-            self.present(now, &mut outputs);
+            self.announce_self(now, &mut outputs);
         }
         outputs
     }
@@ -35,7 +35,7 @@
     pub fn leave(&mut self, now: MonotonicTime) -> Vec<Output> {
         let mut outputs = Vec::new();
         self.own.state = MemberState::Leaving;
-        self.present(now, &mut outputs);
+        self.announce_self(now, &mut outputs);
         let packet = Packet {
             message: Message::Rumours,
             rumours: vec![Rumour::Member(self.own.clone())],
@@ -64,10 +64,10 @@
                 held.state.is_running() && !member.state.is_running() && member.replaces(held)
             });
             if contested && member.instance != self.own.instance {
-                self.doubt(&member, now, &mut outputs);
-                outputs.push(direct(member));
+                self.suspect_without_gossip(&member, now, &mut outputs);
+                outputs.push(send_to_member(member));
             } else {
-                self.believe(member, now, &mut outputs);
+                self.apply_update(member, now, &mut outputs);
             }
         }
         if discovered {
@@ -80,7 +80,7 @@
     /// starting instance tells the fleet of itself, not of all the others.
     fn discover(&mut self, member: Member, now: MonotonicTime, outputs: &mut Vec<Output>) -> bool {
         if member.state == MemberState::Suspect {
-            self.doubt(&member, now, outputs);
+            self.suspect_without_gossip(&member, now, outputs);
             return true;
         }
         let fresh = self.table.apply(&member, now);
@@ -92,27 +92,43 @@
 
     /// Suspects a member of which only a peer's table speaks ill. Nobody is
     /// told, but if neither it nor anybody else objects, it is dead.
-    fn doubt(&mut self, member: &Member, now: MonotonicTime, outputs: &mut Vec<Output>) {
+    fn suspect_without_gossip(
+        &mut self,
+        member: &Member,
+        now: MonotonicTime,
+        outputs: &mut Vec<Output>,
+    ) {
         let suspect = member.in_state(MemberState::Suspect);
         if self.table.apply(&suspect, now) {
             let incarnation = suspect.incarnation;
-            self.suspicions
-                .suspect(&suspect.instance, incarnation, &Found::Somewhere, now);
+            self.suspicions.suspect(
+                &suspect.instance,
+                incarnation,
+                &SuspicionSource::Unknown,
+                now,
+            );
             outputs.push(Output::Changed(suspect));
         }
     }
 
     /// Meets a sender that is not known or thought dead.
-    pub(super) fn greet(&self, sender: &InstanceId, from: SocketAddr, outputs: &mut Vec<Output>) {
+    pub(super) fn check_sender(
+        &self,
+        sender: &InstanceId,
+        from: SocketAddr,
+        outputs: &mut Vec<Output>,
+    ) {
         match self.table.get(sender) {
             None => outputs.push(Output::Synchronise { with: from }),
-            Some(member) if !member.state.is_running() => outputs.push(direct(member.clone())),
+            Some(member) if !member.state.is_running() => {
+                outputs.push(send_to_member(member.clone()))
+            }
             Some(_) => {}
         }
     }
 
     /// Takes one rumour in.
-    pub(super) fn hear(
+    pub(super) fn apply_rumour(
         &mut self,
         rumour: Rumour,
         from: SocketAddr,
@@ -121,12 +137,12 @@
     ) {
         match rumour {
             Rumour::Member(member) => {
-                self.object(&member, from, now, outputs);
-                self.believe(member, now, outputs);
+                self.refute_to_peer(&member, from, now, outputs);
+                self.apply_update(member, now, outputs);
             }
             Rumour::Suspicion(Suspicion { member, by }) => {
-                self.object(&member, from, now, outputs);
-                self.suspect(member, Found::Elsewhere(by), now, outputs);
+                self.refute_to_peer(&member, from, now, outputs);
+                self.suspect(member, SuspicionSource::Peer(by), now, outputs);
             }
             Rumour::Configuration(announcement) => outputs.push(Output::Announced {
                 announcement,
@@ -136,7 +152,7 @@
     }
 
     /// Answers a peer that thinks ill of this instance.
-    fn object(
+    fn refute_to_peer(
         &mut self,
         belief: &Member,
         from: SocketAddr,
@@ -145,19 +161,19 @@
     ) {
         let suspected = matches!(belief.state, MemberState::Suspect | MemberState::Dead);
         if belief.instance == self.own.instance && suspected {
-            self.contradict(belief, now, outputs);
-            outputs.push(direct_to(from, self.own.clone()));
+            self.refute(belief, now, outputs);
+            outputs.push(send_member_to(from, self.own.clone()));
         }
     }
 
     /// Takes a belief in.
-    fn believe(&mut self, member: Member, now: MonotonicTime, outputs: &mut Vec<Output>) {
+    fn apply_update(&mut self, member: Member, now: MonotonicTime, outputs: &mut Vec<Output>) {
         if member.instance == self.own.instance {
-            self.contradict(&member, now, outputs);
+            self.refute(&member, now, outputs);
             return;
         }
         if member.state == MemberState::Suspect {
-            self.suspect(member, Found::Somewhere, now, outputs);
+            self.suspect(member, SuspicionSource::Unknown, now, outputs);
             return;
         }
         if self.table.apply(&member, now) {
@@ -168,33 +184,33 @@
     }
 
     /// Objects to a belief about this instance that is wrong.
-    fn contradict(&mut self, belief: &Member, now: MonotonicTime, outputs: &mut Vec<Output>) {
+    fn refute(&mut self, belief: &Member, now: MonotonicTime, outputs: &mut Vec<Output>) {
         if !belief.replaces(&self.own) {
             return;
         }
         self.own.incarnation = belief.incarnation.next();
         self.counts.refutations += 1;
-        self.present(now, outputs);
+        self.announce_self(now, outputs);
     }
 
     /// Spreads how this instance presents itself.
-    fn present(&mut self, now: MonotonicTime, outputs: &mut Vec<Output>) {
+    fn announce_self(&mut self, now: MonotonicTime, outputs: &mut Vec<Output>) {
         self.table.put(self.own.clone(), now);
         self.push(Rumour::Member(self.own.clone()));
         outputs.push(Output::Changed(self.own.clone()));
-        self.tell(now, outputs);
+        self.gossip(now, outputs);
     }
 
     /// Takes a suspicion in, another's or an own one.
     fn suspect(
         &mut self,
         member: Member,
-        found: Found,
+        source: SuspicionSource,
         now: MonotonicTime,
         outputs: &mut Vec<Output>,
     ) {
         if member.instance == self.own.instance {
-            self.contradict(&member, now, outputs);
+            self.refute(&member, now, outputs);
             return;
         }
         let changed = self.table.apply(&member, now);
@@ -204,9 +220,9 @@
         }
         let fresh = self
             .suspicions
-            .suspect(&member.instance, member.incarnation, &found, now);
+            .suspect(&member.instance, member.incarnation, &source, now);
         if fresh {
-            self.push(rumour(member.clone(), found));
+            self.push(rumour(member.clone(), source));
         }
         if changed {
             outputs.push(Output::Changed(member));
@@ -214,7 +230,7 @@
     }
 
     /// Acts on a probe that stayed without answer.
-    pub(super) fn found_silent(
+    pub(super) fn handle_probe_failure(
         &mut self,
         target: &InstanceId,
         now: MonotonicTime,
@@ -227,17 +243,17 @@
             MemberState::Joining | MemberState::Alive | MemberState::Suspect => {
                 let member = member.in_state(MemberState::Suspect);
                 // Told at once, it can object before others hear of it.
-                outputs.push(direct(member.clone()));
-                let found = Found::Here(self.own.instance.clone());
-                self.suspect(member, found, now, outputs);
+                outputs.push(send_to_member(member.clone()));
+                let source = SuspicionSource::OwnProbe(self.own.instance.clone());
+                self.suspect(member, source, now, outputs);
             }
-            MemberState::Leaving => self.bury(target, now, outputs),
+            MemberState::Leaving => self.declare_dead(target, now, outputs),
             MemberState::Dead => {}
         }
     }
 
     /// Declares a silent member dead.
-    pub(super) fn bury(
+    pub(super) fn declare_dead(
         &mut self,
         target: &InstanceId,
         now: MonotonicTime,
@@ -248,23 +264,25 @@
         };
         if matches!(member.state, MemberState::Suspect | MemberState::Leaving) {
             let dead = member.in_state(MemberState::Dead);
-            self.believe(dead, now, outputs);
+            self.apply_update(dead, now, outputs);
         }
     }
 }
 
 /// Returns the rumour of a suspicion.
-fn rumour(member: Member, found: Found) -> Rumour {
-    match found {
-        Found::Here(by) | Found::Elsewhere(by) => Rumour::Suspicion(Suspicion { member, by }),
-        Found::Somewhere => Rumour::Member(member),
+fn rumour(member: Member, source: SuspicionSource) -> Rumour {
+    match source {
+        SuspicionSource::OwnProbe(by) | SuspicionSource::Peer(by) => {
+            Rumour::Suspicion(Suspicion { member, by })
+        }
+        SuspicionSource::Unknown => Rumour::Member(member),
     }
 }
 
 /// Returns the sending of a belief to an address.
-fn direct_to(to: SocketAddr, member: Member) -> Output {
-    let Output::Send { packet, .. } = direct(member) else {
-        unreachable!("direct sends");
+fn send_member_to(to: SocketAddr, member: Member) -> Output {
+    let Output::Send { packet, .. } = send_to_member(member) else {
+        unreachable!("send_to_member returns Output::Send");
     };
     Output::Send { to, packet }
 }
