--- a/crates/foxtide-core/src/membership/machine.rs
+++ b/crates/foxtide-core/src/membership/machine.rs
@@ -49,11 +49,11 @@
 
 /// How often things happened since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Counts {
+pub struct MembershipCounts {
     /// Probes started.
     pub probes: u64,
     /// Probes whose target stayed silent.
-    pub silent: u64,
+    pub failed_probes: u64,
     /// Beliefs about this instance that it contradicted.
     pub refutations: u64,
     /// Pauses of this process that it noticed.
@@ -78,7 +78,7 @@
     pub(super) table: MemberTable,
     pub(super) suspicions: Suspicions,
     pub(super) queue: RumourQueue,
-    pub(super) counts: Counts,
+    pub(super) counts: MembershipCounts,
     pub(super) has_unsent_rumours: bool,
     pub(super) scope: Scope,
     scope_version: u64,
@@ -111,7 +111,7 @@
             table,
             suspicions: Suspicions::default(),
             queue: RumourQueue::default(),
-            counts: Counts::default(),
+            counts: MembershipCounts::default(),
             has_unsent_rumours: false,
             scope,
             scope_version,
@@ -156,7 +156,7 @@
     }
 
     /// Returns how often things happened.
-    pub fn counts(&self) -> Counts {
+    pub fn counts(&self) -> MembershipCounts {
         self.counts
     }
 
--- a/crates/foxtide-core/src/membership/mod.rs
+++ b/crates/foxtide-core/src/membership/mod.rs
@@ -17,8 +17,8 @@
 mod updates;
 
 pub use machine::{
-    Counts,
-    Membership, //
+    Membership,
+    MembershipCounts, //
 };
 pub use member::{
     Incarnation,
--- a/crates/foxtide-core/src/membership/probing.rs
+++ b/crates/foxtide-core/src/membership/probing.rs
@@ -54,7 +54,7 @@
             self.send_ping_requests(&probe, outputs);
         }
         for target in overdue.failed {
-            self.counts.silent += 1;
+            self.counts.failed_probes += 1;
             self.handle_probe_failure(&target, now, outputs);
         }
     }
--- a/crates/foxtide-mesh/src/handle.rs
+++ b/crates/foxtide-mesh/src/handle.rs
@@ -33,10 +33,10 @@
     OrganisationId, //
 };
 use foxtide_core::membership::{
-    Counts,
     Incarnation,
     Member,
     MemberState,
+    MembershipCounts,
     Role, //
 };
 use foxtide_core::spreading::Document;
@@ -288,7 +288,7 @@
     }
 
     /// Returns how often things happened in the membership protocol.
-    pub fn counts(&self) -> Counts {
+    pub fn counts(&self) -> MembershipCounts {
         self.shared.state.lock().membership.counts()
     }
 }
--- a/crates/foxtide/examples/measure/membership.rs
+++ b/crates/foxtide/examples/measure/membership.rs
@@ -136,7 +136,7 @@
 /// Returns how many probes stayed without answer; all were wrong.
 fn silent(fleet: &Fleet) -> f64 {
     let counts = fleet.handles.iter().map(MeshHandle::counts);
-    counts.map(|counts| counts.silent as f64).sum()
+    counts.map(|counts| counts.failed_probes as f64).sum()
 }
 
 /// Bytes of one instance.
