--- a/crates/foxtide-core/src/registry/registrar.rs
+++ b/crates/foxtide-core/src/registry/registrar.rs
@@ -17,11 +17,11 @@
 /// How long an instance may ask nothing before its record is removed. It asks about each
 /// second, and 1.6 s later at the next watcher where one has died; callers are directed
 /// to a dead instance for no longer than its own lease would let them (3 s).
-const SILENCE_TIME: Duration = Duration::from_millis(2_600);
+const HEARTBEAT_TIMEOUT: Duration = Duration::from_millis(2_600);
 
 /// How late this instance may look after its neighbours before it takes itself for the
 /// one that stood still: their questions lie unread then.
-const LATE_TIME: Duration = Duration::from_millis(1_000);
+const CHECK_DELAY_MAX: Duration = Duration::from_millis(1_000);
 
 /// What is to be changed in the store.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
@@ -50,11 +50,11 @@
 }
 
 #[derive(Clone, Debug)]
-struct Kept {
+struct Entry {
     member: Member,
     /// Whether it has asked for it, and is not only known by its record.
-    has_asked: bool,
-    heard_at: MonotonicTime,
+    has_sent_heartbeat: bool,
+    heartbeat_at: MonotonicTime,
     state: RecordState,
 }
 
@@ -65,8 +65,8 @@
 #[derive(Clone, Debug)]
 pub struct Registrar {
     own: InstanceId,
-    kept: BTreeMap<InstanceId, Kept>,
-    looked_at: Option<MonotonicTime>,
+    entries: BTreeMap<InstanceId, Entry>,
+    checked_at: Option<MonotonicTime>,
 }
 
 impl Registrar {
@@ -74,15 +74,15 @@
     pub fn new(own: InstanceId) -> Self {
         Self {
             own,
-            kept: BTreeMap::new(),
-            looked_at: None,
+            entries: BTreeMap::new(),
+            checked_at: None,
         }
     }
 
     /// Takes in that a neighbour lives and wants its record kept; `member` names this
     /// instance as its registrar.
-    pub fn hear(&mut self, member: Member, now: MonotonicTime) {
-        let before = self.kept.remove(&member.instance);
+    pub fn record_heartbeat(&mut self, member: Member, now: MonotonicTime) {
+        let before = self.entries.remove(&member.instance);
         let is_written = before
             .is_some_and(|before| before.member == member && before.state == RecordState::Written);
         let state = if is_written {
@@ -90,19 +90,19 @@
         } else {
             RecordState::Unwritten
         };
-        let kept = Kept {
-            has_asked: true,
-            heard_at: now,
+        let entry = Entry {
+            has_sent_heartbeat: true,
+            heartbeat_at: now,
             state,
             member,
         };
-        self.kept.insert(kept.member.instance.clone(), kept);
+        self.entries.insert(entry.member.instance.clone(), entry);
     }
 
     /// Takes in that a neighbour is leaving.
     pub fn withdraw(&mut self, instance: &InstanceId) {
-        if let Some(kept) = self.kept.get_mut(instance) {
-            kept.state = RecordState::Leaving;
+        if let Some(entry) = self.entries.get_mut(instance) {
+            entry.state = RecordState::Leaving;
         }
     }
 
@@ -110,72 +110,72 @@
     ///
     /// One that another instance has written after this one is no longer this one's. One
     /// that names this instance is, whether it knows of it or not: nobody else removes it.
-    pub fn see(&mut self, member: &Member, now: MonotonicTime) {
+    pub fn observe(&mut self, member: &Member, now: MonotonicTime) {
         let is_own = member.registrar.as_ref() == Some(&self.own);
-        let Some(kept) = self.kept.get_mut(&member.instance) else {
+        let Some(entry) = self.entries.get_mut(&member.instance) else {
             if is_own {
                 self.adopt(member.clone(), now);
             }
             return;
         };
-        match kept.state {
+        match entry.state {
             RecordState::Written | RecordState::Leaving if !is_own => {
-                self.kept.remove(&member.instance);
+                self.entries.remove(&member.instance);
             }
-            RecordState::Written if kept.member != *member => {
-                kept.state = RecordState::Unwritten;
+            RecordState::Written if entry.member != *member => {
+                entry.state = RecordState::Unwritten;
             }
-            RecordState::Unwritten if kept.member == *member => {
-                kept.state = RecordState::Written;
+            RecordState::Unwritten if entry.member == *member => {
+                entry.state = RecordState::Written;
             }
             _ => {}
         }
     }
 
     fn adopt(&mut self, member: Member, now: MonotonicTime) {
-        let kept = Kept {
-            has_asked: false,
-            heard_at: now,
+        let entry = Entry {
+            has_sent_heartbeat: false,
+            heartbeat_at: now,
             state: RecordState::Written,
             member,
         };
-        self.kept.insert(kept.member.instance.clone(), kept);
+        self.entries.insert(entry.member.instance.clone(), entry);
     }
 
     /// Takes in that the store holds no record of an instance.
-    pub fn miss(&mut self, instance: &InstanceId) {
-        let Some(kept) = self.kept.get_mut(instance) else {
+    pub fn observe_missing(&mut self, instance: &InstanceId) {
+        let Some(entry) = self.entries.get_mut(instance) else {
             return;
         };
-        if !kept.has_asked {
+        if !entry.has_sent_heartbeat {
             // The store told of the record's writing after it had been removed.
-            self.kept.remove(instance);
-        } else if kept.state == RecordState::Written {
-            kept.state = RecordState::Unwritten;
+            self.entries.remove(instance);
+        } else if entry.state == RecordState::Written {
+            entry.state = RecordState::Unwritten;
         }
     }
 
     /// Takes in all records that the store holds.
-    pub fn see_all(&mut self, members: &[Member], now: MonotonicTime) {
+    pub fn observe_all(&mut self, members: &[Member], now: MonotonicTime) {
         let present: BTreeSet<&InstanceId> =
             members.iter().map(|member| &member.instance).collect();
-        let kept: Vec<InstanceId> = self.kept.keys().cloned().collect();
-        for instance in kept {
+        let instances: Vec<InstanceId> = self.entries.keys().cloned().collect();
+        for instance in instances {
             if !present.contains(&instance) {
-                self.miss(&instance);
+                self.observe_missing(&instance);
             }
         }
         for member in members {
-            self.see(member, now);
+            self.observe(member, now);
         }
     }
 
     /// Takes in that the lease has ended under which the records stood.
-    pub fn lose_lease(&mut self) {
-        self.kept.retain(|_, kept| kept.has_asked);
-        for kept in self.kept.values_mut() {
-            if kept.state == RecordState::Written {
-                kept.state = RecordState::Unwritten;
+    pub fn handle_lease_loss(&mut self) {
+        self.entries.retain(|_, entry| entry.has_sent_heartbeat);
+        for entry in self.entries.values_mut() {
+            if entry.state == RecordState::Written {
+                entry.state = RecordState::Unwritten;
             }
         }
     }
@@ -184,16 +184,16 @@
     ///
     /// It is to be asked for several times a second: neighbours that have fallen silent
     /// are noticed here.
-    pub fn due(&mut self, count: usize, now: MonotonicTime) -> RecordChanges {
-        self.notice_silence(now);
+    pub fn pending_changes(&mut self, count: usize, now: MonotonicTime) -> RecordChanges {
+        self.check_heartbeats(now);
         let mut changes = RecordChanges::default();
-        for kept in self.kept.values() {
+        for entry in self.entries.values() {
             if changes.written.len() + changes.removed.len() >= count {
                 break;
             }
-            match kept.state {
-                RecordState::Unwritten => changes.written.push(kept.member.clone()),
-                RecordState::Leaving => changes.removed.push(kept.member.instance.clone()),
+            match entry.state {
+                RecordState::Unwritten => changes.written.push(entry.member.clone()),
+                RecordState::Leaving => changes.removed.push(entry.member.instance.clone()),
                 RecordState::Written => {}
             }
         }
@@ -203,34 +203,34 @@
     /// Notes that the store has taken changes.
     pub fn confirm(&mut self, changes: &RecordChanges) {
         for member in &changes.written {
-            if let Some(kept) = self.kept.get_mut(&member.instance)
-                && kept.state == RecordState::Unwritten
-                && kept.member == *member
+            if let Some(entry) = self.entries.get_mut(&member.instance)
+                && entry.state == RecordState::Unwritten
+                && entry.member == *member
             {
-                kept.state = RecordState::Written;
+                entry.state = RecordState::Written;
             }
         }
         for instance in &changes.removed {
-            let is_leaving = |kept: &Kept| kept.state == RecordState::Leaving;
-            if self.kept.get(instance).is_some_and(is_leaving) {
-                self.kept.remove(instance);
+            let is_leaving = |entry: &Entry| entry.state == RecordState::Leaving;
+            if self.entries.get(instance).is_some_and(is_leaving) {
+                self.entries.remove(instance);
             }
         }
     }
 
     /// Tells whether no neighbour's record is kept.
     pub fn is_empty(&self) -> bool {
-        self.kept.is_empty()
+        self.entries.is_empty()
     }
 
-    fn notice_silence(&mut self, now: MonotonicTime) {
-        let looked_at = self.looked_at.replace(now);
-        let stood_still = looked_at.is_some_and(|looked_at| now - looked_at > LATE_TIME);
-        for kept in self.kept.values_mut() {
-            if stood_still {
-                kept.heard_at = now;
-            } else if now - kept.heard_at > SILENCE_TIME {
-                kept.state = RecordState::Leaving;
+    fn check_heartbeats(&mut self, now: MonotonicTime) {
+        let checked_at = self.checked_at.replace(now);
+        let was_paused = checked_at.is_some_and(|checked_at| now - checked_at > CHECK_DELAY_MAX);
+        for entry in self.entries.values_mut() {
+            if was_paused {
+                entry.heartbeat_at = now;
+            } else if now - entry.heartbeat_at > HEARTBEAT_TIMEOUT {
+                entry.state = RecordState::Leaving;
             }
         }
     }
--- a/crates/foxtide-core/tests/registrar.rs
+++ b/crates/foxtide-core/tests/registrar.rs
@@ -9,13 +9,13 @@
 use foxtide_core::time::MonotonicTime;
 
 /// As many records as one write may change.
-const COUNT: usize = 32;
+const CHANGES_MAX: usize = 32;
 
 fn at(ms: u64) -> MonotonicTime {
     MonotonicTime::from_ms(ms)
 }
 
-fn kept_by(registrar: &str, name: &str) -> Member {
+fn member_with_registrar(registrar: &str, name: &str) -> Member {
     Member {
         instance: name.parse().unwrap(),
         caller_address: "127.0.0.1:1".parse().unwrap(),
@@ -29,7 +29,7 @@
 }
 
 fn member(name: &str) -> Member {
-    kept_by("edge-1", name)
+    member_with_registrar("edge-1", name)
 }
 
 fn instance(name: &str) -> InstanceId {
@@ -41,8 +41,8 @@
 }
 
 /// Looks after the neighbours, and takes what is due as done.
-fn look(registrar: &mut Registrar, ms: u64) -> RecordChanges {
-    let changes = registrar.due(COUNT, at(ms));
+fn apply_pending(registrar: &mut Registrar, ms: u64) -> RecordChanges {
+    let changes = registrar.pending_changes(CHANGES_MAX, at(ms));
     registrar.confirm(&changes);
     changes
 }
@@ -65,39 +65,42 @@
 #[test]
 fn verify_neighbours_are_written_together_and_once() {
     let mut registrar = registrar();
-    registrar.hear(member("edge-2"), at(0));
-    registrar.hear(member("edge-3"), at(50));
-    assert_eq!(look(&mut registrar, 100), written(&["edge-2", "edge-3"]));
+    registrar.record_heartbeat(member("edge-2"), at(0));
+    registrar.record_heartbeat(member("edge-3"), at(50));
+    assert_eq!(
+        apply_pending(&mut registrar, 100),
+        written(&["edge-2", "edge-3"])
+    );
     for ms in (200..10_000).step_by(200) {
-        registrar.hear(member("edge-2"), at(ms));
-        registrar.hear(member("edge-3"), at(ms));
-        assert!(look(&mut registrar, ms).is_empty());
+        registrar.record_heartbeat(member("edge-2"), at(ms));
+        registrar.record_heartbeat(member("edge-3"), at(ms));
+        assert!(apply_pending(&mut registrar, ms).is_empty());
     }
 }
 
 #[test]
 fn verify_one_write_changes_no_more_than_the_store_takes() {
     let mut registrar = registrar();
-    for number in 0..COUNT + 3 {
-        registrar.hear(member(&format!("edge-{number}")), at(0));
+    for number in 0..CHANGES_MAX + 3 {
+        registrar.record_heartbeat(member(&format!("edge-{number}")), at(0));
     }
-    assert_eq!(look(&mut registrar, 10).written.len(), COUNT);
-    assert_eq!(look(&mut registrar, 20).written.len(), 3);
+    assert_eq!(apply_pending(&mut registrar, 10).written.len(), CHANGES_MAX);
+    assert_eq!(apply_pending(&mut registrar, 20).written.len(), 3);
 }
 
 #[test]
 fn verify_a_neighbour_that_is_silent_is_removed_and_one_that_leaves_at_once() {
     let mut registrar = registrar();
-    registrar.hear(member("edge-2"), at(0));
-    registrar.hear(member("edge-3"), at(0));
-    look(&mut registrar, 0);
+    registrar.record_heartbeat(member("edge-2"), at(0));
+    registrar.record_heartbeat(member("edge-3"), at(0));
+    apply_pending(&mut registrar, 0);
     for ms in (200..=2_600).step_by(200) {
-        registrar.hear(member("edge-3"), at(ms));
-        assert!(look(&mut registrar, ms).is_empty());
+        registrar.record_heartbeat(member("edge-3"), at(ms));
+        assert!(apply_pending(&mut registrar, ms).is_empty());
     }
-    assert_eq!(look(&mut registrar, 2_700), removed(&["edge-2"]));
+    assert_eq!(apply_pending(&mut registrar, 2_700), removed(&["edge-2"]));
     registrar.withdraw(&instance("edge-3"));
-    assert_eq!(look(&mut registrar, 2_800), removed(&["edge-3"]));
+    assert_eq!(apply_pending(&mut registrar, 2_800), removed(&["edge-3"]));
     assert!(registrar.is_empty());
 }
 
@@ -105,64 +108,73 @@
 #[test]
 fn verify_one_that_asks_again_while_it_is_removed_is_written_again() {
     let mut registrar = registrar();
-    registrar.hear(member("edge-2"), at(0));
-    look(&mut registrar, 0);
+    registrar.record_heartbeat(member("edge-2"), at(0));
+    apply_pending(&mut registrar, 0);
     registrar.withdraw(&instance("edge-2"));
-    let changes = registrar.due(COUNT, at(100));
+    let changes = registrar.pending_changes(CHANGES_MAX, at(100));
     assert_eq!(changes, removed(&["edge-2"]));
-    registrar.hear(member("edge-2"), at(150));
+    registrar.record_heartbeat(member("edge-2"), at(150));
     registrar.confirm(&changes);
-    assert_eq!(look(&mut registrar, 200), written(&["edge-2"]));
+    assert_eq!(apply_pending(&mut registrar, 200), written(&["edge-2"]));
 }
 
 /// Its watcher died, and it asks another one; both may believe that they keep it.
 #[test]
 fn verify_the_later_of_two_registrars_keeps_the_record() {
     let mut first = registrar();
-    first.hear(member("edge-2"), at(0));
-    look(&mut first, 0);
-    first.see(&kept_by("edge-9", "edge-2"), at(50));
+    first.record_heartbeat(member("edge-2"), at(0));
+    apply_pending(&mut first, 0);
+    first.observe(&member_with_registrar("edge-9", "edge-2"), at(50));
     assert!(first.is_empty());
     // What another wrote before this one does not take it from it.
-    first.hear(member("edge-2"), at(100));
-    first.see(&kept_by("edge-9", "edge-2"), at(50));
-    assert_eq!(look(&mut first, 200), written(&["edge-2"]));
+    first.record_heartbeat(member("edge-2"), at(100));
+    first.observe(&member_with_registrar("edge-9", "edge-2"), at(50));
+    assert_eq!(apply_pending(&mut first, 200), written(&["edge-2"]));
 }
 
 #[test]
 fn verify_records_that_the_store_lost_are_written_again() {
     let mut registrar = registrar();
-    registrar.hear(member("edge-2"), at(0));
-    registrar.hear(member("edge-3"), at(0));
-    look(&mut registrar, 0);
-    registrar.miss(&instance("edge-2"));
-    assert_eq!(look(&mut registrar, 100), written(&["edge-2"]));
-    registrar.lose_lease();
-    assert_eq!(look(&mut registrar, 200), written(&["edge-2", "edge-3"]));
-    registrar.see_all(&[member("edge-2")], at(250));
-    assert_eq!(look(&mut registrar, 300), written(&["edge-3"]));
+    registrar.record_heartbeat(member("edge-2"), at(0));
+    registrar.record_heartbeat(member("edge-3"), at(0));
+    apply_pending(&mut registrar, 0);
+    registrar.observe_missing(&instance("edge-2"));
+    assert_eq!(apply_pending(&mut registrar, 100), written(&["edge-2"]));
+    registrar.handle_lease_loss();
+    assert_eq!(
+        apply_pending(&mut registrar, 200),
+        written(&["edge-2", "edge-3"])
+    );
+    registrar.observe_all(&[member("edge-2")], at(250));
+    assert_eq!(apply_pending(&mut registrar, 300), written(&["edge-3"]));
 }
 
 /// An instance that was paused finds all questions of its neighbours unread.
 #[test]
 fn verify_one_that_stood_still_itself_removes_nobody() {
     let mut registrar = registrar();
-    registrar.hear(member("edge-2"), at(0));
-    look(&mut registrar, 0);
-    assert!(look(&mut registrar, 8_000).is_empty());
+    registrar.record_heartbeat(member("edge-2"), at(0));
+    apply_pending(&mut registrar, 0);
+    assert!(apply_pending(&mut registrar, 8_000).is_empty());
     for ms in (8_200..10_600).step_by(200) {
-        assert!(look(&mut registrar, ms).is_empty());
+        assert!(apply_pending(&mut registrar, ms).is_empty());
     }
-    assert_eq!(look(&mut registrar, 10_700), removed(&["edge-2"]));
+    assert_eq!(apply_pending(&mut registrar, 10_700), removed(&["edge-2"]));
 }
 
 /// A write that the store has not taken is due again.
 #[test]
 fn verify_what_was_not_confirmed_stays_due() {
     let mut registrar = registrar();
-    registrar.hear(member("edge-2"), at(0));
-    assert_eq!(registrar.due(COUNT, at(0)), written(&["edge-2"]));
-    assert_eq!(registrar.due(COUNT, at(200)), written(&["edge-2"]));
+    registrar.record_heartbeat(member("edge-2"), at(0));
+    assert_eq!(
+        registrar.pending_changes(CHANGES_MAX, at(0)),
+        written(&["edge-2"])
+    );
+    assert_eq!(
+        registrar.pending_changes(CHANGES_MAX, at(200)),
+        written(&["edge-2"])
+    );
 }
 
 /// Nobody else removes a record that names this instance: its answer was lost, or the
@@ -170,39 +182,39 @@
 #[test]
 fn verify_a_record_that_names_this_instance_is_its_own_to_remove() {
     let mut registrar = registrar();
-    registrar.see(&member("edge-2"), at(0));
-    registrar.see(&kept_by("edge-9", "edge-3"), at(0));
+    registrar.observe(&member("edge-2"), at(0));
+    registrar.observe(&member_with_registrar("edge-9", "edge-3"), at(0));
     for ms in (0..=2_600).step_by(200) {
-        assert!(look(&mut registrar, ms).is_empty());
+        assert!(apply_pending(&mut registrar, ms).is_empty());
     }
-    assert_eq!(look(&mut registrar, 2_700), removed(&["edge-2"]));
+    assert_eq!(apply_pending(&mut registrar, 2_700), removed(&["edge-2"]));
 }
 
 /// It started again with another port, and the store tells of its earlier record late.
 #[test]
 fn verify_an_earlier_record_of_a_neighbour_is_written_over() {
     let mut registrar = registrar();
-    registrar.hear(member("edge-2"), at(0));
-    look(&mut registrar, 0);
+    registrar.record_heartbeat(member("edge-2"), at(0));
+    apply_pending(&mut registrar, 0);
     let earlier = Member {
         datagram_address: "127.0.0.1:7".parse().unwrap(),
         ..member("edge-2")
     };
-    registrar.see(&earlier, at(100));
-    assert_eq!(look(&mut registrar, 100), written(&["edge-2"]));
+    registrar.observe(&earlier, at(100));
+    assert_eq!(apply_pending(&mut registrar, 100), written(&["edge-2"]));
 }
 
 /// The store tells late, and in one answer, of a record's writing and its removal.
 #[test]
 fn verify_a_record_that_was_removed_is_not_written_again_for_what_is_told_late() {
     let mut registrar = registrar();
-    registrar.hear(member("edge-2"), at(0));
-    look(&mut registrar, 0);
+    registrar.record_heartbeat(member("edge-2"), at(0));
+    apply_pending(&mut registrar, 0);
     registrar.withdraw(&instance("edge-2"));
-    assert_eq!(look(&mut registrar, 150), removed(&["edge-2"]));
-    registrar.see(&member("edge-2"), at(800));
-    registrar.miss(&instance("edge-2"));
-    assert!(look(&mut registrar, 800).is_empty());
+    assert_eq!(apply_pending(&mut registrar, 150), removed(&["edge-2"]));
+    registrar.observe(&member("edge-2"), at(800));
+    registrar.observe_missing(&instance("edge-2"));
+    assert!(apply_pending(&mut registrar, 800).is_empty());
     assert!(registrar.is_empty());
 }
 
@@ -210,11 +222,14 @@
 #[test]
 fn verify_one_that_has_found_another_registrar_is_not_removed() {
     let mut registrar = registrar();
-    registrar.hear(member("edge-2"), at(0));
-    look(&mut registrar, 0);
-    look(&mut registrar, 900);
-    look(&mut registrar, 1_800);
-    assert_eq!(registrar.due(COUNT, at(2_700)), removed(&["edge-2"]));
-    registrar.see(&kept_by("edge-9", "edge-2"), at(2_750));
-    assert!(look(&mut registrar, 2_800).is_empty());
+    registrar.record_heartbeat(member("edge-2"), at(0));
+    apply_pending(&mut registrar, 0);
+    apply_pending(&mut registrar, 900);
+    apply_pending(&mut registrar, 1_800);
+    assert_eq!(
+        registrar.pending_changes(CHANGES_MAX, at(2_700)),
+        removed(&["edge-2"])
+    );
+    registrar.observe(&member_with_registrar("edge-9", "edge-2"), at(2_750));
+    assert!(apply_pending(&mut registrar, 2_800).is_empty());
 }
--- a/crates/foxtide-gateway/src/membership.rs
+++ b/crates/foxtide-gateway/src/membership.rs
@@ -227,7 +227,7 @@
     fn lose_lease(&mut self, lease: LeaseId) {
         log_event!(EventCode::LeaseLost, lease:% = lease);
         self.lease = None;
-        self.shared.state.lock().registrar_mut().lose_lease();
+        self.shared.state.lock().registrar_mut().handle_lease_loss();
     }
 
     /// Lets a lease lapse under which nothing stands any more; to end it would cost a
@@ -243,7 +243,7 @@
         let now = self.shared.clock.now();
         let mut changes = {
             let mut state = self.shared.state.lock();
-            state.registrar_mut().due(RECORDS_MAX - 1, now)
+            state.registrar_mut().pending_changes(RECORDS_MAX - 1, now)
         };
         let Some(lease) = self.lease else {
             return Ok(());
--- a/crates/foxtide-gateway/src/relay/server.rs
+++ b/crates/foxtide-gateway/src/relay/server.rs
@@ -149,7 +149,7 @@
         state.registrar_mut().withdraw(&member.instance);
     } else if state.is_store_followed() && !shared.lifecycle.is_stopping() {
         let now = shared.clock.now();
-        state.registrar_mut().hear(member, now);
+        state.registrar_mut().record_heartbeat(member, now);
     }
 }
 
--- a/crates/foxtide-gateway/src/state/facts.rs
+++ b/crates/foxtide-gateway/src/state/facts.rs
@@ -48,7 +48,7 @@
             .collect();
         changes.extend(self.registry.replace(registrations, now));
         self.note_changes(&changes);
-        self.registrar.see_all(&members, now);
+        self.registrar.observe_all(&members, now);
         self.members.replace(members, self.registry.phase(), now);
         self.note_evacuated(evacuated);
     }
@@ -78,12 +78,12 @@
             }
             Fact::Joined(member) => {
                 beliefs::member_joined(&member);
-                self.registrar.see(&member, now);
+                self.registrar.observe(&member, now);
                 self.members.join(member, now);
             }
             Fact::Quarantined(_) | Fact::Released(_) => {}
             Fact::Left(instance) => {
-                self.registrar.miss(&instance);
+                self.registrar.observe_missing(&instance);
                 let phase = self.registry.phase();
                 let is_gone = self.members.leave(&instance, phase, now);
                 beliefs::member_left(&instance, is_gone);
