--- a/crates/foxtide-core/src/registry/members.rs
+++ b/crates/foxtide-core/src/registry/members.rs
@@ -106,7 +106,7 @@
     /// Takes in that an instance's lease has ended; tells whether it is
     /// believed to be gone.
     pub fn leave(&mut self, instance: &InstanceId, phase: StorePhase, now: MonotonicTime) -> bool {
-        if phase.believes_missing(now) {
+        if phase.treats_missing_as_gone(now) {
             let left = self.entries.remove(instance);
             return left.is_some_and(|left| {
                 self.changed_at.insert(left.member.region, now);
@@ -138,7 +138,7 @@
     /// Removes instances that were missing when the store was away and have
     /// not come back.
     pub fn expire(&mut self, phase: StorePhase, now: MonotonicTime) {
-        if !phase.believes_missing(now) {
+        if !phase.treats_missing_as_gone(now) {
             return;
         }
         for entry in self.entries.values().filter(|entry| entry.is_missing) {
--- a/crates/foxtide-core/src/registry/mod.rs
+++ b/crates/foxtide-core/src/registry/mod.rs
@@ -18,7 +18,7 @@
     Members, //
 };
 pub use phase::{
-    RETURN_TIME,
+    REGISTRATION_GRACE,
     StorePhase, //
 };
 pub use registered::{
--- a/crates/foxtide-core/src/registry/phase.rs
+++ b/crates/foxtide-core/src/registry/phase.rs
@@ -6,17 +6,17 @@
 /// How long after an outage of the store upstreams that live may take to
 /// register again: two seconds by the platform's word, and what a call of
 /// ours may take to see it.
-pub const RETURN_TIME: Duration = Duration::from_millis(2_100);
+pub const REGISTRATION_GRACE: Duration = Duration::from_millis(2_100);
 
 /// What this instance knows of the store's own health.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StorePhase {
     /// It has answered for a while.
-    Steady,
+    Available,
     /// Its last call failed.
-    Away,
+    Unavailable,
     /// It answers again.
-    Back {
+    Recovering {
         /// Since when.
         since: MonotonicTime,
     },
@@ -25,11 +25,11 @@
 impl StorePhase {
     /// Tells whether a registration that is missing means that the upstream is
     /// gone; during an outage registrations lapse although upstreams live.
-    pub fn believes_missing(self, now: MonotonicTime) -> bool {
+    pub fn treats_missing_as_gone(self, now: MonotonicTime) -> bool {
         match self {
-            Self::Steady => true,
-            Self::Away => false,
-            Self::Back { since } => now - since > RETURN_TIME,
+            Self::Available => true,
+            Self::Unavailable => false,
+            Self::Recovering { since } => now - since > REGISTRATION_GRACE,
         }
     }
 }
--- a/crates/foxtide-core/src/registry/registered.rs
+++ b/crates/foxtide-core/src/registry/registered.rs
@@ -39,5 +39,5 @@
     /// An upstream is leaving or gone.
     Left(UpstreamId),
     /// An upstream is missing, but the store was away: it is kept for now.
-    Doubted(UpstreamId),
+    Missing(UpstreamId),
 }
--- a/crates/foxtide-core/src/registry/table.rs
+++ b/crates/foxtide-core/src/registry/table.rs
@@ -32,7 +32,7 @@
 /// All registered upstreams and evacuated availability zones.
 ///
 /// A registration that disappears ends an upstream, except while the store is
-/// away and until [`super::RETURN_TIME`] after its return.
+/// away and until [`super::REGISTRATION_GRACE`] after its return.
 #[derive(Clone, Debug)]
 pub struct Registry {
     entries: BTreeMap<UpstreamId, Registered>,
@@ -58,7 +58,7 @@
             evacuated: HashSet::new(),
             incarnations: Incarnations::default(),
             departures: Departures::default(),
-            phase: StorePhase::Steady,
+            phase: StorePhase::Available,
         }
     }
 }
@@ -94,7 +94,7 @@
 
     /// Takes in that a registration is no longer there.
     pub fn unregister(&mut self, upstream: &UpstreamId, now: MonotonicTime) -> RegistryChange {
-        self.miss(upstream, now)
+        self.handle_missing(upstream, now)
     }
 
     /// Takes in that what stands under an upstream's name cannot be read: it names no
@@ -155,7 +155,7 @@
             .collect();
         let mut changes: Vec<RegistryChange> = missing
             .iter()
-            .map(|upstream| self.miss(upstream, now))
+            .map(|upstream| self.handle_missing(upstream, now))
             .collect();
         for registration in registrations {
             changes.push(self.insert(registration, now));
@@ -166,14 +166,14 @@
 
     /// Notes that a call to the store failed.
     pub fn store_failed(&mut self) {
-        self.phase = StorePhase::Away;
+        self.phase = StorePhase::Unavailable;
     }
 
     /// Notes that a call to the store was answered.
     pub fn store_answered(&mut self, now: MonotonicTime) {
         self.phase = match self.phase {
-            StorePhase::Away => StorePhase::Back { since: now },
-            phase if phase.believes_missing(now) => StorePhase::Steady,
+            StorePhase::Unavailable => StorePhase::Recovering { since: now },
+            phase if phase.treats_missing_as_gone(now) => StorePhase::Available,
             phase => phase,
         };
     }
@@ -181,7 +181,7 @@
     /// Notes that the store has come back from an older copy. What is missing in it may live,
     /// and upstreams that were leaving or had left may stand there as ready again.
     pub fn store_restored(&mut self, now: MonotonicTime) {
-        self.phase = StorePhase::Away;
+        self.phase = StorePhase::Unavailable;
         let is_leaving = |entry: &&Registered| entry.registration.state == UpstreamState::Draining;
         let leaving = self.entries.values().filter(is_leaving);
         let leaving = leaving.map(|entry| &*entry.registration);
@@ -194,7 +194,7 @@
     }
 
     /// Tells whether an upstream is missing and kept for now.
-    pub fn has_doubts(&self) -> bool {
+    pub fn has_missing(&self) -> bool {
         !self.missing.is_empty()
     }
 
@@ -205,7 +205,7 @@
         self.incarnations
             .prune(now, |upstream| entries.contains_key(upstream));
         self.departures.prune(now);
-        if !self.phase.believes_missing(now) {
+        if !self.phase.treats_missing_as_gone(now) {
             return Vec::new();
         }
         let gone = std::mem::take(&mut self.missing);
@@ -271,13 +271,13 @@
         }
     }
 
-    fn miss(&mut self, upstream: &UpstreamId, now: MonotonicTime) -> RegistryChange {
-        let believed = self.phase.believes_missing(now);
+    fn handle_missing(&mut self, upstream: &UpstreamId, now: MonotonicTime) -> RegistryChange {
+        let is_gone = self.phase.treats_missing_as_gone(now);
         let Some(entry) = self.entries.get(upstream) else {
             return RegistryChange::None;
         };
         let is_draining = entry.registration.state == UpstreamState::Draining;
-        if believed || is_draining {
+        if is_gone || is_draining {
             self.departures.left(&entry.registration, now);
             self.remove(upstream);
             return RegistryChange::Left(upstream.clone());
@@ -285,7 +285,7 @@
         if !self.missing.insert(upstream.clone()) {
             return RegistryChange::None;
         }
-        RegistryChange::Doubted(upstream.clone())
+        RegistryChange::Missing(upstream.clone())
     }
 
     fn takes_requests(&self, entry: &Registered) -> bool {
--- a/crates/foxtide-core/tests/eras.rs
+++ b/crates/foxtide-core/tests/eras.rs
@@ -11,7 +11,7 @@
     RecordLog, //
 };
 use foxtide_core::registry::{
-    RETURN_TIME,
+    REGISTRATION_GRACE,
     Registration,
     Registry,
     RegistryChange,
@@ -316,12 +316,12 @@
     assert_eq!(
         changes,
         [
-            RegistryChange::Doubted("four".parse().unwrap()),
+            RegistryChange::Missing("four".parse().unwrap()),
             RegistryChange::Left("two".parse().unwrap())
         ]
     );
     assert_eq!(eligible(&registry), ["four", "one"]);
-    let later = now + RETURN_TIME + Duration::from_millis(1);
+    let later = now + REGISTRATION_GRACE + Duration::from_millis(1);
     registry.store_answered(later);
     registry.expire(later);
     assert_eq!(eligible(&registry), ["one"]);
--- a/crates/foxtide-core/tests/quota_model/fleet.rs
+++ b/crates/foxtide-core/tests/quota_model/fleet.rs
@@ -195,7 +195,7 @@
                 reader.process.members.join(member, time(now_ms));
             } else {
                 let members = &mut reader.process.members;
-                members.leave(&member.instance, StorePhase::Steady, time(now_ms));
+                members.leave(&member.instance, StorePhase::Available, time(now_ms));
             }
         }
     }
--- a/crates/foxtide-core/tests/registry.rs
+++ b/crates/foxtide-core/tests/registry.rs
@@ -9,7 +9,7 @@
     Asker,
     Member,
     Members,
-    RETURN_TIME,
+    REGISTRATION_GRACE,
     Registration,
     Registry,
     RegistryChange,
@@ -93,8 +93,8 @@
     assert_eq!(eligible(&registry), ["i-1", "i-2"]);
 
     registry.register(registration("i-2"), at(1_500));
-    let settled = at(1_000) + RETURN_TIME + Duration::from_millis(1);
-    assert!(registry.has_doubts());
+    let settled = at(1_000) + REGISTRATION_GRACE + Duration::from_millis(1);
+    assert!(registry.has_missing());
     assert_eq!(
         registry.expire(settled),
         [RegistryChange::Left(upstream("i-1"))]
@@ -108,7 +108,7 @@
     registry.register(registration("i-1"), at(0));
     registry.store_failed();
     registry.store_answered(at(1_000));
-    let later = at(1_000) + RETURN_TIME + Duration::from_millis(1);
+    let later = at(1_000) + REGISTRATION_GRACE + Duration::from_millis(1);
     registry.store_answered(later);
     registry.unregister(&upstream("i-1"), later);
     assert!(eligible(&registry).is_empty());
@@ -178,12 +178,12 @@
     let mut members = Members::default();
     members.join(member("one", "khomas"), MonotonicTime::ZERO);
     let instance = "one".parse().unwrap();
-    assert!(!members.leave(&instance, StorePhase::Away, at(10)));
+    assert!(!members.leave(&instance, StorePhase::Unavailable, at(10)));
     assert_eq!(members.all().count(), 1);
-    let back = StorePhase::Back { since: at(20) };
+    let back = StorePhase::Recovering { since: at(20) };
     members.expire(back, at(30));
     assert_eq!(members.all().count(), 1);
-    members.expire(back, at(21) + RETURN_TIME);
+    members.expire(back, at(21) + REGISTRATION_GRACE);
     assert_eq!(members.all().count(), 0);
 }
 
@@ -213,7 +213,7 @@
     assert_eq!(informed.len(), 6);
     assert_eq!(informed[..3], watchers[..]);
     // All agree, and only the place of one that leaves is taken by another.
-    members.leave(&watchers[0].instance, StorePhase::Steady, at(1));
+    members.leave(&watchers[0].instance, StorePhase::Available, at(1));
     members.join(member("k-9", "khomas"), MonotonicTime::ZERO);
     let after = members.watchers(&own);
     assert!(after.contains(&&watchers[1]) || after.contains(&&watchers[2]));
--- a/crates/foxtide-gateway/src/journal/beliefs.rs
+++ b/crates/foxtide-gateway/src/journal/beliefs.rs
@@ -169,7 +169,7 @@
         RegistryChange::Left(upstream) => {
             log_event!(EventCode::UpstreamRemoved, upstream = upstream.as_str());
         }
-        RegistryChange::Doubted(upstream) => {
+        RegistryChange::Missing(upstream) => {
             log_event!(EventCode::UpstreamDoubted, upstream = upstream.as_str());
         }
     }
--- a/crates/foxtide-gateway/src/state/pick.rs
+++ b/crates/foxtide-gateway/src/state/pick.rs
@@ -84,7 +84,7 @@
     /// Fails where no upstream may get the request now.
     pub(crate) fn pick(&mut self, request: &PickRequest<'_>) -> Result<Pick, NoUpstream> {
         let now = self.clock.now();
-        if self.registry.has_doubts() {
+        if self.registry.has_missing() {
             self.expire();
         }
         let order = request.object;
--- a/crates/foxtide-testing/src/load_model/fleet.rs
+++ b/crates/foxtide-testing/src/load_model/fleet.rs
@@ -196,7 +196,7 @@
         if is_alive {
             members.join(member, MonotonicTime::ZERO);
         } else {
-            members.leave(&member.instance, StorePhase::Steady, MonotonicTime::ZERO);
+            members.leave(&member.instance, StorePhase::Available, MonotonicTime::ZERO);
         }
     }
 
