--- a/crates/foxtide-core/src/registry/asking.rs
+++ b/crates/foxtide-core/src/registry/follower_backoff.rs
@@ -7,26 +7,26 @@
 /// watchers ask it all the while, and tell of its return within a second; this is for
 /// one that the store serves while it turns away all watchers that are known. Of 600
 /// instances this is 200 calls a second while the store is away.
-const FOLLOWER_PERIOD: Duration = Duration::from_millis(3_000);
+const FOLLOWER_RETRY_INTERVAL: Duration = Duration::from_millis(3_000);
 
 /// After how long an instance asks the store itself whose watchers live but are not
 /// answered. A watcher learns within half of this whether only its wait was cut.
-const WATCHERS_TIME: Duration = Duration::from_millis(1_000);
+const WATCHER_GRACE: Duration = Duration::from_millis(1_000);
 
 /// Remembers when the store has failed, and spreads the calls of followers over time:
 /// each decides alone, and their sum is bounded for each second of an outage.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct StoreAsking {
+pub struct FollowerBackoff {
     due_at: Option<MonotonicTime>,
     /// Whether the store's last answer was to this instance itself.
     is_served: bool,
 }
 
-impl StoreAsking {
+impl FollowerBackoff {
     /// Notes that the store did not answer; `draw` is from 0 to 1 and spreads the
     /// instances over time.
-    pub fn failed(&mut self, now: MonotonicTime, draw: f64) {
-        self.due_at = Some(now + spread(FOLLOWER_PERIOD, draw));
+    pub fn store_failed(&mut self, now: MonotonicTime, draw: f64) {
+        self.due_at = Some(now + jittered(FOLLOWER_RETRY_INTERVAL, draw));
         self.is_served = false;
     }
 
@@ -38,7 +38,8 @@
     /// on a whole day, where 3 are allowed).
     pub fn watchers_failed(&mut self, now: MonotonicTime, draw: f64) {
         if !self.is_served {
-            self.due_at.get_or_insert(now + spread(WATCHERS_TIME, draw));
+            self.due_at
+                .get_or_insert(now + jittered(WATCHER_GRACE, draw));
         }
     }
 
@@ -59,6 +60,6 @@
     }
 }
 
-fn spread(time: Duration, draw: f64) -> Duration {
+fn jittered(time: Duration, draw: f64) -> Duration {
     time.mul_f64(0.5 + draw.clamp(0.0, 1.0))
 }
--- a/crates/foxtide-core/src/registry/members.rs
+++ b/crates/foxtide-core/src/registry/members.rs
@@ -62,7 +62,7 @@
 
 /// An instance that asks others.
 #[derive(Clone, Copy, Debug)]
-pub struct Asker<'a> {
+pub struct Requester<'a> {
     /// Its name.
     pub instance: &'a InstanceId,
     /// Where it stands.
@@ -202,7 +202,7 @@
     }
 
     /// Returns the members that follow the store, those of `region` first.
-    pub fn informed(&self, region: &RegionId) -> Vec<&Member> {
+    pub fn watchers_nearest_first(&self, region: &RegionId) -> Vec<&Member> {
         let mut regions: Vec<&RegionId> = self.all().map(|member| &member.region).collect();
         regions.sort_by_key(|of_member| (*of_member != region, *of_member));
         regions.dedup();
@@ -220,13 +220,13 @@
     /// Sorts `members` as an instance asks them: those of its availability zone
     /// first, then those of its region, and else in an order of its own, so that
     /// not all ask the same one.
-    pub fn sort_for_asker(members: &mut [&Member], asker: &Asker<'_>) {
-        let seed = xxh3_64(asker.instance.as_str().as_bytes());
+    pub fn sort_by_proximity(members: &mut [&Member], requester: &Requester<'_>) {
+        let seed = xxh3_64(requester.instance.as_str().as_bytes());
         members.sort_by_cached_key(|member| {
             let draw = xxh3_64_with_seed(member.instance.as_str().as_bytes(), seed);
-            let is_elsewhere = member.region != *asker.region;
-            let is_next_door = member.availability_zone != *asker.availability_zone;
-            (is_elsewhere, is_next_door, draw)
+            let is_other_region = member.region != *requester.region;
+            let is_other_zone = member.availability_zone != *requester.availability_zone;
+            (is_other_region, is_other_zone, draw)
         });
     }
 
--- a/crates/foxtide-core/src/registry/mod.rs
+++ b/crates/foxtide-core/src/registry/mod.rs
@@ -1,21 +1,21 @@
 //! Upstreams that have registered themselves, and instances that are alive.
 
-mod asking;
 mod departures;
+mod follower_backoff;
 mod incarnations;
 mod members;
 mod phase;
 mod registered;
 mod registrar;
 mod registration;
-mod starting;
+mod startup;
 mod table;
 
-pub use asking::StoreAsking;
+pub use follower_backoff::FollowerBackoff;
 pub use members::{
-    Asker,
     Member,
-    Members, //
+    Members,
+    Requester, //
 };
 pub use phase::{
     REGISTRATION_GRACE,
@@ -33,5 +33,5 @@
     Registration,
     UpstreamState, //
 };
-pub use starting::reading_wait;
+pub use startup::startup_read_delay;
 pub use table::Registry;
--- a/crates/foxtide-core/tests/registry.rs
+++ b/crates/foxtide-core/tests/registry.rs
@@ -6,14 +6,14 @@
     UpstreamId, //
 };
 use foxtide_core::registry::{
-    Asker,
+    FollowerBackoff,
     Member,
     Members,
     REGISTRATION_GRACE,
     Registration,
     Registry,
     RegistryChange,
-    StoreAsking,
+    Requester,
     StorePhase,
     UpstreamState, //
 };
@@ -202,16 +202,20 @@
         );
     }
     assert!(members.watchers(&own).is_empty());
-    let informed = members.informed(&own);
-    assert_eq!(informed.len(), 16);
-    assert!(informed[..8].iter().all(|member| member.region == own));
+    let ordered = members.watchers_nearest_first(&own);
+    assert_eq!(ordered.len(), 16);
+    assert!(ordered[..8].iter().all(|member| member.region == own));
 
     members.join(member("k-8", "khomas"), MonotonicTime::ZERO);
     let watchers: Vec<_> = members.watchers(&own).into_iter().cloned().collect();
     assert_eq!(watchers.len(), 3);
-    let informed: Vec<_> = members.informed(&own).into_iter().cloned().collect();
-    assert_eq!(informed.len(), 6);
-    assert_eq!(informed[..3], watchers[..]);
+    let ordered: Vec<_> = members
+        .watchers_nearest_first(&own)
+        .into_iter()
+        .cloned()
+        .collect();
+    assert_eq!(ordered.len(), 6);
+    assert_eq!(ordered[..3], watchers[..]);
     // All agree, and only the place of one that leaves is taken by another.
     members.leave(&watchers[0].instance, StorePhase::Available, at(1));
     members.join(member("k-9", "khomas"), MonotonicTime::ZERO);
@@ -246,13 +250,13 @@
     assert_eq!((in_zone("khomas-a"), in_zone("khomas-b")), (4, 3));
     let mut followers: BTreeMap<InstanceId, usize> = BTreeMap::new();
     for own in members.all().filter(|member| member.region == region) {
-        let asker = Asker {
+        let requester = Requester {
             instance: &own.instance,
             availability_zone: &own.availability_zone,
             region: &own.region,
         };
-        let mut asked = members.informed(&region);
-        Members::sort_for_asker(&mut asked, &asker);
+        let mut asked = members.watchers_nearest_first(&region);
+        Members::sort_by_proximity(&mut asked, &requester);
         assert!(asked[..7].iter().all(|watcher| watcher.region == region));
         assert_eq!(asked[0].availability_zone, own.availability_zone);
         *followers.entry(asked[0].instance.clone()).or_default() += 1;
@@ -298,39 +302,39 @@
 /// 8 s.
 #[test]
 fn verify_a_follower_asks_a_store_that_failed_it_rarely() {
-    let mut asking = StoreAsking::default();
+    let mut backoff = FollowerBackoff::default();
     let mut asked = 0;
     for ms in 0..8_000 {
         let now = at(ms);
-        if asking.is_due(now) {
+        if backoff.is_due(now) {
             asked += 1;
-            asking.failed(now, 0.5);
+            backoff.store_failed(now, 0.5);
         }
     }
     assert_eq!(asked, 3);
-    asking.failed(at(8_000), 0.0);
-    assert!(!asking.is_due(at(9_499)));
-    assert!(asking.is_due(at(9_500)));
-    asking.store_answered();
-    assert!(asking.is_due(at(8_001)));
+    backoff.store_failed(at(8_000), 0.0);
+    assert!(!backoff.is_due(at(9_499)));
+    assert!(backoff.is_due(at(9_500)));
+    backoff.store_answered();
+    assert!(backoff.is_due(at(8_001)));
 }
 
 /// All watchers of a fleet are told at the same moment that the store does not answer;
 /// 273 followers asked it at once.
 #[test]
 fn verify_followers_leave_a_store_that_fails_their_watchers_to_these_at_first() {
-    let mut asking = StoreAsking::default();
-    asking.watchers_failed(at(0), 0.0);
-    assert!(!asking.is_due(at(499)));
-    assert!(asking.is_due(at(500)));
+    let mut backoff = FollowerBackoff::default();
+    backoff.watchers_failed(at(0), 0.0);
+    assert!(!backoff.is_due(at(499)));
+    assert!(backoff.is_due(at(500)));
     // What the watchers say later does not put it off.
-    asking.watchers_failed(at(400), 1.0);
-    assert!(asking.is_due(at(500)));
-    asking.watcher_answered();
-    asking.watchers_failed(at(1_000), 1.0);
-    assert!(!asking.is_due(at(2_499)));
-    asking.watcher_answered();
-    assert!(asking.is_due(at(2_000)));
+    backoff.watchers_failed(at(400), 1.0);
+    assert!(backoff.is_due(at(500)));
+    backoff.watcher_answered();
+    backoff.watchers_failed(at(1_000), 1.0);
+    assert!(!backoff.is_due(at(2_499)));
+    backoff.watcher_answered();
+    assert!(backoff.is_due(at(2_000)));
 }
 
 /// Watchers that are cut off say that the store does not answer them for as long as that
@@ -338,23 +342,23 @@
 /// kept upstreams that had left for 9 s.
 #[test]
 fn verify_one_whom_the_store_serves_asks_on_while_its_watchers_are_cut() {
-    let mut asking = StoreAsking::default();
-    asking.watchers_failed(at(0), 0.0);
-    assert!(!asking.is_due(at(499)));
-    asking.store_answered();
+    let mut backoff = FollowerBackoff::default();
+    backoff.watchers_failed(at(0), 0.0);
+    assert!(!backoff.is_due(at(499)));
+    backoff.store_answered();
     for ms in [1_300, 2_100, 2_900] {
-        asking.watchers_failed(at(ms), 1.0);
-        assert!(asking.is_due(at(ms)), "{ms}");
-        asking.store_answered();
+        backoff.watchers_failed(at(ms), 1.0);
+        assert!(backoff.is_due(at(ms)), "{ms}");
+        backoff.store_answered();
     }
     // Where it fails this one as well, all is as before.
-    asking.failed(at(3_000), 0.0);
-    asking.watchers_failed(at(3_100), 0.0);
-    assert!(!asking.is_due(at(4_499)));
-    asking.store_answered();
-    asking.watcher_answered();
-    asking.watchers_failed(at(6_000), 0.0);
-    assert!(!asking.is_due(at(6_499)));
+    backoff.store_failed(at(3_000), 0.0);
+    backoff.watchers_failed(at(3_100), 0.0);
+    assert!(!backoff.is_due(at(4_499)));
+    backoff.store_answered();
+    backoff.watcher_answered();
+    backoff.watchers_failed(at(6_000), 0.0);
+    assert!(!backoff.is_due(at(6_499)));
 }
 
 /// The registration of an upstream that tells when it started.
--- a/crates/foxtide-core/tests/starting.rs
+++ b/crates/foxtide-core/tests/startup.rs
@@ -3,7 +3,7 @@
 //! The figures are those of 295 instances on a store with 1,000 Mbit/s: a first page of
 //! 200 KB and 400 KB after it, machines with 20 Mbit/s, and starts within 0.3 s.
 
-use foxtide_core::registry::reading_wait;
+use foxtide_core::registry::startup_read_delay;
 
 const INSTANCES: usize = 295;
 
@@ -66,7 +66,7 @@
 #[test]
 fn verify_the_first_are_ready_earlier_and_the_last_hardly_later() {
     let together = ready(|_| 0);
-    let spread = ready(|number| reading_wait(INSTANCES, draw(number)).as_millis() as u64);
+    let spread = ready(|number| startup_read_delay(INSTANCES, draw(number)).as_millis() as u64);
     let quarter = INSTANCES / 4;
     assert!(spread[quarter] + 150 < together[quarter]);
     assert!(spread[INSTANCES / 2] < together[INSTANCES / 2]);
@@ -75,9 +75,9 @@
 
 #[test]
 fn verify_a_wait_is_short_for_few_and_bounded_for_many() {
-    assert!(reading_wait(1, 1.0).as_millis() <= 2);
-    assert_eq!(reading_wait(INSTANCES, 0.0).as_millis(), 0);
-    assert_eq!(reading_wait(INSTANCES, 1.0).as_millis(), 590);
-    assert_eq!(reading_wait(100_000, 1.0).as_millis(), 1_500);
-    assert_eq!(reading_wait(usize::MAX, 2.0).as_millis(), 1_500);
+    assert!(startup_read_delay(1, 1.0).as_millis() <= 2);
+    assert_eq!(startup_read_delay(INSTANCES, 0.0).as_millis(), 0);
+    assert_eq!(startup_read_delay(INSTANCES, 1.0).as_millis(), 590);
+    assert_eq!(startup_read_delay(100_000, 1.0).as_millis(), 1_500);
+    assert_eq!(startup_read_delay(usize::MAX, 2.0).as_millis(), 1_500);
 }
--- a/crates/foxtide-gateway/src/follow/mod.rs
+++ b/crates/foxtide-gateway/src/follow/mod.rs
@@ -16,7 +16,7 @@
     FleetStore, //
 };
 use foxtide_core::records::Record;
-use foxtide_core::registry::StoreAsking;
+use foxtide_core::registry::FollowerBackoff;
 use foxtide_core::store::{
     StoreError,
     StoreIndex,
@@ -79,7 +79,7 @@
         peer_version: 0,
         newer: None,
         failures: 0,
-        asking: StoreAsking::default(),
+        backoff: FollowerBackoff::default(),
     };
     follower.spread_first_start().await;
     loop {
@@ -117,7 +117,7 @@
     /// A configuration that a peer has told at the start, where the store has lost it.
     newer: Option<Record>,
     failures: u32,
-    asking: StoreAsking,
+    backoff: FollowerBackoff,
 }
 
 impl<D: Dialect, S: FleetStore> Follower<D, S> {
@@ -127,13 +127,13 @@
             let watchers = self.watchers();
             match self.ask_watchers(&watchers).await {
                 Ok(()) => {
-                    self.asking.watcher_answered();
+                    self.backoff.watcher_answered();
                     self.set_followed(false);
                     return Ok(());
                 }
                 Err(RelayError::NotCurrent { .. }) => {
                     let now = self.shared.clock.now();
-                    self.asking.watchers_failed(now, fastrand::f64());
+                    self.backoff.watchers_failed(now, fastrand::f64());
                 }
                 Err(_) => {}
             }
@@ -145,7 +145,7 @@
     async fn ask_store(&mut self) -> Result<(), StoreError> {
         let now = self.shared.clock.now();
         let asks_others = self.index.is_some() && self.is_follower();
-        if asks_others && !self.asking.is_due(now) {
+        if asks_others && !self.backoff.is_due(now) {
             return Err(StoreError::NotSent {
                 step: "watch",
                 peer: "store".to_owned(),
@@ -158,10 +158,12 @@
         };
         match &read {
             Ok(()) => {
-                self.asking.store_answered();
+                self.backoff.store_answered();
                 self.set_followed(true);
             }
-            Err(_) => self.asking.failed(self.shared.clock.now(), fastrand::f64()),
+            Err(_) => self
+                .backoff
+                .store_failed(self.shared.clock.now(), fastrand::f64()),
         }
         read
     }
--- a/crates/foxtide-gateway/src/follow/peers.rs
+++ b/crates/foxtide-gateway/src/follow/peers.rs
@@ -40,7 +40,7 @@
         let place = &self.shared.options.place;
         let state = self.shared.state.lock();
         let mut watchers = state.members().watchers(&place.region);
-        Members::sort_for_asker(&mut watchers, &place.asker());
+        Members::sort_by_proximity(&mut watchers, &place.requester());
         let addresses = watchers.into_iter().map(|watcher| watcher.peer_address);
         addresses
             .filter(|&address| !self.relay.is_avoided(address))
@@ -124,9 +124,9 @@
         let options = &self.shared.options;
         let place = &options.place;
         let state = self.shared.state.lock();
-        let mut informed = state.members().informed(&place.region);
-        Members::sort_for_asker(&mut informed, &place.asker());
-        let mut peers: Vec<SocketAddr> = informed
+        let mut watchers = state.members().watchers_nearest_first(&place.region);
+        Members::sort_by_proximity(&mut watchers, &place.requester());
+        let mut peers: Vec<SocketAddr> = watchers
             .into_iter()
             .filter(|member| member.instance != place.instance)
             .map(|member| member.peer_address)
--- a/crates/foxtide-gateway/src/follow/start.rs
+++ b/crates/foxtide-gateway/src/follow/start.rs
@@ -17,7 +17,7 @@
 use foxtide_core::records::Record;
 use foxtide_core::registry::{
     Members,
-    reading_wait, //
+    startup_read_delay, //
 };
 use foxtide_core::store::{
     StoreError,
@@ -116,7 +116,7 @@
         let facts = self.facts(&first_page.records);
         let is_member = |fact: &&Fact| matches!(fact, Fact::Joined(_));
         let instances = facts.iter().filter(is_member).count();
-        let wait = reading_wait(instances, fastrand::f64());
+        let wait = startup_read_delay(instances, fastrand::f64());
         self.shared
             .state
             .lock()
@@ -208,7 +208,7 @@
         if watchers.is_empty() && old.index.era() > 0 {
             watchers = members.all().collect();
         }
-        Members::sort_for_asker(&mut watchers, &place.asker());
+        Members::sort_by_proximity(&mut watchers, &place.requester());
         let addresses = watchers.into_iter().map(|watcher| watcher.peer_address);
         addresses.collect()
     }
--- a/crates/foxtide-gateway/src/options.rs
+++ b/crates/foxtide-gateway/src/options.rs
@@ -6,7 +6,7 @@
     RegionId, //
 };
 use foxtide_core::quota::QuotaBounds;
-use foxtide_core::registry::Asker;
+use foxtide_core::registry::Requester;
 use foxtide_core::units::ByteSize;
 use std::collections::BTreeMap;
 use std::net::{
@@ -78,8 +78,8 @@
     }
 
     /// Returns the instance as one that asks others.
-    pub(crate) fn asker(&self) -> Asker<'_> {
-        Asker {
+    pub(crate) fn requester(&self) -> Requester<'_> {
+        Requester {
             instance: &self.instance,
             availability_zone: &self.availability_zone,
             region: &self.region,
