--- a/crates/foxtide-core/src/registry/departures.rs
+++ b/crates/foxtide-core/src/registry/departures.rs
@@ -16,7 +16,7 @@
 /// older copy of the store shows as ready. The copy is some seconds old, and an upstream
 /// that does live and is ready loses a minute's requests at most; one that has left would
 /// fail each of them.
-const MEMORY_TIME: Duration = Duration::from_secs(60);
+const DEPARTURE_RETENTION: Duration = Duration::from_secs(60);
 
 #[derive(Clone, Copy, Debug)]
 struct Departure {
@@ -32,23 +32,23 @@
 
 impl Departures {
     /// Takes in that an upstream has left.
-    pub(super) fn left(&mut self, registration: &Registration, now: MonotonicTime) {
+    pub(super) fn record_departure(&mut self, registration: &Registration, now: MonotonicTime) {
         let departure = Departure {
             born_at: registration.born_at,
             since: now,
-            is_withheld: self.are_withheld(registration, now),
+            is_withheld: self.is_withheld(registration, now),
         };
         self.0.insert(registration.upstream.clone(), departure);
     }
 
     /// Takes in that an upstream is registered: one that has started anew, or that comes
     /// back by itself, has not left.
-    pub(super) fn returned(&mut self, registration: &Registration) {
+    pub(super) fn record_return(&mut self, registration: &Registration) {
         let departure = self.0.get(&registration.upstream);
-        let is_over = departure.is_some_and(|departure| {
+        let has_returned = departure.is_some_and(|departure| {
             !departure.is_withheld || departure.born_at != registration.born_at
         });
-        if is_over {
+        if has_returned {
             self.0.remove(&registration.upstream);
         }
     }
@@ -61,7 +61,7 @@
         now: MonotonicTime,
     ) {
         for registration in leaving {
-            self.left(registration, now);
+            self.record_departure(registration, now);
         }
         for departure in self.0.values_mut() {
             departure.is_withheld = true;
@@ -71,12 +71,12 @@
 
     /// Tells whether a registration is of an incarnation that an older copy of the store
     /// brought back.
-    pub(super) fn are_withheld(&self, registration: &Registration, now: MonotonicTime) -> bool {
+    pub(super) fn is_withheld(&self, registration: &Registration, now: MonotonicTime) -> bool {
         let departure = self.0.get(&registration.upstream);
         departure.is_some_and(|departure| {
             departure.is_withheld
                 && departure.born_at == registration.born_at
-                && now - departure.since < MEMORY_TIME
+                && now - departure.since < DEPARTURE_RETENTION
                 && registration.state == UpstreamState::Ready
         })
     }
@@ -84,6 +84,6 @@
     /// Forgets what is long past.
     pub(super) fn prune(&mut self, now: MonotonicTime) {
         self.0
-            .retain(|_, departure| now - departure.since < MEMORY_TIME);
+            .retain(|_, departure| now - departure.since < DEPARTURE_RETENTION);
     }
 }
--- a/crates/foxtide-core/src/registry/incarnations.rs
+++ b/crates/foxtide-core/src/registry/incarnations.rs
@@ -11,11 +11,11 @@
 
 /// How long an incarnation that is known to be gone is remembered: its
 /// registration lapses long before.
-const DISCARDED_TIME: Duration = Duration::from_secs(60);
+const DISCARDED_RETENTION: Duration = Duration::from_secs(60);
 
 /// How long it is remembered when the newest incarnation of a name started that is no
 /// longer registered: no instance or store tells of older ones after that.
-const BORN_TIME: Duration = Duration::from_secs(600);
+const NEWEST_START_RETENTION: Duration = Duration::from_secs(600);
 
 /// An incarnation beside the newest of its name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -23,10 +23,10 @@
     /// It is the newest, or the same.
     Newest,
     /// A newer one is known, or it is known to be gone.
-    Over,
+    Outdated,
     /// It does not tell when it started, although its name has told before: the entry is
     /// not the upstream's own.
-    Untold,
+    Undated,
 }
 
 /// An incarnation that is gone.
@@ -52,21 +52,21 @@
         let upstream = &registration.upstream;
         if let Some((newest, _)) = self.newest.get(upstream) {
             match registration.born_at {
-                None => return Age::Untold,
-                Some(born_at) if born_at < *newest => return Age::Over,
+                None => return Age::Undated,
+                Some(born_at) if born_at < *newest => return Age::Outdated,
                 Some(_) => {}
             }
         }
         let discarded = self.discarded.get(upstream);
         if discarded.is_some_and(|discarded| discarded.born_at == registration.born_at) {
-            Age::Over
+            Age::Outdated
         } else {
             Age::Newest
         }
     }
 
     /// Takes in that an incarnation is registered.
-    pub(super) fn note(&mut self, registration: &Registration, now: MonotonicTime) {
+    pub(super) fn record(&mut self, registration: &Registration, now: MonotonicTime) {
         let upstream = &registration.upstream;
         self.discarded.remove(upstream);
         if let Some(born_at) = registration.born_at {
@@ -91,8 +91,9 @@
         is_registered: impl Fn(&UpstreamId) -> bool,
     ) {
         self.discarded
-            .retain(|_, discarded| now - discarded.since < DISCARDED_TIME);
-        self.newest
-            .retain(|upstream, (_, told_at)| is_registered(upstream) || now - *told_at < BORN_TIME);
+            .retain(|_, discarded| now - discarded.since < DISCARDED_RETENTION);
+        self.newest.retain(|upstream, (_, seen_at)| {
+            is_registered(upstream) || now - *seen_at < NEWEST_START_RETENTION
+        });
     }
 }
--- a/crates/foxtide-core/src/registry/table.rs
+++ b/crates/foxtide-core/src/registry/table.rs
@@ -99,7 +99,7 @@
 
     /// Takes in that what stands under an upstream's name cannot be read: it names no
     /// upstream, whatever stood there before and whether the store is well or not.
-    pub fn withdraw(&mut self, upstream: &UpstreamId) -> RegistryChange {
+    pub fn remove_unreadable(&mut self, upstream: &UpstreamId) -> RegistryChange {
         if !self.entries.contains_key(upstream) {
             return RegistryChange::None;
         }
@@ -233,7 +233,7 @@
             }
         }
         self.evacuated = zones;
-        self.index_all();
+        self.rebuild_index();
     }
 
     /// Returns the availability zones that get nothing.
@@ -243,14 +243,14 @@
 
     fn insert(&mut self, mut registration: Registration, now: MonotonicTime) -> RegistryChange {
         let upstream = registration.upstream.clone();
-        if self.departures.are_withheld(&registration, now) {
+        if self.departures.is_withheld(&registration, now) {
             registration.state = UpstreamState::Draining;
         }
-        self.departures.returned(&registration);
+        self.departures.record_return(&registration);
         match self.incarnations.age_of(&registration) {
-            Age::Over => return RegistryChange::None,
-            Age::Untold => return self.withdraw(&upstream),
-            Age::Newest => self.incarnations.note(&registration, now),
+            Age::Outdated => return RegistryChange::None,
+            Age::Undated => return self.remove_unreadable(&upstream),
+            Age::Newest => self.incarnations.record(&registration, now),
         }
         let before = self.entries.get(&upstream);
         let is_restarted =
@@ -278,7 +278,7 @@
         };
         let is_draining = entry.registration.state == UpstreamState::Draining;
         if is_gone || is_draining {
-            self.departures.left(&entry.registration, now);
+            self.departures.record_departure(&entry.registration, now);
             self.remove(upstream);
             return RegistryChange::Left(upstream.clone());
         }
@@ -323,7 +323,7 @@
         }
     }
 
-    fn index_all(&mut self) {
+    fn rebuild_index(&mut self) {
         self.by_service.clear();
         self.generation += 1;
         let entries: Vec<Registered> = self.entries.values().cloned().collect();
--- a/crates/foxtide-core/tests/registry.rs
+++ b/crates/foxtide-core/tests/registry.rs
@@ -454,10 +454,13 @@
     let mut registry = Registry::default();
     registry.register(registration("i-1"), at(0));
     registry.store_failed();
-    let change = registry.withdraw(&upstream("i-1"));
+    let change = registry.remove_unreadable(&upstream("i-1"));
     assert_eq!(change, RegistryChange::Left(upstream("i-1")));
     assert!(eligible(&registry).is_empty());
-    assert_eq!(registry.withdraw(&upstream("i-1")), RegistryChange::None);
+    assert_eq!(
+        registry.remove_unreadable(&upstream("i-1")),
+        RegistryChange::None
+    );
 }
 
 /// One watcher told its followers 12 MB while a fleet of hundreds started, which takes a
--- a/crates/foxtide-gateway/src/state/facts.rs
+++ b/crates/foxtide-gateway/src/state/facts.rs
@@ -44,7 +44,7 @@
         }
         let mut changes: Vec<RegistryChange> = unreadable
             .iter()
-            .map(|upstream| self.registry.withdraw(upstream))
+            .map(|upstream| self.registry.remove_unreadable(upstream))
             .collect();
         changes.extend(self.registry.replace(registrations, now));
         self.note_changes(&changes);
@@ -69,7 +69,7 @@
                 self.note_changes(&[change]);
             }
             Fact::UpstreamUnreadable(upstream) => {
-                let change = self.registry.withdraw(&upstream);
+                let change = self.registry.remove_unreadable(&upstream);
                 self.note_changes(&[change]);
             }
             Fact::Unregistered(upstream) => {
