--- a/crates/foxtide-core/src/placement/cold.rs
+++ b/crates/foxtide-core/src/placement/cold.rs
@@ -16,11 +16,11 @@
 /// The part of the permitted rate that is given out. Two instances that
 /// believe in different members for a moment may both hold a token, so that
 /// half of the rate is safe whatever they believe.
-const GIVEN_OUT_SHARE: f64 = 0.5;
+const ISSUED_SHARE: f64 = 0.5;
 
 /// The bound on requests to one cold upstream from all instances.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct ColdTerms {
+pub struct ColdRateLimit {
     /// The requests a second that the upstream takes.
     pub rate_rps: f64,
     /// By how much the rate may be exceeded, as a factor.
@@ -29,32 +29,32 @@
     pub slack_rps: f64,
 }
 
-impl ColdTerms {
+impl ColdRateLimit {
     /// Returns how many tokens of one request a period there are, at least 1.
-    fn tokens(&self) -> u64 {
+    fn token_count(&self) -> u64 {
         let bound = self.rate_rps * self.overshoot + self.slack_rps;
-        ((bound * GIVEN_OUT_SHARE) as u64).max(1)
+        ((bound * ISSUED_SHARE) as u64).max(1)
     }
 }
 
 /// What this instance has sent to cold upstreams, in tokens of one request.
 #[derive(Clone, Debug, Default)]
-pub struct ColdShare {
+pub struct ColdRateLimiter {
     tokens: OwnedTokens<UpstreamId>,
 }
 
-impl ColdShare {
+impl ColdRateLimiter {
     /// Takes a token of `upstream` for one request; tells whether there was
     /// one. `instances` are those thought alive, `own` among them.
     pub fn try_take(
         &mut self,
         upstream: &UpstreamId,
-        terms: &ColdTerms,
+        limit: &ColdRateLimit,
         own: &InstanceId,
         instances: &[InstanceId],
         now: MonotonicTime,
     ) -> bool {
-        let count = terms.tokens();
+        let count = limit.token_count();
         self.tokens
             .try_take(upstream, count, TOKEN_PERIOD, own, instances, now)
     }
--- a/crates/foxtide-core/src/placement/mod.rs
+++ b/crates/foxtide-core/src/placement/mod.rs
@@ -4,7 +4,7 @@
 //! time, so that the same object should go to the same upstream from
 //! everywhere. [`rank`] orders upstreams for an object without any instance
 //! asking another; [`UpstreamHealth`] tells which are to be passed over, and
-//! [`ColdShare`] how many requests this instance may send to a cold one.
+//! [`ColdRateLimiter`] how many requests this instance may send to a cold one.
 
 mod affinity;
 mod cold;
@@ -19,8 +19,8 @@
     rank, //
 };
 pub use cold::{
-    ColdShare,
-    ColdTerms, //
+    ColdRateLimit,
+    ColdRateLimiter, //
 };
 pub use health::{
     AttemptResult,
@@ -28,7 +28,7 @@
     UpstreamHealth, //
 };
 pub use overflow::{
-    is_short,
+    lacks_capacity,
     overflow_budget, //
 };
 pub use regions::{
@@ -36,5 +36,5 @@
     HomedLoad,
     RegionShares,
     UpstreamWeights,
-    shares_of, //
+    region_shares, //
 };
--- a/crates/foxtide-core/src/placement/overflow.rs
+++ b/crates/foxtide-core/src/placement/overflow.rs
@@ -18,7 +18,7 @@
 /// requests. Where a region keeps a third or a half, sending late ones elsewhere costs up to
 /// 0.009 of the worth of busy days, and refused ones 0.011 of a start's: the objects are new
 /// there.
-const SHORT_BELOW: f64 = 0.25;
+const OWN_SHARE_MIN: f64 = 0.25;
 
 /// The part of an instance's requests that may go elsewhere so, and what is saved of that, in
 /// requests: with the 50 that an instance has within 2 s no more than 0.15 of a region's
@@ -31,8 +31,8 @@
 
 /// Tells whether a region that serves `own_share` of its requests itself is so short of
 /// upstreams that it sends elsewhere what it has no early slot for.
-pub fn is_short(own_share: f64) -> bool {
-    own_share < SHORT_BELOW
+pub fn lacks_capacity(own_share: f64) -> bool {
+    own_share < OWN_SHARE_MIN
 }
 
 /// Returns the budget of an instance for that; it grows with each request
--- a/crates/foxtide-core/src/placement/regions.rs
+++ b/crates/foxtide-core/src/placement/regions.rs
@@ -12,31 +12,35 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct HomedLoad {
     /// By the regions that may serve them, in the order of their names.
-    parts: BTreeMap<Vec<RegionId>, f64>,
+    shares_by_homes: BTreeMap<Vec<RegionId>, f64>,
 }
 
 impl HomedLoad {
     /// Adds a part of all requests that `homes` alone may serve.
-    pub fn add(&mut self, mut homes: Vec<RegionId>, part: f64) {
+    pub fn add(&mut self, mut homes: Vec<RegionId>, share: f64) {
         homes.sort();
-        *self.parts.entry(homes).or_default() += part;
+        *self.shares_by_homes.entry(homes).or_default() += share;
     }
 
     /// Moves each part towards that of `target`, by `step` at most.
-    pub fn approach(&mut self, target: &Self, step: f64) {
-        for homes in target.parts.keys() {
-            self.parts.entry(homes.clone()).or_default();
+    pub fn step_towards(&mut self, target: &Self, step: f64) {
+        for homes in target.shares_by_homes.keys() {
+            self.shares_by_homes.entry(homes.clone()).or_default();
         }
-        for (homes, part) in &mut self.parts {
-            let wanted = target.parts.get(homes).copied().unwrap_or_default();
-            let missing = wanted - *part;
-            *part = if missing.abs() <= step {
-                wanted
+        for (homes, share) in &mut self.shares_by_homes {
+            let target_share = target
+                .shares_by_homes
+                .get(homes)
+                .copied()
+                .unwrap_or_default();
+            let difference = target_share - *share;
+            *share = if difference.abs() <= step {
+                target_share
             } else {
-                *part + step.copysign(missing)
+                *share + step.copysign(difference)
             };
         }
-        self.parts.retain(|_, part| *part > 0.0);
+        self.shares_by_homes.retain(|_, share| *share > 0.0);
     }
 
     /// Returns the part of all requests that is homed in each region: where several may
@@ -44,11 +48,11 @@
     fn by_region(&self, slots: &BTreeMap<RegionId, u32>) -> BTreeMap<&RegionId, f64> {
         let mut by_region: BTreeMap<&RegionId, f64> = BTreeMap::new();
         let slots_of = |region: &RegionId| slots.get(region).copied().map_or(0.0, f64::from);
-        for (homes, part) in &self.parts {
+        for (homes, share) in &self.shares_by_homes {
             let total: f64 = homes.iter().map(slots_of).sum();
             for region in homes {
                 if total > 0.0 {
-                    *by_region.entry(region).or_default() += part * slots_of(region) / total;
+                    *by_region.entry(region).or_default() += share * slots_of(region) / total;
                 }
             }
         }
@@ -87,7 +91,7 @@
 /// A region with a tenth of the slots, in which an organisation is at home that has a tenth
 /// of the traffic, is twice as loaded as the others where that is left out of account:
 /// `docs/design/shifted.md` has the figures.
-pub fn shares_of(
+pub fn region_shares(
     origin: &RegionId,
     slots: &BTreeMap<RegionId, u32>,
     demand: &Demand,
@@ -99,13 +103,13 @@
     let homed = demand.homed.by_region(slots);
     let homed_total: f64 = homed.values().sum();
     let unbound = total * (1.0 - homed_total).max(f64::EPSILON) / demand.origins.max(1) as f64;
-    let room = |region: &RegionId| {
+    let capacity = |region: &RegionId| {
         let slots = slots.get(region).copied().map_or(0.0, f64::from);
         let homed = homed.get(region).copied().unwrap_or_default();
         (slots - total * homed).max(0.0)
     };
-    let own_share = (room(origin) / unbound).min(1.0);
-    let spare = |region: &RegionId| (room(region) - unbound).max(0.0);
+    let own_share = (capacity(origin) / unbound).min(1.0);
+    let spare = |region: &RegionId| (capacity(region) - unbound).max(0.0);
     let spare_total: f64 = slots.keys().map(spare).sum();
     let rest = 1.0 - own_share;
     slots
@@ -136,10 +140,10 @@
 
 impl UpstreamWeights {
     /// Returns the weights for requests that arise in `origin`; `slots` and `demand` as in
-    /// [`shares_of`].
+    /// [`region_shares`].
     pub fn new(origin: &RegionId, slots: BTreeMap<RegionId, u32>, demand: &Demand) -> Self {
         Self {
-            shares: shares_of(origin, &slots, demand),
+            shares: region_shares(origin, &slots, demand),
             slots,
         }
     }
--- a/crates/foxtide-core/src/routing/mod.rs
+++ b/crates/foxtide-core/src/routing/mod.rs
@@ -5,8 +5,8 @@
 
 mod document;
 mod organisations;
-mod split;
 mod table;
+mod weighted_round_robin;
 
 pub use document::{
     CallerLimits,
@@ -23,5 +23,5 @@
     Quota,
     common_homes, //
 };
-pub use split::SplitCounter;
 pub use table::RouteTable;
+pub use weighted_round_robin::WeightedRoundRobin;
--- a/crates/foxtide-core/src/routing/split.rs
+++ b/crates/foxtide-core/src/routing/weighted_round_robin.rs
@@ -11,24 +11,24 @@
 /// than one request per service away from its share; a random draw would need
 /// hundreds of requests to come as near.
 #[derive(Clone, Debug, Default)]
-pub struct SplitCounter {
+pub struct WeightedRoundRobin {
     credits: HashMap<ServiceId, f64>,
 }
 
-impl SplitCounter {
+impl WeightedRoundRobin {
     /// Picks the service of the next request; nothing where no weight is
     /// above zero.
     pub fn pick<'a>(&mut self, services: &'a [WeightedService]) -> Option<&'a ServiceId> {
         if let [only] = services {
             return Some(&only.service);
         }
-        let total: f64 = services.iter().map(|part| part.weight).sum();
+        let total: f64 = services.iter().map(|weighted| weighted.weight).sum();
         let mut chosen: Option<(&ServiceId, f64)> = None;
-        for part in services.iter().filter(|part| part.weight > 0.0) {
-            let credit = self.credits.entry(part.service.clone()).or_default();
-            *credit += part.weight;
+        for weighted in services.iter().filter(|weighted| weighted.weight > 0.0) {
+            let credit = self.credits.entry(weighted.service.clone()).or_default();
+            *credit += weighted.weight;
             if chosen.is_none_or(|(_, most)| *credit > most) {
-                chosen = Some((&part.service, *credit));
+                chosen = Some((&weighted.service, *credit));
             }
         }
         let (service, _) = chosen?;
--- a/crates/foxtide-core/tests/placement.rs
+++ b/crates/foxtide-core/tests/placement.rs
@@ -8,15 +8,15 @@
 use foxtide_core::placement::{
     AttemptResult,
     Candidate,
-    ColdShare,
-    ColdTerms,
+    ColdRateLimit,
+    ColdRateLimiter,
     Demand,
     HomedLoad,
     ObjectKey,
     UpstreamHealth,
     first_choices,
     rank,
-    shares_of, //
+    region_shares, //
 };
 use foxtide_core::time::MonotonicTime;
 use std::collections::BTreeMap;
@@ -76,12 +76,12 @@
 #[test]
 fn verify_a_region_keeps_what_it_can_serve_and_sends_the_rest_where_room_is() {
     let slots = regions([24, 8, 16]);
-    let shares = shares_of(&"erongo".parse().unwrap(), &slots, &Demand::unbound(3));
+    let shares = region_shares(&"erongo".parse().unwrap(), &slots, &Demand::unbound(3));
     let of = |region: &str| shares[&region.parse::<RegionId>().unwrap()];
     assert!((of("erongo") - 0.5).abs() < 1e-9);
     assert!((of("khomas") - 0.5).abs() < 1e-9);
     assert!(of("oshana").abs() < 1e-9);
-    let shares = shares_of(&"khomas".parse().unwrap(), &slots, &Demand::unbound(3));
+    let shares = region_shares(&"khomas".parse().unwrap(), &slots, &Demand::unbound(3));
     assert!((shares[&"khomas".parse::<RegionId>().unwrap()] - 1.0).abs() < 1e-9);
 }
 
@@ -89,7 +89,7 @@
 fn verify_a_region_without_upstreams_is_served_by_the_others() {
     let mut slots = regions([24, 0, 24]);
     slots.remove(&"erongo".parse::<RegionId>().unwrap());
-    let shares = shares_of(&"erongo".parse().unwrap(), &slots, &Demand::unbound(3));
+    let shares = region_shares(&"erongo".parse().unwrap(), &slots, &Demand::unbound(3));
     let total: f64 = shares.values().sum();
     assert!((total - 1.0).abs() < 1e-9, "{shares:?}");
 }
@@ -106,7 +106,7 @@
     let unhomed_of_origin = 94.0 * (11.0 / 12.0) / 3.0;
     let mut load = BTreeMap::from([(erongo.clone(), 94.0 / 12.0)]);
     for origin in slots.keys() {
-        let shares = shares_of(origin, &slots, &demand);
+        let shares = region_shares(origin, &slots, &demand);
         let total: f64 = shares.values().sum();
         assert!((total - 1.0).abs() < 1e-9, "{shares:?}");
         for (region, share) in shares {
@@ -118,7 +118,7 @@
         assert!((use_share - 1.0).abs() < 1e-9, "{region}: {use_share}");
     }
     // Out of account, the region would have 1.76 times what its slots can serve.
-    let unaware = shares_of(&erongo, &slots, &Demand::unbound(3))[&erongo];
+    let unaware = region_shares(&erongo, &slots, &Demand::unbound(3))[&erongo];
     assert!((94.0 / 12.0 + unaware * unhomed_of_origin) / 10.0 > 1.6);
 }
 
@@ -128,20 +128,20 @@
     let mut target = HomedLoad::default();
     target.add(vec![home.clone()], 0.1);
     let mut load = HomedLoad::default();
-    load.approach(&target, 0.04);
+    load.step_towards(&target, 0.04);
     let mut after_one = HomedLoad::default();
     after_one.add(vec![home], 0.04);
     assert_eq!(load, after_one);
-    load.approach(&target, 0.04);
-    load.approach(&target, 0.04);
+    load.step_towards(&target, 0.04);
+    load.step_towards(&target, 0.04);
     assert_eq!(load, target);
     for _ in 0..3 {
-        load.approach(&HomedLoad::default(), 0.04);
+        load.step_towards(&HomedLoad::default(), 0.04);
     }
     assert_eq!(load, HomedLoad::default());
 }
 
-const TERMS: ColdTerms = ColdTerms {
+const LIMIT: ColdRateLimit = ColdRateLimit {
     rate_rps: 3.1,
     overshoot: 1.5,
     slack_rps: 5.0,
@@ -157,12 +157,12 @@
 /// returns the most that came in any second.
 fn most_in_a_second(views: &[(InstanceId, Vec<InstanceId>)]) -> usize {
     let upstream = "i-1".parse().unwrap();
-    let mut shares = vec![ColdShare::default(); views.len()];
+    let mut limiters = vec![ColdRateLimiter::default(); views.len()];
     let mut sent_ms = Vec::new();
     for ms in 0..5_000 {
         let now = MonotonicTime::from_ms(ms);
-        for (share, (own, view)) in shares.iter_mut().zip(views) {
-            if share.try_take(&upstream, &TERMS, own, view, now) {
+        for (limiter, (own, view)) in limiters.iter_mut().zip(views) {
+            if limiter.try_take(&upstream, &LIMIT, own, view, now) {
                 sent_ms.push(ms);
             }
         }
--- a/crates/foxtide-core/tests/routing.rs
+++ b/crates/foxtide-core/tests/routing.rs
@@ -12,9 +12,9 @@
     Route,
     RouteDocument,
     RouteTable,
-    SplitCounter,
-    WeightedService, //
-    common_homes,    //
+    WeightedRoundRobin,
+    WeightedService,
+    common_homes, //
 };
 use foxtide_core::units::RequestRate;
 use std::time::Duration;
@@ -71,10 +71,10 @@
 #[test]
 fn verify_a_split_stays_within_one_request_of_its_weights() {
     let parts = vec![part("one", 90.0), part("two", 7.0), part("three", 3.0)];
-    let mut counter = SplitCounter::default();
+    let mut balancer = WeightedRoundRobin::default();
     let mut counts = [0.0; 3];
     for picked in 1..=1_000 {
-        let service = counter.pick(&parts).unwrap();
+        let service = balancer.pick(&parts).unwrap();
         let index = parts
             .iter()
             .position(|part| part.service == *service)
@@ -90,9 +90,9 @@
 #[test]
 fn verify_a_part_without_weight_gets_nothing() {
     let parts = vec![part("one", 0.0), part("two", 5.0)];
-    let mut counter = SplitCounter::default();
+    let mut balancer = WeightedRoundRobin::default();
     for _ in 0..10 {
-        assert_eq!(counter.pick(&parts).unwrap().as_str(), "two");
+        assert_eq!(balancer.pick(&parts).unwrap().as_str(), "two");
     }
 }
 
--- a/crates/foxtide-gateway/src/state/homed.rs
+++ b/crates/foxtide-gateway/src/state/homed.rs
@@ -45,7 +45,7 @@
         }
         let passed_s = (now - followed_at).as_secs_f64();
         self.load
-            .approach(routes.homed_load(), passed_s * STEP_PER_S);
+            .step_towards(routes.homed_load(), passed_s * STEP_PER_S);
         self.generation += 1;
     }
 
--- a/crates/foxtide-gateway/src/state/mod.rs
+++ b/crates/foxtide-gateway/src/state/mod.rs
@@ -28,7 +28,7 @@
 };
 use foxtide_core::placement::{
     AttemptResult,
-    ColdShare,
+    ColdRateLimiter,
     LoadReport,
     UpstreamHealth,
     overflow_budget, //
@@ -51,7 +51,7 @@
 use foxtide_core::routing::{
     Route,
     RouteTable,
-    SplitCounter, //
+    WeightedRoundRobin, //
 };
 use foxtide_core::time::{
     MonotonicTime,
@@ -93,7 +93,7 @@
     pub(super) registry: Registry,
     pub(super) members: Members,
     pub(super) health: HashMap<UpstreamId, UpstreamHealth>,
-    pub(super) cold: ColdShare,
+    pub(super) cold: ColdRateLimiter,
     /// By service and the regions that may serve.
     pub(super) placements: HashMap<(ServiceId, Vec<RegionId>), Placement>,
     homed: HomedTraffic,
@@ -117,7 +117,7 @@
     told_at: MonotonicTime,
     /// When an instance that knows nothing yet expects to know the configuration.
     ready_at: MonotonicTime,
-    splits: HashMap<String, SplitCounter>,
+    splits: HashMap<String, WeightedRoundRobin>,
     budgets: HashMap<ServiceId, RetryBudget>,
     /// What may go to other regions beyond their shares.
     overflow: RetryBudget,
@@ -136,7 +136,7 @@
             registry: Registry::default(),
             members: Members::default(),
             health: HashMap::new(),
-            cold: ColdShare::default(),
+            cold: ColdRateLimiter::default(),
             placements: HashMap::new(),
             homed: HomedTraffic::default(),
             log: RecordLog::default(),
--- a/crates/foxtide-gateway/src/state/pick.rs
+++ b/crates/foxtide-gateway/src/state/pick.rs
@@ -7,10 +7,10 @@
     UpstreamId, //
 };
 use foxtide_core::placement::{
-    ColdTerms,
+    ColdRateLimit,
     ObjectKey,
     UpstreamHealth,
-    is_short, //
+    lacks_capacity, //
 };
 use foxtide_core::registry::{
     Registered,
@@ -105,7 +105,7 @@
     pub(crate) fn pick_elsewhere(&mut self, request: &PickRequest<'_>) -> Result<Pick, NoUpstream> {
         let key = (request.service.clone(), request.regions.to_vec());
         let placement = self.placements.get(&key);
-        if placement.is_none_or(|placement| !is_short(placement.own_share())) {
+        if placement.is_none_or(|placement| !lacks_capacity(placement.own_share())) {
             return Err(NoUpstream::NoneRegistered);
         }
         let own = &self.options.place.region;
@@ -222,7 +222,7 @@
         }
         let routes = self.routes.as_ref();
         let terms = routes.and_then(|routes| routes.service(request.service));
-        let terms = ColdTerms {
+        let terms = ColdRateLimit {
             rate_rps: terms.map_or(0.0, |terms| terms.cold_rate_rps),
             overshoot: self.bounds().cold_overshoot,
             slack_rps: self.bounds().cold_slack_rps,
--- a/crates/foxtide-testing/src/load_model/asking.rs
+++ b/crates/foxtide-testing/src/load_model/asking.rs
@@ -24,7 +24,7 @@
 };
 use foxtide_core::placement::{
     ObjectKey,
-    is_short, //
+    lacks_capacity, //
 };
 
 /// What the gateway's settings say by default, in milliseconds.
@@ -201,7 +201,7 @@
         };
         let region = request.region;
         let is_late = self.now >= request.came_at + self.settings.objective();
-        if !self.settings.may_overflow || is_late || !is_short(self.fleet.own_share(region)) {
+        if !self.settings.may_overflow || is_late || !lacks_capacity(self.fleet.own_share(region)) {
             return false;
         }
         let key = ObjectKey::new(&request.object.to_le_bytes());
--- a/crates/foxtide-testing/src/load_model/fleet.rs
+++ b/crates/foxtide-testing/src/load_model/fleet.rs
@@ -17,7 +17,7 @@
     UpstreamWeights,
     first_choices,
     overflow_budget,
-    shares_of, //
+    region_shares, //
 };
 use foxtide_core::registry::{
     Member,
@@ -124,7 +124,7 @@
             self.upstreams.iter().enumerate().map(candidate).collect()
         };
         self.candidates = self.regions.iter().map(of_origin).collect();
-        let own_share = |origin: &RegionId| shares_of(origin, &slots, &demand)[origin];
+        let own_share = |origin: &RegionId| region_shares(origin, &slots, &demand)[origin];
         self.own_shares = self.regions.iter().map(own_share).collect();
     }
 
