--- a/crates/foxtide-core/src/membership/machine.rs
+++ b/crates/foxtide-core/src/membership/machine.rs
@@ -34,33 +34,33 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Rumours in one datagram take at most this, in bytes.
+/// Bytes available for rumours in one datagram.
 const RUMOURS_MAX_BYTES: usize = DATAGRAM_MAX_BYTES - HEADER_MAX_BYTES;
 
-/// Fresh rumours go out at once, but not more often than this.
+/// Minimum interval between packets for new rumours.
 const EAGER_GOSSIP_INTERVAL: Duration = Duration::from_millis(20);
 
-/// With more rumours than this an instance does not compare tables: a fleet
-/// that starts would exchange them for every difference.
+/// Queue length above which digests are ignored: while many rumours are in flight,
+/// tables differ anyway.
 const DIGEST_QUEUE_MAX: usize = 8;
 
-/// How long a scope stands though the table did not change.
+/// Age at which the scope is recomputed although the table did not change.
 const SCOPE_AGE_MAX: Duration = Duration::from_secs(1);
 
-/// How often things happened since the start.
+/// Event counts since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct MembershipCounts {
     /// Probes started.
     pub probes: u64,
-    /// Probes whose target stayed silent.
+    /// Probes that no attempt had answered.
     pub failed_probes: u64,
-    /// Beliefs about this instance that it contradicted.
+    /// Suspicions of this instance that it refuted.
     pub refutations: u64,
-    /// Pauses of this process that it noticed.
+    /// Detected pauses of this process.
     pub pauses: u64,
 }
 
-/// When each regular task is due next.
+/// Next due times of the periodic tasks.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Due {
     pub(super) probe_at: MonotonicTime,
@@ -92,7 +92,7 @@
 }
 
 impl Membership {
-    /// Returns the protocol of the instance `own`, alone so far.
+    /// Returns the protocol state of the instance `own`, which knows no other members.
     pub fn new(own: Member, options: MembershipOptions, seed: u64, now: MonotonicTime) -> Self {
         let mut table = MemberTable::default();
         table.put(own.clone(), now);
@@ -125,43 +125,43 @@
         }
     }
 
-    /// Returns this instance as it presents itself.
+    /// Returns this instance's own member entry.
     pub fn own(&self) -> &Member {
         &self.own
     }
 
-    /// Returns all members known, the dead of late included.
+    /// Returns all known members, including recently dead ones.
     pub fn members(&self) -> impl Iterator<Item = &Member> {
         self.table.members()
     }
 
-    /// Returns all members with the time at which the belief changed.
+    /// Returns all known members with the time of their last update.
     pub fn member_views(&self) -> impl Iterator<Item = MemberView<'_>> {
         self.table.views()
     }
 
-    /// Returns a number that changes whenever a member does.
+    /// Returns the version of the member table; each change increases it.
     pub fn members_version(&self) -> u64 {
         self.table.version()
     }
 
-    /// Returns one member.
+    /// Returns a member by its name.
     pub fn member(&self, instance: &InstanceId) -> Option<&Member> {
         self.table.get(instance)
     }
 
-    /// Returns how many rumours are still being spread.
+    /// Returns the number of rumours that are still being sent.
     pub fn waiting_rumours(&self) -> usize {
         self.queue.len()
     }
 
-    /// Returns how often things happened.
+    /// Returns the event counts.
     pub fn counts(&self) -> MembershipCounts {
         self.counts
     }
 
-    /// Returns whether this instance is one of the first `count` usable ones
-    /// of its zone for `role`.
+    /// Returns whether this instance ranks among the first `count` usable instances of
+    /// its zone for `role`.
     pub fn holds(&self, role: Role, count: usize) -> bool {
         let zone = &self.own.availability_zone;
         let usable = self
@@ -175,12 +175,13 @@
             .any(|name| *name == self.own.instance)
     }
 
-    /// Sets the hash that stands for the configuration held.
+    /// Sets the hash of the current configuration, for digests.
     pub fn set_configuration_hash(&mut self, hash: u64) {
         self.configuration_hash = hash;
     }
 
-    /// Does what is due; to be called every few tens of milliseconds.
+    /// Runs the periodic tasks that are due; must be called every few tens of
+    /// milliseconds.
     pub fn tick(&mut self, now: MonotonicTime) -> Vec<Output> {
         let mut outputs = Vec::new();
         self.detect_pause(now, &mut outputs);
@@ -197,7 +198,7 @@
         outputs
     }
 
-    /// Takes a packet in that `sender` sent from the address `from`.
+    /// Handles a packet that `sender` sent from the address `from`.
     pub fn receive(
         &mut self,
         sender: &InstanceId,
@@ -217,7 +218,7 @@
         outputs
     }
 
-    /// Spreads a rumour of this instance's own.
+    /// Queues a rumour of this instance and gossips at once.
     pub fn spread(&mut self, rumour: Rumour, now: MonotonicTime) -> Vec<Output> {
         let mut outputs = Vec::new();
         self.push(rumour);
@@ -230,7 +231,7 @@
         self.has_unsent_rumours = true;
     }
 
-    /// Answers what a packet asks for.
+    /// Handles a packet's message.
     fn answer(
         &mut self,
         from: SocketAddr,
@@ -259,7 +260,6 @@
                 });
             }
             Message::Digest(theirs) => {
-                // While much news is on its way a difference means little.
                 let is_queue_short = self.queue.len() <= DIGEST_QUEUE_MAX;
                 if is_queue_short && theirs != self.digest() {
                     outputs.push(Output::Synchronise { with: from });
@@ -268,7 +268,7 @@
         }
     }
 
-    /// Returns the hashes over what this instance knows.
+    /// Returns the hashes of the members and the configuration.
     pub fn digest(&self) -> Digest {
         Digest {
             members_hash: self.table.hash(),
@@ -283,8 +283,8 @@
     }
 
     fn refresh_scope(&mut self, now: MonotonicTime) {
-        let fresh = self.scope_version == self.table.version();
-        if fresh && now - self.scope_at < SCOPE_AGE_MAX {
+        let is_current = self.scope_version == self.table.version();
+        if is_current && now - self.scope_at < SCOPE_AGE_MAX {
             return;
         }
         self.scope = Scope::new(&self.own, &self.table, self.options.delegates_per_zone, now);
@@ -298,7 +298,7 @@
         }
     }
 
-    /// Sends the waiting rumours to a few random members in scope.
+    /// Sends queued rumours to random peers in scope.
     pub(super) fn gossip(&mut self, now: MonotonicTime, outputs: &mut Vec<Output>) {
         self.due.rumours_at = now + self.options.rumour_interval;
         self.gossiped_at = now;
@@ -320,14 +320,15 @@
         }
     }
 
-    /// Returns where everyone in scope listens.
+    /// Returns the peer addresses of all members in scope.
     pub(super) fn scope_addresses(&self) -> Vec<SocketAddr> {
         let addresses = self.scope.peers().map(|member| member.peer_address);
         addresses.collect()
     }
 }
 
-/// Returns the sending of a belief to the very member that it is about.
+/// Returns the output that notifies a member of its own entry, so that it can refute
+/// it.
 pub(super) fn send_to_member(member: Member) -> Output {
     Output::Send {
         to: member.peer_address,
--- a/crates/foxtide-core/src/membership/member.rs
+++ b/crates/foxtide-core/src/membership/member.rs
@@ -1,4 +1,4 @@
-//! One instance as the fleet knows it.
+//! Member entries: identity, incarnation and state of an instance.
 
 use crate::idempotency::ProcessNumber;
 use crate::ids::{
@@ -9,19 +9,20 @@
 use std::fmt;
 use std::net::SocketAddr;
 
-/// What the fleet believes of an instance, in the order in which a later
-/// belief replaces an earlier one of the same incarnation.
+/// State of a member, in the order in which states of the same incarnation replace each
+/// other.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum MemberState {
-    /// It answers probes and has not yet all that it needs to serve callers.
+    /// It answers probes but is not ready to serve callers.
     Joining,
     /// It answers probes and serves callers.
     Alive,
-    /// It missed a probe and has not yet objected; callers may still use it.
+    /// It missed a probe and has not yet refuted the suspicion; callers may still use
+    /// it.
     Suspect,
-    /// It announced its departure: it takes no new callers and ends its work.
+    /// It announced its departure: it accepts no new callers and completes its work.
     Leaving,
-    /// It is gone.
+    /// It failed or stopped.
     Dead,
 }
 
@@ -31,7 +32,7 @@
         matches!(self, Self::Alive | Self::Suspect)
     }
 
-    /// Returns whether the process is thought to run.
+    /// Returns whether the process is presumed to run.
     pub const fn is_running(self) -> bool {
         !matches!(self, Self::Dead)
     }
@@ -49,10 +50,10 @@
     }
 }
 
-/// Counts how often an instance asserted that it lives.
+/// Version of an instance's own assertion that it is alive.
 ///
-/// Only the instance itself raises it: to its start time when it starts, and
-/// by one when it contradicts a belief (SWIM, section 4.2).
+/// Only the instance itself raises it: to its start time when it starts, and by one
+/// when it refutes an update (SWIM, section 4.2).
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Incarnation(u64);
 
@@ -67,38 +68,38 @@
         self.0
     }
 
-    /// Returns the incarnation that contradicts this one.
+    /// Returns the incarnation that refutes this one.
     pub const fn next(self) -> Self {
         Self(self.0.saturating_add(1))
     }
 }
 
-/// An instance of the fleet and what is believed of it.
+/// An instance and its last known state.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Member {
-    /// Its name.
+    /// Name of the instance.
     pub instance: InstanceId,
-    /// The region it stands in.
+    /// Region of its availability zone.
     pub region: RegionId,
-    /// The availability zone it stands in.
+    /// Availability zone of the instance.
     pub availability_zone: AvailabilityZoneId,
-    /// Where other instances reach it.
+    /// Address for other instances.
     pub peer_address: SocketAddr,
-    /// Where callers reach it.
+    /// Address for callers.
     pub caller_address: SocketAddr,
-    /// The process in which it runs; idempotency keys name it.
+    /// Number of its process, which idempotency keys contain.
     pub process: ProcessNumber,
-    /// The newest incarnation known.
+    /// Latest known incarnation.
     pub incarnation: Incarnation,
-    /// What is believed of that incarnation.
+    /// State of that incarnation.
     pub state: MemberState,
 }
 
 impl Member {
-    /// Returns whether this belief replaces `other` of the same instance.
+    /// Returns whether this entry replaces `other` of the same instance.
     ///
-    /// The order is total, so that all instances end with the same belief
-    /// whatever the order in which they hear of it.
+    /// The order is total, so that all instances converge whatever the order in which
+    /// updates arrive.
     pub fn replaces(&self, other: &Self) -> bool {
         (self.incarnation, self.state) > (other.incarnation, other.state)
     }
--- a/crates/foxtide-core/src/membership/message.rs
+++ b/crates/foxtide-core/src/membership/message.rs
@@ -1,4 +1,4 @@
-//! What instances say to each other, free of any encoding.
+//! Messages of the membership protocol, independent of their encoding.
 
 use super::member::Member;
 use crate::ids::{
@@ -8,52 +8,52 @@
 use crate::units::Revision;
 use std::net::SocketAddr;
 
-/// The largest datagram, in bytes; it fits one packet on usual networks.
+/// Maximum datagram size in bytes; fits into one packet on common networks.
 pub const DATAGRAM_MAX_BYTES: usize = 1_400;
 
-/// Room kept in each datagram for its header, its purpose and one rumour that
-/// is meant for its receiver, in bytes.
+/// Bytes reserved in each datagram for its header, its message and one rumour that is
+/// addressed to its receiver.
 pub const HEADER_MAX_BYTES: usize = 500;
 
-/// Encoded size of a member at most, without its names, in bytes.
+/// Upper bound of a member's encoded size without its names, in bytes.
 const MEMBER_OVERHEAD_BYTES: usize = 90;
 
-/// Encoding overhead of one short field at most, in bytes.
+/// Upper bound of a short field's encoding overhead, in bytes.
 const FIELD_BYTES: usize = 6;
 
-/// Says that an instance holds a document of a configuration.
+/// Announces that an instance has a revision of an organisation's configuration.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Announcement {
-    /// Whose configuration it is.
+    /// Organisation of the configuration.
     pub organisation: OrganisationId,
-    /// The revision that the speaker holds.
+    /// Revision that the sender has.
     pub revision: Revision,
 }
 
-/// An instance's own observation that another one is silent.
+/// A report that an instance did not answer the reporter's probes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Suspicion {
-    /// The silent instance, in state [`MemberState::Suspect`].
+    /// The suspected instance, in state [`MemberState::Suspect`].
     ///
     /// [`MemberState::Suspect`]: super::member::MemberState::Suspect
     pub member: Member,
-    /// Who found it silent.
+    /// The instance that reports it.
     pub by: InstanceId,
 }
 
-/// News that is passed on from instance to instance.
+/// An update that is gossiped from instance to instance.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Rumour {
-    /// What is believed of an instance.
+    /// State of an instance.
     Member(Member),
-    /// An instance found another one silent.
+    /// Suspicion of an instance.
     Suspicion(Suspicion),
-    /// A revision that the sender can hand out.
+    /// Revision that the sender can provide.
     Configuration(Announcement),
 }
 
 impl Rumour {
-    /// Returns whether this one makes `older` needless.
+    /// Returns whether this rumour supersedes `older`.
     pub(crate) fn covers(&self, older: &Self) -> bool {
         match (self, older) {
             (Self::Member(one), Self::Member(two)) => one.instance == two.instance,
@@ -68,7 +68,7 @@
         }
     }
 
-    /// Returns a bound on the encoded size, in bytes.
+    /// Returns an upper bound of the encoded size, in bytes.
     pub fn size_bound_bytes(&self) -> usize {
         match self {
             Self::Member(member) => member_bound_bytes(member),
@@ -89,80 +89,80 @@
     names_bytes + MEMBER_OVERHEAD_BYTES
 }
 
-/// Hashes over what an instance knows; equal ones need no exchange.
+/// Hashes of an instance's knowledge; peers whose hashes are equal need no exchange.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Digest {
-    /// Over all members that are not dead.
+    /// Hash of all members that are not dead.
     pub members_hash: u64,
-    /// Over the revisions of all organisations.
+    /// Hash of the revisions of all organisations.
     pub configuration_hash: u64,
 }
 
-/// The number of one probe of one instance.
+/// Number of a probe, unique per instance.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct ProbeId(pub u64);
 
-/// The purpose of a packet.
+/// The message of a packet.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Message {
-    /// Asks for an [`Message::Ack`].
+    /// Requests a [`Message::Ack`].
     Ping {
-        /// Comes back in the answer.
+        /// Number that the answer repeats.
         probe: ProbeId,
-        /// The instance that is meant; another one at its address keeps still.
+        /// The probed instance; another instance at its address does not answer.
         target: InstanceId,
     },
-    /// Answers a ping, perhaps on behalf of the instance that was probed.
+    /// Answers a ping, possibly relayed from the probed instance.
     Ack {
-        /// That of the ping.
+        /// Number of the ping.
         probe: ProbeId,
     },
-    /// Asks the receiver to ping another instance and to pass on the answer.
+    /// Requests that the receiver ping another instance and relay the answer.
     PingRequest {
-        /// Comes back in the answer.
+        /// Number that the answer repeats.
         probe: ProbeId,
         /// The instance to ping.
         target: InstanceId,
-        /// Where to ping it.
+        /// Address of that instance.
         address: SocketAddr,
     },
-    /// Carries rumours only.
+    /// Carries only rumours.
     Rumours,
-    /// Compares what both know.
+    /// Hashes to compare with the receiver's own.
     Digest(Digest),
 }
 
-/// One datagram's content.
+/// Content of a datagram.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Packet {
-    /// Its purpose.
+    /// The message.
     pub message: Message,
-    /// News that travels along.
+    /// Piggybacked rumours.
     pub rumours: Vec<Rumour>,
 }
 
-/// What the caller of a state machine is to do.
+/// An action for the driver of the state machine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Output {
     /// Send a datagram.
     Send {
-        /// Where to.
+        /// Receiver.
         to: SocketAddr,
-        /// What.
+        /// Content.
         packet: Packet,
     },
-    /// Exchange everything known with this peer, over a stream.
+    /// Exchange member tables and revisions with a peer over a stream.
     Synchronise {
-        /// Where the peer listens.
+        /// Address of the peer.
         with: SocketAddr,
     },
-    /// A peer holds this revision.
+    /// A peer announced a revision.
     Announced {
-        /// The revision.
+        /// The announced revision.
         announcement: Announcement,
-        /// Where the peer listens.
+        /// Address of the peer.
         by: SocketAddr,
     },
-    /// The belief about an instance changed.
+    /// The entry of a member changed.
     Changed(Member),
 }
--- a/crates/foxtide-core/src/membership/mod.rs
+++ b/crates/foxtide-core/src/membership/mod.rs
@@ -1,7 +1,7 @@
-//! Which instances there are: probing, suspicion and spreading of news.
+//! Gossip membership: failure detection and dissemination of member updates.
 //!
-//! After Das, Gupta and Motivala, "SWIM" (2002), with parts of "Lifeguard"
-//! (2018), within an availability zone; delegates connect the zones.
+//! Implements SWIM (Das, Gupta and Motivala, 2002) with parts of Lifeguard (Dadgar,
+//! Phillips and Currey, 2018) within an availability zone; delegates connect the zones.
 
 mod machine;
 mod member;
--- a/crates/foxtide-core/src/membership/options.rs
+++ b/crates/foxtide-core/src/membership/options.rs
@@ -6,38 +6,35 @@
 /// Settings of the membership protocol; equal on all instances.
 #[derive(Clone, Copy, Debug)]
 pub struct MembershipOptions {
-    /// Time between two probes that an instance starts. Default 200 ms.
+    /// Interval between probes of this instance. Default 200 ms.
     pub probe_interval: Duration,
-    /// Wait for an answer from the own zone. Default 100 ms.
+    /// Timeout of a probe within the own zone. Default 100 ms.
     pub near_timeout: Duration,
-    /// Wait for an answer from another zone; over the round trip between the
-    /// regions furthest apart. Default 200 ms.
+    /// Timeout of a probe of another zone; must exceed the round trip between the most
+    /// distant regions. Default 200 ms.
     pub far_timeout: Duration,
-    /// How often a probe is sent before its target is silent. Default 3.
+    /// Attempts before a probe fails. Default 3.
     pub probe_attempts: u32,
-    /// Helpers asked at each repeated attempt. Default 3.
+    /// Members asked to probe indirectly at each retry. Default 3.
     pub indirect_probes: usize,
-    /// How long a silent instance may object. Default 0.6 s to 1.2 s, three
-    /// confirmations.
+    /// Time in which a suspect may refute. Default 0.6 s to 1.2 s, three confirmations.
     pub suspicion: SuspicionBounds,
-    /// Time between two packets of rumours. Default 100 ms.
+    /// Gossip interval. Default 100 ms.
     pub rumour_interval: Duration,
-    /// Members told in each interval. Default 3.
+    /// Receivers of each gossip round. Default 3.
     pub rumour_fanout: usize,
-    /// A rumour goes out this often times the logarithm of those in scope.
-    /// Default 2.
+    /// Transmissions of a rumour per logarithm of the scope's size. Default 2.
     pub rumour_factor: u32,
-    /// Time between two comparisons with a peer. Default 4 s.
+    /// Interval between digests. Default 4 s.
     pub digest_interval: Duration,
     /// Delegates of each zone. Default 2.
     pub delegates_per_zone: usize,
-    /// Time between two attempts to reach a dead member again. Default 1 s.
+    /// Interval between attempts to contact a dead member. Default 1 s.
     pub reconnect_interval: Duration,
-    /// How long a dead member is remembered; longer than regions lose each
-    /// other. Default 2 h.
+    /// Time for which dead members are kept; must exceed the partitions between regions
+    /// that are to heal. Default 2 h.
     pub dead_retention: Duration,
-    /// A gap between two ticks that counts as a pause of the process.
-    /// Default 1 s.
+    /// Gap between two ticks that counts as a pause of the process. Default 1 s.
     pub pause_limit: Duration,
 }
 
--- a/crates/foxtide-core/src/membership/probe.rs
+++ b/crates/foxtide-core/src/membership/probe.rs
@@ -1,8 +1,7 @@
-//! Which instance is probed when, and what its silence means.
+//! Schedule of probes and their retries.
 //!
-//! SWIM, sections 3.1 and 4.3: each interval one target of a shuffled round.
-//! A probe without an answer is repeated, directly and through helpers, before
-//! its target is reported silent.
+//! Each interval probes the next target of a shuffled round (SWIM, sections 3.1 and
+//! 4.3). An unanswered probe is repeated directly and through helpers before it fails.
 
 use super::message::ProbeId;
 use crate::ids::InstanceId;
@@ -12,22 +11,20 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// A probe that waits for its answer.
+/// A probe that awaits its answer.
 #[derive(Clone, Debug)]
 pub(crate) struct Probe {
-    /// Its number.
     pub(crate) id: ProbeId,
-    /// Who is probed.
     pub(crate) target: InstanceId,
-    /// How often it was sent.
+    /// Number of attempts so far.
     pub(crate) attempts: u32,
-    /// How long each attempt waits.
+    /// Timeout of each attempt.
     pub(crate) timeout: Duration,
-    /// When the present attempt ends.
+    /// End of the current attempt.
     pub(crate) deadline: MonotonicTime,
 }
 
-/// An answer that is to be passed on to another instance.
+/// A pending indirect probe on behalf of another instance.
 #[derive(Clone, Debug)]
 struct Relay {
     id: ProbeId,
@@ -36,16 +33,16 @@
     expires_at: MonotonicTime,
 }
 
-/// Probes whose time is over.
+/// Probes whose current attempt timed out.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Overdue {
-    /// To be sent again, with helpers.
+    /// Probes to repeat, also through helpers.
     pub(crate) retries: Vec<Probe>,
-    /// Silent through all attempts.
+    /// Targets that answered no attempt.
     pub(crate) failed: Vec<InstanceId>,
 }
 
-/// The probes under way and the order of those to come.
+/// Pending probes and the order of the next ones.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ProbeSchedule {
     last_id: u64,
@@ -55,7 +52,7 @@
 }
 
 impl ProbeSchedule {
-    /// Returns the next target; `scope` gives the members of a new round.
+    /// Returns the next target; `scope` provides the members of a new round.
     pub(crate) fn next_target(
         &mut self,
         scope: impl Iterator<Item = InstanceId>,
@@ -68,7 +65,6 @@
         self.round.pop()
     }
 
-    /// Returns a number for a new probe.
     fn next_id(&mut self) -> ProbeId {
         self.last_id += 1;
         ProbeId(self.last_id)
@@ -92,7 +88,7 @@
         id
     }
 
-    /// Notes that an answer is to be passed on and returns the number to use.
+    /// Registers an indirect probe and returns its local number.
     pub(crate) fn relay(
         &mut self,
         origin: SocketAddr,
@@ -109,15 +105,16 @@
         id
     }
 
-    /// Takes an answer in; returns where it is to be passed on, if anywhere.
+    /// Completes a probe; returns the origin and number of a relayed one.
     pub(crate) fn answered(&mut self, id: ProbeId) -> Option<(SocketAddr, ProbeId)> {
         self.waiting.retain(|probe| probe.id != id);
-        let place = self.relays.iter().position(|relay| relay.id == id)?;
-        let relay = self.relays.swap_remove(place);
+        let index = self.relays.iter().position(|relay| relay.id == id)?;
+        let relay = self.relays.swap_remove(index);
         Some((relay.origin, relay.origin_probe))
     }
 
-    /// Takes out what is overdue after `attempts` attempts each.
+    /// Removes expired relays and returns the timed-out probes, which fail after
+    /// `attempts` attempts.
     pub(crate) fn overdue(&mut self, attempts: u32, now: MonotonicTime) -> Overdue {
         self.relays.retain(|relay| now < relay.expires_at);
         let mut overdue = Overdue::default();
@@ -137,7 +134,7 @@
         overdue
     }
 
-    /// Drops all probes under way, as after a pause of this process.
+    /// Drops all pending probes, as after a pause of this process.
     pub(crate) fn restart(&mut self) {
         self.waiting.clear();
         self.relays.clear();
--- a/crates/foxtide-core/src/membership/probing.rs
+++ b/crates/foxtide-core/src/membership/probing.rs
@@ -1,4 +1,4 @@
-//! What an instance does on its own: it probes, compares and tries the dead.
+//! Periodic tasks: probes, digests and attempts to contact dead members.
 
 use super::machine::{
     Membership,
@@ -22,12 +22,12 @@
     IteratorRandom, //
 };
 
-/// How many peers a process asks for all that they know when it wakes.
+/// Peers to synchronise with after a pause of this process.
 const SYNCHRONISED_PEERS: usize = 2;
 
 impl Membership {
-    /// Waits that ran while this process stood still prove nothing, and what
-    /// it knows is old: peers that thought it dead told it nothing meanwhile.
+    /// Detects a pause of this process and restarts all timers: timeouts that ran
+    /// during it prove nothing, and the member table is stale.
     pub(super) fn detect_pause(&mut self, now: MonotonicTime, outputs: &mut Vec<Output>) {
         if now - self.ticked_at > self.options.pause_limit {
             self.probes.restart();
@@ -39,11 +39,13 @@
         self.ticked_at = now;
     }
 
-    /// Takes over what a few peers know, without comparing first.
+    /// Synchronises with a few peers without comparing digests first.
     fn synchronise_after_pause(&mut self, outputs: &mut Vec<Output>) {
         let peers = self.scope.peers().map(|member| member.peer_address);
-        let chosen = peers.sample(&mut self.rng, SYNCHRONISED_PEERS);
-        let exchanges = chosen.into_iter().map(|with| Output::Synchronise { with });
+        let selected = peers.sample(&mut self.rng, SYNCHRONISED_PEERS);
+        let exchanges = selected
+            .into_iter()
+            .map(|with| Output::Synchronise { with });
         outputs.extend(exchanges);
     }
 
@@ -59,8 +61,8 @@
         }
     }
 
-    /// Tells the suspects that this instance found silent so again, in case the
-    /// word to them or their objection was lost.
+    /// Notifies the suspects that this instance observed again, in case the
+    /// notification or the refutation was lost.
     pub(super) fn notify_suspects(&mut self, now: MonotonicTime, outputs: &mut Vec<Output>) {
         if now < self.due.notify_suspects_at {
             return;
@@ -85,11 +87,11 @@
         let Some(member) = self.table.get(&target) else {
             return;
         };
-        let near = member.availability_zone == self.own.availability_zone;
+        let is_near = member.availability_zone == self.own.availability_zone;
         if !member.state.is_running() {
             return;
         }
-        let timeout = if near {
+        let timeout = if is_near {
             self.options.near_timeout
         } else {
             self.options.far_timeout
@@ -99,7 +101,8 @@
         self.send_ping(probe, &target, outputs);
     }
 
-    /// Pings `target`; one that is suspect is told so, that it can object.
+    /// Pings `target` and notifies a suspect of the suspicion, so that it can refute
+    /// it.
     fn send_ping(&mut self, probe: ProbeId, target: &InstanceId, outputs: &mut Vec<Output>) {
         let Some(member) = self.table.get(target).cloned() else {
             return;
@@ -119,13 +122,13 @@
         let Some(target) = self.table.get(&probe.target).cloned() else {
             return;
         };
-        let fit = |member: &&Member| {
+        let can_help = |member: &&Member| {
             member.instance != target.instance && member.state == MemberState::Alive
         };
-        let helpers = self.scope.peers().filter(fit);
+        let helpers = self.scope.peers().filter(can_help);
         let count = self.options.indirect_probes;
-        let chosen = helpers.map(|member| member.peer_address);
-        for to in chosen.sample(&mut self.rng, count) {
+        let selected = helpers.map(|member| member.peer_address);
+        for to in selected.sample(&mut self.rng, count) {
             let packet = self.packet(Message::PingRequest {
                 probe: probe.id,
                 target: target.instance.clone(),
@@ -142,8 +145,8 @@
         }
     }
 
-    /// Compares with one random peer of the zone, and a delegate also with one
-    /// of another zone.
+    /// Sends a digest to a random peer of the zone and, as a delegate, to one of
+    /// another zone.
     pub(super) fn send_digests(&mut self, now: MonotonicTime, outputs: &mut Vec<Output>) {
         if now < self.due.digest_at {
             return;
@@ -160,8 +163,8 @@
         }
     }
 
-    /// Tells one dead member that it is thought dead; it objects if it lives,
-    /// as after a partition.
+    /// Notifies a random dead member of its state, so that it refutes it if it is
+    /// alive, for instance after a partition.
     pub(super) fn reconnect(&mut self, now: MonotonicTime, outputs: &mut Vec<Output>) {
         if now < self.due.reconnect_at {
             return;
--- a/crates/foxtide-core/src/membership/rendezvous.rs
+++ b/crates/foxtide-core/src/membership/rendezvous.rs
@@ -1,19 +1,19 @@
-//! Rendezvous hashing: every instance picks the same few without talking.
+//! Rendezvous hashing: all instances assign roles alike without coordination.
 //!
-//! Thaler and Ravishankar, "A name-based mapping scheme for rendezvous"
-//! (1996). When one instance leaves, only the roles it held move.
+//! Thaler and Ravishankar, "A name-based mapping scheme for rendezvous" (1996). When an
+//! instance leaves, only its own roles are reassigned.
 
 use crate::ids::InstanceId;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// The role for which instances are ranked; roles fall on different ones.
+/// Role for which instances are ranked; each role has its own ranking.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
-    /// Speaks for its availability zone with other zones.
+    /// Exchanges updates with other zones on behalf of its own.
     Delegate,
-    /// Holds a watch on the store for its availability zone.
+    /// Watches the store on behalf of its availability zone.
     Watcher,
-    /// Place in the tree over which load is summed.
+    /// Position in the tree that aggregates load.
     Aggregator,
 }
 
@@ -27,13 +27,12 @@
     }
 }
 
-/// Returns the weight of `instance` for `role`; the greatest is picked first.
+/// Returns the weight of `instance` for `role`; the greatest ranks first.
 pub fn weight(role: Role, instance: &InstanceId) -> u64 {
     xxh3_64_with_seed(instance.as_str().as_bytes(), role.seed())
 }
 
-/// Returns `instances` ordered by their weight for `role`, the first pick
-/// first.
+/// Returns `instances` by descending weight for `role`.
 pub fn rank<'a>(
     role: Role,
     instances: impl IntoIterator<Item = &'a InstanceId>,
--- a/crates/foxtide-core/src/membership/scope.rs
+++ b/crates/foxtide-core/src/membership/scope.rs
@@ -1,5 +1,7 @@
-//! Whom an instance probes and tells: its zone, and for delegates the
-//! delegates of other zones, so that the cost does not grow with the fleet.
+//! The peers that an instance probes and gossips to.
+//!
+//! These are the members of its zone and, for delegates, the delegates of other zones,
+//! so that the cost does not grow with the fleet.
 
 use super::member::Member;
 use super::rendezvous::{
@@ -15,21 +17,21 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// How long a death in another zone widens the scope towards it.
+/// Time for which a death in another zone adds delegates of that zone.
 const DEATH_WINDOW: Duration = Duration::from_secs(10);
 
-/// How many more members of a zone are probed for each recent death there,
-/// so that the loss of a whole zone is found in a few rounds.
+/// Additional members of a zone in scope for each recent death there, so that the loss
+/// of a whole zone is detected in a few rounds.
 const EXTRA_DELEGATES_PER_DEATH: usize = 2;
 
-/// The part of the fleet that one instance deals with directly.
+/// The peers of an instance.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Scope {
     /// The other running members of the own availability zone.
     pub(crate) zone_peers: Vec<Member>,
-    /// The delegates of the other zones; empty where this is no delegate.
+    /// The delegates of the other zones; empty unless this instance is a delegate.
     pub(crate) foreign_delegates: Vec<Member>,
-    /// Whether this instance speaks for its zone.
+    /// Whether this instance is a delegate of its zone.
     pub(crate) is_delegate: bool,
 }
 
@@ -66,12 +68,10 @@
         }
     }
 
-    /// Returns everyone in scope.
     pub(crate) fn peers(&self) -> impl Iterator<Item = &Member> {
         self.zone_peers.iter().chain(&self.foreign_delegates)
     }
 
-    /// Returns how many are in scope.
     pub(crate) fn size(&self) -> usize {
         self.zone_peers.len() + self.foreign_delegates.len()
     }
@@ -88,8 +88,7 @@
     zones
 }
 
-/// Returns the first `count` delegates among `members`; those that leave are
-/// picked last.
+/// Returns the first `count` delegates among `members`; leaving ones rank last.
 fn pick_delegates<'a>(members: &[&'a Member], count: usize) -> Vec<&'a Member> {
     let by_name: BTreeMap<&InstanceId, &'a Member> = members
         .iter()
--- a/crates/foxtide-core/src/membership/suspicion.rs
+++ b/crates/foxtide-core/src/membership/suspicion.rs
@@ -1,7 +1,7 @@
-//! How long a silent instance may object before it counts as dead.
+//! Suspicion timers: the time in which a suspect may refute before it is dead.
 //!
-//! Dadgar, Phillips and Currey, "Lifeguard" (2018), section IV-B: the wait
-//! starts long and shrinks with each further instance that suspects the same.
+//! The timeout starts long and shrinks with each further instance that confirms the
+//! suspicion (Lifeguard, section IV-B).
 
 use crate::ids::InstanceId;
 use crate::membership::member::Incarnation;
@@ -9,43 +9,41 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Bounds of the wait.
+/// Bounds of the suspicion timeout.
 #[derive(Clone, Copy, Debug)]
 pub struct SuspicionBounds {
-    /// The wait when enough others agree.
+    /// Timeout after enough confirmations.
     pub shortest: Duration,
-    /// The wait while nobody else agrees.
+    /// Timeout without confirmations.
     pub longest: Duration,
-    /// How many others are enough.
+    /// Number of confirmations for the shortest timeout.
     pub confirmations: u32,
 }
 
 impl SuspicionBounds {
-    /// Returns the wait after `confirmations` others agreed.
-    fn wait(&self, confirmations: u32) -> Duration {
-        let enough = f64::from(self.confirmations.max(1));
-        let part = (f64::from(confirmations) + 1.0).ln() / (enough + 1.0).ln();
+    /// Returns the timeout after `confirmations`.
+    fn timeout(&self, confirmations: u32) -> Duration {
+        let needed = f64::from(self.confirmations.max(1));
+        let progress = (f64::from(confirmations) + 1.0).ln() / (needed + 1.0).ln();
         let range = self.longest.saturating_sub(self.shortest);
         self.longest
-            .saturating_sub(range.mul_f64(part.clamp(0.0, 1.0)))
+            .saturating_sub(range.mul_f64(progress.clamp(0.0, 1.0)))
     }
 }
 
-/// How many times longer those wait that only heard of it.
-///
-/// They may have missed the objection. Those that saw the silence tell them how
-/// it ended; where that is lost too, comparing with peers does, which takes a few
-/// of its intervals.
+/// Factor of the timeout where this instance did not observe the failure itself. The
+/// refutation may be lost here; a digest then corrects the state, which takes a few of
+/// its intervals.
 const INDIRECT_TIMEOUT_FACTOR: u32 = 10;
 
-/// Who found an instance silent.
+/// Origin of a suspicion.
 #[derive(Clone, Debug)]
 pub(crate) enum SuspicionSource {
-    /// This instance, by its own probe.
+    /// A failed probe of this instance.
     OwnProbe(InstanceId),
-    /// Another one.
+    /// Another instance's report.
     Peer(InstanceId),
-    /// It is not known who.
+    /// A member state without its reporter.
     Unknown,
 }
 
@@ -58,25 +56,25 @@
     }
 }
 
-/// One running wait.
+/// A running suspicion timer.
 #[derive(Clone, Debug)]
 struct SuspicionTimer {
     incarnation: Incarnation,
     started_at: MonotonicTime,
     confirmed_by: Vec<InstanceId>,
-    /// Whether this instance found the subject silent itself.
+    /// Whether a probe of this instance failed.
     observed: bool,
 }
 
-/// All running waits.
+/// All running suspicion timers.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Suspicions {
-    running: BTreeMap<InstanceId, SuspicionTimer>,
+    timers: BTreeMap<InstanceId, SuspicionTimer>,
 }
 
 impl Suspicions {
-    /// Starts a wait, or counts the `source` as agreeing with the one that
-    /// runs; returns whether that was new.
+    /// Starts a timer, or adds `source` as a confirmation of the running one; returns
+    /// whether it was new.
     pub(crate) fn suspect(
         &mut self,
         subject: &InstanceId,
@@ -84,63 +82,63 @@
         source: &SuspicionSource,
         now: MonotonicTime,
     ) -> bool {
-        let running = self.running.get_mut(subject);
-        let Some(running) = running.filter(|running| running.incarnation >= incarnation) else {
+        let timer = self.timers.get_mut(subject);
+        let Some(timer) = timer.filter(|timer| timer.incarnation >= incarnation) else {
             let started = SuspicionTimer {
                 incarnation,
                 started_at: now,
                 confirmed_by: source.by().cloned().into_iter().collect(),
                 observed: matches!(source, SuspicionSource::OwnProbe(_)),
             };
-            self.running.insert(subject.clone(), started);
+            self.timers.insert(subject.clone(), started);
             return true;
         };
-        running.observed |= matches!(source, SuspicionSource::OwnProbe(_));
+        timer.observed |= matches!(source, SuspicionSource::OwnProbe(_));
         let Some(by) = source.by() else {
             return false;
         };
-        let fresh = !running.confirmed_by.contains(by);
-        if fresh {
-            running.confirmed_by.push(by.clone());
+        let is_new = !timer.confirmed_by.contains(by);
+        if is_new {
+            timer.confirmed_by.push(by.clone());
         }
-        fresh
+        is_new
     }
 
-    /// Ends the wait for `subject`.
+    /// Cancels the timer of `subject`.
     pub(crate) fn end(&mut self, subject: &InstanceId) {
-        self.running.remove(subject);
+        self.timers.remove(subject);
     }
 
-    /// Returns those that this instance found silent itself.
+    /// Returns the suspects that failed a probe of this instance.
     pub(crate) fn observed(&self) -> impl Iterator<Item = &InstanceId> {
-        let observed = self.running.iter().filter(|(_, running)| running.observed);
+        let observed = self.timers.iter().filter(|(_, timer)| timer.observed);
         observed.map(|(subject, _)| subject)
     }
 
-    /// Takes out those whose wait is over.
+    /// Removes and returns the suspects whose timeout is over.
     pub(crate) fn expired(
         &mut self,
         bounds: &SuspicionBounds,
         now: MonotonicTime,
     ) -> Vec<InstanceId> {
-        let over = |running: &SuspicionTimer| {
-            let others = running.confirmed_by.len().saturating_sub(1);
-            let wait = bounds.wait(u32::try_from(others).unwrap_or(u32::MAX));
-            let times = if running.observed {
+        let is_expired = |timer: &SuspicionTimer| {
+            let others = timer.confirmed_by.len().saturating_sub(1);
+            let timeout = bounds.timeout(u32::try_from(others).unwrap_or(u32::MAX));
+            let factor = if timer.observed {
                 1
             } else {
                 INDIRECT_TIMEOUT_FACTOR
             };
-            now >= running.started_at + wait * times
+            now >= timer.started_at + timeout * factor
         };
-        let expired = self.running.extract_if(.., |_, running| over(running));
+        let expired = self.timers.extract_if(.., |_, timer| is_expired(timer));
         expired.map(|(subject, _)| subject).collect()
     }
 
-    /// Lets all waits begin anew, as after a pause of this process.
+    /// Restarts all timers, as after a pause of this process.
     pub(crate) fn restart(&mut self, now: MonotonicTime) {
-        for running in self.running.values_mut() {
-            running.started_at = now;
+        for timer in self.timers.values_mut() {
+            timer.started_at = now;
         }
     }
 }
--- a/crates/foxtide-core/src/membership/table.rs
+++ b/crates/foxtide-core/src/membership/table.rs
@@ -1,4 +1,4 @@
-//! The members of the fleet as one instance knows them.
+//! Table of the known members.
 
 use super::member::{
     Member,
@@ -13,23 +13,23 @@
 use std::time::Duration;
 use xxhash_rust::xxh3::Xxh3;
 
-/// A member and when the belief about it last changed here.
+/// A member and the time of its last update here.
 #[derive(Clone, Debug)]
 struct Entry {
     member: Member,
     changed_at: MonotonicTime,
 }
 
-/// A member and when the belief about it last changed here.
+/// A member and the time of its last update here.
 #[derive(Clone, Copy, Debug)]
 pub struct MemberView<'a> {
-    /// The belief.
+    /// The member.
     pub member: &'a Member,
-    /// When it became this instance's belief.
+    /// Time of the last update.
     pub changed_at: MonotonicTime,
 }
 
-/// All members, the dead ones of late included.
+/// All members, including recently dead ones.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct MemberTable {
     entries: BTreeMap<InstanceId, Entry>,
@@ -37,8 +37,8 @@
 }
 
 impl MemberTable {
-    /// Takes a belief in where it replaces the one held, and returns whether
-    /// it did. A dead instance that was not known stays unknown.
+    /// Applies an update that replaces the current entry and returns whether it did. An
+    /// unknown dead instance is not added.
     pub(crate) fn apply(&mut self, member: &Member, now: MonotonicTime) -> bool {
         let newer = match self.entries.get(&member.instance) {
             Some(entry) => member.replaces(&entry.member),
@@ -50,7 +50,7 @@
         newer
     }
 
-    /// Puts a belief in whatever was held.
+    /// Stores an entry unconditionally.
     pub(crate) fn put(&mut self, member: Member, now: MonotonicTime) {
         let entry = Entry {
             member,
@@ -60,7 +60,7 @@
         self.version += 1;
     }
 
-    /// Forgets instances that have been dead for `retention`.
+    /// Removes members that have been dead for `retention`.
     pub(crate) fn forget(&mut self, retention: Duration, now: MonotonicTime) {
         let before = self.entries.len();
         self.entries.retain(|_, entry| {
@@ -69,22 +69,21 @@
         self.version += u64::from(self.entries.len() != before);
     }
 
-    /// Returns a number that changes with every change of the table.
+    /// Returns the version; each change of the table increases it.
     pub(crate) fn version(&self) -> u64 {
         self.version
     }
 
-    /// Returns one member.
     pub(crate) fn get(&self, instance: &InstanceId) -> Option<&Member> {
         self.entries.get(instance).map(|entry| &entry.member)
     }
 
-    /// Returns all members by name.
+    /// Returns all members, ordered by name.
     pub(crate) fn members(&self) -> impl Iterator<Item = &Member> {
         self.entries.values().map(|entry| &entry.member)
     }
 
-    /// Returns all members with the time of the last change.
+    /// Returns all members with the time of their last update.
     pub(crate) fn views(&self) -> impl Iterator<Item = MemberView<'_>> {
         self.entries.values().map(|entry| MemberView {
             member: &entry.member,
@@ -92,18 +91,17 @@
         })
     }
 
-    /// Returns the members whose process is thought to run.
+    /// Returns the members whose process is presumed to run.
     pub(crate) fn running(&self) -> impl Iterator<Item = &Member> {
         self.members().filter(|member| member.state.is_running())
     }
 
-    /// Returns the members thought dead.
     pub(crate) fn dead(&self) -> impl Iterator<Item = &Member> {
         self.members()
             .filter(|member| member.state == MemberState::Dead)
     }
 
-    /// Returns how many members of `zone` died within `window` before `now`.
+    /// Returns the number of members of `zone` that died within `window` before `now`.
     pub(crate) fn deaths(
         &self,
         zone: &AvailabilityZoneId,
@@ -118,7 +116,7 @@
         self.entries.values().filter(recent).count()
     }
 
-    /// Returns a hash over all running members, whether suspect or not.
+    /// Returns a hash of all running members; a suspicion does not change it.
     pub(crate) fn hash(&self) -> u64 {
         let mut hasher = Xxh3::new();
         for member in self.running() {
--- a/crates/foxtide-core/src/membership/updates.rs
+++ b/crates/foxtide-core/src/membership/updates.rs
@@ -1,4 +1,4 @@
-//! How a belief about a member comes about, changes and is contradicted.
+//! Applies, spreads and refutes updates about members.
 
 use super::machine::{
     Membership,
@@ -21,7 +21,7 @@
 use std::net::SocketAddr;
 
 impl Membership {
-    /// Announces that this instance, which was joining, serves callers.
+    /// Marks this joining instance as alive and announces it.
     pub fn serve(&mut self, now: MonotonicTime) -> Vec<Output> {
         let mut outputs = Vec::new();
         if self.own.state == MemberState::Joining {
@@ -31,7 +31,7 @@
         outputs
     }
 
-    /// Announces that this instance leaves, to everyone in scope at once.
+    /// Announces to all peers in scope that this instance is leaving.
     pub fn leave(&mut self, now: MonotonicTime) -> Vec<Output> {
         let mut outputs = Vec::new();
         self.own.state = MemberState::Leaving;
@@ -47,21 +47,21 @@
         outputs
     }
 
-    /// Takes in everything that a peer knows.
+    /// Merges a peer's member table.
     ///
-    /// A peer that thinks a member dead may have been cut off from it: that
-    /// member is told, and objects if it lives; until then it is suspect.
+    /// A member that only the peer considers dead becomes suspect instead and is
+    /// notified, so that it can refute: the peer may have been partitioned from it.
     pub fn merge(&mut self, members: Vec<Member>, now: MonotonicTime) -> Vec<Output> {
         let mut outputs = Vec::new();
         let mut discovered = false;
         for member in members {
-            let held = self.table.get(&member.instance);
-            if held.is_none() {
+            let known = self.table.get(&member.instance);
+            if known.is_none() {
                 discovered |= self.discover(member, now, &mut outputs);
                 continue;
             }
-            let contested = held.is_some_and(|held| {
-                held.state.is_running() && !member.state.is_running() && member.replaces(held)
+            let contested = known.is_some_and(|known| {
+                known.state.is_running() && !member.state.is_running() && member.replaces(known)
             });
             if contested && member.instance != self.own.instance {
                 self.suspect_without_gossip(&member, now, &mut outputs);
@@ -76,22 +76,23 @@
         outputs
     }
 
-    /// Takes a member in that a peer knows of, and so others around it do: a
-    /// starting instance tells the fleet of itself, not of all the others.
+    /// Adds a member that was unknown here, without gossiping it: a starting instance
+    /// announces itself to the fleet, not all members that it learns of.
     fn discover(&mut self, member: Member, now: MonotonicTime, outputs: &mut Vec<Output>) -> bool {
         if member.state == MemberState::Suspect {
             self.suspect_without_gossip(&member, now, outputs);
             return true;
         }
-        let fresh = self.table.apply(&member, now);
-        if fresh {
+        let is_new = self.table.apply(&member, now);
+        if is_new {
             outputs.push(Output::Changed(member));
         }
-        fresh
+        is_new
     }
 
-    /// Suspects a member of which only a peer's table speaks ill. Nobody is
-    /// told, but if neither it nor anybody else objects, it is dead.
+    /// Suspects a member that a peer's table reports as dead or suspect, without
+    /// gossiping it. The member is declared dead unless it or another instance refutes
+    /// in time.
     fn suspect_without_gossip(
         &mut self,
         member: &Member,
@@ -111,7 +112,7 @@
         }
     }
 
-    /// Meets a sender that is not known or thought dead.
+    /// Synchronises with an unknown sender and notifies one that is considered dead.
     pub(super) fn check_sender(
         &self,
         sender: &InstanceId,
@@ -127,7 +128,6 @@
         }
     }
 
-    /// Takes one rumour in.
     pub(super) fn apply_rumour(
         &mut self,
         rumour: Rumour,
@@ -151,22 +151,22 @@
         }
     }
 
-    /// Answers a peer that thinks ill of this instance.
+    /// Refutes a peer's suspicion of this instance, to all and to that peer directly.
     fn refute_to_peer(
         &mut self,
-        belief: &Member,
+        update: &Member,
         from: SocketAddr,
         now: MonotonicTime,
         outputs: &mut Vec<Output>,
     ) {
-        let suspected = matches!(belief.state, MemberState::Suspect | MemberState::Dead);
-        if belief.instance == self.own.instance && suspected {
-            self.refute(belief, now, outputs);
+        let suspected = matches!(update.state, MemberState::Suspect | MemberState::Dead);
+        if update.instance == self.own.instance && suspected {
+            self.refute(update, now, outputs);
             outputs.push(send_member_to(from, self.own.clone()));
         }
     }
 
-    /// Takes a belief in.
+    /// Applies an update about a member and gossips it if it is new.
     fn apply_update(&mut self, member: Member, now: MonotonicTime, outputs: &mut Vec<Output>) {
         if member.instance == self.own.instance {
             self.refute(&member, now, outputs);
@@ -183,17 +183,17 @@
         }
     }
 
-    /// Objects to a belief about this instance that is wrong.
-    fn refute(&mut self, belief: &Member, now: MonotonicTime, outputs: &mut Vec<Output>) {
-        if !belief.replaces(&self.own) {
+    /// Raises this instance's incarnation if `update` would replace its own state.
+    fn refute(&mut self, update: &Member, now: MonotonicTime, outputs: &mut Vec<Output>) {
+        if !update.replaces(&self.own) {
             return;
         }
-        self.own.incarnation = belief.incarnation.next();
+        self.own.incarnation = update.incarnation.next();
         self.counts.refutations += 1;
         self.announce_self(now, outputs);
     }
 
-    /// Spreads how this instance presents itself.
+    /// Stores and gossips this instance's own state.
     fn announce_self(&mut self, now: MonotonicTime, outputs: &mut Vec<Output>) {
         self.table.put(self.own.clone(), now);
         self.push(Rumour::Member(self.own.clone()));
@@ -201,7 +201,7 @@
         self.gossip(now, outputs);
     }
 
-    /// Takes a suspicion in, another's or an own one.
+    /// Applies a suspicion and gossips it if it is new.
     fn suspect(
         &mut self,
         member: Member,
@@ -214,14 +214,14 @@
             return;
         }
         let changed = self.table.apply(&member, now);
-        let held = self.table.get(&member.instance);
-        if !held.is_some_and(|held| *held == member) {
+        let known = self.table.get(&member.instance);
+        if !known.is_some_and(|known| *known == member) {
             return;
         }
-        let fresh = self
+        let is_new = self
             .suspicions
             .suspect(&member.instance, member.incarnation, &source, now);
-        if fresh {
+        if is_new {
             self.push(rumour(member.clone(), source));
         }
         if changed {
@@ -229,7 +229,7 @@
         }
     }
 
-    /// Acts on a probe that stayed without answer.
+    /// Suspects a member that did not answer a probe; a leaving one is dead.
     pub(super) fn handle_probe_failure(
         &mut self,
         target: &InstanceId,
@@ -242,7 +242,8 @@
         match member.state {
             MemberState::Joining | MemberState::Alive | MemberState::Suspect => {
                 let member = member.in_state(MemberState::Suspect);
-                // Told at once, it can object before others hear of it.
+                // A member that is notified directly can refute before others suspect
+                // it.
                 outputs.push(send_to_member(member.clone()));
                 let source = SuspicionSource::OwnProbe(self.own.instance.clone());
                 self.suspect(member, source, now, outputs);
@@ -252,7 +253,7 @@
         }
     }
 
-    /// Declares a silent member dead.
+    /// Declares a suspect or leaving member dead.
     pub(super) fn declare_dead(
         &mut self,
         target: &InstanceId,
@@ -269,7 +270,7 @@
     }
 }
 
-/// Returns the rumour of a suspicion.
+/// Returns the rumour that spreads a suspicion.
 fn rumour(member: Member, source: SuspicionSource) -> Rumour {
     match source {
         SuspicionSource::OwnProbe(by) | SuspicionSource::Peer(by) => {
@@ -279,7 +280,7 @@
     }
 }
 
-/// Returns the sending of a belief to an address.
+/// Returns the output that sends an update to an address.
 fn send_member_to(to: SocketAddr, member: Member) -> Output {
     let Output::Send { packet, .. } = send_to_member(member) else {
         unreachable!("send_to_member returns Output::Send");
--- a/crates/foxtide-core/tests/membership.rs
+++ b/crates/foxtide-core/tests/membership.rs
@@ -1,4 +1,4 @@
-//! The membership protocol on a virtual clock, under scripted faults.
+//! Tests the membership protocol on a virtual clock under scripted faults.
 
 use foxtide_core::membership::{
     MemberState,
@@ -12,7 +12,7 @@
 
 const LIMIT: Duration = Duration::from_secs(60);
 
-/// The longest time in which a killed instance has to be gone everywhere.
+/// Maximum time until all others consider a killed instance dead.
 const DETECTION_MAX: Duration = Duration::from_secs(3);
 
 fn fleet(instances: usize, zones: usize, seed: u64) -> VirtualFleet {
@@ -57,7 +57,7 @@
 
 #[test]
 fn verify_the_last_of_a_zone_is_gone_when_killed() {
-    // One instance in each zone: nobody of the own zone probes it.
+    // With one instance in each zone, only other zones' delegates probe it.
     let mut fleet = fleet(6, 6, 3);
     fleet.kill(2);
     let took = fleet.run_until(LIMIT, VirtualFleet::all_agree);
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn verify_a_paused_instance_comes_back_without_harm() {
+fn verify_a_resumed_instance_suspects_nobody() {
     let mut fleet = fleet(20, 6, 4);
     fleet.pause(5);
     fleet.run_for(Duration::from_secs(20));
@@ -76,7 +76,7 @@
     let before = fleet.wrong_beliefs();
     fleet.resume(5);
     fleet.run_until(LIMIT, VirtualFleet::all_agree).unwrap();
-    // It missed all answers while it stood, and must blame nobody for that.
+    // Timeouts that ran during the pause must not cause suspicions.
     assert_eq!(fleet.machine(5).counts().pauses, 1);
     let after = fleet.wrong_beliefs();
     assert_eq!(after.suspected, before.suspected);
@@ -113,18 +113,18 @@
     fleet.heal();
     fleet.run_until(LIMIT, VirtualFleet::all_agree).unwrap();
     fleet.run_for(Duration::from_secs(10));
-    assert!(fleet.all_agree(), "it did not last");
+    assert!(fleet.all_agree(), "agreement did not last");
 }
 
 #[test]
-fn verify_nobody_believes_a_healed_side_about_the_own_side() {
+fn verify_a_healed_partition_causes_no_false_deaths() {
     let mut fleet = fleet(30, 6, 8);
     fleet.cut_off((0..30).step_by(3));
     fleet.run_for(Duration::from_secs(30));
     fleet.heal();
     for _ in 0..100 {
         fleet.run_for(Duration::from_millis(50));
-        // Both stand in the cut-off region and reached each other throughout.
+        // Both are in the cut-off region and reached each other throughout.
         assert_ne!(fleet.state(0, 3), Some(MemberState::Dead));
         assert_ne!(fleet.state(1, 4), Some(MemberState::Dead));
     }
@@ -143,7 +143,7 @@
         took.is_some_and(|took| took <= Duration::from_secs(1)),
         "{took:?}"
     );
-    // Its end needs no suspicion.
+    // A leaving instance dies without a suspicion.
     fleet.kill(8);
     let gone = |fleet: &VirtualFleet| {
         (0..60).all(|observer| observer == 8 || fleet.state(observer, 8) == Some(MemberState::Dead))
@@ -174,8 +174,8 @@
 }
 
 #[test]
-fn verify_a_zone_of_two_tells_of_a_cut_link() {
-    // Two instances cut off together keep each other.
+fn verify_two_instances_cut_off_together_stay_alive_to_each_other() {
+    // Two instances that are cut off together still reach each other.
     let mut fleet = fleet(12, 6, 11);
     fleet.cut_off([0, 6]);
     fleet.run_for(Duration::from_secs(10));
@@ -185,20 +185,20 @@
 }
 
 #[test]
-fn verify_a_death_that_was_not_heard_of_is_learned_by_comparing() {
-    // Instance 18 is no delegate: nothing but rumours tells it of other zones.
+fn verify_a_digest_exchange_reveals_a_missed_death() {
+    // Instance 18 is no delegate: it learns of other zones only by rumours.
     let mut fleet = fleet(60, 6, 12);
     fleet.run_for(Duration::from_secs(2));
     fleet.pause(18);
     fleet.kill(7);
-    // All rumours of the death have been spread and forgotten by then.
+    // By then all rumours of the death have been sent and dropped.
     fleet.run_for(Duration::from_secs(30));
     fleet.resume(18);
     assert!(fleet.run_until(LIMIT, VirtualFleet::all_agree).is_some());
 }
 
 #[test]
-fn verify_a_starting_instance_tells_of_itself_only() {
+fn verify_a_starting_instance_announces_only_itself() {
     let mut fleet = fleet(60, 6, 13);
     fleet.run_for(Duration::from_secs(30));
     let waiting = (0..60).map(|it| fleet.machine(it).waiting_rumours());
@@ -206,9 +206,9 @@
 }
 
 #[test]
-fn verify_a_lost_objection_is_learned_by_comparing() {
-    // With this seed an instance of another zone hears of a suspicion and of
-    // none of the rumours of the objection.
+fn verify_a_digest_exchange_reveals_a_lost_refutation() {
+    // With this seed an instance of another zone receives a suspicion but no rumour of
+    // its refutation.
     let mut fleet = fleet(40, 6, 0);
     fleet.lose(0.2);
     fleet.run_for(Duration::from_secs(3 * 60));
