--- a/crates/foxtide-core/src/registry/departures.rs
+++ b/crates/foxtide-core/src/registry/departures.rs
@@ -1,4 +1,4 @@
-//! Upstreams that have announced their leaving, or have left.
+//! Recent departures of upstreams, which a restored store may not know.
 
 use super::{
     Registration,
@@ -12,26 +12,25 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// How long a departure is remembered, and for how long an upstream gets nothing that an
-/// older copy of the store shows as ready. The copy is some seconds old, and an upstream
-/// that does live and is ready loses a minute's requests at most; one that has left would
-/// fail each of them.
+/// Time for which a departure is kept, and for which an upstream gets no requests if an
+/// older copy of the store shows it as ready. A live and ready upstream loses at most a
+/// minute of requests; one that has left would fail all of them.
 const DEPARTURE_RETENTION: Duration = Duration::from_secs(60);
 
 #[derive(Clone, Copy, Debug)]
 struct Departure {
     born_at: Option<WallTime>,
     since: MonotonicTime,
-    /// Whether the store has come back from an older copy since then.
+    /// Whether the store was restored from an older copy since then.
     is_withheld: bool,
 }
 
-/// The departures of late, by the upstream's name.
+/// Recent departures by upstream.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Departures(HashMap<UpstreamId, Departure>);
 
 impl Departures {
-    /// Takes in that an upstream has left.
+    /// Records that an upstream has left.
     pub(super) fn record_departure(&mut self, registration: &Registration, now: MonotonicTime) {
         let departure = Departure {
             born_at: registration.born_at,
@@ -41,8 +40,7 @@
         self.0.insert(registration.upstream.clone(), departure);
     }
 
-    /// Takes in that an upstream is registered: one that has started anew, or that comes
-    /// back by itself, has not left.
+    /// Removes the departure of a registered upstream that restarted or returned.
     pub(super) fn record_return(&mut self, registration: &Registration) {
         let departure = self.0.get(&registration.upstream);
         let has_returned = departure.is_some_and(|departure| {
@@ -53,8 +51,8 @@
         }
     }
 
-    /// Keeps those that have left, and `leaving`, from requests: the store has come back
-    /// from an older copy, which may show them as ready.
+    /// Withholds requests from `leaving` and from all upstreams that have left, after
+    /// the store was restored from an older copy that may show them as ready.
     pub(super) fn withhold<'a>(
         &mut self,
         leaving: impl Iterator<Item = &'a Registration>,
@@ -69,8 +67,8 @@
         }
     }
 
-    /// Tells whether a registration is of an incarnation that an older copy of the store
-    /// brought back.
+    /// Returns whether a registration is a departed incarnation that an older copy of
+    /// the store brought back.
     pub(super) fn is_withheld(&self, registration: &Registration, now: MonotonicTime) -> bool {
         let departure = self.0.get(&registration.upstream);
         departure.is_some_and(|departure| {
@@ -81,7 +79,7 @@
         })
     }
 
-    /// Forgets what is long past.
+    /// Removes old departures.
     pub(super) fn prune(&mut self, now: MonotonicTime) {
         self.0
             .retain(|_, departure| now - departure.since < DEPARTURE_RETENTION);
--- a/crates/foxtide-core/src/registry/follower_backoff.rs
+++ b/crates/foxtide-core/src/registry/follower_backoff.rs
@@ -1,41 +1,38 @@
-//! When an instance asks the store itself while others can tell what it says.
+//! Limits how often followers call the store directly during an outage.
 
 use crate::time::MonotonicTime;
 use std::time::Duration;
 
-/// How often an instance that follows others asks a store that has failed it. The
-/// watchers ask it all the while, and tell of its return within a second; this is for
-/// one that the store serves while it turns away all watchers that are known. Of 600
-/// instances this is 200 calls a second while the store is away.
+/// Mean interval at which a follower retries a store that failed it. The watchers retry
+/// more often and report the store's return; this covers a store that rejects all known
+/// watchers.
 const FOLLOWER_RETRY_INTERVAL: Duration = Duration::from_millis(3_000);
 
-/// After how long an instance asks the store itself whose watchers live but are not
-/// answered. A watcher learns within half of this whether only its wait was cut.
+/// Mean delay before a follower calls the store itself while its live watchers get no
+/// answer.
 const WATCHER_GRACE: Duration = Duration::from_millis(1_000);
 
-/// Remembers when the store has failed, and spreads the calls of followers over time:
-/// each decides alone, and their sum is bounded for each second of an outage.
+/// Decides when a follower may call the store directly. Each follower decides on its
+/// own; jitter bounds the sum of their calls during an outage.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct FollowerBackoff {
     due_at: Option<MonotonicTime>,
-    /// Whether the store's last answer was to this instance itself.
+    /// Whether the store's last answer went to this instance itself.
     is_served: bool,
 }
 
 impl FollowerBackoff {
-    /// Notes that the store did not answer; `draw` is from 0 to 1 and spreads the
-    /// instances over time.
+    /// Records that the store did not answer; `draw`, from 0 to 1, adds jitter.
     pub fn store_failed(&mut self, now: MonotonicTime, draw: f64) {
         self.due_at = Some(now + jittered(FOLLOWER_RETRY_INTERVAL, draw));
         self.is_served = false;
     }
 
-    /// Notes that watchers live which the store does not answer; `draw` as above.
+    /// Records that live watchers get no answer from the store; `draw` as above.
     ///
-    /// Where the store has just answered this instance itself, they are cut off, and it is
-    /// asked on: to wait here once more would take the store for away in between, again and
-    /// again, and keep upstreams that have left for as long as the watchers' cut lasts (9 s
-    /// on a whole day, where 3 are allowed).
+    /// If the store has just answered this instance directly, only the watchers are cut
+    /// off. The instance then keeps calling the store: another delay would let it
+    /// alternate between available and unavailable and keep upstreams that have left.
     pub fn watchers_failed(&mut self, now: MonotonicTime, draw: f64) {
         if !self.is_served {
             self.due_at
@@ -43,18 +40,18 @@
         }
     }
 
-    /// Notes that the store answered this instance itself.
+    /// Records that the store answered this instance itself.
     pub fn store_answered(&mut self) {
         self.due_at = None;
         self.is_served = true;
     }
 
-    /// Notes that a watcher answered in the store's place.
+    /// Records that a watcher answered in place of the store.
     pub fn watcher_answered(&mut self) {
         *self = Self::default();
     }
 
-    /// Tells whether an instance that follows others may ask the store itself.
+    /// Returns whether a follower may call the store directly.
     pub fn is_due(&self, now: MonotonicTime) -> bool {
         self.due_at.is_none_or(|due_at| now >= due_at)
     }
--- a/crates/foxtide-core/src/registry/incarnations.rs
+++ b/crates/foxtide-core/src/registry/incarnations.rs
@@ -1,4 +1,4 @@
-//! Which incarnations of upstreams are over.
+//! Tracks which incarnations of upstreams are outdated.
 
 use super::Registration;
 use crate::ids::UpstreamId;
@@ -9,45 +9,45 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// How long an incarnation that is known to be gone is remembered: its
-/// registration lapses long before.
+/// Time for which a discarded incarnation is kept; its registration expires long
+/// before.
 const DISCARDED_RETENTION: Duration = Duration::from_secs(60);
 
-/// How long it is remembered when the newest incarnation of a name started that is no
-/// longer registered: no instance or store tells of older ones after that.
+/// Time for which the start of an unregistered name's newest incarnation is kept; no
+/// instance or store reports older ones after that.
 const NEWEST_START_RETENTION: Duration = Duration::from_secs(600);
 
-/// An incarnation beside the newest of its name.
+/// Age of an incarnation relative to the newest one of its name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Age {
-    /// It is the newest, or the same.
+    /// It is the newest.
     Newest,
-    /// A newer one is known, or it is known to be gone.
+    /// A newer one is known, or it was discarded.
     Outdated,
-    /// It does not tell when it started, although its name has told before: the entry is
-    /// not the upstream's own.
+    /// It lacks a start time that its name has had before: another writer made the
+    /// entry.
     Undated,
 }
 
-/// An incarnation that is gone.
+/// A discarded incarnation.
 #[derive(Clone, Copy, Debug)]
 struct Discarded {
     born_at: Option<WallTime>,
     since: MonotonicTime,
 }
 
-/// What is remembered of incarnations beyond their registrations.
+/// Known incarnations, independent of current registrations.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Incarnations {
-    /// Incarnations that are known to be gone; an incarnation never returns.
+    /// Discarded incarnations, which never return.
     discarded: HashMap<UpstreamId, Discarded>,
-    /// When the newest incarnation of each name started, and when it was last told of:
-    /// an older one never takes its place, whichever way its registration comes.
+    /// Start of the newest incarnation of each name and the time at which it was last
+    /// registered.
     newest: HashMap<UpstreamId, (WallTime, MonotonicTime)>,
 }
 
 impl Incarnations {
-    /// Tells how old an incarnation is beside the newest of its name.
+    /// Returns the age of an incarnation.
     pub(super) fn age_of(&self, registration: &Registration) -> Age {
         let upstream = &registration.upstream;
         if let Some((newest, _)) = self.newest.get(upstream) {
@@ -65,7 +65,7 @@
         }
     }
 
-    /// Takes in that an incarnation is registered.
+    /// Records the registration of an incarnation.
     pub(super) fn record(&mut self, registration: &Registration, now: MonotonicTime) {
         let upstream = &registration.upstream;
         self.discarded.remove(upstream);
@@ -74,7 +74,7 @@
         }
     }
 
-    /// Takes in that an incarnation is gone for good.
+    /// Records that an incarnation is gone for good.
     pub(super) fn discard(&mut self, registration: &Registration, now: MonotonicTime) {
         let discarded = Discarded {
             born_at: registration.born_at,
@@ -84,7 +84,7 @@
             .insert(registration.upstream.clone(), discarded);
     }
 
-    /// Forgets what no one tells of any more; `is_registered` tells which names are.
+    /// Removes old entries of names for which `is_registered` returns false.
     pub(super) fn prune(
         &mut self,
         now: MonotonicTime,
--- a/crates/foxtide-core/src/registry/members.rs
+++ b/crates/foxtide-core/src/registry/members.rs
@@ -1,4 +1,4 @@
-//! The instances that are alive, as their leases on the store tell.
+//! Live instances, according to their leases in the store.
 
 use super::StorePhase;
 use crate::ids::{
@@ -22,50 +22,50 @@
     xxh3_64_with_seed, //
 };
 
-/// The largest fleet in which every instance follows the store by itself: its
-/// calls cost less there than the delay by a peer.
+/// Largest fleet in which every instance watches the store itself; relaying through
+/// watchers would add delay and save few calls.
 const ALL_WATCH_MAX: usize = 16;
 
-/// How many instances of a region follow the store in a larger fleet, at least;
-/// one may be stopped and another killed at the same time.
+/// Minimum number of watchers per region of a larger fleet, so that one may stop while
+/// another fails.
 const WATCHERS_PER_REGION: usize = 3;
 
-/// The instances of an availability zone for which one watcher stands: what it
-/// sends grows with those that follow it, and bytes within a zone are free.
+/// Instances per watcher in an availability zone: a watcher's traffic grows with its
+/// followers, and traffic within a zone is free.
 const INSTANCES_PER_WATCHER: usize = 16;
 
-/// How many instances of a region count the ends of upstreams under a request: two fifths of
-/// the instances may be frozen at the same time, and a region has three or four on the
-/// smallest deployments.
+/// Instances of a region that aggregate the failures of upstreams per request, so that
+/// some may be unresponsive at the same time.
 const AGGREGATORS_PER_REGION: usize = 4;
 
-/// An instance that takes requests.
+/// An instance that accepts requests.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Member {
-    /// Its name.
+    /// Name of the instance.
     pub instance: InstanceId,
-    /// Where callers send requests.
+    /// Address for callers.
     pub caller_address: SocketAddr,
-    /// Where other instances ask.
+    /// Address for requests of other instances.
     pub peer_address: SocketAddr,
-    /// Where other instances send datagrams.
+    /// Address for datagrams of other instances.
     pub datagram_address: SocketAddr,
-    /// Where it stands.
+    /// Availability zone of the instance.
     pub availability_zone: AvailabilityZoneId,
     /// The region of its availability zone.
     pub region: RegionId,
-    /// The instance that keeps its record in the store; nothing where it does so itself.
+    /// The instance that maintains its record in the store; `None` if it does so
+    /// itself.
     pub registrar: Option<InstanceId>,
-    /// The megabits a second of its machine's link; 0 where that is not known.
+    /// Bandwidth of its machine's link in megabits a second; 0 if unknown.
     pub link_mbps: u32,
 }
 
-/// An instance that asks others.
+/// An instance that sends requests to other instances.
 #[derive(Clone, Copy, Debug)]
 pub struct Requester<'a> {
-    /// Its name.
+    /// Name of the instance.
     pub instance: &'a InstanceId,
-    /// Where it stands.
+    /// Availability zone of the instance.
     pub availability_zone: &'a AvailabilityZoneId,
     /// The region of its availability zone.
     pub region: &'a RegionId,
@@ -77,10 +77,10 @@
     is_missing: bool,
 }
 
-/// All instances that take requests.
+/// All instances that accept requests.
 ///
-/// An instance whose lease has ended is gone, except while the store is away
-/// and for a while after: leases may lapse then although instances live.
+/// An instance whose lease has expired is removed, except during an outage of the store
+/// and for a grace period after it: leases of live instances may expire then.
 #[derive(Clone, Debug, Default)]
 pub struct Members {
     entries: BTreeMap<InstanceId, Entry>,
@@ -89,7 +89,7 @@
 }
 
 impl Members {
-    /// Takes in that an instance lives.
+    /// Adds or updates an instance; returns whether it is new.
     pub fn join(&mut self, member: Member, now: MonotonicTime) -> bool {
         let entry = Entry {
             member: member.clone(),
@@ -103,8 +103,8 @@
         is_new
     }
 
-    /// Takes in that an instance's lease has ended; tells whether it is
-    /// believed to be gone.
+    /// Handles the end of an instance's lease; returns whether the instance was
+    /// removed.
     pub fn leave(&mut self, instance: &InstanceId, phase: StorePhase, now: MonotonicTime) -> bool {
         if phase.treats_missing_as_gone(now) {
             let left = self.entries.remove(instance);
@@ -119,7 +119,7 @@
         false
     }
 
-    /// Takes in all instances that have a lease.
+    /// Replaces the members with all instances that have a lease.
     pub fn replace(&mut self, members: Vec<Member>, phase: StorePhase, now: MonotonicTime) {
         let missing: Vec<InstanceId> = self
             .entries
@@ -135,8 +135,8 @@
         }
     }
 
-    /// Removes instances that were missing when the store was away and have
-    /// not come back.
+    /// Removes instances whose leases expired during an outage of the store and that
+    /// have not returned.
     pub fn expire(&mut self, phase: StorePhase, now: MonotonicTime) {
         if !phase.treats_missing_as_gone(now) {
             return;
@@ -147,7 +147,7 @@
         self.entries.retain(|_, entry| !entry.is_missing);
     }
 
-    /// Returns all members, in the order of their names.
+    /// Returns all members, ordered by name.
     pub fn all(&self) -> impl Iterator<Item = &Member> {
         self.entries.values().map(|entry| &entry.member)
     }
@@ -162,13 +162,12 @@
         self.entries.keys().cloned().collect()
     }
 
-    /// Returns the members of a region that follow the store for the others of
-    /// the region; nothing where the fleet is so small that each does.
+    /// Returns the members of a region that watch the store on behalf of the others;
+    /// empty in a fleet so small that every instance does.
     ///
-    /// Each availability zone has one for a number of instances, and the region a
-    /// least number in all. Those with the fastest links come first: a watcher sends what
-    /// changes to each that follows it, and while a fleet of 295 instances started one sent
-    /// 12 MB so, which takes a link of 10 Mbit/s ten seconds.
+    /// Their number depends on the instances of each availability zone, with a minimum
+    /// per region. Members with the fastest links come first, since a watcher sends all
+    /// changes to its followers.
     pub fn watchers(&self, region: &RegionId) -> Vec<&Member> {
         if self.entries.len() <= ALL_WATCH_MAX {
             return Vec::new();
@@ -201,7 +200,7 @@
         ranked.into_iter().filter(holds_place).collect()
     }
 
-    /// Returns the members that follow the store, those of `region` first.
+    /// Returns the members that watch the store, those of `region` first.
     pub fn watchers_nearest_first(&self, region: &RegionId) -> Vec<&Member> {
         let mut regions: Vec<&RegionId> = self.all().map(|member| &member.region).collect();
         regions.sort_by_key(|of_member| (*of_member != region, *of_member));
@@ -217,9 +216,9 @@
         regions.iter().flat_map(of_region).collect()
     }
 
-    /// Sorts `members` as an instance asks them: those of its availability zone
-    /// first, then those of its region, and else in an order of its own, so that
-    /// not all ask the same one.
+    /// Sorts `members` in the order in which an instance requests from them: first its
+    /// own availability zone, then its region. Ties are in a pseudo-random order per
+    /// requester, which spreads the load.
     pub fn sort_by_proximity(members: &mut [&Member], requester: &Requester<'_>) {
         let seed = xxh3_64(requester.instance.as_str().as_bytes());
         members.sort_by_cached_key(|member| {
@@ -230,18 +229,17 @@
         });
     }
 
-    /// Returns the member that coordinates the slots of an upstream in `region`: the
-    /// same one in the eyes of all that believe in the same members. It stands in
-    /// the upstream's region, so that most of those that ask are near.
+    /// Returns the member of `region` that coordinates the slots of an upstream; all
+    /// instances with the same members choose the same one.
     pub fn coordinator(&self, upstream: &UpstreamId, region: &RegionId) -> Option<&Member> {
         let seed = xxh3_64(upstream.as_str().as_bytes());
         let of_region = self.all().filter(|member| member.region == *region);
         of_region.max_by_key(|member| xxh3_64_with_seed(member.instance.as_str().as_bytes(), seed))
     }
 
-    /// Returns the members that hand out an organisation's quota, one of each region that
-    /// has members: the same ones in the eyes of all that believe in the same members. The
-    /// own region's comes first.
+    /// Returns the members that coordinate an organisation's quota, one of each region,
+    /// with that of the region `own` first. All instances with the same members choose
+    /// the same ones.
     pub fn quota_coordinators(
         &self,
         organisation: &OrganisationId,
@@ -251,9 +249,8 @@
         self.of_each_region(seed, 1, own)
     }
 
-    /// Returns the members that count the ends of upstreams under a request, the own region's
-    /// first: upstreams of all regions may end under it, and each region is to know as soon as
-    /// its own instances do. Some of a region may be absent at the same time.
+    /// Returns the members that aggregate the failures of upstreams per request, those
+    /// of the region `own` first. Each region has several, since some may be absent.
     pub fn aggregators(&self, fingerprint: Fingerprint, own: &RegionId) -> Vec<&Member> {
         self.of_each_region(fingerprint.hash(), AGGREGATORS_PER_REGION, own)
     }
@@ -280,8 +277,8 @@
         self.changed_at.get(region).copied().unwrap_or_default()
     }
 
-    /// Returns the members to which callers of `region` are directed: those of
-    /// the region, or all where it has none.
+    /// Returns the members to which callers of `region` are directed: those of the
+    /// region, or all if it has none.
     pub fn nearest(&self, region: &RegionId) -> Vec<&Member> {
         let near: Vec<&Member> = self
             .all()
--- a/crates/foxtide-core/src/registry/mod.rs
+++ b/crates/foxtide-core/src/registry/mod.rs
@@ -1,4 +1,4 @@
-//! Upstreams that have registered themselves, and instances that are alive.
+//! Registered upstreams and live instances, as the store reports them.
 
 mod departures;
 mod follower_backoff;
--- a/crates/foxtide-core/src/registry/phase.rs
+++ b/crates/foxtide-core/src/registry/phase.rs
@@ -1,30 +1,29 @@
-//! Whether missing registrations can be believed.
+//! Availability of the store, which decides how missing registrations are treated.
 
 use crate::time::MonotonicTime;
 use std::time::Duration;
 
-/// How long after an outage of the store upstreams that live may take to
-/// register again: two seconds by the platform's word, and what a call of
-/// ours may take to see it.
+/// Grace period after an outage of the store in which live upstreams register again,
+/// including the time for the store's answer to arrive.
 pub const REGISTRATION_GRACE: Duration = Duration::from_millis(2_100);
 
-/// What this instance knows of the store's own health.
+/// Availability of the store to this instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StorePhase {
-    /// It has answered for a while.
+    /// It has answered for longer than [`REGISTRATION_GRACE`].
     Available,
-    /// Its last call failed.
+    /// The last call failed.
     Unavailable,
-    /// It answers again.
+    /// It answers again after an outage.
     Recovering {
-        /// Since when.
+        /// Time of the first answer.
         since: MonotonicTime,
     },
 }
 
 impl StorePhase {
-    /// Tells whether a registration that is missing means that the upstream is
-    /// gone; during an outage registrations lapse although upstreams live.
+    /// Returns whether a missing registration means that the upstream is gone; during
+    /// an outage registrations of live upstreams may expire.
     pub fn treats_missing_as_gone(self, now: MonotonicTime) -> bool {
         match self {
             Self::Available => true,
--- a/crates/foxtide-core/src/registry/registered.rs
+++ b/crates/foxtide-core/src/registry/registered.rs
@@ -1,16 +1,16 @@
-//! An upstream in the table, and what a change to the table meant.
+//! Registered upstreams and changes of the registry.
 
 use super::Registration;
 use crate::ids::UpstreamId;
 use crate::time::MonotonicTime;
 use std::sync::Arc;
 
-/// An upstream that may get requests.
+/// A registered upstream.
 #[derive(Clone, Debug)]
 pub struct Registered {
-    /// What it said of itself.
+    /// Its registration.
     pub registration: Arc<Registration>,
-    /// Until when it is cold.
+    /// End of its cold phase.
     pub cold_until: MonotonicTime,
 }
 
@@ -20,24 +20,24 @@
         &self.registration.upstream
     }
 
-    /// Tells whether the upstream is cold.
+    /// Returns whether the upstream is cold.
     pub fn is_cold(&self, now: MonotonicTime) -> bool {
         now < self.cold_until
     }
 }
 
-/// What a change to the table meant.
+/// Effect of a change to the registry.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RegistryChange {
-    /// Nothing that decisions depend on.
+    /// No effect on request placement.
     None,
-    /// An upstream may get requests from now on.
+    /// An upstream became eligible for requests.
     Joined(UpstreamId),
-    /// An upstream has started again under its name: what was known of it has ended, and
-    /// it may get requests unless its availability zone gets none.
+    /// An upstream restarted under its name. State of its earlier incarnation is
+    /// obsolete; it is eligible unless its availability zone is evacuated.
     Restarted(UpstreamId),
     /// An upstream is leaving or gone.
     Left(UpstreamId),
-    /// An upstream is missing, but the store was away: it is kept for now.
+    /// An upstream is missing after an outage of the store and is kept for now.
     Missing(UpstreamId),
 }
--- a/crates/foxtide-core/src/registry/registrar.rs
+++ b/crates/foxtide-core/src/registry/registrar.rs
@@ -1,9 +1,8 @@
-//! The records of other instances that one instance keeps in the store.
+//! Maintains records of other instances in the store.
 //!
-//! In a large fleet the instances that follow the store for others also write these
-//! into it, under their own leases. A lease and a record of each instance, renewed each
-//! 0.7 s, are most of a fleet's calls to the store: of 295 instances 2,400 in 45 s. So
-//! kept, they are a write for each change of a neighbour, several of them in one.
+//! In a large fleet the watchers write their followers' records under their own leases.
+//! This replaces a lease and periodic renewals of each instance by one batched write
+//! per change.
 
 use super::Member;
 use crate::ids::InstanceId;
@@ -14,26 +13,26 @@
 };
 use std::time::Duration;
 
-/// How long an instance may ask nothing before its record is removed. It asks about each
-/// second, and 1.6 s later at the next watcher where one has died; callers are directed
-/// to a dead instance for no longer than its own lease would let them (3 s).
+/// Time without a heartbeat after which a record is removed. Covers a lost heartbeat
+/// and the switch to another watcher; no longer than an instance's own lease would
+/// last.
 const HEARTBEAT_TIMEOUT: Duration = Duration::from_millis(2_600);
 
-/// How late this instance may look after its neighbours before it takes itself for the
-/// one that stood still: their questions lie unread then.
+/// Delay between two checks above which this instance assumes that it was paused itself
+/// and has unread heartbeats.
 const CHECK_DELAY_MAX: Duration = Duration::from_millis(1_000);
 
-/// What is to be changed in the store.
+/// Pending changes to the store.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RecordChanges {
-    /// Records to be written.
+    /// Records to write.
     pub written: Vec<Member>,
-    /// Instances whose records are to be removed.
+    /// Instances whose records to remove.
     pub removed: Vec<InstanceId>,
 }
 
 impl RecordChanges {
-    /// Tells whether nothing is to be changed.
+    /// Returns whether there are no changes.
     pub fn is_empty(&self) -> bool {
         self.written.is_empty() && self.removed.is_empty()
     }
@@ -41,27 +40,27 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum RecordState {
-    /// The record is to be written.
+    /// The record must be written.
     Unwritten,
-    /// The store has it.
+    /// The store has the record.
     Written,
-    /// The instance is leaving or dead: its record is to be removed.
+    /// The instance is leaving or dead; its record must be removed.
     Leaving,
 }
 
 #[derive(Clone, Debug)]
 struct Entry {
     member: Member,
-    /// Whether it has asked for it, and is not only known by its record.
+    /// False if the instance is known only by its record in the store.
     has_sent_heartbeat: bool,
     heartbeat_at: MonotonicTime,
     state: RecordState,
 }
 
-/// The neighbours whose records this instance keeps.
+/// The followers whose records this instance maintains.
 ///
-/// A neighbour asks one registrar at a time. Where two believe that they keep the same
-/// record, the later write holds, and the other learns of it from the store.
+/// A follower uses one registrar at a time. If two registrars claim the same record,
+/// the later write wins, and the other registrar learns of it from the store.
 #[derive(Clone, Debug)]
 pub struct Registrar {
     own: InstanceId,
@@ -70,7 +69,7 @@
 }
 
 impl Registrar {
-    /// Returns the registrar of an instance, which keeps nothing yet.
+    /// Returns the registrar of the instance `own`, without records.
     pub fn new(own: InstanceId) -> Self {
         Self {
             own,
@@ -79,8 +78,7 @@
         }
     }
 
-    /// Takes in that a neighbour lives and wants its record kept; `member` names this
-    /// instance as its registrar.
+    /// Records that a follower is alive; `member` names this instance as its registrar.
     pub fn record_heartbeat(&mut self, member: Member, now: MonotonicTime) {
         let before = self.entries.remove(&member.instance);
         let is_written = before
@@ -99,17 +97,17 @@
         self.entries.insert(entry.member.instance.clone(), entry);
     }
 
-    /// Takes in that a neighbour is leaving.
+    /// Marks the record of a leaving follower for removal.
     pub fn withdraw(&mut self, instance: &InstanceId) {
         if let Some(entry) = self.entries.get_mut(instance) {
             entry.state = RecordState::Leaving;
         }
     }
 
-    /// Takes in a record that the store holds.
+    /// Handles a record that the store reports.
     ///
-    /// One that another instance has written after this one is no longer this one's. One
-    /// that names this instance is, whether it knows of it or not: nobody else removes it.
+    /// A record that another registrar wrote later is dropped here. An unknown record
+    /// that names this instance is adopted, since no other instance would remove it.
     pub fn observe(&mut self, member: &Member, now: MonotonicTime) {
         let is_own = member.registrar.as_ref() == Some(&self.own);
         let Some(entry) = self.entries.get_mut(&member.instance) else {
@@ -142,20 +140,20 @@
         self.entries.insert(entry.member.instance.clone(), entry);
     }
 
-    /// Takes in that the store holds no record of an instance.
+    /// Handles that the store has no record of an instance.
     pub fn observe_missing(&mut self, instance: &InstanceId) {
         let Some(entry) = self.entries.get_mut(instance) else {
             return;
         };
         if !entry.has_sent_heartbeat {
-            // The store told of the record's writing after it had been removed.
+            // The store reported the write after the removal.
             self.entries.remove(instance);
         } else if entry.state == RecordState::Written {
             entry.state = RecordState::Unwritten;
         }
     }
 
-    /// Takes in all records that the store holds.
+    /// Handles the complete list of records in the store.
     pub fn observe_all(&mut self, members: &[Member], now: MonotonicTime) {
         let present: BTreeSet<&InstanceId> =
             members.iter().map(|member| &member.instance).collect();
@@ -170,7 +168,7 @@
         }
     }
 
-    /// Takes in that the lease has ended under which the records stood.
+    /// Handles the end of the lease under which the records were written.
     pub fn handle_lease_loss(&mut self) {
         self.entries.retain(|_, entry| entry.has_sent_heartbeat);
         for entry in self.entries.values_mut() {
@@ -180,10 +178,8 @@
         }
     }
 
-    /// Returns what is to be changed in the store, at most `count` records.
-    ///
-    /// It is to be asked for several times a second: neighbours that have fallen silent
-    /// are noticed here.
+    /// Returns the pending changes, at most `count`, and checks heartbeats; must be
+    /// called several times a second.
     pub fn pending_changes(&mut self, count: usize, now: MonotonicTime) -> RecordChanges {
         self.check_heartbeats(now);
         let mut changes = RecordChanges::default();
@@ -200,7 +196,7 @@
         changes
     }
 
-    /// Notes that the store has taken changes.
+    /// Records that the store has applied changes.
     pub fn confirm(&mut self, changes: &RecordChanges) {
         for member in &changes.written {
             if let Some(entry) = self.entries.get_mut(&member.instance)
@@ -218,7 +214,7 @@
         }
     }
 
-    /// Tells whether no neighbour's record is kept.
+    /// Returns whether no record is maintained.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
--- a/crates/foxtide-core/src/registry/registration.rs
+++ b/crates/foxtide-core/src/registry/registration.rs
@@ -1,4 +1,4 @@
-//! What an upstream says of itself.
+//! Registrations of upstreams.
 
 use crate::ids::{
     AvailabilityZoneId,
@@ -10,42 +10,42 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Whether an upstream takes new requests.
+/// Whether an upstream accepts new requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UpstreamState {
-    /// It does.
+    /// It accepts requests.
     Ready,
-    /// It is leaving.
+    /// It is leaving and accepts no new requests.
     Draining,
 }
 
-/// One incarnation of an upstream.
+/// The registration of an upstream's incarnation.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Registration {
-    /// Its name, which it may have had before a restart.
+    /// Name of the upstream, which may persist across restarts.
     pub upstream: UpstreamId,
-    /// When it started, by its own clock; nothing where upstreams do not tell, and a
-    /// restarted one has another name.
+    /// Start time by its own clock; `None` if upstreams do not report it and get
+    /// another name at each restart.
     pub born_at: Option<WallTime>,
-    /// The service.
+    /// Service of the upstream.
     pub service: ServiceId,
-    /// Where it takes connections.
+    /// Address for connections.
     pub address: SocketAddr,
-    /// Where it stands.
+    /// Availability zone of the upstream.
     pub availability_zone: AvailabilityZoneId,
     /// The region of its availability zone.
     pub region: RegionId,
-    /// How many requests it works on at a time.
+    /// Number of requests that it processes concurrently.
     pub slots: u32,
-    /// Whether it takes new requests.
+    /// Whether it accepts new requests.
     pub state: UpstreamState,
-    /// How much longer it is cold, counted from when it said so.
+    /// Remaining cold phase at the time of the registration.
     pub cold_remaining: Duration,
 }
 
 impl Registration {
-    /// Tells whether another registration is of the same incarnation: one that restarted
-    /// under its name holds and knows nothing of before.
+    /// Returns whether both registrations are of the same incarnation; a restarted
+    /// upstream has no state of an earlier one.
     pub fn is_incarnation_of(&self, other: &Self) -> bool {
         self.upstream == other.upstream && self.born_at == other.born_at
     }
--- a/crates/foxtide-core/src/registry/startup.rs
+++ b/crates/foxtide-core/src/registry/startup.rs
@@ -1,23 +1,18 @@
-//! How instances that start together share the store's link.
+//! Spreads the initial reads of instances that start together.
 
 use std::time::Duration;
 
-/// How long the store takes to tell one instance what comes after the first page: a quarter
-/// of a megabyte at 1,000 Mbit/s, as some 1,000 keys are. To wait for twice as long leaves
-/// the link idle at the end, and the last instances are ready 0.4 s later.
+/// Time in which the store sends one instance the pages after the first.
 const READ_TIME_PER_INSTANCE: Duration = Duration::from_millis(2);
 
-/// The longest time over which the readings of starting instances spread: a single one
-/// that starts again is that late.
+/// Upper bound of the delay, which also delays a single instance that restarts.
 const READ_DELAY_MAX: Duration = Duration::from_millis(1_500);
 
-/// Returns how long an instance that has read the first of several pages waits before it
-/// reads the others; `instances` are those that the first page names, all of which may
-/// have lost power with it, and `draw` is from 0 to 1.
+/// Returns the delay before an instance reads the pages after the first one. The first
+/// page names `instances`, all of which may be starting; `draw` is from 0 to 1.
 ///
-/// Were they to read at the same time, all would be ready only at the end of it, 1.2 s
-/// after the start for 295 instances. So the first are ready at once, and half of them
-/// after half of the time.
+/// Without the delay all instances would share the store's link and finish only at the
+/// end; with it, the first ones are ready early.
 pub fn startup_read_delay(instances: usize, draw: f64) -> Duration {
     let instances = u32::try_from(instances).unwrap_or(u32::MAX);
     let spread = READ_TIME_PER_INSTANCE
--- a/crates/foxtide-core/src/registry/table.rs
+++ b/crates/foxtide-core/src/registry/table.rs
@@ -1,4 +1,4 @@
-//! The table of registered upstreams.
+//! The registry of upstreams.
 
 use super::departures::Departures;
 use super::incarnations::{
@@ -31,16 +31,16 @@
 
 /// All registered upstreams and evacuated availability zones.
 ///
-/// A registration that disappears ends an upstream, except while the store is
-/// away and until [`super::REGISTRATION_GRACE`] after its return.
+/// An upstream whose registration disappears is removed, except during an outage of the
+/// store and until [`super::REGISTRATION_GRACE`] after it.
 #[derive(Clone, Debug)]
 pub struct Registry {
     entries: BTreeMap<UpstreamId, Registered>,
-    /// Those that may get requests, in the order of their names.
+    /// Eligible upstreams, ordered by name.
     by_service: HashMap<ServiceId, Vec<Registered>>,
-    /// Counts the changes of `by_service`.
+    /// Number of changes of `by_service`.
     generation: u64,
-    /// Those whose registration ended while the store was away.
+    /// Upstreams whose registration disappeared during an outage of the store.
     missing: BTreeSet<UpstreamId>,
     evacuated: HashSet<AvailabilityZoneId>,
     incarnations: Incarnations,
@@ -64,14 +64,13 @@
 }
 
 impl Registry {
-    /// Returns the upstreams of a service that may get requests, in the order
-    /// of their names.
+    /// Returns the upstreams of a service that may get requests, ordered by name.
     pub fn eligible(&self, service: &ServiceId) -> &[Registered] {
         self.by_service.get(service).map_or(&[], Vec::as_slice)
     }
 
-    /// Returns a number that is another one after each change of what
-    /// [`Registry::eligible`] returns.
+    /// Returns a number that changes whenever the result of [`Registry::eligible`]
+    /// does.
     pub fn generation(&self) -> u64 {
         self.generation
     }
@@ -81,24 +80,23 @@
         self.entries.len()
     }
 
-    /// Tells whether an upstream may get requests now.
+    /// Returns whether an upstream may get requests.
     pub fn is_eligible(&self, upstream: &UpstreamId) -> bool {
         let entry = self.entries.get(upstream);
         entry.is_some_and(|entry| self.takes_requests(entry))
     }
 
-    /// Takes in what an upstream says of itself.
+    /// Applies an upstream's registration.
     pub fn register(&mut self, registration: Registration, now: MonotonicTime) -> RegistryChange {
         self.insert(registration, now)
     }
 
-    /// Takes in that a registration is no longer there.
+    /// Handles that a registration has disappeared.
     pub fn unregister(&mut self, upstream: &UpstreamId, now: MonotonicTime) -> RegistryChange {
         self.handle_missing(upstream, now)
     }
 
-    /// Takes in that what stands under an upstream's name cannot be read: it names no
-    /// upstream, whatever stood there before and whether the store is well or not.
+    /// Removes an upstream whose entry cannot be read, whatever the state of the store.
     pub fn remove_unreadable(&mut self, upstream: &UpstreamId) -> RegistryChange {
         if !self.entries.contains_key(upstream) {
             return RegistryChange::None;
@@ -107,8 +105,8 @@
         RegistryChange::Left(upstream.clone())
     }
 
-    /// Removes an incarnation whose address another upstream has: it is gone, whatever
-    /// the store says.
+    /// Removes an incarnation whose address another upstream uses: it is gone, whatever
+    /// the store reports.
     pub fn discard(&mut self, registration: &Registration, now: MonotonicTime) -> RegistryChange {
         if !self.is_current(registration) {
             return RegistryChange::None;
@@ -119,13 +117,13 @@
         RegistryChange::Left(upstream.clone())
     }
 
-    /// Tells whether an incarnation is the one that is registered under its name.
+    /// Returns whether an incarnation is the registered one of its name.
     pub fn is_current(&self, registration: &Registration) -> bool {
         let entry = self.entries.get(&registration.upstream);
         entry.is_some_and(|entry| entry.registration.is_incarnation_of(registration))
     }
 
-    /// Returns what an upstream that may get requests says of itself.
+    /// Returns the registration of an upstream that may get requests.
     pub fn registration(&self, upstream: &UpstreamId) -> Option<Arc<Registration>> {
         let registered = self.registered(upstream)?;
         Some(Arc::clone(&registered.registration))
@@ -137,7 +135,7 @@
         self.takes_requests(entry).then_some(entry)
     }
 
-    /// Takes in all registrations that there are.
+    /// Replaces all registrations.
     pub fn replace(
         &mut self,
         registrations: Vec<Registration>,
@@ -164,12 +162,12 @@
         changes
     }
 
-    /// Notes that a call to the store failed.
+    /// Records that a call to the store failed.
     pub fn store_failed(&mut self) {
         self.phase = StorePhase::Unavailable;
     }
 
-    /// Notes that a call to the store was answered.
+    /// Records that a call to the store was answered.
     pub fn store_answered(&mut self, now: MonotonicTime) {
         self.phase = match self.phase {
             StorePhase::Unavailable => StorePhase::Recovering { since: now },
@@ -178,8 +176,8 @@
         };
     }
 
-    /// Notes that the store has come back from an older copy. What is missing in it may live,
-    /// and upstreams that were leaving or had left may stand there as ready again.
+    /// Records that the store was restored from an older copy, in which live upstreams
+    /// may be missing and departed ones may be ready.
     pub fn store_restored(&mut self, now: MonotonicTime) {
         self.phase = StorePhase::Unavailable;
         let is_leaving = |entry: &&Registered| entry.registration.state == UpstreamState::Draining;
@@ -188,18 +186,18 @@
         self.departures.withhold(leaving, now);
     }
 
-    /// Returns what is known of the store's own health.
+    /// Returns the availability of the store.
     pub fn phase(&self) -> StorePhase {
         self.phase
     }
 
-    /// Tells whether an upstream is missing and kept for now.
+    /// Returns whether a missing upstream is kept for now.
     pub fn has_missing(&self) -> bool {
         !self.missing.is_empty()
     }
 
-    /// Removes the upstreams that were missing when the store was away and
-    /// have not come back.
+    /// Removes the upstreams that disappeared during an outage of the store and have
+    /// not returned.
     pub fn expire(&mut self, now: MonotonicTime) -> Vec<RegistryChange> {
         let entries = &self.entries;
         self.incarnations
@@ -215,10 +213,10 @@
         gone.into_iter().map(RegistryChange::Left).collect()
     }
 
-    /// Sets which availability zones get nothing.
+    /// Sets the availability zones whose upstreams get no requests.
     ///
-    /// The upstreams of a zone that is taken back are cold for
-    /// `cold_duration` unless they say otherwise: they had nothing to do.
+    /// Upstreams of a zone that returns are cold for at least `cold_duration`, since
+    /// they were idle.
     pub fn set_evacuated(
         &mut self,
         zones: HashSet<AvailabilityZoneId>,
@@ -236,7 +234,7 @@
         self.rebuild_index();
     }
 
-    /// Returns the availability zones that get nothing.
+    /// Returns the evacuated availability zones.
     pub fn evacuated(&self) -> &HashSet<AvailabilityZoneId> {
         &self.evacuated
     }
@@ -295,7 +293,6 @@
                 .contains(&entry.registration.availability_zone)
     }
 
-    /// Removes an upstream from all tables.
     fn remove(&mut self, upstream: &UpstreamId) {
         self.missing.remove(upstream);
         let Some(entry) = self.entries.remove(upstream) else {
@@ -310,7 +307,7 @@
         }
     }
 
-    /// Adds an upstream to those of its service, if it may get requests.
+    /// Adds an eligible upstream to the index.
     fn index(&mut self, entry: &Registered) {
         if !self.takes_requests(entry) {
             return;
--- a/crates/foxtide-core/tests/registrar.rs
+++ b/crates/foxtide-core/tests/registrar.rs
@@ -1,4 +1,4 @@
-//! Records that one instance keeps for its neighbours.
+//! Tests the records that an instance maintains for its followers.
 
 use foxtide_core::ids::InstanceId;
 use foxtide_core::registry::{
@@ -8,7 +8,7 @@
 };
 use foxtide_core::time::MonotonicTime;
 
-/// As many records as one write may change.
+/// Maximum number of records per write.
 const CHANGES_MAX: usize = 32;
 
 fn at(ms: u64) -> MonotonicTime {
@@ -40,7 +40,7 @@
     Registrar::new(instance("edge-1"))
 }
 
-/// Looks after the neighbours, and takes what is due as done.
+/// Returns the pending changes and confirms them.
 fn apply_pending(registrar: &mut Registrar, ms: u64) -> RecordChanges {
     let changes = registrar.pending_changes(CHANGES_MAX, at(ms));
     registrar.confirm(&changes);
@@ -61,9 +61,9 @@
     }
 }
 
-/// At a start twelve neighbours ask at about the same time.
+/// Followers that start together are written in one batch.
 #[test]
-fn verify_neighbours_are_written_together_and_once() {
+fn verify_records_of_followers_are_written_together_and_once() {
     let mut registrar = registrar();
     registrar.record_heartbeat(member("edge-2"), at(0));
     registrar.record_heartbeat(member("edge-3"), at(50));
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn verify_one_write_changes_no_more_than_the_store_takes() {
+fn verify_a_write_contains_at_most_the_permitted_changes() {
     let mut registrar = registrar();
     for number in 0..CHANGES_MAX + 3 {
         registrar.record_heartbeat(member(&format!("edge-{number}")), at(0));
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn verify_a_neighbour_that_is_silent_is_removed_and_one_that_leaves_at_once() {
+fn verify_silent_followers_are_removed_after_a_timeout_and_leaving_ones_at_once() {
     let mut registrar = registrar();
     registrar.record_heartbeat(member("edge-2"), at(0));
     registrar.record_heartbeat(member("edge-3"), at(0));
@@ -104,9 +104,9 @@
     assert!(registrar.is_empty());
 }
 
-/// A process that starts again asks before its earlier record is removed.
+/// A restarted process may send a heartbeat before its earlier record is removed.
 #[test]
-fn verify_one_that_asks_again_while_it_is_removed_is_written_again() {
+fn verify_a_follower_that_returns_during_its_removal_is_written_again() {
     let mut registrar = registrar();
     registrar.record_heartbeat(member("edge-2"), at(0));
     apply_pending(&mut registrar, 0);
@@ -118,15 +118,15 @@
     assert_eq!(apply_pending(&mut registrar, 200), written(&["edge-2"]));
 }
 
-/// Its watcher died, and it asks another one; both may believe that they keep it.
+/// Two registrars may both claim a follower whose watcher failed.
 #[test]
-fn verify_the_later_of_two_registrars_keeps_the_record() {
+fn verify_the_later_write_of_two_registrars_wins() {
     let mut first = registrar();
     first.record_heartbeat(member("edge-2"), at(0));
     apply_pending(&mut first, 0);
     first.observe(&member_with_registrar("edge-9", "edge-2"), at(50));
     assert!(first.is_empty());
-    // What another wrote before this one does not take it from it.
+    // An earlier write of another registrar does not change that.
     first.record_heartbeat(member("edge-2"), at(100));
     first.observe(&member_with_registrar("edge-9", "edge-2"), at(50));
     assert_eq!(apply_pending(&mut first, 200), written(&["edge-2"]));
@@ -149,9 +149,9 @@
     assert_eq!(apply_pending(&mut registrar, 300), written(&["edge-3"]));
 }
 
-/// An instance that was paused finds all questions of its neighbours unread.
+/// A paused instance has not processed its followers' heartbeats.
 #[test]
-fn verify_one_that_stood_still_itself_removes_nobody() {
+fn verify_a_paused_registrar_removes_nobody() {
     let mut registrar = registrar();
     registrar.record_heartbeat(member("edge-2"), at(0));
     apply_pending(&mut registrar, 0);
@@ -162,9 +162,8 @@
     assert_eq!(apply_pending(&mut registrar, 10_700), removed(&["edge-2"]));
 }
 
-/// A write that the store has not taken is due again.
 #[test]
-fn verify_what_was_not_confirmed_stays_due() {
+fn verify_unconfirmed_changes_stay_pending() {
     let mut registrar = registrar();
     registrar.record_heartbeat(member("edge-2"), at(0));
     assert_eq!(
@@ -177,10 +176,9 @@
     );
 }
 
-/// Nobody else removes a record that names this instance: its answer was lost, or the
-/// neighbour had left when it was written.
+/// No other instance removes a record that names this registrar.
 #[test]
-fn verify_a_record_that_names_this_instance_is_its_own_to_remove() {
+fn verify_a_record_that_names_this_registrar_is_adopted_and_removed() {
     let mut registrar = registrar();
     registrar.observe(&member("edge-2"), at(0));
     registrar.observe(&member_with_registrar("edge-9", "edge-3"), at(0));
@@ -190,9 +188,9 @@
     assert_eq!(apply_pending(&mut registrar, 2_700), removed(&["edge-2"]));
 }
 
-/// It started again with another port, and the store tells of its earlier record late.
+/// The store may report the record of a follower's earlier process late.
 #[test]
-fn verify_an_earlier_record_of_a_neighbour_is_written_over() {
+fn verify_an_earlier_record_of_a_follower_is_overwritten() {
     let mut registrar = registrar();
     registrar.record_heartbeat(member("edge-2"), at(0));
     apply_pending(&mut registrar, 0);
@@ -204,9 +202,9 @@
     assert_eq!(apply_pending(&mut registrar, 100), written(&["edge-2"]));
 }
 
-/// The store tells late, and in one answer, of a record's writing and its removal.
+/// The store may report a write and a removal late and together.
 #[test]
-fn verify_a_record_that_was_removed_is_not_written_again_for_what_is_told_late() {
+fn verify_a_late_report_of_a_write_does_not_restore_a_removed_record() {
     let mut registrar = registrar();
     registrar.record_heartbeat(member("edge-2"), at(0));
     apply_pending(&mut registrar, 0);
@@ -218,9 +216,9 @@
     assert!(registrar.is_empty());
 }
 
-/// It fell silent here since it asks another, whose write is told late.
+/// The heartbeats stopped because the follower uses another registrar.
 #[test]
-fn verify_one_that_has_found_another_registrar_is_not_removed() {
+fn verify_a_follower_with_another_registrar_is_not_removed() {
     let mut registrar = registrar();
     registrar.record_heartbeat(member("edge-2"), at(0));
     apply_pending(&mut registrar, 0);
--- a/crates/foxtide-core/tests/registry.rs
+++ b/crates/foxtide-core/tests/registry.rs
@@ -1,4 +1,4 @@
-//! Registered upstreams and live instances, also while the store is away.
+//! Tests registered upstreams and live instances, also during outages of the store.
 
 use foxtide_core::ids::{
     InstanceId,
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn verify_a_missing_upstream_is_gone_at_once_while_the_store_is_steady() {
+fn verify_a_missing_upstream_is_removed_at_once_while_the_store_is_available() {
     let mut registry = Registry::default();
     registry.register(registration("i-1"), at(0));
     registry.unregister(&upstream("i-1"), at(5));
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn verify_lapses_of_an_outage_are_doubted_until_upstreams_had_time_to_return() {
+fn verify_registrations_that_expire_in_an_outage_are_kept_for_the_grace_period() {
     let mut registry = Registry::default();
     registry.register(registration("i-1"), at(0));
     registry.register(registration("i-2"), at(0));
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn verify_a_lapse_after_the_return_time_is_believed() {
+fn verify_an_expiry_after_the_grace_period_removes_the_upstream() {
     let mut registry = Registry::default();
     registry.register(registration("i-1"), at(0));
     registry.store_failed();
@@ -115,7 +115,7 @@
 }
 
 #[test]
-fn verify_an_upstream_that_was_leaving_is_not_kept_in_doubt() {
+fn verify_a_missing_draining_upstream_is_removed_during_an_outage() {
     let mut registry = Registry::default();
     let draining = Registration {
         state: UpstreamState::Draining,
@@ -128,7 +128,7 @@
 }
 
 #[test]
-fn verify_an_incarnation_whose_address_another_has_never_returns() {
+fn verify_a_discarded_incarnation_never_returns() {
     let mut registry = Registry::default();
     registry.register(registration("i-1"), at(0));
     registry.discard(&registration("i-1"), at(10));
@@ -180,15 +180,15 @@
     let instance = "one".parse().unwrap();
     assert!(!members.leave(&instance, StorePhase::Unavailable, at(10)));
     assert_eq!(members.all().count(), 1);
-    let back = StorePhase::Recovering { since: at(20) };
-    members.expire(back, at(30));
+    let phase = StorePhase::Recovering { since: at(20) };
+    members.expire(phase, at(30));
     assert_eq!(members.all().count(), 1);
-    members.expire(back, at(21) + REGISTRATION_GRACE);
+    members.expire(phase, at(21) + REGISTRATION_GRACE);
     assert_eq!(members.all().count(), 0);
 }
 
 #[test]
-fn verify_in_a_large_fleet_a_few_of_each_region_are_asked() {
+fn verify_a_large_fleet_has_a_few_watchers_per_region() {
     let mut members = Members::default();
     let own = "khomas".parse().unwrap();
     for number in 0..8 {
@@ -216,26 +216,25 @@
         .collect();
     assert_eq!(ordered.len(), 6);
     assert_eq!(ordered[..3], watchers[..]);
-    // All agree, and only the place of one that leaves is taken by another.
+    // The departure of one watcher does not replace all others.
     members.leave(&watchers[0].instance, StorePhase::Available, at(1));
     members.join(member("k-9", "khomas"), MonotonicTime::ZERO);
     let after = members.watchers(&own);
     assert!(after.contains(&&watchers[1]) || after.contains(&&watchers[2]));
 }
 
-/// A region of 100 whose followers all asked the same watcher made it send
-/// 3.1 MB a second.
+/// Guards against one watcher's link carrying the traffic of all followers of a zone.
 #[test]
 fn verify_the_followers_of_a_zone_spread_over_its_watchers() {
     let mut members = Members::default();
     let region = "khomas".parse().unwrap();
     for number in 0..100 {
         let zone = if number < 60 { "khomas-a" } else { "khomas-b" };
-        let of_zone = Member {
+        let candidate = Member {
             availability_zone: zone.parse().unwrap(),
             ..member(&format!("k-{number}"), "khomas")
         };
-        members.join(of_zone, MonotonicTime::ZERO);
+        members.join(candidate, MonotonicTime::ZERO);
         members.join(
             member(&format!("e-{number}"), "erongo"),
             MonotonicTime::ZERO,
@@ -269,7 +268,7 @@
 }
 
 #[test]
-fn verify_the_generation_tells_of_each_change_of_what_may_get_requests() {
+fn verify_the_generation_changes_with_the_eligible_upstreams() {
     let mut registry = Registry::default();
     let mut before = registry.generation();
     let mut changes = |registry: &Registry| {
@@ -283,7 +282,7 @@
         ..registration("i-2")
     };
     registry.register(draining, at(1));
-    assert!(!changes(&registry), "it may get nothing");
+    assert!(!changes(&registry), "a draining upstream is not eligible");
     registry.set_evacuated(
         HashSet::from(["khomas-a".parse().unwrap()]),
         Duration::ZERO,
@@ -298,10 +297,9 @@
     assert!(!changes(&registry));
 }
 
-/// 66 instances whose watchers told them that the store was away asked it 1,300 times in
-/// 8 s.
+/// Guards against a flood of direct store calls while the watchers report an outage.
 #[test]
-fn verify_a_follower_asks_a_store_that_failed_it_rarely() {
+fn verify_a_follower_rarely_retries_a_failed_store() {
     let mut backoff = FollowerBackoff::default();
     let mut asked = 0;
     for ms in 0..8_000 {
@@ -319,15 +317,15 @@
     assert!(backoff.is_due(at(8_001)));
 }
 
-/// All watchers of a fleet are told at the same moment that the store does not answer;
-/// 273 followers asked it at once.
+/// Guards against all followers calling the store at once when their watchers get no
+/// answer.
 #[test]
-fn verify_followers_leave_a_store_that_fails_their_watchers_to_these_at_first() {
+fn verify_followers_wait_before_calling_a_store_that_fails_their_watchers() {
     let mut backoff = FollowerBackoff::default();
     backoff.watchers_failed(at(0), 0.0);
     assert!(!backoff.is_due(at(499)));
     assert!(backoff.is_due(at(500)));
-    // What the watchers say later does not put it off.
+    // A later report of the watchers does not postpone it.
     backoff.watchers_failed(at(400), 1.0);
     assert!(backoff.is_due(at(500)));
     backoff.watcher_answered();
@@ -337,11 +335,10 @@
     assert!(backoff.is_due(at(2_000)));
 }
 
-/// Watchers that are cut off say that the store does not answer them for as long as that
-/// lasts. One that it serves all the same took it for away and back again each second, and
-/// kept upstreams that had left for 9 s.
+/// Guards against alternating between available and unavailable, which keeps departed
+/// upstreams, when only the watchers are cut off from the store.
 #[test]
-fn verify_one_whom_the_store_serves_asks_on_while_its_watchers_are_cut() {
+fn verify_a_follower_that_the_store_answers_keeps_calling_it() {
     let mut backoff = FollowerBackoff::default();
     backoff.watchers_failed(at(0), 0.0);
     assert!(!backoff.is_due(at(499)));
@@ -351,7 +348,7 @@
         assert!(backoff.is_due(at(ms)), "{ms}");
         backoff.store_answered();
     }
-    // Where it fails this one as well, all is as before.
+    // The backoff applies again once the store fails this instance too.
     backoff.store_failed(at(3_000), 0.0);
     backoff.watchers_failed(at(3_100), 0.0);
     assert!(!backoff.is_due(at(4_499)));
@@ -361,8 +358,8 @@
     assert!(!backoff.is_due(at(6_499)));
 }
 
-/// The registration of an upstream that tells when it started.
-fn born(name: &str, ms: u64) -> Registration {
+/// Returns the registration of an upstream that reports its start time.
+fn started_at(name: &str, ms: u64) -> Registration {
     Registration {
         born_at: Some(WallTime::from_ms(ms)),
         ..registration(name)
@@ -370,87 +367,86 @@
 }
 
 #[test]
-fn verify_one_that_started_again_under_its_name_is_another() {
+fn verify_a_restart_under_the_same_name_is_a_new_incarnation() {
     let mut registry = Registry::default();
-    let first = born("i-1", 1_000);
+    let first = started_at("i-1", 1_000);
     registry.register(first.clone(), at(0));
     assert_eq!(
         registry.register(first.clone(), at(1)),
         RegistryChange::None
     );
-    let second = born("i-1", 2_000);
+    let second = started_at("i-1", 2_000);
     let change = registry.register(second.clone(), at(2));
     assert_eq!(change, RegistryChange::Restarted(upstream("i-1")));
     assert!(!registry.is_current(&first));
     assert!(registry.is_current(&second));
 }
 
-/// Its address went to another upstream, and it was kept out for a minute.
+/// A discarded incarnation must not block the next one of its name.
 #[test]
-fn verify_one_that_was_discarded_comes_back_when_it_starts_again() {
+fn verify_a_discarded_upstream_returns_with_its_next_incarnation() {
     let mut registry = Registry::default();
-    let first = born("i-1", 1_000);
+    let first = started_at("i-1", 1_000);
     registry.register(first.clone(), at(0));
     registry.discard(&first, at(1));
     registry.register(first.clone(), at(2));
     assert!(eligible(&registry).is_empty());
-    registry.register(born("i-1", 2_000), at(3));
+    registry.register(started_at("i-1", 2_000), at(3));
     assert_eq!(eligible(&registry), ["i-1"]);
-    // An answer to a request that was sent to the first one ends nothing.
+    // A late discard of the first incarnation does not affect the second.
     assert_eq!(registry.discard(&first, at(4)), RegistryChange::None);
     assert_eq!(eligible(&registry), ["i-1"]);
 }
 
-/// The time of an earlier start was cold; the new one says for itself.
+/// Each incarnation reports its own cold phase.
 #[test]
-fn verify_the_cold_time_of_an_earlier_start_is_over() {
+fn verify_the_cold_phase_of_an_earlier_incarnation_is_over() {
     let mut registry = Registry::default();
     let cold = Registration {
         cold_remaining: Duration::from_secs(3),
-        ..born("i-1", 1_000)
+        ..started_at("i-1", 1_000)
     };
     registry.register(cold, at(0));
-    registry.register(born("i-1", 2_000), at(10));
+    registry.register(started_at("i-1", 2_000), at(10));
     let registered = registry.registered(&upstream("i-1")).unwrap();
     assert!(!registered.is_cold(at(10)));
 }
 
-/// Relays and readings after a forgotten history may tell of what was before.
+/// Relays and full reads of the store may report outdated registrations.
 #[test]
-fn verify_an_older_start_never_takes_the_place_of_a_newer_one() {
+fn verify_an_older_incarnation_never_replaces_a_newer_one() {
     let mut registry = Registry::default();
-    let second = born("i-1", 2_000);
+    let second = started_at("i-1", 2_000);
     registry.register(second.clone(), at(0));
-    registry.register(born("i-1", 1_000), at(1));
+    registry.register(started_at("i-1", 1_000), at(1));
     assert!(registry.is_current(&second));
-    registry.replace(vec![born("i-1", 1_000)], at(2));
+    registry.replace(vec![started_at("i-1", 1_000)], at(2));
     assert!(registry.is_current(&second));
-    // Nor does it once the newer one has left.
+    // This holds after the newer incarnation has left.
     registry.unregister(&upstream("i-1"), at(3));
-    registry.register(born("i-1", 1_000), at(4));
+    registry.register(started_at("i-1", 1_000), at(4));
     assert!(eligible(&registry).is_empty());
     registry.register(second, at(5));
     assert_eq!(eligible(&registry), ["i-1"]);
 }
 
-/// Upstreams tell their start or do not; an entry without it under a name that has told
-/// it is another writer's.
+/// An entry without a start time under a name that has had one was made by another
+/// writer.
 #[test]
-fn verify_an_entry_without_a_start_is_not_of_one_that_tells_it() {
+fn verify_an_entry_without_the_start_time_removes_the_upstream() {
     let mut registry = Registry::default();
-    registry.register(born("i-1", 1_000), at(0));
+    registry.register(started_at("i-1", 1_000), at(0));
     registry.register(registration("i-2"), at(0));
     let change = registry.register(registration("i-1"), at(1));
     assert_eq!(change, RegistryChange::Left(upstream("i-1")));
     assert_eq!(eligible(&registry), ["i-2"]);
-    registry.register(born("i-1", 1_000), at(2));
+    registry.register(started_at("i-1", 1_000), at(2));
     assert_eq!(eligible(&registry), ["i-1", "i-2"]);
 }
 
-/// What stands under its key is another writer's: that ends it also while the store's
-/// word on what is missing is not believed.
+/// An unreadable entry ends the upstream even during an outage of the store.
 #[test]
-fn verify_an_entry_that_cannot_be_read_ends_the_upstream_at_once() {
+fn verify_an_unreadable_entry_removes_the_upstream_at_once() {
     let mut registry = Registry::default();
     registry.register(registration("i-1"), at(0));
     registry.store_failed();
@@ -463,18 +459,17 @@
     );
 }
 
-/// One watcher told its followers 12 MB while a fleet of hundreds started, which takes a
-/// link of 10 Mbit/s ten seconds.
+/// Guards against a watcher on a slow link that delays all its followers.
 #[test]
 fn verify_watchers_have_the_fastest_links() {
     let mut members = Members::default();
     let region = "khomas".parse().unwrap();
     for number in 0..40 {
-        let of_link = Member {
+        let candidate = Member {
             link_mbps: if number % 10 == 3 { 200 } else { 10 },
             ..member(&format!("k-{number}"), "khomas")
         };
-        members.join(of_link, MonotonicTime::ZERO);
+        members.join(candidate, MonotonicTime::ZERO);
     }
     let watchers = members.watchers(&region);
     assert_eq!(watchers.len(), 3);
--- a/crates/foxtide-core/tests/startup.rs
+++ b/crates/foxtide-core/tests/startup.rs
@@ -1,55 +1,53 @@
-//! A whole fleet that reads the store over one link after it has lost power.
-//!
-//! The figures are those of 295 instances on a store with 1,000 Mbit/s: a first page of
-//! 200 KB and 400 KB after it, machines with 20 Mbit/s, and starts within 0.3 s.
+//! Models a fleet that reads the store over one shared link after a power loss.
 
 use foxtide_core::registry::startup_read_delay;
 
 const INSTANCES: usize = 295;
 
-/// Bytes that the store's link and a machine's carry in a millisecond.
-const STORE_LINK: f64 = 125_000.0;
-const MACHINE_LINK: f64 = 2_500.0;
+/// Bandwidths in bytes per millisecond.
+const STORE_LINK_BYTES_PER_MS: f64 = 125_000.0;
+const MACHINE_LINK_BYTES_PER_MS: f64 = 2_500.0;
 
-const FIRST_PAGE: f64 = 200_000.0;
-const OTHER_PAGES: f64 = 400_000.0;
+const FIRST_PAGE_BYTES: f64 = 200_000.0;
+const OTHER_PAGES_BYTES: f64 = 400_000.0;
 
 #[derive(Clone, Copy)]
 struct Reader {
     begins_ms: u64,
     wait_ms: u64,
-    first: f64,
-    others: f64,
+    first_bytes: f64,
+    others_bytes: f64,
 }
 
-/// Returns when each instance has read everything, in milliseconds and in that order.
-fn ready(wait_ms: impl Fn(usize) -> u64) -> Vec<u64> {
+/// Returns the times in milliseconds at which instances finish, in ascending order.
+fn finish_times_ms(wait_ms: impl Fn(usize) -> u64) -> Vec<u64> {
     let mut readers: Vec<Reader> = (0..INSTANCES)
         .map(|number| Reader {
             begins_ms: number as u64,
             wait_ms: wait_ms(number),
-            first: FIRST_PAGE,
-            others: OTHER_PAGES,
+            first_bytes: FIRST_PAGE_BYTES,
+            others_bytes: OTHER_PAGES_BYTES,
         })
         .collect();
     let mut ready = Vec::new();
     for now_ms in 0..10_000 {
-        let reads = |reader: &&mut Reader| now_ms >= reader.begins_ms && reader.others > 0.0;
+        let reads = |reader: &&mut Reader| now_ms >= reader.begins_ms && reader.others_bytes > 0.0;
         let reading = readers.iter_mut().filter(reads);
         let reading: Vec<&mut Reader> = reading.collect();
-        let part = (STORE_LINK / reading.len().max(1) as f64).min(MACHINE_LINK);
+        let share =
+            (STORE_LINK_BYTES_PER_MS / reading.len().max(1) as f64).min(MACHINE_LINK_BYTES_PER_MS);
         for reader in reading {
-            if reader.first > 0.0 {
-                reader.first -= part;
-                reader.begins_ms = if reader.first > 0.0 {
+            if reader.first_bytes > 0.0 {
+                reader.first_bytes -= share;
+                reader.begins_ms = if reader.first_bytes > 0.0 {
                     reader.begins_ms
                 } else {
                     now_ms + reader.wait_ms
                 };
                 continue;
             }
-            reader.others -= part;
-            if reader.others <= 0.0 {
+            reader.others_bytes -= share;
+            if reader.others_bytes <= 0.0 {
                 ready.push(now_ms);
             }
         }
@@ -58,15 +56,16 @@
     ready
 }
 
-/// Draws that fill the range evenly.
+/// Returns evenly distributed values from 0 to 1.
 fn draw(number: usize) -> f64 {
     (number as f64 * 0.618_034).fract()
 }
 
 #[test]
-fn verify_the_first_are_ready_earlier_and_the_last_hardly_later() {
-    let together = ready(|_| 0);
-    let spread = ready(|number| startup_read_delay(INSTANCES, draw(number)).as_millis() as u64);
+fn verify_the_delay_lets_the_first_finish_earlier_and_the_last_hardly_later() {
+    let together = finish_times_ms(|_| 0);
+    let spread =
+        finish_times_ms(|number| startup_read_delay(INSTANCES, draw(number)).as_millis() as u64);
     let quarter = INSTANCES / 4;
     assert!(spread[quarter] + 150 < together[quarter]);
     assert!(spread[INSTANCES / 2] < together[INSTANCES / 2]);
@@ -74,7 +73,7 @@
 }
 
 #[test]
-fn verify_a_wait_is_short_for_few_and_bounded_for_many() {
+fn verify_the_delay_grows_with_the_fleet_and_is_bounded() {
     assert!(startup_read_delay(1, 1.0).as_millis() <= 2);
     assert_eq!(startup_read_delay(INSTANCES, 0.0).as_millis(), 0);
     assert_eq!(startup_read_delay(INSTANCES, 1.0).as_millis(), 590);
