--- a/crates/foxtide-core/src/placement/affinity.rs
+++ b/crates/foxtide-core/src/placement/affinity.rs
@@ -1,4 +1,4 @@
-//! The order of upstreams for an object: weighted rendezvous hashing.
+//! Ranks upstreams for an object by weighted rendezvous hashing.
 
 use crate::ids::UpstreamId;
 use std::fmt;
@@ -7,27 +7,27 @@
     xxh3_64_with_seed, //
 };
 
-/// The identity of an object within a service, as a hash.
+/// Hash that identifies an object within a service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ObjectKey(u64);
 
 impl ObjectKey {
-    /// Returns the key of an object by its name.
+    /// Returns the key of the object `name`.
     pub fn new(name: &[u8]) -> Self {
         Self(xxh3_64(name))
     }
 
-    /// Returns a key that stands for no object, from a random draw.
+    /// Returns a random key for a request without an object.
     pub fn random(draw: u64) -> Self {
         Self(draw)
     }
 
-    /// Returns the key whose hash another instance told.
+    /// Returns the key with a hash from another instance.
     pub fn from_hash(hash: u64) -> Self {
         Self(hash)
     }
 
-    /// Returns the hash, to tell another instance.
+    /// Returns the hash, for other instances.
     pub fn hash(self) -> u64 {
         self.0
     }
@@ -43,14 +43,13 @@
 /// An upstream that could serve a request.
 #[derive(Clone, Copy, Debug)]
 pub struct Candidate {
-    /// A hash of the upstream's name.
     name_hash: u64,
-    /// Its part of the objects against the other candidates' parts.
+    /// Share of the objects, relative to the weights of the other candidates.
     weight: f64,
 }
 
 impl Candidate {
-    /// Returns an upstream with its part of the objects.
+    /// Returns the candidate for an upstream.
     pub fn new(upstream: &UpstreamId, weight: f64) -> Self {
         Self {
             name_hash: xxh3_64(upstream.as_str().as_bytes()),
@@ -61,14 +60,14 @@
 
 /// Returns the indices of `candidates`, the first choice first.
 ///
-/// When a candidate comes or goes only its own objects move. The chance of a
-/// candidate to be the first is its share of the weights (Schindelhauer and
-/// Schomaker, "Weighted distributed hash tables", 2005, logarithmic method).
+/// When a candidate is added or removed, only its own objects move. A candidate's
+/// probability of being first is its share of the weights (Schindelhauer and Schomaker,
+/// "Weighted distributed hash tables", 2005, logarithmic method).
 pub fn rank(key: ObjectKey, candidates: &[Candidate]) -> Vec<usize> {
     first_choices(key, candidates, candidates.len())
 }
 
-/// Returns the first `count` of what [`rank`] returns, without sorting the others.
+/// Returns the first `count` results of [`rank`] without sorting the others.
 pub fn first_choices(key: ObjectKey, candidates: &[Candidate], count: usize) -> Vec<usize> {
     let distances = candidates.iter().map(|candidate| distance(key, candidate));
     let mut order: Vec<(f64, usize)> = distances
@@ -84,14 +83,14 @@
     order.into_iter().map(|(_, index)| index).collect()
 }
 
-/// Returns an exponential draw with the candidate's weight as its rate.
+/// Returns an exponentially distributed value with the candidate's weight as its rate.
 fn distance(key: ObjectKey, candidate: &Candidate) -> f64 {
     const BITS: u32 = 53;
     if candidate.weight <= 0.0 {
         return f64::MAX;
     }
     let hash = xxh3_64_with_seed(&candidate.name_hash.to_le_bytes(), key.0);
-    // In (0, 1): 53 bits are what a float holds exactly.
+    // In (0, 1); an `f64` holds 53 bits exactly.
     let uniform = ((hash >> (64 - BITS)) as f64 + 0.5) / (1_u64 << BITS) as f64;
     -uniform.ln() / candidate.weight
 }
--- a/crates/foxtide-core/src/placement/cold.rs
+++ b/crates/foxtide-core/src/placement/cold.rs
@@ -1,4 +1,4 @@
-//! The rate at which a cold upstream gets requests, shared out over instances.
+//! Limits the rate of requests to cold upstreams across all instances.
 
 use crate::ids::{
     InstanceId,
@@ -8,44 +8,42 @@
 use crate::time::MonotonicTime;
 use std::time::Duration;
 
-/// The time for which one token's use bars its next use. One second is the
-/// window in which the platform counts; the rest covers that requests take
-/// unlike times on their way.
+/// Time for which a used token is unavailable: the platform's window of 1 s and an
+/// allowance for varying delays of requests.
 const TOKEN_PERIOD: Duration = Duration::from_millis(1_150);
 
-/// The part of the permitted rate that is given out. Two instances that
-/// believe in different members for a moment may both hold a token, so that
-/// half of the rate is safe whatever they believe.
+/// Share of the permitted rate that is issued. Instances whose members differ for a
+/// moment may both own a token, so only half of the rate is safe.
 const ISSUED_SHARE: f64 = 0.5;
 
-/// The bound on requests to one cold upstream from all instances.
+/// Rate limit of a cold upstream for all instances together.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ColdRateLimit {
-    /// The requests a second that the upstream takes.
+    /// Rate that the upstream accepts, in requests a second.
     pub rate_rps: f64,
-    /// By how much the rate may be exceeded, as a factor.
+    /// Factor by which the rate may be exceeded.
     pub overshoot: f64,
-    /// The requests a second allowed on top of that.
+    /// Additional requests a second.
     pub slack_rps: f64,
 }
 
 impl ColdRateLimit {
-    /// Returns how many tokens of one request a period there are, at least 1.
+    /// Returns the number of tokens per period, at least 1.
     fn token_count(&self) -> u64 {
         let bound = self.rate_rps * self.overshoot + self.slack_rps;
         ((bound * ISSUED_SHARE) as u64).max(1)
     }
 }
 
-/// What this instance has sent to cold upstreams, in tokens of one request.
+/// Rate limiter of this instance; a token permits one request.
 #[derive(Clone, Debug, Default)]
 pub struct ColdRateLimiter {
     tokens: OwnedTokens<UpstreamId>,
 }
 
 impl ColdRateLimiter {
-    /// Takes a token of `upstream` for one request; tells whether there was
-    /// one. `instances` are those thought alive, `own` among them.
+    /// Takes a token of `upstream`; returns whether one was available. `instances` are
+    /// the live instances, including `own`.
     pub fn try_take(
         &mut self,
         upstream: &UpstreamId,
@@ -59,7 +57,7 @@
             .try_take(upstream, count, TOKEN_PERIOD, own, instances, now)
     }
 
-    /// Forgets tokens that are free again.
+    /// Removes tokens that are available again.
     pub fn prune(&mut self, now: MonotonicTime) {
         self.tokens.prune(now);
     }
--- a/crates/foxtide-core/src/placement/health.rs
+++ b/crates/foxtide-core/src/placement/health.rs
@@ -1,58 +1,58 @@
-//! What an instance has itself seen of an upstream.
+//! Health of an upstream, from this instance's own attempts.
 
 use crate::time::MonotonicTime;
 use std::time::Duration;
 
-/// The first time for which an upstream is passed over after failures.
+/// Duration of the first ejection.
 const EJECTION_TIME_FIRST: Duration = Duration::from_millis(500);
 
-/// The longest such time; an upstream that is gone is unregistered by then.
+/// Maximum duration of an ejection; the registration of a failed upstream has expired
+/// by then.
 const EJECTION_TIME_MAX: Duration = Duration::from_secs(4);
 
-/// How far the failure share moves towards the newest result. A quarter
-/// reaches one half after three failures in a row.
+/// Weight of the newest result in the failure share. With a quarter, three consecutive
+/// failures exceed one half.
 const FAILURE_WEIGHT: f64 = 0.25;
 
-/// The failure share from which an upstream is passed over.
+/// Failure share at which an upstream is ejected.
 const EJECTION_SHARE: f64 = 0.5;
 
-/// How far the mean latency moves towards the newest one.
+/// Weight of the newest latency in the mean.
 const LATENCY_WEIGHT: f64 = 0.2;
 
-/// The age from which a load report tells nothing any more: several requests
-/// have come and gone by then.
+/// Age at which a load report expires.
 const REPORT_AGE_MAX: Duration = Duration::from_millis(1_000);
 
-/// What an upstream said of its load in a response.
+/// Load of an upstream, as reported in a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LoadReport {
-    /// Requests that it worked on.
+    /// Requests in progress.
     pub running: u32,
-    /// Requests that waited for a slot.
+    /// Requests waiting for a slot.
     pub waiting: u32,
-    /// The slots that it has.
+    /// Number of slots.
     pub slots: u32,
 }
 
-/// How an attempt ended, as far as it tells of the upstream's health.
+/// Result of an attempt with respect to the upstream's health.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptResult {
-    /// A whole response came.
+    /// A complete response arrived.
     Answered {
-        /// How long it took.
+        /// Time until the response.
         latency: Duration,
     },
-    /// The upstream had no room and said so.
+    /// The upstream rejected the request for lack of capacity.
     Full,
-    /// A response came that tells of a fault, or none that can be used.
+    /// The response reports an error, or no usable response arrived.
     Faulty,
-    /// The upstream cannot be reached: the next attempt would fail as well.
+    /// The upstream cannot be reached, so the next attempt would fail too.
     Unreachable,
-    /// Given up by the caller or by a limit of time.
+    /// The caller or a time limit ended the attempt.
     Abandoned,
 }
 
-/// What is known of one upstream from this instance's own attempts.
+/// Health of an upstream.
 #[derive(Clone, Debug, Default)]
 pub struct UpstreamHealth {
     in_flight: u32,
@@ -64,12 +64,12 @@
 }
 
 impl UpstreamHealth {
-    /// Notes that a request is being sent.
+    /// Records the start of an attempt.
     pub fn begin(&mut self) {
         self.in_flight += 1;
     }
 
-    /// Notes how an attempt ended.
+    /// Records the result of an attempt.
     pub fn end(&mut self, result: AttemptResult, now: MonotonicTime) {
         self.in_flight = self.in_flight.saturating_sub(1);
         match result {
@@ -80,33 +80,33 @@
         }
     }
 
-    /// Notes what the upstream said of its load.
+    /// Records a load report.
     pub fn report(&mut self, report: LoadReport, now: MonotonicTime) {
         self.report = Some((report, now));
     }
 
-    /// Returns the requests under way from this instance.
+    /// Returns the number of requests in flight from this instance.
     pub fn in_flight(&self) -> u32 {
         self.in_flight
     }
 
-    /// Returns the mean latency of late.
+    /// Returns the moving average of the latency.
     pub fn latency(&self) -> Option<Duration> {
         self.latency_s.map(Duration::from_secs_f64)
     }
 
-    /// Returns the share of failures of late.
+    /// Returns the moving average of failures, from 0 to 1.
     pub fn failure_share(&self) -> f64 {
         self.failure_share
     }
 
-    /// Tells whether the upstream is to be passed over.
+    /// Returns whether the upstream is ejected.
     pub fn is_ejected(&self, now: MonotonicTime) -> bool {
         now < self.ejected_until
     }
 
-    /// Returns how many requests the upstream has to do, as far as is known:
-    /// its last word while that is fresh, and what this instance sends.
+    /// Returns the known number of requests at the upstream: the greater of a recent
+    /// load report and the requests in flight from this instance.
     pub fn occupancy(&self, now: MonotonicTime) -> u32 {
         let reported = match self.report {
             Some((report, at)) if now - at < REPORT_AGE_MAX => report.running + report.waiting,
--- a/crates/foxtide-core/src/placement/mod.rs
+++ b/crates/foxtide-core/src/placement/mod.rs
@@ -1,10 +1,9 @@
-//! Which upstream a request goes to, decided alike by every instance.
+//! Placement of requests on upstreams, computed alike by every instance.
 //!
-//! An upstream serves an object that it served lately in a fraction of the
-//! time, so that the same object should go to the same upstream from
-//! everywhere. [`rank`] orders upstreams for an object without any instance
-//! asking another; [`UpstreamHealth`] tells which are to be passed over, and
-//! [`ColdRateLimiter`] how many requests this instance may send to a cold one.
+//! An upstream serves recently used objects much faster, so all instances should send
+//! the same object to the same upstream. [`rank`] orders upstreams for an object
+//! without coordination; [`UpstreamHealth`] tells which upstreams are ejected, and
+//! [`ColdRateLimiter`] limits requests to cold ones.
 
 mod affinity;
 mod cold;
--- a/crates/foxtide-core/src/placement/regions.rs
+++ b/crates/foxtide-core/src/placement/regions.rs
@@ -1,28 +1,28 @@
-//! How much of its objects a region serves itself.
+//! Distributes the requests of each region over all regions.
 
 use crate::ids::RegionId;
 use std::collections::BTreeMap;
 
-/// The share of a region's requests that each region serves.
+/// Shares of one region's requests, by the region that serves them.
 pub type RegionShares = BTreeMap<RegionId, f64>;
 
-/// The part of all requests that only certain regions may serve.
+/// The share of all requests that only certain regions may serve.
 ///
-/// It follows from the configuration alone, so that all instances know the same.
+/// It depends only on the configuration, so all instances compute the same.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct HomedLoad {
-    /// By the regions that may serve them, in the order of their names.
+    /// Shares by the sorted regions that may serve them.
     shares_by_homes: BTreeMap<Vec<RegionId>, f64>,
 }
 
 impl HomedLoad {
-    /// Adds a part of all requests that `homes` alone may serve.
+    /// Adds a share of all requests that only `homes` may serve.
     pub fn add(&mut self, mut homes: Vec<RegionId>, share: f64) {
         homes.sort();
         *self.shares_by_homes.entry(homes).or_default() += share;
     }
 
-    /// Moves each part towards that of `target`, by `step` at most.
+    /// Moves each share towards that of `target`, by at most `step`.
     pub fn step_towards(&mut self, target: &Self, step: f64) {
         for homes in target.shares_by_homes.keys() {
             self.shares_by_homes.entry(homes.clone()).or_default();
@@ -43,8 +43,8 @@
         self.shares_by_homes.retain(|_, share| *share > 0.0);
     }
 
-    /// Returns the part of all requests that is homed in each region: where several may
-    /// serve it, by their slots.
+    /// Returns the share of all requests bound to each region. Where several regions
+    /// may serve a request, it is divided in proportion to their slots.
     fn by_region(&self, slots: &BTreeMap<RegionId, u32>) -> BTreeMap<&RegionId, f64> {
         let mut by_region: BTreeMap<&RegionId, f64> = BTreeMap::new();
         let slots_of = |region: &RegionId| slots.get(region).copied().map_or(0.0, f64::from);
@@ -60,17 +60,17 @@
     }
 }
 
-/// Where requests arise, and what of them is bound to regions.
+/// Origins of requests and their restrictions to regions.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Demand {
-    /// The number of regions in which requests arise, taken as alike in size.
+    /// Number of regions in which requests originate, assumed to have equal load.
     pub origins: usize,
     /// The requests that only certain regions may serve.
     pub homed: HomedLoad,
 }
 
 impl Demand {
-    /// Returns the demand of `origins` regions whose requests any region may serve.
+    /// Returns the demand of `origins` regions without restrictions.
     pub fn unbound(origins: usize) -> Self {
         Self {
             origins,
@@ -79,18 +79,13 @@
     }
 }
 
-/// Returns how the requests that arise in `origin`, and that all regions of `slots` may
-/// serve, are spread over these regions.
+/// Returns the shares of the unrestricted requests from `origin` that each region
+/// serves.
 ///
-/// `slots` are those of the service in each region. A region serves first what is homed
-/// there, and then its own as far as its slots reach; what it is short of goes to those
-/// that have more than their own requests need, in proportion to what they have left. The
-/// shares change only with the upstreams and the configuration, so that no request moves
-/// on account of load alone.
-///
-/// A region with a tenth of the slots, in which an organisation is at home that has a tenth
-/// of the traffic, is twice as loaded as the others where that is left out of account:
-/// `docs/design/shifted.md` has the figures.
+/// `slots` are those of the service in each region. A region serves first the requests
+/// that are bound to it, then its own. Requests beyond its capacity go to regions with
+/// spare capacity, in proportion to it. The shares depend only on the upstreams and the
+/// configuration, so load alone moves no request.
 pub fn region_shares(
     origin: &RegionId,
     slots: &BTreeMap<RegionId, u32>,
@@ -127,11 +122,10 @@
         .collect()
 }
 
-/// The weight of a slot in a region that has no share of the requests: such an upstream
-/// comes after all others.
+/// Weight of a slot in a region without a share; such an upstream ranks last.
 const LAST_RESORT_WEIGHT: f64 = 1e-9;
 
-/// The part of the objects that arise in one region which goes to each upstream.
+/// Weights of upstreams for requests that originate in one region.
 #[derive(Clone, Debug, Default)]
 pub struct UpstreamWeights {
     shares: RegionShares,
@@ -139,7 +133,7 @@
 }
 
 impl UpstreamWeights {
-    /// Returns the weights for requests that arise in `origin`; `slots` and `demand` as in
+    /// Returns the weights for requests from `origin`; `slots` and `demand` as in
     /// [`region_shares`].
     pub fn new(origin: &RegionId, slots: BTreeMap<RegionId, u32>, demand: &Demand) -> Self {
         Self {
@@ -148,7 +142,7 @@
         }
     }
 
-    /// Returns the share of the requests that each region serves.
+    /// Returns the shares of the requests by region.
     pub fn shares(&self) -> &RegionShares {
         &self.shares
     }
--- a/crates/foxtide-core/tests/placement.rs
+++ b/crates/foxtide-core/tests/placement.rs
@@ -1,4 +1,4 @@
-//! The order of upstreams for an object, region shares, the cold rate, health.
+//! Tests the ranking of upstreams, region shares, the cold rate limit and health.
 
 use foxtide_core::ids::{
     InstanceId,
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn verify_a_region_keeps_what_it_can_serve_and_sends_the_rest_where_room_is() {
+fn verify_requests_beyond_a_regions_capacity_go_to_regions_with_spare_capacity() {
     let slots = regions([24, 8, 16]);
     let shares = region_shares(&"erongo".parse().unwrap(), &slots, &Demand::unbound(3));
     let of = |region: &str| shares[&region.parse::<RegionId>().unwrap()];
@@ -94,10 +94,10 @@
     assert!((total - 1.0).abs() < 1e-9, "{shares:?}");
 }
 
-/// A region with a tenth of the slots, a third of the callers and the home of an
-/// organisation with a twelfth of all requests. Slots as on a deployment of today.
+/// Guards against overload of a region with few slots in which an organisation is
+/// homed.
 #[test]
-fn verify_regions_are_loaded_alike_whatever_is_homed_in_them() {
+fn verify_regions_are_loaded_alike_despite_homed_requests() {
     let slots = regions([46, 10, 38]);
     let erongo: RegionId = "erongo".parse().unwrap();
     let mut homed = HomedLoad::default();
@@ -114,12 +114,12 @@
         }
     }
     for (region, load) in load {
-        let use_share = load / f64::from(slots[&region]);
-        assert!((use_share - 1.0).abs() < 1e-9, "{region}: {use_share}");
+        let utilisation = load / f64::from(slots[&region]);
+        assert!((utilisation - 1.0).abs() < 1e-9, "{region}: {utilisation}");
     }
-    // Out of account, the region would have 1.76 times what its slots can serve.
-    let unaware = region_shares(&erongo, &slots, &Demand::unbound(3))[&erongo];
-    assert!((94.0 / 12.0 + unaware * unhomed_of_origin) / 10.0 > 1.6);
+    // Without the homed load the region would be overloaded.
+    let share_ignoring_homes = region_shares(&erongo, &slots, &Demand::unbound(3))[&erongo];
+    assert!((94.0 / 12.0 + share_ignoring_homes * unhomed_of_origin) / 10.0 > 1.6);
 }
 
 #[test]
@@ -153,9 +153,9 @@
         .collect()
 }
 
-/// Lets every instance send as much as it may to one cold upstream, and
-/// returns the most that came in any second.
-fn most_in_a_second(views: &[(InstanceId, Vec<InstanceId>)]) -> usize {
+/// Sends as many requests as each instance permits to one cold upstream and returns the
+/// maximum in any second.
+fn max_per_second(views: &[(InstanceId, Vec<InstanceId>)]) -> usize {
     let upstream = "i-1".parse().unwrap();
     let mut limiters = vec![ColdRateLimiter::default(); views.len()];
     let mut sent_ms = Vec::new();
@@ -183,13 +183,13 @@
     for count in [1, 3, 10, 71] {
         let all = instances(count);
         let views: Vec<_> = all.iter().map(|own| (own.clone(), all.clone())).collect();
-        let most = most_in_a_second(&views);
+        let most = max_per_second(&views);
         assert!((1..=9).contains(&most), "{count} instances sent {most}");
     }
 }
 
 #[test]
-fn verify_the_cold_rate_holds_where_instances_believe_in_different_members() {
+fn verify_the_cold_rate_holds_while_instances_see_different_members() {
     let all = instances(10);
     let (some, others) = all.split_at(5);
     let views: Vec<_> = all
@@ -199,7 +199,7 @@
             (own.clone(), view.to_vec())
         })
         .collect();
-    let most = most_in_a_second(&views);
+    let most = max_per_second(&views);
     assert!(most <= 9, "{most} in a second");
 }
 
