--- a/crates/foxtide-core/src/routing/document.rs
+++ b/crates/foxtide-core/src/routing/document.rs
@@ -1,4 +1,4 @@
-//! One version of the routes, services, organisations and limits that operators have set.
+//! Configured routes, services, organisations and limits.
 
 use super::OrganisationEntry;
 use crate::ids::{
@@ -11,84 +11,84 @@
 /// One version of the configuration.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RouteDocument {
-    /// The version; a higher one is newer.
+    /// The version; higher is newer.
     pub version: u64,
     /// All routes.
     pub routes: Vec<Route>,
-    /// All services that the document describes.
+    /// Settings of services.
     pub services: Vec<ServiceTerms>,
-    /// What callers may send.
+    /// Limits on requests of callers.
     pub limits: CallerLimits,
-    /// The organisations whose callers may ask; nothing where callers need no key.
+    /// The organisations whose callers are accepted; `None` if callers need no key.
     pub organisations: Option<Vec<OrganisationEntry>>,
 }
 
-/// Requests of one host below one path prefix.
+/// A route for requests of one host with one path prefix.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Route {
-    /// The route's name.
+    /// Name of the route.
     pub name: String,
-    /// The host, in lower case and without a port.
+    /// Host in lower case and without a port.
     pub host: String,
-    /// The path prefix; begins and ends with a slash.
+    /// Path prefix; begins and ends with a slash.
     pub path_prefix: String,
-    /// Whether a request may run more than once.
+    /// Whether a request may be executed more than once.
     pub is_idempotent: bool,
-    /// The longest time that a caller is kept waiting.
+    /// Maximum time until the caller gets an answer.
     pub timeout: Duration,
-    /// The latency within which an answer is worth most.
+    /// Target latency.
     pub latency_objective: Duration,
-    /// The rank of the route's requests; 0 is the highest.
+    /// Priority of the requests; 0 is the highest.
     pub priority: u32,
-    /// The most upstreams to which one request may be sent.
+    /// Maximum number of upstreams to which a request is sent.
     pub attempts_max: u32,
-    /// The services that share the requests by weight.
+    /// Services that share the requests by weight.
     pub services: Vec<WeightedService>,
-    /// Whether upstreams serve an object that they served lately faster.
+    /// Whether upstreams serve recently used objects faster.
     pub has_affinity: bool,
-    /// The only regions that may serve the requests; empty: all.
+    /// Regions that may serve the requests; empty for all.
     pub home_regions: Vec<RegionId>,
     /// Whether callers need no key.
     pub is_public: bool,
 }
 
-/// A service and its part of a route's requests.
+/// A service and its weight in a route.
 #[derive(Clone, Debug, PartialEq)]
 pub struct WeightedService {
     /// The service.
     pub service: ServiceId,
-    /// Its weight against those of the others.
+    /// Weight relative to the other services of the route.
     pub weight: f64,
 }
 
-/// What operators have set for a service.
+/// Settings of a service.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServiceTerms {
     /// The service.
     pub service: ServiceId,
-    /// The most connections that an upstream takes from all instances.
+    /// Maximum connections to an upstream from all instances.
     pub connections_max: u32,
-    /// How long an upstream is cold after its start.
+    /// Time for which an upstream is cold after its start.
     pub cold_duration: Duration,
-    /// The requests a second that a cold upstream takes from all instances.
+    /// Rate that a cold upstream accepts from all instances, in requests a second.
     pub cold_rate_rps: f64,
 }
 
-/// What callers may send, and how long they may take for it.
+/// Limits on the size and duration of requests.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct CallerLimits {
-    /// The longest head.
+    /// Maximum size of the head.
     pub head: ByteSize,
-    /// The longest body.
+    /// Maximum size of the body.
     pub body: ByteSize,
-    /// The longest time for a head, from its first byte.
+    /// Maximum time for the head, from its first byte.
     pub head_time: Duration,
-    /// How long an idle connection is kept open.
+    /// Time for which an idle connection is kept open.
     pub idle_time: Duration,
 }
 
 impl Default for CallerLimits {
-    /// Limits until a document brings others: those usual for HTTP servers.
+    /// Returns common limits of HTTP servers, used until a document is loaded.
     fn default() -> Self {
         Self {
             head: ByteSize::from_bytes(16 * 1_024),
--- a/crates/foxtide-core/src/routing/mod.rs
+++ b/crates/foxtide-core/src/routing/mod.rs
@@ -1,7 +1,7 @@
-//! Which service a request belongs to, by its host and path, and whose it is, by its key.
+//! Maps requests to services by host and path, and to organisations by API key.
 //!
-//! A [`RouteDocument`] is one version of the operators' configuration; a
-//! [`RouteTable`] answers look-ups in it.
+//! A [`RouteDocument`] is one version of the configuration; a [`RouteTable`] is its
+//! index.
 
 mod document;
 mod organisations;
--- a/crates/foxtide-core/src/routing/organisations.rs
+++ b/crates/foxtide-core/src/routing/organisations.rs
@@ -1,4 +1,4 @@
-//! Who asks: the organisations of one version of the configuration, by their keys.
+//! Organisations and the API keys of their callers.
 
 use crate::ids::{
     OrganisationId,
@@ -18,14 +18,14 @@
 use std::str::FromStr;
 use std::sync::Arc;
 
-/// The longest key: far beyond any that is given out, and short of the head of a request.
+/// Maximum length of a key; fits into the head of a request.
 const KEY_MAX_BYTES: usize = 512;
 
 const KEY_EXPECTED: &str = "1 to 512 visible ASCII characters without spaces";
 
-/// What a caller proves its organisation with.
+/// A secret key that identifies a caller's organisation.
 ///
-/// It is a secret: neither form of output shows any of it, and errors do not either.
+/// Its `Debug` and `Display` output and errors never contain it.
 #[derive(Clone, PartialEq, Eq, Hash)]
 pub struct ApiKey(Box<str>);
 
@@ -53,48 +53,48 @@
     }
 }
 
-/// How many requests an organisation may have run, over all instances together.
+/// Rate limit of an organisation over all instances.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Quota {
-    /// The requests a second.
+    /// Sustained rate.
     pub rate: RequestRate,
-    /// The requests that may come at one moment on top of that.
+    /// Additional requests that may arrive at once.
     pub burst: f64,
 }
 
-/// What operators have set for an organisation.
+/// Settings of an organisation.
 #[derive(Clone, Debug, PartialEq)]
 pub struct OrganisationTerms {
     /// The organisation.
     pub organisation: OrganisationId,
-    /// The rank of all its requests, in place of their routes'; 0 is the highest.
+    /// Priority of all its requests in place of their routes'; 0 is the highest.
     pub priority: Option<u32>,
-    /// The only regions that may serve its requests; empty: all.
+    /// Regions that may serve its requests; empty for all.
     pub home_regions: Vec<RegionId>,
-    /// How many requests it may have run; nothing where there is no limit.
+    /// Rate limit; `None` if unlimited.
     pub quota: Option<Quota>,
 }
 
-/// An organisation with the keys of its callers, as operators have set them.
+/// An organisation and its keys.
 #[derive(Clone, Debug, PartialEq)]
 pub struct OrganisationEntry {
-    /// What is set for it.
+    /// Settings of the organisation.
     pub terms: OrganisationTerms,
     /// The keys of its callers.
     pub keys: Vec<ApiKey>,
 }
 
-/// The organisations of one version, by the keys of their callers.
+/// Index of organisations by key.
 #[derive(Clone, Debug, Default)]
 pub struct OrganisationTable {
     by_key: HashMap<ApiKey, Arc<OrganisationTerms>>,
-    /// Organisations that hold a key of another one.
+    /// Organisations with a key that another one also has.
     disputed: Vec<OrganisationId>,
 }
 
 impl OrganisationTable {
-    /// Builds the index. A key that two organisations hold is nobody's: its requests would
-    /// be billed to, and served in the homes of, whichever came first.
+    /// Builds the index. A key of two organisations identifies neither: its requests
+    /// would be charged to whichever came first.
     pub fn new(entries: Vec<OrganisationEntry>) -> Self {
         let mut by_key: HashMap<ApiKey, Option<Arc<OrganisationTerms>>> = HashMap::new();
         let mut disputed = Vec::new();
@@ -122,12 +122,12 @@
         }
     }
 
-    /// Returns the organisation whose callers hold a key.
+    /// Returns the organisation of a key.
     pub fn find(&self, key: &ApiKey) -> Option<&Arc<OrganisationTerms>> {
         self.by_key.get(key)
     }
 
-    /// Returns the organisations that hold a key of another one.
+    /// Returns the organisations with a key that an earlier one also has.
     pub fn disputed(&self) -> &[OrganisationId] {
         &self.disputed
     }
@@ -137,9 +137,9 @@
         self.by_key.len()
     }
 
-    /// Returns the part of all requests that organisations' homes bind to regions, by the
-    /// organisations' quotas: they are sold by what is usually asked. One without a quota
-    /// counts as the mean of the others.
+    /// Returns the share of all requests that organisations' home regions bind,
+    /// estimated from their quotas. An organisation without a quota counts as the mean
+    /// of the others.
     pub fn homed_load(&self) -> HomedLoad {
         let mut rates: BTreeMap<&OrganisationId, (&OrganisationTerms, Option<f64>)> =
             BTreeMap::new();
@@ -170,7 +170,7 @@
         load
     }
 
-    /// Returns the quota of each organisation that has one and holds a key.
+    /// Returns the quotas of all organisations with a quota and a key.
     pub(super) fn quotas(&self) -> HashMap<OrganisationId, Quota> {
         let terms = self.by_key.values();
         terms
@@ -179,8 +179,8 @@
     }
 }
 
-/// Returns the regions that two limits leave; nothing where they have no place in common.
-/// An empty limit leaves all.
+/// Returns the intersection of two lists of home regions, `None` if it is empty. An
+/// empty list stands for all regions.
 pub fn common_homes(one: &[RegionId], other: &[RegionId]) -> Option<Vec<RegionId>> {
     if one.is_empty() || other.is_empty() {
         return Some([one, other].concat());
--- a/crates/foxtide-core/src/routing/table.rs
+++ b/crates/foxtide-core/src/routing/table.rs
@@ -1,4 +1,4 @@
-//! Look-ups of routes by host and longest path prefix.
+//! Finds routes by host and longest path prefix.
 
 use super::{
     CallerLimits,
@@ -18,14 +18,14 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// An immutable index of one version of the configuration.
+/// Immutable index of a [`RouteDocument`].
 #[derive(Clone, Debug)]
 pub struct RouteTable {
     version: u64,
     by_host: HashMap<String, Vec<Arc<Route>>>,
     services: HashMap<ServiceId, ServiceTerms>,
     limits: CallerLimits,
-    /// Nothing where callers need no key.
+    /// `None` if callers need no key.
     organisations: Option<OrganisationTable>,
     quotas: HashMap<OrganisationId, Quota>,
     homed_load: HomedLoad,
@@ -66,18 +66,19 @@
         self.version
     }
 
-    /// Returns what callers may send.
+    /// Returns the limits on requests of callers.
     pub fn limits(&self) -> CallerLimits {
         self.limits
     }
 
-    /// Returns the route of `host` with the longest prefix that begins `path`.
+    /// Returns the route of `host` with the longest prefix of `path`.
     pub fn find(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         let mut routes = self.by_host.get(host)?.iter();
         routes.find(|route| path.starts_with(&route.path_prefix))
     }
 
-    /// Returns the organisations whose callers may ask; nothing where callers need no key.
+    /// Returns the organisations whose callers are accepted; `None` if callers need no
+    /// key.
     pub fn organisations(&self) -> Option<&OrganisationTable> {
         self.organisations.as_ref()
     }
@@ -87,17 +88,17 @@
         self.quotas.get(organisation).copied()
     }
 
-    /// Returns the part of all requests that organisations' homes bind to regions.
+    /// Returns the share of all requests that organisations' home regions bind.
     pub fn homed_load(&self) -> &HomedLoad {
         &self.homed_load
     }
 
-    /// Returns what is set for a service.
+    /// Returns the settings of a service.
     pub fn service(&self, service: &ServiceId) -> Option<&ServiceTerms> {
         self.services.get(service)
     }
 
-    /// Returns the longest time for which an upstream of any service is cold.
+    /// Returns the longest cold duration of all services.
     pub fn cold_duration_max(&self) -> Option<Duration> {
         self.services
             .values()
--- a/crates/foxtide-core/src/routing/weighted_round_robin.rs
+++ b/crates/foxtide-core/src/routing/weighted_round_robin.rs
@@ -1,23 +1,20 @@
-//! Shares requests out among the services of a split route.
+//! Distributes requests over the services of a route by weight.
 
 use super::WeightedService;
 use crate::ids::ServiceId;
 use std::collections::HashMap;
 
-/// Picks services in the proportion of their weights.
+/// Picks services in proportion to their weights.
 ///
-/// Each pick goes to the service that is furthest behind its share (smooth
-/// weighted round robin), so that after any number of picks a service is less
-/// than one request per service away from its share; a random draw would need
-/// hundreds of requests to come as near.
+/// Each pick goes to the service that is furthest below its share (smooth weighted
+/// round robin), which stays closer to the shares than random selection.
 #[derive(Clone, Debug, Default)]
 pub struct WeightedRoundRobin {
     credits: HashMap<ServiceId, f64>,
 }
 
 impl WeightedRoundRobin {
-    /// Picks the service of the next request; nothing where no weight is
-    /// above zero.
+    /// Picks the service of the next request; `None` if no weight is positive.
     pub fn pick<'a>(&mut self, services: &'a [WeightedService]) -> Option<&'a ServiceId> {
         if let [only] = services {
             return Some(&only.service);
--- a/crates/foxtide-core/tests/routing.rs
+++ b/crates/foxtide-core/tests/routing.rs
@@ -1,4 +1,4 @@
-//! Routes by host and longest prefix, and split routes.
+//! Tests the lookup of routes, weighted splits and organisations' keys.
 
 use foxtide_core::ids::RegionId;
 use foxtide_core::placement::HomedLoad;
@@ -29,14 +29,14 @@
         latency_objective: Duration::from_millis(500),
         priority: 0,
         attempts_max: 2,
-        services: vec![part("viewer", 1.0)],
+        services: vec![weighted("viewer", 1.0)],
         has_affinity: false,
         home_regions: Vec::new(),
         is_public: false,
     }
 }
 
-fn part(service: &str, weight: f64) -> WeightedService {
+fn weighted(service: &str, weight: f64) -> WeightedService {
     WeightedService {
         service: service.parse().unwrap(),
         weight,
@@ -70,29 +70,36 @@
 
 #[test]
 fn verify_a_split_stays_within_one_request_of_its_weights() {
-    let parts = vec![part("one", 90.0), part("two", 7.0), part("three", 3.0)];
+    let services = vec![
+        weighted("one", 90.0),
+        weighted("two", 7.0),
+        weighted("three", 3.0),
+    ];
     let mut balancer = WeightedRoundRobin::default();
     let mut counts = [0.0; 3];
     for picked in 1..=1_000 {
-        let service = balancer.pick(&parts).unwrap();
-        let index = parts
+        let service = balancer.pick(&services).unwrap();
+        let index = services
             .iter()
-            .position(|part| part.service == *service)
+            .position(|weighted| weighted.service == *service)
             .unwrap();
         counts[index] += 1.0;
-        for (part, count) in parts.iter().zip(counts) {
-            let due = f64::from(picked) * part.weight / 100.0;
-            assert!((count - due).abs() <= 2.0, "{part:?}: {count} of {due}");
+        for (weighted, count) in services.iter().zip(counts) {
+            let expected = f64::from(picked) * weighted.weight / 100.0;
+            assert!(
+                (count - expected).abs() <= 2.0,
+                "{weighted:?}: {count} of {expected}"
+            );
         }
     }
 }
 
 #[test]
-fn verify_a_part_without_weight_gets_nothing() {
-    let parts = vec![part("one", 0.0), part("two", 5.0)];
+fn verify_a_service_without_weight_gets_no_requests() {
+    let services = vec![weighted("one", 0.0), weighted("two", 5.0)];
     let mut balancer = WeightedRoundRobin::default();
     for _ in 0..10 {
-        assert_eq!(balancer.pick(&parts).unwrap().as_str(), "two");
+        assert_eq!(balancer.pick(&services).unwrap().as_str(), "two");
     }
 }
 
@@ -112,7 +119,7 @@
 }
 
 #[test]
-fn verify_keys_name_their_organisation_and_show_nothing_of_themselves() {
+fn verify_keys_identify_their_organisation_and_are_not_printed() {
     let table = OrganisationTable::new(vec![
         organisation("one", &["a", "b", "both"], &[], 0.0),
         organisation("two", &["c", "both"], &[], 0.0),
@@ -129,14 +136,17 @@
     assert_eq!(table.disputed(), ["two".parse().unwrap()]);
     let key: ApiKey = "s3cret".parse().unwrap();
     assert!(!format!("{key:?}{key}").contains("s3cret"));
-    for odd in ["", " ", "a b", "a\n", "\u{e9}", &"k".repeat(513)] {
-        let error = odd.parse::<ApiKey>().unwrap_err().to_string();
-        assert!(odd.trim().is_empty() || !error.contains(odd), "{error}");
+    for invalid in ["", " ", "a b", "a\n", "\u{e9}", &"k".repeat(513)] {
+        let error = invalid.parse::<ApiKey>().unwrap_err().to_string();
+        assert!(
+            invalid.trim().is_empty() || !error.contains(invalid),
+            "{error}"
+        );
     }
 }
 
 #[test]
-fn verify_homes_in_common_are_what_both_allow() {
+fn verify_common_homes_are_those_that_both_allow() {
     let regions = |names: &[&str]| -> Vec<RegionId> {
         names.iter().map(|name| name.parse().unwrap()).collect()
     };
@@ -157,7 +167,7 @@
     ]);
     let mut expected = HomedLoad::default();
     expected.add(vec!["erongo".parse().unwrap()], 0.5);
-    // As much as the mean of the others.
+    // An organisation without a quota counts as the mean of the others.
     expected.add(vec!["oshana".parse().unwrap()], 20.0 / 60.0);
     assert_eq!(table.homed_load(), expected);
     assert_eq!(
