--- a/crates/foxtide-core/src/membership/machine.rs
+++ b/crates/foxtide-core/src/membership/machine.rs
@@ -52,7 +52,7 @@
 pub struct MembershipCounts {
     /// Probes started.
     pub probes: u64,
-    /// Probes that no attempt had answered.
+    /// Probes of which no attempt was answered.
     pub failed_probes: u64,
     /// Suspicions of this instance that it refuted.
     pub refutations: u64,
--- a/crates/foxtide-core/src/registry/members.rs
+++ b/crates/foxtide-core/src/registry/members.rs
@@ -175,29 +175,31 @@
         let of_region = self.all().filter(|member| member.region == *region);
         let by_name: BTreeMap<&InstanceId, &Member> =
             of_region.map(|member| (&member.instance, member)).collect();
-        let mut places: BTreeMap<&AvailabilityZoneId, usize> = BTreeMap::new();
+        let mut watchers_per_zone: BTreeMap<&AvailabilityZoneId, usize> = BTreeMap::new();
         for member in by_name.values() {
-            *places.entry(&member.availability_zone).or_default() += 1;
+            *watchers_per_zone
+                .entry(&member.availability_zone)
+                .or_default() += 1;
         }
-        for places in places.values_mut() {
-            *places = places.div_ceil(INSTANCES_PER_WATCHER);
+        for count in watchers_per_zone.values_mut() {
+            *count = count.div_ceil(INSTANCES_PER_WATCHER);
         }
-        let mut more = WATCHERS_PER_REGION.saturating_sub(places.values().sum());
+        let mut additional = WATCHERS_PER_REGION.saturating_sub(watchers_per_zone.values().sum());
         let ranked = rank(Role::Watcher, by_name.keys().copied());
         let ranked = ranked.into_iter().map(|instance| by_name[instance]);
         let mut ranked: Vec<&Member> = ranked.collect();
         ranked.sort_by_key(|member| Reverse(member.link_mbps));
-        let holds_place = |member: &&Member| {
-            let of_zone = places.get_mut(&member.availability_zone);
-            let left = match of_zone {
-                Some(left) if *left > 0 => left,
-                _ => &mut more,
+        let is_watcher = |member: &&Member| {
+            let zone_remaining = watchers_per_zone.get_mut(&member.availability_zone);
+            let remaining = match zone_remaining {
+                Some(remaining) if *remaining > 0 => remaining,
+                _ => &mut additional,
             };
-            let holds = *left > 0;
-            *left = left.saturating_sub(1);
+            let holds = *remaining > 0;
+            *remaining = remaining.saturating_sub(1);
             holds
         };
-        ranked.into_iter().filter(holds_place).collect()
+        ranked.into_iter().filter(is_watcher).collect()
     }
 
     /// Returns the members that watch the store, those of `region` first.
