--- a/crates/foxtide-core/src/membership/machine.rs
+++ b/crates/foxtide-core/src/membership/machine.rs
@@ -34,40 +34,40 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Rumours in one datagram take at most this, in bytes.
+/// Bytes available for rumours in one datagram.
 const RUMOURS_MAX_BYTES: usize = DATAGRAM_MAX_BYTES - HEADER_MAX_BYTES;
 
-/// Fresh rumours go out at once, but not more often than this.
-const EAGER_INTERVAL: Duration = Duration::from_millis(20);
+/// Minimum interval between packets for new rumours.
+const EAGER_GOSSIP_INTERVAL: Duration = Duration::from_millis(20);
 
-/// With more rumours than this an instance does not compare tables: a fleet
-/// that starts would exchange them for every difference.
-const QUIET_RUMOURS_MAX: usize = 8;
+/// Queue length above which digests are ignored: while many rumours are in flight,
+/// tables differ anyway.
+const DIGEST_QUEUE_MAX: usize = 8;
 
-/// How long a scope stands though the table did not change.
+/// Age at which the scope is recomputed although the table did not change.
 const SCOPE_AGE_MAX: Duration = Duration::from_secs(1);
 
-/// How often things happened since the start.
+/// Event counts since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Counts {
+pub struct MembershipCounts {
     /// Probes started.
     pub probes: u64,
-    /// Probes whose target stayed silent.
-    pub silent: u64,
-    /// Beliefs about this instance that it contradicted.
+    /// Probes of which no attempt was answered.
+    pub failed_probes: u64,
+    /// Suspicions of this instance that it refuted.
     pub refutations: u64,
-    /// Pauses of this process that it noticed.
+    /// Detected pauses of this process.
     pub pauses: u64,
 }
 
-/// When each regular task is due next.
+/// Next due times of the periodic tasks.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Due {
     pub(super) probe_at: MonotonicTime,
     rumours_at: MonotonicTime,
     pub(super) digest_at: MonotonicTime,
     pub(super) reconnect_at: MonotonicTime,
-    pub(super) remind_at: MonotonicTime,
+    pub(super) notify_suspects_at: MonotonicTime,
 }
 
 /// The membership protocol of one instance.
@@ -78,21 +78,21 @@
     pub(super) table: MemberTable,
     pub(super) suspicions: Suspicions,
     pub(super) queue: RumourQueue,
-    pub(super) counts: Counts,
-    pub(super) unsent: bool,
+    pub(super) counts: MembershipCounts,
+    pub(super) has_unsent_rumours: bool,
     pub(super) scope: Scope,
     scope_version: u64,
     scope_at: MonotonicTime,
     pub(super) probes: ProbeSchedule,
     pub(super) due: Due,
-    told_at: MonotonicTime,
+    gossiped_at: MonotonicTime,
     pub(super) ticked_at: MonotonicTime,
     configuration_hash: u64,
     pub(super) rng: StdRng,
 }
 
 impl Membership {
-    /// Returns the protocol of the instance `own`, alone so far.
+    /// Returns the protocol state of the instance `own`, which knows no other members.
     pub fn new(own: Member, options: MembershipOptions, seed: u64, now: MonotonicTime) -> Self {
         let mut table = MemberTable::default();
         table.put(own.clone(), now);
@@ -103,7 +103,7 @@
             rumours_at: now,
             digest_at: now + options.digest_interval,
             reconnect_at: now + options.reconnect_interval,
-            remind_at: now,
+            notify_suspects_at: now,
         };
         Self {
             own,
@@ -111,57 +111,57 @@
             table,
             suspicions: Suspicions::default(),
             queue: RumourQueue::default(),
-            counts: Counts::default(),
-            unsent: false,
+            counts: MembershipCounts::default(),
+            has_unsent_rumours: false,
             scope,
             scope_version,
             scope_at: now,
             probes: ProbeSchedule::default(),
             due,
-            told_at: MonotonicTime::ZERO,
+            gossiped_at: MonotonicTime::ZERO,
             ticked_at: now,
             configuration_hash: 0,
             rng: StdRng::seed_from_u64(seed),
         }
     }
 
-    /// Returns this instance as it presents itself.
+    /// Returns this instance's own member entry.
     pub fn own(&self) -> &Member {
         &self.own
     }
 
-    /// Returns all members known, the dead of late included.
+    /// Returns all known members, including recently dead ones.
     pub fn members(&self) -> impl Iterator<Item = &Member> {
         self.table.members()
     }
 
-    /// Returns all members with the time at which the belief changed.
+    /// Returns all known members with the time of their last update.
     pub fn member_views(&self) -> impl Iterator<Item = MemberView<'_>> {
         self.table.views()
     }
 
-    /// Returns a number that changes whenever a member does.
+    /// Returns the version of the member table; each change increases it.
     pub fn members_version(&self) -> u64 {
         self.table.version()
     }
 
-    /// Returns one member.
+    /// Returns a member by its name.
     pub fn member(&self, instance: &InstanceId) -> Option<&Member> {
         self.table.get(instance)
     }
 
-    /// Returns how many rumours are still being spread.
+    /// Returns the number of rumours that are still being sent.
     pub fn waiting_rumours(&self) -> usize {
         self.queue.len()
     }
 
-    /// Returns how often things happened.
-    pub fn counts(&self) -> Counts {
+    /// Returns the event counts.
+    pub fn counts(&self) -> MembershipCounts {
         self.counts
     }
 
-    /// Returns whether this instance is one of the first `count` usable ones
-    /// of its zone for `role`.
+    /// Returns whether this instance ranks among the first `count` usable instances of
+    /// its zone for `role`.
     pub fn holds(&self, role: Role, count: usize) -> bool {
         let zone = &self.own.availability_zone;
         let usable = self
@@ -175,29 +175,30 @@
             .any(|name| *name == self.own.instance)
     }
 
-    /// Sets the hash that stands for the configuration held.
+    /// Sets the hash of the current configuration, for digests.
     pub fn set_configuration_hash(&mut self, hash: u64) {
         self.configuration_hash = hash;
     }
 
-    /// Does what is due; to be called every few tens of milliseconds.
+    /// Runs the periodic tasks that are due; must be called every few tens of
+    /// milliseconds.
     pub fn tick(&mut self, now: MonotonicTime) -> Vec<Output> {
         let mut outputs = Vec::new();
-        self.notice_pause(now, &mut outputs);
+        self.detect_pause(now, &mut outputs);
         self.refresh_scope(now);
-        self.bury_expired(now, &mut outputs);
-        self.follow_probes(now, &mut outputs);
-        self.remind(now, &mut outputs);
+        self.expire_suspicions(now, &mut outputs);
+        self.check_probes(now, &mut outputs);
+        self.notify_suspects(now, &mut outputs);
         self.start_probe(now, &mut outputs);
-        self.compare(now, &mut outputs);
+        self.send_digests(now, &mut outputs);
         self.reconnect(now, &mut outputs);
         if now >= self.due.rumours_at {
-            self.tell(now, &mut outputs);
+            self.gossip(now, &mut outputs);
         }
         outputs
     }
 
-    /// Takes a packet in that `sender` sent from the address `from`.
+    /// Handles a packet that `sender` sent from the address `from`.
     pub fn receive(
         &mut self,
         sender: &InstanceId,
@@ -206,31 +207,31 @@
         now: MonotonicTime,
     ) -> Vec<Output> {
         let mut outputs = Vec::new();
-        self.greet(sender, from, &mut outputs);
+        self.check_sender(sender, from, &mut outputs);
         for rumour in packet.rumours {
-            self.hear(rumour, from, now, &mut outputs);
+            self.apply_rumour(rumour, from, now, &mut outputs);
         }
         self.answer(from, packet.message, now, &mut outputs);
-        if self.unsent && now - self.told_at >= EAGER_INTERVAL {
-            self.tell(now, &mut outputs);
+        if self.has_unsent_rumours && now - self.gossiped_at >= EAGER_GOSSIP_INTERVAL {
+            self.gossip(now, &mut outputs);
         }
         outputs
     }
 
-    /// Spreads a rumour of this instance's own.
+    /// Queues a rumour of this instance and gossips at once.
     pub fn spread(&mut self, rumour: Rumour, now: MonotonicTime) -> Vec<Output> {
         let mut outputs = Vec::new();
         self.push(rumour);
-        self.tell(now, &mut outputs);
+        self.gossip(now, &mut outputs);
         outputs
     }
 
     pub(super) fn push(&mut self, rumour: Rumour) {
         self.queue.push(rumour);
-        self.unsent = true;
+        self.has_unsent_rumours = true;
     }
 
-    /// Answers what a packet asks for.
+    /// Handles a packet's message.
     fn answer(
         &mut self,
         from: SocketAddr,
@@ -244,7 +245,7 @@
                 outputs.push(Output::Send { to: from, packet });
             }
             Message::Ping { .. } | Message::Rumours => {}
-            Message::Ack { probe } => self.pass_on(probe, outputs),
+            Message::Ack { probe } => self.forward_ack(probe, outputs),
             Message::PingRequest {
                 probe,
                 target,
@@ -259,16 +260,15 @@
                 });
             }
             Message::Digest(theirs) => {
-                // While much news is on its way a difference means little.
-                let quiet = self.queue.len() <= QUIET_RUMOURS_MAX;
-                if quiet && theirs != self.digest() {
+                let is_queue_short = self.queue.len() <= DIGEST_QUEUE_MAX;
+                if is_queue_short && theirs != self.digest() {
                     outputs.push(Output::Synchronise { with: from });
                 }
             }
         }
     }
 
-    /// Returns the hashes over what this instance knows.
+    /// Returns the hashes of the members and the configuration.
     pub fn digest(&self) -> Digest {
         Digest {
             members_hash: self.table.hash(),
@@ -283,8 +283,8 @@
     }
 
     fn refresh_scope(&mut self, now: MonotonicTime) {
-        let fresh = self.scope_version == self.table.version();
-        if fresh && now - self.scope_at < SCOPE_AGE_MAX {
+        let is_current = self.scope_version == self.table.version();
+        if is_current && now - self.scope_at < SCOPE_AGE_MAX {
             return;
         }
         self.scope = Scope::new(&self.own, &self.table, self.options.delegates_per_zone, now);
@@ -292,25 +292,25 @@
         self.scope_at = now;
     }
 
-    fn bury_expired(&mut self, now: MonotonicTime, outputs: &mut Vec<Output>) {
+    fn expire_suspicions(&mut self, now: MonotonicTime, outputs: &mut Vec<Output>) {
         for subject in self.suspicions.expired(&self.options.suspicion, now) {
-            self.bury(&subject, now, outputs);
+            self.declare_dead(&subject, now, outputs);
         }
     }
 
-    /// Sends the waiting rumours to a few random members in scope.
-    pub(super) fn tell(&mut self, now: MonotonicTime, outputs: &mut Vec<Output>) {
+    /// Sends queued rumours to random peers in scope.
+    pub(super) fn gossip(&mut self, now: MonotonicTime, outputs: &mut Vec<Output>) {
         self.due.rumours_at = now + self.options.rumour_interval;
-        self.told_at = now;
-        self.unsent = false;
+        self.gossiped_at = now;
+        self.has_unsent_rumours = false;
         if self.queue.is_empty() {
             return;
         }
         let fanout = self.options.rumour_fanout;
-        let mates = self.scope.mates.iter().sample(&mut self.rng, fanout);
+        let zone_peers = self.scope.zone_peers.iter().sample(&mut self.rng, fanout);
         let foreign = &self.scope.foreign_delegates;
         let delegates = foreign.iter().sample(&mut self.rng, fanout);
-        let chosen = mates.into_iter().chain(delegates);
+        let chosen = zone_peers.into_iter().chain(delegates);
         let addresses: Vec<_> = chosen.map(|member| member.peer_address).collect();
         for to in addresses {
             let packet = self.packet(Message::Rumours);
@@ -320,15 +320,16 @@
         }
     }
 
-    /// Returns where everyone in scope listens.
+    /// Returns the peer addresses of all members in scope.
     pub(super) fn scope_addresses(&self) -> Vec<SocketAddr> {
         let addresses = self.scope.peers().map(|member| member.peer_address);
         addresses.collect()
     }
 }
 
-/// Returns the sending of a belief to the very member that it is about.
-pub(super) fn direct(member: Member) -> Output {
+/// Returns the output that notifies a member of its own entry, so that it can refute
+/// it.
+pub(super) fn send_to_member(member: Member) -> Output {
     Output::Send {
         to: member.peer_address,
         packet: Packet {
--- a/crates/foxtide-core/src/registry/mod.rs
+++ b/crates/foxtide-core/src/registry/mod.rs
@@ -1,24 +1,24 @@
-//! Upstreams that have registered themselves, and instances that are alive.
+//! Registered upstreams and live instances, as the store reports them.
 
-mod asking;
 mod departures;
+mod follower_backoff;
 mod incarnations;
 mod members;
 mod phase;
 mod registered;
 mod registrar;
 mod registration;
-mod starting;
+mod startup;
 mod table;
 
-pub use asking::StoreAsking;
+pub use follower_backoff::FollowerBackoff;
 pub use members::{
-    Asker,
     Member,
-    Members, //
+    Members,
+    Requester, //
 };
 pub use phase::{
-    RETURN_TIME,
+    REGISTRATION_GRACE,
     StorePhase, //
 };
 pub use registered::{
@@ -33,5 +33,5 @@
     Registration,
     UpstreamState, //
 };
-pub use starting::reading_wait;
+pub use startup::startup_read_delay;
 pub use table::Registry;
--- a/crates/foxtide-core/src/registry/phase.rs
+++ b/crates/foxtide-core/src/registry/phase.rs
@@ -1,35 +1,34 @@
-//! Whether missing registrations can be believed.
+//! Availability of the store, which decides how missing registrations are treated.
 
 use crate::time::MonotonicTime;
 use std::time::Duration;
 
-/// How long after an outage of the store upstreams that live may take to
-/// register again: two seconds by the platform's word, and what a call of
-/// ours may take to see it.
-pub const RETURN_TIME: Duration = Duration::from_millis(2_100);
+/// Grace period after an outage of the store in which live upstreams register again,
+/// including the time for the store's answer to arrive.
+pub const REGISTRATION_GRACE: Duration = Duration::from_millis(2_100);
 
-/// What this instance knows of the store's own health.
+/// Availability of the store to this instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StorePhase {
-    /// It has answered for a while.
-    Steady,
-    /// Its last call failed.
-    Away,
-    /// It answers again.
-    Back {
-        /// Since when.
+    /// It has answered for longer than [`REGISTRATION_GRACE`].
+    Available,
+    /// The last call failed.
+    Unavailable,
+    /// It answers again after an outage.
+    Recovering {
+        /// Time of the first answer.
         since: MonotonicTime,
     },
 }
 
 impl StorePhase {
-    /// Tells whether a registration that is missing means that the upstream is
-    /// gone; during an outage registrations lapse although upstreams live.
-    pub fn believes_missing(self, now: MonotonicTime) -> bool {
+    /// Returns whether a missing registration means that the upstream is gone; during
+    /// an outage registrations of live upstreams may expire.
+    pub fn treats_missing_as_gone(self, now: MonotonicTime) -> bool {
         match self {
-            Self::Steady => true,
-            Self::Away => false,
-            Self::Back { since } => now - since > RETURN_TIME,
+            Self::Available => true,
+            Self::Unavailable => false,
+            Self::Recovering { since } => now - since > REGISTRATION_GRACE,
         }
     }
 }
--- a/crates/foxtide-core/src/routing/mod.rs
+++ b/crates/foxtide-core/src/routing/mod.rs
@@ -1,12 +1,12 @@
-//! Which service a request belongs to, by its host and path, and whose it is, by its key.
+//! Maps requests to services by host and path, and to organisations by API key.
 //!
-//! A [`RouteDocument`] is one version of the operators' configuration; a
-//! [`RouteTable`] answers look-ups in it.
+//! A [`RouteDocument`] is one version of the configuration; a [`RouteTable`] is its
+//! index.
 
 mod document;
 mod organisations;
-mod split;
 mod table;
+mod weighted_round_robin;
 
 pub use document::{
     CallerLimits,
@@ -23,5 +23,5 @@
     Quota,
     common_homes, //
 };
-pub use split::SplitCounter;
 pub use table::RouteTable;
+pub use weighted_round_robin::WeightedRoundRobin;
--- a/crates/foxtide-gateway/src/state/facts.rs
+++ b/crates/foxtide-gateway/src/state/facts.rs
@@ -44,11 +44,11 @@
         }
         let mut changes: Vec<RegistryChange> = unreadable
             .iter()
-            .map(|upstream| self.registry.withdraw(upstream))
+            .map(|upstream| self.registry.remove_unreadable(upstream))
             .collect();
         changes.extend(self.registry.replace(registrations, now));
         self.note_changes(&changes);
-        self.registrar.see_all(&members, now);
+        self.registrar.observe_all(&members, now);
         self.members.replace(members, self.registry.phase(), now);
         self.note_evacuated(evacuated);
     }
@@ -69,7 +69,7 @@
                 self.note_changes(&[change]);
             }
             Fact::UpstreamUnreadable(upstream) => {
-                let change = self.registry.withdraw(&upstream);
+                let change = self.registry.remove_unreadable(&upstream);
                 self.note_changes(&[change]);
             }
             Fact::Unregistered(upstream) => {
@@ -78,12 +78,12 @@
             }
             Fact::Joined(member) => {
                 beliefs::member_joined(&member);
-                self.registrar.see(&member, now);
+                self.registrar.observe(&member, now);
                 self.members.join(member, now);
             }
             Fact::Quarantined(_) | Fact::Released(_) => {}
             Fact::Left(instance) => {
-                self.registrar.miss(&instance);
+                self.registrar.observe_missing(&instance);
                 let phase = self.registry.phase();
                 let is_gone = self.members.leave(&instance, phase, now);
                 beliefs::member_left(&instance, is_gone);
