--- a/crates/foxtide-core/src/choice/balancer.rs
+++ b/crates/foxtide-core/src/choice/balancer.rs
@@ -1,12 +1,12 @@
 //! The choice itself.
 
-use super::allowance::RefusalAllowance;
 use super::candidate::{
     Candidate,
     Common, //
 };
+use super::refusal_budget::RefusalBudget;
 use super::status::UpstreamStatus;
-use super::subset::Part;
+use super::subset::Assignment;
 use super::{
     BalancerOptions,
     Completion,
@@ -28,7 +28,7 @@
 const WAIT_MIN: Duration = Duration::from_millis(1);
 
 /// How far a draw moves the score, so that equals are taken in turn.
-const DRAW_WEIGHT: f64 = 0.02;
+const JITTER_WEIGHT: f64 = 0.02;
 
 /// Chooses upstreams for one service in one region.
 #[derive(Clone, Debug)]
@@ -39,7 +39,7 @@
     pub(super) common: Common,
     sharing_instances: u32,
     rank: Option<Rank>,
-    pub(super) allowance: RefusalAllowance,
+    pub(super) refusal_budget: RefusalBudget,
     next_incarnation: u64,
 }
 
@@ -54,7 +54,7 @@
             common: Common::default(),
             sharing_instances: 1,
             rank: None,
-            allowance: RefusalAllowance::new(),
+            refusal_budget: RefusalBudget::new(),
             next_incarnation: 0,
         }
     }
@@ -81,7 +81,7 @@
             };
             self.candidates.push(candidate);
         }
-        self.share_out(now);
+        self.reassign(now);
     }
 
     fn new_candidate(
@@ -102,10 +102,10 @@
     /// slot is then one instance's own, which prefers it; none is where the
     /// place is not known. Views that differ for a while cost
     /// refusals and nothing else.
-    pub fn rank(&mut self, rank: Option<Rank>, now: MonotonicTime) {
+    pub fn set_rank(&mut self, rank: Option<Rank>, now: MonotonicTime) {
         if self.rank != rank {
             self.rank = rank;
-            self.share_out(now);
+            self.reassign(now);
         }
     }
 
@@ -128,18 +128,18 @@
         if !leaving {
             candidate.start_ramp(now);
         }
-        self.share_out(now);
+        self.reassign(now);
     }
 
     /// Chooses an upstream for a request. `draw` is a random number.
     pub fn pick(&mut self, now: MonotonicTime, draw: u64) -> Pick {
-        self.pick_other(now, draw, &[])
+        self.pick_avoiding(now, draw, &[])
     }
 
     /// Chooses an upstream for a request that has been to `tried` already;
     /// those are taken again only where no other has room.
-    pub fn pick_other(&mut self, now: MonotonicTime, draw: u64, tried: &[UpstreamId]) -> Pick {
-        self.allowance
+    pub fn pick_avoiding(&mut self, now: MonotonicTime, draw: u64, tried: &[UpstreamId]) -> Pick {
+        self.refusal_budget
             .refill(&self.options, self.common.latency(), now);
         let best = self
             .best(now, draw, |c| !tried.contains(c.id()))
@@ -169,7 +169,7 @@
             if !self.may_send(candidate, now) || !allowed(candidate) {
                 continue;
             }
-            let jitter = DRAW_WEIGHT * unit_draw(draw, index);
+            let jitter = JITTER_WEIGHT * unit_jitter(draw, index);
             let score = candidate.score(&self.options, &self.common, now) + jitter;
             if score < best_score {
                 best_score = score;
@@ -181,11 +181,11 @@
 
     /// Tells whether an upstream may get a request now.
     fn may_send(&self, candidate: &Candidate, now: MonotonicTime) -> bool {
-        let has_room = candidate.free_from(now).is_some_and(|from| from <= now);
+        let has_room = candidate.free_at(now).is_some_and(|from| from <= now);
         has_room
             && self.is_open(candidate, now)
-            && (self.allowance.allows_guess()
-                || candidate.expects_room(&self.options, &self.common, now))
+            && (self.refusal_budget.allows_speculation()
+                || candidate.expects_free_slot(&self.options, &self.common, now))
     }
 
     /// Tells whether an upstream gets new requests, room set aside.
@@ -197,9 +197,9 @@
     fn wait_or_empty(&self, now: MonotonicTime) -> Pick {
         let open = self.candidates.iter().filter(|c| self.is_open(c, now));
         let latency = self.common.latency();
-        let guess_in = self.allowance.next_guess_in(&self.options, latency);
-        let wait_for = |candidate: &Candidate| match candidate.free_from(now) {
-            Some(from) => (from - now).max(guess_in),
+        let token_in = self.refusal_budget.next_token_in(&self.options, latency);
+        let wait_for = |candidate: &Candidate| match candidate.free_at(now) {
+            Some(from) => (from - now).max(token_in),
             None => latency,
         };
         match open.map(wait_for).min() {
@@ -216,15 +216,15 @@
             return;
         };
         match completion.kind {
-            CompletionKind::Answered => self.allowance.answered(&self.options),
-            CompletionKind::Refused => self.allowance.refused(),
+            CompletionKind::Answered => self.refusal_budget.answered(&self.options),
+            CompletionKind::Refused => self.refusal_budget.refused(),
             _ => {}
         }
         let candidate = &mut self.candidates[index];
-        let stayed = candidate.stays();
+        let was_eligible = candidate.is_eligible();
         candidate.finished(&completion, &self.options, &mut self.common, now);
-        if candidate.stays() != stayed {
-            self.share_out(now);
+        if candidate.is_eligible() != was_eligible {
+            self.reassign(now);
         }
         self.eject_if_outlier(index, now);
     }
@@ -235,24 +235,30 @@
         let outlier = candidate
             .failures
             .is_outlier(&self.common.failures, options);
-        if !outlier || !self.is_open(candidate, now) || self.out_count(now) >= self.out_limit() {
+        if !outlier
+            || !self.is_open(candidate, now)
+            || self.unavailable_count(now) >= self.unavailable_limit()
+        {
             return;
         }
         self.candidates[index].failures.eject(options, now);
     }
 
     /// Returns how many upstreams of the subset are dead or ejected.
-    fn out_count(&self, now: MonotonicTime) -> usize {
-        let is_out = |candidate: &&Candidate| {
+    fn unavailable_count(&self, now: MonotonicTime) -> usize {
+        let is_unavailable = |candidate: &&Candidate| {
             let status = candidate.status(&self.options, now);
             matches!(status, UpstreamStatus::Dead | UpstreamStatus::Ejected)
         };
-        self.candidates.iter().filter(is_out).count()
+        self.candidates.iter().filter(is_unavailable).count()
     }
 
     /// Returns how many upstreams may be out before ejections stop.
-    fn out_limit(&self) -> usize {
-        let in_use = self.candidates.iter().filter(|c| c.used && c.stays());
+    fn unavailable_limit(&self) -> usize {
+        let in_use = self
+            .candidates
+            .iter()
+            .filter(|c| c.in_subset && c.is_eligible());
         (in_use.count() as f64 * self.options.ejection.ejected_max.get()) as usize
     }
 
@@ -274,10 +280,10 @@
             return;
         };
         let candidate = &mut self.candidates[index];
-        let stayed = candidate.stays();
+        let was_eligible = candidate.is_eligible();
         candidate.polled(&result, &self.options, &mut self.common, now);
-        if candidate.stays() != stayed {
-            self.share_out(now);
+        if candidate.is_eligible() != was_eligible {
+            self.reassign(now);
         }
     }
 
@@ -285,11 +291,11 @@
     pub fn status_changes(&mut self, now: MonotonicTime) -> Vec<StatusChange> {
         let mut changes = Vec::new();
         for candidate in &mut self.candidates {
-            if let Some(until) = candidate.failures.take_return(now) {
+            if let Some(until) = candidate.failures.take_ended_ejection(now) {
                 candidate.start_ramp(until);
             }
             let to = candidate.status(&self.options, now);
-            let from = std::mem::replace(&mut candidate.told, to);
+            let from = std::mem::replace(&mut candidate.reported_status, to);
             if from != to {
                 changes.push(StatusChange {
                     upstream: candidate.id().clone(),
@@ -308,20 +314,20 @@
     }
 
     /// Shares slots and connections out among the instances.
-    fn share_out(&mut self, now: MonotonicTime) {
-        let part = Part {
+    fn reassign(&mut self, now: MonotonicTime) {
+        let assignment = Assignment {
             instances: self.sharing_instances,
             rank: self.rank,
             seed: self.seed,
         };
-        part.share_out(&mut self.candidates, &self.options);
-        self.return_surplus(now);
+        assignment.apply(&mut self.candidates, &self.options);
+        self.end_excess_ejections(now);
     }
 
     /// Ends ejections until no more upstreams are out than may be.
-    fn return_surplus(&mut self, now: MonotonicTime) {
-        while self.out_count(now) > self.out_limit() {
-            let ejected = |c: &&mut Candidate| c.used && c.failures.is_ejected(now);
+    fn end_excess_ejections(&mut self, now: MonotonicTime) {
+        while self.unavailable_count(now) > self.unavailable_limit() {
+            let ejected = |c: &&mut Candidate| c.in_subset && c.failures.is_ejected(now);
             let Some(candidate) = self.candidates.iter_mut().find(ejected) else {
                 return;
             };
@@ -339,7 +345,7 @@
 }
 
 /// Returns a number from 0 to 1 that differs between candidates and draws.
-fn unit_draw(draw: u64, index: usize) -> f64 {
+fn unit_jitter(draw: u64, index: usize) -> f64 {
     const MULTIPLIER: u64 = 0x9e37_79b9_7f4a_7c15;
     let mixed = (draw ^ index as u64).wrapping_mul(MULTIPLIER);
     (mixed >> 32) as f64 / f64::from(u32::MAX)
--- a/crates/foxtide-core/src/choice/candidate.rs
+++ b/crates/foxtide-core/src/choice/candidate.rs
@@ -23,7 +23,7 @@
 const LATENCY_FACTOR_MAX: f64 = 8.0;
 
 /// The longest time for which a refusal alone keeps an upstream out.
-const HOLD_MAX: Duration = Duration::from_millis(100);
+const REFUSAL_HOLD_MAX: Duration = Duration::from_millis(100);
 
 /// What all candidates of a balancer have in common.
 #[derive(Clone, Debug, Default)]
@@ -56,7 +56,7 @@
     /// How many of its slots are this instance's own.
     pub(crate) own_slots: u32,
     /// Whether it belongs to this instance's subset.
-    pub(crate) used: bool,
+    pub(crate) in_subset: bool,
     /// Whether its leaving was announced to foxtide.
     pub(crate) leaving: bool,
     /// Whether it said itself that it is draining.
@@ -65,9 +65,9 @@
     pub(crate) liveness: Liveness,
     pub(crate) failures: FailureRecord,
     /// The status that was last told to the caller.
-    pub(crate) told: UpstreamStatus,
+    pub(crate) reported_status: UpstreamStatus,
     occupancy: Occupancy,
-    ramp_from: Option<MonotonicTime>,
+    ramp_started_at: Option<MonotonicTime>,
     full_until: MonotonicTime,
     /// When an answer freed a slot that has not been taken again.
     freed_at: Option<MonotonicTime>,
@@ -83,15 +83,15 @@
             in_other_zone: false,
             connection_limit: 1,
             own_slots: 0,
-            used: true,
+            in_subset: true,
             leaving: false,
             draining: false,
             in_flight: 0,
             liveness: Liveness::new(now),
             failures: FailureRecord::default(),
-            told: UpstreamStatus::Serving,
+            reported_status: UpstreamStatus::Serving,
             occupancy: Occupancy::new(),
-            ramp_from: None,
+            ramp_started_at: None,
             full_until: MonotonicTime::ZERO,
             freed_at: None,
             latency_us: 0.0,
@@ -105,20 +105,20 @@
 
     /// Starts the growth of the upstream's part.
     pub(crate) fn start_ramp(&mut self, now: MonotonicTime) {
-        self.ramp_from = Some(now);
+        self.ramp_started_at = Some(now);
     }
 
     /// Tells whether the upstream may belong to a subset.
-    pub(crate) fn stays(&self) -> bool {
+    pub(crate) fn is_eligible(&self) -> bool {
         !self.leaving && !self.draining
     }
 
     /// Returns what the instance makes of the upstream now.
     pub(crate) fn status(&self, options: &BalancerOptions, now: MonotonicTime) -> UpstreamStatus {
-        if !self.stays() {
+        if !self.is_eligible() {
             return UpstreamStatus::Leaving;
         }
-        if !self.used {
+        if !self.in_subset {
             return UpstreamStatus::Unused;
         }
         if self.liveness.is_dead(now) {
@@ -140,7 +140,7 @@
 
     /// Returns when the upstream can take a request, as far as is known;
     /// `None` where an answer must free a slot first.
-    pub(crate) fn free_from(&self, now: MonotonicTime) -> Option<MonotonicTime> {
+    pub(crate) fn free_at(&self, now: MonotonicTime) -> Option<MonotonicTime> {
         (self.in_flight < self.in_flight_limit()).then_some(self.full_until.max(now))
     }
 
@@ -151,20 +151,22 @@
 
     /// Tells whether there is reason to expect room: an own slot, or one that
     /// an answer freed a short while ago.
-    pub(crate) fn expects_room(
+    pub(crate) fn expects_free_slot(
         &self,
         options: &BalancerOptions,
         common: &Common,
         now: MonotonicTime,
     ) -> bool {
-        let life = common.latency().mul_f64(options.freed_slot_latencies);
+        let life = common
+            .latency()
+            .mul_f64(options.freed_slot_lifetime_latencies);
         let freed = self.freed_at.is_some_and(|at| now - at <= life);
         freed || self.has_own_slot()
     }
 
     /// Returns the part of its slots that the upstream may use while it ramps.
     fn weight(&self, options: &BalancerOptions, now: MonotonicTime) -> f64 {
-        let Some(from) = self.ramp_from else {
+        let Some(from) = self.ramp_started_at else {
             return 1.0;
         };
         let passed = (now - from).as_secs_f64() / options.ramp.as_secs_f64().max(1e-3);
@@ -172,7 +174,7 @@
     }
 
     /// Returns what the other instances usually use of this upstream.
-    fn usual_others(&self, common: &Common) -> f64 {
+    fn average_others(&self, common: &Common) -> f64 {
         common.others_per_slot * f64::from(self.upstream.slots)
     }
 
@@ -183,10 +185,10 @@
         common: &Common,
         now: MonotonicTime,
     ) -> f64 {
-        let life_us = common.latency_us * options.report_life_latencies;
+        let lifetime_us = common.latency_us * options.report_lifetime_latencies;
         let others = self
             .occupancy
-            .estimate(self.usual_others(common), life_us, now);
+            .estimate(self.average_others(common), lifetime_us, now);
         let requests = others.max(0.0) + f64::from(self.in_flight) + 1.0;
         let slots = f64::from(self.upstream.slots.max(1)) * self.weight(options, now);
         let mut load = requests / slots * self.latency_factor(common);
@@ -225,7 +227,7 @@
     ) {
         self.in_flight = self.in_flight.saturating_sub(1);
         self.draining |= completion.draining;
-        self.note_life(completion.kind, options, now);
+        self.update_liveness(completion.kind, options, now);
         if let Some(failed) = completion.kind.failure() {
             self.failures.record(failed);
             common.failures.record(failed);
@@ -237,9 +239,14 @@
         }
     }
 
-    fn note_life(&mut self, kind: CompletionKind, options: &BalancerOptions, now: MonotonicTime) {
-        if kind.is_sign_of_life() {
-            self.heard(now);
+    fn update_liveness(
+        &mut self,
+        kind: CompletionKind,
+        options: &BalancerOptions,
+        now: MonotonicTime,
+    ) {
+        if kind.is_response() {
+            self.record_response(now);
         } else if kind == CompletionKind::NotSent {
             self.liveness.unreachable(&options.liveness);
         } else if kind != CompletionKind::Cancelled {
@@ -248,8 +255,8 @@
     }
 
     /// Notes any answer; an upstream that was dead starts to ramp.
-    fn heard(&mut self, now: MonotonicTime) {
-        let was_dead = self.liveness.heard(now);
+    fn record_response(&mut self, now: MonotonicTime) {
+        let was_dead = self.liveness.record_response(now);
         if was_dead {
             self.start_ramp(now);
         }
@@ -269,7 +276,7 @@
 
     /// Tells whether the upstream is to be polled now.
     pub(crate) fn poll_is_due(&self, options: &BalancerOptions, now: MonotonicTime) -> bool {
-        let watched = self.used || self.draining;
+        let watched = self.in_subset || self.draining;
         watched
             && self
                 .liveness
@@ -294,7 +301,7 @@
         self.liveness.poll_ended();
         match result {
             PollResult::Answered { load, draining } => {
-                self.heard(now);
+                self.record_response(now);
                 if self.draining && !draining {
                     self.start_ramp(now);
                 }
@@ -316,7 +323,7 @@
         common.others_per_slot +=
             LATENCY_WEIGHT * (others / slots.max(1.0) - common.others_per_slot);
         self.occupancy
-            .reported(others, self.usual_others(common), now);
+            .reported(others, self.average_others(common), now);
     }
 
     /// Notes a refusal: every slot was in use, and one of them frees after
@@ -325,10 +332,10 @@
         self.freed_at = None;
         let slots = f64::from(self.upstream.slots.max(1));
         let others = (slots - f64::from(self.in_flight)).max(0.0);
-        let life_us = common.latency_us * options.report_life_latencies;
-        self.occupancy.refused(others, life_us, now);
+        let lifetime_us = common.latency_us * options.report_lifetime_latencies;
+        self.occupancy.refused(others, lifetime_us, now);
         let frees_in = Duration::from_secs_f64(common.latency_us / slots / 1e6);
-        self.full_until = now + frees_in.min(HOLD_MAX);
+        self.full_until = now + frees_in.min(REFUSAL_HOLD_MAX);
     }
 }
 
--- a/crates/foxtide-core/src/choice/completion.rs
+++ b/crates/foxtide-core/src/choice/completion.rs
@@ -24,7 +24,7 @@
 
 impl CompletionKind {
     /// Tells whether the upstream was heard from.
-    pub(crate) const fn is_sign_of_life(self) -> bool {
+    pub(crate) const fn is_response(self) -> bool {
         matches!(self, Self::Answered | Self::Failed | Self::Refused)
     }
 
--- a/crates/foxtide-core/src/choice/ejection.rs
+++ b/crates/foxtide-core/src/choice/ejection.rs
@@ -28,14 +28,14 @@
         let sample = f64::from(u8::from(failed));
         self.completions = self.completions.saturating_add(1);
         self.failure_share += FAILURE_WEIGHT * (sample - self.failure_share);
-        if self.completions >= self.forgiven_after() {
+        if self.completions >= self.ejections_reset_after() {
             self.ejections = 0;
         }
     }
 
     /// Returns the number of completions since the last ejection after which
     /// earlier ejections no longer count.
-    fn forgiven_after(&self) -> u32 {
+    fn ejections_reset_after(&self) -> u32 {
         const COMPLETIONS_PER_EJECTION: u32 = 100;
         COMPLETIONS_PER_EJECTION.saturating_mul(self.ejections.max(1))
     }
@@ -67,7 +67,7 @@
     }
 
     /// Returns the end of an ejection that has passed, once.
-    pub(crate) fn take_return(&mut self, now: MonotonicTime) -> Option<MonotonicTime> {
+    pub(crate) fn take_ended_ejection(&mut self, now: MonotonicTime) -> Option<MonotonicTime> {
         let until = self.ejected_until.filter(|until| now >= *until)?;
         self.ejected_until = None;
         Some(until)
--- a/crates/foxtide-core/src/choice/liveness.rs
+++ b/crates/foxtide-core/src/choice/liveness.rs
@@ -12,52 +12,52 @@
 /// What one instance knows of the life of one upstream.
 #[derive(Clone, Debug)]
 pub(crate) struct Liveness {
-    heard_at: MonotonicTime,
+    last_response_at: MonotonicTime,
     /// When the upstream is dead, unless there is a sign of it before.
-    silent_at: Option<MonotonicTime>,
-    unreachable_in_row: u32,
+    dead_at: Option<MonotonicTime>,
+    consecutive_unreachable: u32,
     dead: bool,
     polled_at: MonotonicTime,
-    poll_open: bool,
+    poll_in_flight: bool,
 }
 
 impl Liveness {
     /// Returns the state of an upstream that is taken for alive.
     pub(crate) const fn new(now: MonotonicTime) -> Self {
         Self {
-            heard_at: now,
-            silent_at: None,
-            unreachable_in_row: 0,
+            last_response_at: now,
+            dead_at: None,
+            consecutive_unreachable: 0,
             dead: false,
             polled_at: now,
-            poll_open: false,
+            poll_in_flight: false,
         }
     }
 
     /// Tells whether the upstream is taken for dead.
     pub(crate) fn is_dead(&self, now: MonotonicTime) -> bool {
-        self.dead || self.silent_at.is_some_and(|at| now >= at)
+        self.dead || self.dead_at.is_some_and(|at| now >= at)
     }
 
     /// Notes that an attempt was sent.
     pub(crate) fn sent(&mut self, options: &LivenessOptions, now: MonotonicTime) {
-        self.silent_at.get_or_insert(now + options.silence_limit);
+        self.dead_at.get_or_insert(now + options.silence_limit);
     }
 
     /// Notes an answer of any kind; tells whether the upstream was dead.
-    pub(crate) fn heard(&mut self, now: MonotonicTime) -> bool {
+    pub(crate) fn record_response(&mut self, now: MonotonicTime) -> bool {
         let was_dead = self.is_dead(now);
-        self.heard_at = now;
-        self.silent_at = None;
-        self.unreachable_in_row = 0;
+        self.last_response_at = now;
+        self.dead_at = None;
+        self.consecutive_unreachable = 0;
         self.dead = false;
         was_dead
     }
 
     /// Notes that no connection could be had.
     pub(crate) fn unreachable(&mut self, options: &LivenessOptions) {
-        self.unreachable_in_row += 1;
-        self.dead |= self.unreachable_in_row >= options.unreachable_limit;
+        self.consecutive_unreachable += 1;
+        self.dead |= self.consecutive_unreachable >= options.unreachable_limit;
     }
 
     /// Notes that an attempt or a poll ended without an answer, so that its
@@ -78,9 +78,9 @@
         } else {
             options.poll_after
         };
-        let quiet = now - self.heard_at >= after;
+        let quiet = now - self.last_response_at >= after;
         let rested = now - self.polled_at >= after;
-        quiet && rested && !self.poll_open
+        quiet && rested && !self.poll_in_flight
     }
 
     /// Notes that a poll was sent.
@@ -95,13 +95,13 @@
         } else {
             options.silence_limit
         };
-        self.silent_at.get_or_insert(now + limit);
+        self.dead_at.get_or_insert(now + limit);
         self.polled_at = now;
-        self.poll_open = true;
+        self.poll_in_flight = true;
     }
 
     /// Notes that the open poll has ended.
     pub(crate) fn poll_ended(&mut self) {
-        self.poll_open = false;
+        self.poll_in_flight = false;
     }
 }
--- a/crates/foxtide-core/src/choice/mod.rs
+++ b/crates/foxtide-core/src/choice/mod.rs
@@ -16,7 +16,6 @@
 //!
 //! Every ticket and every poll has to be given back, whatever became of it.
 
-mod allowance;
 mod balancer;
 mod candidate;
 mod completion;
@@ -26,6 +25,7 @@
 mod occupancy;
 mod options;
 mod pick;
+mod refusal_budget;
 mod sharing;
 mod status;
 mod subset;
--- a/crates/foxtide-core/src/choice/occupancy.rs
+++ b/crates/foxtide-core/src/choice/occupancy.rs
@@ -9,10 +9,10 @@
 use crate::time::MonotonicTime;
 
 /// The age, in lives, from which a sight is worth nothing.
-const WORTHLESS_LIVES: f64 = 8.0;
+const LIFETIMES_MAX: f64 = 8.0;
 
 /// How much of the trust in reports a contradiction leaves.
-const TRUST_LEFT: f64 = 0.5;
+const TRUST_DECAY: f64 = 0.5;
 
 /// How fast trust comes back with each request that a report foretold.
 const TRUST_GAIN: f64 = 0.05;
@@ -21,7 +21,7 @@
 #[derive(Clone, Debug)]
 pub(crate) struct Occupancy {
     others: f64,
-    seen_at: MonotonicTime,
+    observed_at: MonotonicTime,
     trust: f64,
 }
 
@@ -30,30 +30,30 @@
     pub(crate) const fn new() -> Self {
         Self {
             others: 0.0,
-            seen_at: MonotonicTime::ZERO,
+            observed_at: MonotonicTime::ZERO,
             trust: 1.0,
         }
     }
 
     /// Returns how much of the last sight is still worth, from 1 to 0.
-    fn freshness(&self, life_us: f64, now: MonotonicTime) -> f64 {
-        let age_us = now.as_us().saturating_sub(self.seen_at.as_us()) as f64;
-        let lives = age_us / life_us.max(1.0);
-        if lives > WORTHLESS_LIVES {
+    fn freshness(&self, lifetime_us: f64, now: MonotonicTime) -> f64 {
+        let age_us = now.as_us().saturating_sub(self.observed_at.as_us()) as f64;
+        let lives = age_us / lifetime_us.max(1.0);
+        if lives > LIFETIMES_MAX {
             return 0.0;
         }
         (-lives).exp()
     }
 
     /// Returns the estimate, given what others use on the average upstream.
-    pub(crate) fn estimate(&self, usual: f64, life_us: f64, now: MonotonicTime) -> f64 {
-        usual + (self.others - usual) * self.freshness(life_us, now)
+    pub(crate) fn estimate(&self, average: f64, lifetime_us: f64, now: MonotonicTime) -> f64 {
+        average + (self.others - average) * self.freshness(lifetime_us, now)
     }
 
     /// Notes a report of `others` slots in use by other instances.
-    pub(crate) fn reported(&mut self, others: f64, usual: f64, now: MonotonicTime) {
-        self.others = usual + (others - usual) * self.trust;
-        self.seen_at = now;
+    pub(crate) fn reported(&mut self, others: f64, average: f64, now: MonotonicTime) {
+        self.others = average + (others - average) * self.trust;
+        self.observed_at = now;
     }
 
     /// Notes that a request was served; reports have proved right.
@@ -62,13 +62,13 @@
     }
 
     /// Notes a refusal: `others` slots must have been in use.
-    pub(crate) fn refused(&mut self, others: f64, life_us: f64, now: MonotonicTime) {
-        let was_told_free =
-            self.others + 1.0 <= others && self.freshness(life_us, now) > TRUST_LEFT;
-        if was_told_free {
-            self.trust *= TRUST_LEFT;
+    pub(crate) fn refused(&mut self, others: f64, lifetime_us: f64, now: MonotonicTime) {
+        let is_report_wrong =
+            self.others + 1.0 <= others && self.freshness(lifetime_us, now) > TRUST_DECAY;
+        if is_report_wrong {
+            self.trust *= TRUST_DECAY;
         }
         self.others = others;
-        self.seen_at = now;
+        self.observed_at = now;
     }
 }
--- a/crates/foxtide-core/src/choice/options.rs
+++ b/crates/foxtide-core/src/choice/options.rs
@@ -20,7 +20,7 @@
     pub ramp_floor: Share,
     /// How long a load report is worth something, as a multiple of the
     /// smoothed latency. Default: 1.
-    pub report_life_latencies: f64,
+    pub report_lifetime_latencies: f64,
     /// The refusals that an instance may provoke for each answer.
     /// Default: 0.2.
     pub refusals_per_answer: f64,
@@ -31,12 +31,12 @@
     /// may be sent beside slow ones. Default: 0.6.
     pub hedge_utilization_max: f64,
     /// How much a slot that is this instance's own counts for, in parts of an
-    /// upstream's load; see [`Balancer::rank`](super::Balancer::rank).
+    /// upstream's load; see [`Balancer::set_rank`](super::Balancer::set_rank).
     /// Default: 0.3.
     pub own_slot_bonus: f64,
     /// How long after an answer its slot is expected to be free still, as a
     /// multiple of the smoothed latency. Default: 0.5.
-    pub freed_slot_latencies: f64,
+    pub freed_slot_lifetime_latencies: f64,
     /// The fewest connections to an upstream that are worth keeping; where the
     /// instance's part is smaller, it uses fewer upstreams. Default: 2.
     pub connections_min: u32,
@@ -56,12 +56,12 @@
             other_zone_penalty: 0.05,
             ramp: Duration::from_secs(10),
             ramp_floor: Share::clamped(0.1),
-            report_life_latencies: 1.0,
+            report_lifetime_latencies: 1.0,
             refusals_per_answer: 0.2,
             refusals_per_latency: 2.0,
             hedge_utilization_max: 0.6,
             own_slot_bonus: 0.3,
-            freed_slot_latencies: 0.5,
+            freed_slot_lifetime_latencies: 0.5,
             connections_min: 2,
             subset_min: 3,
             liveness: LivenessOptions::default(),
--- a/crates/foxtide-core/src/choice/allowance.rs
+++ b/crates/foxtide-core/src/choice/refusal_budget.rs
@@ -11,32 +11,32 @@
 use std::time::Duration;
 
 /// The most refusals that are saved up.
-const SAVED_MAX: f64 = 10.0;
+const TOKENS_MAX: f64 = 10.0;
 
 /// The refusals that an instance may still provoke.
 #[derive(Clone, Debug)]
-pub(crate) struct RefusalAllowance {
-    saved: f64,
+pub(crate) struct RefusalBudget {
+    tokens: f64,
     refilled_at: MonotonicTime,
 }
 
-impl RefusalAllowance {
+impl RefusalBudget {
     /// Returns an allowance with everything saved that may be.
     pub(crate) const fn new() -> Self {
         Self {
-            saved: SAVED_MAX,
+            tokens: TOKENS_MAX,
             refilled_at: MonotonicTime::ZERO,
         }
     }
 
     /// Tells whether a request may be sent on a guess.
-    pub(crate) fn allows_guess(&self) -> bool {
-        self.saved >= 1.0
+    pub(crate) fn allows_speculation(&self) -> bool {
+        self.tokens >= 1.0
     }
 
     /// Tells whether refusals have been rare of late.
     pub(crate) fn is_ample(&self) -> bool {
-        self.saved >= SAVED_MAX / 2.0
+        self.tokens >= TOKENS_MAX / 2.0
     }
 
     /// Adds what the time since the last call brought.
@@ -53,8 +53,8 @@
     }
 
     /// Returns how long it takes until a guess is allowed.
-    pub(crate) fn next_guess_in(&self, options: &BalancerOptions, latency: Duration) -> Duration {
-        let missing = (1.0 - self.saved).max(0.0);
+    pub(crate) fn next_token_in(&self, options: &BalancerOptions, latency: Duration) -> Duration {
+        let missing = (1.0 - self.tokens).max(0.0);
         latency.mul_f64(missing / options.refusals_per_latency.max(0.1))
     }
 
@@ -65,10 +65,10 @@
 
     /// Notes a refusal.
     pub(crate) fn refused(&mut self) {
-        self.saved -= 1.0;
+        self.tokens -= 1.0;
     }
 
     fn add(&mut self, refusals: f64) {
-        self.saved = (self.saved + refusals).min(SAVED_MAX);
+        self.tokens = (self.tokens + refusals).min(TOKENS_MAX);
     }
 }
--- a/crates/foxtide-core/src/choice/sharing.rs
+++ b/crates/foxtide-core/src/choice/sharing.rs
@@ -9,9 +9,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Rank {
     /// How many of them come before this instance, by name.
-    pub place: u32,
+    pub index: u32,
     /// How many they are, this instance included.
-    pub of: u32,
+    pub total: u32,
 }
 
 /// How an instance shares the upstreams with others.
@@ -56,10 +56,10 @@
 }
 
 fn rank_by_name<'a>(own: &InstanceId, names: impl Iterator<Item = &'a InstanceId>) -> Rank {
-    let mut rank = Rank { place: 0, of: 0 };
+    let mut rank = Rank { index: 0, total: 0 };
     for name in names {
-        rank.of += 1;
-        rank.place += u32::from(name < own);
+        rank.total += 1;
+        rank.index += u32::from(name < own);
     }
     rank
 }
--- a/crates/foxtide-core/src/choice/subset.rs
+++ b/crates/foxtide-core/src/choice/subset.rs
@@ -13,7 +13,7 @@
 
 /// What decides on the part of one instance.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Part {
+pub(crate) struct Assignment {
     /// How many instances share the connections.
     pub(crate) instances: u32,
     /// This instance's place among those that share the slots.
@@ -22,22 +22,22 @@
     pub(crate) seed: u64,
 }
 
-impl Part {
+impl Assignment {
     /// Sets what of each upstream is this instance's.
-    pub(crate) fn share_out(&self, candidates: &mut [Candidate], options: &BalancerOptions) {
+    pub(crate) fn apply(&self, candidates: &mut [Candidate], options: &BalancerOptions) {
         let mut order = self.order(candidates);
-        let staying = order.len();
-        order.truncate(self.subset_size(candidates, staying, options));
-        let users = self.users_each(order.len(), staying);
+        let eligible = order.len();
+        order.truncate(self.subset_size(candidates, eligible, options));
+        let users = self.users_per_upstream(order.len(), eligible);
         for (index, candidate) in candidates.iter_mut().enumerate() {
-            candidate.used = order.contains(&index);
+            candidate.in_subset = order.contains(&index);
             candidate.own_slots = 0;
             candidate.connection_limit = (candidate.upstream.connections / users).max(1);
             let zone = &candidate.upstream.availability_zone;
             let own_zone = options.availability_zone.as_ref();
             candidate.in_other_zone = own_zone.is_some_and(|own| own != zone);
         }
-        self.share_slots(candidates);
+        self.assign_slots(candidates);
     }
 
     /// Returns the upstreams that stay, those first that this instance uses
@@ -52,11 +52,11 @@
             let name = candidates[*index].id().as_str();
             xxh3_64_with_seed(name.as_bytes(), seed)
         };
-        let staying = |index: &usize| candidates[*index].stays();
-        let mut order: Vec<usize> = (0..candidates.len()).filter(staying).collect();
+        let eligible = |index: &usize| candidates[*index].is_eligible();
+        let mut order: Vec<usize> = (0..candidates.len()).filter(eligible).collect();
         order.sort_by_key(hash);
         if let Some(rank) = self.rank {
-            let start = first_place(rank, order.len());
+            let start = first_index(rank, order.len());
             order.rotate_left(start);
         }
         order
@@ -67,33 +67,33 @@
     fn subset_size(
         &self,
         candidates: &[Candidate],
-        staying: usize,
+        eligible: usize,
         options: &BalancerOptions,
     ) -> usize {
-        let stay = candidates.iter().filter(|c| c.stays());
+        let stay = candidates.iter().filter(|c| c.is_eligible());
         let connections: u64 = stay.map(|c| u64::from(c.upstream.connections)).sum();
         let wanted_each = u64::from(options.connections_min.max(1));
         let affordable = connections / u64::from(self.instances) / wanted_each;
         let size = usize::try_from(affordable).unwrap_or(usize::MAX);
-        size.max(options.subset_min).min(staying)
+        size.max(options.subset_min).min(eligible)
     }
 
     /// Returns how many instances use one upstream.
-    fn users_each(&self, subset: usize, staying: usize) -> u32 {
+    fn users_per_upstream(&self, subset: usize, eligible: usize) -> u32 {
         let pairs = u64::from(self.instances) * subset as u64;
-        let users = pairs.div_ceil(staying.max(1) as u64);
+        let users = pairs.div_ceil(eligible.max(1) as u64);
         u32::try_from(users).unwrap_or(u32::MAX).max(1)
     }
 
     /// Deals the slots out in turn, so that each is one instance's own.
-    fn share_slots(&self, candidates: &mut [Candidate]) {
+    fn assign_slots(&self, candidates: &mut [Candidate]) {
         let Some(rank) = self.rank else {
             return;
         };
         let mut dealt = 0;
-        for candidate in candidates.iter_mut().filter(|c| c.stays()) {
+        for candidate in candidates.iter_mut().filter(|c| c.is_eligible()) {
             for _ in 0..candidate.upstream.slots {
-                candidate.own_slots += u32::from(dealt % rank.of.max(1) == rank.place);
+                candidate.own_slots += u32::from(dealt % rank.total.max(1) == rank.index);
                 dealt += 1;
             }
         }
@@ -101,8 +101,8 @@
 }
 
 /// Returns the place in a round of `places` from which a rank starts.
-fn first_place(rank: Rank, places: usize) -> usize {
-    let of = u64::from(rank.of.max(1));
-    let place = u64::from(rank.place) % of * places as u64 / of;
+fn first_index(rank: Rank, places: usize) -> usize {
+    let of = u64::from(rank.total.max(1));
+    let place = u64::from(rank.index) % of * places as u64 / of;
     usize::try_from(place).unwrap_or(0)
 }
--- a/crates/foxtide-core/src/choice/view.rs
+++ b/crates/foxtide-core/src/choice/view.rs
@@ -19,9 +19,9 @@
     /// Tells whether the upstreams have room for second attempts beside slow
     /// ones: hedges on busy upstreams slow all requests down. A hedge is sent
     /// only where this holds and the budget allows it.
-    pub fn has_spare_room(&self) -> bool {
+    pub fn has_spare_capacity(&self) -> bool {
         let is_idle = self.common.utilization <= self.options.hedge_utilization_max;
-        is_idle && self.allowance.is_ample()
+        is_idle && self.refusal_budget.is_ample()
     }
 
     /// Returns each upstream with what the instance makes of it.
@@ -38,8 +38,8 @@
     /// Returns the upstreams of this instance's subset, each with how many
     /// connections the instance may keep to it.
     pub fn connection_limits(&self) -> impl Iterator<Item = (&Upstream, u32)> {
-        let used = self.candidates.iter().filter(|c| c.used);
-        used.map(|c| (&*c.upstream, c.connection_limit))
+        let in_subset = self.candidates.iter().filter(|c| c.in_subset);
+        in_subset.map(|c| (&*c.upstream, c.connection_limit))
     }
 
     /// Returns the bytes of state that are kept for each upstream, without the
--- a/crates/foxtide-core/tests/choice_balancer.rs
+++ b/crates/foxtide-core/tests/choice_balancer.rs
@@ -33,8 +33,8 @@
     MonotonicTime::from_ms(ms)
 }
 
-fn rank_of(place: u32, of: u32) -> Rank {
-    Rank { place, of }
+fn rank(index: u32, total: u32) -> Rank {
+    Rank { index, total }
 }
 
 fn balancer(upstreams: usize, sharing_instances: u32) -> Balancer {
@@ -215,7 +215,7 @@
 fn verify_tried_upstream_is_avoided_while_another_has_room() {
     let mut balancer = balancer(2, 1);
     for draw in 0..50 {
-        let pick = balancer.pick_other(at(draw), draw, &[id(0)]);
+        let pick = balancer.pick_avoiding(at(draw), draw, &[id(0)]);
         let Pick::Take(ticket) = pick else {
             panic!("no upstream was chosen: {pick:?}");
         };
@@ -265,9 +265,9 @@
 fn verify_connections_of_all_instances_stay_within_the_upstreams() {
     const INSTANCES: u32 = 600;
     let mut connections = std::collections::BTreeMap::new();
-    for rank in 0..INSTANCES {
+    for index in 0..INSTANCES {
         let mut balancer = balancer(12, INSTANCES);
-        balancer.rank(Some(rank_of(rank, INSTANCES)), at(0));
+        balancer.set_rank(Some(rank(index, INSTANCES)), at(0));
         for (upstream, limit) in balancer.connection_limits() {
             *connections.entry(upstream.upstream.clone()).or_insert(0) += limit;
         }
@@ -284,10 +284,10 @@
     const INSTANCES: u32 = 10;
     const SLOTS: u32 = 48;
     let mut taken = std::collections::BTreeMap::new();
-    for rank in 0..INSTANCES {
+    for index in 0..INSTANCES {
         let mut balancer = balancer(12, INSTANCES);
-        balancer.rank(Some(rank_of(rank, INSTANCES)), at(0));
-        let own = SLOTS / INSTANCES + u32::from(rank < SLOTS % INSTANCES);
+        balancer.set_rank(Some(rank(index, INSTANCES)), at(0));
+        let own = SLOTS / INSTANCES + u32::from(index < SLOTS % INSTANCES);
         for draw in 0..own {
             let ticket = take(&mut balancer, at(0), draw.into());
             let name = ticket.upstream().upstream.clone();
@@ -314,9 +314,9 @@
 fn verify_hedges_are_for_idle_upstreams() {
     let mut balancer = balancer(12, 10);
     serve_reporting(&mut balancer, 0.5);
-    assert!(balancer.has_spare_room());
+    assert!(balancer.has_spare_capacity());
     serve_reporting(&mut balancer, 0.9);
-    assert!(!balancer.has_spare_room());
+    assert!(!balancer.has_spare_capacity());
 }
 
 #[test]
@@ -327,7 +327,7 @@
         let ticket = take(&mut balancer, at(200), draw);
         finish(&mut balancer, ticket, CompletionKind::Refused, at(200));
     }
-    assert!(!balancer.has_spare_room());
+    assert!(!balancer.has_spare_capacity());
 }
 
 #[test]
@@ -348,7 +348,7 @@
     let listed = members.iter().map(|(name, region)| (name, region));
     let sharing = Sharing::among(&members[0].0, listed.clone());
     assert_eq!(sharing.instances, 4);
-    assert_eq!(sharing.rank, Some(rank_of(1, 3)));
+    assert_eq!(sharing.rank, Some(rank(1, 3)));
     let stranger = "z".parse().expect("the name is valid");
     assert_eq!(Sharing::among(&stranger, listed).rank, None);
 }
--- a/crates/foxtide-entry/src/proxy/hedged.rs
+++ b/crates/foxtide-entry/src/proxy/hedged.rs
@@ -98,7 +98,7 @@
     /// are idle enough, and the budget and the limits allow it now.
     fn begin_hedge(&self, run: &mut Run<'_>, first_region: &RegionId) -> Option<Attempt> {
         let facts = run.facts;
-        if !facts.service.region(first_region)?.has_spare_room() {
+        if !facts.service.region(first_region)?.has_spare_capacity() {
             return None;
         }
         let now = self.parts.clock().now();
--- a/crates/foxtide-entry/src/traffic/region.rs
+++ b/crates/foxtide-entry/src/traffic/region.rs
@@ -46,7 +46,7 @@
     /// Picks the best upstream, preferably none of `tried`.
     pub(super) fn pick(&self, tried: &[UpstreamId], now: MonotonicTime) -> Pick {
         let draw = fastrand::u64(..);
-        self.balancer.lock().pick_other(now, draw, tried)
+        self.balancer.lock().pick_avoiding(now, draw, tried)
     }
 
     /// Counts an attempt that is sent here.
@@ -71,8 +71,8 @@
     }
 
     /// Tells whether there is room for second attempts beside slow ones.
-    pub(crate) fn has_spare_room(&self) -> bool {
-        self.balancer.lock().has_spare_room()
+    pub(crate) fn has_spare_capacity(&self) -> bool {
+        self.balancer.lock().has_spare_capacity()
     }
 
     /// Takes a ticket back.
@@ -85,7 +85,7 @@
     pub(super) fn configure(&self, upstreams: &[Upstream], sharing: Sharing, now: MonotonicTime) {
         let mut balancer = self.balancer.lock();
         balancer.configure(upstreams, sharing.instances, now);
-        balancer.rank(sharing.rank, now);
+        balancer.set_rank(sharing.rank, now);
         drop(balancer);
         self.freed.notify(usize::MAX);
     }
--- a/crates/foxtide-testing/src/scenario/requests.rs
+++ b/crates/foxtide-testing/src/scenario/requests.rs
@@ -227,7 +227,7 @@
         let Some(balancer) = process.and_then(|p| p.balancer(&service, &region)) else {
             return self.cannot_send(number);
         };
-        match balancer.pick_other(now, draw, &tried) {
+        match balancer.pick_avoiding(now, draw, &tried) {
             Pick::Take(ticket) => self.send_attempt(number, region, ticket),
             Pick::Wait { retry_in } => {
                 let retry_in = retry_in.min(PICK_PAUSE_MAX);
--- a/crates/foxtide/examples/measure/choice/cost.rs
+++ b/crates/foxtide/examples/measure/choice/cost.rs
@@ -68,10 +68,10 @@
         let mut balancer = Balancer::new(BalancerOptions::default(), instance.into());
         balancer.configure(&list, INSTANCES, MonotonicTime::ZERO);
         let rank = Rank {
-            place: instance,
-            of: INSTANCES,
+            index: instance,
+            total: INSTANCES,
         };
-        balancer.rank(ranked.then_some(rank), MonotonicTime::ZERO);
+        balancer.set_rank(ranked.then_some(rank), MonotonicTime::ZERO);
         for (upstream, limit) in balancer.connection_limits() {
             *connections
                 .entry(upstream.upstream.to_string())
--- a/crates/foxtide/examples/measure/choice/in_use.rs
+++ b/crates/foxtide/examples/measure/choice/in_use.rs
@@ -46,10 +46,10 @@
         let mut balancer = Balancer::new(BalancerOptions::default(), instance as u64);
         balancer.configure(upstreams, instances as u32, MonotonicTime::ZERO);
         let rank = Rank {
-            place: instance as u32,
-            of: instances as u32,
+            index: instance as u32,
+            total: instances as u32,
         };
-        balancer.rank(Some(rank), MonotonicTime::ZERO);
+        balancer.set_rank(Some(rank), MonotonicTime::ZERO);
         Self {
             balancer,
             names: upstreams.iter().map(|u| u.upstream.clone()).collect(),
@@ -59,7 +59,7 @@
 
     fn choose(&mut self, now: MonotonicTime, draw: u64, tried: &[usize]) -> Choice {
         let tried: Vec<UpstreamId> = tried.iter().map(|n| self.names[*n].clone()).collect();
-        match self.balancer.pick_other(now, draw, &tried) {
+        match self.balancer.pick_avoiding(now, draw, &tried) {
             Pick::Take(ticket) => Choice::Send(self.index(ticket.upstream()), Some(ticket)),
             Pick::Wait { retry_in } => Choice::Wait(retry_in),
             Pick::Empty => Choice::Wait(WAIT),
@@ -78,7 +78,7 @@
     }
 
     fn may_hedge(&self) -> bool {
-        self.balancer.has_spare_room()
+        self.balancer.has_spare_capacity()
     }
 
     fn polls(&mut self, now: MonotonicTime) -> Vec<usize> {
