--- a/crates/foxtide-core/src/poison/mod.rs
+++ b/crates/foxtide-core/src/poison/mod.rs
@@ -16,7 +16,7 @@
 //! that it is tried again: one instance at a time, which claims the trial in the store, and a
 //! few times at most. One that is served is let through everywhere; one that has used up its
 //! trials stays until an operator removes its key. What is repeated after an end waits until
-//! a quarantine can have become known ([`REPEAT_WAIT`]).
+//! a quarantine can have become known ([`RETRY_DELAY`]).
 //!
 //! Evidence is kept by the whole content of a request ([`Fingerprint`]). Requests for the
 //! same object in other words are served all the while, and would be held back for nothing
@@ -28,15 +28,15 @@
 
 pub use fingerprint::Fingerprint;
 pub use quarantine::{
-    Clearance,
     Origin,
     Quarantine,
     QuarantineEntry,
+    QuarantineStatus,
     StoredEntry, //
 };
 pub use suspects::{
     EndReport,
     EvidenceOptions,
-    REPEAT_WAIT,
+    RETRY_DELAY,
     Suspects, //
 };
--- a/crates/foxtide-core/src/poison/suspects.rs
+++ b/crates/foxtide-core/src/poison/suspects.rs
@@ -15,10 +15,10 @@
 /// sent to. It is also longer than a zone takes to be lost, in which a request that is
 /// repeated at once meets one upstream after the other as it ends. Of the requests that a
 /// lost upstream takes down, which is all that waits, each is served later by this much.
-pub const REPEAT_WAIT: Duration = Duration::from_millis(100);
+pub const RETRY_DELAY: Duration = Duration::from_millis(100);
 
 /// How long ends are remembered: upstreams that end for other causes are hours apart.
-const MEMORY_TIME: Duration = Duration::from_secs(600);
+const RETENTION: Duration = Duration::from_secs(600);
 
 /// The most requests that are remembered: what all instances report in a minute in which a
 /// zone is lost, on deployments of today.
@@ -44,12 +44,12 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EvidenceOptions {
     /// The ends.
-    pub ends_max: usize,
+    pub end_threshold: usize,
 }
 
 impl Default for EvidenceOptions {
     fn default() -> Self {
-        Self { ends_max: 3 }
+        Self { end_threshold: 3 }
     }
 }
 
@@ -86,7 +86,7 @@
     pub fn report(&mut self, report: &EndReport, now: MonotonicTime) -> Option<u32> {
         let fingerprint = report.fingerprint;
         if self.suspects.len() >= SUSPECTS_MAX && !self.suspects.contains_key(&fingerprint) {
-            self.forget_oldest();
+            self.evict_oldest();
         }
         let suspect = self.suspects.entry(fingerprint).or_insert(Suspect {
             ends: Vec::new(),
@@ -98,7 +98,7 @@
         }
         // Further ends are returned as well: an instance may not know of the quarantine.
         let ends = suspect.ends.len();
-        (ends >= self.options.ends_max).then_some(ends as u32)
+        (ends >= self.options.end_threshold).then_some(ends as u32)
     }
 
     /// Returns the known ends under a request.
@@ -121,10 +121,10 @@
     /// Forgets what is long past.
     pub fn prune(&mut self, now: MonotonicTime) {
         self.suspects
-            .retain(|_, suspect| now - suspect.reported_at < MEMORY_TIME);
+            .retain(|_, suspect| now - suspect.reported_at < RETENTION);
     }
 
-    fn forget_oldest(&mut self) {
+    fn evict_oldest(&mut self) {
         let oldest = self
             .suspects
             .iter()
--- a/crates/foxtide-core/tests/poison.rs
+++ b/crates/foxtide-core/tests/poison.rs
@@ -16,12 +16,12 @@
     rank, //
 };
 use foxtide_core::poison::{
-    Clearance,
     EndReport,
     Fingerprint,
     Origin,
     Quarantine,
     QuarantineEntry,
+    QuarantineStatus,
     Suspects, //
 };
 use foxtide_core::time::{
@@ -251,7 +251,7 @@
                 News::Quarantined(fingerprint, entry) => {
                     for quarantine in &mut self.quarantine {
                         let draw = self.draws.f64();
-                        quarantine.learn(fingerprint, entry, Origin::Peer, draw, at(now_ms));
+                        quarantine.merge(fingerprint, entry, Origin::Peer, draw, at(now_ms));
                     }
                 }
             }
@@ -276,8 +276,8 @@
         now_ms: u64,
     ) {
         let fingerprint = Fingerprint::from_hash(request);
-        let clearance = self.quarantine[instance].clearance(fingerprint, at(now_ms));
-        if clearance != Clearance::Open {
+        let status = self.quarantine[instance].status(fingerprint, at(now_ms));
+        if status != QuarantineStatus::NotQuarantined {
             return;
         }
         let order = rank(ObjectKey::new(&request.to_le_bytes()), &self.candidates);
--- a/crates/foxtide-core/tests/poison_model/trouble.rs
+++ b/crates/foxtide-core/tests/poison_model/trouble.rs
@@ -58,7 +58,7 @@
     [
         Way {
             name: "two ends",
-            evidence: EvidenceOptions { ends_max: 2 },
+            evidence: EvidenceOptions { end_threshold: 2 },
             ..chosen()
         },
         Way {
--- a/crates/foxtide-core/tests/poison_model/world.rs
+++ b/crates/foxtide-core/tests/poison_model/world.rs
@@ -11,13 +11,13 @@
     rank, //
 };
 use foxtide_core::poison::{
-    Clearance,
     EndReport,
     Fingerprint,
     Origin,
     Quarantine,
     QuarantineEntry,
-    REPEAT_WAIT,
+    QuarantineStatus,
+    RETRY_DELAY,
     StoredEntry,
     Suspects, //
 };
@@ -337,8 +337,8 @@
         let draw = self.draws.f64();
         let now = at(self.now_ms);
         let one = &mut self.instances[instance];
-        one.quarantine.replace(&stored, is_restored, draw, now);
-        let due = one.quarantine.due(now);
+        one.quarantine.sync_stored(&stored, is_restored, draw, now);
+        let due = one.quarantine.next_write(now);
         if let Some((fingerprint, entry)) = due {
             self.write(instance, fingerprint, entry);
         }
@@ -397,10 +397,10 @@
         let draw = self.draws.f64();
         let reaches_store = self.reaches_store(instance);
         let quarantine = &mut self.instances[instance].quarantine;
-        match quarantine.clearance(fingerprint, now) {
-            Clearance::Open => return true,
-            Clearance::Held(_) => return false,
-            Clearance::TrialDue => {}
+        match quarantine.status(fingerprint, now) {
+            QuarantineStatus::NotQuarantined => return true,
+            QuarantineStatus::Quarantined(_) => return false,
+            QuarantineStatus::TrialDue => {}
         }
         let Some(trial) = quarantine.next_trial(fingerprint, now) else {
             return false;
@@ -491,7 +491,7 @@
                 ..*victim
             };
             if repeat.count < ATTEMPTS_MAX {
-                let wait_ms = REPEAT_WAIT.as_millis() as u64;
+                let wait_ms = RETRY_DELAY.as_millis() as u64;
                 self.add(self.now_ms + wait_ms, Event::Repeat(repeat));
             } else if victim.comes_back {
                 self.add(
@@ -570,7 +570,7 @@
             Message::Cleared(fingerprint) => self.instances[to].suspects.clear(fingerprint),
             Message::Quarantined(fingerprint, entry) => {
                 let quarantine = &mut self.instances[to].quarantine;
-                quarantine.learn(fingerprint, entry, Origin::Peer, draw, now);
+                quarantine.merge(fingerprint, entry, Origin::Peer, draw, now);
             }
         }
     }
@@ -585,7 +585,7 @@
         let fingerprint = report.fingerprint;
         let entry = QuarantineEntry { ends, trials: 0 };
         one.quarantine
-            .learn(fingerprint, entry, Origin::Own, draw, now);
+            .merge(fingerprint, entry, Origin::Own, draw, now);
         if fingerprint != Fingerprint::from_hash(DEADLY) {
             self.outcome.innocent.insert(fingerprint.hash());
         }
--- a/crates/foxtide-core/tests/quarantine.rs
+++ b/crates/foxtide-core/tests/quarantine.rs
@@ -1,11 +1,11 @@
 //! Requests that no upstream is to run, and their trials.
 
 use foxtide_core::poison::{
-    Clearance,
     Fingerprint,
     Origin,
     Quarantine,
     QuarantineEntry,
+    QuarantineStatus,
     StoredEntry, //
 };
 use foxtide_core::store::StoreIndex;
@@ -36,20 +36,20 @@
 }
 
 fn is_open(quarantine: &Quarantine, ms: u64) -> bool {
-    quarantine.clearance(request(), at(ms)) == Clearance::Open
+    quarantine.status(request(), at(ms)) == QuarantineStatus::NotQuarantined
 }
 
 /// Guards against a request that is let through again because time has passed.
 #[test]
 fn verify_a_quarantine_does_not_end_by_time() {
     let mut quarantine = Quarantine::default();
-    quarantine.learn(request(), entry(3, 0), Origin::Own, 0.5, at(0));
+    quarantine.merge(request(), entry(3, 0), Origin::Own, 0.5, at(0));
     for ms in [0, 30_000, 60_000, DAY_MS, 365 * DAY_MS] {
         // Without the store's word there is no trial either.
-        let clearance = quarantine.clearance(request(), at(ms));
-        assert!(matches!(clearance, Clearance::Held(_)), "{ms}");
+        let status = quarantine.status(request(), at(ms));
+        assert!(matches!(status, QuarantineStatus::Quarantined(_)), "{ms}");
     }
-    quarantine.take_in(&stored(entry(3, 0), 1), 0.5, at(DAY_MS));
+    quarantine.merge_stored(&stored(entry(3, 0), 1), 0.5, at(DAY_MS));
     assert!(!is_open(&quarantine, 365 * DAY_MS));
 }
 
@@ -61,7 +61,7 @@
     let mut trials = 0;
     let mut now_ms = 0;
     for index in 1..20 {
-        quarantine.take_in(&stored(held, index), 0.5, at(now_ms));
+        quarantine.merge_stored(&stored(held, index), 0.5, at(now_ms));
         now_ms += DAY_MS;
         let Some(trial) = quarantine.next_trial(request(), at(now_ms)) else {
             break;
@@ -69,12 +69,12 @@
         trials += 1;
         // It is claimed, and ends another upstream.
         held = entry(trial.entry.ends + 1, trial.entry.trials);
-        quarantine.learn(request(), held, Origin::Peer, 0.5, at(now_ms));
+        quarantine.merge(request(), held, Origin::Peer, 0.5, at(now_ms));
     }
     assert_eq!(trials, 1);
     assert!(matches!(
-        quarantine.clearance(request(), at(now_ms + DAY_MS)),
-        Clearance::Held(_)
+        quarantine.status(request(), at(now_ms + DAY_MS)),
+        QuarantineStatus::Quarantined(_)
     ));
 }
 
@@ -82,18 +82,18 @@
 #[test]
 fn verify_absurd_entries_keep_a_request_out() {
     let mut quarantine = Quarantine::default();
-    quarantine.take_in(&stored(entry(u32::MAX, u32::MAX), 1), 0.5, at(0));
-    let clearance = quarantine.clearance(request(), at(DAY_MS));
-    assert!(matches!(clearance, Clearance::Held(_)));
+    quarantine.merge_stored(&stored(entry(u32::MAX, u32::MAX), 1), 0.5, at(0));
+    let status = quarantine.status(request(), at(DAY_MS));
+    assert!(matches!(status, QuarantineStatus::Quarantined(_)));
 }
 
 /// Ends that become known after the quarantine leave fewer trials.
 #[test]
 fn verify_late_ends_take_the_trials() {
     let mut quarantine = Quarantine::default();
-    quarantine.take_in(&stored(entry(3, 0), 1), 0.5, at(0));
+    quarantine.merge_stored(&stored(entry(3, 0), 1), 0.5, at(0));
     for ends in [4, 5] {
-        quarantine.learn(request(), entry(ends, 0), Origin::Peer, 0.5, at(10));
+        quarantine.merge(request(), entry(ends, 0), Origin::Peer, 0.5, at(10));
     }
     assert_eq!(quarantine.next_trial(request(), at(DAY_MS)), None);
 }
@@ -101,10 +101,10 @@
 #[test]
 fn verify_only_one_claim_a_pause_is_made() {
     let mut quarantine = Quarantine::default();
-    quarantine.take_in(&stored(entry(2, 0), 4), 0.0, at(0));
+    quarantine.merge_stored(&stored(entry(2, 0), 4), 0.0, at(0));
     assert_eq!(
-        quarantine.clearance(request(), at(4_000)),
-        Clearance::Held(Duration::from_secs(6))
+        quarantine.status(request(), at(4_000)),
+        QuarantineStatus::Quarantined(Duration::from_secs(6))
     );
     let trial = quarantine.next_trial(request(), at(10_000)).unwrap();
     assert_eq!(trial, stored(entry(2, 1), 4));
@@ -118,27 +118,27 @@
 #[test]
 fn verify_what_an_older_store_has_lost_is_written_again() {
     let mut quarantine = Quarantine::default();
-    quarantine.take_in(&stored(entry(3, 1), 9), 0.5, at(0));
-    assert_eq!(quarantine.due(at(DAY_MS)), None);
-    quarantine.replace(&[], true, 0.5, at(DAY_MS));
+    quarantine.merge_stored(&stored(entry(3, 1), 9), 0.5, at(0));
+    assert_eq!(quarantine.next_write(at(DAY_MS)), None);
+    quarantine.sync_stored(&[], true, 0.5, at(DAY_MS));
     assert!(!is_open(&quarantine, 2 * DAY_MS));
     assert_eq!(
-        quarantine.due(at(DAY_MS + 3_000)),
+        quarantine.next_write(at(DAY_MS + 3_000)),
         Some((request(), entry(3, 1)))
     );
-    quarantine.note_write(request(), at(DAY_MS + 3_000));
-    assert_eq!(quarantine.due(at(DAY_MS + 3_001)), None);
+    quarantine.record_write(request(), at(DAY_MS + 3_000));
+    assert_eq!(quarantine.next_write(at(DAY_MS + 3_001)), None);
 }
 
 #[test]
 fn verify_an_operator_lets_a_request_through_by_removing_its_key() {
     let mut quarantine = Quarantine::default();
-    quarantine.take_in(&stored(entry(3, 0), 9), 0.5, at(0));
-    quarantine.replace(&[], false, 0.5, at(10));
+    quarantine.merge_stored(&stored(entry(3, 0), 9), 0.5, at(0));
+    quarantine.sync_stored(&[], false, 0.5, at(10));
     assert!(is_open(&quarantine, 10));
     // One that the store has never held is no removal.
-    quarantine.learn(request(), entry(3, 0), Origin::Own, 0.5, at(20));
-    quarantine.replace(&[], false, 0.5, at(30));
+    quarantine.merge(request(), entry(3, 0), Origin::Own, 0.5, at(20));
+    quarantine.sync_stored(&[], false, 0.5, at(30));
     assert!(!is_open(&quarantine, 30));
 }
 
--- a/crates/foxtide-gateway/src/forward/review.rs
+++ b/crates/foxtide-gateway/src/forward/review.rs
@@ -10,7 +10,7 @@
     Reply, //
 };
 use crate::poison::Sending;
-use foxtide_core::poison::REPEAT_WAIT;
+use foxtide_core::poison::RETRY_DELAY;
 use futures_lite::future::or;
 use smol::Timer;
 use std::time::{
@@ -74,7 +74,7 @@
     pub(super) async fn wait_for_verdict(&self) {
         let time_left = self.ends_at.saturating_duration_since(Instant::now());
         let waited = async {
-            Timer::after(REPEAT_WAIT.min(time_left)).await;
+            Timer::after(RETRY_DELAY.min(time_left)).await;
         };
         or(self.caller.left(), waited).await;
     }
--- a/crates/foxtide-gateway/src/poison/keeper.rs
+++ b/crates/foxtide-gateway/src/poison/keeper.rs
@@ -107,7 +107,7 @@
 
 async fn write_due<D: Dialect, S: FleetStore>(shared: &Shared<D>, store: &S) {
     let now = shared.clock.now();
-    let due = shared.poison.quarantine.lock().due(now);
+    let due = shared.poison.quarantine.lock().next_write(now);
     let Some((fingerprint, entry)) = due else {
         return;
     };
@@ -122,7 +122,11 @@
     }
     // Where another has written it, the store's word on that is on its way.
     let now = shared.clock.now();
-    shared.poison.quarantine.lock().note_write(fingerprint, now);
+    shared
+        .poison
+        .quarantine
+        .lock()
+        .record_write(fingerprint, now);
 }
 
 async fn write<D: Dialect, S: FleetStore>(
--- a/crates/foxtide-gateway/src/poison/mod.rs
+++ b/crates/foxtide-gateway/src/poison/mod.rs
@@ -21,11 +21,11 @@
 use crate::shared::Shared;
 use crate::store::Fact;
 use foxtide_core::poison::{
-    Clearance,
     Fingerprint,
     Origin,
     Quarantine,
     QuarantineEntry,
+    QuarantineStatus,
     StoredEntry,
     Suspects, //
 };
@@ -86,10 +86,10 @@
         fingerprint: Fingerprint,
         now: MonotonicTime,
     ) -> Option<Duration> {
-        match self.quarantine.lock().clearance(fingerprint, now) {
-            Clearance::Open => None,
-            Clearance::Held(time) => Some(time),
-            Clearance::TrialDue => Some(RETRY_AFTER_TRIAL),
+        match self.quarantine.lock().status(fingerprint, now) {
+            QuarantineStatus::NotQuarantined => None,
+            QuarantineStatus::Quarantined(time) => Some(time),
+            QuarantineStatus::TrialDue => Some(RETRY_AFTER_TRIAL),
         }
     }
 
@@ -109,7 +109,7 @@
     ) {
         let draw = fastrand::f64();
         let mut quarantine = self.quarantine.lock();
-        let is_new = quarantine.learn(fingerprint, entry, Origin::Peer, draw, now);
+        let is_new = quarantine.merge(fingerprint, entry, Origin::Peer, draw, now);
         drop(quarantine);
         if is_new {
             beliefs::quarantine_learnt(fingerprint, entry, from);
@@ -124,7 +124,7 @@
             match fact {
                 Fact::Quarantined(stored) => {
                     let draw = fastrand::f64();
-                    if self.quarantine.lock().take_in(stored, draw, now) {
+                    if self.quarantine.lock().merge_stored(stored, draw, now) {
                         beliefs::quarantine_learnt(stored.fingerprint, stored.entry, &"store");
                         new.push(stored.fingerprint);
                     }
@@ -150,7 +150,7 @@
         });
         let stored: Vec<StoredEntry> = stored.collect();
         let mut quarantine = self.quarantine.lock();
-        let new = quarantine.replace(&stored, is_restored, fastrand::f64(), now);
+        let new = quarantine.sync_stored(&stored, is_restored, fastrand::f64(), now);
         drop(quarantine);
         for one in stored.iter().filter(|one| new.contains(&one.fingerprint)) {
             beliefs::quarantine_learnt(one.fingerprint, one.entry, &"store");
@@ -208,10 +208,10 @@
     let now = shared.clock.now();
     let trial = {
         let mut quarantine = poison.quarantine.lock();
-        match quarantine.clearance(fingerprint, now) {
-            Clearance::Open => return Ok(Sending::Freely),
-            Clearance::Held(time) => return Err(time),
-            Clearance::TrialDue => {
+        match quarantine.status(fingerprint, now) {
+            QuarantineStatus::NotQuarantined => return Ok(Sending::Freely),
+            QuarantineStatus::Quarantined(time) => return Err(time),
+            QuarantineStatus::TrialDue => {
                 let trial = quarantine.next_trial(fingerprint, now);
                 trial.inspect(|trial| quarantine.claim(trial, fastrand::f64(), now))
             }
--- a/crates/foxtide-gateway/src/poison/reports.rs
+++ b/crates/foxtide-gateway/src/poison/reports.rs
@@ -129,7 +129,7 @@
     let draw = fastrand::f64();
     let fingerprint = report.fingerprint;
     let mut quarantine = shared.poison.quarantine.lock();
-    let is_new = quarantine.learn(fingerprint, entry, Origin::Own, draw, now);
+    let is_new = quarantine.merge(fingerprint, entry, Origin::Own, draw, now);
     drop(quarantine);
     if is_new {
         shared.poison.keeper.write();
