--- a/crates/foxtide-core/src/promises/mod.rs
+++ b/crates/foxtide-core/src/promises/mod.rs
@@ -1,17 +1,17 @@
 //! Whether what was promised holds, as one instance sees it.
 //!
 //! The caller takes a [`Sample`] of an organisation about every second and
-//! hands it to a [`PromiseLog`], which compares it with the contract and keeps
+//! hands it to a [`PromiseMonitor`], which compares it with the contract and keeps
 //! the worst of the last hour.
 
-mod log;
+mod hourly_maximum;
+mod monitor;
 mod sample;
-mod worst;
 
-pub use log::{
+pub use monitor::{
     Promise,
     PromiseKind,
-    PromiseLog, //
+    PromiseMonitor, //
 };
 pub use sample::{
     RegionSample,
--- a/crates/foxtide-core/src/promises/log.rs
+++ b/crates/foxtide-core/src/promises/monitor.rs
@@ -1,10 +1,10 @@
 //! Samples compared with the contracts.
 
+use super::hourly_maximum::HourlyMaximum;
 use super::sample::{
     Sample,
     ServiceSample, //
 };
-use super::worst::Worst;
 use crate::ids::{
     RegionId,
     ServiceId, //
@@ -26,7 +26,7 @@
 const PACE_TOLERANCE: f64 = 1e-9;
 
 /// What a full bucket may add to a rate, as a part of it.
-const BURST_SHARE: f64 = 0.1;
+const BURST_TOLERANCE_SHARE: f64 = 0.1;
 
 /// What was promised.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
@@ -79,17 +79,17 @@
 struct Measure {
     limit: f64,
     now: f64,
-    worst_of_limit: Worst,
+    worst_of_limit: HourlyMaximum,
 }
 
 /// Compares samples with the contracts of one organisation.
 #[derive(Clone, Debug, Default)]
-pub struct PromiseLog {
+pub struct PromiseMonitor {
     window: VecDeque<Sample>,
     measures: BTreeMap<Key, Measure>,
 }
 
-impl PromiseLog {
+impl PromiseMonitor {
     /// Takes a sample in.
     pub fn add(&mut self, organisation: &Organisation, sample: Sample) {
         let now = sample.taken_at;
@@ -113,27 +113,29 @@
         if last.taken_at.since(first.taken_at) < WINDOW {
             return;
         }
-        let parts = self.largest_parts();
-        let found = compare(organisation, &parts, first, last);
+        let allowed_rps = self.largest_allowed_rps();
+        let found = compare(organisation, &allowed_rps, first, last);
         self.measures
             .retain(|key, _| found.iter().any(|(known, ..)| known == key));
         for (key, limit, value) in found {
             let measure = self.measures.entry(key).or_default();
             measure.limit = limit;
             measure.now = value;
-            measure.worst_of_limit.add(part_of(value, limit), now);
+            measure
+                .worst_of_limit
+                .add(ratio_to_limit(value, limit), now);
         }
     }
 }
 
-impl PromiseLog {
+impl PromiseMonitor {
     /// Returns the largest part of each region's rate in the window: what a
     /// part shrank from may have been sent just before.
-    fn largest_parts(&self) -> BTreeMap<RegionId, f64> {
+    fn largest_allowed_rps(&self) -> BTreeMap<RegionId, f64> {
         let mut largest = BTreeMap::new();
         for (region, sample) in self.window.iter().flat_map(|sample| &sample.regions) {
-            let part = largest.entry(region.clone()).or_insert(0.0_f64);
-            *part = part.max(sample.part_rps.get());
+            let allowed = largest.entry(region.clone()).or_insert(0.0_f64);
+            *allowed = allowed.max(sample.allowed_rps.get());
         }
         largest
     }
@@ -159,7 +161,7 @@
 }
 
 /// Returns how much of a limit a value takes.
-fn part_of(value: f64, limit: f64) -> f64 {
+fn ratio_to_limit(value: f64, limit: f64) -> f64 {
     if value <= 0.0 {
         0.0
     } else if limit <= 0.0 {
@@ -172,7 +174,7 @@
 
 fn compare(
     organisation: &Organisation,
-    parts: &BTreeMap<RegionId, f64>,
+    allowed_rps: &BTreeMap<RegionId, f64>,
     first: &Sample,
     last: &Sample,
 ) -> Vec<(Key, f64, f64)> {
@@ -184,9 +186,9 @@
             continue;
         };
         let cap = service.contract.shift_cap_share_per_s.get();
-        for (region, rise) in rises(before, after) {
+        for (region, increase) in share_increases(before, after) {
             let key = (PromiseKind::ShiftCap, Some(id.clone()), Some(region));
-            found.push((key, cap, rise / passed_s));
+            found.push((key, cap, increase / passed_s));
         }
         let key = (PromiseKind::SpillLimit, Some(id.clone()), None);
         let limit = service.contract.spill_limit_share.get();
@@ -197,24 +199,25 @@
             continue;
         };
         let sent = after.sent.saturating_sub(before.sent);
-        let part_rps = parts.get(region).copied().unwrap_or(0.0) * (1.0 + BURST_SHARE);
+        let allowed_rps =
+            allowed_rps.get(region).copied().unwrap_or(0.0) * (1.0 + BURST_TOLERANCE_SHARE);
         let key = (PromiseKind::SoldRate, None, Some(region.clone()));
-        found.push((key, part_rps, sent as f64 / passed_s));
+        found.push((key, allowed_rps, sent as f64 / passed_s));
     }
     found
 }
 
 /// Returns by how much the share of each region grew. A row that was not there
 /// before is a start, not a shift.
-fn rises(before: &ServiceSample, after: &ServiceSample) -> Vec<(RegionId, f64)> {
+fn share_increases(before: &ServiceSample, after: &ServiceSample) -> Vec<(RegionId, f64)> {
     if before.row.is_empty() {
         return Vec::new();
     }
-    let rise = |(region, share): (&RegionId, &crate::units::Share)| {
+    let increase = |(region, share): (&RegionId, &crate::units::Share)| {
         let old = before.row.get(region).map_or(0.0, |share| share.get());
         (region.clone(), (share.get() - old).max(0.0))
     };
-    after.row.iter().map(rise).collect()
+    after.row.iter().map(increase).collect()
 }
 
 fn spilled_share(before: &ServiceSample, after: &ServiceSample) -> f64 {
--- a/crates/foxtide-core/src/promises/sample.rs
+++ b/crates/foxtide-core/src/promises/sample.rs
@@ -38,7 +38,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct RegionSample {
     /// The instance's part of the rate sold there, of the link to it included.
-    pub part_rps: RequestRate,
+    pub allowed_rps: RequestRate,
     /// The requests sent there, since the process started.
     pub sent: u64,
 }
--- a/crates/foxtide-core/tests/promises.rs
+++ b/crates/foxtide-core/tests/promises.rs
@@ -7,7 +7,7 @@
 use foxtide_core::organisation::Organisation;
 use foxtide_core::promises::{
     PromiseKind,
-    PromiseLog,
+    PromiseMonitor,
     RegionSample,
     Sample,
     ServiceSample, //
@@ -55,7 +55,7 @@
         sent_spilled: at.spilled,
     };
     let region = RegionSample {
-        part_rps: RequestRate::clamped(10.0),
+        allowed_rps: RequestRate::clamped(10.0),
         sent: at.sent,
     };
     let id: ServiceId = "s".parse().unwrap();
@@ -68,11 +68,11 @@
 
 fn broken_after(samples: &[At]) -> Vec<PromiseKind> {
     let organisation: Organisation = serde_json::from_str(DOCUMENT).unwrap();
-    let mut log = PromiseLog::default();
+    let mut monitor = PromiseMonitor::default();
     for at in samples {
-        log.add(&organisation, sample(at));
+        monitor.add(&organisation, sample(at));
     }
-    let promises = log.promises();
+    let promises = monitor.promises();
     assert!(!promises.is_empty(), "nothing was measured");
     let broken = promises.into_iter().filter(|promise| !promise.held);
     broken.map(|promise| promise.promise).collect()
--- a/crates/foxtide/src/promises.rs
+++ b/crates/foxtide/src/promises.rs
@@ -1,6 +1,6 @@
 //! Measures once a second whether the promises hold.
 //!
-//! Locks: one, around the logs, held for one sample or one page and never
+//! Locks: one, around the monitors, held for one sample or one page and never
 //! together with another.
 
 use crate::tables::Tables;
@@ -12,7 +12,7 @@
 use foxtide_core::organisation::Organisation;
 use foxtide_core::promises::{
     Promise,
-    PromiseLog,
+    PromiseMonitor,
     RegionSample,
     Sample,
     ServiceSample, //
@@ -42,7 +42,7 @@
 /// The promises of all organisations, as this instance measures them.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Promises {
-    logs: Arc<Mutex<BTreeMap<OrganisationId, PromiseLog>>>,
+    monitors: Arc<Mutex<BTreeMap<OrganisationId, PromiseMonitor>>>,
 }
 
 /// A promise as the operators' page shows it.
@@ -66,25 +66,27 @@
 impl Promises {
     /// Returns the promises to one organisation, or to all.
     pub(crate) fn rows(&self, organisation: Option<&OrganisationId>) -> Vec<PromiseRow> {
-        let logs = self.logs.lock();
-        let wanted = logs
+        let monitors = self.monitors.lock();
+        let wanted = monitors
             .iter()
             .filter(|(id, _)| organisation.is_none_or(|wanted| wanted == *id));
-        let rows = wanted.flat_map(|(id, log)| {
+        let rows = wanted.flat_map(|(id, monitor)| {
             let row = |promise| PromiseRow {
                 organisation: id.clone(),
                 promise,
             };
-            log.promises().into_iter().map(row)
+            monitor.promises().into_iter().map(row)
         });
         rows.collect()
     }
 
     fn add(&self, organisation: &Organisation, sample: Sample) -> Vec<Promise> {
-        let mut logs = self.logs.lock();
-        let log = logs.entry(organisation.organisation.clone()).or_default();
-        log.add(organisation, sample);
-        log.promises()
+        let mut monitors = self.monitors.lock();
+        let monitor = monitors
+            .entry(organisation.organisation.clone())
+            .or_default();
+        monitor.add(organisation, sample);
+        monitor.promises()
     }
 }
 
@@ -160,7 +162,7 @@
     }
     for region in &organisation.regions {
         let entry = RegionSample {
-            part_rps: steering.usable_rate(&region.region).unwrap_or_default(),
+            allowed_rps: steering.usable_rate(&region.region).unwrap_or_default(),
             sent: 0,
         };
         sample.regions.insert(region.region.clone(), entry);
