--- a/crates/foxtide-core/src/explain/changes.rs
+++ b/crates/foxtide-core/src/explain/changes.rs
@@ -34,13 +34,13 @@
 const WEIGHT_PRECISION: f32 = 0.001;
 
 /// How many changes wait to be taken; later ones are dropped.
-const PENDING_MAX: usize = 256;
+const QUEUED_MAX: usize = 256;
 
 /// Tells what changes at all services of an instance.
 #[derive(Clone, Debug, Default)]
 pub(super) struct ServiceChanges {
     services: BTreeMap<(OrganisationId, ServiceId), Service>,
-    pending: Vec<EventDraft>,
+    queued: Vec<EventDraft>,
 }
 
 /// What was told of one service.
@@ -54,20 +54,20 @@
 
 impl ServiceChanges {
     /// Compares a view with what was told of its service.
-    pub(super) fn view(&mut self, view: &View) {
+    pub(super) fn compare(&mut self, view: &View) {
         let key = (view.organisation.clone(), view.service.clone());
         let service = self.services.entry(key).or_default();
-        let mut told = service.compare_upstreams(&view.candidates);
-        told.extend(service.compare_weights(&view.candidates));
-        self.tell(&view.organisation, &view.service, told);
+        let mut changes = service.compare_upstreams(&view.candidates);
+        changes.extend(service.compare_weights(&view.candidates));
+        self.queue(&view.organisation, &view.service, changes);
     }
 
     /// Counts a decision that did not go as planned.
-    pub(super) fn note(&mut self, decision: &Decision, view: &View) {
+    pub(super) fn record(&mut self, decision: &Decision, view: &View) {
         let key = (view.organisation.clone(), view.service.clone());
         let service = self.services.entry(key).or_default();
-        let begun = service.episodes.note(decision);
-        self.tell(&view.organisation, &view.service, begun);
+        let started = service.episodes.record(decision);
+        self.queue(&view.organisation, &view.service, started);
     }
 
     /// Returns what changed since the last call.
@@ -78,12 +78,12 @@
             ended.push((organisation.clone(), id.clone(), changes));
         }
         for (organisation, service, changes) in ended {
-            self.tell(&organisation, &service, changes);
+            self.queue(&organisation, &service, changes);
         }
-        std::mem::take(&mut self.pending)
+        std::mem::take(&mut self.queued)
     }
 
-    fn tell(
+    fn queue(
         &mut self,
         organisation: &OrganisationId,
         service: &ServiceId,
@@ -92,8 +92,8 @@
         for mut change in changes {
             change.fields.organisation = Some(organisation.clone());
             change.fields.service = Some(service.clone());
-            if self.pending.len() < PENDING_MAX {
-                self.pending.push(change);
+            if self.queued.len() < QUEUED_MAX {
+                self.queued.push(change);
             }
         }
     }
@@ -111,11 +111,11 @@
             .collect();
         let is_empty = !usable.is_empty() && without.len() == usable.len();
         let failed = without.difference(&self.without_upstreams);
-        let mut told: Vec<_> = failed
-            .map(|r| of_region(EventCode::RegionFailed, r))
+        let mut changes: Vec<_> = failed
+            .map(|r| region_event(EventCode::RegionFailed, r))
             .collect();
         let recovered = self.without_upstreams.difference(&without);
-        told.extend(recovered.map(|r| of_region(EventCode::RegionRecovered, r)));
+        changes.extend(recovered.map(|r| region_event(EventCode::RegionRecovered, r)));
         if is_empty != self.is_empty {
             let code = if is_empty {
                 EventCode::ServiceEmpty
@@ -123,11 +123,11 @@
                 EventCode::ServiceUsable
             };
             let fields = EventFields::default();
-            told.push(EventDraft { code, fields });
+            changes.push(EventDraft { code, fields });
         }
         self.without_upstreams = without;
         self.is_empty = is_empty;
-        told
+        changes
     }
 
     /// Tells weights that moved by a step, or that came to rest.
@@ -141,16 +141,16 @@
             self.weights = weights;
             return None;
         }
-        let moved = largest_difference(&weights, &self.weights);
-        let resting = largest_difference(&weights, &planned) < WEIGHT_PRECISION;
-        if moved < WEIGHT_STEP && !(resting && moved >= WEIGHT_PRECISION) {
+        let moved = max_difference(&weights, &self.weights);
+        let is_settled = max_difference(&weights, &planned) < WEIGHT_PRECISION;
+        if moved < WEIGHT_STEP && !(is_settled && moved >= WEIGHT_PRECISION) {
             return None;
         }
         let shares = weights
             .iter()
             .map(|(region, share)| format!("{region}={share:.3}"));
         let detail =
-            shares.collect::<Vec<_>>().join(" ") + if resting { " as planned" } else { "" };
+            shares.collect::<Vec<_>>().join(" ") + if is_settled { " as planned" } else { "" };
         self.weights = weights;
         Some(EventDraft {
             code: EventCode::WeightsShifted,
@@ -183,7 +183,7 @@
     candidates.iter().filter_map(figure).collect()
 }
 
-fn largest_difference(one: &BTreeMap<RegionId, f32>, other: &BTreeMap<RegionId, f32>) -> f32 {
+fn max_difference(one: &BTreeMap<RegionId, f32>, other: &BTreeMap<RegionId, f32>) -> f32 {
     let regions: BTreeSet<&RegionId> = one.keys().chain(other.keys()).collect();
     let share = |of: &BTreeMap<RegionId, f32>, region| of.get(region).copied().unwrap_or(0.0);
     let differences = regions
@@ -192,7 +192,7 @@
     differences.fold(0.0, f32::max)
 }
 
-fn of_region(code: EventCode, region: &RegionId) -> EventDraft {
+fn region_event(code: EventCode, region: &RegionId) -> EventDraft {
     let fields = EventFields {
         region: Some(region.clone()),
         ..EventFields::default()
--- a/crates/foxtide-core/src/explain/decision.rs
+++ b/crates/foxtide-core/src/explain/decision.rs
@@ -110,7 +110,7 @@
     }
 
     /// Returns the decision with the id by which it can be asked for.
-    pub fn of_request(mut self, request: &RequestId) -> Self {
+    pub fn with_request(mut self, request: &RequestId) -> Self {
         self.request_hash = hash(request);
         self
     }
@@ -122,9 +122,9 @@
     }
 
     /// Adds an attempt.
-    pub fn attempt(&mut self, upstream: UpstreamId, result: AttemptResult) {
-        let place = usize::from(self.attempts_made);
-        if let Some(slot) = self.attempts.get_mut(place) {
+    pub fn add_attempt(&mut self, upstream: UpstreamId, result: AttemptResult) {
+        let index = usize::from(self.attempts_made);
+        if let Some(slot) = self.attempts.get_mut(index) {
             *slot = Some(Attempt { upstream, result });
         }
         self.attempts_made = self.attempts_made.saturating_add(1);
--- a/crates/foxtide-core/src/explain/episodes.rs
+++ b/crates/foxtide-core/src/explain/episodes.rs
@@ -13,28 +13,28 @@
 use std::time::Duration;
 
 /// How long no request must have been hit for an episode to be over.
-const QUIET: Duration = Duration::from_secs(10);
+const QUIET_PERIOD: Duration = Duration::from_secs(10);
 
 /// What happens to requests.
 #[derive(Clone, Copy, Debug)]
-struct Kind {
+struct EpisodeKind {
     /// The event of its beginning.
-    begins: EventCode,
+    start_event: EventCode,
     /// The event of its end.
-    ends: EventCode,
+    end_event: EventCode,
     /// Tells whether a decision by a rule belongs to it.
     covers: fn(Rule) -> bool,
 }
 
-const KINDS: [Kind; 2] = [
-    Kind {
-        begins: EventCode::SpillStarted,
-        ends: EventCode::SpillStopped,
+const EPISODE_KINDS: [EpisodeKind; 2] = [
+    EpisodeKind {
+        start_event: EventCode::SpillStarted,
+        end_event: EventCode::SpillStopped,
         covers: |rule| matches!(rule, Rule::Spilled),
     },
-    Kind {
-        begins: EventCode::SheddingStarted,
-        ends: EventCode::SheddingStopped,
+    EpisodeKind {
+        start_event: EventCode::SheddingStarted,
+        end_event: EventCode::SheddingStopped,
         covers: |rule| {
             matches!(
                 rule,
@@ -48,38 +48,38 @@
 #[derive(Clone, Copy, Debug, Default)]
 struct Episode {
     requests: u64,
-    last_us: WallTime,
+    last_at: WallTime,
 }
 
 /// The episodes of one service.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Episodes([Episode; KINDS.len()]);
+pub(super) struct Episodes([Episode; EPISODE_KINDS.len()]);
 
 impl Episodes {
     /// Counts a decision; returns what begins with it.
-    pub(super) fn note(&mut self, decision: &Decision) -> Vec<EventDraft> {
-        let mut begun = Vec::new();
-        for (kind, episode) in KINDS.iter().zip(&mut self.0) {
+    pub(super) fn record(&mut self, decision: &Decision) -> Vec<EventDraft> {
+        let mut started = Vec::new();
+        for (kind, episode) in EPISODE_KINDS.iter().zip(&mut self.0) {
             if !(kind.covers)(decision.rule) {
                 continue;
             }
             if episode.requests == 0 {
-                begun.push(beginning(kind, decision));
+                started.push(start_event(kind, decision));
             }
             episode.requests += 1;
-            episode.last_us = decision.at_us;
+            episode.last_at = decision.at_us;
         }
-        begun
+        started
     }
 
     /// Returns what has ended by now.
     pub(super) fn end(&mut self, now: WallTime) -> Vec<EventDraft> {
         let mut ended = Vec::new();
-        for (kind, episode) in KINDS.iter().zip(&mut self.0) {
-            if episode.requests > 0 && now.since(episode.last_us) >= QUIET {
+        for (kind, episode) in EPISODE_KINDS.iter().zip(&mut self.0) {
+            if episode.requests > 0 && now.since(episode.last_at) >= QUIET_PERIOD {
                 let detail = format!("requests={}", episode.requests);
                 ended.push(EventDraft {
-                    code: kind.ends,
+                    code: kind.end_event,
                     fields: EventFields::detail(detail),
                 });
                 *episode = Episode::default();
@@ -89,9 +89,9 @@
     }
 }
 
-fn beginning(kind: &Kind, decision: &Decision) -> EventDraft {
+fn start_event(kind: &EpisodeKind, decision: &Decision) -> EventDraft {
     EventDraft {
-        code: kind.begins,
+        code: kind.start_event,
         fields: EventFields {
             region: decision.region.clone(),
             detail: decision.rule.text().to_owned(),
--- a/crates/foxtide-core/src/explain/log.rs
+++ b/crates/foxtide-core/src/explain/log.rs
@@ -127,7 +127,7 @@
 
     /// Tells whether a view of the service is due, so that building one can be
     /// left out otherwise.
-    pub fn wants_view(
+    pub fn is_view_due(
         &self,
         organisation: &OrganisationId,
         service: &ServiceId,
@@ -140,17 +140,17 @@
 
     /// Keeps a view; returns the number that decisions name it by.
     pub fn publish(&mut self, view: View) -> ViewId {
-        self.changes.view(&view);
+        self.changes.compare(&view);
         self.published = self.published.wrapping_add(1);
         push_bounded(&mut self.views, Arc::new(view), self.options.views);
         ViewId(self.published)
     }
 
     /// Keeps a decision.
-    pub fn note(&mut self, decision: Decision) {
+    pub fn record(&mut self, decision: Decision) {
         if decision.is_unusual() {
             if let Some(view) = self.find_view(decision.view).cloned() {
-                self.changes.note(&decision, &view);
+                self.changes.record(&decision, &view);
             }
             push_bounded(&mut self.unusual, decision, self.options.unusual);
         } else {
@@ -205,9 +205,9 @@
     }
 
     fn find_view(&self, id: ViewId) -> Option<&Arc<View>> {
-        let behind = usize::try_from(self.published.wrapping_sub(id.0)).ok()?;
-        let place = self.views.len().checked_sub(behind.checked_add(1)?)?;
-        self.views.get(place)
+        let newer_views = usize::try_from(self.published.wrapping_sub(id.0)).ok()?;
+        let index = self.views.len().checked_sub(newer_views.checked_add(1)?)?;
+        self.views.get(index)
     }
 }
 
--- a/crates/foxtide-core/src/explain/mod.rs
+++ b/crates/foxtide-core/src/explain/mod.rs
@@ -8,11 +8,11 @@
 //!
 //! The request path does this:
 //!
-//! 1. On a tick, if [`ExplainLog::wants_view`]: builds a [`View`] of the
+//! 1. On a tick, if [`ExplainLog::is_view_due`]: builds a [`View`] of the
 //!    service from what the decisions rest on, and calls
 //!    [`ExplainLog::publish`].
-//! 2. At a decision: [`Decision::new`], then [`Decision::attempt`] for each
-//!    attempt and its result; at the end [`ExplainLog::note`].
+//! 2. At a decision: [`Decision::new`], then [`Decision::add_attempt`] for each
+//!    attempt and its result; at the end [`ExplainLog::record`].
 //! 3. Once a second: records what [`ExplainLog::changes`] returns.
 //! 4. On `/v1/explain`: [`ExplainLog::select`].
 //!
--- a/crates/foxtide-core/tests/explain.rs
+++ b/crates/foxtide-core/tests/explain.rs
@@ -47,7 +47,7 @@
     let region = Some("khomas".parse().unwrap());
     let at = WallTime::from_ms(at_ms);
     let request: RequestId = request.parse().unwrap();
-    Decision::new(DecisionKind::Request, rule, view, region, at).of_request(&request)
+    Decision::new(DecisionKind::Request, rule, view, region, at).with_request(&request)
 }
 
 fn small_log() -> ExplainLog {
@@ -71,10 +71,10 @@
     let mut log = small_log();
     let id = log.publish(view(WallTime::from_ms(1_000)));
     let mut spilled = decision(Rule::Weighted, id, 1_300, "r-1");
-    spilled.attempt("viewer-3".parse().unwrap(), AttemptResult::Refused);
+    spilled.add_attempt("viewer-3".parse().unwrap(), AttemptResult::Refused);
     spilled.redirect(Rule::Spilled, Some("oshana".parse().unwrap()));
-    spilled.attempt("viewer-5".parse().unwrap(), AttemptResult::Answered);
-    log.note(spilled);
+    spilled.add_attempt("viewer-5".parse().unwrap(), AttemptResult::Answered);
+    log.record(spilled);
     let explanations = by_request(&log, "r-1");
     insta::assert_snapshot!(serde_json::to_string_pretty(&explanations).unwrap());
 }
@@ -83,9 +83,9 @@
 fn verify_flood_of_usual_requests_keeps_the_unusual() {
     let mut log = small_log();
     let id = log.publish(view(WallTime::ZERO));
-    log.note(decision(Rule::NoUpstream, id, 1, "r-1"));
+    log.record(decision(Rule::NoUpstream, id, 1, "r-1"));
     for at_ms in 2..100 {
-        log.note(decision(Rule::OwnRegion, id, at_ms, "r-2"));
+        log.record(decision(Rule::OwnRegion, id, at_ms, "r-2"));
     }
     assert_eq!(by_request(&log, "r-1").len(), 1);
     assert_eq!(by_request(&log, "r-2").len(), 4);
@@ -105,7 +105,7 @@
 fn verify_decisions_are_chosen_by_kind_and_service() {
     let mut log = small_log();
     let id = log.publish(view(WallTime::ZERO));
-    log.note(decision(Rule::Weighted, id, 1, "r-1"));
+    log.record(decision(Rule::Weighted, id, 1, "r-1"));
     let count = |kind, service: &str| {
         let filter = ExplainFilter {
             kind: Some(kind),
@@ -125,13 +125,13 @@
     let first = log.publish(view(WallTime::from_ms(1)));
     let second = log.publish(view(WallTime::from_ms(2)));
     log.publish(view(WallTime::from_ms(3)));
-    log.note(decision(Rule::Weighted, first, 5, "r-1"));
-    log.note(decision(Rule::Weighted, second, 5, "r-2"));
+    log.record(decision(Rule::Weighted, first, 5, "r-1"));
+    log.record(decision(Rule::Weighted, second, 5, "r-2"));
     assert_eq!(by_request(&log, "r-1")[0].view, None);
     let kept = by_request(&log, "r-2");
     let taken = kept[0].view.as_ref().unwrap().taken_us;
     assert_eq!(taken, WallTime::from_ms(2));
-    log.note(decision(Rule::Weighted, ViewId::default(), 6, "r-3"));
+    log.record(decision(Rule::Weighted, ViewId::default(), 6, "r-3"));
     assert_eq!(by_request(&log, "r-3")[0].view, None);
 }
 
@@ -141,7 +141,7 @@
     let first = view(WallTime::from_ms(1_000));
     let (organisation, service) = (first.organisation.clone(), first.service.clone());
     let is_due =
-        |log: &ExplainLog, ms| log.wants_view(&organisation, &service, WallTime::from_ms(ms));
+        |log: &ExplainLog, ms| log.is_view_due(&organisation, &service, WallTime::from_ms(ms));
     assert!(is_due(&log, 1_000));
     log.publish(first);
     assert!(!is_due(&log, 1_900));
@@ -160,7 +160,7 @@
         } else {
             Rule::Spilled
         };
-        log.note(decision(rule, ViewId::default(), number, "r-1"));
+        log.record(decision(rule, ViewId::default(), number, "r-1"));
     }
     assert!(log.size_bytes() < 4 << 20, "{}", log.size_bytes());
     assert!(std::mem::size_of::<Decision>() <= 128);
@@ -225,7 +225,7 @@
 #[test]
 fn verify_shifts_are_told_in_steps_and_at_rest() {
     let mut log = small_log();
-    let mut told = Vec::new();
+    let mut changes = Vec::new();
     for percent in 0..=20u8 {
         let share = f32::from(percent) / 100.0;
         let row = vec![
@@ -233,9 +233,9 @@
             weight("oshana", share, 0.2),
         ];
         let count = codes_after(&mut log, row).len();
-        told.extend(std::iter::repeat_n(percent, count));
+        changes.extend(std::iter::repeat_n(percent, count));
     }
-    assert_eq!(told, [5, 10, 15, 20]);
+    assert_eq!(changes, [5, 10, 15, 20]);
     let rest = vec![weight("khomas", 0.8, 0.8), weight("oshana", 0.2, 0.2)];
     assert_eq!(codes_after(&mut log, rest), []);
 }
@@ -245,11 +245,11 @@
     let mut log = small_log();
     let id = log.publish(view(WallTime::ZERO));
     for at_ms in 1_000..1_100 {
-        log.note(decision(Rule::Spilled, id, at_ms, "r-1"));
+        log.record(decision(Rule::Spilled, id, at_ms, "r-1"));
     }
-    let begun = log.changes(WallTime::from_ms(2_000));
-    assert_eq!(begun.len(), 1);
-    assert_eq!(begun[0].code, EventCode::SpillStarted);
+    let started = log.changes(WallTime::from_ms(2_000));
+    assert_eq!(started.len(), 1);
+    assert_eq!(started[0].code, EventCode::SpillStarted);
     assert!(log.changes(WallTime::from_ms(11_000)).is_empty());
     let ended = log.changes(WallTime::from_ms(12_000));
     assert_eq!(ended[0].code, EventCode::SpillStopped);
--- a/crates/foxtide-entry/src/lookup.rs
+++ b/crates/foxtide-entry/src/lookup.rs
@@ -86,7 +86,7 @@
     let rule = rule(&chosen, known.as_ref(), region);
     let region = Some(region.clone());
     let decision = Decision::new(DecisionKind::Lookup, rule, service.view(), region, wall);
-    parts.explainer().note(decision.of_request(&id));
+    parts.explainer().record(decision.with_request(&id));
     let answer = LookupAnswer {
         instances: chosen,
         ttl_s: options.lookup_ttl.as_secs(),
--- a/crates/foxtide-entry/src/proxy/hedged.rs
+++ b/crates/foxtide-entry/src/proxy/hedged.rs
@@ -133,7 +133,7 @@
             return self.end(run, other, result);
         }
         let upstream = other.place.upstream().upstream.clone();
-        run.decision.attempt(upstream, AttemptResult::Cancelled);
+        run.decision.add_attempt(upstream, AttemptResult::Cancelled);
         (ended, step)
     }
 
--- a/crates/foxtide-entry/src/proxy/journal.rs
+++ b/crates/foxtide-entry/src/proxy/journal.rs
@@ -34,7 +34,7 @@
         let view = facts.service.view();
         let wall = self.parts.clock().wall();
         let decision = Decision::new(DecisionKind::Request, Rule::NoUpstream, view, None, wall);
-        decision.of_request(&facts.request)
+        decision.with_request(&facts.request)
     }
 
     /// Records what failed in an attempt.
@@ -72,7 +72,7 @@
     ) -> Result<Answer, Refusal> {
         let mut decision = self.undecided(facts);
         decision.redirect(settled.rule, None);
-        self.parts.explainer().note(decision);
+        self.parts.explainer().record(decision);
         if let Err(refusal) = &settled.answer {
             facts.service.metrics().refused(refusal.outcome);
         }
--- a/crates/foxtide-entry/src/proxy/run.rs
+++ b/crates/foxtide-entry/src/proxy/run.rs
@@ -204,7 +204,7 @@
         let answered = self.run_attempts(&mut run).await;
         let took = self.parts.clock().now() - received_at;
         facts.service.metrics().seconds.record(took.as_secs_f64());
-        self.parts.explainer().note(run.decision);
+        self.parts.explainer().record(run.decision);
         answered
     }
 
@@ -290,7 +290,7 @@
         if let Some(claim) = run.claim.filter(|_| result.is_not_run()) {
             claim.proved_not_run();
         }
-        run.decision.attempt(upstream.upstream, end.explained());
+        run.decision.add_attempt(upstream.upstream, end.explained());
         let service = &run.facts.service;
         let step = service.ended(&mut run.attempts, ended.id, result, now);
         let refused = matches!(result, AttemptResult::Refused { .. });
--- a/crates/foxtide-entry/src/traffic/view.rs
+++ b/crates/foxtide-entry/src/traffic/view.rs
@@ -30,7 +30,7 @@
             let organisation = traffic.organisation();
             for service in traffic.services().values() {
                 let id = service.id();
-                if explainer.wants_view(&organisation.organisation, id, wall) {
+                if explainer.is_view_due(&organisation.organisation, id, wall) {
                     let view = traffic.view_of(service, &organisation, now, wall);
                     service.set_view(explainer.publish(view));
                 }
--- a/crates/foxtide-events/src/explainer.rs
+++ b/crates/foxtide-events/src/explainer.rs
@@ -39,13 +39,13 @@
     }
 
     /// Tells whether a view of the service is due.
-    pub fn wants_view(
+    pub fn is_view_due(
         &self,
         organisation: &OrganisationId,
         service: &ServiceId,
         now: WallTime,
     ) -> bool {
-        self.log.lock().wants_view(organisation, service, now)
+        self.log.lock().is_view_due(organisation, service, now)
     }
 
     /// Keeps a view; returns the number that decisions name it by.
@@ -54,8 +54,8 @@
     }
 
     /// Keeps a decision.
-    pub fn note(&self, decision: Decision) {
-        self.log.lock().note(decision);
+    pub fn record(&self, decision: Decision) {
+        self.log.lock().record(decision);
     }
 
     /// Returns what changed at the services since the last call, as events to
--- a/crates/foxtide/examples/measure/explain.rs
+++ b/crates/foxtide/examples/measure/explain.rs
@@ -81,9 +81,9 @@
             let place_in = Some(region.clone());
             let view = views[place % SERVICES];
             let decision = Decision::new(DecisionKind::Request, rule, view, place_in, now);
-            let mut decision = decision.of_request(&request(second * DECISIONS_PER_S + place));
-            decision.attempt(upstream.clone(), AttemptResult::Answered);
-            explainer.note(decision);
+            let mut decision = decision.with_request(&request(second * DECISIONS_PER_S + place));
+            decision.add_attempt(upstream.clone(), AttemptResult::Answered);
+            explainer.record(decision);
         }
     }
 }
