--- a/crates/foxtide-core/tests/choice_balancer.rs
+++ b/crates/foxtide-core/tests/choice_balancer.rs
@@ -43,7 +43,7 @@
     balancer
 }
 
-fn take(balancer: &mut Balancer, now: MonotonicTime, draw: u64) -> Ticket {
+fn pick(balancer: &mut Balancer, now: MonotonicTime, draw: u64) -> Ticket {
     match balancer.pick(now, draw) {
         Pick::Take(ticket) => ticket,
         other => panic!("no upstream was chosen: {other:?}"),
@@ -58,7 +58,7 @@
 fn serve(balancer: &mut Balancer, times_ms: std::ops::Range<u64>) -> BTreeSet<String> {
     let mut seen = BTreeSet::new();
     for ms in times_ms {
-        let ticket = take(balancer, at(ms), ms.wrapping_mul(0x1234_5677));
+        let ticket = pick(balancer, at(ms), ms.wrapping_mul(0x1234_5677));
         seen.insert(ticket.upstream().upstream.to_string());
         finish(balancer, ticket, CompletionKind::Answered, at(ms) + LATENCY);
     }
@@ -83,7 +83,7 @@
 #[test]
 fn verify_upstream_that_says_it_drains_gets_nothing_until_a_poll_denies_it() {
     let mut balancer = balancer(1, 1);
-    let ticket = take(&mut balancer, at(0), 0);
+    let ticket = pick(&mut balancer, at(0), 0);
     let mut completion = Completion::new(CompletionKind::Answered, LATENCY);
     completion.draining = true;
     balancer.finish(ticket, completion, at(10));
@@ -102,7 +102,7 @@
 #[test]
 fn verify_full_upstreams_ask_to_wait() {
     let mut balancer = balancer(1, 1);
-    let tickets: Vec<Ticket> = (0..4).map(|n| take(&mut balancer, at(0), n)).collect();
+    let tickets: Vec<Ticket> = (0..4).map(|n| pick(&mut balancer, at(0), n)).collect();
     assert!(matches!(balancer.pick(at(0), 9), Pick::Wait { .. }));
     for ticket in tickets {
         finish(&mut balancer, ticket, CompletionKind::Answered, at(10));
@@ -115,10 +115,10 @@
     let mut balancer = balancer(3, 1);
     let mut polls = Vec::new();
     let mut last_sent_ms = 0;
-    let died_ms = 1_000;
+    let failed_at_ms = 1_000;
     for ms in (0..20_000).step_by(5) {
         while let Some(poll) = balancer.next_poll(at(ms)) {
-            if poll.upstream().upstream == id(0) && ms >= died_ms {
+            if poll.upstream().upstream == id(0) && ms >= failed_at_ms {
                 polls.push((ms, poll));
             } else {
                 let answer = PollResult::Answered {
@@ -128,15 +128,18 @@
                 balancer.finish_poll(poll, answer, at(ms));
             }
         }
-        let ticket = take(&mut balancer, at(ms), ms.wrapping_mul(0x9e37_79b9));
-        if ticket.upstream().upstream == id(0) && ms >= died_ms {
+        let ticket = pick(&mut balancer, at(ms), ms.wrapping_mul(0x9e37_79b9));
+        if ticket.upstream().upstream == id(0) && ms >= failed_at_ms {
             last_sent_ms = ms;
             drop(ticket);
             continue;
         }
         finish(&mut balancer, ticket, CompletionKind::Answered, at(ms));
     }
-    assert!(last_sent_ms <= died_ms + 3_000, "sent at {last_sent_ms} ms");
+    assert!(
+        last_sent_ms <= failed_at_ms + 3_000,
+        "sent at {last_sent_ms} ms"
+    );
     let mut statuses = balancer.statuses(at(20_000));
     let dead = statuses.find(|(upstream, _)| upstream.upstream == id(0));
     assert_eq!(dead.map(|(_, status)| status), Some(UpstreamStatus::Dead));
@@ -146,7 +149,7 @@
 fn verify_dead_upstream_returns_through_a_poll() {
     let mut balancer = balancer(1, 1);
     for _ in 0..2 {
-        let ticket = take(&mut balancer, at(0), 0);
+        let ticket = pick(&mut balancer, at(0), 0);
         finish(&mut balancer, ticket, CompletionKind::NotSent, at(0));
     }
     assert!(matches!(balancer.pick(at(0), 0), Pick::Empty));
@@ -168,7 +171,7 @@
 fn fail_upstream(balancer: &mut Balancer, failing: &[usize], count: u64, start_ms: u64) {
     for round in 0..count {
         let now = at(start_ms + round);
-        let ticket = take(balancer, now, round.wrapping_mul(0x9e37_79b9_7f4a));
+        let ticket = pick(balancer, now, round.wrapping_mul(0x9e37_79b9_7f4a));
         let name = &ticket.upstream().upstream;
         let fails = failing.iter().any(|number| id(*number) == *name);
         let kind = if fails {
@@ -198,14 +201,14 @@
 }
 
 #[test]
-fn verify_trouble_common_to_all_ejects_none() {
+fn verify_failures_common_to_all_upstreams_eject_none() {
     let mut balancer = balancer(4, 1);
     fail_upstream(&mut balancer, &[0, 1, 2, 3], 400, 0);
     assert_eq!(count(&balancer, UpstreamStatus::Ejected, at(400)), 0);
 }
 
 #[test]
-fn verify_ejections_stop_at_their_share() {
+fn verify_ejections_stop_at_the_configured_share() {
     let mut balancer = balancer(6, 1);
     fail_upstream(&mut balancer, &[0, 1, 2, 3], 2_000, 0);
     assert!(count(&balancer, UpstreamStatus::Ejected, at(2_000)) <= 2);
@@ -231,10 +234,10 @@
     let part = |balancer: &mut Balancer, start_ms: u64| {
         let mut taken = Vec::new();
         for draw in 0..8 {
-            taken.push(take(balancer, at(start_ms), draw));
+            taken.push(pick(balancer, at(start_ms), draw));
         }
-        let newcomer = taken.iter().filter(|t| t.upstream().upstream == id(3));
-        let part = newcomer.count();
+        let to_new = taken.iter().filter(|t| t.upstream().upstream == id(3));
+        let part = to_new.count();
         for ticket in taken {
             finish(balancer, ticket, CompletionKind::Answered, at(start_ms));
         }
@@ -255,7 +258,7 @@
     let mut balancer = Balancer::new(options, 7);
     balancer.configure(&upstreams, 1, at(0));
     for draw in 0..50 {
-        let ticket = take(&mut balancer, at(draw), draw);
+        let ticket = pick(&mut balancer, at(draw), draw);
         assert_eq!(ticket.upstream().upstream, id(1));
         finish(&mut balancer, ticket, CompletionKind::Answered, at(draw));
     }
@@ -289,7 +292,7 @@
         balancer.set_rank(Some(rank(index, INSTANCES)), at(0));
         let own = SLOTS / INSTANCES + u32::from(index < SLOTS % INSTANCES);
         for draw in 0..own {
-            let ticket = take(&mut balancer, at(0), draw.into());
+            let ticket = pick(&mut balancer, at(0), draw.into());
             let name = ticket.upstream().upstream.clone();
             *taken.entry(name).or_insert(0) += 1;
         }
@@ -301,7 +304,7 @@
 /// Serves requests whose answers report a utilization.
 fn serve_reporting(balancer: &mut Balancer, utilization: f64) {
     for ms in 0..200 {
-        let ticket = take(balancer, at(ms), ms.wrapping_mul(0x1234_5677));
+        let ticket = pick(balancer, at(ms), ms.wrapping_mul(0x1234_5677));
         let completion = Completion {
             load: Some(LoadReport { utilization }),
             ..Completion::new(CompletionKind::Answered, LATENCY)
@@ -311,7 +314,7 @@
 }
 
 #[test]
-fn verify_hedges_are_for_idle_upstreams() {
+fn verify_hedges_need_idle_upstreams() {
     let mut balancer = balancer(12, 10);
     serve_reporting(&mut balancer, 0.5);
     assert!(balancer.has_spare_capacity());
@@ -320,11 +323,11 @@
 }
 
 #[test]
-fn verify_refusals_outrank_reports_of_idleness() {
+fn verify_refusals_stop_hedging_despite_reported_idleness() {
     let mut balancer = balancer(12, 10);
     serve_reporting(&mut balancer, 0.0);
     for draw in 0..8 {
-        let ticket = take(&mut balancer, at(200), draw);
+        let ticket = pick(&mut balancer, at(200), draw);
         finish(&mut balancer, ticket, CompletionKind::Refused, at(200));
     }
     assert!(!balancer.has_spare_capacity());
@@ -332,25 +335,25 @@
 
 #[test]
 fn verify_slots_are_shared_within_the_region() {
-    let members = [
+    let instances = [
         ("b", "khomas"),
         ("a", "khomas"),
         ("c", "erongo"),
         ("d", "khomas"),
     ];
-    let members: Vec<(InstanceId, RegionId)> = members
+    let instances: Vec<(InstanceId, RegionId)> = instances
         .iter()
         .map(|(name, region)| {
             let name = name.parse().expect("the name is valid");
             (name, region.parse().expect("the name is valid"))
         })
         .collect();
-    let listed = members.iter().map(|(name, region)| (name, region));
-    let sharing = Sharing::among(&members[0].0, listed.clone());
+    let listed = instances.iter().map(|(name, region)| (name, region));
+    let sharing = Sharing::among(&instances[0].0, listed.clone());
     assert_eq!(sharing.instances, 4);
     assert_eq!(sharing.rank, Some(rank(1, 3)));
-    let stranger = "z".parse().expect("the name is valid");
-    assert_eq!(Sharing::among(&stranger, listed).rank, None);
+    let unknown = "z".parse().expect("the name is valid");
+    assert_eq!(Sharing::among(&unknown, listed).rank, None);
 }
 
 #[test]
@@ -361,18 +364,18 @@
         load: None,
         draining: false,
     };
-    let died_ms = 4_000;
+    let failed_at_ms = 4_000;
     let mut open = Vec::new();
-    for ms in (0..=died_ms + 3_000).step_by(TICK_MS as usize) {
+    for ms in (0..=failed_at_ms + 3_000).step_by(TICK_MS as usize) {
         while let Some(poll) = balancer.next_poll(at(ms)) {
-            if ms >= died_ms {
+            if ms >= failed_at_ms {
                 open.push(poll);
             } else {
                 balancer.finish_poll(poll, answer.clone(), at(ms));
             }
         }
     }
-    let now = at(died_ms + 3_000);
+    let now = at(failed_at_ms + 3_000);
     assert_eq!(count(&balancer, UpstreamStatus::Dead, now), 3);
     assert!(matches!(balancer.pick(now, 0), Pick::Empty));
 }
--- a/crates/foxtide-core/tests/choice_properties.rs
+++ b/crates/foxtide-core/tests/choice_properties.rs
@@ -79,7 +79,7 @@
 }
 
 /// A balancer, what was taken from it and what was asked of it.
-struct Bench {
+struct Harness {
     balancer: Balancer,
     now: MonotonicTime,
     tickets: Vec<Ticket>,
@@ -87,7 +87,7 @@
     leaving: BTreeSet<UpstreamId>,
 }
 
-impl Bench {
+impl Harness {
     fn new() -> Self {
         let mut balancer = Balancer::new(BalancerOptions::default(), 3);
         balancer.configure(&list(UPSTREAMS), 1, MonotonicTime::ZERO);
@@ -135,7 +135,7 @@
     }
 
     fn pick(&mut self, draw: u64) {
-        let barred: Vec<UpstreamId> = self
+        let unavailable: Vec<UpstreamId> = self
             .balancer
             .statuses(self.now)
             .filter(|(_, status)| !is_open(*status))
@@ -144,7 +144,7 @@
         if let Pick::Take(ticket) = self.balancer.pick(self.now, draw) {
             let chosen = &ticket.upstream().upstream;
             assert!(!self.leaving.contains(chosen), "{chosen} leaves");
-            assert!(!barred.contains(chosen), "{chosen} is out");
+            assert!(!unavailable.contains(chosen), "{chosen} is out");
             self.tickets.push(ticket);
         }
     }
@@ -208,10 +208,10 @@
 
     #[test]
     fn verify_choice_keeps_its_bounds(ops in proptest::collection::vec(op(), 1..300)) {
-        let mut bench = Bench::new();
+        let mut harness = Harness::new();
         for op in ops {
-            bench.run(op);
-            bench.check();
+            harness.run(op);
+            harness.check();
         }
     }
 }
--- a/crates/foxtide-core/tests/explain.rs
+++ b/crates/foxtide-core/tests/explain.rs
@@ -120,7 +120,7 @@
 }
 
 #[test]
-fn verify_view_that_is_gone_is_not_mistaken() {
+fn verify_evicted_view_is_not_confused_with_another() {
     let mut log = small_log();
     let first = log.publish(view(WallTime::from_ms(1)));
     let second = log.publish(view(WallTime::from_ms(2)));
@@ -128,8 +128,8 @@
     log.record(decision(Rule::Weighted, first, 5, "r-1"));
     log.record(decision(Rule::Weighted, second, 5, "r-2"));
     assert_eq!(by_request(&log, "r-1")[0].view, None);
-    let kept = by_request(&log, "r-2");
-    let taken = kept[0].view.as_ref().unwrap().taken_us;
+    let retained = by_request(&log, "r-2");
+    let taken = retained[0].view.as_ref().unwrap().taken_us;
     assert_eq!(taken, WallTime::from_ms(2));
     log.record(decision(Rule::Weighted, ViewId::default(), 6, "r-3"));
     assert_eq!(by_request(&log, "r-3")[0].view, None);
@@ -223,7 +223,7 @@
 }
 
 #[test]
-fn verify_shifts_are_told_in_steps_and_at_rest() {
+fn verify_weight_shifts_are_reported_in_steps_and_when_settled() {
     let mut log = small_log();
     let mut changes = Vec::new();
     for percent in 0..=20u8 {
@@ -241,7 +241,7 @@
 }
 
 #[test]
-fn verify_spilling_is_told_once_and_ends() {
+fn verify_spilling_is_reported_once_and_ends() {
     let mut log = small_log();
     let id = log.publish(view(WallTime::ZERO));
     for at_ms in 1_000..1_100 {
--- a/crates/foxtide-core/tests/poison_model/trouble.rs
+++ b/crates/foxtide-core/tests/poison_model/faults.rs
@@ -4,9 +4,9 @@
 
 /// What else happens in a play.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Trouble {
+pub(crate) struct Faults {
     /// The share of requests that end their upstreams.
-    pub(crate) deadly_share: f64,
+    pub(crate) poison_share: f64,
     /// The share of messages between instances that are lost.
     pub(crate) loss: f64,
     /// A region is cut off from the others and the store.
@@ -18,9 +18,9 @@
     /// All instances are killed at once.
     pub(crate) are_all_killed: bool,
     /// The store is away.
-    pub(crate) is_store_away: bool,
+    pub(crate) is_store_down: bool,
     /// The store comes back from an older copy, and all instances are killed afterwards.
-    pub(crate) is_store_older: bool,
+    pub(crate) is_store_restored: bool,
     /// Requests at the same time, as a multiple of the usual.
     pub(crate) load: u64,
     /// One upstream after the other ends for its own reasons, each so many milliseconds.
@@ -31,7 +31,7 @@
 
 /// How requests that end their upstreams are found and kept out.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Way {
+pub(crate) struct Strategy {
     pub(crate) name: &'static str,
     pub(crate) evidence: EvidenceOptions,
     /// Whether the quarantine is kept in the store.
@@ -43,8 +43,8 @@
 }
 
 /// As the instances do.
-pub(crate) fn chosen() -> Way {
-    Way {
+pub(crate) fn default_strategy() -> Strategy {
+    Strategy {
         name: "chosen",
         evidence: EvidenceOptions::default(),
         has_store: true,
@@ -54,97 +54,97 @@
 }
 
 /// The ways beside it, each with one part replaced.
-pub(crate) fn others() -> [Way; 3] {
+pub(crate) fn alternatives() -> [Strategy; 3] {
     [
-        Way {
+        Strategy {
             name: "two ends",
             evidence: EvidenceOptions { end_threshold: 2 },
-            ..chosen()
+            ..default_strategy()
         },
-        Way {
+        Strategy {
             name: "in memory",
             has_store: false,
-            ..chosen()
+            ..default_strategy()
         },
-        Way {
+        Strategy {
             name: "one aggregator, one message",
             aggregators: 1,
             copies: 1,
-            ..chosen()
+            ..default_strategy()
         },
     ]
 }
 
 /// All troubles beside a request that ends its upstreams.
-pub(crate) fn deadly() -> Vec<(&'static str, Trouble)> {
-    let alone = Trouble {
-        deadly_share: 1.0 / 30.0,
+pub(crate) fn with_poison() -> Vec<(&'static str, Faults)> {
+    let alone = Faults {
+        poison_share: 1.0 / 30.0,
         load: 1,
-        ..Trouble::default()
+        ..Faults::default()
     };
     let is_region_cut = true;
-    let is_store_away = true;
+    let is_store_down = true;
     vec![
         ("alone", alone),
-        ("lost messages", Trouble { loss: 0.3, ..alone }),
+        ("lost messages", Faults { loss: 0.3, ..alone }),
         (
             "a region cut off",
-            Trouble {
+            Faults {
                 is_region_cut,
                 ..alone
             },
         ),
         (
             "frozen instances",
-            Trouble {
+            Faults {
                 frozen_share: 0.4,
                 ..alone
             },
         ),
         (
             "rolling restarts",
-            Trouble {
+            Faults {
                 is_rolling: true,
                 ..alone
             },
         ),
         (
             "all killed",
-            Trouble {
+            Faults {
                 are_all_killed: true,
                 ..alone
             },
         ),
         (
             "store away",
-            Trouble {
-                is_store_away,
+            Faults {
+                is_store_down,
                 ..alone
             },
         ),
         (
             "store older",
-            Trouble {
-                is_store_older: true,
+            Faults {
+                is_store_restored: true,
                 ..alone
             },
         ),
-        ("load", Trouble { load: 6, ..alone }),
+        ("load", Faults { load: 6, ..alone }),
         (
             "flapping upstreams",
-            Trouble {
+            Faults {
                 flap_ms: Some(700),
                 ..alone
             },
         ),
         (
             "all together",
-            Trouble {
+            Faults {
                 loss: 0.1,
                 is_region_cut,
                 frozen_share: 0.3,
                 is_rolling: true,
-                is_store_away,
+                is_store_down,
                 load: 3,
                 flap_ms: Some(1_400),
                 ..alone
@@ -154,29 +154,29 @@
 }
 
 /// Upstreams that end for other causes alone.
-pub(crate) fn innocent() -> Vec<(&'static str, Trouble)> {
-    let alone = Trouble {
+pub(crate) fn without_poison() -> Vec<(&'static str, Faults)> {
+    let alone = Faults {
         load: 1,
-        ..Trouble::default()
+        ..Faults::default()
     };
     vec![
         (
             "zone lost",
-            Trouble {
+            Faults {
                 is_zone_lost: true,
                 ..alone
             },
         ),
         (
             "an end each 1.4 s",
-            Trouble {
+            Faults {
                 flap_ms: Some(1_400),
                 ..alone
             },
         ),
         (
             "an end each 1.4 s under load",
-            Trouble {
+            Faults {
                 flap_ms: Some(1_400),
                 load: 6,
                 ..alone
@@ -184,9 +184,9 @@
         ),
         (
             "ends while the store is away",
-            Trouble {
+            Faults {
                 flap_ms: Some(700),
-                is_store_away: true,
+                is_store_down: true,
                 ..alone
             },
         ),
@@ -194,11 +194,11 @@
 }
 
 /// Two thirds of the upstreams are gone at any time.
-pub(crate) fn extreme() -> (&'static str, Trouble) {
-    let trouble = Trouble {
+pub(crate) fn extreme() -> (&'static str, Faults) {
+    let faults = Faults {
         load: 1,
         flap_ms: Some(300),
-        ..Trouble::default()
+        ..Faults::default()
     };
-    ("an end each 0.3 s", trouble)
+    ("an end each 0.3 s", faults)
 }
--- a/crates/foxtide-core/tests/poison_model/main.rs
+++ b/crates/foxtide-core/tests/poison_model/main.rs
@@ -10,16 +10,16 @@
 //! objects with work of 0.3 s are the smallest deployment. Messages between regions take
 //! 40 ms; the store is followed each 0.8 s.
 
-mod trouble;
-mod world;
-
-use trouble::{
-    Trouble,
-    Way,
-    chosen,
-    others, //
+mod faults;
+mod simulation;
+
+use faults::{
+    Faults,
+    Strategy,
+    alternatives,
+    default_strategy, //
 };
-use world::World;
+use simulation::Simulation;
 
 /// Plays of each trouble, where `FOXTIDE_MODEL_SEEDS` asks for no other number.
 const SEEDS: u64 = 40;
@@ -43,38 +43,38 @@
 
 /// What all plays of one trouble have shown.
 #[derive(Debug, Default)]
-struct Sum {
+struct Totals {
     sends_after_max: usize,
     over: usize,
-    innocent: usize,
+    falsely_quarantined: usize,
     refused: usize,
     requests: usize,
 }
 
-fn play(way: Way, trouble: Trouble) -> Sum {
-    let mut sum = Sum::default();
+fn run(strategy: Strategy, faults: Faults) -> Totals {
+    let mut totals = Totals::default();
     for seed in 0..seeds() {
-        let outcome = World::new(way, trouble, seed).play();
-        sum.sends_after_max = sum.sends_after_max.max(outcome.sends_after);
-        sum.over += usize::from(outcome.sends_after > SENDS_AFTER_MAX);
-        sum.innocent += outcome.innocent.len();
-        sum.refused += outcome.refused;
-        sum.requests += outcome.requests;
+        let outcome = Simulation::new(strategy, faults, seed).run();
+        totals.sends_after_max = totals.sends_after_max.max(outcome.sends_after);
+        totals.over += usize::from(outcome.sends_after > SENDS_AFTER_MAX);
+        totals.falsely_quarantined += outcome.falsely_quarantined.len();
+        totals.refused += outcome.refused;
+        totals.requests += outcome.requests;
     }
-    sum
+    totals
 }
 
-fn show(way: Way, name: &str, sum: &Sum) {
+fn show(strategy: Strategy, name: &str, totals: &Totals) {
     println!(
         "{:28} {name:30} sends after the third end: {:2} at most, over 3 in {} of {}; \
          other contents quarantined {}, requests refused {} of {}",
-        way.name,
-        sum.sends_after_max,
-        sum.over,
+        strategy.name,
+        totals.sends_after_max,
+        totals.over,
         seeds(),
-        sum.innocent,
-        sum.refused,
-        sum.requests,
+        totals.falsely_quarantined,
+        totals.refused,
+        totals.requests,
     );
 }
 
@@ -82,11 +82,11 @@
 #[test]
 fn verify_at_most_three_sends_follow_the_third_end_whatever_else_happens() {
     let mut over = Vec::new();
-    for (name, trouble) in trouble::deadly() {
-        let sum = play(chosen(), trouble);
-        show(chosen(), name, &sum);
-        if sum.over > 0 {
-            over.push((name, sum));
+    for (name, faults) in faults::with_poison() {
+        let totals = run(default_strategy(), faults);
+        show(default_strategy(), name, &totals);
+        if totals.over > 0 {
+            over.push((name, totals));
         }
     }
     assert!(over.is_empty(), "{over:?}");
@@ -95,9 +95,9 @@
 /// Guards against a region that is cut off just as the request begins and counts alone.
 #[test]
 fn verify_at_most_three_sends_follow_the_third_end_beside_a_region_that_counts_alone() {
-    let trouble = trouble::deadly()[CUT_OFF].1;
+    let faults = faults::with_poison()[CUT_OFF].1;
     for seed in CUT_OFF_SEEDS {
-        let outcome = World::new(chosen(), trouble, seed).play();
+        let outcome = Simulation::new(default_strategy(), faults, seed).run();
         assert!(
             outcome.sends_after <= SENDS_AFTER_MAX,
             "seed {seed}: {outcome:?}"
@@ -112,7 +112,8 @@
         return;
     }
     for seed in 0..seeds() {
-        let outcome = World::new(chosen(), trouble::deadly()[CUT_OFF].1, seed).play();
+        let outcome =
+            Simulation::new(default_strategy(), faults::with_poison()[CUT_OFF].1, seed).run();
         if outcome.sends_after > SENDS_AFTER_MAX {
             println!("seed {seed}: {} sends", outcome.sends_after);
         }
@@ -121,25 +122,25 @@
 
 /// Guards against requests that are kept out since upstreams end for other causes.
 #[test]
-fn verify_requests_beside_other_ends_are_served() {
-    for (name, trouble) in trouble::innocent() {
-        let sum = play(chosen(), trouble);
-        show(chosen(), name, &sum);
-        let share = sum.refused as f64 / sum.requests as f64;
-        assert!(share <= REFUSED_SHARE_MAX, "{name}: {sum:?}");
+fn verify_requests_beside_unrelated_ends_are_served() {
+    for (name, faults) in faults::without_poison() {
+        let totals = run(default_strategy(), faults);
+        show(default_strategy(), name, &totals);
+        let share = totals.refused as f64 / totals.requests as f64;
+        assert!(share <= REFUSED_SHARE_MAX, "{name}: {totals:?}");
     }
 }
 
 /// Guards against a quarantine that instances remember and the store does not.
 #[test]
-fn verify_memory_alone_does_not_survive_restarts() {
-    let [_, in_memory, _] = others();
+fn verify_quarantine_in_memory_does_not_survive_restarts() {
+    let [_, in_memory, _] = alternatives();
     let mut over = 0;
-    for (name, trouble) in trouble::deadly() {
-        if trouble.is_rolling || trouble.are_all_killed {
-            let sum = play(in_memory, trouble);
-            show(in_memory, name, &sum);
-            over += sum.over;
+    for (name, faults) in faults::with_poison() {
+        if faults.is_rolling || faults.are_all_killed {
+            let totals = run(in_memory, faults);
+            show(in_memory, name, &totals);
+            over += totals.over;
         }
     }
     assert!(over > 0);
@@ -147,14 +148,16 @@
 
 /// Prints what each way would do, where the environment asks for it.
 #[test]
-fn verify_all_ways_can_be_compared() {
+fn verify_strategies_can_be_compared() {
     if std::env::var_os("FOXTIDE_MODEL_COMPARE").is_none() {
         return;
     }
-    for way in [chosen()].into_iter().chain(others()) {
-        let troubles = trouble::deadly().into_iter().chain(trouble::innocent());
-        for (name, trouble) in troubles.chain([trouble::extreme()]) {
-            show(way, name, &play(way, trouble));
+    for strategy in [default_strategy()].into_iter().chain(alternatives()) {
+        let fault_cases = faults::with_poison()
+            .into_iter()
+            .chain(faults::without_poison());
+        for (name, faults) in fault_cases.chain([faults::extreme()]) {
+            show(strategy, name, &run(strategy, faults));
         }
     }
 }
--- a/crates/foxtide-core/tests/poison_model/world.rs
+++ b/crates/foxtide-core/tests/poison_model/simulation.rs
@@ -1,8 +1,8 @@
 //! Instances, upstreams and the store, moved from event to event.
 
-use crate::trouble::{
-    Trouble,
-    Way, //
+use crate::faults::{
+    Faults,
+    Strategy, //
 };
 use foxtide_core::ids::UpstreamId;
 use foxtide_core::placement::{
@@ -37,25 +37,25 @@
 const OBJECTS: u64 = 138;
 const ARRIVAL_MS: u64 = 23;
 const WORK_MS: u64 = 300;
-const DEADLY_MS: u64 = 100;
-const BACK_MS: u64 = 50;
+const POISON_WORK_MS: u64 = 100;
+const CALLER_RETRY_MS: u64 = 50;
 const NEAR_MS: u64 = 1;
 const FAR_MS: u64 = 40;
 const COPY_AFTER_MS: u64 = 60;
 /// The store's word comes with the next call that follows changes.
 const FOLLOW_MS: u64 = 800;
-const UPSTREAM_BACK_MS: u64 = 2_500;
+const UPSTREAM_RESTART_MS: u64 = 2_500;
 const RESTART_MS: u64 = 500;
 const ATTEMPTS_MAX: u32 = 2;
-const LENGTH_MS: u64 = 40_000;
+const DURATION_MS: u64 = 40_000;
 
 /// The request that ends its upstreams.
-const DEADLY: u64 = 7;
+const POISON: u64 = 7;
 
 /// When troubles begin and end.
-const TROUBLE_MS: (u64, u64) = (3_000, 11_000);
+const FAULTS_MS: (u64, u64) = (3_000, 11_000);
 const KILLED_MS: u64 = 12_000;
-const OLDER_MS: u64 = 9_000;
+const STORE_RESTORED_MS: u64 = 9_000;
 
 fn at(ms: u64) -> MonotonicTime {
     MonotonicTime::from_ms(ms)
@@ -68,14 +68,14 @@
     /// The start of the instance that made it.
     start: u32,
     count: u32,
-    comes_back: bool,
+    retries: bool,
 }
 
 #[derive(Clone, Debug)]
 enum Event {
     Arrive {
         request: u64,
-        comes_back: bool,
+        retries: bool,
     },
     Repeat(Attempt),
     Serve(u64),
@@ -88,7 +88,7 @@
     UpstreamEnds(usize),
     Kill(usize),
     Start(usize),
-    StoreOlder,
+    StoreRestored,
 }
 
 #[derive(Clone, Debug)]
@@ -111,7 +111,7 @@
 struct Running {
     attempt: Attempt,
     upstream: usize,
-    born: u32,
+    incarnation: u32,
 }
 
 /// What a play has shown.
@@ -120,23 +120,23 @@
     /// Sends of the deadly request that began after three upstreams had ended under it.
     pub(crate) sends_after: usize,
     /// Other requests that were quarantined anywhere.
-    pub(crate) innocent: BTreeSet<u64>,
+    pub(crate) falsely_quarantined: BTreeSet<u64>,
     /// Other requests that were refused for it.
     pub(crate) refused: usize,
     pub(crate) requests: usize,
 }
 
-pub(crate) struct World {
-    way: Way,
-    trouble: Trouble,
-    draws: fastrand::Rng,
+pub(crate) struct Simulation {
+    strategy: Strategy,
+    faults: Faults,
+    rng: fastrand::Rng,
     now_ms: u64,
     events: BTreeMap<(u64, u64), Event>,
     number: u64,
     candidates: Vec<Candidate>,
     /// The incarnation of each upstream, and until when it is gone.
-    born: [u32; UPSTREAMS],
-    gone_until_ms: [u64; UPSTREAMS],
+    incarnation: [u32; UPSTREAMS],
+    down_until_ms: [u64; UPSTREAMS],
     running: BTreeMap<u64, Running>,
     instances: Vec<Instance>,
     frozen: BTreeSet<usize>,
@@ -147,20 +147,20 @@
     outcome: Outcome,
 }
 
-impl World {
-    pub(crate) fn new(way: Way, trouble: Trouble, seed: u64) -> Self {
+impl Simulation {
+    pub(crate) fn new(strategy: Strategy, faults: Faults, seed: u64) -> Self {
         let names = (0..UPSTREAMS).map(|number| format!("i-{seed}-{number}").parse().unwrap());
         let candidates = names.map(|name: UpstreamId| Candidate::new(&name, 1.0));
-        let mut world = Self {
-            way,
-            trouble,
-            draws: fastrand::Rng::with_seed(seed),
+        let mut simulation = Self {
+            strategy,
+            faults,
+            rng: fastrand::Rng::with_seed(seed),
             now_ms: 0,
             events: BTreeMap::new(),
             number: 0,
             candidates: candidates.collect(),
-            born: [0; UPSTREAMS],
-            gone_until_ms: [0; UPSTREAMS],
+            incarnation: [0; UPSTREAMS],
+            down_until_ms: [0; UPSTREAMS],
             running: BTreeMap::new(),
             instances: Vec::new(),
             frozen: BTreeSet::new(),
@@ -171,96 +171,90 @@
             outcome: Outcome::default(),
         };
         for number in 0..INSTANCES {
-            world.instances.push(Instance::default());
-            world.start(number);
+            simulation.instances.push(Instance::default());
+            simulation.start(number);
         }
-        world.plan();
-        world
+        simulation.schedule_events();
+        simulation
     }
 
     /// Plays to the end.
-    pub(crate) fn play(mut self) -> Outcome {
+    pub(crate) fn run(mut self) -> Outcome {
         while let Some(((now_ms, _), event)) = self.events.pop_first() {
-            if now_ms >= LENGTH_MS {
+            if now_ms >= DURATION_MS {
                 break;
             }
             self.now_ms = now_ms;
-            self.happen(event);
+            self.handle(event);
         }
         self.outcome
     }
 
-    fn plan(&mut self) {
-        let period_ms = (ARRIVAL_MS / self.trouble.load).max(1);
-        for ms in (0..LENGTH_MS).step_by(period_ms as usize) {
-            let is_deadly = self.draws.f64() < self.trouble.deadly_share;
-            let request = match is_deadly {
-                true => DEADLY,
-                false => 100 + self.draws.u64(..OBJECTS),
+    fn schedule_events(&mut self) {
+        let period_ms = (ARRIVAL_MS / self.faults.load).max(1);
+        for ms in (0..DURATION_MS).step_by(period_ms as usize) {
+            let is_poison = self.rng.f64() < self.faults.poison_share;
+            let request = match is_poison {
+                true => POISON,
+                false => 100 + self.rng.u64(..OBJECTS),
             };
-            let comes_back = true;
-            self.add(
-                ms,
-                Event::Arrive {
-                    request,
-                    comes_back,
-                },
-            );
-        }
-        if let Some(flap_ms) = self.trouble.flap_ms {
-            for ms in (flap_ms..LENGTH_MS / 2).step_by(flap_ms as usize) {
-                let upstream = self.draws.usize(..UPSTREAMS);
-                self.add(ms, Event::UpstreamEnds(upstream));
+            let retries = true;
+            self.schedule(ms, Event::Arrive { request, retries });
+        }
+        if let Some(flap_ms) = self.faults.flap_ms {
+            for ms in (flap_ms..DURATION_MS / 2).step_by(flap_ms as usize) {
+                let upstream = self.rng.usize(..UPSTREAMS);
+                self.schedule(ms, Event::UpstreamEnds(upstream));
             }
         }
-        if self.trouble.is_zone_lost {
+        if self.faults.is_zone_lost {
             for upstream in 0..UPSTREAMS / 3 {
-                self.add(5_000, Event::UpstreamEnds(upstream));
+                self.schedule(5_000, Event::UpstreamEnds(upstream));
             }
         }
-        if self.trouble.is_rolling {
+        if self.faults.is_rolling {
             for number in 0..INSTANCES {
-                let ms = TROUBLE_MS.0 + number as u64 * 500;
-                self.add(ms, Event::Kill(number));
+                let ms = FAULTS_MS.0 + number as u64 * 500;
+                self.schedule(ms, Event::Kill(number));
             }
         }
-        if self.trouble.is_store_older {
-            self.add(OLDER_MS, Event::StoreOlder);
+        if self.faults.is_store_restored {
+            self.schedule(STORE_RESTORED_MS, Event::StoreRestored);
         }
-        if self.trouble.are_all_killed || self.trouble.is_store_older {
+        if self.faults.are_all_killed || self.faults.is_store_restored {
             for number in 0..INSTANCES {
-                self.add(KILLED_MS, Event::Kill(number));
+                self.schedule(KILLED_MS, Event::Kill(number));
             }
         }
-        let frozen = (INSTANCES as f64 * self.trouble.frozen_share) as usize;
+        let frozen = (INSTANCES as f64 * self.faults.frozen_share) as usize;
         while self.frozen.len() < frozen {
-            self.frozen.insert(self.draws.usize(..INSTANCES));
+            self.frozen.insert(self.rng.usize(..INSTANCES));
         }
     }
 
-    fn add(&mut self, ms: u64, event: Event) {
+    fn schedule(&mut self, ms: u64, event: Event) {
         self.number += 1;
         self.events.insert((ms, self.number), event);
     }
 
-    fn is_troubled(&self) -> bool {
-        (TROUBLE_MS.0..TROUBLE_MS.1).contains(&self.now_ms)
+    fn are_faults_active(&self) -> bool {
+        (FAULTS_MS.0..FAULTS_MS.1).contains(&self.now_ms)
     }
 
     fn is_frozen(&self, instance: usize) -> bool {
-        self.is_troubled() && self.frozen.contains(&instance)
+        self.are_faults_active() && self.frozen.contains(&instance)
     }
 
     fn is_cut(&self, instance: usize) -> bool {
-        self.trouble.is_region_cut && self.is_troubled() && instance.is_multiple_of(REGIONS)
+        self.faults.is_region_cut && self.are_faults_active() && instance.is_multiple_of(REGIONS)
     }
 
     fn reaches_store(&self, instance: usize) -> bool {
-        let is_away = self.trouble.is_store_away && self.is_troubled();
-        !is_away && !self.is_cut(instance)
+        let is_down = self.faults.is_store_down && self.are_faults_active();
+        !is_down && !self.is_cut(instance)
     }
 
-    fn happen(&mut self, event: Event) {
+    fn handle(&mut self, event: Event) {
         // What concerns a frozen instance waits until it runs again.
         let concerned = match &event {
             Event::Repeat(attempt) => Some(attempt.instance),
@@ -269,22 +263,19 @@
             _ => None,
         };
         if concerned.is_some_and(|instance| self.is_frozen(instance)) {
-            self.add(TROUBLE_MS.1, event);
+            self.schedule(FAULTS_MS.1, event);
             return;
         }
         match event {
-            Event::Arrive {
-                request,
-                comes_back,
-            } => self.arrive(request, comes_back),
+            Event::Arrive { request, retries } => self.arrive(request, retries),
             Event::Repeat(attempt) => self.send(attempt),
             Event::Serve(number) => self.serve(number),
-            Event::Message { to, from, message } => self.hear(to, from, message),
+            Event::Message { to, from, message } => self.receive(to, from, message),
             Event::Follow(instance) => self.follow(instance),
             Event::UpstreamEnds(upstream) => self.upstream_ends(upstream),
             Event::Kill(instance) => self.kill(instance),
             Event::Start(instance) => self.start(instance),
-            Event::StoreOlder => {
+            Event::StoreRestored => {
                 self.store.clear();
                 self.era += 1;
             }
@@ -296,7 +287,7 @@
         let start = self.instances[instance].start;
         self.running
             .retain(|_, one| one.attempt.instance != instance || one.attempt.start != start);
-        self.add(self.now_ms + RESTART_MS, Event::Start(instance));
+        self.schedule(self.now_ms + RESTART_MS, Event::Start(instance));
     }
 
     /// An instance takes requests once it has read the store or, where that is away, what a
@@ -310,14 +301,14 @@
         });
         let reaches_store = self.reaches_store(instance);
         if !reaches_store && peer.is_none() {
-            self.add(self.now_ms + 400, Event::Start(instance));
+            self.schedule(self.now_ms + 400, Event::Start(instance));
             return;
         }
         let start = self.instances[instance].start + 1;
         let mut new = Instance {
             is_up: true,
             start,
-            suspects: Suspects::new(self.way.evidence),
+            suspects: Suspects::new(self.strategy.evidence),
             ..Instance::default()
         };
         if !reaches_store && let Some(peer) = peer {
@@ -325,16 +316,16 @@
         }
         self.instances[instance] = new;
         self.read_store(instance, false);
-        let follow_ms = self.now_ms + self.draws.u64(1..FOLLOW_MS);
-        self.add(follow_ms, Event::Follow(instance));
+        let follow_ms = self.now_ms + self.rng.u64(1..FOLLOW_MS);
+        self.schedule(follow_ms, Event::Follow(instance));
     }
 
     fn read_store(&mut self, instance: usize, is_restored: bool) {
-        if !self.way.has_store || !self.reaches_store(instance) {
+        if !self.strategy.has_store || !self.reaches_store(instance) {
             return;
         }
         let stored: Vec<StoredEntry> = self.store.values().copied().collect();
-        let draw = self.draws.f64();
+        let draw = self.rng.f64();
         let now = at(self.now_ms);
         let one = &mut self.instances[instance];
         one.quarantine.sync_stored(&stored, is_restored, draw, now);
@@ -346,14 +337,14 @@
 
     fn follow(&mut self, instance: usize) {
         if self.instances[instance].is_up {
-            let is_restored = self.era > 0 && self.now_ms < OLDER_MS + 2 * FOLLOW_MS;
+            let is_restored = self.era > 0 && self.now_ms < STORE_RESTORED_MS + 2 * FOLLOW_MS;
             self.read_store(instance, is_restored);
-            self.add(self.now_ms + FOLLOW_MS, Event::Follow(instance));
+            self.schedule(self.now_ms + FOLLOW_MS, Event::Follow(instance));
         }
     }
 
     fn write(&mut self, instance: usize, fingerprint: Fingerprint, entry: QuarantineEntry) {
-        if !self.way.has_store || !self.reaches_store(instance) {
+        if !self.strategy.has_store || !self.reaches_store(instance) {
             return;
         }
         if !self.store.contains_key(&fingerprint) {
@@ -367,24 +358,24 @@
         }
     }
 
-    fn arrive(&mut self, request: u64, comes_back: bool) {
+    fn arrive(&mut self, request: u64, retries: bool) {
         let up: Vec<usize> = (0..INSTANCES)
             .filter(|&instance| self.instances[instance].is_up)
             .collect();
         if up.is_empty() {
             return;
         }
-        self.outcome.requests += usize::from(comes_back);
-        let instance = up[self.draws.usize(..up.len())];
+        self.outcome.requests += usize::from(retries);
+        let instance = up[self.rng.usize(..up.len())];
         let attempt = Attempt {
             request,
             instance,
             start: self.instances[instance].start,
             count: 0,
-            comes_back,
+            retries,
         };
         if self.is_frozen(instance) {
-            self.add(TROUBLE_MS.1, Event::Repeat(attempt));
+            self.schedule(FAULTS_MS.1, Event::Repeat(attempt));
         } else {
             self.send(attempt);
         }
@@ -394,7 +385,7 @@
     fn may_send(&mut self, request: u64, instance: usize) -> bool {
         let fingerprint = Fingerprint::from_hash(request);
         let now = at(self.now_ms);
-        let draw = self.draws.f64();
+        let draw = self.rng.f64();
         let reaches_store = self.reaches_store(instance);
         let quarantine = &mut self.instances[instance].quarantine;
         match quarantine.status(fingerprint, now) {
@@ -423,40 +414,41 @@
             return;
         }
         if !self.may_send(attempt.request, attempt.instance) {
-            self.outcome.refused += usize::from(attempt.request != DEADLY);
+            self.outcome.refused += usize::from(attempt.request != POISON);
             return;
         }
         let object = ObjectKey::new(&attempt.request.to_le_bytes());
         let order = rank(object, &self.candidates);
-        let alive = |upstream: &usize| self.gone_until_ms[*upstream] <= self.now_ms;
+        let alive = |upstream: &usize| self.down_until_ms[*upstream] <= self.now_ms;
         let Some(upstream) = order.into_iter().find(alive) else {
             return;
         };
-        let is_deadly = attempt.request == DEADLY;
-        if is_deadly && self.ended_under.len() >= 3 {
+        let is_poison = attempt.request == POISON;
+        if is_poison && self.ended_under.len() >= 3 {
             self.outcome.sends_after += 1;
         }
         self.number += 1;
         let number = self.number;
-        let born = self.born[upstream];
+        let incarnation = self.incarnation[upstream];
         self.running.insert(
             number,
             Running {
                 attempt,
                 upstream,
-                born,
+                incarnation,
             },
         );
-        let work_ms = if is_deadly { DEADLY_MS } else { WORK_MS };
-        self.add(self.now_ms + work_ms, Event::Serve(number));
+        let work_ms = if is_poison { POISON_WORK_MS } else { WORK_MS };
+        self.schedule(self.now_ms + work_ms, Event::Serve(number));
     }
 
     fn serve(&mut self, number: u64) {
         let Some(running) = self.running.get(&number).copied() else {
             return;
         };
-        if running.attempt.request == DEADLY {
-            self.ended_under.insert((running.upstream, running.born));
+        if running.attempt.request == POISON {
+            self.ended_under
+                .insert((running.upstream, running.incarnation));
             self.upstream_ends(running.upstream);
             return;
         }
@@ -471,45 +463,45 @@
             self.store.remove(&fingerprint);
         }
         if self.instances[instance].reported.remove(&request) || was_quarantined {
-            self.tell_aggregators(instance, request, &Message::Cleared(fingerprint));
+            self.send_to_aggregators(instance, request, &Message::Cleared(fingerprint));
         }
     }
 
     /// An upstream ends, and breaks what is under way there.
     fn upstream_ends(&mut self, upstream: usize) {
-        let born = self.born[upstream];
-        self.born[upstream] += 1;
-        self.gone_until_ms[upstream] = self.now_ms + UPSTREAM_BACK_MS;
-        let there = self
-            .running
-            .extract_if(.., |_, one| one.upstream == upstream && one.born == born);
+        let incarnation = self.incarnation[upstream];
+        self.incarnation[upstream] += 1;
+        self.down_until_ms[upstream] = self.now_ms + UPSTREAM_RESTART_MS;
+        let there = self.running.extract_if(.., |_, one| {
+            one.upstream == upstream && one.incarnation == incarnation
+        });
         let broken: Vec<Attempt> = there.map(|(_, one)| one.attempt).collect();
-        for victim in &broken {
-            self.note_end(victim, upstream, born);
+        for attempt in &broken {
+            self.record_end(attempt, upstream, incarnation);
             let repeat = Attempt {
-                count: victim.count + 1,
-                ..*victim
+                count: attempt.count + 1,
+                ..*attempt
             };
             if repeat.count < ATTEMPTS_MAX {
                 let wait_ms = RETRY_DELAY.as_millis() as u64;
-                self.add(self.now_ms + wait_ms, Event::Repeat(repeat));
-            } else if victim.comes_back {
-                self.add(
-                    self.now_ms + BACK_MS,
+                self.schedule(self.now_ms + wait_ms, Event::Repeat(repeat));
+            } else if attempt.retries {
+                self.schedule(
+                    self.now_ms + CALLER_RETRY_MS,
                     Event::Arrive {
-                        request: victim.request,
-                        comes_back: false,
+                        request: attempt.request,
+                        retries: false,
                     },
                 );
             }
         }
     }
 
-    fn note_end(&mut self, victim: &Attempt, upstream: usize, born: u32) {
+    fn record_end(&mut self, attempt: &Attempt, upstream: usize, incarnation: u32) {
         let Attempt {
             request, instance, ..
-        } = *victim;
-        if !self.instances[instance].is_up || self.instances[instance].start != victim.start {
+        } = *attempt;
+        if !self.instances[instance].is_up || self.instances[instance].start != attempt.start {
             return;
         }
         let fingerprint = Fingerprint::from_hash(request);
@@ -518,9 +510,9 @@
         let report = EndReport {
             fingerprint,
             upstream: name,
-            born_at: Some(WallTime::from_ms(born.into())),
+            born_at: Some(WallTime::from_ms(incarnation.into())),
         };
-        self.tell_aggregators(instance, request, &Message::End(report.clone()));
+        self.send_to_aggregators(instance, request, &Message::End(report.clone()));
         self.aggregate(instance, &report);
     }
 
@@ -530,7 +522,7 @@
             let of_region = INSTANCES / REGIONS;
             region + REGIONS * ((request as usize + number) % of_region)
         };
-        let numbers = (0..self.way.aggregators).collect::<Vec<_>>();
+        let numbers = (0..self.strategy.aggregators).collect::<Vec<_>>();
         let of_regions = (0..REGIONS).flat_map(|region| {
             numbers
                 .iter()
@@ -540,30 +532,30 @@
         of_regions.collect()
     }
 
-    fn tell_aggregators(&mut self, from: usize, request: u64, message: &Message) {
+    fn send_to_aggregators(&mut self, from: usize, request: u64, message: &Message) {
         for to in self.aggregators(request) {
-            self.tell(from, to, message);
+            self.send_message(from, to, message);
         }
     }
 
-    fn tell(&mut self, from: usize, to: usize, message: &Message) {
+    fn send_message(&mut self, from: usize, to: usize, message: &Message) {
         let is_near = from % REGIONS == to % REGIONS;
         let delay_ms = if is_near { NEAR_MS } else { FAR_MS };
-        for copy in 0..u64::from(self.way.copies) {
-            let is_lost = from != to && self.draws.f64() < self.trouble.loss;
+        for copy in 0..u64::from(self.strategy.copies) {
+            let is_lost = from != to && self.rng.f64() < self.faults.loss;
             if !is_lost && self.is_cut(from) == self.is_cut(to) {
                 let message = message.clone();
                 let due_ms = self.now_ms + delay_ms + copy * COPY_AFTER_MS;
-                self.add(due_ms, Event::Message { to, from, message });
+                self.schedule(due_ms, Event::Message { to, from, message });
             }
         }
     }
 
-    fn hear(&mut self, to: usize, _from: usize, message: Message) {
+    fn receive(&mut self, to: usize, _from: usize, message: Message) {
         if !self.instances[to].is_up {
             return;
         }
-        let draw = self.draws.f64();
+        let draw = self.rng.f64();
         let now = at(self.now_ms);
         match message {
             Message::End(report) => self.aggregate(to, &report),
@@ -577,7 +569,7 @@
 
     fn aggregate(&mut self, instance: usize, report: &EndReport) {
         let now = at(self.now_ms);
-        let draw = self.draws.f64();
+        let draw = self.rng.f64();
         let one = &mut self.instances[instance];
         let Some(ends) = one.suspects.report(report, now) else {
             return;
@@ -586,12 +578,12 @@
         let entry = QuarantineEntry { ends, trials: 0 };
         one.quarantine
             .merge(fingerprint, entry, Origin::Own, draw, now);
-        if fingerprint != Fingerprint::from_hash(DEADLY) {
-            self.outcome.innocent.insert(fingerprint.hash());
+        if fingerprint != Fingerprint::from_hash(POISON) {
+            self.outcome.falsely_quarantined.insert(fingerprint.hash());
         }
         self.write(instance, fingerprint, entry);
         for to in (0..INSTANCES).filter(|to| to % REGIONS == instance % REGIONS) {
-            self.tell(instance, to, &Message::Quarantined(fingerprint, entry));
+            self.send_message(instance, to, &Message::Quarantined(fingerprint, entry));
         }
     }
 }
--- a/crates/foxtide-core/tests/promises.rs
+++ b/crates/foxtide-core/tests/promises.rs
@@ -36,41 +36,41 @@
   }]
 }"#;
 
-struct At {
+struct Measurement {
     second: u64,
     share_of_r2: f64,
     sent: u64,
     spilled: u64,
 }
 
-fn sample(at: &At) -> Sample {
+fn sample(measurement: &Measurement) -> Sample {
     let (r1, r2): (RegionId, RegionId) = ("r1".parse().unwrap(), "r2".parse().unwrap());
     let row = [
-        (r1.clone(), Share::clamped(1.0 - at.share_of_r2)),
-        (r2, Share::clamped(at.share_of_r2)),
+        (r1.clone(), Share::clamped(1.0 - measurement.share_of_r2)),
+        (r2, Share::clamped(measurement.share_of_r2)),
     ];
     let service = ServiceSample {
         row: row.into(),
-        sent_planned: at.sent - at.spilled,
-        sent_spilled: at.spilled,
+        sent_planned: measurement.sent - measurement.spilled,
+        sent_spilled: measurement.spilled,
     };
     let region = RegionSample {
         allowed_rps: RequestRate::clamped(10.0),
-        sent: at.sent,
+        sent: measurement.sent,
     };
     let id: ServiceId = "s".parse().unwrap();
     Sample {
-        taken_at: MonotonicTime::from_ms(at.second * 1_000),
+        taken_at: MonotonicTime::from_ms(measurement.second * 1_000),
         services: [(id, service)].into(),
         regions: [(r1, region)].into(),
     }
 }
 
-fn broken_after(samples: &[At]) -> Vec<PromiseKind> {
+fn broken_after(samples: &[Measurement]) -> Vec<PromiseKind> {
     let organisation: Organisation = serde_json::from_str(DOCUMENT).unwrap();
     let mut monitor = PromiseMonitor::default();
-    for at in samples {
-        monitor.add(&organisation, sample(at));
+    for measurement in samples {
+        monitor.add(&organisation, sample(measurement));
     }
     let promises = monitor.promises();
     assert!(!promises.is_empty(), "nothing was measured");
@@ -78,8 +78,8 @@
     broken.map(|promise| promise.promise).collect()
 }
 
-fn steady(second: u64) -> At {
-    At {
+fn steady(second: u64) -> Measurement {
+    Measurement {
         second,
         share_of_r2: 0.0,
         sent: second * 10,
@@ -89,39 +89,39 @@
 
 #[test]
 fn verify_steady_traffic_keeps_every_promise() {
-    let samples: Vec<At> = (0..30).map(steady).collect();
+    let samples: Vec<Measurement> = (0..30).map(steady).collect();
     assert_eq!(broken_after(&samples), []);
 }
 
 #[test]
-fn verify_a_shift_at_the_cap_is_held_and_above_it_is_not() {
-    let shifted = |pace: f64| -> Vec<At> {
-        let at = |second| At {
+fn verify_a_shift_at_the_cap_is_kept_and_above_it_is_broken() {
+    let shifted = |pace: f64| -> Vec<Measurement> {
+        let measurement = |second| Measurement {
             share_of_r2: pace * second as f64,
             ..steady(second)
         };
-        (0..20).map(at).collect()
+        (0..20).map(measurement).collect()
     };
     assert_eq!(broken_after(&shifted(0.02)), []);
     assert_eq!(broken_after(&shifted(0.03)), [PromiseKind::ShiftCap]);
 }
 
 #[test]
-fn verify_too_much_spill_is_told_although_it_ended() {
-    let spilling = |second: u64| At {
+fn verify_excess_spill_is_reported_after_it_ended() {
+    let spilling = |second: u64| Measurement {
         spilled: (second * 3).min(45),
         ..steady(second)
     };
-    let samples: Vec<At> = (0..60).map(spilling).collect();
+    let samples: Vec<Measurement> = (0..60).map(spilling).collect();
     assert_eq!(broken_after(&samples), [PromiseKind::SpillLimit]);
 }
 
 #[test]
-fn verify_sending_above_the_own_part_is_told() {
-    let fast = |second: u64| At {
+fn verify_sending_above_the_allowed_rate_is_reported() {
+    let fast = |second: u64| Measurement {
         sent: second * 12,
         ..steady(second)
     };
-    let samples: Vec<At> = (0..20).map(fast).collect();
+    let samples: Vec<Measurement> = (0..20).map(fast).collect();
     assert_eq!(broken_after(&samples), [PromiseKind::SoldRate]);
 }
--- a/crates/foxtide-core/tests/quarantine.rs
+++ b/crates/foxtide-core/tests/quarantine.rs
@@ -55,21 +55,21 @@
 
 /// Guards against trials that end one upstream after the other.
 #[test]
-fn verify_a_request_that_goes_on_ending_upstreams_is_tried_once_after_three() {
+fn verify_a_request_that_keeps_ending_upstreams_is_tried_once_after_three() {
     let mut quarantine = Quarantine::default();
-    let mut held = entry(3, 0);
+    let mut entry_in_store = entry(3, 0);
     let mut trials = 0;
     let mut now_ms = 0;
     for index in 1..20 {
-        quarantine.merge_stored(&stored(held, index), 0.5, at(now_ms));
+        quarantine.merge_stored(&stored(entry_in_store, index), 0.5, at(now_ms));
         now_ms += DAY_MS;
         let Some(trial) = quarantine.next_trial(request(), at(now_ms)) else {
             break;
         };
         trials += 1;
         // It is claimed, and ends another upstream.
-        held = entry(trial.entry.ends + 1, trial.entry.trials);
-        quarantine.merge(request(), held, Origin::Peer, 0.5, at(now_ms));
+        entry_in_store = entry(trial.entry.ends + 1, trial.entry.trials);
+        quarantine.merge(request(), entry_in_store, Origin::Peer, 0.5, at(now_ms));
     }
     assert_eq!(trials, 1);
     assert!(matches!(
@@ -80,7 +80,7 @@
 
 /// An entry is whatever stands in the store, or a datagram of anybody says.
 #[test]
-fn verify_absurd_entries_keep_a_request_out() {
+fn verify_out_of_range_entries_keep_a_request_quarantined() {
     let mut quarantine = Quarantine::default();
     quarantine.merge_stored(&stored(entry(u32::MAX, u32::MAX), 1), 0.5, at(0));
     let status = quarantine.status(request(), at(DAY_MS));
@@ -89,7 +89,7 @@
 
 /// Ends that become known after the quarantine leave fewer trials.
 #[test]
-fn verify_late_ends_take_the_trials() {
+fn verify_late_ends_use_up_trials() {
     let mut quarantine = Quarantine::default();
     quarantine.merge_stored(&stored(entry(3, 0), 1), 0.5, at(0));
     for ends in [4, 5] {
@@ -99,7 +99,7 @@
 }
 
 #[test]
-fn verify_only_one_claim_a_pause_is_made() {
+fn verify_a_trial_is_claimed_once_per_delay() {
     let mut quarantine = Quarantine::default();
     quarantine.merge_stored(&stored(entry(2, 0), 4), 0.0, at(0));
     assert_eq!(
@@ -116,7 +116,7 @@
 
 /// Guards against a store that comes back from an older copy and has lost the entry.
 #[test]
-fn verify_what_an_older_store_has_lost_is_written_again() {
+fn verify_entries_lost_by_a_restored_store_are_written_again() {
     let mut quarantine = Quarantine::default();
     quarantine.merge_stored(&stored(entry(3, 1), 9), 0.5, at(0));
     assert_eq!(quarantine.next_write(at(DAY_MS)), None);
@@ -131,7 +131,7 @@
 }
 
 #[test]
-fn verify_an_operator_lets_a_request_through_by_removing_its_key() {
+fn verify_removing_the_key_releases_a_request() {
     let mut quarantine = Quarantine::default();
     quarantine.merge_stored(&stored(entry(3, 0), 9), 0.5, at(0));
     quarantine.sync_stored(&[], false, 0.5, at(10));
@@ -143,7 +143,7 @@
 }
 
 #[test]
-fn verify_fingerprints_are_read_as_they_are_written() {
+fn verify_fingerprints_round_trip_as_text() {
     let text = request().to_string();
     assert_eq!(text.parse::<Fingerprint>().unwrap(), request());
     for wrong in ["", "7", "00000000000000zz", "00000000000000007"] {
