--- a/crates/foxtide-core/src/choice/balancer.rs
+++ b/crates/foxtide-core/src/choice/balancer.rs
@@ -1,4 +1,4 @@
-//! The choice itself.
+//! Load balancer for the upstreams of one service in one region.
 
 use super::candidate::{
     Candidate,
@@ -24,10 +24,10 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// The shortest wait that a pick asks for.
+/// The shortest wait that a pick returns.
 const WAIT_MIN: Duration = Duration::from_millis(1);
 
-/// How far a draw moves the score, so that equals are taken in turn.
+/// The random amount added to a score, so that equal upstreams share requests.
 const JITTER_WEIGHT: f64 = 0.02;
 
 /// Chooses upstreams for one service in one region.
@@ -44,8 +44,8 @@
 }
 
 impl Balancer {
-    /// Returns a balancer without upstreams. The seed has to differ between
-    /// instances and is best derived from the instance's name.
+    /// Returns a balancer without upstreams. The seed must differ between
+    /// instances, such as a hash of the instance's name.
     pub fn new(options: BalancerOptions, seed: u64) -> Self {
         Self {
             options,
@@ -59,9 +59,9 @@
         }
     }
 
-    /// Puts a list of upstreams in force, which `sharing_instances` instances
-    /// use together. What is known of upstreams that stay is kept; upstreams
-    /// that come later than the first list start small.
+    /// Replaces the list of upstreams, which `sharing_instances` instances
+    /// share. Known upstreams keep their state; upstreams added to a non-empty
+    /// list ramp up.
     pub fn configure(
         &mut self,
         upstreams: &[Upstream],
@@ -98,10 +98,9 @@
         candidate
     }
 
-    /// Tells this instance its place among those that share the slots. Each
-    /// slot is then one instance's own, which prefers it; none is where the
-    /// place is not known. Views that differ for a while cost
-    /// refusals and nothing else.
+    /// Sets this instance's rank among those that share the slots. With a rank,
+    /// each slot is owned by one instance, which prefers it. Ranks that
+    /// temporarily disagree between instances only cause refusals.
     pub fn set_rank(&mut self, rank: Option<Rank>, now: MonotonicTime) {
         if self.rank != rank {
             self.rank = rank;
@@ -109,12 +108,12 @@
         }
     }
 
-    /// Takes an upstream out of service: it gets no new request from now on.
+    /// Takes an upstream out of service: it gets no new requests.
     pub fn leave(&mut self, upstream: &UpstreamId, now: MonotonicTime) {
         self.set_leaving(upstream, true, now);
     }
 
-    /// Takes an upstream that had left back into service; it starts small.
+    /// Returns an upstream to service; it ramps up.
     pub fn rejoin(&mut self, upstream: &UpstreamId, now: MonotonicTime) {
         self.set_leaving(upstream, false, now);
     }
@@ -136,8 +135,8 @@
         self.pick_avoiding(now, draw, &[])
     }
 
-    /// Chooses an upstream for a request that has been to `tried` already;
-    /// those are taken again only where no other has room.
+    /// Chooses an upstream for a request, avoiding those in `tried` unless no
+    /// other has a free slot.
     pub fn pick_avoiding(&mut self, now: MonotonicTime, draw: u64, tried: &[UpstreamId]) -> Pick {
         self.refusal_budget
             .refill(&self.options, self.common.latency(), now);
@@ -156,7 +155,7 @@
         })
     }
 
-    /// Returns the index of the best upstream that has room.
+    /// Returns the index of the allowed upstream with the lowest score.
     fn best(
         &self,
         now: MonotonicTime,
@@ -179,16 +178,15 @@
         best
     }
 
-    /// Tells whether an upstream may get a request now.
     fn may_send(&self, candidate: &Candidate, now: MonotonicTime) -> bool {
-        let has_room = candidate.free_at(now).is_some_and(|from| from <= now);
-        has_room
+        let has_free_slot = candidate.free_at(now).is_some_and(|from| from <= now);
+        has_free_slot
             && self.is_open(candidate, now)
             && (self.refusal_budget.allows_speculation()
                 || candidate.expects_free_slot(&self.options, &self.common, now))
     }
 
-    /// Tells whether an upstream gets new requests, room set aside.
+    /// Returns whether an upstream accepts new requests, free slots aside.
     fn is_open(&self, candidate: &Candidate, now: MonotonicTime) -> bool {
         let status = candidate.status(&self.options, now);
         matches!(status, UpstreamStatus::Serving | UpstreamStatus::Ramping)
@@ -210,7 +208,7 @@
         }
     }
 
-    /// Takes a ticket back and learns from what became of the request.
+    /// Returns a ticket and records the result of its request.
     pub fn finish(&mut self, ticket: Ticket, completion: Completion, now: MonotonicTime) {
         let Some(index) = self.position(ticket.incarnation) else {
             return;
@@ -244,7 +242,7 @@
         self.candidates[index].failures.eject(options, now);
     }
 
-    /// Returns how many upstreams of the subset are dead or ejected.
+    /// Returns the number of upstreams of the subset that are dead or ejected.
     fn unavailable_count(&self, now: MonotonicTime) -> usize {
         let is_unavailable = |candidate: &&Candidate| {
             let status = candidate.status(&self.options, now);
@@ -253,7 +251,7 @@
         self.candidates.iter().filter(is_unavailable).count()
     }
 
-    /// Returns how many upstreams may be out before ejections stop.
+    /// Returns the number of unavailable upstreams at which ejections stop.
     fn unavailable_limit(&self) -> usize {
         let in_use = self
             .candidates
@@ -262,7 +260,7 @@
         (in_use.count() as f64 * self.options.ejection.ejected_max.get()) as usize
     }
 
-    /// Returns the next upstream that is to be polled, if any is.
+    /// Returns the next upstream that is due for a poll, if any.
     pub fn next_poll(&mut self, now: MonotonicTime) -> Option<Poll> {
         let options = &self.options;
         let mut candidates = self.candidates.iter_mut();
@@ -274,7 +272,7 @@
         })
     }
 
-    /// Takes a poll back and learns from its answer.
+    /// Returns a poll and records its result.
     pub fn finish_poll(&mut self, poll: Poll, result: PollResult, now: MonotonicTime) {
         let Some(index) = self.position(poll.incarnation) else {
             return;
@@ -287,7 +285,7 @@
         }
     }
 
-    /// Returns what has changed since the last call, for the time line.
+    /// Returns the changes of status since the last call.
     pub fn status_changes(&mut self, now: MonotonicTime) -> Vec<StatusChange> {
         let mut changes = Vec::new();
         for candidate in &mut self.candidates {
@@ -313,7 +311,7 @@
             .position(|c| c.incarnation == incarnation)
     }
 
-    /// Shares slots and connections out among the instances.
+    /// Recomputes this instance's subset, slots and connections.
     fn reassign(&mut self, now: MonotonicTime) {
         let assignment = Assignment {
             instances: self.sharing_instances,
@@ -324,7 +322,7 @@
         self.end_excess_ejections(now);
     }
 
-    /// Ends ejections until no more upstreams are out than may be.
+    /// Ends ejections until the unavailable upstreams are within the limit.
     fn end_excess_ejections(&mut self, now: MonotonicTime) {
         while self.unavailable_count(now) > self.unavailable_limit() {
             let ejected = |c: &&mut Candidate| c.in_subset && c.failures.is_ejected(now);
@@ -344,7 +342,7 @@
     candidate
 }
 
-/// Returns a number from 0 to 1 that differs between candidates and draws.
+/// Returns a pseudo-random number from 0 to 1 for a draw and a candidate.
 fn unit_jitter(draw: u64, index: usize) -> f64 {
     const MULTIPLIER: u64 = 0x9e37_79b9_7f4a_7c15;
     let mixed = (draw ^ index as u64).wrapping_mul(MULTIPLIER);
--- a/crates/foxtide-core/src/choice/candidate.rs
+++ b/crates/foxtide-core/src/choice/candidate.rs
@@ -1,4 +1,4 @@
-//! One upstream as the balancer of one instance sees it.
+//! State of one upstream in a balancer.
 
 use super::BalancerOptions;
 use super::completion::{
@@ -16,30 +16,29 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// The weight of a new latency in the smoothed one.
-const LATENCY_WEIGHT: f64 = 0.1;
+/// The weight of a new sample in a smoothed value.
+const SMOOTHING_WEIGHT: f64 = 0.1;
 
-/// How far an upstream's latency may move its score, up or down.
+/// The largest factor by which latency may raise or lower a score.
 const LATENCY_FACTOR_MAX: f64 = 8.0;
 
-/// The longest time for which a refusal alone keeps an upstream out.
+/// The longest time for which a refusal alone excludes an upstream.
 const REFUSAL_HOLD_MAX: Duration = Duration::from_millis(100);
 
-/// What all candidates of a balancer have in common.
+/// Statistics over all candidates of a balancer.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Common {
     /// The smoothed latency over all upstreams; 0 before the first answer.
     pub(crate) latency_us: f64,
     /// The smoothed utilization that the upstreams report; 0 without reports.
     pub(crate) utilization: f64,
-    /// What other instances use of the average slot, from reports.
+    /// The requests of other instances per slot, averaged over reports.
     pub(crate) others_per_slot: f64,
     /// The failures over all upstreams.
     pub(crate) failures: FailureRecord,
 }
 
 impl Common {
-    /// Returns the smoothed latency over all upstreams.
     pub(crate) fn latency(&self) -> Duration {
         Duration::from_secs_f64(self.latency_us / 1e6)
     }
@@ -49,33 +48,32 @@
 #[derive(Clone, Debug)]
 pub(crate) struct Candidate {
     pub(crate) upstream: Arc<Upstream>,
-    /// Tells this entry from an earlier one of the same name.
+    /// Distinguishes this entry from earlier ones of the same name.
     pub(crate) incarnation: u64,
     pub(crate) in_other_zone: bool,
     pub(crate) connection_limit: u32,
-    /// How many of its slots are this instance's own.
+    /// The number of slots owned by this instance.
     pub(crate) own_slots: u32,
-    /// Whether it belongs to this instance's subset.
     pub(crate) in_subset: bool,
-    /// Whether its leaving was announced to foxtide.
+    /// Whether foxtide was told that the upstream is leaving.
     pub(crate) leaving: bool,
-    /// Whether it said itself that it is draining.
+    /// Whether the upstream itself announced that it is draining.
     pub(crate) draining: bool,
     pub(crate) in_flight: u32,
     pub(crate) liveness: Liveness,
     pub(crate) failures: FailureRecord,
-    /// The status that was last told to the caller.
+    /// The status last returned to the caller.
     pub(crate) reported_status: UpstreamStatus,
     occupancy: Occupancy,
     ramp_started_at: Option<MonotonicTime>,
     full_until: MonotonicTime,
-    /// When an answer freed a slot that has not been taken again.
+    /// When an answer freed a slot that has not been used since.
     freed_at: Option<MonotonicTime>,
     latency_us: f64,
 }
 
 impl Candidate {
-    /// Returns the state of an upstream of which nothing is known yet.
+    /// Returns the state of an upstream without observations.
     pub(crate) fn new(upstream: Upstream, incarnation: u64, now: MonotonicTime) -> Self {
         Self {
             upstream: Arc::new(upstream),
@@ -98,22 +96,20 @@
         }
     }
 
-    /// Returns the upstream's name.
     pub(crate) fn id(&self) -> &UpstreamId {
         &self.upstream.upstream
     }
 
-    /// Starts the growth of the upstream's part.
+    /// Starts the slow start of the upstream.
     pub(crate) fn start_ramp(&mut self, now: MonotonicTime) {
         self.ramp_started_at = Some(now);
     }
 
-    /// Tells whether the upstream may belong to a subset.
+    /// Returns whether the upstream may belong to a subset.
     pub(crate) fn is_eligible(&self) -> bool {
         !self.leaving && !self.draining
     }
 
-    /// Returns what the instance makes of the upstream now.
     pub(crate) fn status(&self, options: &BalancerOptions, now: MonotonicTime) -> UpstreamStatus {
         if !self.is_eligible() {
             return UpstreamStatus::Leaving;
@@ -138,33 +134,33 @@
         self.upstream.slots.min(self.connection_limit).max(1)
     }
 
-    /// Returns when the upstream can take a request, as far as is known;
-    /// `None` where an answer must free a slot first.
+    /// Returns when the upstream is expected to have a free slot; `None` where
+    /// one of this instance's requests has to finish first.
     pub(crate) fn free_at(&self, now: MonotonicTime) -> Option<MonotonicTime> {
         (self.in_flight < self.in_flight_limit()).then_some(self.full_until.max(now))
     }
 
-    /// Tells whether one of this instance's own slots is not in use.
+    /// Returns whether a slot owned by this instance is free.
     fn has_own_slot(&self) -> bool {
         self.in_flight < self.own_slots
     }
 
-    /// Tells whether there is reason to expect room: an own slot, or one that
-    /// an answer freed a short while ago.
+    /// Returns whether a slot is likely to be free: one owned by this instance,
+    /// or one that an answer freed recently.
     pub(crate) fn expects_free_slot(
         &self,
         options: &BalancerOptions,
         common: &Common,
         now: MonotonicTime,
     ) -> bool {
-        let life = common
+        let lifetime = common
             .latency()
             .mul_f64(options.freed_slot_lifetime_latencies);
-        let freed = self.freed_at.is_some_and(|at| now - at <= life);
+        let freed = self.freed_at.is_some_and(|at| now - at <= lifetime);
         freed || self.has_own_slot()
     }
 
-    /// Returns the part of its slots that the upstream may use while it ramps.
+    /// Returns the usable share of the slots, below 1 during slow start.
     fn weight(&self, options: &BalancerOptions, now: MonotonicTime) -> f64 {
         let Some(from) = self.ramp_started_at else {
             return 1.0;
@@ -173,12 +169,12 @@
         passed.clamp(options.ramp_floor.get(), 1.0)
     }
 
-    /// Returns what the other instances usually use of this upstream.
+    /// Returns the average use of this upstream by other instances, in slots.
     fn average_others(&self, common: &Common) -> f64 {
         common.others_per_slot * f64::from(self.upstream.slots)
     }
 
-    /// Returns the expected load after one more request; the lowest is best.
+    /// Returns the expected load with one more request; lower is better.
     pub(crate) fn score(
         &self,
         options: &BalancerOptions,
@@ -201,7 +197,7 @@
         load
     }
 
-    /// Returns how much slower the upstream is than the average one.
+    /// Returns the ratio of the upstream's latency to the average.
     fn latency_factor(&self, common: &Common) -> f64 {
         if self.latency_us == 0.0 || common.latency_us == 0.0 {
             return 1.0;
@@ -210,14 +206,12 @@
         factor.clamp(1.0 / LATENCY_FACTOR_MAX, LATENCY_FACTOR_MAX)
     }
 
-    /// Notes that a request was sent.
     pub(crate) fn sent(&mut self, options: &BalancerOptions, now: MonotonicTime) {
         self.in_flight += 1;
         self.freed_at = None;
         self.liveness.sent(&options.liveness, now);
     }
 
-    /// Notes what became of a request.
     pub(crate) fn finished(
         &mut self,
         completion: &Completion,
@@ -254,7 +248,7 @@
         }
     }
 
-    /// Notes any answer; an upstream that was dead starts to ramp.
+    /// Records a response; an upstream that was dead starts to ramp.
     fn record_response(&mut self, now: MonotonicTime) {
         let was_dead = self.liveness.record_response(now);
         if was_dead {
@@ -274,7 +268,6 @@
         }
     }
 
-    /// Tells whether the upstream is to be polled now.
     pub(crate) fn poll_is_due(&self, options: &BalancerOptions, now: MonotonicTime) -> bool {
         let watched = self.in_subset || self.draining;
         watched
@@ -283,14 +276,12 @@
                 .poll_is_due(&options.liveness, self.in_flight == 0, now)
     }
 
-    /// Notes that a poll was sent.
     pub(crate) fn poll_sent(&mut self, options: &BalancerOptions, now: MonotonicTime) {
         self.liveness
             .poll_sent(&options.liveness, self.in_flight == 0, now);
     }
 
-    /// Notes what became of a poll; its answer alone tells whether an upstream
-    /// that was draining takes requests again.
+    /// Records the result of a poll, which alone can end a draining state.
     pub(crate) fn polled(
         &mut self,
         result: &PollResult,
@@ -315,19 +306,18 @@
         }
     }
 
-    /// Notes a load report.
     fn reported(&mut self, utilization: f64, common: &mut Common, now: MonotonicTime) {
         smooth(&mut common.utilization, utilization);
         let slots = f64::from(self.upstream.slots);
         let others = (utilization * slots - f64::from(self.in_flight)).max(0.0);
         common.others_per_slot +=
-            LATENCY_WEIGHT * (others / slots.max(1.0) - common.others_per_slot);
+            SMOOTHING_WEIGHT * (others / slots.max(1.0) - common.others_per_slot);
         self.occupancy
             .reported(others, self.average_others(common), now);
     }
 
-    /// Notes a refusal: every slot was in use, and one of them frees after
-    /// about a latency divided by the slots.
+    /// Records a refusal: every slot was in use, and one is expected to be freed
+    /// after about the latency divided by the number of slots.
     fn refused(&mut self, options: &BalancerOptions, common: &Common, now: MonotonicTime) {
         self.freed_at = None;
         let slots = f64::from(self.upstream.slots.max(1));
@@ -339,11 +329,11 @@
     }
 }
 
-/// Moves a smoothed value towards a sample; the first sample is taken whole.
+/// Updates an exponential moving average; the first sample initialises it.
 fn smooth(value: &mut f64, sample: f64) {
     if *value == 0.0 {
         *value = sample;
     } else {
-        *value += LATENCY_WEIGHT * (sample - *value);
+        *value += SMOOTHING_WEIGHT * (sample - *value);
     }
 }
--- a/crates/foxtide-core/src/choice/completion.rs
+++ b/crates/foxtide-core/src/choice/completion.rs
@@ -1,4 +1,4 @@
-//! What became of an attempt or a poll.
+//! Results of attempts and polls.
 
 use super::LoadReport;
 use std::time::Duration;
@@ -6,30 +6,30 @@
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum CompletionKind {
-    /// A whole answer came, other than a server error.
+    /// A complete answer arrived, other than a server error.
     Answered,
-    /// A whole answer came and it is a server error.
+    /// A complete answer arrived and is a server error.
     Failed,
-    /// The upstream refused the request before it ran.
+    /// The upstream refused the request without running it.
     Refused,
-    /// No connection could be had; no byte of the request went out.
+    /// No connection could be opened; no byte of the request was sent.
     NotSent,
-    /// The connection broke before the whole answer had come.
+    /// The connection broke before the answer was complete.
     Lost,
-    /// The attempt's time ran out before the whole answer had come.
+    /// The attempt timed out before the answer was complete.
     TimedOut,
-    /// The caller went away, or another attempt answered first.
+    /// The caller disconnected, or another attempt answered first.
     Cancelled,
 }
 
 impl CompletionKind {
-    /// Tells whether the upstream was heard from.
+    /// Returns whether the upstream responded.
     pub(crate) const fn is_response(self) -> bool {
         matches!(self, Self::Answered | Self::Failed | Self::Refused)
     }
 
-    /// Tells whether the upstream failed, as far as its ejection goes: refusals
-    /// are no failures, and cancelled attempts say nothing.
+    /// Returns whether the attempt counts as a failure towards ejection; `None`
+    /// where it counts neither way.
     pub(crate) const fn failure(self) -> Option<bool> {
         match self {
             Self::Answered => Some(false),
@@ -39,17 +39,16 @@
     }
 }
 
-/// What became of an attempt.
+/// The result of an attempt.
 #[derive(Clone, Debug)]
 pub struct Completion {
     /// How the attempt ended.
     pub kind: CompletionKind,
-    /// The time from sending to the end of the answer, without the opening of
-    /// a connection.
+    /// The time from sending to the end of the answer, without connecting.
     pub latency: Duration,
-    /// The load that the upstream reported in its answer.
+    /// The load reported in the answer.
     pub load: Option<LoadReport>,
-    /// Whether the upstream said that it is draining.
+    /// Whether the upstream announced that it is draining.
     pub draining: bool,
 }
 
@@ -65,18 +64,18 @@
     }
 }
 
-/// What became of a poll of an upstream's load endpoint.
+/// The result of polling an upstream's load endpoint.
 #[derive(Clone, Debug, PartialEq)]
 pub enum PollResult {
-    /// Any whole answer came.
+    /// Any complete answer arrived.
     Answered {
-        /// The load, where the answer holds one.
+        /// The load, where the answer reports one.
         load: Option<LoadReport>,
-        /// Whether the upstream said that it is draining.
+        /// Whether the upstream announced that it is draining.
         draining: bool,
     },
-    /// No connection could be had.
+    /// No connection could be opened.
     Unreachable,
-    /// No answer came in time.
+    /// No answer arrived in time.
     TimedOut,
 }
--- a/crates/foxtide-core/src/choice/ejection.rs
+++ b/crates/foxtide-core/src/choice/ejection.rs
@@ -1,19 +1,18 @@
-//! Ejection of upstreams that fail more often than the rest.
+//! Outlier ejection of upstreams that fail more often than the rest.
 //!
-//! The failures of an upstream are compared with those of all upstreams, so
-//! that trouble common to all ejects none. How many may be out at a time is
-//! the balancer's matter.
+//! The failure share of an upstream is compared with that of all upstreams, so
+//! that failures common to all eject none. The balancer limits the number of
+//! upstreams ejected at a time.
 
 use super::EjectionOptions;
 use crate::time::MonotonicTime;
 
-/// The weight of a new completion in the smoothed share of failures.
+/// The weight of a new completion in the smoothed failure share.
 const FAILURE_WEIGHT: f64 = 0.1;
 
-/// The most doublings of the time of an ejection.
 const DOUBLINGS_MAX: u32 = 16;
 
-/// The failures of one upstream, or of all, as one instance sees them.
+/// The failures of one upstream, or of all, as this instance observes them.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct FailureRecord {
     failure_share: f64,
@@ -23,7 +22,6 @@
 }
 
 impl FailureRecord {
-    /// Notes a completion.
     pub(crate) fn record(&mut self, failed: bool) {
         let sample = f64::from(u8::from(failed));
         self.completions = self.completions.saturating_add(1);
@@ -33,40 +31,38 @@
         }
     }
 
-    /// Returns the number of completions since the last ejection after which
-    /// earlier ejections no longer count.
+    /// Returns the number of completions after which past ejections no longer
+    /// lengthen the next one.
     fn ejections_reset_after(&self) -> u32 {
         const COMPLETIONS_PER_EJECTION: u32 = 100;
         COMPLETIONS_PER_EJECTION.saturating_mul(self.ejections.max(1))
     }
 
-    /// Tells whether this upstream fails far more often than all together.
+    /// Returns whether this upstream fails far more often than all together.
     pub(crate) fn is_outlier(&self, all: &Self, options: &EjectionOptions) -> bool {
         let excess = self.failure_share - all.failure_share;
         self.completions >= options.completions_min && excess >= options.excess_failures.get()
     }
 
-    /// Tells whether the upstream is ejected.
     pub(crate) fn is_ejected(&self, now: MonotonicTime) -> bool {
         self.ejected_until.is_some_and(|until| now < until)
     }
 
-    /// Ejects the upstream.
     pub(crate) fn eject(&mut self, options: &EjectionOptions, now: MonotonicTime) {
         let factor = 1u32 << self.ejections.min(DOUBLINGS_MAX);
-        let time = options.base.saturating_mul(factor).min(options.longest);
-        self.ejected_until = Some(now + time);
+        let duration = options.base.saturating_mul(factor).min(options.longest);
+        self.ejected_until = Some(now + duration);
         self.ejections += 1;
         self.completions = 0;
         self.failure_share = 0.0;
     }
 
-    /// Ends the ejection before its time.
+    /// Ends the ejection early.
     pub(crate) fn end_ejection(&mut self) {
         self.ejected_until = None;
     }
 
-    /// Returns the end of an ejection that has passed, once.
+    /// Returns and clears the end of an ejection that has expired.
     pub(crate) fn take_ended_ejection(&mut self, now: MonotonicTime) -> Option<MonotonicTime> {
         let until = self.ejected_until.filter(|until| now >= *until)?;
         self.ejected_until = None;
--- a/crates/foxtide-core/src/choice/liveness.rs
+++ b/crates/foxtide-core/src/choice/liveness.rs
@@ -1,19 +1,19 @@
-//! Detection of an upstream that no longer answers.
+//! Failure detection for one upstream.
 //!
-//! Any answer, also a refusal or an answered poll, is a sign of life. An
-//! upstream from which nothing is heard is polled: soon where requests are in
-//! flight, which may merely be slow, and later where it is idle. When a request
-//! or a poll stays unanswered for its limit with no other sign, the upstream is
-//! dead and gets no request until a poll or an old request is answered.
+//! Any response, including a refusal or an answered poll, proves the upstream
+//! alive. Without responses it is polled: early while requests are in flight,
+//! later while it is idle. When a request or a poll stays unanswered for its
+//! limit without any other response, the upstream is dead and gets no requests
+//! until it responds again.
 
 use super::LivenessOptions;
 use crate::time::MonotonicTime;
 
-/// What one instance knows of the life of one upstream.
+/// The liveness of one upstream as observed by this instance.
 #[derive(Clone, Debug)]
 pub(crate) struct Liveness {
     last_response_at: MonotonicTime,
-    /// When the upstream is dead, unless there is a sign of it before.
+    /// When the upstream counts as dead unless it responds before.
     dead_at: Option<MonotonicTime>,
     consecutive_unreachable: u32,
     dead: bool,
@@ -22,7 +22,7 @@
 }
 
 impl Liveness {
-    /// Returns the state of an upstream that is taken for alive.
+    /// Returns the state of an upstream that is assumed alive.
     pub(crate) const fn new(now: MonotonicTime) -> Self {
         Self {
             last_response_at: now,
@@ -34,17 +34,15 @@
         }
     }
 
-    /// Tells whether the upstream is taken for dead.
     pub(crate) fn is_dead(&self, now: MonotonicTime) -> bool {
         self.dead || self.dead_at.is_some_and(|at| now >= at)
     }
 
-    /// Notes that an attempt was sent.
     pub(crate) fn sent(&mut self, options: &LivenessOptions, now: MonotonicTime) {
         self.dead_at.get_or_insert(now + options.silence_limit);
     }
 
-    /// Notes an answer of any kind; tells whether the upstream was dead.
+    /// Records a response of any kind; returns whether the upstream was dead.
     pub(crate) fn record_response(&mut self, now: MonotonicTime) -> bool {
         let was_dead = self.is_dead(now);
         self.last_response_at = now;
@@ -54,19 +52,18 @@
         was_dead
     }
 
-    /// Notes that no connection could be had.
+    /// Records that no connection could be opened.
     pub(crate) fn unreachable(&mut self, options: &LivenessOptions) {
         self.consecutive_unreachable += 1;
         self.dead |= self.consecutive_unreachable >= options.unreachable_limit;
     }
 
-    /// Notes that an attempt or a poll ended without an answer, so that its
-    /// silence counts on even though nothing is open any more.
+    /// Records that an attempt or a poll ended without a response; an upstream
+    /// that is dead by then stays dead.
     pub(crate) fn unanswered(&mut self, now: MonotonicTime) {
         self.dead |= self.is_dead(now);
     }
 
-    /// Tells whether the upstream is to be polled now.
     pub(crate) fn poll_is_due(
         &self,
         options: &LivenessOptions,
@@ -83,7 +80,6 @@
         quiet && rested && !self.poll_in_flight
     }
 
-    /// Notes that a poll was sent.
     pub(crate) fn poll_sent(
         &mut self,
         options: &LivenessOptions,
@@ -100,7 +96,6 @@
         self.poll_in_flight = true;
     }
 
-    /// Notes that the open poll has ended.
     pub(crate) fn poll_ended(&mut self) {
         self.poll_in_flight = false;
     }
--- a/crates/foxtide-core/src/choice/load_report.rs
+++ b/crates/foxtide-core/src/choice/load_report.rs
@@ -1,8 +1,8 @@
-//! Load that an upstream reports in the ORCA form.
+//! Parser for load reports of upstreams in the ORCA format.
 //!
-//! Source: the Open Request Cost Aggregation (ORCA) load report of xDS, as
-//! sent in the header `endpoint-load-metrics`: `TEXT` and a list of
-//! `name=value`, or `JSON` and an object. The binary form is not read.
+//! Open Request Cost Aggregation (ORCA) is the load report of xDS, sent in the
+//! header `endpoint-load-metrics`: `TEXT` and a list of `name=value`, or `JSON`
+//! and an object. The binary format is not supported.
 
 use crate::{
     Error,
@@ -14,14 +14,13 @@
 const REPORT_EXPECTED: &str =
     "an ORCA load report, such as `TEXT application_utilization=0.5` or `JSON {..}`";
 
-/// The highest utilization that is believed; above it a report is a mistake.
+/// The highest plausible utilization; reports above it are rejected.
 const UTILIZATION_MAX: f64 = 100.0;
 
-/// The load of an upstream as it reports it.
+/// The load that an upstream reports.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LoadReport {
-    /// The part of the upstream's slots that is in use; above 1 where requests
-    /// wait.
+    /// The share of the upstream's slots in use; above 1 where requests queue.
     pub utilization: f64,
 }
 
@@ -33,7 +32,7 @@
 }
 
 impl OrcaReport {
-    /// Returns the report where it holds a utilization that can be true.
+    /// Returns the utilization where it is plausible.
     fn utilization(&self) -> Option<f64> {
         let stated = self.application_utilization.or(self.cpu_utilization);
         stated.filter(|value| (0.0..=UTILIZATION_MAX).contains(value))
@@ -57,15 +56,15 @@
     type Err = Error;
 
     fn from_str(text: &str) -> Result<Self> {
-        let mistake = || Error::parse(text, REPORT_EXPECTED);
+        let invalid = || Error::parse(text, REPORT_EXPECTED);
         let trimmed = text.trim();
         let json = trimmed.strip_prefix("JSON").unwrap_or(trimmed).trim();
         let report = if json.starts_with('{') {
-            serde_json::from_str(json).map_err(|_| mistake())?
+            serde_json::from_str(json).map_err(|_| invalid())?
         } else {
             OrcaReport::from_text(trimmed.strip_prefix("TEXT").unwrap_or(trimmed))
         };
-        let utilization = report.utilization().ok_or_else(mistake)?;
+        let utilization = report.utilization().ok_or_else(invalid)?;
         Ok(Self { utilization })
     }
 }
@@ -75,7 +74,7 @@
     use super::*;
 
     #[test]
-    fn verify_orca_forms_are_read() {
+    fn verify_orca_formats_are_parsed() {
         let text = "TEXT cpu_utilization=0.2, application_utilization=0.75,eps=1";
         let json = r#"JSON {"application_utilization": 0.75, "rps_fractional": 3}"#;
         for report in [text, json] {
@@ -84,7 +83,7 @@
     }
 
     #[test]
-    fn verify_impossible_reports_are_refused() {
+    fn verify_invalid_reports_are_rejected() {
         for report in ["", "TEXT", "TEXT cpu_utilization=-1", "JSON {", "BIN aa"] {
             assert!(report.parse::<LoadReport>().is_err(), "{report}");
         }
--- a/crates/foxtide-core/src/choice/mod.rs
+++ b/crates/foxtide-core/src/choice/mod.rs
@@ -1,20 +1,19 @@
-//! Choice of an upstream for one service in one region, by one instance.
+//! Load balancing across the upstreams of one service in one region.
 //!
-//! A [`Balancer`] estimates how busy each upstream is from what this instance
-//! saw itself (requests in flight, latency, refusals) and, with less weight,
-//! from load reports. It keeps upstreams out that leave, that have stopped
-//! answering or that fail far more often than the rest.
+//! A [`Balancer`] estimates the load of each upstream from this instance's own
+//! observations (requests in flight, latency, refusals) and, with less weight,
+//! from load reports. It excludes upstreams that are leaving, unresponsive or
+//! failing far more often than the rest.
 //!
 //! ```text
 //! pick() -> Ticket -> the request is sent -> finish(ticket, completion)
-//! next_poll() -> Poll -> the load endpoint is asked -> finish_poll(poll, ..)
+//! next_poll() -> Poll -> the load endpoint is polled -> finish_poll(poll, ..)
 //! ```
 //!
-//! A pick that returns [`Pick::Wait`] wants the request queued at the instance:
-//! the upstreams are full as far as is known, and a queue before the choice
-//! serves whichever slot frees first.
+//! On [`Pick::Wait`] the caller queues the request: all upstreams appear full,
+//! and a shared queue uses whichever slot is freed first.
 //!
-//! Every ticket and every poll has to be given back, whatever became of it.
+//! Every ticket and every poll must be returned, whatever its result.
 
 mod balancer;
 mod candidate;
--- a/crates/foxtide-core/src/choice/options.rs
+++ b/crates/foxtide-core/src/choice/options.rs
@@ -1,51 +1,50 @@
-//! Settings of the choice of an upstream.
+//! Options of the load balancer.
 
 use crate::ids::AvailabilityZoneId;
 use crate::units::Share;
 use std::time::Duration;
 
-/// Settings of a [`Balancer`](super::Balancer).
+/// Options of a [`Balancer`](super::Balancer).
 #[derive(Clone, Debug)]
 pub struct BalancerOptions {
-    /// The availability zone of this instance; upstreams in it are preferred
-    /// among equals. Default: none.
+    /// The availability zone of this instance; at equal load, upstreams in it
+    /// are preferred. Default: none.
     pub availability_zone: Option<AvailabilityZoneId>,
-    /// What an upstream in another availability zone costs, in parts of its
-    /// load. Default: 0.05.
+    /// The load added to the score of an upstream in another availability zone,
+    /// as a share. Default: 0.05.
     pub other_zone_penalty: f64,
-    /// The time after which a new or returning upstream gets its full part.
-    /// Default: 10 s.
+    /// The time until a new or returning upstream gets its full share of the
+    /// requests. Default: 10 s.
     pub ramp: Duration,
-    /// The part that such an upstream gets at first. Default: 0.1.
+    /// The share that such an upstream gets at first. Default: 0.1.
     pub ramp_floor: Share,
-    /// How long a load report is worth something, as a multiple of the
-    /// smoothed latency. Default: 1.
+    /// The decay time of a load report, as a multiple of the smoothed latency.
+    /// Default: 1.
     pub report_lifetime_latencies: f64,
-    /// The refusals that an instance may provoke for each answer.
-    /// Default: 0.2.
+    /// The refusals that an instance may cause for each answer. Default: 0.2.
     pub refusals_per_answer: f64,
-    /// The refusals that it may provoke within each smoothed latency besides.
-    /// Default: 2.
+    /// The refusals that an instance may cause in addition within each smoothed
+    /// latency. Default: 2.
     pub refusals_per_latency: f64,
-    /// The smoothed utilization of the upstreams below which second attempts
-    /// may be sent beside slow ones. Default: 0.6.
+    /// The highest smoothed utilization of the upstreams at which hedged
+    /// attempts may be sent. Default: 0.6.
     pub hedge_utilization_max: f64,
-    /// How much a slot that is this instance's own counts for, in parts of an
-    /// upstream's load; see [`Balancer::set_rank`](super::Balancer::set_rank).
+    /// The load subtracted from the score of an upstream where this instance
+    /// owns a free slot, as a share; see [`Balancer::set_rank`](super::Balancer::set_rank).
     /// Default: 0.3.
     pub own_slot_bonus: f64,
-    /// How long after an answer its slot is expected to be free still, as a
+    /// How long after an answer its slot is still expected to be free, as a
     /// multiple of the smoothed latency. Default: 0.5.
     pub freed_slot_lifetime_latencies: f64,
-    /// The fewest connections to an upstream that are worth keeping; where the
-    /// instance's part is smaller, it uses fewer upstreams. Default: 2.
+    /// The fewest connections to keep to each upstream; an instance with a
+    /// smaller share uses fewer upstreams. Default: 2.
     pub connections_min: u32,
-    /// The fewest upstreams that an instance uses, however small its part of
+    /// The fewest upstreams that an instance uses, however small its share of
     /// the connections. Default: 3.
     pub subset_min: usize,
-    /// Settings of the detection of upstreams that no longer answer.
+    /// Options of failure detection.
     pub liveness: LivenessOptions,
-    /// Settings of the ejection of upstreams that fail more than the rest.
+    /// Options of outlier ejection.
     pub ejection: EjectionOptions,
 }
 
@@ -70,24 +69,24 @@
     }
 }
 
-/// Settings of the detection of upstreams that no longer answer.
+/// Options of the failure detection of upstreams.
 #[derive(Clone, Debug)]
 pub struct LivenessOptions {
-    /// The time without any sign after which an upstream with requests in
+    /// The time without a response after which an upstream with requests in
     /// flight is polled. Default: 500 ms.
     pub poll_after: Duration,
-    /// The time without any sign after which an idle upstream is polled.
+    /// The time without a response after which an idle upstream is polled.
     /// Default: 1.8 s; with `idle_silence_limit` it must stay below 3 s.
     pub idle_poll_after: Duration,
     /// The time for which a poll of an idle upstream may stay unanswered
-    /// before the upstream is taken for dead. Default: 1 s.
+    /// before the upstream counts as dead. Default: 1 s.
     pub idle_silence_limit: Duration,
-    /// The time for which a request may stay unanswered, without any other sign
-    /// of the upstream, before the upstream is taken for dead. Default: 2 s;
-    /// with `poll_after` it must stay below 3 s.
+    /// The time for which a request may stay unanswered, without any other
+    /// response, before the upstream counts as dead. Default: 2 s; with
+    /// `poll_after` it must stay below 3 s.
     pub silence_limit: Duration,
-    /// How many attempts in a row may fail to reach an upstream before it is
-    /// taken for dead. Default: 2.
+    /// The consecutive failures to connect after which an upstream counts as
+    /// dead. Default: 2.
     pub unreachable_limit: u32,
 }
 
@@ -103,21 +102,21 @@
     }
 }
 
-/// Settings of the ejection of upstreams that fail more than the rest.
+/// Options of the ejection of upstreams that fail more than the rest.
 #[derive(Clone, Debug)]
 pub struct EjectionOptions {
-    /// The largest part of the upstreams that may be out at a time; the dead
-    /// count too. Default: 0.34.
+    /// The largest share of the upstreams that may be ejected or dead before
+    /// ejections stop. Default: 0.34.
     pub ejected_max: Share,
-    /// How far an upstream's smoothed share of failures must lie above that of
-    /// all upstreams. Default: 0.4.
+    /// How far an upstream's smoothed failure share must exceed that of all
+    /// upstreams. Default: 0.4.
     pub excess_failures: Share,
-    /// The fewest completions on which an ejection may rest. Default: 8.
+    /// The fewest completions before an ejection. Default: 8.
     pub completions_min: u32,
-    /// How long the first ejection lasts; doubled by each that follows.
+    /// The duration of the first ejection; each later one doubles it.
     /// Default: 5 s.
     pub base: Duration,
-    /// The longest ejection. Default: 60 s.
+    /// The longest duration of an ejection. Default: 60 s.
     pub longest: Duration,
 }
 
--- a/crates/foxtide-core/src/choice/pick.rs
+++ b/crates/foxtide-core/src/choice/pick.rs
@@ -1,4 +1,4 @@
-//! What a balancer hands out: tickets, polls and news.
+//! Results of a balancer: picks, polls and status changes.
 
 use super::UpstreamStatus;
 use crate::ids::UpstreamId;
@@ -6,27 +6,27 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// What to do with a request.
+/// The result of choosing an upstream for a request.
 #[derive(Debug)]
 pub enum Pick {
-    /// Send it to the ticket's upstream.
+    /// Send the request to the ticket's upstream.
     Take(Ticket),
-    /// Every upstream is full: ask again after this time or after the next
+    /// Every upstream is full: pick again after this time or after the next
     /// completion, whichever comes first.
     Wait {
-        /// The time until an upstream is expected to have room.
+        /// The time until an upstream is expected to have a free slot.
         retry_in: Duration,
     },
-    /// No upstream is able to serve at all.
+    /// No upstream is available.
     Empty,
 }
 
-/// The right to send one request to one upstream.
+/// Permission to send one request to one upstream.
 ///
-/// It has to be given back to [`Balancer::finish`], also when the request is
+/// It must be returned to [`Balancer::finish`], also when the request is
 /// cancelled.
 #[derive(Debug)]
-#[must_use = "a ticket has to be finished"]
+#[must_use = "a ticket must be finished"]
 pub struct Ticket {
     pub(crate) upstream: Arc<Upstream>,
     pub(crate) incarnation: u64,
@@ -39,36 +39,36 @@
         &self.upstream
     }
 
-    /// Returns how many connections this instance may keep to the upstream.
+    /// Returns the most connections that this instance may keep to the upstream.
     pub fn connection_limit(&self) -> u32 {
         self.connection_limit
     }
 }
 
-/// The task to ask one upstream's load endpoint.
+/// A poll of one upstream's load endpoint.
 ///
-/// It has to be given back to [`Balancer::finish_poll`].
+/// It must be returned to [`Balancer::finish_poll`].
 #[derive(Debug)]
-#[must_use = "a poll has to be finished"]
+#[must_use = "a poll must be finished"]
 pub struct Poll {
     pub(crate) upstream: Arc<Upstream>,
     pub(crate) incarnation: u64,
 }
 
 impl Poll {
-    /// Returns the upstream to be asked.
+    /// Returns the upstream to poll.
     pub fn upstream(&self) -> &Upstream {
         &self.upstream
     }
 }
 
-/// A change of what an instance makes of an upstream.
+/// A change of an upstream's status at this instance.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StatusChange {
     /// The upstream.
     pub upstream: UpstreamId,
-    /// What it was.
+    /// The previous status.
     pub from: UpstreamStatus,
-    /// What it is now.
+    /// The current status.
     pub to: UpstreamStatus,
 }
--- a/crates/foxtide-core/src/choice/refusal_budget.rs
+++ b/crates/foxtide-core/src/choice/refusal_budget.rs
@@ -1,19 +1,18 @@
-//! How many refusals an instance may provoke.
+//! Token bucket that limits the refusals which an instance causes.
 //!
-//! A request that is sent to an upstream of which nothing recent is known may
-//! be refused. That is cheap and finds free slots, yet instances that only
-//! guess would keep the upstreams busy refusing. Refusals are therefore paid
-//! from an allowance: a share of the answers and a small number each latency.
-//! While it is empty, requests go only where there is reason to expect room.
+//! A request sent without recent knowledge of the upstream may be refused. This
+//! finds free slots cheaply, but unlimited speculation would overload the
+//! upstreams with refusals. Each refusal costs a token; answers and time refill
+//! the bucket. While it is empty, requests go only to upstreams that are
+//! expected to have a free slot.
 
 use super::BalancerOptions;
 use crate::time::MonotonicTime;
 use std::time::Duration;
 
-/// The most refusals that are saved up.
 const TOKENS_MAX: f64 = 10.0;
 
-/// The refusals that an instance may still provoke.
+/// The refusals that an instance may still cause.
 #[derive(Clone, Debug)]
 pub(crate) struct RefusalBudget {
     tokens: f64,
@@ -21,7 +20,7 @@
 }
 
 impl RefusalBudget {
-    /// Returns an allowance with everything saved that may be.
+    /// Returns a full bucket.
     pub(crate) const fn new() -> Self {
         Self {
             tokens: TOKENS_MAX,
@@ -29,17 +28,17 @@
         }
     }
 
-    /// Tells whether a request may be sent on a guess.
+    /// Returns whether a request may be sent without an expected free slot.
     pub(crate) fn allows_speculation(&self) -> bool {
         self.tokens >= 1.0
     }
 
-    /// Tells whether refusals have been rare of late.
+    /// Returns whether refusals have been rare recently.
     pub(crate) fn is_ample(&self) -> bool {
         self.tokens >= TOKENS_MAX / 2.0
     }
 
-    /// Adds what the time since the last call brought.
+    /// Adds the tokens earned since the last call.
     pub(crate) fn refill(
         &mut self,
         options: &BalancerOptions,
@@ -52,18 +51,16 @@
         self.add(latencies * options.refusals_per_latency);
     }
 
-    /// Returns how long it takes until a guess is allowed.
+    /// Returns the time until speculation is allowed.
     pub(crate) fn next_token_in(&self, options: &BalancerOptions, latency: Duration) -> Duration {
         let missing = (1.0 - self.tokens).max(0.0);
         latency.mul_f64(missing / options.refusals_per_latency.max(0.1))
     }
 
-    /// Notes an answer.
     pub(crate) fn answered(&mut self, options: &BalancerOptions) {
         self.add(options.refusals_per_answer);
     }
 
-    /// Notes a refusal.
     pub(crate) fn refused(&mut self) {
         self.tokens -= 1.0;
     }
--- a/crates/foxtide-core/src/choice/sharing.rs
+++ b/crates/foxtide-core/src/choice/sharing.rs
@@ -1,32 +1,32 @@
-//! Which instances share the upstreams.
+//! Sharing of upstreams among instances.
 
 use crate::ids::{
     InstanceId,
     RegionId, //
 };
 
-/// The place of an instance among those that send most to the same upstreams.
+/// The rank of an instance among those of its region.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Rank {
-    /// How many of them come before this instance, by name.
+    /// The number of instances whose names sort before this one's.
     pub index: u32,
-    /// How many they are, this instance included.
+    /// The number of instances, this one included.
     pub total: u32,
 }
 
 /// How an instance shares the upstreams with others.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Sharing {
-    /// How many instances may send to any upstream, this one included; they
-    /// share its connections.
+    /// The number of instances that share each upstream's connections, this one
+    /// included.
     pub instances: u32,
-    /// This instance's place among those of its own region, which share the
-    /// slots there; none where it is not known.
+    /// This instance's rank among those of its region, which share the slots
+    /// there; `None` where it is unknown.
     pub rank: Option<Rank>,
 }
 
 impl Default for Sharing {
-    /// Returns the sharing of an instance that knows of no other.
+    /// Returns the sharing of a single instance.
     fn default() -> Self {
         Self {
             instances: 1,
@@ -36,8 +36,8 @@
 }
 
 impl Sharing {
-    /// Returns how the instance `own` shares the upstreams with `members`,
-    /// which are all instances that serve, `own` included.
+    /// Returns how the instance `own` shares the upstreams with `members`, all
+    /// serving instances, `own` included.
     pub fn among<'a>(
         own: &InstanceId,
         members: impl Iterator<Item = (&'a InstanceId, &'a RegionId)> + Clone,
--- a/crates/foxtide-core/src/choice/status.rs
+++ b/crates/foxtide-core/src/choice/status.rs
@@ -1,19 +1,19 @@
-//! What an instance makes of an upstream.
+//! Status of an upstream.
 
 use std::fmt;
 
-/// What an instance makes of an upstream.
+/// The status of an upstream at this instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum UpstreamStatus {
-    /// It gets its full part of the requests.
+    /// It gets its full share of the requests.
     Serving,
-    /// It is new or has come back and gets a growing part.
+    /// It is new or has returned and gets a growing share.
     Ramping,
-    /// It leaves and gets no new request.
+    /// It is leaving and gets no new requests.
     Leaving,
-    /// It does not answer and gets polls alone.
+    /// It does not respond and is only polled.
     Dead,
-    /// It fails far more often than the rest and rests for a time.
+    /// It fails far more often than the rest and is excluded for a time.
     Ejected,
     /// It is outside this instance's subset.
     Unused,
--- a/crates/foxtide-core/src/choice/subset.rs
+++ b/crates/foxtide-core/src/choice/subset.rs
@@ -1,5 +1,4 @@
-//! What of the upstreams is one instance's: a subset of them, its own slots
-//! and its part of the connections.
+//! Assignment of upstreams, slots and connections to one instance.
 
 use super::candidate::Candidate;
 use super::{
@@ -8,22 +7,22 @@
 };
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// The seed of the order of the upstreams that all instances share.
+/// The seed of the upstream order common to all ranked instances.
 const COMMON_SEED: u64 = 0;
 
-/// What decides on the part of one instance.
+/// The inputs that determine the assignment of one instance.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Assignment {
-    /// How many instances share the connections.
+    /// The number of instances that share the connections.
     pub(crate) instances: u32,
-    /// This instance's place among those that share the slots.
+    /// This instance's rank among those that share the slots.
     pub(crate) rank: Option<Rank>,
-    /// The instance's seed, which takes the place of the rank.
+    /// The instance's seed, used where the rank is unknown.
     pub(crate) seed: u64,
 }
 
 impl Assignment {
-    /// Sets what of each upstream is this instance's.
+    /// Sets this instance's subset, slots and connection limits.
     pub(crate) fn apply(&self, candidates: &mut [Candidate], options: &BalancerOptions) {
         let mut order = self.order(candidates);
         let eligible = order.len();
@@ -40,12 +39,11 @@
         self.assign_slots(candidates);
     }
 
-    /// Returns the upstreams that stay, those first that this instance uses
-    /// before others.
+    /// Returns the indices of the eligible upstreams in order of preference.
     ///
-    /// With a rank, all instances go round the same order from different
-    /// places, so that each upstream has the same number of users; without,
-    /// each instance has its own order by rendezvous hash.
+    /// With a rank, all instances rotate one common order by different offsets,
+    /// so that each upstream has the same number of users; without, each
+    /// instance has its own order by rendezvous hash.
     fn order(&self, candidates: &[Candidate]) -> Vec<usize> {
         let seed = self.rank.map_or(self.seed, |_| COMMON_SEED);
         let hash = |index: &usize| {
@@ -62,30 +60,30 @@
         order
     }
 
-    /// Returns the largest number of upstreams of which each still leaves this
-    /// instance the connections that are worth keeping.
+    /// Returns the largest number of upstreams to each of which this instance
+    /// may still keep the least number of connections.
     fn subset_size(
         &self,
         candidates: &[Candidate],
         eligible: usize,
         options: &BalancerOptions,
     ) -> usize {
-        let stay = candidates.iter().filter(|c| c.is_eligible());
-        let connections: u64 = stay.map(|c| u64::from(c.upstream.connections)).sum();
+        let usable = candidates.iter().filter(|c| c.is_eligible());
+        let connections: u64 = usable.map(|c| u64::from(c.upstream.connections)).sum();
         let wanted_each = u64::from(options.connections_min.max(1));
         let affordable = connections / u64::from(self.instances) / wanted_each;
         let size = usize::try_from(affordable).unwrap_or(usize::MAX);
         size.max(options.subset_min).min(eligible)
     }
 
-    /// Returns how many instances use one upstream.
+    /// Returns the number of instances that use each upstream.
     fn users_per_upstream(&self, subset: usize, eligible: usize) -> u32 {
         let pairs = u64::from(self.instances) * subset as u64;
         let users = pairs.div_ceil(eligible.max(1) as u64);
         u32::try_from(users).unwrap_or(u32::MAX).max(1)
     }
 
-    /// Deals the slots out in turn, so that each is one instance's own.
+    /// Assigns the slots round-robin, so that each has one owning instance.
     fn assign_slots(&self, candidates: &mut [Candidate]) {
         let Some(rank) = self.rank else {
             return;
@@ -100,9 +98,9 @@
     }
 }
 
-/// Returns the place in a round of `places` from which a rank starts.
-fn first_index(rank: Rank, places: usize) -> usize {
-    let of = u64::from(rank.total.max(1));
-    let place = u64::from(rank.index) % of * places as u64 / of;
-    usize::try_from(place).unwrap_or(0)
+/// Returns the offset in an order of `length` at which a rank starts.
+fn first_index(rank: Rank, length: usize) -> usize {
+    let total = u64::from(rank.total.max(1));
+    let index = u64::from(rank.index) % total * length as u64 / total;
+    usize::try_from(index).unwrap_or(0)
 }
--- a/crates/foxtide-core/src/choice/view.rs
+++ b/crates/foxtide-core/src/choice/view.rs
@@ -1,4 +1,4 @@
-//! What a balancer tells of itself.
+//! Read access to the state of a balancer.
 
 use super::balancer::Balancer;
 use super::candidate::Candidate;
@@ -10,21 +10,20 @@
 
 impl Balancer {
     /// Returns the smoothed latency over all upstreams, 0 before any answer.
-    /// A request of a service that puts latency first should not wait for an
-    /// upstream much longer than this.
+    ///
+    /// Latency-sensitive requests should not wait much longer for an upstream.
     pub fn latency(&self) -> Duration {
         self.common.latency()
     }
 
-    /// Tells whether the upstreams have room for second attempts beside slow
-    /// ones: hedges on busy upstreams slow all requests down. A hedge is sent
-    /// only where this holds and the budget allows it.
+    /// Returns whether the upstreams have capacity for hedged attempts, which
+    /// would slow all requests down on busy upstreams.
     pub fn has_spare_capacity(&self) -> bool {
         let is_idle = self.common.utilization <= self.options.hedge_utilization_max;
         is_idle && self.refusal_budget.is_ample()
     }
 
-    /// Returns each upstream with what the instance makes of it.
+    /// Returns each upstream with its status.
     pub fn statuses(
         &self,
         now: MonotonicTime,
@@ -35,20 +34,19 @@
             .map(move |c| (&*c.upstream, status(c)))
     }
 
-    /// Returns the upstreams of this instance's subset, each with how many
-    /// connections the instance may keep to it.
+    /// Returns the upstreams of this instance's subset, each with the most
+    /// connections that the instance may keep to it.
     pub fn connection_limits(&self) -> impl Iterator<Item = (&Upstream, u32)> {
         let in_subset = self.candidates.iter().filter(|c| c.in_subset);
         in_subset.map(|c| (&*c.upstream, c.connection_limit))
     }
 
-    /// Returns the bytes of state that are kept for each upstream, without the
-    /// upstream's own description.
+    /// Returns the bytes of state for each upstream, without its configuration.
     pub const fn state_bytes_per_upstream() -> usize {
         size_of::<Candidate>()
     }
 
-    /// Returns the part of the upstreams that can serve now.
+    /// Returns the share of the upstreams that can serve now.
     pub fn healthy_share(&self, now: MonotonicTime) -> Share {
         let open = self.candidates.iter().filter(|c| {
             !matches!(
