--- a/crates/foxtide-core/src/poison/fingerprint.rs
+++ b/crates/foxtide-core/src/poison/fingerprint.rs
@@ -1,4 +1,4 @@
-//! The identity of a request by its content.
+//! Fingerprint of a request's content.
 
 use crate::{
     Error,
@@ -8,16 +8,16 @@
 use std::str::FromStr;
 use xxhash_rust::xxh3::Xxh3;
 
-/// The digits of a fingerprint as text.
+/// The number of hexadecimal digits of a fingerprint.
 const DIGITS: usize = 16;
 
-/// What two requests have in common that ask for the same in the same words.
+/// A 64-bit hash of a request's content.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Fingerprint(u64);
 
 impl Fingerprint {
     /// Returns the fingerprint of a request's content: its organisation, method, host, target
-    /// and body, each with its length, so that no part runs into the next.
+    /// and body. Each part is hashed with its length, which delimits the parts.
     pub fn new(parts: &[&[u8]]) -> Self {
         let mut hash = Xxh3::new();
         for part in parts {
@@ -27,12 +27,12 @@
         Self(hash.digest())
     }
 
-    /// Returns the fingerprint that another instance has sent.
+    /// Returns the fingerprint with a hash that another instance sent.
     pub fn from_hash(hash: u64) -> Self {
         Self(hash)
     }
 
-    /// Returns the hash, to be sent to another instance.
+    /// Returns the hash, as sent to other instances.
     pub fn hash(self) -> u64 {
         self.0
     }
@@ -48,7 +48,7 @@
 impl FromStr for Fingerprint {
     type Err = Error;
 
-    /// Reads 16 hexadecimal digits.
+    /// Parses 16 hexadecimal digits.
     fn from_str(text: &str) -> Result<Self> {
         let hash = u64::from_str_radix(text, 16).ok();
         let hash = hash.filter(|_| text.len() == DIGITS);
--- a/crates/foxtide-core/src/poison/mod.rs
+++ b/crates/foxtide-core/src/poison/mod.rs
@@ -1,26 +1,23 @@
-//! Requests that end the upstreams that work on them (queries of death).
+//! Quarantine of requests that end their upstreams (poison requests).
 //!
-//! Each failure of such a request looks like one of its upstream: the upstream is passed
-//! over, the request is sent to another one, and its caller comes back. One request then
-//! ends one upstream after the other: 29 of 48 within 20 s, where one in thirty requests of
-//! a kind was such a one.
+//! Each failure of such a request looks like a failure of its upstream: the upstream is
+//! skipped, the request is sent to another one, and its caller retries. One request can so end
+//! one upstream after another.
 //!
-//! What tells it apart is that upstreams end under it wherever it is sent, and that it is
-//! never served in between. An instance that sees an upstream end reports it to the
-//! aggregators of the request, the same ones in everybody's eyes. An aggregator counts the
-//! ends of a request that is not served in between ([`Suspects`]), tells the instances of its region to
-//! quarantine the request, and writes that to the platform's store, from which all others
-//! learn it, and those that start later ([`Quarantine`]).
+//! An instance that sees an upstream end reports it to the aggregators of the request, which
+//! all instances derive alike. An aggregator counts the ends under a request that is not
+//! served in between ([`Suspects`]). At the threshold it tells the instances of its region to
+//! quarantine the request and writes the entry to the platform's store, from which all other
+//! instances read it ([`Quarantine`]).
 //!
-//! A quarantine does not end by time. A request may be there for the failures of others, so
-//! that it is tried again: one instance at a time, which claims the trial in the store, and a
-//! few times at most. One that is served is let through everywhere; one that has used up its
-//! trials stays until an operator removes its key. What is repeated after an end waits until
-//! a quarantine can have become known ([`RETRY_DELAY`]).
+//! A quarantine does not expire. As a request may have been quarantined for unrelated failures,
+//! it is retried in a limited number of trials: one instance at a time claims the trial in the
+//! store. A request that is served is released everywhere; one without trials left stays
+//! quarantined until an operator removes its key. A retry after an end is delayed by
+//! [`RETRY_DELAY`], so that a quarantine can arrive first.
 //!
-//! Evidence is kept by the whole content of a request ([`Fingerprint`]). Requests for the
-//! same object in other words are served all the while, and would be held back for nothing
-//! if it were kept by object.
+//! Evidence is kept by a request's whole content ([`Fingerprint`]) rather than by its object,
+//! as other requests for the same object are served.
 
 mod fingerprint;
 mod quarantine;
--- a/crates/foxtide-core/src/poison/quarantine.rs
+++ b/crates/foxtide-core/src/poison/quarantine.rs
@@ -1,4 +1,4 @@
-//! The requests that are quarantined: no upstream is to run them.
+//! Table of quarantined requests, which are not sent to upstreams.
 
 use super::Fingerprint;
 use crate::store::StoreIndex;
@@ -6,49 +6,47 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// From how many known ends and trials together on a request is not tried again. Three ends
-/// are evidence, and operators accept three more sends: two of these are left for sends that
-/// were under way and for ends that instances have seen which were cut off.
+/// The sum of known ends and trials at which trials stop. It leaves room for sends already in
+/// flight and for ends seen by partitioned instances.
 const ENDS_AND_TRIALS_MAX: u32 = 4;
 
-/// The pauses before the trials of a quarantined request. A request that was quarantined for
-/// the failures of others is served again after the first; one that ends its upstreams costs
-/// one each time.
+/// The delays before the trials of a quarantined request, by the number of past trials.
 const TRIAL_DELAYS: [Duration; 3] = [
     Duration::from_secs(10),
     Duration::from_secs(60),
     Duration::from_secs(600),
 ];
 
-/// By how much longer an instance waits before a trial, at most, as a share of the pause: the
-/// first takes the trial, and the others need not ask the store for it.
+/// The largest random addition to a trial's delay, as a share of it: it spreads the claims of
+/// the instances.
 const TRIAL_JITTER: f64 = 0.2;
 
-/// When the caller of a request is to come back that is not tried again.
+/// The retry delay for callers of a request that has no trial due.
 const RETRY_AFTER_NO_TRIAL: Duration = Duration::from_secs(60);
 
-/// After what time an instance writes an entry that the store lacks and that another one was
-/// to write, and over what time instances spread these writes.
+/// How long an instance waits for another one to write an entry before writing it itself.
 const PEER_WRITE_DELAY: Duration = Duration::from_secs(3);
+
+/// The time over which instances spread such writes.
 const PEER_WRITE_JITTER: Duration = Duration::from_secs(3);
 
-/// How long after a write the store's word on it is waited for before it is written again.
+/// How long a write may stay unconfirmed by the store before it is repeated.
 const WRITE_CONFIRM_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// The most requests that are quarantined; the oldest entry makes room for a new one.
+/// The capacity of the table; the oldest entry is evicted for a new one.
 const ENTRIES_MAX: usize = 4_096;
 
-/// What the fleet knows of a quarantined request.
+/// The evidence and the trials of a quarantined request.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct QuarantineEntry {
-    /// The upstreams that have ended under it.
+    /// The number of upstreams that ended under it.
     pub ends: u32,
-    /// How often an instance was allowed to send it after that.
+    /// The number of trials claimed since.
     pub trials: u32,
 }
 
 impl QuarantineEntry {
-    /// Returns the entry with another trial, unless there have been enough.
+    /// Returns the entry with one more trial, unless none is left.
     pub fn with_trial(self) -> Option<Self> {
         let is_left = self.ends.saturating_add(self.trials) < ENDS_AND_TRIALS_MAX;
         is_left.then(|| Self {
@@ -70,58 +68,57 @@
     }
 }
 
-/// An entry that the store holds.
+/// An entry as the store holds it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StoredEntry {
     /// The request.
     pub fingerprint: Fingerprint,
-    /// What the store holds of it.
+    /// The entry.
     pub entry: QuarantineEntry,
-    /// The index of its last change.
+    /// The index of the entry's last change.
     pub index: StoreIndex,
 }
 
-/// Whether a request may be sent.
+/// The quarantine status of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum QuarantineStatus {
-    /// It is not quarantined.
+    /// It may be sent.
     NotQuarantined,
-    /// It is; its caller may come back after this time.
+    /// It is quarantined; its caller may retry after this time.
     Quarantined(Duration),
-    /// It is, and the instance that claims its next trial may send it once.
+    /// It is quarantined; the instance that claims the next trial may send it once.
     TrialDue,
 }
 
-/// Who has quarantined a request, as far as this instance knows.
+/// The source of an entry that is not from the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Origin {
-    /// This instance, which writes the entry to the store at once.
+    /// This instance, which writes the entry to the store immediately.
     Own,
-    /// Another one, which is expected to write it.
+    /// Another instance, which is expected to write it.
     Peer,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct QuarantinedRequest {
     entry: QuarantineEntry,
-    /// The index of the entry in the store; nothing where it is not known to be there.
+    /// The index of the entry in the store; `None` where it is not known to be stored.
     index: Option<StoreIndex>,
     quarantined_at: MonotonicTime,
     trial_at: MonotonicTime,
-    /// When this instance writes the entry to the store, where it is not there.
+    /// When this instance writes the entry to the store if it is missing there.
     write_at: MonotonicTime,
 }
 
-/// All quarantined requests.
+/// The quarantined requests known to an instance.
 ///
-/// An entry stands until the request is served in a trial or an operator removes its key
-/// from the store: a quarantine that ended by time would let the request through at each
-/// instance anew.
+/// Entries do not expire: an entry is removed when the request is served in a trial or an
+/// operator removes its key from the store.
 #[derive(Clone, Debug, Default)]
 pub struct Quarantine(HashMap<Fingerprint, QuarantinedRequest>);
 
 impl Quarantine {
-    /// Tells whether a request may be sent now.
+    /// Returns whether a request may be sent now.
     pub fn status(&self, fingerprint: Fingerprint, now: MonotonicTime) -> QuarantineStatus {
         let Some(request) = self.0.get(&fingerprint) else {
             return QuarantineStatus::NotQuarantined;
@@ -135,13 +132,13 @@
         QuarantineStatus::TrialDue
     }
 
-    /// Tells whether a request is quarantined.
+    /// Returns whether a request is quarantined.
     pub fn contains(&self, fingerprint: Fingerprint) -> bool {
         self.0.contains_key(&fingerprint)
     }
 
-    /// Takes in an entry from another source than the store; tells whether the request was
-    /// not quarantined before. `draw` is from 0 to 1 and another one on each instance.
+    /// Merges an entry that is not from the store; returns whether the request was not
+    /// quarantined before. `draw` is a random number from 0 to 1.
     pub fn merge(
         &mut self,
         fingerprint: Fingerprint,
@@ -171,8 +168,8 @@
         true
     }
 
-    /// Takes in an entry as the store holds it; tells whether the request was not
-    /// quarantined before.
+    /// Merges an entry from the store; returns whether the request was not quarantined
+    /// before.
     pub fn merge_stored(&mut self, stored: &StoredEntry, draw: f64, now: MonotonicTime) -> bool {
         let known = self.0.get(&stored.fingerprint).copied();
         let entry = known.map_or(stored.entry, |known| {
@@ -194,10 +191,10 @@
         known.is_none()
     }
 
-    /// Takes in all entries that the store holds; returns the requests that are new.
+    /// Merges all entries of the store; returns the newly quarantined requests.
     ///
-    /// One that is missing was removed, unless the store has come back from an older copy
-    /// (`is_restored`): it is written again then.
+    /// Missing entries are released, unless the store was restored from an older copy
+    /// (`is_restored`), in which case they are written again.
     pub fn sync_stored(
         &mut self,
         stored: &[StoredEntry],
@@ -220,13 +217,13 @@
         new.map(|one| one.fingerprint).collect()
     }
 
-    /// Lets a request through; tells whether it was quarantined.
+    /// Releases a request; returns whether it was quarantined.
     pub fn release(&mut self, fingerprint: Fingerprint) -> bool {
         self.0.remove(&fingerprint).is_some()
     }
 
-    /// Returns the entry that is to replace the one in the store when this instance claims
-    /// the next trial of a request; nothing where none is due.
+    /// Returns the entry with which this instance may claim the next trial in the store;
+    /// `None` where none is due.
     pub fn next_trial(&self, fingerprint: Fingerprint, now: MonotonicTime) -> Option<StoredEntry> {
         if self.status(fingerprint, now) != QuarantineStatus::TrialDue {
             return None;
@@ -239,15 +236,15 @@
         })
     }
 
-    /// Notes that this instance asks the store for a trial: whatever the answer, it does not
-    /// ask again before the next pause is over.
+    /// Records that this instance claims a trial: whatever the store answers, the next claim
+    /// follows after the next delay.
     pub fn claim(&mut self, trial: &StoredEntry, draw: f64, now: MonotonicTime) {
         if let Some(request) = self.0.get_mut(&trial.fingerprint) {
             request.trial_at = now + jittered_trial_delay(trial.entry, draw);
         }
     }
 
-    /// Returns an entry that this instance is to write to the store now.
+    /// Returns an entry that is due to be written to the store.
     pub fn next_write(&self, now: MonotonicTime) -> Option<(Fingerprint, QuarantineEntry)> {
         let is_due =
             |request: &QuarantinedRequest| request.index.is_none() && request.write_at <= now;
@@ -256,7 +253,7 @@
         Some((fingerprint, request.entry))
     }
 
-    /// Notes that an entry was written, or could not be, and when to try again.
+    /// Records an attempt to write an entry, successful or not, and schedules the next.
     pub fn record_write(&mut self, fingerprint: Fingerprint, now: MonotonicTime) {
         if let Some(request) = self.0.get_mut(&fingerprint) {
             request.write_at = now + WRITE_CONFIRM_TIMEOUT;
--- a/crates/foxtide-core/src/poison/suspects.rs
+++ b/crates/foxtide-core/src/poison/suspects.rs
@@ -1,4 +1,4 @@
-//! The requests under which upstreams have ended.
+//! Counts of upstream ends by request.
 
 use super::Fingerprint;
 use crate::ids::UpstreamId;
@@ -9,41 +9,36 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// How long the repeat of a request waits under which an upstream has ended, for the reports
-/// of ends and the quarantine to arrive within a region, also at instances that share their
-/// core. Where nothing waits, a request that ends upstreams at once ends as many as it is
-/// sent to. It is also longer than a zone takes to be lost, in which a request that is
-/// repeated at once meets one upstream after the other as it ends. Of the requests that a
-/// lost upstream takes down, which is all that waits, each is served later by this much.
+/// The delay before a request is retried after an upstream ended under it. It is longer than
+/// reports and quarantines take within a region, and than the upstreams of a failing zone take
+/// to end one after another.
 pub const RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// How long ends are remembered: upstreams that end for other causes are hours apart.
+/// How long ends are kept after the last report.
 const RETENTION: Duration = Duration::from_secs(600);
 
-/// The most requests that are remembered: what all instances report in a minute in which a
-/// zone is lost, on deployments of today.
+/// The capacity of the table; the least recently reported request is evicted for a new one.
 const SUSPECTS_MAX: usize = 4_096;
 
-/// An upstream has ended under a request.
+/// A report that an upstream ended while running a request.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndReport {
     /// The request.
     pub fingerprint: Fingerprint,
     /// The upstream.
     pub upstream: UpstreamId,
-    /// When the upstream had started.
+    /// When the upstream was started, which distinguishes its incarnations.
     pub born_at: Option<WallTime>,
 }
 
-/// From how many ends a request is quarantined that was not served in between.
+/// Options of [`Suspects`].
 ///
-/// What else was under way at the upstreams makes no difference: a request that just happened
-/// to be there is repeated elsewhere and served, which clears it. Weighing an end by the
-/// other requests there adds up too slowly under load, and two ends alone quarantine ten
-/// times as many of the others (model, 40 and 300 seeds).
+/// All requests in flight at an ended upstream are counted alike: an innocent one is served on
+/// its retry, which clears it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EvidenceOptions {
-    /// The ends.
+    /// The number of ends, without the request being served in between, at which it is
+    /// quarantined.
     pub end_threshold: usize,
 }
 
@@ -65,7 +60,7 @@
     born_at: Option<WallTime>,
 }
 
-/// The requests whose ends one instance adds up.
+/// The requests under which upstreams ended, as counted by one aggregator.
 #[derive(Clone, Debug, Default)]
 pub struct Suspects {
     options: EvidenceOptions,
@@ -81,8 +76,7 @@
         }
     }
 
-    /// Takes in that an upstream has ended under a request; returns how many have, where the
-    /// request is to be quarantined.
+    /// Records an end; returns the number of ends where the request is to be quarantined.
     pub fn report(&mut self, report: &EndReport, now: MonotonicTime) -> Option<u32> {
         let fingerprint = report.fingerprint;
         if self.suspects.len() >= SUSPECTS_MAX && !self.suspects.contains_key(&fingerprint) {
@@ -96,7 +90,7 @@
         if !suspect.add(report) {
             return None;
         }
-        // Further ends are returned as well: an instance may not know of the quarantine.
+        // Later ends are returned too, as an instance may have missed the quarantine.
         let ends = suspect.ends.len();
         (ends >= self.options.end_threshold).then_some(ends as u32)
     }
@@ -113,12 +107,12 @@
         reports.collect()
     }
 
-    /// Takes in that a request was served: it is not the one.
+    /// Clears the ends of a request that was served.
     pub fn clear(&mut self, fingerprint: Fingerprint) {
         self.suspects.remove(&fingerprint);
     }
 
-    /// Forgets what is long past.
+    /// Removes the requests whose last report is too old.
     pub fn prune(&mut self, now: MonotonicTime) {
         self.suspects
             .retain(|_, suspect| now - suspect.reported_at < RETENTION);
@@ -136,8 +130,7 @@
 }
 
 impl Suspect {
-    /// Adds an end; tells whether it was not known. Each instance that had the request there
-    /// reports it.
+    /// Adds an end; returns whether it is new, as several instances may report the same one.
     fn add(&mut self, report: &EndReport) -> bool {
         let is_same = |end: &End| end.upstream == report.upstream && end.born_at == report.born_at;
         if self.ends.iter().any(is_same) {
