--- a/crates/foxtide-core/src/promises/hourly_maximum.rs
+++ b/crates/foxtide-core/src/promises/hourly_maximum.rs
@@ -1,26 +1,27 @@
-//! The worst value of the last hour.
+//! Sliding maximum over the last hour.
 
 use crate::time::MonotonicTime;
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// How far back the worst value is looked for.
+/// The length of the sliding window.
 const RETENTION: Duration = Duration::from_secs(3_600);
 
-/// Values that lie closer together share an entry.
+/// The time that one bucket covers.
 const BUCKET_LENGTH: Duration = Duration::from_secs(60);
 
-/// Keeps the largest value of each minute of the last hour.
+/// The largest value of each minute of the last hour.
 #[derive(Clone, Debug, Default)]
 pub(super) struct HourlyMaximum {
     buckets: VecDeque<(MonotonicTime, f64)>,
 }
 
 impl HourlyMaximum {
-    /// Adds a value.
     pub(super) fn add(&mut self, value: f64, now: MonotonicTime) {
         match self.buckets.back_mut() {
-            Some((start, worst)) if now.since(*start) < BUCKET_LENGTH => *worst = worst.max(value),
+            Some((start, maximum)) if now.since(*start) < BUCKET_LENGTH => {
+                *maximum = maximum.max(value)
+            }
             _ => self.buckets.push_back((now, value)),
         }
         while self
@@ -46,12 +47,12 @@
     use super::*;
 
     #[test]
-    fn verify_worst_is_forgotten_after_an_hour() {
-        let mut worst = HourlyMaximum::default();
-        worst.add(5.0, MonotonicTime::from_ms(1_000));
-        worst.add(2.0, MonotonicTime::from_ms(120_000));
-        assert_eq!(worst.get(), 5.0);
-        worst.add(1.0, MonotonicTime::from_ms(3_700_000));
-        assert_eq!(worst.get(), 2.0);
+    fn verify_maximum_expires_after_an_hour() {
+        let mut maximum = HourlyMaximum::default();
+        maximum.add(5.0, MonotonicTime::from_ms(1_000));
+        maximum.add(2.0, MonotonicTime::from_ms(120_000));
+        assert_eq!(maximum.get(), 5.0);
+        maximum.add(1.0, MonotonicTime::from_ms(3_700_000));
+        assert_eq!(maximum.get(), 2.0);
     }
 }
--- a/crates/foxtide-core/src/promises/mod.rs
+++ b/crates/foxtide-core/src/promises/mod.rs
@@ -1,8 +1,8 @@
-//! Whether what was promised holds, as one instance sees it.
+//! Monitoring of contract promises by one instance.
 //!
-//! The caller takes a [`Sample`] of an organisation about every second and
-//! hands it to a [`PromiseMonitor`], which compares it with the contract and keeps
-//! the worst of the last hour.
+//! The caller passes a [`Sample`] of an organisation about once a second to a
+//! [`PromiseMonitor`], which compares it with the contract and keeps the largest
+//! violation of the last hour.
 
 mod hourly_maximum;
 mod monitor;
--- a/crates/foxtide-core/src/promises/monitor.rs
+++ b/crates/foxtide-core/src/promises/monitor.rs
@@ -1,4 +1,4 @@
-//! Samples compared with the contracts.
+//! Comparison of samples with the contracts of an organisation.
 
 use super::hourly_maximum::HourlyMaximum;
 use super::sample::{
@@ -22,21 +22,21 @@
 /// The time over which a rate or a pace is measured.
 const WINDOW: Duration = Duration::from_secs(10);
 
-/// What rounding may add to a pace.
-const PACE_TOLERANCE: f64 = 1e-9;
+/// Tolerance for rounding errors.
+const RATIO_TOLERANCE: f64 = 1e-9;
 
-/// What a full bucket may add to a rate, as a part of it.
+/// The share by which a full token bucket may exceed a rate within the window.
 const BURST_TOLERANCE_SHARE: f64 = 0.1;
 
-/// What was promised.
+/// A kind of promise.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum PromiseKind {
-    /// The share of a region grows no faster than the contract's shift cap.
+    /// A region's share grows no faster than the contract's shift cap.
     ShiftCap,
-    /// No more of a service is served in another home than its limit.
+    /// The spilled share of a service stays within the contract's limit.
     SpillLimit,
-    /// This instance sends a region no more than its part of the sold rate.
+    /// This instance sends a region no more than its allowed part of the sold rate.
     SoldRate,
 }
 
@@ -50,31 +50,30 @@
     }
 }
 
-/// A promise and whether it holds.
+/// A promise and whether it is kept.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Promise {
-    /// What was promised.
+    /// The kind.
     pub promise: PromiseKind,
-    /// The service, where it is about one.
+    /// The service, where the promise concerns one.
     pub service: Option<ServiceId>,
-    /// The region, where it is about one.
+    /// The region, where the promise concerns one.
     pub region: Option<RegionId>,
-    /// What is not to be exceeded.
+    /// The limit.
     pub limit: f64,
-    /// What is measured now.
+    /// The value measured last.
     pub now: f64,
-    /// The worst of the last hour, as a part of the limit at its time.
+    /// The largest ratio of value to limit in the last hour.
     pub worst_of_limit: f64,
-    /// The unit of limit and measure.
+    /// The unit of limit and value.
     pub unit: &'static str,
-    /// Whether it held all of the last hour.
+    /// Whether the promise was kept throughout the last hour.
     pub held: bool,
 }
 
-/// Which promise, of whom.
 type Key = (PromiseKind, Option<ServiceId>, Option<RegionId>);
 
-/// The latest measure of one promise.
+/// The latest measurement of one promise.
 #[derive(Clone, Debug, Default)]
 struct Measure {
     limit: f64,
@@ -90,7 +89,7 @@
 }
 
 impl PromiseMonitor {
-    /// Takes a sample in.
+    /// Adds a sample.
     pub fn add(&mut self, organisation: &Organisation, sample: Sample) {
         let now = sample.taken_at;
         self.window.push_back(sample);
@@ -100,7 +99,7 @@
         self.measure(organisation, now);
     }
 
-    /// Returns every promise, by kind, service and region.
+    /// Returns every promise, ordered by kind, service and region.
     pub fn promises(&self) -> Vec<Promise> {
         self.measures.iter().map(promise).collect()
     }
@@ -109,7 +108,7 @@
         let (Some(first), Some(last)) = (self.window.front(), self.window.back()) else {
             return;
         };
-        // A shorter time would make every burst look like a broken rate.
+        // Over a shorter time every burst would exceed the rate.
         if last.taken_at.since(first.taken_at) < WINDOW {
             return;
         }
@@ -129,8 +128,8 @@
 }
 
 impl PromiseMonitor {
-    /// Returns the largest part of each region's rate in the window: what a
-    /// part shrank from may have been sent just before.
+    /// Returns the largest allowed rate of each region in the window, as it may
+    /// have been used before it was reduced.
     fn largest_allowed_rps(&self) -> BTreeMap<RegionId, f64> {
         let mut largest = BTreeMap::new();
         for (region, sample) in self.window.iter().flat_map(|sample| &sample.regions) {
@@ -156,16 +155,16 @@
             PromiseKind::SpillLimit => "share",
             PromiseKind::SoldRate => "rps",
         },
-        held: worst_of_limit <= 1.0 + PACE_TOLERANCE,
+        held: worst_of_limit <= 1.0 + RATIO_TOLERANCE,
     }
 }
 
-/// Returns how much of a limit a value takes.
+/// Returns the ratio of a value to its limit.
 fn ratio_to_limit(value: f64, limit: f64) -> f64 {
     if value <= 0.0 {
         0.0
     } else if limit <= 0.0 {
-        // Infinity has no form in JSON.
+        // JSON cannot represent infinity.
         f64::MAX
     } else {
         value / limit
@@ -207,8 +206,8 @@
     found
 }
 
-/// Returns by how much the share of each region grew. A row that was not there
-/// before is a start, not a shift.
+/// Returns the increase of each region's share. The first row is a start and
+/// counts as no increase.
 fn share_increases(before: &ServiceSample, after: &ServiceSample) -> Vec<(RegionId, f64)> {
     if before.row.is_empty() {
         return Vec::new();
--- a/crates/foxtide-core/src/promises/sample.rs
+++ b/crates/foxtide-core/src/promises/sample.rs
@@ -1,4 +1,4 @@
-//! What an instance measures of itself at one moment.
+//! Measurements of an instance at one moment.
 
 use crate::ids::{
     RegionId,
@@ -11,10 +11,10 @@
 };
 use std::collections::BTreeMap;
 
-/// What an instance measures of one organisation at one moment.
+/// The measurements of one organisation at one moment.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Sample {
-    /// When it was taken.
+    /// The time of the sample.
     pub taken_at: MonotonicTime,
     /// The services.
     pub services: BTreeMap<ServiceId, ServiceSample>,
@@ -22,23 +22,22 @@
     pub regions: BTreeMap<RegionId, RegionSample>,
 }
 
-/// What an instance measures of one service.
+/// The measurements of one service.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ServiceSample {
     /// The share of the requests that goes to each region.
     pub row: BTreeMap<RegionId, Share>,
-    /// The requests sent where the row plans them, since the process started.
+    /// The requests sent to their planned region since the process started.
     pub sent_planned: u64,
-    /// The requests sent to another home for want of room, since the process
-    /// started.
+    /// The requests spilled over to another home since the process started.
     pub sent_spilled: u64,
 }
 
-/// What an instance measures of one region.
+/// The measurements of one region.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct RegionSample {
-    /// The instance's part of the rate sold there, of the link to it included.
+    /// The instance's part of the region's sold rate, limited by that of the link.
     pub allowed_rps: RequestRate,
-    /// The requests sent there, since the process started.
+    /// The requests sent there since the process started.
     pub sent: u64,
 }
