--- a/crates/foxtide-core/src/explain/changes.rs
+++ b/crates/foxtide-core/src/explain/changes.rs
@@ -1,7 +1,7 @@
-//! What changes at a service, as events, told from its views and decisions.
+//! Events for changes of a service, derived from its views and decisions.
 //!
-//! Single requests are no events that an operator wants to read; that spilling
-//! began, and that it ended after so many requests, is.
+//! Decisions on single requests are aggregated: the events report when spilling
+//! or shedding starts, and when it ends after how many requests.
 
 use super::episodes::Episodes;
 use super::{
@@ -27,23 +27,23 @@
     BTreeSet, //
 };
 
-/// The least by which a region's weight must have moved to be told again.
+/// The smallest change of a region's weight that is reported.
 const WEIGHT_STEP: f32 = 0.05;
 
-/// Weights that differ by less are the same.
+/// Weights that differ by less count as equal.
 const WEIGHT_PRECISION: f32 = 0.001;
 
-/// How many changes wait to be taken; later ones are dropped.
+/// The capacity of the queue; later changes are dropped.
 const QUEUED_MAX: usize = 256;
 
-/// Tells what changes at all services of an instance.
+/// Detects changes of all services of an instance.
 #[derive(Clone, Debug, Default)]
 pub(super) struct ServiceChanges {
     services: BTreeMap<(OrganisationId, ServiceId), Service>,
     queued: Vec<EventDraft>,
 }
 
-/// What was told of one service.
+/// The last reported state of one service.
 #[derive(Clone, Debug, Default)]
 struct Service {
     weights: BTreeMap<RegionId, f32>,
@@ -53,7 +53,7 @@
 }
 
 impl ServiceChanges {
-    /// Compares a view with what was told of its service.
+    /// Compares a view with the last reported state of its service.
     pub(super) fn compare(&mut self, view: &View) {
         let key = (view.organisation.clone(), view.service.clone());
         let service = self.services.entry(key).or_default();
@@ -62,7 +62,7 @@
         self.queue(&view.organisation, &view.service, changes);
     }
 
-    /// Counts a decision that did not go as planned.
+    /// Counts a decision that deviated from the plan.
     pub(super) fn record(&mut self, decision: &Decision, view: &View) {
         let key = (view.organisation.clone(), view.service.clone());
         let service = self.services.entry(key).or_default();
@@ -70,7 +70,7 @@
         self.queue(&view.organisation, &view.service, started);
     }
 
-    /// Returns what changed since the last call.
+    /// Returns the changes since the last call.
     pub(super) fn take(&mut self, now: WallTime) -> Vec<EventDraft> {
         let mut ended = Vec::new();
         for ((organisation, id), service) in &mut self.services {
@@ -100,8 +100,8 @@
 }
 
 impl Service {
-    /// Tells regions, and the service, that lost their last usable upstream or
-    /// have one again.
+    /// Returns events for regions, and the service, that lost their last usable
+    /// upstream or regained one.
     fn compare_upstreams(&mut self, candidates: &[Candidate]) -> Vec<EventDraft> {
         let usable = usable_regions(candidates);
         let without: BTreeSet<RegionId> = usable
@@ -130,7 +130,7 @@
         changes
     }
 
-    /// Tells weights that moved by a step, or that came to rest.
+    /// Returns an event if the weights moved by a step or reached the plan.
     fn compare_weights(&mut self, candidates: &[Candidate]) -> Option<EventDraft> {
         let weights = figures(candidates, FigureKind::WeightShare);
         let planned = figures(candidates, FigureKind::PlannedShare);
@@ -159,7 +159,7 @@
     }
 }
 
-/// Returns for each region whether it has an upstream that is not excluded.
+/// Returns for each region with upstreams whether one is not excluded.
 fn usable_regions(candidates: &[Candidate]) -> BTreeMap<RegionId, bool> {
     let mut usable = BTreeMap::new();
     for candidate in candidates {
@@ -171,7 +171,7 @@
     usable
 }
 
-/// Returns a figure of all regions that have it.
+/// Returns the figures of one kind by region.
 fn figures(candidates: &[Candidate], kind: FigureKind) -> BTreeMap<RegionId, f32> {
     let figure = |candidate: &Candidate| {
         let CandidateName::Region(region) = &candidate.name else {
--- a/crates/foxtide-core/src/explain/decision.rs
+++ b/crates/foxtide-core/src/explain/decision.rs
@@ -1,4 +1,4 @@
-//! One look-up or request.
+//! Decision on one look-up or request.
 
 use super::{
     Rule,
@@ -21,16 +21,16 @@
 use std::str::FromStr;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// How many attempts are kept; later ones are only counted.
+/// The number of attempts kept; later ones are only counted.
 pub const ATTEMPTS_MAX: usize = 3;
 
-/// What was decided.
+/// The kind of a decision.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum DecisionKind {
-    /// Which instances a caller is told of.
+    /// The instances returned to a caller.
     Lookup,
-    /// Where a request went.
+    /// The upstream or refusal chosen for a request.
     Request,
 }
 
@@ -59,22 +59,22 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum AttemptResult {
-    /// With the upstream's whole answer.
+    /// The upstream answered completely.
     Answered,
-    /// The upstream said that it did not run it.
+    /// The upstream refused the request without running it.
     Refused,
-    /// No byte of it went out.
+    /// No byte of the request was sent.
     NotSent,
-    /// It may have run.
+    /// The request may have run.
     Unknown,
-    /// Another attempt was faster, or the caller went away.
+    /// Another attempt was faster, or the caller disconnected.
     Cancelled,
 }
 
-/// A look-up or a request and where it went.
+/// The decision on a look-up or a request.
 ///
-/// It holds no text of its own: names are shared with the configuration and
-/// the request's id is kept as its hash.
+/// It owns no text: names are shared with the configuration, and the request's
+/// id is stored as a hash.
 #[derive(Clone, Debug)]
 pub struct Decision {
     pub(super) kind: DecisionKind,
@@ -88,8 +88,8 @@
 }
 
 impl Decision {
-    /// Returns the decision taken at `at_us` by a rule, on the figures of a
-    /// view, in favour of a region if any.
+    /// Returns the decision made at `at_us` by a rule, based on a view, for a
+    /// region if any.
     pub fn new(
         kind: DecisionKind,
         rule: Rule,
@@ -109,13 +109,13 @@
         }
     }
 
-    /// Returns the decision with the id by which it can be asked for.
+    /// Returns the decision with the id by which it can be queried.
     pub fn with_request(mut self, request: &RequestId) -> Self {
         self.request_hash = hash(request);
         self
     }
 
-    /// Replaces the rule and the region, as when a request spills over.
+    /// Replaces the rule and the region, for example on spill-over.
     pub fn redirect(&mut self, rule: Rule, region: Option<RegionId>) {
         self.rule = rule;
         self.region = region;
@@ -130,8 +130,8 @@
         self.attempts_made = self.attempts_made.saturating_add(1);
     }
 
-    /// Tells whether an operator is more likely to ask for this one: it did
-    /// not simply go to the planned place and come back.
+    /// Returns whether the decision deviated from the plan or needed more than
+    /// one successful attempt; such decisions are kept longer.
     pub(super) fn is_unusual(&self) -> bool {
         let planned = matches!(
             self.rule,
--- a/crates/foxtide-core/src/explain/episodes.rs
+++ b/crates/foxtide-core/src/explain/episodes.rs
@@ -1,4 +1,4 @@
-//! Times during which requests of a service did not go as planned.
+//! Episodes of spilling or shedding at a service.
 
 use super::{
     Decision,
@@ -12,17 +12,15 @@
 use crate::time::WallTime;
 use std::time::Duration;
 
-/// How long no request must have been hit for an episode to be over.
+/// The time without an affected request that ends an episode.
 const QUIET_PERIOD: Duration = Duration::from_secs(10);
 
-/// What happens to requests.
+/// A kind of episode and the events that delimit it.
 #[derive(Clone, Copy, Debug)]
 struct EpisodeKind {
-    /// The event of its beginning.
     start_event: EventCode,
-    /// The event of its end.
     end_event: EventCode,
-    /// Tells whether a decision by a rule belongs to it.
+    /// Returns whether a decision by a rule belongs to the episode.
     covers: fn(Rule) -> bool,
 }
 
@@ -44,7 +42,7 @@
     },
 ];
 
-/// An episode of one kind.
+/// The current episode of one kind; inactive at 0 requests.
 #[derive(Clone, Copy, Debug, Default)]
 struct Episode {
     requests: u64,
@@ -56,7 +54,7 @@
 pub(super) struct Episodes([Episode; EPISODE_KINDS.len()]);
 
 impl Episodes {
-    /// Counts a decision; returns what begins with it.
+    /// Counts a decision; returns events for the episodes it starts.
     pub(super) fn record(&mut self, decision: &Decision) -> Vec<EventDraft> {
         let mut started = Vec::new();
         for (kind, episode) in EPISODE_KINDS.iter().zip(&mut self.0) {
@@ -72,7 +70,7 @@
         started
     }
 
-    /// Returns what has ended by now.
+    /// Returns events for the episodes that have ended.
     pub(super) fn end(&mut self, now: WallTime) -> Vec<EventDraft> {
         let mut ended = Vec::new();
         for (kind, episode) in EPISODE_KINDS.iter().zip(&mut self.0) {
--- a/crates/foxtide-core/src/explain/log.rs
+++ b/crates/foxtide-core/src/explain/log.rs
@@ -1,4 +1,4 @@
-//! The bounded memory of decisions and of the views they rest on.
+//! Bounded log of decisions and of the views they are based on.
 
 use super::changes::ServiceChanges;
 use super::decision::hash;
@@ -26,14 +26,14 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// How much is kept.
+/// Capacities of an [`ExplainLog`].
 #[derive(Clone, Copy, Debug)]
 pub struct ExplainOptions {
-    /// How many decisions that went as planned; 16,384 by default.
+    /// The number of decisions that followed the plan; 16,384 by default.
     pub usual: usize,
-    /// How many others; 4,096 by default.
+    /// The number of other decisions; 4,096 by default.
     pub unusual: usize,
-    /// How many views; 512 by default.
+    /// The number of views; 512 by default.
     pub views: usize,
     /// The shortest time between two views of a service; 1 s by default.
     pub view_interval: Duration,
@@ -50,18 +50,18 @@
     }
 }
 
-/// Which decisions a reader asks for; the default asks for all.
+/// A filter for decisions; the default selects all.
 #[derive(Clone, Debug, Default)]
 pub struct ExplainFilter {
     /// Only those of this request. Ids are compared by a 64-bit hash.
     pub request: Option<RequestId>,
     /// Only those of this kind.
     pub kind: Option<DecisionKind>,
-    /// Only those of this organisation, as far as their views are kept.
+    /// Only those of this organisation whose views are still kept.
     pub organisation: Option<OrganisationId>,
-    /// Only those of this service, as far as their views are kept.
+    /// Only those of this service whose views are still kept.
     pub service: Option<ServiceId>,
-    /// Only those that did not go as planned.
+    /// Only those that deviated from the plan.
     pub unusual: bool,
     /// At most this many, the latest.
     pub limit: Option<usize>,
@@ -79,28 +79,28 @@
     wanted.as_ref().is_none_or(|wanted| value == Some(wanted))
 }
 
-/// The answer to why a look-up or request went where it did.
+/// The explanation of a decision.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Explanation {
-    /// What was decided.
+    /// The kind of the decision.
     pub kind: DecisionKind,
     /// The rule that decided.
     pub rule: Rule,
-    /// The rule, for people.
+    /// A description of the rule.
     pub because: &'static str,
-    /// When.
+    /// The time of the decision.
     pub at_us: WallTime,
     /// The region chosen, if any.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub region: Option<RegionId>,
-    /// The first attempts, in their order.
+    /// The first attempts, in order.
     pub attempts: Vec<Attempt>,
-    /// How many attempts were made in all.
+    /// The total number of attempts.
     pub attempts_made: u8,
-    /// How old the view was at the decision, in milliseconds; each figure was
-    /// older by its own age.
+    /// The age of the view at the decision, in milliseconds, to which the age of
+    /// each figure adds.
     pub view_age_ms: u64,
-    /// The figures; none where they are no longer kept.
+    /// The view; `None` where it is no longer kept.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub view: Option<Arc<View>>,
 }
@@ -125,8 +125,7 @@
         }
     }
 
-    /// Tells whether a view of the service is due, so that building one can be
-    /// left out otherwise.
+    /// Returns whether a view of the service is due.
     pub fn is_view_due(
         &self,
         organisation: &OrganisationId,
@@ -138,7 +137,7 @@
         latest.is_none_or(|view| now.since(view.taken_us) >= self.options.view_interval)
     }
 
-    /// Keeps a view; returns the number that decisions name it by.
+    /// Adds a view; returns its id for the decisions based on it.
     pub fn publish(&mut self, view: View) -> ViewId {
         self.changes.compare(&view);
         self.published = self.published.wrapping_add(1);
@@ -146,7 +145,7 @@
         ViewId(self.published)
     }
 
-    /// Keeps a decision.
+    /// Adds a decision.
     pub fn record(&mut self, decision: Decision) {
         if decision.is_unusual() {
             if let Some(view) = self.find_view(decision.view).cloned() {
@@ -158,13 +157,12 @@
         }
     }
 
-    /// Returns what changed at the services since the last call, as events to
-    /// record.
+    /// Returns events for the changes of the services since the last call.
     pub fn changes(&mut self, now: WallTime) -> Vec<EventDraft> {
         self.changes.take(now)
     }
 
-    /// Explains the decisions that are asked for, the latest first.
+    /// Returns the explanations of the selected decisions, the latest first.
     pub fn select(&self, filter: &ExplainFilter) -> Vec<Explanation> {
         let limit = filter.limit.unwrap_or(usize::MAX);
         let request = filter.request.as_ref().map(hash);
@@ -181,7 +179,7 @@
         found.into_iter().map(|d| self.explain(d)).collect()
     }
 
-    /// Returns the memory in use, in bytes, names aside.
+    /// Returns the memory in use, in bytes, without the shared names.
     pub fn size_bytes(&self) -> usize {
         let decisions = self.usual.capacity() + self.unusual.capacity();
         let views: usize = self.views.iter().map(|view| view.size_bytes()).sum();
@@ -212,7 +210,7 @@
 }
 
 fn push_bounded<T>(queue: &mut VecDeque<T>, item: T, capacity: usize) {
-    // Room is made first, so that the queue never grows past its capacity.
+    // Popping first keeps the queue from growing past its capacity.
     if queue.len() >= capacity {
         queue.pop_front();
     }
--- a/crates/foxtide-core/src/explain/mod.rs
+++ b/crates/foxtide-core/src/explain/mod.rs
@@ -1,22 +1,21 @@
-//! Why a look-up or a request went where it did.
+//! Explanations of routing decisions on look-ups and requests.
 //!
-//! A decision rests on figures that change a few times a second and are the
-//! same for all requests of a service in between. So these are kept once, as
-//! a [`View`], and each look-up and request only adds a small [`Decision`]
-//! that names its view. An [`ExplainLog`] keeps the latest of both in bounded
-//! rings and joins them to an [`Explanation`] when one is asked for.
+//! Decisions are based on figures that change a few times a second and are
+//! shared by all requests of a service in between. They are stored once as a
+//! [`View`]; each look-up and request adds a small [`Decision`] with the id of
+//! its view. An [`ExplainLog`] keeps the latest of both in bounded queues and
+//! joins them to an [`Explanation`] on query.
 //!
-//! The request path does this:
+//! The request path calls it as follows:
 //!
 //! 1. On a tick, if [`ExplainLog::is_view_due`]: builds a [`View`] of the
-//!    service from what the decisions rest on, and calls
-//!    [`ExplainLog::publish`].
+//!    service and calls [`ExplainLog::publish`].
 //! 2. At a decision: [`Decision::new`], then [`Decision::add_attempt`] for each
 //!    attempt and its result; at the end [`ExplainLog::record`].
 //! 3. Once a second: records what [`ExplainLog::changes`] returns.
 //! 4. On `/v1/explain`: [`ExplainLog::select`].
 //!
-//! `foxtide_events::Explainer` is the thread-safe form.
+//! `foxtide_events::Explainer` is the thread-safe variant.
 
 mod changes;
 mod decision;
--- a/crates/foxtide-core/src/explain/rule.rs
+++ b/crates/foxtide-core/src/explain/rule.rs
@@ -1,4 +1,4 @@
-//! The rules by which traffic is directed.
+//! Rules that determine the destination of traffic.
 
 use serde::{
     Deserialize,
@@ -6,15 +6,15 @@
 };
 use std::fmt;
 
-/// The rule that decided.
+/// The rule behind a decision.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Rule {
-    /// The caller's region is a home of the service and serves its own.
+    /// The caller's region is a home of the service and serves its own traffic.
     OwnRegion,
-    /// Drawn by the weights of the homes.
+    /// A random home region, by weight.
     Weighted,
-    /// A planned move directs this part of the traffic.
+    /// A planned move directs this share of the traffic.
     PlannedMove,
     /// The planned region was at a limit; another home took it within the
     /// contract's spill-over limit.
@@ -23,7 +23,7 @@
     RegionFailed,
     /// Redirected to the instance that owns the idempotency key.
     KeyOwner,
-    /// The idempotency key is known: the first request's answer was given.
+    /// The idempotency key is known: the stored answer was returned.
     KeyReplayed,
     /// Refused: this instance's part of a region's sold rate is used up.
     RegionLimit,
@@ -31,26 +31,26 @@
     LinkLimit,
     /// Refused: the contract's spill-over limit is reached.
     SpillLimit,
-    /// Refused: it would have waited beyond its deadline.
+    /// Refused: the request would have waited beyond its deadline.
     Deadline,
     /// Refused: no upstream is usable.
     NoUpstream,
-    /// Refused: the idempotency key cannot be accepted here and now.
+    /// Refused: the idempotency key cannot be accepted.
     KeyRefused,
-    /// Refused: the request is malformed or names nothing that is served.
+    /// Refused: the request is malformed or names an unknown service.
     Malformed,
     /// Look-up: the instances of the client's region.
     ClientRegion,
-    /// Look-up: the client's block of addresses belongs to a site.
+    /// Look-up: the client's address block belongs to a site.
     ClientBlock,
-    /// Look-up: no instance lives in the client's region; the next one's.
+    /// Look-up: no instance is live in the client's region; the next region's.
     NextRegion,
-    /// Look-up: nothing is known of the client; any live instances.
+    /// Look-up: the client's location is unknown; any live instances.
     AnyInstance,
 }
 
 impl Rule {
-    /// Returns what the rule says, for people.
+    /// Returns a description of the rule.
     pub const fn text(self) -> &'static str {
         match self {
             Self::OwnRegion => "the caller's region is a home and serves its own traffic",
--- a/crates/foxtide-core/src/explain/view.rs
+++ b/crates/foxtide-core/src/explain/view.rs
@@ -1,4 +1,4 @@
-//! What the decisions of a service rest on for a while.
+//! Snapshot of the figures behind the decisions of a service.
 
 use crate::ids::{
     InstanceId,
@@ -15,7 +15,7 @@
 use std::fmt;
 use std::mem::size_of;
 
-/// The number of a view in its process.
+/// The id of a view within its process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct ViewId(pub(super) u32);
@@ -26,7 +26,7 @@
     }
 }
 
-/// The figures of one service at one moment.
+/// A snapshot of the figures of one service.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct View {
     /// The organisation.
@@ -35,14 +35,14 @@
     pub service: ServiceId,
     /// The revision of the configuration in force.
     pub revision: u64,
-    /// When the figures were read.
+    /// The time of the snapshot.
     pub taken_us: WallTime,
-    /// Everything that could be chosen, also what is excluded.
+    /// All candidates, including excluded ones.
     pub candidates: Vec<Candidate>,
 }
 
 impl View {
-    /// Returns the memory that the view takes, names aside, which it shares.
+    /// Returns the memory of the view, in bytes, without the shared names.
     pub fn size_bytes(&self) -> usize {
         let figures = |c: &Candidate| c.figures.capacity() * size_of::<Figure>();
         let heap: usize = self.candidates.iter().map(figures).sum();
@@ -50,18 +50,18 @@
     }
 }
 
-/// Something that traffic could go to.
+/// A possible destination of traffic.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Candidate {
-    /// Its name.
+    /// The name.
     pub name: CandidateName,
-    /// The region in which an upstream or instance stands.
+    /// The region of an upstream or instance.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub region: Option<RegionId>,
-    /// Why it gets nothing at present.
+    /// Why the candidate gets no traffic.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub excluded: Option<Exclusion>,
-    /// What is known of it.
+    /// The figures.
     pub figures: Vec<Figure>,
 }
 
@@ -77,7 +77,7 @@
     Instance(InstanceId),
 }
 
-/// Why a candidate gets nothing.
+/// The reason why a candidate gets no traffic.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Exclusion {
@@ -85,9 +85,9 @@
     NotInContract,
     /// It is leaving.
     Draining,
-    /// It failed requests and was ejected.
+    /// It was ejected after failures.
     Ejected,
-    /// All of its slots are taken.
+    /// All of its slots are in use.
     SlotsTaken,
     /// It sheds load.
     Overloaded,
@@ -95,46 +95,46 @@
     Unreachable,
     /// It is suspected to have failed.
     Suspected,
-    /// Its weight is nought.
+    /// Its weight is zero.
     NoWeight,
     /// This instance's part of its region's sold rate is used up.
     RegionLimit,
     /// This instance's part of its link's sold rate is used up.
     LinkLimit,
-    /// Its measurements are too old to send more than the floor.
+    /// Its measurements are stale, which limits it to the minimum.
     Stale,
-    /// It is none of this instance's subset.
+    /// It is outside this instance's subset.
     OtherSubset,
 }
 
 /// A figure and its age.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Figure {
-    /// What it measures; names its unit.
+    /// The kind, which determines the unit.
     pub kind: FigureKind,
-    /// The figure.
+    /// The value.
     pub value: f32,
-    /// How old it was when the view was taken, in milliseconds.
+    /// The age at the time of the view, in milliseconds.
     pub age_ms: u32,
 }
 
-/// What a figure measures.
+/// The kind of a figure.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum FigureKind {
-    /// The part of the traffic that is to go there, from 0 to 1.
+    /// The share of the traffic directed there, from 0 to 1.
     WeightShare,
-    /// The part by the plan, before limits and failures, from 0 to 1.
+    /// The planned share, before limits and failures, from 0 to 1.
     PlannedShare,
-    /// The part of the requests that spill over, from 0 to 1.
+    /// The share of the requests that spill over, from 0 to 1.
     SpillShare,
-    /// The rate that was sold, in requests a second.
+    /// The sold rate, in requests a second.
     SoldRps,
     /// This instance's part of the sold rate, in requests a second.
     AllowedRps,
-    /// The rate sent lately, in requests a second.
+    /// The recent rate sent, in requests a second.
     SentRps,
-    /// The part of its upstreams that is usable, from 0 to 1.
+    /// The usable share of its upstreams, from 0 to 1.
     HealthyShare,
     /// The live instances there.
     LiveInstances,
@@ -142,12 +142,12 @@
     InFlight,
     /// Slots that this instance may use.
     Slots,
-    /// Load as the upstream reports it, from 0 to 1.
+    /// The load that the upstream reports, from 0 to 1.
     ReportedLoad,
-    /// Latency seen lately, in milliseconds.
+    /// The recent latency, in milliseconds.
     LatencyMs,
-    /// Part of the attempts that failed lately, from 0 to 1.
+    /// The share of recent attempts that failed, from 0 to 1.
     FailureShare,
-    /// Part of the full weight while a cold cache warms, from 0 to 1.
+    /// The share of the full weight during warm-up, from 0 to 1.
     RampShare,
 }
