--- a/crates/foxtide-core/tests/choice_balancer.rs
+++ b/crates/foxtide-core/tests/choice_balancer.rs
@@ -1,4 +1,4 @@
-//! Which upstreams a balancer chooses, and which it must not.
+//! Tests of the load balancer: selection, failure detection, ejection and sharing.
 
 mod upstreams;
 
@@ -54,7 +54,7 @@
     balancer.finish(ticket, Completion::new(kind, LATENCY), now);
 }
 
-/// Serves requests one after another; returns how many went to each upstream.
+/// Serves requests one after another; returns the upstreams used.
 fn serve(balancer: &mut Balancer, times_ms: std::ops::Range<u64>) -> BTreeSet<String> {
     let mut seen = BTreeSet::new();
     for ms in times_ms {
@@ -167,7 +167,7 @@
     assert!(matches!(balancer.pick(at(4_000), 0), Pick::Take(_)));
 }
 
-/// Finishes `count` requests of one upstream with a kind; others answer.
+/// Finishes `count` requests: those of `failing` upstreams fail, the others are answered.
 fn fail_upstream(balancer: &mut Balancer, failing: &[usize], count: u64, start_ms: u64) {
     for round in 0..count {
         let now = at(start_ms + round);
--- a/crates/foxtide-core/tests/choice_properties.rs
+++ b/crates/foxtide-core/tests/choice_properties.rs
@@ -1,4 +1,4 @@
-//! What holds of a balancer whatever happens to it.
+//! Property tests of the load balancer: invariants under random operations.
 
 mod upstreams;
 
@@ -78,7 +78,7 @@
     ]
 }
 
-/// A balancer, what was taken from it and what was asked of it.
+/// A balancer with its open tickets and polls.
 struct Harness {
     balancer: Balancer,
     now: MonotonicTime,
@@ -143,8 +143,8 @@
             .collect();
         if let Pick::Take(ticket) = self.balancer.pick(self.now, draw) {
             let chosen = &ticket.upstream().upstream;
-            assert!(!self.leaving.contains(chosen), "{chosen} leaves");
-            assert!(!unavailable.contains(chosen), "{chosen} is out");
+            assert!(!self.leaving.contains(chosen), "{chosen} is leaving");
+            assert!(!unavailable.contains(chosen), "{chosen} is unavailable");
             self.tickets.push(ticket);
         }
     }
@@ -176,7 +176,7 @@
         self.balancer.finish_poll(poll, result, self.now);
     }
 
-    /// Checks what holds at any time.
+    /// Checks the invariants.
     fn check(&self) {
         let statuses: Vec<UpstreamStatus> = self
             .balancer
@@ -207,7 +207,7 @@
     })]
 
     #[test]
-    fn verify_choice_keeps_its_bounds(ops in proptest::collection::vec(op(), 1..300)) {
+    fn verify_balancer_keeps_its_invariants(ops in proptest::collection::vec(op(), 1..300)) {
         let mut harness = Harness::new();
         for op in ops {
             harness.run(op);
--- a/crates/foxtide-core/tests/explain.rs
+++ b/crates/foxtide-core/tests/explain.rs
@@ -1,4 +1,4 @@
-//! Why a look-up or request went where it did.
+//! Tests of the explain log: selection, capacity and events for changes.
 
 use foxtide_core::events::{
     EventCode,
@@ -192,7 +192,7 @@
     }
 }
 
-/// Publishes a view of these candidates; returns what changed.
+/// Publishes a view with these candidates; returns the codes of the resulting events.
 fn codes_after(log: &mut ExplainLog, candidates: Vec<Candidate>) -> Vec<EventCode> {
     log.publish(View {
         candidates,
--- a/crates/foxtide-core/tests/poison.rs
+++ b/crates/foxtide-core/tests/poison.rs
@@ -1,13 +1,5 @@
-//! Requests that end their upstreams.
-//!
-//! The pattern: of one kind of requests one in thirty has a content that ends the upstream
-//! that begins to work on it, 0.1 s later, whichever it is. Each such end breaks all that is
-//! under way there, of many other contents; what is idempotent is repeated at the object's
-//! next upstream, and callers come back once. Upstreams that ended are gone.
-//!
-//! The figures: 12 upstreams, 10 instances and 44 requests a second of 138 objects with work
-//! of 0.3 s are the kind that was struck on the smallest deployment, where it ended 29 of 48
-//! upstreams in 20 s. Message between instances takes 40 ms, as between regions.
+//! Tests of the evidence against poison requests: they must be quarantined after a few ends,
+//! and unrelated ends of upstreams must quarantine almost no other requests.
 
 use foxtide_core::ids::UpstreamId;
 use foxtide_core::placement::{
@@ -47,13 +39,13 @@
 
 #[test]
 fn verify_fingerprint_parts_are_delimited() {
-    let of = |parts: &[&str]| {
+    let fingerprint = |parts: &[&str]| {
         let parts: Vec<&[u8]> = parts.iter().map(|part| part.as_bytes()).collect();
         Fingerprint::new(&parts)
     };
-    assert_eq!(of(&["GET", "/a"]), of(&["GET", "/a"]));
-    assert_ne!(of(&["GET", "/a"]), of(&["GET/", "a"]));
-    assert_ne!(of(&["GET", ""]), of(&["", "GET"]));
+    assert_eq!(fingerprint(&["GET", "/a"]), fingerprint(&["GET", "/a"]));
+    assert_ne!(fingerprint(&["GET", "/a"]), fingerprint(&["GET/", "a"]));
+    assert_ne!(fingerprint(&["GET", ""]), fingerprint(&["", "GET"]));
 }
 
 #[test]
@@ -87,7 +79,7 @@
     }
 }
 
-/// Guards against trials that are allowed since ends behind a cut are not known.
+/// Guards against extra trials where ends seen during a partition are not reported later.
 #[test]
 fn verify_known_ends_can_be_reported_again() {
     let mut partitioned = Suspects::default();
@@ -104,7 +96,7 @@
     assert_eq!(ends, [Some(4), Some(5)]);
 }
 
-/// The same upstream under its old name is another one once it has started again.
+/// Guards against ends of a restarted upstream being taken for reports of the same end.
 #[test]
 fn verify_incarnations_of_an_upstream_count_separately() {
     let mut suspects = Suspects::default();
@@ -126,17 +118,17 @@
 const MESSAGE_DELAY_MS: u64 = 40;
 const DURATION_MS: u64 = 20_000;
 
-/// What ends upstreams besides.
+/// The cause of upstream ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Fault {
     None,
-    /// Requests of one content, one in thirty.
+    /// One in thirty requests is the poison request.
     Poison,
     /// A third of the upstreams at the same moment.
     ZoneLost,
-    /// The same, one every 20 ms.
+    /// A third of the upstreams, one every 20 ms.
     ZoneLostGradually,
-    /// One upstream after the other, every 1.4 s, back after as long.
+    /// One upstream every 1.4 s, restarted after 1.4 s.
     Flap,
 }
 
@@ -167,12 +159,11 @@
     suspects: Suspects,
     messages: BTreeMap<u64, Vec<Message>>,
     caller_retries: BTreeMap<u64, Vec<u64>>,
-    /// The upstreams that ended under each request.
     ended_under: BTreeMap<u64, BTreeSet<usize>>,
     ever_quarantined: BTreeSet<u64>,
 }
 
-/// The request that ends its upstreams.
+/// The request that ends every upstream it is sent to.
 const POISON: u64 = 7;
 
 impl Simulation {
@@ -310,7 +301,7 @@
         }
     }
 
-    /// An upstream ends, and breaks what is under way there.
+    /// Ends an upstream and breaks its running requests.
     fn end(&mut self, upstream: usize, until_ms: u64, now_ms: u64) {
         self.down_until_ms[upstream] = until_ms;
         let is_there = |running: &mut Running| running.upstream == upstream;
@@ -366,7 +357,7 @@
         falsely_quarantined += simulation.ever_quarantined.len()
             - usize::from(simulation.ever_quarantined.contains(&POISON));
     }
-    // Of 138 other contents a play; one in five hundred may be taken for guilty.
+    // At most one in five hundred other requests may be quarantined.
     let share = falsely_quarantined as f64 / (SEEDS * OBJECTS) as f64;
     assert!(share <= 0.002, "{share}");
 }
--- a/crates/foxtide-core/tests/poison_model/faults.rs
+++ b/crates/foxtide-core/tests/poison_model/faults.rs
@@ -1,48 +1,48 @@
-//! What happens besides, and the ways that are compared.
+//! Faults of the simulation and the compared detection strategies.
 
 use foxtide_core::poison::EvidenceOptions;
 
-/// What else happens in a play.
+/// The faults of one run.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Faults {
     /// The share of requests that end their upstreams.
     pub(crate) poison_share: f64,
     /// The share of messages between instances that are lost.
     pub(crate) loss: f64,
-    /// A region is cut off from the others and the store.
+    /// A region is partitioned from the others and the store.
     pub(crate) is_region_cut: bool,
-    /// A share of the instances is frozen or suspended.
+    /// The share of instances that are frozen.
     pub(crate) frozen_share: f64,
     /// All instances are restarted, two a second.
     pub(crate) is_rolling: bool,
     /// All instances are killed at once.
     pub(crate) are_all_killed: bool,
-    /// The store is away.
+    /// The store is unreachable.
     pub(crate) is_store_down: bool,
-    /// The store comes back from an older copy, and all instances are killed afterwards.
+    /// The store is restored from an older copy; all instances are killed afterwards.
     pub(crate) is_store_restored: bool,
-    /// Requests at the same time, as a multiple of the usual.
+    /// The request rate, as a multiple of the usual one.
     pub(crate) load: u64,
-    /// One upstream after the other ends for its own reasons, each so many milliseconds.
+    /// The interval at which a random upstream ends for unrelated causes, in milliseconds.
     pub(crate) flap_ms: Option<u64>,
     /// A third of the upstreams end at once.
     pub(crate) is_zone_lost: bool,
 }
 
-/// How requests that end their upstreams are found and kept out.
+/// A strategy to detect and quarantine poison requests.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Strategy {
     pub(crate) name: &'static str,
     pub(crate) evidence: EvidenceOptions,
     /// Whether the quarantine is kept in the store.
     pub(crate) has_store: bool,
-    /// How many instances of a region add ends up.
+    /// The number of aggregators in each region.
     pub(crate) aggregators: usize,
-    /// How often each message is sent.
+    /// The number of copies sent of each message.
     pub(crate) copies: u32,
 }
 
-/// As the instances do.
+/// The strategy of the instances.
 pub(crate) fn default_strategy() -> Strategy {
     Strategy {
         name: "chosen",
@@ -53,7 +53,7 @@
     }
 }
 
-/// The ways beside it, each with one part replaced.
+/// Alternatives that differ from the default strategy in one part.
 pub(crate) fn alternatives() -> [Strategy; 3] {
     [
         Strategy {
@@ -75,7 +75,7 @@
     ]
 }
 
-/// All troubles beside a request that ends its upstreams.
+/// Fault cases with a poison request.
 pub(crate) fn with_poison() -> Vec<(&'static str, Faults)> {
     let alone = Faults {
         poison_share: 1.0 / 30.0,
@@ -153,7 +153,7 @@
     ]
 }
 
-/// Upstreams that end for other causes alone.
+/// Fault cases in which upstreams end for unrelated causes only.
 pub(crate) fn without_poison() -> Vec<(&'static str, Faults)> {
     let alone = Faults {
         load: 1,
@@ -193,7 +193,7 @@
     ]
 }
 
-/// Two thirds of the upstreams are gone at any time.
+/// A case in which about two thirds of the upstreams are down at any time.
 pub(crate) fn extreme() -> (&'static str, Faults) {
     let faults = Faults {
         load: 1,
--- a/crates/foxtide-core/tests/poison_model/main.rs
+++ b/crates/foxtide-core/tests/poison_model/main.rs
@@ -1,14 +1,5 @@
-//! A model of instances that find the requests which end their upstreams, without network.
-//!
-//! The pattern: one in thirty requests of a kind has a content that ends the upstream which
-//! begins to work on it, 0.1 s later, whichever it is. Callers come back once, an instance
-//! repeats once, upstreams that ended are back after 2.5 s. Beside it instances are cut off,
-//! frozen, restarted or killed, messages are lost, the store is away or comes back older, and
-//! upstreams end for causes of their own.
-//!
-//! The figures: 12 upstreams, 9 instances in 3 regions and 44 requests a second for 138
-//! objects with work of 0.3 s are the smallest deployment. Messages between regions take
-//! 40 ms; the store is followed each 0.8 s.
+//! Simulation of the quarantine of poison requests under faults of instances, network and store,
+//! which must neither allow too many sends nor refuse other requests.
 
 mod faults;
 mod simulation;
@@ -21,27 +12,28 @@
 };
 use simulation::Simulation;
 
-/// Plays of each trouble, where `FOXTIDE_MODEL_SEEDS` asks for no other number.
+/// The runs of each fault case, unless `FOXTIDE_MODEL_SEEDS` sets another number.
 const SEEDS: u64 = 40;
 
-/// What operators accept after the third end.
+/// The most sends of the poison request after the third end.
 const SENDS_AFTER_MAX: usize = 3;
 
-/// Of the requests beside upstreams that end for other causes one in two thousand may be
-/// refused.
+/// The largest share of other requests that may be refused.
 const REFUSED_SHARE_MAX: f64 = 0.000_5;
 
-/// Which of the troubles is the region that is cut off, and seeds of it in which the request
-/// begins right then.
+/// The index of the partitioned region among the fault cases, and the seeds with which the
+/// poison request starts as the partition begins.
 const CUT_OFF: usize = 2;
 const CUT_OFF_SEEDS: [u64; 10] = [40, 66, 107, 147, 383, 450, 520, 547, 609, 956];
 
 fn seeds() -> u64 {
     let asked = std::env::var("FOXTIDE_MODEL_SEEDS").ok();
-    asked.map_or(SEEDS, |asked| asked.parse().expect("a number of seeds"))
+    asked.map_or(SEEDS, |asked| {
+        asked.parse().expect("FOXTIDE_MODEL_SEEDS is a number")
+    })
 }
 
-/// What all plays of one trouble have shown.
+/// The totals over all runs of one fault case.
 #[derive(Debug, Default)]
 struct Totals {
     sends_after_max: usize,
@@ -78,7 +70,7 @@
     );
 }
 
-/// Guards against a request that is sent on after three upstreams have ended under it.
+/// Guards against a poison request that is still sent after three upstreams ended under it.
 #[test]
 fn verify_at_most_three_sends_follow_the_third_end_whatever_else_happens() {
     let mut over = Vec::new();
@@ -92,7 +84,7 @@
     assert!(over.is_empty(), "{over:?}");
 }
 
-/// Guards against a region that is cut off just as the request begins and counts alone.
+/// Guards against a region that is partitioned as the request starts and counts its own ends.
 #[test]
 fn verify_at_most_three_sends_follow_the_third_end_beside_a_region_that_counts_alone() {
     let faults = faults::with_poison()[CUT_OFF].1;
@@ -105,9 +97,9 @@
     }
 }
 
-/// Prints the seeds of plays with more sends, where the environment asks for it.
+/// Prints the seeds of runs with too many sends if `FOXTIDE_MODEL_COMPARE` is set.
 #[test]
-fn verify_seeds_of_a_region_that_is_cut_off_can_be_found() {
+fn verify_seeds_of_a_partitioned_region_can_be_found() {
     if std::env::var_os("FOXTIDE_MODEL_COMPARE").is_none() {
         return;
     }
@@ -120,7 +112,7 @@
     }
 }
 
-/// Guards against requests that are kept out since upstreams end for other causes.
+/// Guards against quarantining requests for unrelated ends of upstreams.
 #[test]
 fn verify_requests_beside_unrelated_ends_are_served() {
     for (name, faults) in faults::without_poison() {
@@ -131,7 +123,7 @@
     }
 }
 
-/// Guards against a quarantine that instances remember and the store does not.
+/// Guards against a quarantine that is kept by instances but not by the store.
 #[test]
 fn verify_quarantine_in_memory_does_not_survive_restarts() {
     let [_, in_memory, _] = alternatives();
@@ -146,7 +138,7 @@
     assert!(over > 0);
 }
 
-/// Prints what each way would do, where the environment asks for it.
+/// Prints the results of each strategy if `FOXTIDE_MODEL_COMPARE` is set.
 #[test]
 fn verify_strategies_can_be_compared() {
     if std::env::var_os("FOXTIDE_MODEL_COMPARE").is_none() {
--- a/crates/foxtide-core/tests/poison_model/simulation.rs
+++ b/crates/foxtide-core/tests/poison_model/simulation.rs
@@ -1,4 +1,4 @@
-//! Instances, upstreams and the store, moved from event to event.
+//! Discrete-event simulation of instances, upstreams and the store.
 
 use crate::faults::{
     Faults,
@@ -42,17 +42,17 @@
 const NEAR_MS: u64 = 1;
 const FAR_MS: u64 = 40;
 const COPY_AFTER_MS: u64 = 60;
-/// The store's word comes with the next call that follows changes.
+/// The interval at which instances read changes from the store.
 const FOLLOW_MS: u64 = 800;
 const UPSTREAM_RESTART_MS: u64 = 2_500;
 const RESTART_MS: u64 = 500;
 const ATTEMPTS_MAX: u32 = 2;
 const DURATION_MS: u64 = 40_000;
 
-/// The request that ends its upstreams.
+/// The request that ends every upstream it is sent to.
 const POISON: u64 = 7;
 
-/// When troubles begin and end.
+/// The start and the end of the faults.
 const FAULTS_MS: (u64, u64) = (3_000, 11_000);
 const KILLED_MS: u64 = 12_000;
 const STORE_RESTORED_MS: u64 = 9_000;
@@ -65,7 +65,7 @@
 struct Attempt {
     request: u64,
     instance: usize,
-    /// The start of the instance that made it.
+    /// The number of starts of the instance when it made the attempt.
     start: u32,
     count: u32,
     retries: bool,
@@ -114,14 +114,14 @@
     incarnation: u32,
 }
 
-/// What a play has shown.
+/// The result of one run.
 #[derive(Debug, Default)]
 pub(crate) struct Outcome {
-    /// Sends of the deadly request that began after three upstreams had ended under it.
+    /// Sends of the poison request after three upstreams ended under it.
     pub(crate) sends_after: usize,
-    /// Other requests that were quarantined anywhere.
+    /// Other requests that an instance quarantined.
     pub(crate) falsely_quarantined: BTreeSet<u64>,
-    /// Other requests that were refused for it.
+    /// Other requests that were refused as quarantined.
     pub(crate) refused: usize,
     pub(crate) requests: usize,
 }
@@ -134,7 +134,6 @@
     events: BTreeMap<(u64, u64), Event>,
     number: u64,
     candidates: Vec<Candidate>,
-    /// The incarnation of each upstream, and until when it is gone.
     incarnation: [u32; UPSTREAMS],
     down_until_ms: [u64; UPSTREAMS],
     running: BTreeMap<u64, Running>,
@@ -178,7 +177,7 @@
         simulation
     }
 
-    /// Plays to the end.
+    /// Runs all events and returns the outcome.
     pub(crate) fn run(mut self) -> Outcome {
         while let Some(((now_ms, _), event)) = self.events.pop_first() {
             if now_ms >= DURATION_MS {
@@ -255,7 +254,7 @@
     }
 
     fn handle(&mut self, event: Event) {
-        // What concerns a frozen instance waits until it runs again.
+        // Events of a frozen instance are delayed until it runs again.
         let concerned = match &event {
             Event::Repeat(attempt) => Some(attempt.instance),
             Event::Message { to, .. } => Some(*to),
@@ -290,8 +289,8 @@
         self.schedule(self.now_ms + RESTART_MS, Event::Start(instance));
     }
 
-    /// An instance takes requests once it has read the store or, where that is away, what a
-    /// peer knows.
+    /// Starts an instance once it has read the store or, if that is unreachable, the quarantine
+    /// of a peer.
     fn start(&mut self, instance: usize) {
         let peer = (0..INSTANCES).find(|&peer| {
             self.instances
@@ -327,9 +326,11 @@
         let stored: Vec<StoredEntry> = self.store.values().copied().collect();
         let draw = self.rng.f64();
         let now = at(self.now_ms);
-        let one = &mut self.instances[instance];
-        one.quarantine.sync_stored(&stored, is_restored, draw, now);
-        let due = one.quarantine.next_write(now);
+        let target = &mut self.instances[instance];
+        target
+            .quarantine
+            .sync_stored(&stored, is_restored, draw, now);
+        let due = target.quarantine.next_write(now);
         if let Some((fingerprint, entry)) = due {
             self.write(instance, fingerprint, entry);
         }
@@ -381,7 +382,7 @@
         }
     }
 
-    /// Tells whether an instance may send a request, and takes its trial where one is due.
+    /// Returns whether an instance may send a request; claims its trial if one is due.
     fn may_send(&mut self, request: u64, instance: usize) -> bool {
         let fingerprint = Fingerprint::from_hash(request);
         let now = at(self.now_ms);
@@ -457,8 +458,8 @@
             request, instance, ..
         } = running.attempt;
         let fingerprint = Fingerprint::from_hash(request);
-        let one = &mut self.instances[instance];
-        let was_quarantined = one.quarantine.release(fingerprint);
+        let target = &mut self.instances[instance];
+        let was_quarantined = target.quarantine.release(fingerprint);
         if was_quarantined && self.reaches_store(instance) {
             self.store.remove(&fingerprint);
         }
@@ -467,7 +468,7 @@
         }
     }
 
-    /// An upstream ends, and breaks what is under way there.
+    /// Ends an upstream and breaks its running requests.
     fn upstream_ends(&mut self, upstream: usize) {
         let incarnation = self.incarnation[upstream];
         self.incarnation[upstream] += 1;
@@ -516,7 +517,7 @@
         self.aggregate(instance, &report);
     }
 
-    /// The aggregators of a request in each region.
+    /// Returns the aggregators of a request in all regions.
     fn aggregators(&self, request: u64) -> Vec<usize> {
         let place = |region: usize, number: usize| {
             let of_region = INSTANCES / REGIONS;
@@ -570,13 +571,14 @@
     fn aggregate(&mut self, instance: usize, report: &EndReport) {
         let now = at(self.now_ms);
         let draw = self.rng.f64();
-        let one = &mut self.instances[instance];
-        let Some(ends) = one.suspects.report(report, now) else {
+        let target = &mut self.instances[instance];
+        let Some(ends) = target.suspects.report(report, now) else {
             return;
         };
         let fingerprint = report.fingerprint;
         let entry = QuarantineEntry { ends, trials: 0 };
-        one.quarantine
+        target
+            .quarantine
             .merge(fingerprint, entry, Origin::Own, draw, now);
         if fingerprint != Fingerprint::from_hash(POISON) {
             self.outcome.falsely_quarantined.insert(fingerprint.hash());
--- a/crates/foxtide-core/tests/promises.rs
+++ b/crates/foxtide-core/tests/promises.rs
@@ -1,4 +1,4 @@
-//! Promises as an instance measures them.
+//! Tests of the monitor of contract promises.
 
 use foxtide_core::ids::{
     RegionId,
--- a/crates/foxtide-core/tests/quarantine.rs
+++ b/crates/foxtide-core/tests/quarantine.rs
@@ -1,4 +1,4 @@
-//! Requests that no upstream is to run, and their trials.
+//! Tests of the quarantine table: trials, merging with the store, and release.
 
 use foxtide_core::poison::{
     Fingerprint,
@@ -39,13 +39,13 @@
     quarantine.status(request(), at(ms)) == QuarantineStatus::NotQuarantined
 }
 
-/// Guards against a request that is let through again because time has passed.
+/// Guards against quarantines that expire.
 #[test]
 fn verify_a_quarantine_does_not_end_by_time() {
     let mut quarantine = Quarantine::default();
     quarantine.merge(request(), entry(3, 0), Origin::Own, 0.5, at(0));
     for ms in [0, 30_000, 60_000, DAY_MS, 365 * DAY_MS] {
-        // Without the store's word there is no trial either.
+        // There is no trial until the store holds the entry.
         let status = quarantine.status(request(), at(ms));
         assert!(matches!(status, QuarantineStatus::Quarantined(_)), "{ms}");
     }
@@ -53,7 +53,7 @@
     assert!(!is_open(&quarantine, 365 * DAY_MS));
 }
 
-/// Guards against trials that end one upstream after the other.
+/// Guards against trials that end one upstream after another.
 #[test]
 fn verify_a_request_that_keeps_ending_upstreams_is_tried_once_after_three() {
     let mut quarantine = Quarantine::default();
@@ -67,7 +67,7 @@
             break;
         };
         trials += 1;
-        // It is claimed, and ends another upstream.
+        // The claimed trial ends another upstream.
         entry_in_store = entry(trial.entry.ends + 1, trial.entry.trials);
         quarantine.merge(request(), entry_in_store, Origin::Peer, 0.5, at(now_ms));
     }
@@ -78,7 +78,7 @@
     ));
 }
 
-/// An entry is whatever stands in the store, or a datagram of anybody says.
+/// Guards against overflow, as entries from the store and from datagrams are not trusted.
 #[test]
 fn verify_out_of_range_entries_keep_a_request_quarantined() {
     let mut quarantine = Quarantine::default();
@@ -87,7 +87,7 @@
     assert!(matches!(status, QuarantineStatus::Quarantined(_)));
 }
 
-/// Ends that become known after the quarantine leave fewer trials.
+/// Guards against trials that ignore ends reported after the quarantine.
 #[test]
 fn verify_late_ends_use_up_trials() {
     let mut quarantine = Quarantine::default();
@@ -110,11 +110,11 @@
     assert_eq!(trial, stored(entry(2, 1), 4));
     quarantine.claim(&trial, 0.0, at(10_000));
     assert_eq!(quarantine.next_trial(request(), at(10_001)), None);
-    // Where the claim was lost, the next one is made after the longer pause.
+    // After a lost claim, the next one follows after the longer delay.
     assert!(quarantine.next_trial(request(), at(70_000)).is_some());
 }
 
-/// Guards against a store that comes back from an older copy and has lost the entry.
+/// Guards against losing an entry when the store is restored from an older copy.
 #[test]
 fn verify_entries_lost_by_a_restored_store_are_written_again() {
     let mut quarantine = Quarantine::default();
@@ -136,7 +136,7 @@
     quarantine.merge_stored(&stored(entry(3, 0), 9), 0.5, at(0));
     quarantine.sync_stored(&[], false, 0.5, at(10));
     assert!(is_open(&quarantine, 10));
-    // One that the store has never held is no removal.
+    // An entry that the store never held does not count as removed.
     quarantine.merge(request(), entry(3, 0), Origin::Own, 0.5, at(20));
     quarantine.sync_stored(&[], false, 0.5, at(30));
     assert!(!is_open(&quarantine, 30));
--- a/crates/foxtide-core/tests/upstreams/mod.rs
+++ b/crates/foxtide-core/tests/upstreams/mod.rs
@@ -1,4 +1,4 @@
-//! Upstreams for the tests of the choice.
+//! Upstreams for the tests of the load balancer.
 
 use foxtide_core::ids::UpstreamId;
 use foxtide_core::organisation::Upstream;
