--- a/crates/foxtide-core/src/choice/candidate.rs
+++ b/crates/foxtide-core/src/choice/candidate.rs
@@ -100,7 +100,7 @@
         &self.upstream.upstream
     }
 
-    /// Starts the slow start of the upstream.
+    /// Starts the ramp-up of the upstream.
     pub(crate) fn start_ramp(&mut self, now: MonotonicTime) {
         self.ramp_started_at = Some(now);
     }
@@ -160,7 +160,7 @@
         freed || self.has_own_slot()
     }
 
-    /// Returns the usable share of the slots, below 1 during slow start.
+    /// Returns the usable share of the slots, below 1 during ramp-up.
     fn weight(&self, options: &BalancerOptions, now: MonotonicTime) -> f64 {
         let Some(from) = self.ramp_started_at else {
             return 1.0;
--- a/crates/foxtide-core/src/poison/suspects.rs
+++ b/crates/foxtide-core/src/poison/suspects.rs
@@ -33,7 +33,7 @@
 
 /// Options of [`Suspects`].
 ///
-/// All requests in flight at an ended upstream are counted alike: an innocent one is served on
+/// All requests in flight at an ended upstream are counted alike: an unrelated one is served on
 /// its retry, which clears it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EvidenceOptions {
