--- a/crates/foxtide-core/src/explain/changes.rs
+++ b/crates/foxtide-core/src/explain/changes.rs
@@ -1,7 +1,7 @@
-//! What changes at a service, as events, told from its views and decisions.
+//! Events for changes of a service, derived from its views and decisions.
 //!
-//! Single requests are no events that an operator wants to read; that spilling
-//! began, and that it ended after so many requests, is.
+//! Decisions on single requests are aggregated: the events report when spilling
+//! or shedding starts, and when it ends after how many requests.
 
 use super::episodes::Episodes;
 use super::{
@@ -27,23 +27,23 @@
     BTreeSet, //
 };
 
-/// The least by which a region's weight must have moved to be told again.
+/// The smallest change of a region's weight that is reported.
 const WEIGHT_STEP: f32 = 0.05;
 
-/// Weights that differ by less are the same.
+/// Weights that differ by less count as equal.
 const WEIGHT_PRECISION: f32 = 0.001;
 
-/// How many changes wait to be taken; later ones are dropped.
-const PENDING_MAX: usize = 256;
+/// The capacity of the queue; later changes are dropped.
+const QUEUED_MAX: usize = 256;
 
-/// Tells what changes at all services of an instance.
+/// Detects changes of all services of an instance.
 #[derive(Clone, Debug, Default)]
 pub(super) struct ServiceChanges {
     services: BTreeMap<(OrganisationId, ServiceId), Service>,
-    pending: Vec<EventDraft>,
+    queued: Vec<EventDraft>,
 }
 
-/// What was told of one service.
+/// The last reported state of one service.
 #[derive(Clone, Debug, Default)]
 struct Service {
     weights: BTreeMap<RegionId, f32>,
@@ -53,24 +53,24 @@
 }
 
 impl ServiceChanges {
-    /// Compares a view with what was told of its service.
-    pub(super) fn view(&mut self, view: &View) {
+    /// Compares a view with the last reported state of its service.
+    pub(super) fn compare(&mut self, view: &View) {
         let key = (view.organisation.clone(), view.service.clone());
         let service = self.services.entry(key).or_default();
-        let mut told = service.compare_upstreams(&view.candidates);
-        told.extend(service.compare_weights(&view.candidates));
-        self.tell(&view.organisation, &view.service, told);
+        let mut changes = service.compare_upstreams(&view.candidates);
+        changes.extend(service.compare_weights(&view.candidates));
+        self.queue(&view.organisation, &view.service, changes);
     }
 
-    /// Counts a decision that did not go as planned.
-    pub(super) fn note(&mut self, decision: &Decision, view: &View) {
+    /// Counts a decision that deviated from the plan.
+    pub(super) fn record(&mut self, decision: &Decision, view: &View) {
         let key = (view.organisation.clone(), view.service.clone());
         let service = self.services.entry(key).or_default();
-        let begun = service.episodes.note(decision);
-        self.tell(&view.organisation, &view.service, begun);
+        let started = service.episodes.record(decision);
+        self.queue(&view.organisation, &view.service, started);
     }
 
-    /// Returns what changed since the last call.
+    /// Returns the changes since the last call.
     pub(super) fn take(&mut self, now: WallTime) -> Vec<EventDraft> {
         let mut ended = Vec::new();
         for ((organisation, id), service) in &mut self.services {
@@ -78,12 +78,12 @@
             ended.push((organisation.clone(), id.clone(), changes));
         }
         for (organisation, service, changes) in ended {
-            self.tell(&organisation, &service, changes);
+            self.queue(&organisation, &service, changes);
         }
-        std::mem::take(&mut self.pending)
+        std::mem::take(&mut self.queued)
     }
 
-    fn tell(
+    fn queue(
         &mut self,
         organisation: &OrganisationId,
         service: &ServiceId,
@@ -92,16 +92,16 @@
         for mut change in changes {
             change.fields.organisation = Some(organisation.clone());
             change.fields.service = Some(service.clone());
-            if self.pending.len() < PENDING_MAX {
-                self.pending.push(change);
+            if self.queued.len() < QUEUED_MAX {
+                self.queued.push(change);
             }
         }
     }
 }
 
 impl Service {
-    /// Tells regions, and the service, that lost their last usable upstream or
-    /// have one again.
+    /// Returns events for regions, and the service, that lost their last usable
+    /// upstream or regained one.
     fn compare_upstreams(&mut self, candidates: &[Candidate]) -> Vec<EventDraft> {
         let usable = usable_regions(candidates);
         let without: BTreeSet<RegionId> = usable
@@ -111,11 +111,11 @@
             .collect();
         let is_empty = !usable.is_empty() && without.len() == usable.len();
         let failed = without.difference(&self.without_upstreams);
-        let mut told: Vec<_> = failed
-            .map(|r| of_region(EventCode::RegionFailed, r))
+        let mut changes: Vec<_> = failed
+            .map(|r| region_event(EventCode::RegionFailed, r))
             .collect();
         let recovered = self.without_upstreams.difference(&without);
-        told.extend(recovered.map(|r| of_region(EventCode::RegionRecovered, r)));
+        changes.extend(recovered.map(|r| region_event(EventCode::RegionRecovered, r)));
         if is_empty != self.is_empty {
             let code = if is_empty {
                 EventCode::ServiceEmpty
@@ -123,14 +123,14 @@
                 EventCode::ServiceUsable
             };
             let fields = EventFields::default();
-            told.push(EventDraft { code, fields });
+            changes.push(EventDraft { code, fields });
         }
         self.without_upstreams = without;
         self.is_empty = is_empty;
-        told
+        changes
     }
 
-    /// Tells weights that moved by a step, or that came to rest.
+    /// Returns an event if the weights moved by a step or reached the plan.
     fn compare_weights(&mut self, candidates: &[Candidate]) -> Option<EventDraft> {
         let weights = figures(candidates, FigureKind::WeightShare);
         let planned = figures(candidates, FigureKind::PlannedShare);
@@ -141,16 +141,16 @@
             self.weights = weights;
             return None;
         }
-        let moved = largest_difference(&weights, &self.weights);
-        let resting = largest_difference(&weights, &planned) < WEIGHT_PRECISION;
-        if moved < WEIGHT_STEP && !(resting && moved >= WEIGHT_PRECISION) {
+        let moved = max_difference(&weights, &self.weights);
+        let is_settled = max_difference(&weights, &planned) < WEIGHT_PRECISION;
+        if moved < WEIGHT_STEP && !(is_settled && moved >= WEIGHT_PRECISION) {
             return None;
         }
         let shares = weights
             .iter()
             .map(|(region, share)| format!("{region}={share:.3}"));
         let detail =
-            shares.collect::<Vec<_>>().join(" ") + if resting { " as planned" } else { "" };
+            shares.collect::<Vec<_>>().join(" ") + if is_settled { " as planned" } else { "" };
         self.weights = weights;
         Some(EventDraft {
             code: EventCode::WeightsShifted,
@@ -159,7 +159,7 @@
     }
 }
 
-/// Returns for each region whether it has an upstream that is not excluded.
+/// Returns for each region with upstreams whether one is not excluded.
 fn usable_regions(candidates: &[Candidate]) -> BTreeMap<RegionId, bool> {
     let mut usable = BTreeMap::new();
     for candidate in candidates {
@@ -171,7 +171,7 @@
     usable
 }
 
-/// Returns a figure of all regions that have it.
+/// Returns the figures of one kind by region.
 fn figures(candidates: &[Candidate], kind: FigureKind) -> BTreeMap<RegionId, f32> {
     let figure = |candidate: &Candidate| {
         let CandidateName::Region(region) = &candidate.name else {
@@ -183,7 +183,7 @@
     candidates.iter().filter_map(figure).collect()
 }
 
-fn largest_difference(one: &BTreeMap<RegionId, f32>, other: &BTreeMap<RegionId, f32>) -> f32 {
+fn max_difference(one: &BTreeMap<RegionId, f32>, other: &BTreeMap<RegionId, f32>) -> f32 {
     let regions: BTreeSet<&RegionId> = one.keys().chain(other.keys()).collect();
     let share = |of: &BTreeMap<RegionId, f32>, region| of.get(region).copied().unwrap_or(0.0);
     let differences = regions
@@ -192,7 +192,7 @@
     differences.fold(0.0, f32::max)
 }
 
-fn of_region(code: EventCode, region: &RegionId) -> EventDraft {
+fn region_event(code: EventCode, region: &RegionId) -> EventDraft {
     let fields = EventFields {
         region: Some(region.clone()),
         ..EventFields::default()
