--- a/crates/foxtide-core/src/admission/coordinator.rs
+++ b/crates/foxtide-core/src/admission/coordinator.rs
@@ -15,7 +15,7 @@
 use std::collections::HashMap;
 
 /// An answer and whom it is for.
-pub type Directed = (Ticket, Answer);
+pub type AddressedAnswer = (Ticket, Answer);
 
 /// The slots of an upstream since it started.
 #[derive(Clone, Debug, Default)]
@@ -34,7 +34,12 @@
 impl Coordinator {
     /// Takes in a question about an upstream with `slots` slots; one that asks again
     /// keeps its place and is answered as things stand then.
-    pub fn ask(&mut self, request: &SlotRequest, slots: u32, now: MonotonicTime) -> Vec<Directed> {
+    pub fn ask(
+        &mut self,
+        request: &SlotRequest,
+        slots: u32,
+        now: MonotonicTime,
+    ) -> Vec<AddressedAnswer> {
         let mut answers = Vec::new();
         let queue = self.queue_of(request);
         queue.set_slots(slots);
@@ -46,16 +51,21 @@
     }
 
     /// Counts a request that is sent without a grant.
-    pub fn tell(&mut self, request: &SlotRequest, slots: u32, now: MonotonicTime) {
+    pub fn record_ungranted(&mut self, request: &SlotRequest, slots: u32, now: MonotonicTime) {
         let queue = self.queue_of(request);
         queue.set_slots(slots);
-        queue.tell(request, now);
+        queue.record_ungranted(request, now);
         self.upstreams
             .insert(request.ticket, request.upstream.clone());
     }
 
-    /// Takes in that a request ended or that its asker waits no longer.
-    pub fn end(&mut self, ticket: Ticket, ending: Ending, now: MonotonicTime) -> Vec<Directed> {
+    /// Takes in that a request ended or that its requester waits no longer.
+    pub fn end(
+        &mut self,
+        ticket: Ticket,
+        ending: Ending,
+        now: MonotonicTime,
+    ) -> Vec<AddressedAnswer> {
         let mut answers = Vec::new();
         let upstream = self.upstreams.remove(&ticket);
         let incarnation = upstream.and_then(|upstream| self.queues.get_mut(&upstream));
@@ -91,7 +101,7 @@
         &mut incarnation.queue
     }
 
-    fn forget_refused(&mut self, answers: &[Directed]) {
+    fn forget_refused(&mut self, answers: &[AddressedAnswer]) {
         for (ticket, answer) in answers {
             if matches!(answer, Answer::Refused { .. } | Answer::Busy) {
                 self.upstreams.remove(ticket);
--- a/crates/foxtide-core/src/admission/mod.rs
+++ b/crates/foxtide-core/src/admission/mod.rs
@@ -27,8 +27,8 @@
 mod times;
 
 pub use coordinator::{
-    Coordinator,
-    Directed, //
+    AddressedAnswer, //
+    Coordinator,     //
 };
 pub use request::{
     Answer,
--- a/crates/foxtide-core/src/admission/queue.rs
+++ b/crates/foxtide-core/src/admission/queue.rs
@@ -117,7 +117,7 @@
             return;
         }
         self.lapse(now);
-        if request.patience == Patience::None && !self.has_room_at_once(request.object) {
+        if request.patience == Patience::NoWait && !self.has_room_at_once(request.object) {
             answers.push((ticket, Answer::Busy));
             return;
         }
@@ -161,9 +161,9 @@
     fn outlook(&self, waiting: &Waiting, patience: Patience, now: MonotonicTime) -> Answer {
         let served_at = now + self.expected_wait() + self.expected(waiting);
         let is_ready_to_wait = match patience {
-            Patience::None => false,
-            Patience::WhileEarly => served_at <= waiting.early_at,
-            Patience::ToTheEnd => true,
+            Patience::NoWait => false,
+            Patience::WithinObjective => served_at <= waiting.early_at,
+            Patience::UntilDeadline => true,
         };
         if !is_ready_to_wait {
             return Answer::Busy;
@@ -176,7 +176,7 @@
     }
 
     /// Counts a request that is sent without a grant.
-    pub(super) fn tell(&mut self, request: &SlotRequest, now: MonotonicTime) {
+    pub(super) fn record_ungranted(&mut self, request: &SlotRequest, now: MonotonicTime) {
         self.waiting.retain(|one| one.ticket != request.ticket);
         let touch = self.touch(request.object);
         let running = Running {
@@ -189,7 +189,7 @@
         self.begin(request.ticket, running);
     }
 
-    /// Takes in that a request ended or that its asker waits no longer.
+    /// Takes in that a request ended or that its requester waits no longer.
     pub(super) fn end(
         &mut self,
         ticket: Ticket,
--- a/crates/foxtide-core/src/admission/request.rs
+++ b/crates/foxtide-core/src/admission/request.rs
@@ -11,15 +11,15 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Ticket {
     /// Where the answer goes.
-    pub asker: SocketAddr,
-    /// A number that the asker uses once.
+    pub requester: SocketAddr,
+    /// A number that the requester uses once.
     pub number: u64,
 }
 
 impl fmt::Display for Ticket {
-    /// Writes the number and the asker, `7@127.0.0.1:7620`.
+    /// Writes the number and the requester, `7@127.0.0.1:7620`.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}@{}", self.number, self.asker)
+        write!(f, "{}@{}", self.number, self.requester)
     }
 }
 
@@ -30,7 +30,7 @@
     pub ticket: Ticket,
     /// The upstream.
     pub upstream: UpstreamId,
-    /// When the upstream started, as far as the asker knows.
+    /// When the upstream started, as far as the requester knows.
     pub born_at: Option<WallTime>,
     /// The object that the request concerns, if it does any.
     pub object: Option<ObjectKey>,
@@ -48,12 +48,12 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Patience {
     /// Not at all.
-    None,
+    NoWait,
     /// As long as its answer will come well before its latency objective; else another
     /// upstream may do better.
-    WhileEarly,
+    WithinObjective,
     /// Until it cannot be served any more.
-    ToTheEnd,
+    UntilDeadline,
 }
 
 /// What a coordinator says to one that asks.
--- a/crates/foxtide-core/tests/admission.rs
+++ b/crates/foxtide-core/tests/admission.rs
@@ -1,9 +1,9 @@
 //! Slots of upstreams, given out by their coordinator.
 
 use foxtide_core::admission::{
+    AddressedAnswer,
     Answer,
     Coordinator,
-    Directed,
     Ending,
     Patience,
     SlotRequest,
@@ -31,7 +31,7 @@
 
 fn ticket(number: u64) -> Ticket {
     Ticket {
-        asker: "127.0.0.1:7620".parse().unwrap(),
+        requester: "127.0.0.1:7620".parse().unwrap(),
         number,
     }
 }
@@ -46,7 +46,7 @@
         priority: 1,
         objective_left: Duration::from_millis(600),
         time_left: Duration::from_millis(1_500),
-        patience: Patience::ToTheEnd,
+        patience: Patience::UntilDeadline,
     }
 }
 
@@ -57,7 +57,7 @@
     }
 }
 
-fn granted(answers: &[Directed]) -> Vec<u64> {
+fn granted(answers: &[AddressedAnswer]) -> Vec<u64> {
     let granted = answers
         .iter()
         .filter(|(_, answer)| *answer == Answer::Granted);
@@ -123,7 +123,7 @@
 fn verify_requests_that_are_told_of_count() {
     let mut coordinator = Coordinator::default();
     for number in 0..ADMITTED {
-        coordinator.tell(&request(number), SLOTS, at(0));
+        coordinator.record_ungranted(&request(number), SLOTS, at(0));
     }
     let answers = coordinator.ask(&request(9), SLOTS, at(0));
     assert_eq!(answers, [(ticket(9), Answer::Waiting)]);
@@ -283,7 +283,7 @@
     let mut coordinator = experienced();
     fill(&mut coordinator, at(5_000));
     let choosy = |number| SlotRequest {
-        patience: Patience::WhileEarly,
+        patience: Patience::WithinObjective,
         objective_left: Duration::from_millis(1_120),
         ..of_object(number, 1)
     };
@@ -304,7 +304,7 @@
 fn verify_one_that_does_not_wait_takes_a_free_slot_or_nothing() {
     let mut coordinator = experienced();
     let hasty = |number| SlotRequest {
-        patience: Patience::None,
+        patience: Patience::NoWait,
         ..of_object(number, 9)
     };
     assert_eq!(granted(&coordinator.ask(&hasty(1), SLOTS, at(4_000))), [1]);
@@ -320,7 +320,7 @@
 fn verify_one_that_does_not_wait_takes_only_an_idle_slot_for_an_unknown_object() {
     let mut coordinator = experienced();
     let hasty = |number, object| SlotRequest {
-        patience: Patience::None,
+        patience: Patience::NoWait,
         ..of_object(number, object)
     };
     for number in 1..=u64::from(SLOTS) {
--- a/crates/foxtide-gateway/src/admission/client.rs
+++ b/crates/foxtide-gateway/src/admission/client.rs
@@ -121,8 +121,8 @@
         admission.pending.lock().remove(&self.number);
         let (number, ending) = (self.number, self.ending);
         if self.coordinator == admission.address {
-            let asker = admission.address;
-            let ticket = Ticket { asker, number };
+            let requester = admission.address;
+            let ticket = Ticket { requester, number };
             admission.coordinate(|own, now| own.end(ticket, ending, now));
         } else {
             admission.send(self.coordinator, &Datagram::end(number, ending));
@@ -200,7 +200,7 @@
         let now = Instant::now();
         SlotRequest {
             ticket: Ticket {
-                asker: self.address,
+                requester: self.address,
                 number,
             },
             upstream: terms.registration.upstream.clone(),
@@ -226,7 +226,9 @@
         let slots = terms.registration.slots;
         if coordinator == self.address {
             let now = self.clock.now();
-            self.coordinator.lock().tell(request, slots, now);
+            self.coordinator
+                .lock()
+                .record_ungranted(request, slots, now);
         } else {
             self.send(coordinator, &Datagram::tell(request, slots));
         }
--- a/crates/foxtide-gateway/src/admission/mod.rs
+++ b/crates/foxtide-gateway/src/admission/mod.rs
@@ -25,9 +25,9 @@
 use crate::traffic::Traffic;
 use foxtide_clock::SteadyClock;
 use foxtide_core::admission::{
+    AddressedAnswer,
     Answer,
     Coordinator,
-    Directed,
     Ticket, //
 };
 use foxtide_core::ids::UpstreamId;
@@ -100,7 +100,10 @@
     }
 
     /// Lets `change` work on the coordinator, and sends the answers.
-    fn coordinate(&self, change: impl FnOnce(&mut Coordinator, MonotonicTime) -> Vec<Directed>) {
+    fn coordinate(
+        &self,
+        change: impl FnOnce(&mut Coordinator, MonotonicTime) -> Vec<AddressedAnswer>,
+    ) {
         let now = self.clock.now();
         let answers = change(&mut self.coordinator.lock(), now);
         for (ticket, answer) in answers {
@@ -120,10 +123,10 @@
     }
 
     fn answer(&self, ticket: Ticket, answer: Answer) {
-        if ticket.asker == self.address {
+        if ticket.requester == self.address {
             self.deliver(ticket.number, answer);
         } else {
-            self.send(ticket.asker, &Datagram::answer(ticket.number, answer));
+            self.send(ticket.requester, &Datagram::answer(ticket.number, answer));
         }
     }
 
--- a/crates/foxtide-gateway/src/admission/server.rs
+++ b/crates/foxtide-gateway/src/admission/server.rs
@@ -73,14 +73,16 @@
             }
             Some(Body::Tell(message)) => {
                 if let Some(request) = request(&message) {
-                    self.coordinator
-                        .lock()
-                        .tell(&request, message.slots, self.clock.now());
+                    self.coordinator.lock().record_ungranted(
+                        &request,
+                        message.slots,
+                        self.clock.now(),
+                    );
                 }
             }
             Some(Body::End(is_served)) => {
                 let ticket = Ticket {
-                    asker: from,
+                    requester: from,
                     number,
                 };
                 let ending = if is_served {
--- a/crates/foxtide-gateway/src/datagram/slots.rs
+++ b/crates/foxtide-gateway/src/datagram/slots.rs
@@ -126,11 +126,11 @@
     /// Fails where the upstream's name is none.
     pub(crate) fn request(
         &self,
-        asker: SocketAddr,
+        requester: SocketAddr,
         number: u64,
     ) -> foxtide_core::Result<SlotRequest> {
         Ok(SlotRequest {
-            ticket: Ticket { asker, number },
+            ticket: Ticket { requester, number },
             upstream: self.upstream.parse()?,
             object: self.object.map(ObjectKey::from_hash),
             priority: self.priority,
@@ -159,9 +159,9 @@
 impl From<Patience> for PatienceMessage {
     fn from(patience: Patience) -> Self {
         match patience {
-            Patience::None => Self::None,
-            Patience::WhileEarly => Self::WhileEarly,
-            Patience::ToTheEnd => Self::ToTheEnd,
+            Patience::NoWait => Self::None,
+            Patience::WithinObjective => Self::WhileEarly,
+            Patience::UntilDeadline => Self::ToTheEnd,
         }
     }
 }
@@ -169,9 +169,9 @@
 impl From<PatienceMessage> for Patience {
     fn from(message: PatienceMessage) -> Self {
         match message {
-            PatienceMessage::None => Self::None,
-            PatienceMessage::WhileEarly => Self::WhileEarly,
-            PatienceMessage::ToTheEnd => Self::ToTheEnd,
+            PatienceMessage::None => Self::NoWait,
+            PatienceMessage::WhileEarly => Self::WithinObjective,
+            PatienceMessage::ToTheEnd => Self::UntilDeadline,
         }
     }
 }
--- a/crates/foxtide-gateway/src/forward/admit.rs
+++ b/crates/foxtide-gateway/src/forward/admit.rs
@@ -55,7 +55,7 @@
                 if let Some(placed) = self.elsewhere().await {
                     return Ok(placed);
                 }
-                admitted = self.admit(&own, Patience::ToTheEnd).await;
+                admitted = self.admit(&own, Patience::UntilDeadline).await;
             }
             match admitted {
                 Admitted::Granted(slot) => return Ok(Placed { pick: own, slot }),
@@ -72,9 +72,9 @@
     /// elsewhere.
     fn patience(&self) -> Patience {
         if self.is_first_attempt() {
-            Patience::WhileEarly
+            Patience::WithinObjective
         } else {
-            Patience::ToTheEnd
+            Patience::UntilDeadline
         }
     }
 
@@ -96,7 +96,7 @@
         let Ok(pick) = self.pick_neighbour(&own.registration.upstream) else {
             return (SecondChoice::Missing, None);
         };
-        match self.admit(&pick, Patience::None).await {
+        match self.admit(&pick, Patience::NoWait).await {
             Admitted::Granted(slot) => (SecondChoice::Granted, Some(Placed { pick, slot })),
             Admitted::Busy | Admitted::Refused { .. } | Admitted::Elsewhere => {
                 (SecondChoice::Busy, None)
@@ -127,7 +127,7 @@
             state.pick_elsewhere(&request)
         };
         let pick = pick.ok()?;
-        match self.admit(&pick, Patience::None).await {
+        match self.admit(&pick, Patience::NoWait).await {
             Admitted::Granted(slot) => {
                 metrics::counter!("foxtide_overflows_total").increment(1);
                 Some(Placed { pick, slot })
--- a/crates/foxtide-testing/src/load_model/asking.rs
+++ b/crates/foxtide-testing/src/load_model/asking.rs
@@ -15,8 +15,8 @@
     World, //
 };
 use foxtide_core::admission::{
+    AddressedAnswer,
     Answer,
-    Directed,
     Ending,
     Patience,
     SlotRequest,
@@ -34,7 +34,7 @@
 /// The number alone names a request here, whichever instance has it.
 fn ticket(id: RequestId) -> Ticket {
     Ticket {
-        asker: Fleet::address(0),
+        requester: Fleet::address(0),
         number: id.0,
     }
 }
@@ -48,9 +48,9 @@
         request.is_answered = false;
         let (asker, upstream, region) = (request.instance, request.upstream, request.region);
         let patience = match request.stage {
-            Stage::Own => Patience::WhileEarly,
-            Stage::Second => Patience::None,
-            Stage::Patient => Patience::ToTheEnd,
+            Stage::Own => Patience::WithinObjective,
+            Stage::Second => Patience::NoWait,
+            Stage::Patient => Patience::UntilDeadline,
             Stage::Sent | Stage::Ended => return,
         };
         let coordinator = self.fleet.coordinator(asker, upstream);
@@ -96,7 +96,7 @@
             let event = Event::Heard {
                 request: id,
                 coordinator,
-                patience: Patience::ToTheEnd,
+                patience: Patience::UntilDeadline,
                 is_question: false,
             };
             self.after(self.delay(region, upstream), event);
@@ -117,7 +117,7 @@
         }
     }
 
-    pub(super) fn coordinate(&mut self, coordinator: usize, event: Event) -> Vec<Directed> {
+    pub(super) fn coordinate(&mut self, coordinator: usize, event: Event) -> Vec<AddressedAnswer> {
         let now = self.now;
         let slots = self.settings.slots;
         match event {
@@ -134,7 +134,7 @@
                 if is_question {
                     return own.ask(&asked, slots, now);
                 }
-                own.tell(&asked, slots, now);
+                own.record_ungranted(&asked, slots, now);
                 Vec::new()
             }
             Event::Ended {
@@ -163,7 +163,7 @@
         })
     }
 
-    pub(super) fn tell(&mut self, answers: Vec<Directed>) {
+    pub(super) fn tell(&mut self, answers: Vec<AddressedAnswer>) {
         for (ticket, answer) in answers {
             let request = RequestId(ticket.number);
             self.after(
