--- a/crates/foxtide-core/src/admission/coordinator.rs
+++ b/crates/foxtide-core/src/admission/coordinator.rs
@@ -46,7 +46,7 @@
         queue.ask(request, now, &mut answers);
         self.upstreams
             .insert(request.ticket, request.upstream.clone());
-        self.forget_refused(&answers);
+        self.remove_rejected(&answers);
         answers
     }
 
@@ -72,7 +72,7 @@
         if let Some(Incarnation { queue, .. }) = incarnation {
             queue.end(ticket, ending, now, &mut answers);
         }
-        self.forget_refused(&answers);
+        self.remove_rejected(&answers);
         answers
     }
 
@@ -83,7 +83,7 @@
         let queues = &self.queues;
         self.upstreams.retain(|ticket, upstream| {
             let incarnation = queues.get(upstream);
-            incarnation.is_some_and(|incarnation| incarnation.queue.knows(*ticket))
+            incarnation.is_some_and(|incarnation| incarnation.queue.contains(*ticket))
         });
     }
 
@@ -101,7 +101,7 @@
         &mut incarnation.queue
     }
 
-    fn forget_refused(&mut self, answers: &[AddressedAnswer]) {
+    fn remove_rejected(&mut self, answers: &[AddressedAnswer]) {
         for (ticket, answer) in answers {
             if matches!(answer, Answer::Refused { .. } | Answer::Busy) {
                 self.upstreams.remove(ticket);
--- a/crates/foxtide-core/src/admission/mod.rs
+++ b/crates/foxtide-core/src/admission/mod.rs
@@ -24,7 +24,7 @@
 mod objects;
 mod queue;
 mod request;
-mod times;
+mod service_times;
 
 pub use coordinator::{
     AddressedAnswer, //
@@ -37,7 +37,7 @@
     SlotRequest,
     Ticket, //
 };
-pub use times::{
-    Touch,
-    WorkTimes, //
+pub use service_times::{
+    ObjectAccess,
+    ServiceTimes, //
 };
--- a/crates/foxtide-core/src/admission/objects.rs
+++ b/crates/foxtide-core/src/admission/objects.rs
@@ -20,8 +20,8 @@
     }
 
     /// Notes that an object was served.
-    pub(super) fn note(&mut self, object: ObjectKey) {
-        self.objects.retain(|known| *known != object);
+    pub(super) fn insert(&mut self, object: ObjectKey) {
+        self.objects.retain(|recent| *recent != object);
         self.objects.push_back(object);
         if self.objects.len() > OBJECTS_MAX {
             self.objects.pop_front();
@@ -29,7 +29,7 @@
     }
 
     /// Notes that an object was not served after all.
-    pub(super) fn forget(&mut self, object: ObjectKey) {
-        self.objects.retain(|known| *known != object);
+    pub(super) fn remove(&mut self, object: ObjectKey) {
+        self.objects.retain(|recent| *recent != object);
     }
 }
--- a/crates/foxtide-core/src/admission/queue.rs
+++ b/crates/foxtide-core/src/admission/queue.rs
@@ -8,9 +8,9 @@
     SlotRequest,
     Ticket, //
 };
-use super::times::{
-    Touch,
-    WorkTimes, //
+use super::service_times::{
+    ObjectAccess,
+    ServiceTimes, //
 };
 use crate::placement::ObjectKey;
 use crate::time::MonotonicTime;
@@ -22,13 +22,13 @@
 /// end of one request and the grant of the next are on their way. Against none, one
 /// brings 0.003 to 0.027 of the worth of days of high load, most where work is short;
 /// two take 0.01 off again where work is long.
-const AT_UPSTREAM: usize = 1;
+const UPSTREAM_BACKLOG: usize = 1;
 
 /// By how much longer than expected a request may hold a slot before its grant lapses:
 /// times of work spread by 15 % or so. Ends that are lost keep slots taken until then; the
 /// request's limit in place of this costs 0.005 to 0.010 of the worth of days with 77
 /// instances.
-const LAPSE_FACTOR: u32 = 4;
+const GRANT_TIMEOUT_FACTOR: u32 = 4;
 
 /// The bounds of when a refused caller is told to come back.
 const RETRY_AFTER_MIN: Duration = Duration::from_millis(100);
@@ -42,16 +42,16 @@
 /// whole, half of it leaves a third of such requests and brings 0.001 to 0.009 of the worth
 /// of days of high load; it costs 0.010 of the first 12 s after a start. A quarter brings no
 /// more (model of load, eight seeds; twenty of the start).
-const EARLY_SHARE: f64 = 0.5;
+const OBJECTIVE_WAIT_SHARE: f64 = 0.5;
 
 /// One request that an upstream works on, as far as is known.
 #[derive(Clone, Copy, Debug)]
 struct Running {
     object: Option<ObjectKey>,
-    touch: Touch,
+    access: ObjectAccess,
     began_at: MonotonicTime,
     /// When it no longer counts, whether its end was told or not.
-    lapses_at: MonotonicTime,
+    expires_at: MonotonicTime,
     /// Whether its time tells how long the upstream works: not so for one that
     /// was sent without a grant, which may wait at the upstream.
     is_measured: bool,
@@ -63,20 +63,20 @@
     ticket: Ticket,
     object: Option<ObjectKey>,
     priority: u32,
-    came_at: MonotonicTime,
+    queued_at: MonotonicTime,
     objective_at: MonotonicTime,
     /// Until when it is served early enough not to be served elsewhere.
-    early_at: MonotonicTime,
-    ends_at: MonotonicTime,
+    wait_until: MonotonicTime,
+    deadline: MonotonicTime,
 }
 
 /// How useful it is to serve a waiting request next; the least first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Use {
+enum ServiceClass {
     /// Its answer will be in time.
     InTime,
     /// It will be late, but requests for the same object are faster after it.
-    FirstTouch,
+    LateFirstAccess,
     /// It will be late.
     Late,
 }
@@ -88,7 +88,7 @@
     running: HashMap<Ticket, Running>,
     waiting: Vec<Waiting>,
     objects: RecentObjects,
-    times: WorkTimes,
+    times: ServiceTimes,
 }
 
 impl SlotQueue {
@@ -98,7 +98,7 @@
     }
 
     /// Tells whether a request waits or is under way.
-    pub(super) fn knows(&self, ticket: Ticket) -> bool {
+    pub(super) fn contains(&self, ticket: Ticket) -> bool {
         let is_waiting = self.waiting.iter().any(|waiting| waiting.ticket == ticket);
         is_waiting || self.running.contains_key(&ticket)
     }
@@ -116,8 +116,8 @@
             answers.push((ticket, Answer::Granted));
             return;
         }
-        self.lapse(now);
-        if request.patience == Patience::NoWait && !self.has_room_at_once(request.object) {
+        self.drop_expired_grants(now);
+        if request.patience == Patience::NoWait && !self.has_immediate_room(request.object) {
             answers.push((ticket, Answer::Busy));
             return;
         }
@@ -126,17 +126,17 @@
                 ticket,
                 object: request.object,
                 priority: request.priority,
-                came_at: now,
+                queued_at: now,
                 objective_at: now + request.objective_left,
-                early_at: now + request.objective_left.mul_f64(EARLY_SHARE),
-                ends_at: now + request.time_left,
+                wait_until: now + request.objective_left.mul_f64(OBJECTIVE_WAIT_SHARE),
+                deadline: now + request.time_left,
             });
         }
-        self.settle(now, answers);
+        self.dispatch(now, answers);
         let Some(at) = self.waiting.iter().position(|one| one.ticket == ticket) else {
             return;
         };
-        let answer = self.outlook(&self.waiting[at], request.patience, now);
+        let answer = self.decide(&self.waiting[at], request.patience, now);
         if answer != Answer::Waiting {
             self.waiting.remove(at);
         }
@@ -149,26 +149,26 @@
     /// the upstream's own. It gets an idle slot only, else objects spread to neighbours
     /// that are as busy, most of all at a start where none knows any. That brings 0.007 of
     /// the worth of a start and of days of high load, in the model of load.
-    fn has_room_at_once(&self, object: Option<ObjectKey>) -> bool {
-        let places = match self.touch(object) {
-            Touch::Repeated => self.slots + AT_UPSTREAM,
-            Touch::First => self.slots,
+    fn has_immediate_room(&self, object: Option<ObjectKey>) -> bool {
+        let places = match self.access(object) {
+            ObjectAccess::Repeated => self.slots + UPSTREAM_BACKLOG,
+            ObjectAccess::First => self.slots,
         };
         self.running.len() < places
     }
 
     /// Returns what one that has to wait is told.
-    fn outlook(&self, waiting: &Waiting, patience: Patience, now: MonotonicTime) -> Answer {
+    fn decide(&self, waiting: &Waiting, patience: Patience, now: MonotonicTime) -> Answer {
         let served_at = now + self.expected_wait() + self.expected(waiting);
-        let is_ready_to_wait = match patience {
+        let may_wait = match patience {
             Patience::NoWait => false,
-            Patience::WithinObjective => served_at <= waiting.early_at,
+            Patience::WithinObjective => served_at <= waiting.wait_until,
             Patience::UntilDeadline => true,
         };
-        if !is_ready_to_wait {
+        if !may_wait {
             return Answer::Busy;
         }
-        if served_at > waiting.ends_at {
+        if served_at > waiting.deadline {
             let retry_after = self.retry_after();
             return Answer::Refused { retry_after };
         }
@@ -178,12 +178,12 @@
     /// Counts a request that is sent without a grant.
     pub(super) fn record_ungranted(&mut self, request: &SlotRequest, now: MonotonicTime) {
         self.waiting.retain(|one| one.ticket != request.ticket);
-        let touch = self.touch(request.object);
+        let access = self.access(request.object);
         let running = Running {
             object: request.object,
-            touch,
+            access,
             began_at: now,
-            lapses_at: now + request.time_left,
+            expires_at: now + request.time_left,
             is_measured: false,
         };
         self.begin(request.ticket, running);
@@ -199,19 +199,19 @@
     ) {
         self.waiting.retain(|waiting| waiting.ticket != ticket);
         if let Some(running) = self.running.remove(&ticket) {
-            self.ended(running, ending, now);
+            self.record_completion(running, ending, now);
         }
-        self.settle(now, answers);
+        self.dispatch(now, answers);
     }
 
-    fn ended(&mut self, running: Running, ending: Ending, now: MonotonicTime) {
+    fn record_completion(&mut self, running: Running, ending: Ending, now: MonotonicTime) {
         match ending {
             Ending::Served if running.is_measured => {
-                self.times.record(running.touch, now - running.began_at);
+                self.times.record(running.access, now - running.began_at);
             }
-            Ending::NotServed if running.touch == Touch::First => {
+            Ending::NotServed if running.access == ObjectAccess::First => {
                 if let Some(object) = running.object {
-                    self.objects.forget(object);
+                    self.objects.remove(object);
                 }
             }
             Ending::Served | Ending::NotServed => {}
@@ -219,35 +219,35 @@
     }
 
     /// Lets go of grants whose end was not told in time.
-    fn lapse(&mut self, now: MonotonicTime) {
-        self.running.retain(|_, running| now < running.lapses_at);
+    fn drop_expired_grants(&mut self, now: MonotonicTime) {
+        self.running.retain(|_, running| now < running.expires_at);
     }
 
     /// Gives out free slots and refuses what cannot be served any more.
-    fn settle(&mut self, now: MonotonicTime, answers: &mut Vec<(Ticket, Answer)>) {
-        self.lapse(now);
-        while self.running.len() < self.slots + AT_UPSTREAM {
-            let Some(at) = self.next(now) else {
+    fn dispatch(&mut self, now: MonotonicTime, answers: &mut Vec<(Ticket, Answer)>) {
+        self.drop_expired_grants(now);
+        while self.running.len() < self.slots + UPSTREAM_BACKLOG {
+            let Some(at) = self.next_waiting(now) else {
                 break;
             };
             let next = self.waiting.remove(at);
             answers.push((next.ticket, Answer::Granted));
             self.grant(&next, now);
         }
-        self.refuse_lost(now, answers);
+        self.refuse_expired(now, answers);
     }
 
     fn grant(&mut self, waiting: &Waiting, now: MonotonicTime) {
-        let touch = self.touch(waiting.object);
-        let lapses_at = match self.times.expected(touch) {
-            Some(time) => (now + time * LAPSE_FACTOR).min(waiting.ends_at),
-            None => waiting.ends_at,
+        let access = self.access(waiting.object);
+        let expires_at = match self.times.expected(access) {
+            Some(time) => (now + time * GRANT_TIMEOUT_FACTOR).min(waiting.deadline),
+            None => waiting.deadline,
         };
         let running = Running {
             object: waiting.object,
-            touch,
+            access,
             began_at: now,
-            lapses_at,
+            expires_at,
             is_measured: true,
         };
         self.begin(waiting.ticket, running);
@@ -256,23 +256,23 @@
     /// Counts a request as begun; from then on the upstream knows its object.
     fn begin(&mut self, ticket: Ticket, running: Running) {
         if let Some(object) = running.object {
-            self.objects.note(object);
+            self.objects.insert(object);
         }
         self.running.insert(ticket, running);
     }
 
-    fn refuse_lost(&mut self, now: MonotonicTime, answers: &mut Vec<(Ticket, Answer)>) {
+    fn refuse_expired(&mut self, now: MonotonicTime, answers: &mut Vec<(Ticket, Answer)>) {
         let retry_after = self.retry_after();
         let times = self.times;
         let objects = &self.objects;
         self.waiting.retain(|waiting| {
-            let touch = touch_of(objects, waiting.object);
-            let expected = times.expected(touch).unwrap_or_default();
-            let is_lost = now + expected > waiting.ends_at;
-            if is_lost {
+            let access = access_of(objects, waiting.object);
+            let expected = times.expected(access).unwrap_or_default();
+            let is_expired = now + expected > waiting.deadline;
+            if is_expired {
                 answers.push((waiting.ticket, Answer::Refused { retry_after }));
             }
-            !is_lost
+            !is_expired
         });
     }
 
@@ -280,34 +280,34 @@
     /// newest, whose deadline is the furthest. First come first served in place of this
     /// order costs 0.005 to 0.025 of the worth of whole days; the earliest deadline first
     /// among those in time is worth the same.
-    fn next(&self, now: MonotonicTime) -> Option<usize> {
+    fn next_waiting(&self, now: MonotonicTime) -> Option<usize> {
         (0..self.waiting.len()).min_by_key(|&at| {
             let waiting = &self.waiting[at];
             (
                 waiting.priority,
-                self.use_of(waiting, now),
-                Reverse(waiting.came_at),
+                self.class_of(waiting, now),
+                Reverse(waiting.queued_at),
             )
         })
     }
 
-    fn use_of(&self, waiting: &Waiting, now: MonotonicTime) -> Use {
+    fn class_of(&self, waiting: &Waiting, now: MonotonicTime) -> ServiceClass {
         if now + self.expected(waiting) <= waiting.objective_at {
-            Use::InTime
-        } else if self.touch(waiting.object) == Touch::First {
-            Use::FirstTouch
+            ServiceClass::InTime
+        } else if self.access(waiting.object) == ObjectAccess::First {
+            ServiceClass::LateFirstAccess
         } else {
-            Use::Late
+            ServiceClass::Late
         }
     }
 
-    fn touch(&self, object: Option<ObjectKey>) -> Touch {
-        touch_of(&self.objects, object)
+    fn access(&self, object: Option<ObjectKey>) -> ObjectAccess {
+        access_of(&self.objects, object)
     }
 
     fn expected(&self, waiting: &Waiting) -> Duration {
-        let touch = self.touch(waiting.object);
-        self.times.expected(touch).unwrap_or_default()
+        let access = self.access(waiting.object);
+        self.times.expected(access).unwrap_or_default()
     }
 
     /// Returns how long the requests that wait, this one among them, keep the slots busy.
@@ -322,9 +322,9 @@
     }
 }
 
-fn touch_of(objects: &RecentObjects, object: Option<ObjectKey>) -> Touch {
+fn access_of(objects: &RecentObjects, object: Option<ObjectKey>) -> ObjectAccess {
     match object {
-        Some(object) if objects.contains(object) => Touch::Repeated,
-        _ => Touch::First,
+        Some(object) if objects.contains(object) => ObjectAccess::Repeated,
+        _ => ObjectAccess::First,
     }
 }
