--- a/crates/foxtide-core/src/quota/coordinator.rs
+++ b/crates/foxtide-core/src/quota/coordinator.rs
@@ -16,7 +16,7 @@
 
 /// What an instance asks for.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct QuotaQuestion {
+pub struct QuotaRequest {
     /// The organisation whose request it has.
     pub organisation: OrganisationId,
     /// The rank of the request; 0 is the highest.
@@ -39,7 +39,7 @@
         retry_after: Duration,
     },
     /// It does not hand out this quota: it knows of another that does, or it cannot tell.
-    NotMine,
+    NotCoordinator,
 }
 
 #[derive(Clone, Debug)]
@@ -68,17 +68,17 @@
     /// then another one may have handed out this part.
     pub fn ask(
         &mut self,
-        question: &QuotaQuestion,
+        request: &QuotaRequest,
         parts: &QuotaParts,
         since: MonotonicTime,
         now: MonotonicTime,
     ) -> QuotaAnswer {
         let rate_rps = self.rate_rps(parts, now);
-        let priority = question.priority;
+        let priority = request.priority;
         let started_at = self.started_at;
         let part = self
             .parts
-            .entry(question.organisation.clone())
+            .entry(request.organisation.clone())
             .or_insert_with(|| {
                 let gained = (now - since.max(started_at)).as_secs_f64() * rate_rps;
                 let tokens = gained.clamp(parts.first_tokens(), parts.capacity());
@@ -88,7 +88,7 @@
                 }
             });
         part.asked_at = now;
-        let wanted = question.wanted;
+        let wanted = request.wanted;
         match part.bucket.take(wanted, priority, rate_rps, parts, now) {
             Ok(tokens) => QuotaAnswer::Granted { tokens },
             Err(retry_after) => QuotaAnswer::Refused { retry_after },
--- a/crates/foxtide-core/src/quota/mod.rs
+++ b/crates/foxtide-core/src/quota/mod.rs
@@ -7,7 +7,7 @@
 //! whole quota can be had anywhere.
 //!
 //! ```text
-//! question -> QuotaAnswer::Granted | QuotaAnswer::Refused | QuotaAnswer::NotMine
+//! question -> QuotaAnswer::Granted | QuotaAnswer::Refused | QuotaAnswer::NotCoordinator
 //! ```
 //!
 //! What keeps the sum below the bound whatever fails:
@@ -32,7 +32,7 @@
 pub use coordinator::{
     QuotaAnswer,
     QuotaCoordinator,
-    QuotaQuestion, //
+    QuotaRequest, //
 };
 pub use parts::{
     QuotaBounds,
--- a/crates/foxtide-core/tests/quota_model/fleet.rs
+++ b/crates/foxtide-core/tests/quota_model/fleet.rs
@@ -10,7 +10,7 @@
     QuotaBounds,
     QuotaCoordinator,
     QuotaParts,
-    QuotaQuestion,
+    QuotaRequest,
     QuotaStock,
     SpareTokens, //
 };
@@ -221,7 +221,7 @@
         if process.stock.take(now) {
             return Some(0);
         }
-        let question = QuotaQuestion {
+        let question = QuotaRequest {
             organisation: self.organisation.clone(),
             priority: 1,
             wanted: process.stock.wanted(),
@@ -241,7 +241,7 @@
                     return Some(if is_near { NEAR_MS } else { FAR_MS });
                 }
                 QuotaAnswer::Refused { .. } => {}
-                QuotaAnswer::NotMine => is_silent = true,
+                QuotaAnswer::NotCoordinator => is_silent = true,
             }
         }
         (is_silent && self.take_spare(at, now)).then_some(FAR_MS)
@@ -261,14 +261,14 @@
         &mut self,
         from: usize,
         to: usize,
-        question: &QuotaQuestion,
+        question: &QuotaRequest,
         now_ms: u64,
     ) -> QuotaAnswer {
         let is_reached = |instance: &Instance| instance.is_alive && instance.cut_since_ms.is_none();
         let reaches =
             from == to || (is_reached(&self.instances[from]) && is_reached(&self.instances[to]));
         if !reaches || !self.instances[to].is_alive || !self.speaks(to, now_ms) {
-            return QuotaAnswer::NotMine;
+            return QuotaAnswer::NotCoordinator;
         }
         let parts = QuotaParts::new(self.quota, self.bounds, REGIONS.len());
         let one = &mut self.instances[to];
--- a/crates/foxtide-gateway/src/datagram/mod.rs
+++ b/crates/foxtide-gateway/src/datagram/mod.rs
@@ -91,12 +91,12 @@
     };
     use foxtide_core::quota::{
         QuotaAnswer,
-        QuotaQuestion, //
+        QuotaRequest, //
     };
     use prost::Message;
 
     fn samples() -> Vec<Datagram> {
-        let question = QuotaQuestion {
+        let question = QuotaRequest {
             organisation: "acme".parse().unwrap(),
             priority: 2,
             wanted: 3,
@@ -109,7 +109,7 @@
         vec![
             Datagram::quota_question(1, &question),
             Datagram::quota_answer(2, QuotaAnswer::Granted { tokens: 4 }),
-            Datagram::quota_answer(3, QuotaAnswer::NotMine),
+            Datagram::quota_answer(3, QuotaAnswer::NotCoordinator),
             Datagram::end_report(4, &report),
             Datagram::quarantine(
                 5,
@@ -167,6 +167,9 @@
         let wrong = EndMessage::default();
         assert!(wrong.report().is_err());
         assert!(QuotaQuestionMessage::default().question().is_err());
-        assert_eq!(QuotaAnswerMessage::default().answer(), QuotaAnswer::NotMine);
+        assert_eq!(
+            QuotaAnswerMessage::default().answer(),
+            QuotaAnswer::NotCoordinator
+        );
     }
 }
--- a/crates/foxtide-gateway/src/datagram/quota.rs
+++ b/crates/foxtide-gateway/src/datagram/quota.rs
@@ -7,7 +7,7 @@
 };
 use foxtide_core::quota::{
     QuotaAnswer,
-    QuotaQuestion, //
+    QuotaRequest, //
 };
 use std::time::Duration;
 
@@ -36,7 +36,7 @@
 
 impl Datagram {
     /// Returns the question for tokens of a quota.
-    pub(crate) fn quota_question(number: u64, question: &QuotaQuestion) -> Self {
+    pub(crate) fn quota_question(number: u64, question: &QuotaRequest) -> Self {
         let message = QuotaQuestionMessage {
             organisation: question.organisation.to_string(),
             priority: question.priority,
@@ -59,7 +59,7 @@
                 tokens: None,
                 retry_after_ms: Some(milliseconds(retry_after)),
             },
-            QuotaAnswer::NotMine => QuotaAnswerMessage::default(),
+            QuotaAnswer::NotCoordinator => QuotaAnswerMessage::default(),
         };
         Self {
             number,
@@ -74,8 +74,8 @@
     /// # Errors
     ///
     /// Fails where the organisation's name is none.
-    pub(crate) fn question(&self) -> foxtide_core::Result<QuotaQuestion> {
-        Ok(QuotaQuestion {
+    pub(crate) fn question(&self) -> foxtide_core::Result<QuotaRequest> {
+        Ok(QuotaRequest {
             organisation: self.organisation.parse()?,
             priority: self.priority,
             wanted: self.wanted.max(1),
@@ -91,7 +91,7 @@
             (_, Some(retry_after_ms)) => QuotaAnswer::Refused {
                 retry_after: Duration::from_millis(retry_after_ms.into()),
             },
-            _ => QuotaAnswer::NotMine,
+            _ => QuotaAnswer::NotCoordinator,
         }
     }
 }
--- a/crates/foxtide-gateway/src/quotas/answer.rs
+++ b/crates/foxtide-gateway/src/quotas/answer.rs
@@ -10,7 +10,7 @@
 use crate::state::State;
 use foxtide_core::quota::{
     QuotaAnswer,
-    QuotaQuestion, //
+    QuotaRequest, //
 };
 use foxtide_core::time::MonotonicTime;
 use std::net::SocketAddr;
@@ -40,14 +40,14 @@
 }
 
 /// Answers a question from this instance's part of the quota, where it has one.
-pub(super) fn coordinate<D: Dialect>(shared: &Shared<D>, question: &QuotaQuestion) -> QuotaAnswer {
+pub(super) fn coordinate<D: Dialect>(shared: &Shared<D>, question: &QuotaRequest) -> QuotaAnswer {
     let now = shared.clock.now();
     let (parts, since) = {
         let state = shared.state.lock();
         let routes = state.routes();
         let quota = routes.and_then(|routes| routes.quota(&question.organisation));
         let Some(quota) = quota.filter(|_| speaks_for(shared, &state, question, now)) else {
-            return QuotaAnswer::NotMine;
+            return QuotaAnswer::NotCoordinator;
         };
         let since = state.members().changed_at(&shared.options.place.region);
         (parts(shared, &state, quota), since)
@@ -61,7 +61,7 @@
 fn speaks_for<D: Dialect>(
     shared: &Shared<D>,
     state: &State,
-    question: &QuotaQuestion,
+    question: &QuotaRequest,
     now: MonotonicTime,
 ) -> bool {
     let place = &shared.options.place;
--- a/crates/foxtide-gateway/src/quotas/ask.rs
+++ b/crates/foxtide-gateway/src/quotas/ask.rs
@@ -12,7 +12,7 @@
 use foxtide_core::ids::OrganisationId;
 use foxtide_core::quota::{
     QuotaAnswer,
-    QuotaQuestion, //
+    QuotaRequest, //
 };
 use foxtide_core::registry::Member;
 use foxtide_core::routing::Quota;
@@ -67,7 +67,7 @@
     if has_token {
         return Ok(());
     }
-    let question = QuotaQuestion {
+    let question = QuotaRequest {
         organisation: organisation.clone(),
         priority,
         wanted,
@@ -105,7 +105,7 @@
                 let earliest = self.retry_after.unwrap_or(retry_after);
                 self.retry_after = Some(earliest.min(retry_after));
             }
-            QuotaAnswer::NotMine | QuotaAnswer::Granted { .. } => self.is_silent = true,
+            QuotaAnswer::NotCoordinator | QuotaAnswer::Granted { .. } => self.is_silent = true,
         }
     }
 
@@ -136,20 +136,20 @@
 async fn ask<D: Dialect>(
     shared: &Shared<D>,
     source: Source,
-    question: &QuotaQuestion,
+    question: &QuotaRequest,
 ) -> QuotaAnswer {
     let answer = ask_source(shared, source, question).await;
     let (kind, place) = (kind(answer), if source.is_near { "near" } else { "far" });
     metrics::counter!("foxtide_quota_answers_total", "answer" => kind, "place" => place)
         .increment(1);
-    answer.unwrap_or(QuotaAnswer::NotMine)
+    answer.unwrap_or(QuotaAnswer::NotCoordinator)
 }
 
 fn kind(answer: Option<QuotaAnswer>) -> &'static str {
     match answer {
         Some(QuotaAnswer::Granted { .. }) => "granted",
         Some(QuotaAnswer::Refused { .. }) => "refused",
-        Some(QuotaAnswer::NotMine) => "not_mine",
+        Some(QuotaAnswer::NotCoordinator) => "not_mine",
         None => "unanswered",
     }
 }
@@ -157,7 +157,7 @@
 async fn ask_source<D: Dialect>(
     shared: &Shared<D>,
     source: Source,
-    question: &QuotaQuestion,
+    question: &QuotaRequest,
 ) -> Option<QuotaAnswer> {
     let quotas = &shared.quotas;
     let admission = &shared.admission;
@@ -193,7 +193,7 @@
 async fn exchange<D: Dialect>(
     shared: &Shared<D>,
     coordinator: SocketAddr,
-    question: &QuotaQuestion,
+    question: &QuotaRequest,
     times: u32,
     time: Duration,
 ) -> Option<QuotaAnswer> {
