--- a/crates/foxtide-core/src/quota/bucket.rs
+++ b/crates/foxtide-core/src/quota/bucket.rs
@@ -6,23 +6,23 @@
 
 /// The part of a bucket that is left to the most urgent requests of the organisation: it
 /// matters only when the quota binds, and gives these the first of what is refilled.
-const URGENT_SHARE: f64 = 0.1;
+const URGENT_RESERVE_SHARE: f64 = 0.1;
 
 /// How long after the last urgent request a part of the bucket is left to such.
-const URGENT_TIME: Duration = Duration::from_secs(5);
+const URGENT_RESERVE_TIME: Duration = Duration::from_secs(5);
 
 /// What a bucket keeps of its capacity before more than one token is handed out at a time:
 /// tokens that lie unused with one instance are missing to another.
-const AHEAD_SHARE: f64 = 0.5;
+const PREFETCH_RESERVE_SHARE: f64 = 0.5;
 
 /// The part of its rate at which a process refills its buckets that has just started: for a
 /// moment another instance is still asked for the same part. It is more than what
 /// organisations use of their quota on an ordinary day (five eighths, where quotas are
 /// sold at 1.6 times the usual load), so that a start of all instances at once refuses none.
-pub(super) const YOUNG_SHARE: f64 = 0.65;
+pub(super) const STARTUP_RATE_SHARE: f64 = 0.65;
 
 /// How long that holds: a change of the members is known to all in 2.2 to 3 s.
-pub(super) const YOUNG_TIME: Duration = Duration::from_secs(3);
+pub(super) const STARTUP_TIME: Duration = Duration::from_secs(3);
 
 /// The longest time after which a caller is told to come back.
 const RETRY_AFTER_MAX: Duration = Duration::from_secs(10);
@@ -33,7 +33,7 @@
     tokens: f64,
     refilled_at: MonotonicTime,
     /// When the token comes that was promised last.
-    promised_at: MonotonicTime,
+    last_retry_at: MonotonicTime,
     /// The rank of the most urgent requests of late, and when the last of them came.
     most_urgent: (u32, MonotonicTime),
 }
@@ -44,7 +44,7 @@
         Self {
             tokens,
             refilled_at: now,
-            promised_at: now,
+            last_retry_at: now,
             most_urgent: (priority, now),
         }
     }
@@ -66,10 +66,10 @@
         let reserve = self.reserve(priority, parts.capacity(), now);
         let available = self.tokens - reserve;
         if available < 1.0 {
-            return Err(self.promise(1.0 - available, rate_rps, now));
+            return Err(self.schedule_retry(1.0 - available, rate_rps, now));
         }
-        let ahead = (available - parts.capacity() * AHEAD_SHARE).max(0.0);
-        let granted = 1 + (ahead as u32).min(wanted.saturating_sub(1));
+        let prefetched = (available - parts.capacity() * PREFETCH_RESERVE_SHARE).max(0.0);
+        let granted = 1 + (prefetched as u32).min(wanted.saturating_sub(1));
         self.tokens -= f64::from(granted);
         Ok(granted)
     }
@@ -83,15 +83,15 @@
     /// Returns the tokens that are left to more urgent requests.
     fn reserve(&mut self, priority: u32, capacity: f64, now: MonotonicTime) -> f64 {
         let (most_urgent, seen_at) = self.most_urgent;
-        if priority <= most_urgent || now - seen_at > URGENT_TIME {
+        if priority <= most_urgent || now - seen_at > URGENT_RESERVE_TIME {
             self.most_urgent = (priority, now);
             return 0.0;
         }
-        capacity * URGENT_SHARE
+        capacity * URGENT_RESERVE_SHARE
     }
 
     /// Returns when there is a token for one more, after all to whom one was promised.
-    fn promise(&mut self, missing: f64, rate_rps: f64, now: MonotonicTime) -> Duration {
+    fn schedule_retry(&mut self, missing: f64, rate_rps: f64, now: MonotonicTime) -> Duration {
         if rate_rps <= 0.0 {
             return RETRY_AFTER_MAX;
         }
@@ -100,8 +100,8 @@
             Duration::from_secs_f64(seconds.min(RETRY_AFTER_MAX.as_secs_f64()))
         };
         let latest = now + RETRY_AFTER_MAX;
-        let promised_at = (now + seconds(missing)).max(self.promised_at + seconds(1.0));
-        self.promised_at = promised_at.min(latest);
-        self.promised_at - now
+        let last_retry_at = (now + seconds(missing)).max(self.last_retry_at + seconds(1.0));
+        self.last_retry_at = last_retry_at.min(latest);
+        self.last_retry_at - now
     }
 }
--- a/crates/foxtide-core/src/quota/coordinator.rs
+++ b/crates/foxtide-core/src/quota/coordinator.rs
@@ -2,8 +2,8 @@
 
 use super::bucket::{
     Bucket,
-    YOUNG_SHARE,
-    YOUNG_TIME, //
+    STARTUP_RATE_SHARE,
+    STARTUP_TIME, //
 };
 use super::parts::QuotaParts;
 use crate::ids::OrganisationId;
@@ -12,7 +12,7 @@
 use std::time::Duration;
 
 /// How long a bucket is kept that nobody asks for; a new one holds as much by then.
-const UNUSED_TIME: Duration = Duration::from_secs(120);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(120);
 
 /// What an instance asks for.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -43,16 +43,16 @@
 }
 
 #[derive(Clone, Debug)]
-struct Part {
+struct BucketEntry {
     bucket: Bucket,
-    asked_at: MonotonicTime,
+    last_request_at: MonotonicTime,
 }
 
 /// Hands out the tokens of the parts of quotas for which this instance speaks.
 #[derive(Clone, Debug, Default)]
 pub struct QuotaCoordinator {
     started_at: MonotonicTime,
-    parts: HashMap<OrganisationId, Part>,
+    buckets: HashMap<OrganisationId, BucketEntry>,
 }
 
 impl QuotaCoordinator {
@@ -60,7 +60,7 @@
     pub fn new(now: MonotonicTime) -> Self {
         Self {
             started_at: now,
-            parts: HashMap::new(),
+            buckets: HashMap::new(),
         }
     }
 
@@ -70,26 +70,26 @@
         &mut self,
         request: &QuotaRequest,
         parts: &QuotaParts,
-        since: MonotonicTime,
+        members_changed_at: MonotonicTime,
         now: MonotonicTime,
     ) -> QuotaAnswer {
         let rate_rps = self.rate_rps(parts, now);
         let priority = request.priority;
         let started_at = self.started_at;
-        let part = self
-            .parts
+        let entry = self
+            .buckets
             .entry(request.organisation.clone())
             .or_insert_with(|| {
-                let gained = (now - since.max(started_at)).as_secs_f64() * rate_rps;
-                let tokens = gained.clamp(parts.first_tokens(), parts.capacity());
-                Part {
+                let accrued = (now - members_changed_at.max(started_at)).as_secs_f64() * rate_rps;
+                let tokens = accrued.clamp(parts.first_tokens(), parts.capacity());
+                BucketEntry {
                     bucket: Bucket::new(tokens, priority, now),
-                    asked_at: now,
+                    last_request_at: now,
                 }
             });
-        part.asked_at = now;
+        entry.last_request_at = now;
         let wanted = request.wanted;
-        match part.bucket.take(wanted, priority, rate_rps, parts, now) {
+        match entry.bucket.take(wanted, priority, rate_rps, parts, now) {
             Ok(tokens) => QuotaAnswer::Granted { tokens },
             Err(retry_after) => QuotaAnswer::Refused { retry_after },
         }
@@ -97,13 +97,13 @@
 
     /// Forgets the parts that nobody has asked for in a while.
     pub fn prune(&mut self, now: MonotonicTime) {
-        self.parts
-            .retain(|_, part| now - part.asked_at < UNUSED_TIME);
+        self.buckets
+            .retain(|_, entry| now - entry.last_request_at < IDLE_TIMEOUT);
     }
 
     fn rate_rps(&self, parts: &QuotaParts, now: MonotonicTime) -> f64 {
-        let is_young = now - self.started_at < YOUNG_TIME;
-        let share = if is_young { YOUNG_SHARE } else { 1.0 };
+        let is_starting = now - self.started_at < STARTUP_TIME;
+        let share = if is_starting { STARTUP_RATE_SHARE } else { 1.0 };
         parts.rate_rps() * share
     }
 }
--- a/crates/foxtide-core/src/quota/spare.rs
+++ b/crates/foxtide-core/src/quota/fallback.rs
@@ -18,11 +18,11 @@
 
 /// Tokens that each belong to one living instance, without anybody being asked.
 #[derive(Clone, Debug, Default)]
-pub struct SpareTokens {
+pub struct FallbackTokens {
     tokens: OwnedTokens<OrganisationId>,
 }
 
-impl SpareTokens {
+impl FallbackTokens {
     /// Takes a token for one request; tells whether there was one. `instances` are those
     /// thought alive, `own` among them.
     pub fn try_take(
@@ -33,7 +33,7 @@
         instances: &[InstanceId],
         now: MonotonicTime,
     ) -> bool {
-        let count = parts.spare().min(TOKENS_MAX) as u64;
+        let count = parts.fallback_requests().min(TOKENS_MAX) as u64;
         let period = parts.window() + PERIOD_MARGIN;
         self.tokens
             .try_take(organisation, count, period, own, instances, now)
--- a/crates/foxtide-core/src/quota/mod.rs
+++ b/crates/foxtide-core/src/quota/mod.rs
@@ -15,9 +15,9 @@
 //! - tokens lapse soon ([`TOKEN_TIME`]), so that none is used long after it was handed out;
 //! - a bucket begins with what it would have gained since its region's instances last
 //!   changed, so that no burst is there twice when a coordinator dies or starts again;
-//! - a process that has just started hands out less ([`YOUNG_SHARE`]), as another instance
+//! - a process that has just started hands out less ([`STARTUP_RATE_SHARE`]), as another instance
 //!   may still be asked for the same part;
-//! - an instance whose coordinators are silent has [`SpareTokens`] alone: a small part of
+//! - an instance whose coordinators are silent has [`FallbackTokens`] alone: a small part of
 //!   the bound's slack, cut among all instances.
 //!
 //! Against equal parts for all instances, this serves what a quota allows also where the
@@ -25,21 +25,21 @@
 
 mod bucket;
 mod coordinator;
+mod fallback;
 mod parts;
-mod spare;
-mod stock;
+mod token_cache;
 
 pub use coordinator::{
     QuotaAnswer,
     QuotaCoordinator,
     QuotaRequest, //
 };
+pub use fallback::FallbackTokens;
 pub use parts::{
     QuotaBounds,
     QuotaParts, //
 };
-pub use spare::SpareTokens;
-pub use stock::{
-    QuotaStock,
+pub use token_cache::{
     TOKEN_TIME, //
+    TokenCache, //
 };
--- a/crates/foxtide-core/src/quota/parts.rs
+++ b/crates/foxtide-core/src/quota/parts.rs
@@ -13,7 +13,7 @@
 
 /// The part of the slack, with what the overshoot adds, that instances may use whose
 /// coordinators are silent.
-const SPARE_SHARE: f64 = 0.25;
+const FALLBACK_SHARE: f64 = 0.25;
 
 /// The platform's bound on the requests of an organisation in a window.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -85,9 +85,9 @@
 
     /// Returns the requests of a window that all instances together may have run without
     /// asking.
-    pub(super) fn spare(&self) -> f64 {
+    pub(super) fn fallback_requests(&self) -> f64 {
         let allowed = self.bounds.allowed(&self.quota);
-        (self.bounds.requests_max(&self.quota) - allowed) * SPARE_SHARE
+        (self.bounds.requests_max(&self.quota) - allowed) * FALLBACK_SHARE
     }
 
     /// Returns the window in which requests are counted.
--- a/crates/foxtide-core/tests/quota_model/fleet.rs
+++ b/crates/foxtide-core/tests/quota_model/fleet.rs
@@ -6,13 +6,13 @@
     RegionId, //
 };
 use foxtide_core::quota::{
+    FallbackTokens, //
     QuotaAnswer,
     QuotaBounds,
     QuotaCoordinator,
     QuotaParts,
     QuotaRequest,
-    QuotaStock,
-    SpareTokens, //
+    TokenCache, //
 };
 use foxtide_core::registry::{
     Member,
@@ -65,8 +65,8 @@
 struct Process {
     members: Members,
     coordinator: QuotaCoordinator,
-    stock: QuotaStock,
-    spare: SpareTokens,
+    stock: TokenCache,
+    spare: FallbackTokens,
 }
 
 #[derive(Clone, Debug)]
@@ -298,8 +298,8 @@
         Self {
             members,
             coordinator: QuotaCoordinator::new(time(started_ms)),
-            stock: QuotaStock::default(),
-            spare: SpareTokens::default(),
+            stock: TokenCache::default(),
+            spare: FallbackTokens::default(),
         }
     }
 }
--- a/crates/foxtide-gateway/src/quotas/mod.rs
+++ b/crates/foxtide-gateway/src/quotas/mod.rs
@@ -15,11 +15,11 @@
 use crate::state::State;
 use foxtide_core::ids::OrganisationId;
 use foxtide_core::quota::{
+    FallbackTokens, //
     QuotaAnswer,
     QuotaCoordinator,
     QuotaParts,
-    QuotaStock,
-    SpareTokens, //
+    TokenCache, //
 };
 use foxtide_core::routing::{
     OrganisationTerms,
@@ -73,8 +73,8 @@
 #[derive(Debug, Default)]
 pub(crate) struct Quotas {
     coordinator: Mutex<QuotaCoordinator>,
-    stocks: Mutex<HashMap<OrganisationId, QuotaStock>>,
-    spare: Mutex<SpareTokens>,
+    stocks: Mutex<HashMap<OrganisationId, TokenCache>>,
+    spare: Mutex<FallbackTokens>,
     /// Questions that wait for an answer, by their numbers.
     pending: Mutex<HashMap<u64, Sender<QuotaAnswer>>>,
     /// When other instances last sent a datagram.
