--- a/crates/foxtide-core/src/idempotency/mod.rs
+++ b/crates/foxtide-core/src/idempotency/mod.rs
@@ -49,7 +49,7 @@
 pub use table::{
     Begin,
     Claim,
-    KeptAnswer,
+    ReplayableAnswer,
     Table,
     TableUsage, //
 };
--- a/crates/foxtide-core/src/idempotency/refusal.rs
+++ b/crates/foxtide-core/src/idempotency/refusal.rs
@@ -81,7 +81,7 @@
 
 impl Refusal {
     /// Returns the refusal of a key that is never worth another try.
-    pub(crate) const fn lasting(reason: RefusalReason) -> Self {
+    pub(crate) const fn permanent(reason: RefusalReason) -> Self {
         let retry_after = None;
         Self {
             reason,
@@ -90,7 +90,7 @@
     }
 
     /// Returns the refusal of a key that may be tried again after a time.
-    pub(crate) const fn passing(reason: RefusalReason, retry_after: Duration) -> Self {
+    pub(crate) const fn temporary(reason: RefusalReason, retry_after: Duration) -> Self {
         let retry_after = Some(retry_after);
         Self {
             reason,
--- a/crates/foxtide-core/src/idempotency/table.rs
+++ b/crates/foxtide-core/src/idempotency/table.rs
@@ -20,11 +20,11 @@
 use uuid::Uuid;
 
 /// How many old keys one call forgets at most, so that none holds up a request.
-const FORGOTTEN_PER_BEGIN_MAX: usize = 16;
-const FORGOTTEN_PER_TICK_MAX: usize = 4_096;
+const EVICTIONS_PER_BEGIN_MAX: usize = 16;
+const EVICTIONS_PER_TICK_MAX: usize = 4_096;
 
 /// An answer that can be given again. Clones are to be cheap.
-pub trait KeptAnswer: Clone {
+pub trait ReplayableAnswer: Clone {
     /// Returns the memory that the answer takes.
     fn size(&self) -> ByteSize;
 }
@@ -78,7 +78,7 @@
     running: BTreeMap<Uuid, Running>,
     ended: BTreeMap<Uuid, Ended<A>>,
     /// The newest key that was forgotten: none up to it is ever run again.
-    forgotten_through: Uuid,
+    evicted_through: Uuid,
     /// The keys whose answers are kept, the oldest first.
     answered: BTreeSet<Uuid>,
     answers_bytes: u64,
@@ -104,7 +104,7 @@
     AnswerLost,
 }
 
-impl<A: KeptAnswer> Table<A> {
+impl<A: ReplayableAnswer> Table<A> {
     /// Returns the empty table of a process that has just started.
     pub fn new(owner: OwnerId, options: TableOptions) -> Self {
         Self {
@@ -112,7 +112,7 @@
             options,
             running: BTreeMap::new(),
             ended: BTreeMap::new(),
-            forgotten_through: Uuid::nil(),
+            evicted_through: Uuid::nil(),
             answered: BTreeSet::new(),
             answers_bytes: 0,
         }
@@ -130,9 +130,9 @@
         fingerprint: Fingerprint,
         now: WallTime,
     ) -> Begin<A> {
-        self.forget(now, self.options.validity, FORGOTTEN_PER_BEGIN_MAX);
+        self.evict(now, self.options.validity, EVICTIONS_PER_BEGIN_MAX);
         if *key.owner() != self.owner {
-            return self.begin_of_other(key);
+            return self.begin_foreign(key);
         }
         if let Some(known) = self.begin_known(key.unique(), fingerprint) {
             return known;
@@ -152,20 +152,20 @@
 
     /// Notes that the request's first byte is about to go to an upstream. To
     /// be called before it does.
-    pub fn written(&mut self, claim: &Claim) {
-        self.note_written(claim, true);
+    pub fn mark_written(&mut self, claim: &Claim) {
+        self.set_written(claim, true);
     }
 
     /// Notes that the upstream provably ran nothing: it said so itself, or no
     /// byte went out after all. The claim may be used for another attempt.
-    pub fn proved_not_run(&mut self, claim: &Claim) {
-        self.note_written(claim, false);
+    pub fn mark_not_run(&mut self, claim: &Claim) {
+        self.set_written(claim, false);
     }
 
     /// Keeps the whole answer of a request that was run.
     pub fn finish(&mut self, claim: Claim, answer: A) {
-        if !self.keeps(answer.size()) {
-            self.finish_unkept(claim);
+        if !self.can_store(answer.size()) {
+            self.finish_without_answer(claim);
             return;
         }
         let size_bytes = answer.size().get();
@@ -177,12 +177,12 @@
     }
 
     /// Notes that a request was run whose answer is too large to be kept.
-    pub fn finish_unkept(&mut self, claim: Claim) {
+    pub fn finish_without_answer(&mut self, claim: Claim) {
         self.end(&claim, RunResult::AnswerDropped);
     }
 
     /// Tells whether an answer of this size is kept.
-    pub fn keeps(&self, size: ByteSize) -> bool {
+    pub fn can_store(&self, size: ByteSize) -> bool {
         size <= self.options.answer_max
     }
 
@@ -202,7 +202,7 @@
     /// Forgets keys beyond their validity; to be called about once a second,
     /// so that memory is given back also where no more requests come.
     pub fn tick(&mut self, now: WallTime) {
-        self.forget(now, self.options.validity, FORGOTTEN_PER_TICK_MAX);
+        self.evict(now, self.options.validity, EVICTIONS_PER_TICK_MAX);
     }
 
     /// Returns what the table holds.
@@ -215,15 +215,15 @@
         }
     }
 
-    fn begin_of_other(&self, key: &IdempotencyKey) -> Begin<A> {
+    fn begin_foreign(&self, key: &IdempotencyKey) -> Begin<A> {
         if key.owner().instance == self.owner.instance {
-            return Begin::Refuse(Refusal::lasting(RefusalReason::OwnerGone));
+            return Begin::Refuse(Refusal::permanent(RefusalReason::OwnerGone));
         }
         Begin::Elsewhere
     }
 
     fn begin_known(&self, unique: Uuid, fingerprint: Fingerprint) -> Option<Begin<A>> {
-        let reused = Begin::Refuse(Refusal::lasting(RefusalReason::KeyReused));
+        let reused = Begin::Refuse(Refusal::permanent(RefusalReason::KeyReused));
         if let Some(running) = self.running.get(&unique) {
             let same = running.fingerprint == fingerprint;
             let retry_after = self.options.in_progress_retry;
@@ -241,25 +241,25 @@
     fn refuse_new(&mut self, key: &IdempotencyKey, now: WallTime) -> Option<Refusal> {
         let minted_at = key.minted_at();
         let expired = minted_at + self.options.validity < now;
-        if expired || key.unique() <= self.forgotten_through {
-            return Some(Refusal::lasting(RefusalReason::KeyExpired));
+        if expired || key.unique() <= self.evicted_through {
+            return Some(Refusal::permanent(RefusalReason::KeyExpired));
         }
         let ahead = minted_at.since(now + self.options.clock_skew_max);
         if ahead > Duration::ZERO {
-            return Some(Refusal::passing(RefusalReason::KeyFromFuture, ahead));
+            return Some(Refusal::temporary(RefusalReason::KeyFromFuture, ahead));
         }
-        if !self.make_room(now) {
-            let retry_after = self.room_in(now);
-            return Some(Refusal::passing(RefusalReason::TableFull, retry_after));
+        if !self.evict_if_full(now) {
+            let retry_after = self.retry_after_full(now);
+            return Some(Refusal::temporary(RefusalReason::TableFull, retry_after));
         }
         None
     }
 
     /// Tells whether there is room for a key; where there is none, the oldest
     /// make room that were kept for the least time.
-    fn make_room(&mut self, now: WallTime) -> bool {
+    fn evict_if_full(&mut self, now: WallTime) -> bool {
         if self.is_full() {
-            self.forget(now, self.options.validity_min, FORGOTTEN_PER_BEGIN_MAX);
+            self.evict(now, self.options.validity_min, EVICTIONS_PER_BEGIN_MAX);
         }
         !self.is_full()
     }
@@ -269,14 +269,14 @@
     }
 
     /// Returns the time until the oldest key makes room.
-    fn room_in(&self, now: WallTime) -> Duration {
+    fn retry_after_full(&self, now: WallTime) -> Duration {
         let oldest = self.ended.first_key_value();
-        let room_at = oldest.map(|(unique, _)| minted_at(*unique) + self.options.validity_min);
-        let room_in = room_at.map_or(Duration::ZERO, |room_at| room_at.since(now));
-        room_in.max(self.options.in_progress_retry)
+        let free_at = oldest.map(|(unique, _)| minted_at(*unique) + self.options.validity_min);
+        let free_in = free_at.map_or(Duration::ZERO, |free_at| free_at.since(now));
+        free_in.max(self.options.in_progress_retry)
     }
 
-    fn note_written(&mut self, claim: &Claim, written: bool) {
+    fn set_written(&mut self, claim: &Claim, written: bool) {
         if let Some(running) = self.running.get_mut(&claim.unique) {
             running.written = written;
         }
@@ -298,8 +298,8 @@
 
     /// Forgets the oldest keys that were minted more than `age` ago, at most
     /// `most` of them.
-    fn forget(&mut self, now: WallTime, age: Duration, most: usize) {
-        for _ in 0..most {
+    fn evict(&mut self, now: WallTime, age: Duration, max_count: usize) {
+        for _ in 0..max_count {
             let Some(oldest) = self.ended.first_entry() else {
                 return;
             };
@@ -307,7 +307,7 @@
                 return;
             }
             let (unique, ended) = oldest.remove_entry();
-            self.forgotten_through = self.forgotten_through.max(unique);
+            self.evicted_through = self.evicted_through.max(unique);
             if let RunResult::Answered(answer) = ended.result {
                 self.answers_bytes -= answer.size().get();
                 self.answered.remove(&unique);
@@ -331,14 +331,14 @@
     }
 }
 
-impl<A: KeptAnswer> Ended<A> {
+impl<A: ReplayableAnswer> Ended<A> {
     fn begin(&self) -> Begin<A> {
         match &self.result {
             RunResult::Answered(answer) => Begin::Replay(answer.clone()),
             RunResult::AnswerDropped => {
-                Begin::Refuse(Refusal::lasting(RefusalReason::AnswerDropped))
+                Begin::Refuse(Refusal::permanent(RefusalReason::AnswerDropped))
             }
-            RunResult::AnswerLost => Begin::Refuse(Refusal::lasting(RefusalReason::AnswerLost)),
+            RunResult::AnswerLost => Begin::Refuse(Refusal::permanent(RefusalReason::AnswerLost)),
         }
     }
 }
--- a/crates/foxtide-core/tests/idempotency_model/mod.rs
+++ b/crates/foxtide-core/tests/idempotency_model/mod.rs
@@ -9,10 +9,10 @@
     Claim,
     Fingerprint,
     IdempotencyKey,
-    KeptAnswer,
     OwnerId,
     ProcessNumber,
     RefusalReason,
+    ReplayableAnswer,
     Table,
     TableOptions, //
 };
@@ -30,7 +30,7 @@
 #[derive(Clone, Debug)]
 struct Answer;
 
-impl KeptAnswer for Answer {
+impl ReplayableAnswer for Answer {
     fn size(&self) -> ByteSize {
         ByteSize::from_bytes(1)
     }
@@ -317,7 +317,7 @@
         };
         let key = self.copies[copy].key;
         if self.mistake != Mistake::WriteNotNoted {
-            self.table(copy).written(&claim);
+            self.table(copy).mark_written(&claim);
         }
         let sent = self.send_upstream(key);
         self.copies[copy].stage = Stage::Written { claim, sent };
@@ -333,8 +333,8 @@
         let Stage::Claimed(claim) = self.take_stage(copy) else {
             unreachable!("only a claimed copy is written");
         };
-        self.table(copy).written(&claim);
-        self.table(copy).proved_not_run(&claim);
+        self.table(copy).mark_written(&claim);
+        self.table(copy).mark_not_run(&claim);
         let outcome = self.table(copy).abandon(claim);
         self.end(copy, outcome);
     }
@@ -356,7 +356,7 @@
             unreachable!("only a written copy is refused");
         };
         self.sent[sent].state = SentState::Refused;
-        self.table(copy).proved_not_run(&claim);
+        self.table(copy).mark_not_run(&claim);
         let outcome = self.table(copy).abandon(claim);
         self.end(copy, outcome);
     }
--- a/crates/foxtide-core/tests/idempotency_table.rs
+++ b/crates/foxtide-core/tests/idempotency_table.rs
@@ -5,9 +5,9 @@
     Claim,
     Fingerprint,
     IdempotencyKey,
-    KeptAnswer,
     OwnerId,
     RefusalReason,
+    ReplayableAnswer,
     Table,
     TableOptions,
     TableUsage, //
@@ -24,7 +24,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 struct Text(&'static str);
 
-impl KeptAnswer for Text {
+impl ReplayableAnswer for Text {
     fn size(&self) -> ByteSize {
         ByteSize::from_bytes(self.0.len() as u64)
     }
@@ -78,7 +78,7 @@
     let claim = run(&mut table, &key(1));
     let again = table.begin(&key(1), request(), START);
     assert!(matches!(again, Begin::InProgress { .. }), "{again:?}");
-    table.written(&claim);
+    table.mark_written(&claim);
     table.finish(claim, Text("opened"));
     assert!(is_replay(&mut table, &key(1), &Text("opened")));
 }
@@ -89,8 +89,8 @@
     let claim = run(&mut table, &key(1));
     assert_eq!(table.abandon(claim), Outcome::NotRun);
     let claim = run(&mut table, &key(1));
-    table.written(&claim);
-    table.proved_not_run(&claim);
+    table.mark_written(&claim);
+    table.mark_not_run(&claim);
     assert_eq!(table.abandon(claim), Outcome::NotRun);
 }
 
@@ -98,7 +98,7 @@
 fn verify_a_lost_answer_is_unknown_for_ever() {
     let mut table = table(TableOptions::default());
     let claim = run(&mut table, &key(1));
-    table.written(&claim);
+    table.mark_written(&claim);
     assert_eq!(table.abandon(claim), Outcome::Unknown);
     let reason = refusal_at(&mut table, &key(1), START);
     assert_eq!(reason, RefusalReason::AnswerLost);
@@ -171,7 +171,7 @@
 fn verify_a_running_key_outlives_its_validity() {
     let mut table = table(TableOptions::default());
     let claim = run(&mut table, &key(1));
-    table.written(&claim);
+    table.mark_written(&claim);
     let later = START + VALIDITY * 2;
     let begin = table.begin(&key(1), request(), later);
     assert!(matches!(begin, Begin::InProgress { .. }), "{begin:?}");
--- a/crates/foxtide-entry/src/proxy/keys.rs
+++ b/crates/foxtide-entry/src/proxy/keys.rs
@@ -24,9 +24,9 @@
     Claim,
     Fingerprint,
     IdempotencyKey,
-    KeptAnswer,
     KeyError,
     RefusalReason,
+    ReplayableAnswer,
     Table, //
 };
 use foxtide_core::outcome::Outcome;
@@ -79,7 +79,7 @@
     written: Arc<AtomicBool>,
 }
 
-impl KeptAnswer for Kept {
+impl ReplayableAnswer for Kept {
     fn size(&self) -> ByteSize {
         ByteSize::from_bytes(self.0.body.len() as u64 + KEPT_HEADERS_BYTES)
     }
@@ -123,7 +123,7 @@
     /// Notes that the first byte is about to go out.
     pub(super) fn written(&self) {
         if let Some(claim) = &self.claim {
-            self.table.lock().written(claim);
+            self.table.lock().mark_written(claim);
         }
         self.written.store(true, Ordering::Release);
     }
@@ -136,7 +136,7 @@
     /// Notes that the upstream provably ran nothing.
     pub(super) fn proved_not_run(&self) {
         if let Some(claim) = &self.claim {
-            self.table.lock().proved_not_run(claim);
+            self.table.lock().mark_not_run(claim);
         }
         self.written.store(false, Ordering::Release);
     }
@@ -147,12 +147,12 @@
             return;
         };
         // Copied outside of the lock, and not at all where it is too large.
-        let keeps = self.table.lock().keeps(Kept::size_of(answer));
+        let keeps = self.table.lock().can_store(Kept::size_of(answer));
         let kept = keeps.then(|| Kept::of(answer));
         let mut table = self.table.lock();
         match kept {
             Some(kept) => table.finish(claim, kept),
-            None => table.finish_unkept(claim),
+            None => table.finish_without_answer(claim),
         }
     }
 }
--- a/crates/foxtide-testing/src/scenario/endings.rs
+++ b/crates/foxtide-testing/src/scenario/endings.rs
@@ -53,7 +53,7 @@
         }
         let result = attempt_result(end);
         if let Some(claim) = copy.claim.as_ref().filter(|_| result.is_not_run()) {
-            process.table.proved_not_run(claim);
+            process.table.mark_not_run(claim);
         }
         let Some(tools) = process.services.get_mut(&attempt.service) else {
             return;
--- a/crates/foxtide-testing/src/scenario/process.rs
+++ b/crates/foxtide-testing/src/scenario/process.rs
@@ -8,9 +8,9 @@
     BalancerOptions, //
 };
 use foxtide_core::idempotency::{
-    KeptAnswer,
     OwnerId,
     ProcessNumber,
+    ReplayableAnswer,
     Table,
     TableOptions, //
 };
@@ -70,7 +70,7 @@
     pub(super) operation: OperationNumber,
 }
 
-impl KeptAnswer for KeptRun {
+impl ReplayableAnswer for KeptRun {
     fn size(&self) -> ByteSize {
         ByteSize::from_bytes(size_of::<OperationNumber>() as u64)
     }
--- a/crates/foxtide-testing/src/scenario/requests.rs
+++ b/crates/foxtide-testing/src/scenario/requests.rs
@@ -287,7 +287,7 @@
         let (place, service) = (copy.instance, copy.service.clone());
         let hedge_at = copy.attempts.hedge_at();
         if let (Some(claim), Some(process)) = (&copy.claim, &mut self.instances[place].process) {
-            process.table.written(claim);
+            process.table.mark_written(claim);
         }
         let attempt = self.launch(number, id, service, region, ticket);
         if let Some(copy) = self.copies.get_mut(&number) {
--- a/crates/foxtide/examples/measure/at_most_once.rs
+++ b/crates/foxtide/examples/measure/at_most_once.rs
@@ -134,7 +134,7 @@
         let Begin::Run(claim) = table.begin(&mint(number), fingerprint(), now) else {
             unreachable!("the table has room");
         };
-        table.written(&claim);
+        table.mark_written(&claim);
         let _ = table.abandon(claim);
     }
     let key_bytes = (resident_bytes() - before_bytes) / TABLE_KEYS as f64;
@@ -167,7 +167,7 @@
     let started = Instant::now();
     for key in &fresh {
         if let Begin::Run(claim) = table.begin(key, fingerprint(), now) {
-            table.written(&claim);
+            table.mark_written(&claim);
             table.finish(claim, Answer);
         }
     }
--- a/crates/foxtide/examples/measure/at_most_once/policy.rs
+++ b/crates/foxtide/examples/measure/at_most_once/policy.rs
@@ -5,10 +5,10 @@
     Claim,
     Fingerprint,
     IdempotencyKey,
-    KeptAnswer,
     OwnerId,
     ProcessNumber,
     RefusalReason,
+    ReplayableAnswer,
     Table,
     TableOptions, //
 };
@@ -88,7 +88,7 @@
 #[derive(Clone, Debug)]
 pub(super) struct Answer;
 
-impl KeptAnswer for Answer {
+impl ReplayableAnswer for Answer {
     fn size(&self) -> ByteSize {
         ByteSize::from_kib(1)
     }
@@ -165,11 +165,11 @@
 macro_rules! delegate_to_tables {
     () => {
         fn written(&mut self, instance: usize, claim: &Claim) {
-            self.tables.of(instance).written(claim);
+            self.tables.of(instance).mark_written(claim);
         }
 
         fn proved_not_run(&mut self, instance: usize, claim: &Claim) {
-            self.tables.of(instance).proved_not_run(claim);
+            self.tables.of(instance).mark_not_run(claim);
         }
 
         fn finish(&mut self, instance: usize, claim: Claim) {
