--- a/crates/foxtide-core/src/placement/overflow.rs
+++ b/crates/foxtide-core/src/placement/overflow.rs
@@ -41,7 +41,7 @@
     let options = RetryBudgetOptions {
         success_share: Share::clamped(OVERFLOW_SHARE),
         floor_rps: RequestRate::ZERO,
-        saved_max: OVERFLOW_SAVED_MAX,
+        burst: OVERFLOW_SAVED_MAX,
     };
     RetryBudget::new(options, now)
 }
--- a/crates/foxtide-core/src/retry/attempts.rs
+++ b/crates/foxtide-core/src/retry/attempts.rs
@@ -183,8 +183,8 @@
     }
 
     fn may_hedge(&self, now: MonotonicTime) -> bool {
-        let is_first = self.counted() == 1 && self.running == 1 && !self.hedged;
-        let has_attempt = self.counted() < self.options.attempts_max;
+        let is_first = self.counted_attempts() == 1 && self.running == 1 && !self.hedged;
+        let has_attempt = self.counted_attempts() < self.options.attempts_max;
         self.terms.idempotent && is_first && has_attempt && self.has_time(now)
     }
 
@@ -225,12 +225,12 @@
             return Step::Await;
         }
         let was_refused = matches!(result, AttemptResult::Refused { .. });
-        if was_refused && self.may_go_elsewhere(now) {
+        if was_refused && self.may_retry_refused(now) {
             return Step::Retry {
                 after: Duration::ZERO,
             };
         }
-        match self.retry_obstacle(budget, now) {
+        match self.reserve_retry(budget, now) {
             None => self.retry(),
             Some(_) if result == AttemptResult::ServerError => Step::Answer(id),
             Some(reason) => self.give_up(reason),
@@ -257,23 +257,23 @@
 
     /// Tells whether a request that was just refused may be sent elsewhere
     /// without taking from the budget.
-    fn may_go_elsewhere(&self, now: MonotonicTime) -> bool {
+    fn may_retry_refused(&self, now: MonotonicTime) -> bool {
         let is_safe = self.terms.idempotent || !self.may_have_run;
         is_safe && self.refused <= self.options.refusals_max && self.has_time(now)
     }
 
     /// Returns the attempts that count towards the most that are allowed.
-    fn counted(&self) -> u32 {
+    fn counted_attempts(&self) -> u32 {
         self.begun - self.refused.min(self.options.refusals_max)
     }
 
     /// Tells why the request may not be sent again; takes from the budget
     /// where it may.
-    fn retry_obstacle(&self, budget: &mut RetryBudget, now: MonotonicTime) -> Option<GiveUpReason> {
+    fn reserve_retry(&self, budget: &mut RetryBudget, now: MonotonicTime) -> Option<GiveUpReason> {
         if self.may_have_run && !self.terms.idempotent {
             return Some(GiveUpReason::NotIdempotent);
         }
-        if self.counted() >= self.options.attempts_max {
+        if self.counted_attempts() >= self.options.attempts_max {
             return Some(GiveUpReason::AttemptsSpent);
         }
         if !self.has_time(now + self.backoff()) {
--- a/crates/foxtide-core/src/retry/budget.rs
+++ b/crates/foxtide-core/src/retry/budget.rs
@@ -18,7 +18,7 @@
     /// Returns a budget with everything saved that may be.
     pub fn new(options: RetryBudgetOptions, now: MonotonicTime) -> Self {
         Self {
-            tokens: options.saved_max,
+            tokens: options.burst,
             refilled_at: now,
             options,
         }
@@ -26,20 +26,20 @@
 
     /// Changes the settings; what was saved beyond the new bound is lost.
     pub fn set_options(&mut self, options: RetryBudgetOptions) {
-        self.tokens = self.tokens.min(options.saved_max);
+        self.tokens = self.tokens.min(options.burst);
         self.options = options;
     }
 
     /// Notes a request that was answered, other than by a server error.
     pub fn record_success(&mut self) {
-        self.deposit(self.options.success_share.get());
+        self.add_tokens(self.options.success_share.get());
     }
 
     /// Takes one retry or hedge out of the budget, if there is one.
     pub fn try_spend(&mut self, now: MonotonicTime) -> bool {
         let passed_s = (now - self.refilled_at).as_secs_f64();
         self.refilled_at = self.refilled_at.max(now);
-        self.deposit(passed_s * self.options.floor_rps.get());
+        self.add_tokens(passed_s * self.options.floor_rps.get());
         if self.tokens < 1.0 {
             return false;
         }
@@ -47,7 +47,7 @@
         true
     }
 
-    fn deposit(&mut self, tokens: f64) {
-        self.tokens = (self.tokens + tokens).min(self.options.saved_max);
+    fn add_tokens(&mut self, tokens: f64) {
+        self.tokens = (self.tokens + tokens).min(self.options.burst);
     }
 }
--- a/crates/foxtide-core/src/retry/hedge.rs
+++ b/crates/foxtide-core/src/retry/hedge.rs
@@ -6,10 +6,10 @@
 const QUANTILE: f64 = 0.95;
 
 /// How far one answer moves the estimate, as a part of it.
-const STEP: f64 = 0.02;
+const STEP_SHARE: f64 = 0.02;
 
 /// The estimate before the first answer.
-const FIRST: Duration = Duration::from_millis(100);
+const INITIAL_DELAY: Duration = Duration::from_millis(100);
 
 /// Estimates the latency below which 95 % of a service's answers come.
 ///
@@ -25,7 +25,7 @@
 impl Default for HedgeDelay {
     fn default() -> Self {
         Self {
-            estimate_us: FIRST.as_micros() as f64,
+            estimate_us: INITIAL_DELAY.as_micros() as f64,
         }
     }
 }
@@ -35,7 +35,7 @@
     pub fn record(&mut self, latency: Duration) {
         let slower = latency.as_micros() as f64 > self.estimate_us;
         let part = if slower { QUANTILE } else { QUANTILE - 1.0 };
-        self.estimate_us = (self.estimate_us * (1.0 + STEP * part)).max(1.0);
+        self.estimate_us = (self.estimate_us * (1.0 + STEP_SHARE * part)).max(1.0);
     }
 
     /// Returns how long the first attempt is given before the hedge.
--- a/crates/foxtide-core/src/retry/options.rs
+++ b/crates/foxtide-core/src/retry/options.rs
@@ -15,7 +15,7 @@
     /// Default: 1 a second.
     pub floor_rps: RequestRate,
     /// The most that is saved up. Default: 20.
-    pub saved_max: f64,
+    pub burst: f64,
 }
 
 impl Default for RetryBudgetOptions {
@@ -23,7 +23,7 @@
         Self {
             success_share: Share::clamped(0.15),
             floor_rps: RequestRate::clamped(1.0),
-            saved_max: 20.0,
+            burst: 20.0,
         }
     }
 }
--- a/crates/foxtide-core/tests/retry_properties.rs
+++ b/crates/foxtide-core/tests/retry_properties.rs
@@ -143,7 +143,7 @@
                 spent += f64::from(u8::from(budget.try_spend(now)));
             }
             let floor = (now - START).as_secs_f64() * options.floor_rps.get();
-            let allowed = options.saved_max + successes * options.success_share.get() + floor;
+            let allowed = options.burst + successes * options.success_share.get() + floor;
             prop_assert!(spent <= allowed + 1e-6, "{spent} of {allowed}");
         }
     }
--- a/crates/foxtide-gateway/src/state/mod.rs
+++ b/crates/foxtide-gateway/src/state/mod.rs
@@ -325,7 +325,7 @@
         let options = RetryBudgetOptions {
             success_share: Share::clamped(bounds.retry_ratio * RETRY_SHARE_USED),
             floor_rps: RequestRate::ZERO,
-            saved_max: (bounds.retry_burst * RETRY_SHARE_USED / instances).max(1.0),
+            burst: (bounds.retry_burst * RETRY_SHARE_USED / instances).max(1.0),
         };
         let budget = self
             .budgets
