--- a/crates/foxtide-core/tests/admission.rs
+++ b/crates/foxtide-core/tests/admission.rs
@@ -19,7 +19,7 @@
 const SLOTS: u32 = 3;
 
 /// One more than the slots is under way: it waits at the upstream.
-const ADMITTED: u64 = 4;
+const ADMITTED_MAX: u64 = 4;
 
 /// What a first touch takes, and a repeated one: three tenths.
 const FIRST_MS: u64 = 800;
@@ -50,7 +50,7 @@
     }
 }
 
-fn of_object(number: u64, object: u64) -> SlotRequest {
+fn object_request(number: u64, object: u64) -> SlotRequest {
     SlotRequest {
         object: Some(ObjectKey::from_hash(object)),
         ..request(number)
@@ -65,13 +65,13 @@
 }
 
 /// A coordinator whose upstream knows objects 1 to 3 and is idle at 5 s.
-fn experienced() -> Coordinator {
+fn warmed_coordinator() -> Coordinator {
     let mut coordinator = Coordinator::default();
     for object in 1..=3 {
         let number = 100 + object;
-        coordinator.ask(&of_object(number, object), SLOTS, at(0));
+        coordinator.ask(&object_request(number, object), SLOTS, at(0));
         coordinator.end(ticket(number), Ending::Served, at(FIRST_MS));
-        coordinator.ask(&of_object(number + 10, object), SLOTS, at(2_000));
+        coordinator.ask(&object_request(number + 10, object), SLOTS, at(2_000));
         coordinator.end(ticket(number + 10), Ending::Served, at(2_000 + REPEATED_MS));
     }
     coordinator
@@ -79,8 +79,8 @@
 
 /// Fills the slots with requests for object 1 that run from `now` on.
 fn fill(coordinator: &mut Coordinator, now: MonotonicTime) {
-    for number in 0..ADMITTED {
-        let answers = coordinator.ask(&of_object(200 + number, 1), SLOTS, now);
+    for number in 0..ADMITTED_MAX {
+        let answers = coordinator.ask(&object_request(200 + number, 1), SLOTS, now);
         assert_eq!(granted(&answers), [200 + number]);
     }
 }
@@ -88,7 +88,7 @@
 #[test]
 fn verify_slots_and_one_more_are_granted_and_the_next_when_one_ends() {
     let mut coordinator = Coordinator::default();
-    for number in 0..ADMITTED {
+    for number in 0..ADMITTED_MAX {
         let answers = coordinator.ask(&request(number), SLOTS, at(0));
         assert_eq!(answers, [(ticket(number), Answer::Granted)]);
     }
@@ -105,7 +105,7 @@
         let answers = coordinator.ask(&request(1), SLOTS, at(0));
         assert_eq!(answers, [(ticket(1), Answer::Granted)]);
     }
-    for number in 2..=ADMITTED {
+    for number in 2..=ADMITTED_MAX {
         assert_eq!(
             granted(&coordinator.ask(&request(number), SLOTS, at(0))),
             [number]
@@ -120,9 +120,9 @@
 }
 
 #[test]
-fn verify_requests_that_are_told_of_count() {
+fn verify_ungranted_requests_occupy_slots() {
     let mut coordinator = Coordinator::default();
-    for number in 0..ADMITTED {
+    for number in 0..ADMITTED_MAX {
         coordinator.record_ungranted(&request(number), SLOTS, at(0));
     }
     let answers = coordinator.ask(&request(9), SLOTS, at(0));
@@ -130,17 +130,17 @@
 }
 
 #[test]
-fn verify_those_that_can_be_in_time_come_first_the_newest_of_them_and_late_ones_last() {
-    let mut coordinator = experienced();
+fn verify_in_time_requests_go_newest_first_and_late_ones_last() {
+    let mut coordinator = warmed_coordinator();
     fill(&mut coordinator, at(5_000));
-    let newest_but_late = SlotRequest {
+    let late_newest = SlotRequest {
         objective_left: Duration::from_millis(100),
-        ..of_object(1, 1)
+        ..object_request(1, 1)
     };
     let asked = [
-        (of_object(2, 2), 5_000),
-        (of_object(3, 3), 5_010),
-        (newest_but_late, 5_020),
+        (object_request(2, 2), 5_000),
+        (object_request(3, 3), 5_010),
+        (late_newest, 5_020),
     ];
     for (request, ms) in &asked {
         let answers = coordinator.ask(request, SLOTS, at(*ms));
@@ -155,16 +155,16 @@
 }
 
 #[test]
-fn verify_a_higher_rank_comes_first() {
-    let mut coordinator = experienced();
+fn verify_a_higher_priority_goes_first() {
+    let mut coordinator = warmed_coordinator();
     fill(&mut coordinator, at(5_000));
     let low = SlotRequest {
         priority: 2,
         objective_left: Duration::from_millis(300),
-        ..of_object(1, 1)
+        ..object_request(1, 1)
     };
     coordinator.ask(&low, SLOTS, at(5_000));
-    coordinator.ask(&of_object(2, 2), SLOTS, at(5_000));
+    coordinator.ask(&object_request(2, 2), SLOTS, at(5_000));
     let answers = coordinator.end(ticket(200), Ending::Served, at(5_050));
     assert_eq!(granted(&answers), [2]);
 }
@@ -173,45 +173,45 @@
 /// its first request begins there, not only after its end.
 #[test]
 fn verify_an_object_is_known_from_the_beginning_of_its_first_request() {
-    let mut coordinator = experienced();
+    let mut coordinator = warmed_coordinator();
     assert_eq!(
-        granted(&coordinator.ask(&of_object(1, 9), SLOTS, at(5_000))),
+        granted(&coordinator.ask(&object_request(1, 9), SLOTS, at(5_000))),
         [1]
     );
     assert_eq!(
-        granted(&coordinator.ask(&of_object(2, 9), SLOTS, at(5_010))),
+        granted(&coordinator.ask(&object_request(2, 9), SLOTS, at(5_010))),
         [2]
     );
-    coordinator.ask(&of_object(3, 1), SLOTS, at(5_010));
-    coordinator.ask(&of_object(4, 1), SLOTS, at(5_010));
+    coordinator.ask(&object_request(3, 1), SLOTS, at(5_010));
+    coordinator.ask(&object_request(4, 1), SLOTS, at(5_010));
     // Known, object 9 can be in time like any other: the newer one is first.
-    coordinator.ask(&of_object(6, 2), SLOTS, at(5_010));
-    coordinator.ask(&of_object(5, 9), SLOTS, at(5_020));
+    coordinator.ask(&object_request(6, 2), SLOTS, at(5_010));
+    coordinator.ask(&object_request(5, 9), SLOTS, at(5_020));
     let answers = coordinator.end(ticket(3), Ending::Served, at(5_100));
     assert_eq!(granted(&answers), [5]);
 }
 
 #[test]
 fn verify_an_object_whose_first_request_failed_is_not_known() {
-    let mut coordinator = experienced();
-    coordinator.ask(&of_object(1, 9), SLOTS, at(5_000));
+    let mut coordinator = warmed_coordinator();
+    coordinator.ask(&object_request(1, 9), SLOTS, at(5_000));
     coordinator.end(ticket(1), Ending::NotServed, at(5_010));
     fill(&mut coordinator, at(5_020));
     // As a first touch it would be late: object 2, which is known, goes before it.
-    coordinator.ask(&of_object(2, 9), SLOTS, at(5_030));
-    coordinator.ask(&of_object(3, 2), SLOTS, at(5_040));
+    coordinator.ask(&object_request(2, 9), SLOTS, at(5_030));
+    coordinator.ask(&object_request(3, 2), SLOTS, at(5_040));
     let answers = coordinator.end(ticket(200), Ending::Served, at(5_100));
     assert_eq!(granted(&answers), [3]);
 }
 
 #[test]
-fn verify_what_cannot_end_in_its_time_is_refused_at_once() {
-    let mut coordinator = experienced();
+fn verify_a_request_that_cannot_meet_its_deadline_is_refused_at_once() {
+    let mut coordinator = warmed_coordinator();
     fill(&mut coordinator, at(5_000));
     let mut number = 0;
     let refused = loop {
         number += 1;
-        let answers = coordinator.ask(&of_object(number, 1), SLOTS, at(5_000));
+        let answers = coordinator.ask(&object_request(number, 1), SLOTS, at(5_000));
         match answers[..] {
             [(_, Answer::Waiting)] => {}
             [(_, Answer::Refused { retry_after })] => break retry_after,
@@ -224,43 +224,43 @@
 }
 
 #[test]
-fn verify_one_that_waits_in_vain_is_refused_before_its_time_is_over() {
-    let mut coordinator = experienced();
+fn verify_a_waiting_request_is_refused_before_its_deadline() {
+    let mut coordinator = warmed_coordinator();
     fill(&mut coordinator, at(5_000));
-    let brief = SlotRequest {
+    let short_deadline = SlotRequest {
         time_left: Duration::from_millis(400),
-        ..of_object(1, 1)
+        ..object_request(1, 1)
     };
     assert_eq!(
-        coordinator.ask(&brief, SLOTS, at(5_000)),
+        coordinator.ask(&short_deadline, SLOTS, at(5_000)),
         [(ticket(1), Answer::Waiting)]
     );
-    let answers = coordinator.ask(&of_object(2, 2), SLOTS, at(5_200));
+    let answers = coordinator.ask(&object_request(2, 2), SLOTS, at(5_200));
     assert!(matches!(answers[0], (name, Answer::Refused { .. }) if name == ticket(1)));
 }
 
 #[test]
-fn verify_a_grant_lapses_where_its_holder_says_nothing() {
-    let mut coordinator = experienced();
+fn verify_an_unreleased_grant_expires() {
+    let mut coordinator = warmed_coordinator();
     fill(&mut coordinator, at(5_000));
     // Four times what a request of a known object takes, and not before.
-    let slow = coordinator.ask(&of_object(9, 3), SLOTS, at(5_900));
+    let slow = coordinator.ask(&object_request(9, 3), SLOTS, at(5_900));
     assert_eq!(slow, [(ticket(9), Answer::Waiting)]);
     coordinator.end(ticket(9), Ending::NotServed, at(5_910));
     let lapsed = at(5_000 + 4 * REPEATED_MS);
     assert_eq!(
-        granted(&coordinator.ask(&of_object(1, 2), SLOTS, lapsed)),
+        granted(&coordinator.ask(&object_request(1, 2), SLOTS, lapsed)),
         [1]
     );
 }
 
 #[test]
-fn verify_a_new_coordinator_grants_what_it_does_not_know_of() {
-    let mut former = experienced();
-    fill(&mut former, at(5_000));
+fn verify_a_new_coordinator_starts_with_all_slots_free() {
+    let mut previous = warmed_coordinator();
+    fill(&mut previous, at(5_000));
     let mut successor = Coordinator::default();
     assert_eq!(
-        granted(&successor.ask(&of_object(1, 1), SLOTS, at(5_000))),
+        granted(&successor.ask(&object_request(1, 1), SLOTS, at(5_000))),
         [1]
     );
     // The end of a request that the former one granted means nothing to it.
@@ -269,30 +269,30 @@
 
 #[test]
 fn verify_upstreams_that_are_gone_are_forgotten() {
-    let mut coordinator = experienced();
+    let mut coordinator = warmed_coordinator();
     fill(&mut coordinator, at(5_000));
     coordinator.retain(|_, _| false);
     assert_eq!(
-        granted(&coordinator.ask(&of_object(1, 1), SLOTS, at(5_000))),
+        granted(&coordinator.ask(&object_request(1, 1), SLOTS, at(5_000))),
         [1]
     );
 }
 
 #[test]
-fn verify_one_that_would_be_late_is_told_to_try_elsewhere_if_it_may() {
-    let mut coordinator = experienced();
+fn verify_a_request_within_objective_is_busy_when_it_would_be_late() {
+    let mut coordinator = warmed_coordinator();
     fill(&mut coordinator, at(5_000));
-    let choosy = |number| SlotRequest {
+    let early_only = |number| SlotRequest {
         patience: Patience::WithinObjective,
         objective_left: Duration::from_millis(1_120),
-        ..of_object(number, 1)
+        ..object_request(number, 1)
     };
     // Half of 1,120 ms less the request's own 240 ms are four rounds of 80 ms.
     for number in 1..=4 {
-        let answers = coordinator.ask(&choosy(number), SLOTS, at(5_000));
+        let answers = coordinator.ask(&early_only(number), SLOTS, at(5_000));
         assert_eq!(answers, [(ticket(number), Answer::Waiting)]);
     }
-    let answers = coordinator.ask(&choosy(5), SLOTS, at(5_000));
+    let answers = coordinator.ask(&early_only(5), SLOTS, at(5_000));
     assert_eq!(answers, [(ticket(5), Answer::Busy)]);
     // It does not wait: the slot that is freed goes to another.
     let answers = coordinator.end(ticket(200), Ending::Served, at(5_010));
@@ -301,45 +301,48 @@
 }
 
 #[test]
-fn verify_one_that_does_not_wait_takes_a_free_slot_or_nothing() {
-    let mut coordinator = experienced();
-    let hasty = |number| SlotRequest {
+fn verify_a_no_wait_request_takes_a_free_slot_or_is_busy() {
+    let mut coordinator = warmed_coordinator();
+    let no_wait = |number| SlotRequest {
         patience: Patience::NoWait,
-        ..of_object(number, 9)
+        ..object_request(number, 9)
     };
-    assert_eq!(granted(&coordinator.ask(&hasty(1), SLOTS, at(4_000))), [1]);
+    assert_eq!(
+        granted(&coordinator.ask(&no_wait(1), SLOTS, at(4_000))),
+        [1]
+    );
     coordinator.end(ticket(1), Ending::Served, at(4_800));
     fill(&mut coordinator, at(5_000));
-    let answers = coordinator.ask(&hasty(2), SLOTS, at(5_000));
+    let answers = coordinator.ask(&no_wait(2), SLOTS, at(5_000));
     assert_eq!(answers, [(ticket(2), Answer::Busy)]);
 }
 
 /// Such work takes three to four times as long: a neighbour takes it for another upstream
 /// only where it is idle, and a known one also into the place that waits for a slot.
 #[test]
-fn verify_one_that_does_not_wait_takes_only_an_idle_slot_for_an_unknown_object() {
-    let mut coordinator = experienced();
-    let hasty = |number, object| SlotRequest {
+fn verify_a_no_wait_request_for_an_unknown_object_takes_only_an_idle_slot() {
+    let mut coordinator = warmed_coordinator();
+    let no_wait = |number, object| SlotRequest {
         patience: Patience::NoWait,
-        ..of_object(number, object)
+        ..object_request(number, object)
     };
     for number in 1..=u64::from(SLOTS) {
-        let answers = coordinator.ask(&hasty(number, 10 + number), SLOTS, at(5_000));
+        let answers = coordinator.ask(&no_wait(number, 10 + number), SLOTS, at(5_000));
         assert_eq!(granted(&answers), [number]);
     }
-    let answers = coordinator.ask(&hasty(4, 20), SLOTS, at(5_000));
+    let answers = coordinator.ask(&no_wait(4, 20), SLOTS, at(5_000));
     assert_eq!(answers, [(ticket(4), Answer::Busy)]);
     assert_eq!(
-        granted(&coordinator.ask(&hasty(5, 1), SLOTS, at(5_000))),
+        granted(&coordinator.ask(&no_wait(5, 1), SLOTS, at(5_000))),
         [5]
     );
-    let answers = coordinator.ask(&hasty(6, 1), SLOTS, at(5_000));
+    let answers = coordinator.ask(&no_wait(6, 1), SLOTS, at(5_000));
     assert_eq!(answers, [(ticket(6), Answer::Busy)]);
 }
 
 /// An upstream that starts again has all its slots free and knows no object.
 #[test]
-fn verify_what_was_under_way_at_an_earlier_start_holds_no_slot() {
+fn verify_requests_of_an_earlier_incarnation_hold_no_slot() {
     let mut coordinator = Coordinator::default();
     let restarted = |number| SlotRequest {
         born_at: Some(WallTime::from_ms(2_000)),
--- a/crates/foxtide-core/tests/idempotency_exploration.rs
+++ b/crates/foxtide-core/tests/idempotency_exploration.rs
@@ -4,10 +4,10 @@
 
 use idempotency_model::{
     Bounds,
-    Mistake,
+    InjectedBug,
+    Model, //
     Step,
-    Violation,
-    World, //
+    Violation, //
 };
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -53,32 +53,32 @@
     jump_s: BEYOND_VALIDITY_MIN_S,
 };
 
-fn replay(bounds: Bounds, mistake: Mistake, path: &[Step]) -> World {
-    let mut world = World::new(bounds, mistake);
+fn replay(bounds: Bounds, bug: InjectedBug, path: &[Step]) -> Model {
+    let mut model = Model::new(bounds, bug);
     for step in path {
-        world.take(*step);
+        model.take(*step);
     }
-    world
+    model
 }
 
 /// Visits all states that can be reached, the nearest first, until `visit`
 /// returns something. Returns how many states there were, and that.
 fn explore<T>(
     bounds: Bounds,
-    mistake: Mistake,
-    visit: impl Fn(&World, &[Step]) -> Option<T>,
+    bug: InjectedBug,
+    visit: impl Fn(&Model, &[Step]) -> Option<T>,
 ) -> (usize, Option<T>) {
     let mut seen = HashSet::new();
     let mut paths = VecDeque::from([Vec::new()]);
     while let Some(path) = paths.pop_front() {
-        let world = replay(bounds, mistake, &path);
-        if !seen.insert(xxh3_128(format!("{world:?}").as_bytes())) {
+        let model = replay(bounds, bug, &path);
+        if !seen.insert(xxh3_128(format!("{model:?}").as_bytes())) {
             continue;
         }
-        if let Some(found) = visit(&world, &path) {
+        if let Some(found) = visit(&model, &path) {
             return (seen.len(), Some(found));
         }
-        for step in world.steps() {
+        for step in model.steps() {
             let mut longer = path.clone();
             longer.push(step);
             paths.push_back(longer);
@@ -88,8 +88,8 @@
 }
 
 fn assert_holds(bounds: Bounds, states_min: usize) {
-    let (states, violation) = explore(bounds, Mistake::None, |world, path| {
-        let violation = world.violations.first();
+    let (states, violation) = explore(bounds, InjectedBug::None, |model, path| {
+        let violation = model.violations.first();
         violation.map(|violation| (*violation, path.to_vec()))
     });
     assert_eq!(violation, None);
@@ -97,13 +97,13 @@
     assert!(states >= states_min, "{states} states");
 }
 
-fn assert_found(bounds: Bounds, mistake: Mistake, expected: Violation) {
-    let (states, path) = explore(bounds, mistake, |world, path| {
-        let found = world.violations.contains(&expected);
+fn assert_detected(bounds: Bounds, bug: InjectedBug, expected: Violation) {
+    let (states, path) = explore(bounds, bug, |model, path| {
+        let found = model.violations.contains(&expected);
         found.then(|| path.to_vec())
     });
-    println!("{mistake:?}: {path:?} after {states} states");
-    assert!(path.is_some(), "{mistake:?} goes unnoticed");
+    println!("{bug:?}: {path:?} after {states} states");
+    assert!(path.is_some(), "{bug:?} goes unnoticed");
 }
 
 #[test]
@@ -117,35 +117,43 @@
 }
 
 #[test]
-fn verify_affinity_alone_is_found_wanting() {
-    assert_found(SMALL, Mistake::AnyInstanceRuns, Violation::DoubledRun);
+fn verify_affinity_without_ownership_is_detected() {
+    assert_detected(SMALL, InjectedBug::AnyInstanceRuns, Violation::DoubledRun);
 }
 
 #[test]
-fn verify_a_reused_process_name_is_found() {
-    assert_found(SMALL, Mistake::SameNameAfterRestart, Violation::DoubledRun);
+fn verify_a_reused_process_name_is_detected() {
+    assert_detected(
+        SMALL,
+        InjectedBug::SameNameAfterRestart,
+        Violation::DoubledRun,
+    );
 }
 
 #[test]
-fn verify_forgetting_when_full_is_found() {
-    assert_found(CROWDED, Mistake::ForgetsWhenFull, Violation::DoubledRun);
+fn verify_forgetting_when_full_is_detected() {
+    assert_detected(CROWDED, InjectedBug::ForgetsWhenFull, Violation::DoubledRun);
 }
 
 #[test]
-fn verify_forgetting_without_a_bound_is_found() {
-    assert_found(SMALL, Mistake::ForgetsWithoutBound, Violation::DoubledRun);
+fn verify_forgetting_without_a_bound_is_detected() {
+    assert_detected(
+        SMALL,
+        InjectedBug::ForgetsWithoutBound,
+        Violation::DoubledRun,
+    );
 }
 
 #[test]
-fn verify_a_resent_request_is_found() {
-    assert_found(SMALL, Mistake::ResendsAfterWrite, Violation::DoubledRun);
+fn verify_a_resent_request_is_detected() {
+    assert_detected(SMALL, InjectedBug::ResendsAfterWrite, Violation::DoubledRun);
 }
 
 #[test]
-fn verify_a_false_not_run_is_found() {
+fn verify_a_false_not_run_is_detected() {
     let expected = Violation::FalseNotRun;
-    assert_found(SMALL, Mistake::WriteNotNoted, expected);
-    assert_found(SMALL, Mistake::OwnerGoneIsNotRun, expected);
+    assert_detected(SMALL, InjectedBug::WriteNotNoted, expected);
+    assert_detected(SMALL, InjectedBug::OwnerGoneIsNotRun, expected);
 }
 
 fn seeded() -> ProptestConfig {
@@ -162,17 +170,17 @@
 
     #[test]
     fn verify_random_orders(choices in prop::collection::vec(any::<prop::sample::Index>(), 1..120)) {
-        let mut world = World::new(LARGE, Mistake::None);
+        let mut model = Model::new(LARGE, InjectedBug::None);
         let mut path = Vec::new();
         for choice in choices {
-            let steps = world.steps();
+            let steps = model.steps();
             if steps.is_empty() {
                 break;
             }
             let step = steps[choice.index(steps.len())];
             path.push(step);
-            world.take(step);
-            prop_assert_eq!(&world.violations, &[], "{:?}", path);
+            model.take(step);
+            prop_assert_eq!(&model.violations, &[], "{:?}", path);
         }
     }
 }
--- a/crates/foxtide-core/tests/idempotency_model/mod.rs
+++ b/crates/foxtide-core/tests/idempotency_model/mod.rs
@@ -38,7 +38,7 @@
 
 /// A mistake that the checks have to find.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Mistake {
+pub(crate) enum InjectedBug {
     /// None: the checks must hold.
     None,
     /// Whichever instance is asked runs the key: affinity alone.
@@ -118,7 +118,7 @@
 }
 
 #[derive(Debug)]
-struct Copy {
+struct RequestCopy {
     key: usize,
     instance: usize,
     stage: Stage,
@@ -146,12 +146,12 @@
 
 /// The world and what it has come to.
 #[derive(Debug)]
-pub(crate) struct World {
+pub(crate) struct Model {
     bounds: Bounds,
-    mistake: Mistake,
+    bug: InjectedBug,
     keys: Vec<IdempotencyKey>,
     instances: Vec<Instance>,
-    copies: Vec<Copy>,
+    copies: Vec<RequestCopy>,
     sent: Vec<SentRequest>,
     restarts: usize,
     jumps: usize,
@@ -159,8 +159,8 @@
     pub(crate) violations: Vec<Violation>,
 }
 
-impl World {
-    pub(crate) fn new(bounds: Bounds, mistake: Mistake) -> Self {
+impl Model {
+    pub(crate) fn new(bounds: Bounds, bug: InjectedBug) -> Self {
         let owner = owner_of(OWNER, 0);
         let mint = |number: usize| {
             let minted_at = START + Duration::from_millis(number as u64);
@@ -172,7 +172,7 @@
         };
         Self {
             bounds,
-            mistake,
+            bug,
             keys: (0..bounds.keys).map(mint).collect(),
             instances: (0..bounds.instances).map(start).collect(),
             copies: Vec::new(),
@@ -250,7 +250,7 @@
     /// Takes one step.
     pub(crate) fn take(&mut self, step: Step) {
         match step {
-            Step::Send { key, instance } => self.copies.push(Copy {
+            Step::Send { key, instance } => self.copies.push(RequestCopy {
                 key,
                 instance,
                 stage: Stage::Sent,
@@ -269,9 +269,9 @@
     }
 
     fn arrive(&mut self, copy: usize, owner_gone: bool) {
-        let Copy { key, instance, .. } = self.copies[copy];
+        let RequestCopy { key, instance, .. } = self.copies[copy];
         let mut begin = self.begin(key, instance);
-        if self.mistake == Mistake::ForgetsWhenFull && is_full(&begin) {
+        if self.bug == InjectedBug::ForgetsWhenFull && is_full(&begin) {
             let owner = self.instances[instance].table.owner().clone();
             self.instances[instance].table = table_of(owner, self.bounds);
             begin = self.begin(key, instance);
@@ -288,7 +288,7 @@
     fn begin(&mut self, key: usize, instance: usize) -> Begin<Answer> {
         let instance = &mut self.instances[instance];
         let mut key = self.keys[key].clone();
-        if self.mistake == Mistake::AnyInstanceRuns {
+        if self.bug == InjectedBug::AnyInstanceRuns {
             let owner = instance.table.owner().clone();
             key = IdempotencyKey::mint(owner, key.minted_at(), [0; 10]);
         }
@@ -300,7 +300,7 @@
     /// tells it so.
     fn redirect(&mut self, copy: usize, owner_gone: bool) {
         if owner_gone {
-            let outcome = if self.mistake == Mistake::OwnerGoneIsNotRun {
+            let outcome = if self.bug == InjectedBug::OwnerGoneIsNotRun {
                 Outcome::NotRun
             } else {
                 RefusalReason::OwnerGone.outcome()
@@ -316,7 +316,7 @@
             unreachable!("only a claimed copy is written");
         };
         let key = self.copies[copy].key;
-        if self.mistake != Mistake::WriteNotNoted {
+        if self.bug != InjectedBug::WriteNotNoted {
             self.table(copy).mark_written(&claim);
         }
         let sent = self.send_upstream(key);
@@ -342,7 +342,7 @@
     fn give_up(&mut self, copy: usize) {
         let stage = self.take_stage(copy);
         let key = self.copies[copy].key;
-        if self.mistake == Mistake::ResendsAfterWrite && matches!(stage, Stage::Written { .. }) {
+        if self.bug == InjectedBug::ResendsAfterWrite && matches!(stage, Stage::Written { .. }) {
             self.send_upstream(key);
         }
         if let Stage::Claimed(claim) | Stage::Written { claim, .. } = stage {
@@ -378,14 +378,14 @@
 
     fn restart(&mut self, instance: usize) {
         self.restarts += 1;
-        let process = if self.mistake == Mistake::SameNameAfterRestart {
+        let process = if self.bug == InjectedBug::SameNameAfterRestart {
             0
         } else {
             self.restarts as u64
         };
         let owner = owner_of(instance, process);
         self.instances[instance].table = table_of(owner, self.bounds);
-        let lost = |copy: &&mut Copy| copy.instance == instance;
+        let lost = |copy: &&mut RequestCopy| copy.instance == instance;
         for copy in self.copies.iter_mut().filter(lost) {
             copy.stage = Stage::Ended;
         }
@@ -397,7 +397,7 @@
         let instance = &mut self.instances[instance];
         let before = instance.now;
         instance.now = change(before, by);
-        if self.mistake == Mistake::ForgetsWithoutBound && instance.now > before {
+        if self.bug == InjectedBug::ForgetsWithoutBound && instance.now > before {
             let owner = instance.table.owner().clone();
             instance.table = table_of(owner, self.bounds);
         }
--- a/crates/foxtide-core/tests/retry_properties.rs
+++ b/crates/foxtide-core/tests/retry_properties.rs
@@ -29,7 +29,7 @@
 }
 
 /// One request, with what is true of its attempts.
-struct Bench {
+struct RequestModel {
     attempts: Attempts,
     budget: RetryBudget,
     now: MonotonicTime,
@@ -38,14 +38,14 @@
     idempotent: bool,
 }
 
-impl Bench {
+impl RequestModel {
     fn new(idempotent: bool) -> Self {
         let terms = RequestTerms {
             idempotent,
             deadline: START + Duration::from_secs(2),
             hedge_delay: Some(Duration::from_millis(5)),
         };
-        let mut bench = Self {
+        let mut model = Self {
             attempts: Attempts::new(terms, RetryOptions::default()),
             budget: RetryBudget::new(RetryBudgetOptions::default(), START),
             now: START,
@@ -53,8 +53,8 @@
             may_have_run: false,
             idempotent,
         };
-        bench.begin();
-        bench
+        model.begin();
+        model
     }
 
     fn begin(&mut self) {
@@ -115,13 +115,13 @@
         idempotent in any::<bool>(),
         steps in proptest::collection::vec((result(), any::<bool>(), 0..300u64), 1..40),
     ) {
-        let mut bench = Bench::new(idempotent);
+        let mut model = RequestModel::new(idempotent);
         for (result, hedge, ms) in steps {
             if hedge {
-                bench.hedge();
+                model.hedge();
             }
-            bench.now = bench.now + Duration::from_millis(ms);
-            if !bench.end(result) {
+            model.now = model.now + Duration::from_millis(ms);
+            if !model.end(result) {
                 break;
             }
         }
