--- a/crates/foxtide-core/tests/quota_model/fleet.rs
+++ b/crates/foxtide-core/tests/quota_model/fleet.rs
@@ -27,16 +27,16 @@
 const REGIONS: [&str; 3] = ["khomas", "erongo", "oshana"];
 
 /// The way of a question and its answer.
-const NEAR_MS: u64 = 2;
-const FAR_MS: u64 = 70;
+const SAME_REGION_MS: u64 = 2;
+const OTHER_REGION_MS: u64 = 70;
 
 /// How old what a coordinator knows of the store may be before it has to hear its region.
-const KNOWLEDGE_AGE_MAX_MS: u64 = 3_500;
+const MEMBERS_AGE_MAX_MS: u64 = 3_500;
 
 #[derive(Clone, Debug)]
-pub(crate) struct Draws(fastrand::Rng);
+pub(crate) struct Random(fastrand::Rng);
 
-impl Draws {
+impl Random {
     pub(crate) fn new(seed: u64) -> Self {
         Self(fastrand::Rng::with_seed(seed))
     }
@@ -65,8 +65,8 @@
 struct Process {
     members: Members,
     coordinator: QuotaCoordinator,
-    stock: TokenCache,
-    spare: FallbackTokens,
+    cache: TokenCache,
+    fallback: FallbackTokens,
 }
 
 #[derive(Clone, Debug)]
@@ -74,13 +74,13 @@
     member: Member,
     is_alive: bool,
     /// Cut from all other instances and from the store since then.
-    cut_since_ms: Option<u64>,
+    disconnected_since_ms: Option<u64>,
     process: Process,
 }
 
 /// A change that an instance learns of.
 #[derive(Clone, Debug)]
-struct News {
+struct MemberUpdate {
     at_ms: u64,
     reader: usize,
     about: usize,
@@ -91,11 +91,11 @@
 #[derive(Clone, Debug)]
 pub(crate) struct Fleet {
     instances: Vec<Instance>,
-    news: Vec<News>,
+    updates: Vec<MemberUpdate>,
     organisation: OrganisationId,
     quota: Quota,
     bounds: QuotaBounds,
-    pub(crate) draws: Draws,
+    pub(crate) random: Random,
     pub(crate) runs: Vec<Run>,
     pub(crate) refused: u64,
 }
@@ -110,16 +110,16 @@
         let instance = |member: Member| Instance {
             member,
             is_alive: true,
-            cut_since_ms: None,
+            disconnected_since_ms: None,
             process: Process::new(0, view.clone()),
         };
         Self {
             instances: members.into_iter().map(instance).collect(),
-            news: Vec::new(),
+            updates: Vec::new(),
             organisation: "hot".parse().unwrap(),
             quota,
             bounds: QuotaBounds::default(),
-            draws: Draws::new(seed),
+            random: Random::new(seed),
             runs: Vec::new(),
             refused: 0,
         }
@@ -136,41 +136,41 @@
     /// Kills a process; its record stands until its lease lapses.
     pub(crate) fn kill(&mut self, instance: usize, now_ms: u64) {
         self.instances[instance].is_alive = false;
-        let lapses_ms = now_ms + self.draws.between(2_200, 2_600);
-        self.tell(instance, false, lapses_ms);
+        let expires_ms = now_ms + self.random.between(2_200, 2_600);
+        self.announce(instance, false, expires_ms);
     }
 
     /// Starts a process that was killed; it knows what the others know by then.
     pub(crate) fn start(&mut self, instance: usize, now_ms: u64) {
-        self.news
-            .retain(|news| !(news.about == instance && news.at_ms > now_ms));
+        self.updates
+            .retain(|update| !(update.about == instance && update.at_ms > now_ms));
         let view = self.instances[instance].process.members.clone();
         let one = &mut self.instances[instance];
         one.is_alive = true;
         one.process = Process::new(now_ms, view);
         one.process.members.join(one.member.clone(), time(now_ms));
-        self.tell(instance, true, now_ms + 300);
+        self.announce(instance, true, now_ms + 300);
     }
 
-    pub(crate) fn cut(&mut self, instance: usize, now_ms: u64) {
-        self.instances[instance].cut_since_ms = Some(now_ms);
-        let lapses_ms = now_ms + self.draws.between(2_200, 2_600);
-        self.tell(instance, false, lapses_ms);
+    pub(crate) fn disconnect(&mut self, instance: usize, now_ms: u64) {
+        self.instances[instance].disconnected_since_ms = Some(now_ms);
+        let expires_ms = now_ms + self.random.between(2_200, 2_600);
+        self.announce(instance, false, expires_ms);
     }
 
-    pub(crate) fn heal(&mut self, instance: usize, now_ms: u64) {
-        self.instances[instance].cut_since_ms = None;
+    pub(crate) fn reconnect(&mut self, instance: usize, now_ms: u64) {
+        self.instances[instance].disconnected_since_ms = None;
         // Pending news of its lapse is void where it came back before.
-        self.news
-            .retain(|news| !(news.about == instance && news.at_ms > now_ms));
-        self.tell(instance, true, now_ms + 300);
+        self.updates
+            .retain(|update| !(update.about == instance && update.at_ms > now_ms));
+        self.announce(instance, true, now_ms + 300);
     }
 
     /// Lets all that the store answers learn of a change, each a little later.
-    fn tell(&mut self, about: usize, is_alive: bool, at_ms: u64) {
+    fn announce(&mut self, about: usize, is_alive: bool, at_ms: u64) {
         for reader in 0..self.instances.len() {
-            let at_ms = at_ms + self.draws.between(0, 1_500);
-            self.news.push(News {
+            let at_ms = at_ms + self.random.between(0, 1_500);
+            self.updates.push(MemberUpdate {
                 at_ms,
                 reader,
                 about,
@@ -180,18 +180,18 @@
     }
 
     /// Takes in what instances have learnt by now; those that are cut learn it later.
-    pub(crate) fn learn(&mut self, now_ms: u64) {
-        let due: Vec<News> = self
-            .news
-            .extract_if(.., |news| news.at_ms <= now_ms)
+    pub(crate) fn deliver_updates(&mut self, now_ms: u64) {
+        let due: Vec<MemberUpdate> = self
+            .updates
+            .extract_if(.., |update| update.at_ms <= now_ms)
             .collect();
-        for mut news in due {
-            let member = self.instances[news.about].member.clone();
-            let reader = &mut self.instances[news.reader];
-            if reader.cut_since_ms.is_some() {
-                news.at_ms = now_ms + 500;
-                self.news.push(news);
-            } else if news.is_alive {
+        for mut update in due {
+            let member = self.instances[update.about].member.clone();
+            let reader = &mut self.instances[update.reader];
+            if reader.disconnected_since_ms.is_some() {
+                update.at_ms = now_ms + 500;
+                self.updates.push(update);
+            } else if update.is_alive {
                 reader.process.members.join(member, time(now_ms));
             } else {
                 let members = &mut reader.process.members;
@@ -206,9 +206,9 @@
             return;
         }
         match self.token(at, now_ms) {
-            Some(way_ms) => self.runs.push(Run {
+            Some(latency_ms) => self.runs.push(Run {
                 sent_ms: now_ms,
-                run_ms: now_ms + way_ms,
+                run_ms: now_ms + latency_ms,
             }),
             None => self.refused += 1,
         }
@@ -218,13 +218,13 @@
     fn token(&mut self, at: usize, now_ms: u64) -> Option<u64> {
         let now = time(now_ms);
         let process = &mut self.instances[at].process;
-        if process.stock.take(now) {
+        if process.cache.take(now) {
             return Some(0);
         }
         let question = QuotaRequest {
             organisation: self.organisation.clone(),
             priority: 1,
-            wanted: process.stock.wanted(),
+            wanted: process.cache.wanted(),
         };
         let own = self.instances[at].member.region.clone();
         let members = &self.instances[at].process.members;
@@ -234,26 +234,30 @@
             .map(|member| (number(member), member.region == own))
             .collect();
         let mut is_silent = false;
-        for (source, is_near) in sources {
+        for (source, is_same_region) in sources {
             match self.answer(at, source, &question, now_ms) {
                 QuotaAnswer::Granted { tokens } => {
-                    self.instances[at].process.stock.put(tokens - 1, now);
-                    return Some(if is_near { NEAR_MS } else { FAR_MS });
+                    self.instances[at].process.cache.put(tokens - 1, now);
+                    return Some(if is_same_region {
+                        SAME_REGION_MS
+                    } else {
+                        OTHER_REGION_MS
+                    });
                 }
                 QuotaAnswer::Refused { .. } => {}
                 QuotaAnswer::NotCoordinator => is_silent = true,
             }
         }
-        (is_silent && self.take_spare(at, now)).then_some(FAR_MS)
+        (is_silent && self.take_fallback(at, now)).then_some(OTHER_REGION_MS)
     }
 
-    fn take_spare(&mut self, at: usize, now: MonotonicTime) -> bool {
+    fn take_fallback(&mut self, at: usize, now: MonotonicTime) -> bool {
         let parts = QuotaParts::new(self.quota, self.bounds, REGIONS.len());
         let one = &mut self.instances[at];
         let names = one.process.members.names();
         let own = &one.member.instance;
         one.process
-            .spare
+            .fallback
             .try_take(&self.organisation, &parts, own, &names, now)
     }
 
@@ -264,10 +268,11 @@
         question: &QuotaRequest,
         now_ms: u64,
     ) -> QuotaAnswer {
-        let is_reached = |instance: &Instance| instance.is_alive && instance.cut_since_ms.is_none();
+        let is_reached =
+            |instance: &Instance| instance.is_alive && instance.disconnected_since_ms.is_none();
         let reaches =
             from == to || (is_reached(&self.instances[from]) && is_reached(&self.instances[to]));
-        if !reaches || !self.instances[to].is_alive || !self.speaks(to, now_ms) {
+        if !reaches || !self.instances[to].is_alive || !self.is_coordinator(to, now_ms) {
             return QuotaAnswer::NotCoordinator;
         }
         let parts = QuotaParts::new(self.quota, self.bounds, REGIONS.len());
@@ -281,15 +286,17 @@
 
     /// Tells whether an instance takes itself for the coordinator of its region, and is not
     /// out of touch with all others.
-    fn speaks(&self, instance: usize, now_ms: u64) -> bool {
+    fn is_coordinator(&self, instance: usize, now_ms: u64) -> bool {
         let one = &self.instances[instance];
         let members = &one.process.members;
         let own = members.quota_coordinators(&self.organisation, &one.member.region);
         let is_own = own
             .first()
             .is_some_and(|member| member.instance == one.member.instance);
-        let age_ms = one.cut_since_ms.map_or(0, |since_ms| now_ms - since_ms);
-        is_own && age_ms <= KNOWLEDGE_AGE_MAX_MS
+        let age_ms = one
+            .disconnected_since_ms
+            .map_or(0, |since_ms| now_ms - since_ms);
+        is_own && age_ms <= MEMBERS_AGE_MAX_MS
     }
 }
 
@@ -298,8 +305,8 @@
         Self {
             members,
             coordinator: QuotaCoordinator::new(time(started_ms)),
-            stock: TokenCache::default(),
-            spare: FallbackTokens::default(),
+            cache: TokenCache::default(),
+            fallback: FallbackTokens::default(),
         }
     }
 }
@@ -338,7 +345,7 @@
 
 /// Returns the most requests that the platform counts in any window: those sent and run
 /// within it.
-pub(crate) fn most_in_a_window(runs: &[Run], window: Duration, from_ms: u64) -> usize {
+pub(crate) fn max_requests_in_window(runs: &[Run], window: Duration, from_ms: u64) -> usize {
     let window_ms = window.as_millis() as u64;
     let mut runs: Vec<Run> = runs
         .iter()
--- a/crates/foxtide-core/tests/quota_model/main.rs
+++ b/crates/foxtide-core/tests/quota_model/main.rs
@@ -11,6 +11,6 @@
 //! a region and 70 ms between regions. Organisations are sold 1.6 times what they usually
 //! ask; a hot one asks 8 times the usual, five times its quota.
 
-mod even;
+mod equal_shares;
 mod fleet;
 mod rules;
--- a/crates/foxtide-core/tests/quota_model/rules.rs
+++ b/crates/foxtide-core/tests/quota_model/rules.rs
@@ -2,13 +2,13 @@
 
 use super::fleet::{
     Fleet,
-    most_in_a_window,
+    max_requests_in_window,
     quota, //
 };
 use foxtide_core::quota::QuotaBounds;
 
 /// How much a hot organisation asks for its quota.
-const HOT: f64 = 5.0;
+const DEMAND_FACTOR: f64 = 5.0;
 
 /// How long before the first request the instances started.
 const LEAD_MS: u64 = 10_000;
@@ -21,14 +21,14 @@
 enum Step {
     Kill(Vec<usize>),
     Start(Vec<usize>),
-    Cut(Vec<usize>),
-    Heal(Vec<usize>),
+    Disconnect(Vec<usize>),
+    Reconnect(Vec<usize>),
     Quota(f64),
 }
 
 /// Plays steps beside an organisation that asks for `asked_rps`, at instances that `pick`
 /// chooses among.
-fn play(
+fn run_steps(
     fleet: &mut Fleet,
     steps: &[(u64, Step)],
     asked_rps: f64,
@@ -36,20 +36,20 @@
     callers: &[usize],
 ) {
     let mut due = 0;
-    let mut owed = 0.0;
+    let mut due_requests = 0.0;
     for now_ms in (0..LEAD_MS + length_ms).step_by(10) {
         while due < steps.len() && steps[due].0 + LEAD_MS <= now_ms {
             apply(fleet, &steps[due].1, now_ms);
             due += 1;
         }
-        fleet.learn(now_ms);
+        fleet.deliver_updates(now_ms);
         if now_ms < LEAD_MS {
             continue;
         }
-        owed += asked_rps / 100.0;
-        while owed >= 1.0 {
-            owed -= 1.0;
-            let at = callers[fleet.draws.below(callers.len() as u64) as usize];
+        due_requests += asked_rps / 100.0;
+        while due_requests >= 1.0 {
+            due_requests -= 1.0;
+            let at = callers[fleet.random.below(callers.len() as u64) as usize];
             fleet.request(at, now_ms);
         }
     }
@@ -59,31 +59,37 @@
     match step {
         Step::Kill(instances) => instances.iter().for_each(|&one| fleet.kill(one, now_ms)),
         Step::Start(instances) => instances.iter().for_each(|&one| fleet.start(one, now_ms)),
-        Step::Cut(instances) => instances.iter().for_each(|&one| fleet.cut(one, now_ms)),
-        Step::Heal(instances) => instances.iter().for_each(|&one| fleet.heal(one, now_ms)),
+        Step::Disconnect(instances) => instances
+            .iter()
+            .for_each(|&one| fleet.disconnect(one, now_ms)),
+        Step::Reconnect(instances) => instances
+            .iter()
+            .for_each(|&one| fleet.reconnect(one, now_ms)),
         Step::Quota(rate_rps) => fleet.set_quota(quota(*rate_rps)),
     }
 }
 
-fn some(fleet: &mut Fleet, share: f64) -> Vec<usize> {
+fn random_instances(fleet: &mut Fleet, share: f64) -> Vec<usize> {
     let count = fleet.count();
-    (0..count).filter(|_| fleet.draws.share() < share).collect()
+    (0..count)
+        .filter(|_| fleet.random.share() < share)
+        .collect()
 }
 
-/// Draws up to three faults that overlap.
+/// Random up to three faults that overlap.
 fn faults(fleet: &mut Fleet) -> Vec<(u64, Step)> {
     let mut steps = Vec::new();
-    for _ in 0..fleet.draws.between(1, 3) {
-        let at_ms = fleet.draws.between(0, 8_000);
-        let ends_ms = at_ms + fleet.draws.between(300, 6_000);
-        let share = fleet.draws.share();
-        let struck = some(fleet, share);
-        if fleet.draws.below(2) == 0 {
-            steps.push((at_ms, Step::Kill(struck.clone())));
-            steps.push((ends_ms, Step::Start(struck)));
+    for _ in 0..fleet.random.between(1, 3) {
+        let at_ms = fleet.random.between(0, 8_000);
+        let ends_ms = at_ms + fleet.random.between(300, 6_000);
+        let share = fleet.random.share();
+        let affected = random_instances(fleet, share);
+        if fleet.random.below(2) == 0 {
+            steps.push((at_ms, Step::Kill(affected.clone())));
+            steps.push((ends_ms, Step::Start(affected)));
         } else {
-            steps.push((at_ms, Step::Cut(struck.clone())));
-            steps.push((ends_ms, Step::Heal(struck)));
+            steps.push((at_ms, Step::Disconnect(affected.clone())));
+            steps.push((ends_ms, Step::Reconnect(affected)));
         }
     }
     steps.sort_by_key(|(at_ms, _)| *at_ms);
@@ -105,13 +111,19 @@
         let rate_rps = [1.0, 4.0, 15.0, 40.0][seed as usize % 4];
         let mut fleet = Fleet::new(18, quota(rate_rps), seed);
         let steps = faults(&mut fleet);
-        let share = fleet.draws.share();
-        let mut callers = some(&mut fleet, share);
+        let share = fleet.random.share();
+        let mut callers = random_instances(&mut fleet, share);
         if callers.is_empty() {
             callers.push(0);
         }
-        play(&mut fleet, &steps, rate_rps * HOT, 12_000, &callers);
-        let most = most_in_a_window(&fleet.runs, window(), 0) as f64;
+        run_steps(
+            &mut fleet,
+            &steps,
+            rate_rps * DEMAND_FACTOR,
+            12_000,
+            &callers,
+        );
+        let most = max_requests_in_window(&fleet.runs, window(), 0) as f64;
         if most > bound(rate_rps) {
             broken.push((seed, most, bound(rate_rps)));
         }
@@ -125,9 +137,9 @@
         let mut fleet = Fleet::new(18, quota(before), 7);
         let callers: Vec<usize> = (0..18).collect();
         let steps = [(4_000, Step::Quota(after))];
-        play(&mut fleet, &steps, 100.0, 24_000, &callers);
+        run_steps(&mut fleet, &steps, 100.0, 24_000, &callers);
         let binds_ms = LEAD_MS + 4_000 + CONFIGURATION_MS + 5_000;
-        let most = most_in_a_window(&fleet.runs, window(), binds_ms) as f64;
+        let most = max_requests_in_window(&fleet.runs, window(), binds_ms) as f64;
         assert!(most <= bound(after), "{before} to {after}: {most}");
         let served = fleet.runs.iter().filter(|run| run.sent_ms >= binds_ms);
         let allowed = after * 12.0;
@@ -142,10 +154,10 @@
 fn verify_all_that_a_quota_allows_is_served_with_all_callers_at_one_instance() {
     for rate_rps in [2.0, 15.0, 150.0] {
         let mut fleet = Fleet::new(77, quota(rate_rps), 3);
-        play(&mut fleet, &[], rate_rps * HOT, 20_000, &[5]);
+        run_steps(&mut fleet, &[], rate_rps * DEMAND_FACTOR, 20_000, &[5]);
         let served = fleet.runs.len() as f64;
         assert!(served >= 0.97 * rate_rps * 20.0, "{rate_rps}: {served}");
-        let most = most_in_a_window(&fleet.runs, window(), 0) as f64;
+        let most = max_requests_in_window(&fleet.runs, window(), 0) as f64;
         assert!(most <= bound(rate_rps), "{rate_rps}: {most}");
     }
 }
@@ -155,7 +167,7 @@
     for rate_rps in [2.0, 15.0, 150.0] {
         for callers in [vec![5], (0..77).collect::<Vec<_>>()] {
             let mut fleet = Fleet::new(77, quota(rate_rps), 3);
-            play(&mut fleet, &[], rate_rps * 0.95, 20_000, &callers);
+            run_steps(&mut fleet, &[], rate_rps * 0.95, 20_000, &callers);
             assert_eq!(fleet.refused, 0, "{rate_rps}");
         }
     }
@@ -172,7 +184,7 @@
         (1_000, Step::Kill(all.clone())),
         (2_200, Step::Start(all.clone())),
     ];
-    play(&mut fleet, &steps, rate_rps / 1.6, 8_000, &all);
+    run_steps(&mut fleet, &steps, rate_rps / 1.6, 8_000, &all);
     let share = fleet.refused as f64 / (fleet.runs.len() as f64);
     assert!(share < 0.03, "{share}");
 }
