--- a/crates/foxtide-core/tests/idempotency_table.rs
+++ b/crates/foxtide-core/tests/idempotency_table.rs
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn verify_a_lost_answer_is_unknown_for_ever() {
+fn verify_a_lost_answer_stays_unknown() {
     let mut table = table(TableOptions::default());
     let claim = run(&mut table, &key(1));
     table.mark_written(&claim);
@@ -148,7 +148,7 @@
 }
 
 #[test]
-fn verify_a_forgotten_key_is_refused_also_when_the_clock_goes_back() {
+fn verify_an_evicted_key_is_refused_also_when_the_clock_goes_back() {
     let mut table = table(TableOptions::default());
     for number in [1, 3] {
         let claim = run(&mut table, &key(number));
@@ -196,7 +196,7 @@
 }
 
 #[test]
-fn verify_a_full_table_refuses_new_keys_and_keeps_the_known() {
+fn verify_a_full_table_refuses_new_keys_and_keeps_existing_ones() {
     let mut table = table(TableOptions {
         keys_max: 2,
         ..TableOptions::default()
@@ -217,7 +217,7 @@
 }
 
 #[test]
-fn verify_a_full_table_makes_room_and_refuses_what_it_forgot() {
+fn verify_a_full_table_evicts_old_keys_and_refuses_them() {
     let mut table = table(TableOptions {
         keys_max: 2,
         ..TableOptions::default()
