--- a/crates/foxtide-gateway/src/quotas/mod.rs
+++ b/crates/foxtide-gateway/src/quotas/mod.rs
@@ -15,7 +15,7 @@
 use crate::state::State;
 use foxtide_core::ids::OrganisationId;
 use foxtide_core::quota::{
-    FallbackTokens, //
+    FallbackTokens,
     QuotaAnswer,
     QuotaCoordinator,
     QuotaParts,
