--- a/crates/foxtide-core/src/admission/coordinator.rs
+++ b/crates/foxtide-core/src/admission/coordinator.rs
@@ -1,4 +1,4 @@
-//! The slots of all upstreams for which this instance speaks.
+//! Slot coordination for the upstreams that this instance is responsible for.
 
 use super::queue::SlotQueue;
 use super::request::{
@@ -14,17 +14,17 @@
 };
 use std::collections::HashMap;
 
-/// An answer and whom it is for.
+/// An answer with the ticket of the request that it belongs to.
 pub type AddressedAnswer = (Ticket, Answer);
 
-/// The slots of an upstream since it started.
+/// The slot queue of one run of an upstream.
 #[derive(Clone, Debug, Default)]
 struct Incarnation {
     born_at: Option<WallTime>,
     queue: SlotQueue,
 }
 
-/// Gives out the slots of upstreams to those that ask.
+/// Grants the slots of upstreams to the requests of all instances.
 #[derive(Clone, Debug, Default)]
 pub struct Coordinator {
     queues: HashMap<UpstreamId, Incarnation>,
@@ -32,8 +32,8 @@
 }
 
 impl Coordinator {
-    /// Takes in a question about an upstream with `slots` slots; one that asks again
-    /// keeps its place and is answered as things stand then.
+    /// Asks for a slot of an upstream that has `slots` of them. A repeated request keeps
+    /// its place in the queue and gets its current answer.
     pub fn ask(
         &mut self,
         request: &SlotRequest,
@@ -59,7 +59,7 @@
             .insert(request.ticket, request.upstream.clone());
     }
 
-    /// Takes in that a request ended or that its requester waits no longer.
+    /// Releases the slot of a request that ended or whose requester no longer waits.
     pub fn end(
         &mut self,
         ticket: Ticket,
@@ -76,7 +76,7 @@
         answers
     }
 
-    /// Forgets the incarnations that `is_known` does not know.
+    /// Drops the queues whose upstream and start time `is_known` does not accept.
     pub fn retain(&mut self, is_known: impl Fn(&UpstreamId, Option<WallTime>) -> bool) {
         self.queues
             .retain(|upstream, incarnation| is_known(upstream, incarnation.born_at));
@@ -87,9 +87,8 @@
         });
     }
 
-    /// Returns the slots that a request asks for. An upstream that has started again holds
-    /// no request of before and knows no object; one that asks for an earlier incarnation
-    /// learns of its end before it sends anything.
+    /// Returns the queue of the request's upstream. A later start time replaces the queue,
+    /// since a restarted upstream has no requests in progress and no cached objects.
     fn queue_of(&mut self, request: &SlotRequest) -> &mut SlotQueue {
         let incarnation = self.queues.entry(request.upstream.clone()).or_default();
         if incarnation.born_at < request.born_at {
--- a/crates/foxtide-core/src/admission/queue.rs
+++ b/crates/foxtide-core/src/admission/queue.rs
@@ -18,46 +18,36 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// How many requests wait at the upstream itself, so that no slot is idle while the
-/// end of one request and the grant of the next are on their way. Against none, one
-/// brings 0.003 to 0.027 of the worth of days of high load, most where work is short;
-/// two take 0.01 off again where work is long.
+/// The number of requests admitted beyond the slots. They queue at the upstream and keep
+/// its slots busy while a release and the next grant are in transit.
 const UPSTREAM_BACKLOG: usize = 1;
 
-/// By how much longer than expected a request may hold a slot before its grant lapses:
-/// times of work spread by 15 % or so. Ends that are lost keep slots taken until then; the
-/// request's limit in place of this costs 0.005 to 0.010 of the worth of days with 77
-/// instances.
+/// The multiple of the expected service time after which an unreleased grant expires.
 const GRANT_TIMEOUT_FACTOR: u32 = 4;
 
-/// The bounds of when a refused caller is told to come back.
+/// Bounds of the retry delay in refusals.
 const RETRY_AFTER_MIN: Duration = Duration::from_millis(100);
 const RETRY_AFTER_MAX: Duration = Duration::from_millis(1_000);
 
-/// The part of a request's objective within which its own upstream has to serve it, else a
-/// neighbour does if it has room. The other half is for what no forecast knows: the way,
-/// work that varies, newer requests that go first. Requests that wait for the whole of it
-/// pile up in the regions that are short of upstreams; when callers ask for less, what is
-/// left is served there alone, and the region's part of the traffic jumps. Against the
-/// whole, half of it leaves a third of such requests and brings 0.001 to 0.009 of the worth
-/// of days of high load; it costs 0.010 of the first 12 s after a start. A quarter brings no
-/// more (model of load, eight seeds; twenty of the start).
+/// The share of the latency objective within which a request must be expected to finish to
+/// wait at its own upstream; otherwise it tries a neighbour. The rest covers network
+/// latency, varying service times and newer requests that are served first.
 const OBJECTIVE_WAIT_SHARE: f64 = 0.5;
 
-/// One request that an upstream works on, as far as is known.
+/// A request that holds a slot.
 #[derive(Clone, Copy, Debug)]
 struct Running {
     object: Option<ObjectKey>,
     access: ObjectAccess,
     began_at: MonotonicTime,
-    /// When it no longer counts, whether its end was told or not.
+    /// When the request stops counting if it is not released.
     expires_at: MonotonicTime,
-    /// Whether its time tells how long the upstream works: not so for one that
-    /// was sent without a grant, which may wait at the upstream.
+    /// Whether its duration is a service time. A request sent without a grant may also wait
+    /// at the upstream.
     is_measured: bool,
 }
 
-/// One request that waits for a slot.
+/// A request that waits for a slot.
 #[derive(Clone, Debug)]
 struct Waiting {
     ticket: Ticket,
@@ -65,23 +55,24 @@
     priority: u32,
     queued_at: MonotonicTime,
     objective_at: MonotonicTime,
-    /// Until when it is served early enough not to be served elsewhere.
+    /// The latest expected completion at which it still waits here rather than tries a
+    /// neighbour.
     wait_until: MonotonicTime,
     deadline: MonotonicTime,
 }
 
-/// How useful it is to serve a waiting request next; the least first.
+/// The order in which waiting requests of one priority are served, first to last.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum ServiceClass {
-    /// Its answer will be in time.
+    /// The answer is expected within the latency objective.
     InTime,
-    /// It will be late, but requests for the same object are faster after it.
+    /// The answer will be late, but later requests for the same object will be faster.
     LateFirstAccess,
-    /// It will be late.
+    /// The answer will be late.
     Late,
 }
 
-/// The slots of one upstream.
+/// The slots and waiting requests of one upstream.
 #[derive(Clone, Debug, Default)]
 pub(super) struct SlotQueue {
     slots: usize,
@@ -92,19 +83,19 @@
 }
 
 impl SlotQueue {
-    /// Sets how many requests the upstream works on at a time.
+    /// Sets the number of requests that the upstream serves concurrently.
     pub(super) fn set_slots(&mut self, slots: u32) {
         self.slots = slots.max(1) as usize;
     }
 
-    /// Tells whether a request waits or is under way.
+    /// Tells whether a request waits or holds a slot.
     pub(super) fn contains(&self, ticket: Ticket) -> bool {
         let is_waiting = self.waiting.iter().any(|waiting| waiting.ticket == ticket);
         is_waiting || self.running.contains_key(&ticket)
     }
 
-    /// Takes in a question; its answer is among `answers`, with those of others
-    /// that it changes.
+    /// Asks for a slot. Appends the answer to `answers`, with the answers to other requests
+    /// whose state changes.
     pub(super) fn ask(
         &mut self,
         request: &SlotRequest,
@@ -145,10 +136,9 @@
 
     /// Tells whether a request that does not wait may have a slot.
     ///
-    /// One whose object is not known here takes a slot for three to four times as long as
-    /// the upstream's own. It gets an idle slot only, else objects spread to neighbours
-    /// that are as busy, most of all at a start where none knows any. That brings 0.007 of
-    /// the worth of a start and of days of high load, in the model of load.
+    /// A first access takes longer here than at the upstream that cached the object. It
+    /// gets an idle slot only, so that objects do not spread to neighbours that are equally
+    /// busy.
     fn has_immediate_room(&self, object: Option<ObjectKey>) -> bool {
         let places = match self.access(object) {
             ObjectAccess::Repeated => self.slots + UPSTREAM_BACKLOG,
@@ -157,7 +147,7 @@
         self.running.len() < places
     }
 
-    /// Returns what one that has to wait is told.
+    /// Returns the answer to a request that has no slot yet.
     fn decide(&self, waiting: &Waiting, patience: Patience, now: MonotonicTime) -> Answer {
         let served_at = now + self.expected_wait() + self.expected(waiting);
         let may_wait = match patience {
@@ -189,7 +179,7 @@
         self.begin(request.ticket, running);
     }
 
-    /// Takes in that a request ended or that its requester waits no longer.
+    /// Releases the slot of a request that ended or whose requester no longer waits.
     pub(super) fn end(
         &mut self,
         ticket: Ticket,
@@ -218,12 +208,12 @@
         }
     }
 
-    /// Lets go of grants whose end was not told in time.
     fn drop_expired_grants(&mut self, now: MonotonicTime) {
         self.running.retain(|_, running| now < running.expires_at);
     }
 
-    /// Gives out free slots and refuses what cannot be served any more.
+    /// Grants free slots and refuses waiting requests that can no longer meet their
+    /// deadline.
     fn dispatch(&mut self, now: MonotonicTime, answers: &mut Vec<(Ticket, Answer)>) {
         self.drop_expired_grants(now);
         while self.running.len() < self.slots + UPSTREAM_BACKLOG {
@@ -253,7 +243,7 @@
         self.begin(waiting.ticket, running);
     }
 
-    /// Counts a request as begun; from then on the upstream knows its object.
+    /// Counts a request as started; its object is cached at the upstream from then on.
     fn begin(&mut self, ticket: Ticket, running: Running) {
         if let Some(object) = running.object {
             self.objects.insert(object);
@@ -276,10 +266,8 @@
         });
     }
 
-    /// Returns which of the waiting is to be served next: of those of one rank and use the
-    /// newest, whose deadline is the furthest. First come first served in place of this
-    /// order costs 0.005 to 0.025 of the worth of whole days; the earliest deadline first
-    /// among those in time is worth the same.
+    /// Returns the index of the request to serve next: by priority, then class, then newest
+    /// first, since the newest has the latest deadline.
     fn next_waiting(&self, now: MonotonicTime) -> Option<usize> {
         (0..self.waiting.len()).min_by_key(|&at| {
             let waiting = &self.waiting[at];
@@ -310,13 +298,13 @@
         self.times.expected(access).unwrap_or_default()
     }
 
-    /// Returns how long the requests that wait, this one among them, keep the slots busy.
+    /// Returns the time in which the slots serve all waiting requests.
     fn expected_wait(&self) -> Duration {
         let work: Duration = self.waiting.iter().map(|one| self.expected(one)).sum();
         work / self.slots.max(1) as u32
     }
 
-    /// Returns when room is expected.
+    /// Returns the time after which a slot is expected to be free.
     fn retry_after(&self) -> Duration {
         self.expected_wait().clamp(RETRY_AFTER_MIN, RETRY_AFTER_MAX)
     }
--- a/crates/foxtide-core/src/admission/request.rs
+++ b/crates/foxtide-core/src/admission/request.rs
@@ -1,4 +1,4 @@
-//! What an instance asks for, and what it is told.
+//! Slot requests and their answers.
 
 use crate::ids::UpstreamId;
 use crate::placement::ObjectKey;
@@ -7,67 +7,66 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Names one request for a slot.
+/// Identifies a slot request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Ticket {
-    /// Where the answer goes.
+    /// The address that the answer is sent to.
     pub requester: SocketAddr,
-    /// A number that the requester uses once.
+    /// A number that is unique per requester.
     pub number: u64,
 }
 
 impl fmt::Display for Ticket {
-    /// Writes the number and the requester, `7@127.0.0.1:7620`.
+    /// Writes the number and the requester, such as `7@127.0.0.1:7620`.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}@{}", self.number, self.requester)
     }
 }
 
-/// A request that is to be sent to an upstream.
+/// A request for a slot of an upstream.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SlotRequest {
-    /// Its name.
+    /// The ticket that identifies the request.
     pub ticket: Ticket,
     /// The upstream.
     pub upstream: UpstreamId,
     /// When the upstream started, as far as the requester knows.
     pub born_at: Option<WallTime>,
-    /// The object that the request concerns, if it does any.
+    /// The object that the request accesses, if any.
     pub object: Option<ObjectKey>,
-    /// The rank of the request; 0 is the highest.
+    /// The priority of the request; 0 is the highest.
     pub priority: u32,
-    /// What is left of its latency objective.
+    /// The time left until the latency objective.
     pub objective_left: Duration,
-    /// What is left until its caller's or its route's limit.
+    /// The time left until the deadline of the caller or the route.
     pub time_left: Duration,
-    /// How long it is ready to wait.
+    /// How long the request may wait.
     pub patience: Patience,
 }
 
-/// How long a request is ready to wait for a slot.
+/// How long a request may wait for a slot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Patience {
     /// Not at all.
     NoWait,
-    /// As long as its answer will come well before its latency objective; else another
-    /// upstream may do better.
+    /// While its answer is expected well within the latency objective.
     WithinObjective,
-    /// Until it cannot be served any more.
+    /// While it can still be served before its deadline.
     UntilDeadline,
 }
 
-/// What a coordinator says to one that asks.
+/// A coordinator's answer to a slot request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Answer {
     /// The request may be sent now.
     Granted,
     /// All slots are taken; another answer follows.
     Waiting,
-    /// It would have to wait for longer than it is ready to.
+    /// The wait would exceed the patience of the request.
     Busy,
-    /// The request cannot be served in its time.
+    /// The request cannot be served before its deadline.
     Refused {
-        /// When room is expected.
+        /// When a slot is expected to be free.
         retry_after: Duration,
     },
 }
@@ -75,8 +74,8 @@
 /// How a request that held a slot ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Ending {
-    /// The upstream answered it well: it knows the object from now on.
+    /// The upstream served it and has its object cached from now on.
     Served,
-    /// It did not; nothing is learnt from it.
+    /// The upstream did not serve it; its duration is not recorded.
     NotServed,
 }
--- a/crates/foxtide-core/src/admission/service_times.rs
+++ b/crates/foxtide-core/src/admission/service_times.rs
@@ -1,20 +1,20 @@
-//! How long an upstream works on requests, as measured.
+//! Mean service times of an upstream.
 
 use std::time::Duration;
 
-/// How far a mean moves towards the newest time: the last five count most.
+/// The weight of the newest sample in the exponential moving average.
 const NEWEST_WEIGHT: f64 = 0.2;
 
-/// Whether an upstream served an object lately.
+/// Whether an upstream served an object recently.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ObjectAccess {
-    /// It has not: the work takes its full time.
+    /// It has not; the request takes its full service time.
     First,
-    /// It has, and serves it again in a fraction of that.
+    /// It has; the request takes a fraction of that.
     Repeated,
 }
 
-/// Mean times of work, apart for first and repeated touches of objects.
+/// Mean service times of first and repeated object accesses.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ServiceTimes {
     first_s: Option<f64>,
@@ -22,7 +22,7 @@
 }
 
 impl ServiceTimes {
-    /// Takes in how long one request took.
+    /// Records the service time of one request.
     pub fn record(&mut self, access: ObjectAccess, time: Duration) {
         let mean_s = match access {
             ObjectAccess::First => &mut self.first_s,
@@ -33,8 +33,7 @@
         *mean_s = Some(before_s + NEWEST_WEIGHT * (time_s - before_s));
     }
 
-    /// Returns how long a request is expected to take; nothing where none of its
-    /// kind was measured.
+    /// Returns the expected service time, or `None` before the first sample of its kind.
     pub fn expected(&self, access: ObjectAccess) -> Option<Duration> {
         let mean_s = match access {
             ObjectAccess::First => self.first_s,
--- a/crates/foxtide-core/tests/admission.rs
+++ b/crates/foxtide-core/tests/admission.rs
@@ -1,4 +1,4 @@
-//! Slots of upstreams, given out by their coordinator.
+//! Admission of requests to upstream slots by their coordinator.
 
 use foxtide_core::admission::{
     AddressedAnswer,
@@ -18,10 +18,10 @@
 
 const SLOTS: u32 = 3;
 
-/// One more than the slots is under way: it waits at the upstream.
+/// The slots and one request that waits at the upstream.
 const ADMITTED_MAX: u64 = 4;
 
-/// What a first touch takes, and a repeated one: three tenths.
+/// Service times of a first and a repeated object access.
 const FIRST_MS: u64 = 800;
 const REPEATED_MS: u64 = 240;
 
@@ -64,7 +64,7 @@
     granted.map(|(ticket, _)| ticket.number).collect()
 }
 
-/// A coordinator whose upstream knows objects 1 to 3 and is idle at 5 s.
+/// A coordinator whose upstream served objects 1 to 3 and is idle at 5 s.
 fn warmed_coordinator() -> Coordinator {
     let mut coordinator = Coordinator::default();
     for object in 1..=3 {
@@ -77,7 +77,7 @@
     coordinator
 }
 
-/// Fills the slots with requests for object 1 that run from `now` on.
+/// Fills the slots with requests for object 1 that start at `now`.
 fn fill(coordinator: &mut Coordinator, now: MonotonicTime) {
     for number in 0..ADMITTED_MAX {
         let answers = coordinator.ask(&object_request(200 + number, 1), SLOTS, now);
@@ -169,8 +169,7 @@
     assert_eq!(granted(&answers), [2]);
 }
 
-/// An upstream serves an object in three tenths of the time from the moment at which
-/// its first request begins there, not only after its end.
+/// An object counts as cached from the start of its first request, not only from its end.
 #[test]
 fn verify_an_object_is_known_from_the_beginning_of_its_first_request() {
     let mut coordinator = warmed_coordinator();
@@ -184,7 +183,7 @@
     );
     coordinator.ask(&object_request(3, 1), SLOTS, at(5_010));
     coordinator.ask(&object_request(4, 1), SLOTS, at(5_010));
-    // Known, object 9 can be in time like any other: the newer one is first.
+    // Object 9 counts as cached and can be in time, so the newer request goes first.
     coordinator.ask(&object_request(6, 2), SLOTS, at(5_010));
     coordinator.ask(&object_request(5, 9), SLOTS, at(5_020));
     let answers = coordinator.end(ticket(3), Ending::Served, at(5_100));
@@ -197,7 +196,7 @@
     coordinator.ask(&object_request(1, 9), SLOTS, at(5_000));
     coordinator.end(ticket(1), Ending::NotServed, at(5_010));
     fill(&mut coordinator, at(5_020));
-    // As a first touch it would be late: object 2, which is known, goes before it.
+    // A first access would be late, so cached object 2 goes first.
     coordinator.ask(&object_request(2, 9), SLOTS, at(5_030));
     coordinator.ask(&object_request(3, 2), SLOTS, at(5_040));
     let answers = coordinator.end(ticket(200), Ending::Served, at(5_100));
@@ -218,7 +217,7 @@
             ref other => panic!("{other:?}"),
         }
     };
-    // 1.5 s less the request's own 240 ms are 15 rounds of 80 ms.
+    // 1.5 s less its own 240 ms leave time for 15 requests at 80 ms each.
     assert!((14..=17).contains(&number), "{number}");
     assert!(refused >= Duration::from_millis(500), "{refused:?}");
 }
@@ -243,7 +242,7 @@
 fn verify_an_unreleased_grant_expires() {
     let mut coordinator = warmed_coordinator();
     fill(&mut coordinator, at(5_000));
-    // Four times what a request of a known object takes, and not before.
+    // A grant expires after four times the expected service time, not before.
     let slow = coordinator.ask(&object_request(9, 3), SLOTS, at(5_900));
     assert_eq!(slow, [(ticket(9), Answer::Waiting)]);
     coordinator.end(ticket(9), Ending::NotServed, at(5_910));
@@ -263,7 +262,7 @@
         granted(&successor.ask(&object_request(1, 1), SLOTS, at(5_000))),
         [1]
     );
-    // The end of a request that the former one granted means nothing to it.
+    // It ignores the end of a request that the previous coordinator granted.
     assert_eq!(successor.end(ticket(200), Ending::Served, at(5_100)), []);
 }
 
@@ -287,14 +286,14 @@
         objective_left: Duration::from_millis(1_120),
         ..object_request(number, 1)
     };
-    // Half of 1,120 ms less the request's own 240 ms are four rounds of 80 ms.
+    // Half of 1,120 ms less its own 240 ms leaves time for four requests at 80 ms each.
     for number in 1..=4 {
         let answers = coordinator.ask(&early_only(number), SLOTS, at(5_000));
         assert_eq!(answers, [(ticket(number), Answer::Waiting)]);
     }
     let answers = coordinator.ask(&early_only(5), SLOTS, at(5_000));
     assert_eq!(answers, [(ticket(5), Answer::Busy)]);
-    // It does not wait: the slot that is freed goes to another.
+    // It is not queued: the released slot goes to another request.
     let answers = coordinator.end(ticket(200), Ending::Served, at(5_010));
     assert_eq!(granted(&answers).len(), 1);
     assert_ne!(granted(&answers), [5]);
@@ -317,8 +316,7 @@
     assert_eq!(answers, [(ticket(2), Answer::Busy)]);
 }
 
-/// Such work takes three to four times as long: a neighbour takes it for another upstream
-/// only where it is idle, and a known one also into the place that waits for a slot.
+/// A first access uses only an idle slot; a repeated one may also wait at the upstream.
 #[test]
 fn verify_a_no_wait_request_for_an_unknown_object_takes_only_an_idle_slot() {
     let mut coordinator = warmed_coordinator();
@@ -340,7 +338,7 @@
     assert_eq!(answers, [(ticket(6), Answer::Busy)]);
 }
 
-/// An upstream that starts again has all its slots free and knows no object.
+/// A restarted upstream has all its slots free and no cached objects.
 #[test]
 fn verify_requests_of_an_earlier_incarnation_hold_no_slot() {
     let mut coordinator = Coordinator::default();
@@ -358,7 +356,7 @@
     }
     let answers = coordinator.ask(&restarted(100), 1, at(1));
     assert_eq!(granted(&answers), [100]);
-    // What ends of before frees no slot of the new one.
+    // Requests of the earlier incarnation free no slot of the new one.
     for number in 0..number {
         assert!(granted(&coordinator.end(ticket(number), Ending::Served, at(2))).is_empty());
     }
