--- a/crates/foxtide-core/src/quota/bucket.rs
+++ b/crates/foxtide-core/src/quota/bucket.rs
@@ -1,40 +1,39 @@
-//! The tokens of one part of a quota.
+//! The token bucket of one region's part of a quota.
 
 use super::parts::QuotaParts;
 use crate::time::MonotonicTime;
 use std::time::Duration;
 
-/// The part of a bucket that is left to the most urgent requests of the organisation: it
-/// matters only when the quota binds, and gives these the first of what is refilled.
+/// The share of a bucket's capacity that is reserved for the organisation's
+/// highest-priority requests.
 const URGENT_RESERVE_SHARE: f64 = 0.1;
 
-/// How long after the last urgent request a part of the bucket is left to such.
+/// How long the reserve is held after the last highest-priority request.
 const URGENT_RESERVE_TIME: Duration = Duration::from_secs(5);
 
-/// What a bucket keeps of its capacity before more than one token is handed out at a time:
-/// tokens that lie unused with one instance are missing to another.
+/// The share of the capacity below which tokens are handed out one at a time, since tokens
+/// cached at one instance are missing at the others.
 const PREFETCH_RESERVE_SHARE: f64 = 0.5;
 
-/// The part of its rate at which a process refills its buckets that has just started: for a
-/// moment another instance is still asked for the same part. It is more than what
-/// organisations use of their quota on an ordinary day (five eighths, where quotas are
-/// sold at 1.6 times the usual load), so that a start of all instances at once refuses none.
+/// The share of its refill rate that a newly started process uses, since another instance
+/// may still hand out the same part for a moment.
 pub(super) const STARTUP_RATE_SHARE: f64 = 0.65;
 
-/// How long that holds: a change of the members is known to all in 2.2 to 3 s.
+/// How long a process refills at the reduced rate: as long as a membership change takes to
+/// reach all instances.
 pub(super) const STARTUP_TIME: Duration = Duration::from_secs(3);
 
-/// The longest time after which a caller is told to come back.
+/// The longest retry delay in a refusal.
 const RETRY_AFTER_MAX: Duration = Duration::from_secs(10);
 
-/// A token bucket whose refusals promise its tokens in the order of the questions.
+/// A token bucket that assigns future tokens to refused requests in order of arrival.
 #[derive(Clone, Debug)]
 pub(super) struct Bucket {
     tokens: f64,
     refilled_at: MonotonicTime,
-    /// When the token comes that was promised last.
+    /// When the latest assigned token becomes available.
     last_retry_at: MonotonicTime,
-    /// The rank of the most urgent requests of late, and when the last of them came.
+    /// The highest recent priority, and when it was last seen.
     most_urgent: (u32, MonotonicTime),
 }
 
@@ -49,11 +48,11 @@
         }
     }
 
-    /// Takes up to `wanted` tokens for requests of one rank.
+    /// Takes up to `wanted` tokens for requests of one priority.
     ///
     /// # Errors
     ///
-    /// Fails with the time after which there is one, where there is none now.
+    /// Returns the time until a token is available if there is none now.
     pub(super) fn take(
         &mut self,
         wanted: u32,
@@ -80,7 +79,7 @@
         self.tokens = (self.tokens + passed_s * rate_rps).min(capacity);
     }
 
-    /// Returns the tokens that are left to more urgent requests.
+    /// Returns the tokens that are reserved for requests of higher priority.
     fn reserve(&mut self, priority: u32, capacity: f64, now: MonotonicTime) -> f64 {
         let (most_urgent, seen_at) = self.most_urgent;
         if priority <= most_urgent || now - seen_at > URGENT_RESERVE_TIME {
@@ -90,7 +89,8 @@
         capacity * URGENT_RESERVE_SHARE
     }
 
-    /// Returns when there is a token for one more, after all to whom one was promised.
+    /// Assigns the next unassigned token to a refusal and returns the time until it is
+    /// available.
     fn schedule_retry(&mut self, missing: f64, rate_rps: f64, now: MonotonicTime) -> Duration {
         if rate_rps <= 0.0 {
             return RETRY_AFTER_MAX;
--- a/crates/foxtide-core/src/quota/coordinator.rs
+++ b/crates/foxtide-core/src/quota/coordinator.rs
@@ -1,4 +1,4 @@
-//! The parts of quotas that one instance hands out.
+//! Hands out the parts of quotas that this instance coordinates.
 
 use super::bucket::{
     Bucket,
@@ -11,34 +11,34 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// How long a bucket is kept that nobody asks for; a new one holds as much by then.
+/// How long an unused bucket is retained; a new one would hold as many tokens by then.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(120);
 
-/// What an instance asks for.
+/// A request for tokens of a quota.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct QuotaRequest {
-    /// The organisation whose request it has.
+    /// The organisation that the tokens are for.
     pub organisation: OrganisationId,
-    /// The rank of the request; 0 is the highest.
+    /// The priority of the request; 0 is the highest.
     pub priority: u32,
-    /// How many tokens it can use before they lapse, one at least.
+    /// The number of tokens that can be used before they expire; at least one.
     pub wanted: u32,
 }
 
-/// What a coordinator says.
+/// A coordinator's answer to a quota request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum QuotaAnswer {
-    /// So many requests may be forwarded, one at least.
+    /// The requests may be forwarded.
     Granted {
-        /// The number.
+        /// The number of tokens; at least one.
         tokens: u32,
     },
-    /// Its part of the quota is used up.
+    /// This part of the quota is used up.
     Refused {
-        /// When there is a token, after those that were promised to others.
+        /// The time until a token is available that is not assigned to an earlier refusal.
         retry_after: Duration,
     },
-    /// It does not hand out this quota: it knows of another that does, or it cannot tell.
+    /// The instance does not coordinate this quota or cannot tell whether it does.
     NotCoordinator,
 }
 
@@ -48,7 +48,7 @@
     last_request_at: MonotonicTime,
 }
 
-/// Hands out the tokens of the parts of quotas for which this instance speaks.
+/// Hands out the tokens of the quota parts that this instance coordinates.
 #[derive(Clone, Debug, Default)]
 pub struct QuotaCoordinator {
     started_at: MonotonicTime,
@@ -64,8 +64,8 @@
         }
     }
 
-    /// Answers a question. `since` is when the instances of the region last changed: until
-    /// then another one may have handed out this part.
+    /// Answers a request. `members_changed_at` is when the instances of the region last
+    /// changed; until then another instance may have handed out this part.
     pub fn ask(
         &mut self,
         request: &QuotaRequest,
@@ -95,7 +95,7 @@
         }
     }
 
-    /// Forgets the parts that nobody has asked for in a while.
+    /// Drops the buckets that were not used recently.
     pub fn prune(&mut self, now: MonotonicTime) {
         self.buckets
             .retain(|_, entry| now - entry.last_request_at < IDLE_TIMEOUT);
--- a/crates/foxtide-core/src/quota/fallback.rs
+++ b/crates/foxtide-core/src/quota/fallback.rs
@@ -1,4 +1,4 @@
-//! What an instance may forward whose coordinators are silent.
+//! The requests that an instance may forward while its quota coordinators do not answer.
 
 use super::parts::QuotaParts;
 use crate::ids::{
@@ -9,22 +9,21 @@
 use crate::time::MonotonicTime;
 use std::time::Duration;
 
-/// The most tokens of one organisation: each is looked for among all instances.
+/// The maximum number of tokens per organisation, which bounds the search for an owned one.
 const TOKENS_MAX: f64 = 64.0;
 
-/// By how much longer than the window a used token stays used, as requests take unlike
-/// times on their way.
+/// How long a used token stays unavailable beyond the window, since request latencies vary.
 const PERIOD_MARGIN: Duration = Duration::from_millis(500);
 
-/// Tokens that each belong to one living instance, without anybody being asked.
+/// Tokens that are each owned by one live instance and need no coordination.
 #[derive(Clone, Debug, Default)]
 pub struct FallbackTokens {
     tokens: OwnedTokens<OrganisationId>,
 }
 
 impl FallbackTokens {
-    /// Takes a token for one request; tells whether there was one. `instances` are those
-    /// thought alive, `own` among them.
+    /// Takes a token for one request and tells whether there was one. `instances` are those
+    /// considered alive, including `own`.
     pub fn try_take(
         &mut self,
         organisation: &OrganisationId,
@@ -39,7 +38,7 @@
             .try_take(organisation, count, period, own, instances, now)
     }
 
-    /// Forgets tokens that are free again.
+    /// Drops the records of tokens that are available again.
     pub fn prune(&mut self, now: MonotonicTime) {
         self.tokens.prune(now);
     }
--- a/crates/foxtide-core/src/quota/mod.rs
+++ b/crates/foxtide-core/src/quota/mod.rs
@@ -1,27 +1,24 @@
-//! How many requests an organisation may have run, over all instances together.
+//! Request quotas of organisations, enforced across all instances.
 //!
-//! A quota is cut into equal parts, one for each region. Of each part one instance of the
-//! region, the same in everybody's eyes, is the coordinator: it keeps the bucket and hands
-//! out tokens. An instance asks the coordinator of its own region before it forwards a
-//! request, and those of the other regions where that one has none left, so that the
-//! whole quota can be had anywhere.
+//! A quota is split into equal parts, one for each region. Each part has one coordinator:
+//! an instance of the region that all instances derive from the same member list. It holds
+//! the token bucket and hands out tokens. An instance asks the coordinator of its own
+//! region before it forwards a request, and those of the other regions if that one has no
+//! tokens left, so that the whole quota is available everywhere.
 //!
 //! ```text
-//! question -> QuotaAnswer::Granted | QuotaAnswer::Refused | QuotaAnswer::NotCoordinator
+//! request -> QuotaAnswer::Granted | QuotaAnswer::Refused | QuotaAnswer::NotCoordinator
 //! ```
 //!
-//! What keeps the sum below the bound whatever fails:
+//! The total stays below the bound during failures because:
 //!
-//! - tokens lapse soon ([`TOKEN_TIME`]), so that none is used long after it was handed out;
-//! - a bucket begins with what it would have gained since its region's instances last
-//!   changed, so that no burst is there twice when a coordinator dies or starts again;
-//! - a process that has just started hands out less ([`STARTUP_RATE_SHARE`]), as another instance
-//!   may still be asked for the same part;
-//! - an instance whose coordinators are silent has [`FallbackTokens`] alone: a small part of
-//!   the bound's slack, cut among all instances.
-//!
-//! Against equal parts for all instances, this serves what a quota allows also where the
-//! callers of an organisation lie unevenly: `docs/design/shifted.md` has both.
+//! - tokens expire after [`TOKEN_TIME`];
+//! - a new bucket holds what it would have accrued since the region's instances last
+//!   changed,   so that a failover or restart does not grant a second burst;
+//! - a newly started process refills its buckets at a reduced rate, since another instance
+//!   may   still hand out the same part;
+//! - an instance whose coordinators do not answer has only [`FallbackTokens`], its share of
+//!   a   small part of the bound's slack.
 
 mod bucket;
 mod coordinator;
@@ -40,6 +37,6 @@
     QuotaParts, //
 };
 pub use token_cache::{
-    TOKEN_TIME, //
+    TOKEN_TIME,
     TokenCache, //
 };
--- a/crates/foxtide-core/src/quota/token_cache.rs
+++ b/crates/foxtide-core/src/quota/token_cache.rs
@@ -1,22 +1,21 @@
-//! The tokens that an instance holds of one organisation's quota.
+//! The quota tokens that an instance holds for one organisation.
 
 use crate::time::MonotonicTime;
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// How long a token may be used after it was handed out. It adds as much of the rate to
-/// what can run in a window, so that it is short; it is what the quota's bound leaves
-/// besides bursts and starts.
+/// How long a token is valid after it was requested. It is short because cached tokens add
+/// to the requests that can run in a window.
 pub const TOKEN_TIME: Duration = Duration::from_millis(300);
 
-/// For how long tokens are asked for ahead of need, where requests come often: a third of
-/// [`TOKEN_TIME`], so that few lapse.
+/// The period of expected requests for which tokens are prefetched; well below
+/// [`TOKEN_TIME`], so that few tokens expire unused.
 const PREFETCH_TIME: Duration = Duration::from_millis(100);
 
-/// How far the measured gap between requests moves towards the newest.
+/// The weight of the newest sample in the exponential moving average.
 const NEWEST_WEIGHT: f64 = 0.2;
 
-/// The most tokens of one question: more than an instance forwards in [`PREFETCH_TIME`].
+/// The maximum number of tokens that are prefetched at once.
 const WANTED_MAX: f64 = 64.0;
 
 #[derive(Clone, Copy, Debug)]
@@ -25,7 +24,7 @@
     expires_at: MonotonicTime,
 }
 
-/// Tokens of one organisation's quota, and how often they are needed.
+/// Cached tokens of one organisation's quota, with the mean interval between its requests.
 #[derive(Clone, Debug, Default)]
 pub struct TokenCache {
     batches: VecDeque<Batch>,
@@ -34,7 +33,7 @@
 }
 
 impl TokenCache {
-    /// Notes that a request needs a token, and takes one where there is one.
+    /// Records a request and takes a token for it if there is one.
     pub fn take(&mut self, now: MonotonicTime) -> bool {
         self.record_request(now);
         self.drop_expired(now);
@@ -48,7 +47,7 @@
         true
     }
 
-    /// Takes in tokens that were asked for at `asked_at`.
+    /// Adds tokens that were requested at `asked_at`.
     pub fn put(&mut self, tokens: u32, asked_at: MonotonicTime) {
         if tokens > 0 {
             self.batches.push_back(Batch {
@@ -58,8 +57,8 @@
         }
     }
 
-    /// Returns how many tokens to ask for: for the request at hand and those that will
-    /// come soon.
+    /// Returns the number of tokens to request: one for the current request and the rest
+    /// for those expected soon.
     pub fn wanted(&self) -> u32 {
         let prefetched = self.mean_interval_s.map_or(0.0, |mean_interval_s| {
             PREFETCH_TIME.as_secs_f64() / mean_interval_s.max(f64::EPSILON)
@@ -67,7 +66,7 @@
         1 + prefetched.min(WANTED_MAX) as u32
     }
 
-    /// Tells whether no request has needed a token for `time`.
+    /// Tells whether no request has come for longer than `time`.
     pub fn is_unused(&self, time: Duration, now: MonotonicTime) -> bool {
         self.last_request_at
             .is_none_or(|last_request_at| now - last_request_at > time)
--- a/crates/foxtide-core/tests/quota_model/equal_shares.rs
+++ b/crates/foxtide-core/tests/quota_model/equal_shares.rs
@@ -1,12 +1,11 @@
-//! The way that needs no messages: an equal part of the quota for each instance that lives.
-//! It is kept here to be compared with.
+//! A reference without coordination: an equal share of the quota for each live instance.
 
 use super::fleet::quota;
 use foxtide_core::quota::QuotaBounds;
 
-/// Returns the share of what a quota allows that is served over `seconds`, with the callers
-/// at `callers` of `instances` instances. Each instance has a bucket of its own, which holds
-/// one request at least.
+/// Returns the share of the quota that is served over `seconds`, with callers at `callers`
+/// of `instances` instances. Each instance has its own bucket that holds at least one
+/// request.
 fn served_share(rate_rps: f64, instances: usize, callers: usize, seconds: u64) -> f64 {
     let quota = quota(rate_rps);
     let part_rps = rate_rps / instances as f64;
@@ -16,7 +15,7 @@
     for tick in 0..seconds * 100 {
         for (at, tokens) in tokens.iter_mut().enumerate() {
             *tokens = (*tokens + part_rps / 100.0).min(capacity);
-            // Each asks for five times the whole quota between them, in turn.
+            // Together the callers request a multiple of the quota, in turn.
             let is_asked = (tick as usize + at).is_multiple_of(callers.div_ceil(8));
             if is_asked && *tokens >= 1.0 {
                 *tokens -= 1.0;
@@ -27,9 +26,8 @@
     f64::from(served) / (rate_rps * seconds as f64)
 }
 
-/// With all callers at one of 77 instances, equal parts serve a few hundredths of what the
-/// quota allows; with callers everywhere, small quotas exceed their bound by the requests
-/// that each instance must be able to hold.
+/// Equal shares serve little of the quota if all callers are at one instance, and exceed
+/// the bound of small quotas if callers are everywhere.
 #[test]
 fn verify_equal_parts_fail_where_callers_lie_unevenly() {
     assert!(served_share(60.0, 77, 1, 20) < 0.05);
--- a/crates/foxtide-core/tests/quota_model/fleet.rs
+++ b/crates/foxtide-core/tests/quota_model/fleet.rs
@@ -1,4 +1,4 @@
-//! Instances, what they believe, and the requests that they let through.
+//! A simulated fleet with delayed membership updates.
 
 use foxtide_core::ids::{
     InstanceId,
@@ -6,7 +6,7 @@
     RegionId, //
 };
 use foxtide_core::quota::{
-    FallbackTokens, //
+    FallbackTokens,
     QuotaAnswer,
     QuotaBounds,
     QuotaCoordinator,
@@ -26,11 +26,11 @@
 
 const REGIONS: [&str; 3] = ["khomas", "erongo", "oshana"];
 
-/// The way of a question and its answer.
+/// Round-trip times within a region and between regions.
 const SAME_REGION_MS: u64 = 2;
 const OTHER_REGION_MS: u64 = 70;
 
-/// How old what a coordinator knows of the store may be before it has to hear its region.
+/// The maximum age of a coordinator's member list.
 const MEMBERS_AGE_MAX_MS: u64 = 3_500;
 
 #[derive(Clone, Debug)]
@@ -54,7 +54,7 @@
     }
 }
 
-/// A request that was let through.
+/// A request that was admitted.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Run {
     pub(crate) sent_ms: u64,
@@ -73,12 +73,12 @@
 struct Instance {
     member: Member,
     is_alive: bool,
-    /// Cut from all other instances and from the store since then.
+    /// When it lost contact with all other instances and the store.
     disconnected_since_ms: Option<u64>,
     process: Process,
 }
 
-/// A change that an instance learns of.
+/// A membership change that an instance receives.
 #[derive(Clone, Debug)]
 struct MemberUpdate {
     at_ms: u64,
@@ -87,7 +87,7 @@
     is_alive: bool,
 }
 
-/// Some instances of three regions, and one organisation.
+/// Instances in three regions, and one organisation.
 #[derive(Clone, Debug)]
 pub(crate) struct Fleet {
     instances: Vec<Instance>,
@@ -133,14 +133,14 @@
         self.quota = quota;
     }
 
-    /// Kills a process; its record stands until its lease lapses.
+    /// Kills a process; its registration remains until its lease expires.
     pub(crate) fn kill(&mut self, instance: usize, now_ms: u64) {
         self.instances[instance].is_alive = false;
         let expires_ms = now_ms + self.random.between(2_200, 2_600);
         self.announce(instance, false, expires_ms);
     }
 
-    /// Starts a process that was killed; it knows what the others know by then.
+    /// Starts a killed process, which receives the current member list.
     pub(crate) fn start(&mut self, instance: usize, now_ms: u64) {
         self.updates
             .retain(|update| !(update.about == instance && update.at_ms > now_ms));
@@ -160,13 +160,13 @@
 
     pub(crate) fn reconnect(&mut self, instance: usize, now_ms: u64) {
         self.instances[instance].disconnected_since_ms = None;
-        // Pending news of its lapse is void where it came back before.
+        // It reconnected before its lease expired: cancel the pending updates.
         self.updates
             .retain(|update| !(update.about == instance && update.at_ms > now_ms));
         self.announce(instance, true, now_ms + 300);
     }
 
-    /// Lets all that the store answers learn of a change, each a little later.
+    /// Delivers a change to all instances, each after a random delay.
     fn announce(&mut self, about: usize, is_alive: bool, at_ms: u64) {
         for reader in 0..self.instances.len() {
             let at_ms = at_ms + self.random.between(0, 1_500);
@@ -179,7 +179,7 @@
         }
     }
 
-    /// Takes in what instances have learnt by now; those that are cut learn it later.
+    /// Applies the updates that are due; disconnected instances retry later.
     pub(crate) fn deliver_updates(&mut self, now_ms: u64) {
         let due: Vec<MemberUpdate> = self
             .updates
@@ -200,7 +200,7 @@
         }
     }
 
-    /// A caller's request comes to an instance.
+    /// Handles a caller's request at an instance.
     pub(crate) fn request(&mut self, at: usize, now_ms: u64) {
         if !self.instances[at].is_alive {
             return;
@@ -214,7 +214,7 @@
         }
     }
 
-    /// Takes a token as the gateway does; returns how long that takes.
+    /// Takes a token as the gateway does and returns the latency of that.
     fn token(&mut self, at: usize, now_ms: u64) -> Option<u64> {
         let now = time(now_ms);
         let process = &mut self.instances[at].process;
@@ -284,8 +284,8 @@
             .ask(question, &parts, since, time(now_ms))
     }
 
-    /// Tells whether an instance takes itself for the coordinator of its region, and is not
-    /// out of touch with all others.
+    /// Tells whether an instance considers itself the coordinator of its region and its
+    /// member list is recent.
     fn is_coordinator(&self, instance: usize, now_ms: u64) -> bool {
         let one = &self.instances[instance];
         let members = &one.process.members;
@@ -343,8 +343,7 @@
     }
 }
 
-/// Returns the most requests that the platform counts in any window: those sent and run
-/// within it.
+/// Returns the maximum number of requests that were both sent and run within one window.
 pub(crate) fn max_requests_in_window(runs: &[Run], window: Duration, from_ms: u64) -> usize {
     let window_ms = window.as_millis() as u64;
     let mut runs: Vec<Run> = runs
--- a/crates/foxtide-core/tests/quota_model/rules.rs
+++ b/crates/foxtide-core/tests/quota_model/rules.rs
@@ -1,4 +1,4 @@
-//! What must hold whatever fails, and what must be served.
+//! The bound on requests in a window, and the rate that must be served.
 
 use super::fleet::{
     Fleet,
@@ -7,16 +7,16 @@
 };
 use foxtide_core::quota::QuotaBounds;
 
-/// How much a hot organisation asks for its quota.
+/// The requested rate of a busy organisation, as a multiple of its quota.
 const DEMAND_FACTOR: f64 = 5.0;
 
-/// How long before the first request the instances started.
+/// The time between the start of the instances and the first request.
 const LEAD_MS: u64 = 10_000;
 
-/// How long a version of the configuration may take until it is in force everywhere.
+/// The maximum time until a configuration version is in force everywhere.
 const CONFIGURATION_MS: u64 = 3_000;
 
-/// Something that happens to the fleet.
+/// An event in the fleet.
 #[derive(Clone, Debug)]
 enum Step {
     Kill(Vec<usize>),
@@ -26,8 +26,7 @@
     Quota(f64),
 }
 
-/// Plays steps beside an organisation that asks for `asked_rps`, at instances that `pick`
-/// chooses among.
+/// Runs steps while an organisation requests `asked_rps` at random instances of `callers`.
 fn run_steps(
     fleet: &mut Fleet,
     steps: &[(u64, Step)],
@@ -76,7 +75,7 @@
         .collect()
 }
 
-/// Random up to three faults that overlap.
+/// Draws up to three overlapping faults.
 fn faults(fleet: &mut Fleet) -> Vec<(u64, Step)> {
     let mut steps = Vec::new();
     for _ in 0..fleet.random.between(1, 3) {
@@ -173,8 +172,8 @@
     }
 }
 
-/// All instances start again at the same moment, as after a loss of power, while the
-/// organisation asks for its usual load (a quota is sold at 1.6 times that).
+/// All instances restart together while the organisation requests its usual rate; a quota
+/// is 1.6 times that.
 #[test]
 fn verify_a_common_start_refuses_little_of_the_usual_load() {
     let rate_rps = 60.0;
