--- a/crates/foxtide-core/src/retry/attempts.rs
+++ b/crates/foxtide-core/src/retry/attempts.rs
@@ -1,4 +1,4 @@
-//! One request over its attempts.
+//! The attempts of one request.
 
 use super::{
     RetryBudget,
@@ -9,10 +9,10 @@
 use std::fmt;
 use std::time::Duration;
 
-/// The most doublings of the wait before a retry.
+/// The maximum number of times that the backoff doubles.
 const DOUBLINGS_MAX: u32 = 16;
 
-/// Names one attempt of a request; the first is 0.
+/// Identifies an attempt of a request; the first is 0.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct AttemptId(u32);
 
@@ -22,85 +22,85 @@
     }
 }
 
-/// What binds the attempts of a request.
+/// The constraints on a request's attempts.
 #[derive(Clone, Copy, Debug)]
 pub struct RequestTerms {
     /// Whether the request may run more than once.
     pub idempotent: bool,
-    /// When its caller stops waiting.
+    /// When the caller stops waiting.
     pub deadline: MonotonicTime,
-    /// How long the first attempt runs before a hedge is sent; none where the
-    /// request is not hedged.
+    /// The time after which a hedge is sent beside the first attempt; `None` if the request
+    /// is not hedged.
     pub hedge_delay: Option<Duration>,
 }
 
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptResult {
-    /// No byte of the request went out.
+    /// No byte of the request was sent.
     NotSent,
-    /// The upstream refused the request and said that it has not run.
+    /// The upstream refused the request and stated that it did not run.
     Refused {
-        /// When the upstream wants to be asked again.
+        /// The retry delay that the upstream asked for.
         retry_after: Option<Duration>,
     },
-    /// A whole answer came, other than a server error.
+    /// A complete response arrived that is not a server error.
     Answered,
-    /// A whole answer came and it is a server error.
+    /// A complete response arrived that is a server error.
     ServerError,
-    /// The connection broke after a byte had gone out and before the whole
-    /// answer had come.
+    /// The connection failed after the first byte was sent and before the response was
+    /// complete.
     Lost,
-    /// The attempt's time ran out after a byte had gone out.
+    /// The attempt timed out after the first byte was sent.
     TimedOut,
 }
 
 impl AttemptResult {
-    /// Tells whether the request has provably not run in this attempt.
+    /// Tells whether the request is known not to have run in this attempt.
     pub const fn is_not_run(self) -> bool {
         matches!(self, Self::NotSent | Self::Refused { .. })
     }
 }
 
-/// What to do next for a request.
+/// The next step for a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Step {
-    /// Pass the whole answer of this attempt on and cancel all others.
+    /// Forward the response of this attempt and cancel all others.
     Answer(AttemptId),
-    /// Choose another upstream after this time and begin an attempt there.
+    /// Choose another upstream after a delay and begin an attempt there.
     Retry {
-        /// The time to wait first.
+        /// The delay.
         after: Duration,
     },
-    /// Begin a second attempt elsewhere now and keep the first running.
+    /// Begin a second attempt at another upstream and keep the first running.
     Hedge,
-    /// Wait for the attempts that are running.
+    /// Wait for the running attempts.
     Await,
-    /// Tell the caller at once that the request is given up.
+    /// Return an error to the caller.
     GiveUp(GiveUp),
 }
 
-/// The end of a request that got no answer from an upstream.
+/// The end of a request that got no response from an upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct GiveUp {
-    /// What is known about its run.
+    /// What is known about whether the request ran.
     pub outcome: Outcome,
     /// Why no further attempt is made.
     pub reason: GiveUpReason,
-    /// When the caller should ask again.
+    /// The retry delay for the caller.
     pub retry_after: Duration,
 }
 
 /// Why a request is given up.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum GiveUpReason {
-    /// It may have run and must not run twice.
+    /// It may have run and is not idempotent.
     NotIdempotent,
-    /// Too little time remains until its deadline.
+    /// The time left until its deadline is too short.
     Deadline,
-    /// It has had as many attempts as it may.
+    /// It reached the maximum number of attempts.
     AttemptsSpent,
-    /// The service has spent its budget of retries.
+    /// The service's retry budget is exhausted.
     BudgetSpent,
     /// No upstream can take it.
     NoUpstream,
@@ -118,10 +118,10 @@
     }
 }
 
-/// Follows one request over its attempts.
+/// Tracks one request over its attempts.
 ///
-/// Call [`begin`](Self::begin) as each attempt starts and
-/// [`ended`](Self::ended) with its result, and obey the returned step.
+/// Call [`begin`](Self::begin) when an attempt starts and [`ended`](Self::ended) with its
+/// result, and carry out the returned step.
 #[derive(Clone, Debug)]
 pub struct Attempts {
     terms: RequestTerms,
@@ -130,7 +130,7 @@
     running: u32,
     refused: u32,
     retries: u32,
-    /// Whether an attempt that has ended may have run.
+    /// Whether an ended attempt may have run.
     may_have_run: bool,
     begun_at: MonotonicTime,
     hedged: bool,
@@ -154,17 +154,17 @@
         }
     }
 
-    /// Returns what binds the request.
+    /// Returns the constraints on the attempts.
     pub fn terms(&self) -> &RequestTerms {
         &self.terms
     }
 
-    /// Returns how many attempts have begun.
+    /// Returns the number of attempts that have begun.
     pub fn begun(&self) -> u32 {
         self.begun
     }
 
-    /// Notes that an attempt starts.
+    /// Records the start of an attempt.
     pub fn begin(&mut self, now: MonotonicTime) -> AttemptId {
         let id = AttemptId(self.begun);
         if self.running == 0 {
@@ -188,8 +188,7 @@
         self.terms.idempotent && is_first && has_attempt && self.has_time(now)
     }
 
-    /// Decides whether to send a second attempt beside the first one, which
-    /// has been running for the hedge delay.
+    /// Decides whether to send a hedge once the hedge delay has passed.
     pub fn hedge(&mut self, budget: &mut RetryBudget, now: MonotonicTime) -> Step {
         let due = self.hedge_at().is_some_and(|at| at <= now);
         if !due {
@@ -203,7 +202,7 @@
         }
     }
 
-    /// Notes how an attempt ended and decides what to do next.
+    /// Records how an attempt ended and decides the next step.
     pub fn ended(
         &mut self,
         id: AttemptId,
@@ -237,8 +236,8 @@
         }
     }
 
-    /// Gives the request up where no upstream can take its next attempt, or
-    /// its time ran out before that.
+    /// Gives up a request whose next attempt cannot be sent, unless an attempt is still
+    /// running.
     pub fn cannot_send(&self, reason: GiveUpReason) -> Step {
         if self.running != 0 {
             return Step::Await;
@@ -246,7 +245,7 @@
         self.give_up(reason)
     }
 
-    /// Returns the outcome to be told if the request were given up now.
+    /// Returns the outcome to report if the request were given up now.
     pub fn outcome(&self) -> Outcome {
         if self.may_have_run || self.running != 0 {
             Outcome::Unknown
@@ -255,20 +254,19 @@
         }
     }
 
-    /// Tells whether a request that was just refused may be sent elsewhere
-    /// without taking from the budget.
+    /// Tells whether a request that was just refused may be retried without using the
+    /// budget.
     fn may_retry_refused(&self, now: MonotonicTime) -> bool {
         let is_safe = self.terms.idempotent || !self.may_have_run;
         is_safe && self.refused <= self.options.refusals_max && self.has_time(now)
     }
 
-    /// Returns the attempts that count towards the most that are allowed.
+    /// Returns the number of attempts that count towards `attempts_max`.
     fn counted_attempts(&self) -> u32 {
         self.begun - self.refused.min(self.options.refusals_max)
     }
 
-    /// Tells why the request may not be sent again; takes from the budget
-    /// where it may.
+    /// Takes a retry from the budget, or returns why the request may not be retried.
     fn reserve_retry(&self, budget: &mut RetryBudget, now: MonotonicTime) -> Option<GiveUpReason> {
         if self.may_have_run && !self.terms.idempotent {
             return Some(GiveUpReason::NotIdempotent);
--- a/crates/foxtide-core/src/retry/budget.rs
+++ b/crates/foxtide-core/src/retry/budget.rs
@@ -1,12 +1,12 @@
-//! The budget of retries and hedges of a service.
+//! The retry budget of a service.
 
 use super::RetryBudgetOptions;
 use crate::time::MonotonicTime;
 
-/// Bounds retries and hedges to a share of recent successes, with a floor.
+/// Bounds retries and hedges to a share of recent successes, with a minimum rate.
 ///
-/// A token bucket: over any time the retries are at most the share of the
-/// successes, plus the floor's rate times that time, plus what was saved.
+/// This is a token bucket: over any period, retries are at most the share of the successes,
+/// plus the minimum rate times the period, plus the burst.
 #[derive(Clone, Debug)]
 pub struct RetryBudget {
     options: RetryBudgetOptions,
@@ -15,7 +15,7 @@
 }
 
 impl RetryBudget {
-    /// Returns a budget with everything saved that may be.
+    /// Returns a full budget.
     pub fn new(options: RetryBudgetOptions, now: MonotonicTime) -> Self {
         Self {
             tokens: options.burst,
@@ -24,18 +24,18 @@
         }
     }
 
-    /// Changes the settings; what was saved beyond the new bound is lost.
+    /// Changes the settings; tokens above the new burst are discarded.
     pub fn set_options(&mut self, options: RetryBudgetOptions) {
         self.tokens = self.tokens.min(options.burst);
         self.options = options;
     }
 
-    /// Notes a request that was answered, other than by a server error.
+    /// Records a response that is not a server error.
     pub fn record_success(&mut self) {
         self.add_tokens(self.options.success_share.get());
     }
 
-    /// Takes one retry or hedge out of the budget, if there is one.
+    /// Takes one retry or hedge from the budget, if available.
     pub fn try_spend(&mut self, now: MonotonicTime) -> bool {
         let passed_s = (now - self.refilled_at).as_secs_f64();
         self.refilled_at = self.refilled_at.max(now);
--- a/crates/foxtide-core/src/retry/hedge.rs
+++ b/crates/foxtide-core/src/retry/hedge.rs
@@ -1,22 +1,21 @@
-//! When a second attempt is worth sending beside the first.
+//! The delay before a hedged attempt.
 
 use std::time::Duration;
 
-/// The part of the answers that come before the hedge is sent.
+/// The quantile of the latency that is estimated.
 const QUANTILE: f64 = 0.95;
 
-/// How far one answer moves the estimate, as a part of it.
+/// The step size of the estimate, as a share of it.
 const STEP_SHARE: f64 = 0.02;
 
-/// The estimate before the first answer.
+/// The estimate before the first sample.
 const INITIAL_DELAY: Duration = Duration::from_millis(100);
 
-/// Estimates the latency below which 95 % of a service's answers come.
+/// Estimates the 95th percentile of a service's latency without storing samples.
 ///
-/// The estimate moves up by a fixed part of itself with each slower answer and
-/// down by a smaller one with each faster answer, so that it rests where 95 %
-/// are faster; it keeps no samples. Source: Ma, Muthukrishnan and Sandler,
-/// "Frugal Streaming for Estimating Quantiles", 2013.
+/// Each slower response raises the estimate by a fixed share and each faster one lowers it
+/// by a smaller share, so that the two balance at the quantile. Source: Ma, Muthukrishnan
+/// and Sandler, "Frugal Streaming for Estimating Quantiles", 2013.
 #[derive(Clone, Debug)]
 pub struct HedgeDelay {
     estimate_us: f64,
@@ -31,14 +30,14 @@
 }
 
 impl HedgeDelay {
-    /// Notes the latency of an answer.
+    /// Records the latency of a response.
     pub fn record(&mut self, latency: Duration) {
         let slower = latency.as_micros() as f64 > self.estimate_us;
         let part = if slower { QUANTILE } else { QUANTILE - 1.0 };
         self.estimate_us = (self.estimate_us * (1.0 + STEP_SHARE * part)).max(1.0);
     }
 
-    /// Returns how long the first attempt is given before the hedge.
+    /// Returns the time to wait before a hedge is sent.
     pub fn get(&self) -> Duration {
         Duration::from_micros(self.estimate_us as u64)
     }
--- a/crates/foxtide-core/src/retry/mod.rs
+++ b/crates/foxtide-core/src/retry/mod.rs
@@ -1,12 +1,11 @@
-//! What to do after each attempt of a request.
+//! Retries and hedges of requests.
 //!
-//! [`Attempts`] follows one request over its attempts and says whether to
-//! answer, to retry, to wait or to give up; [`RetryBudget`] bounds retries and
-//! hedges of a service together to a share of its recent successes.
+//! [`Attempts`] tracks one request and decides after each attempt whether to forward the
+//! response, retry, wait or give up. [`RetryBudget`] bounds the retries and hedges of a
+//! service to a share of its recent successes.
 //!
-//! A request is sent again only where that is safe: it is idempotent, or every
-//! earlier attempt provably has not run. It is given up at once, and said not
-//! to have run only where no attempt may have run.
+//! A request is sent again only if it is idempotent or if no earlier attempt has run. A
+//! request that is given up is reported as not run only if no attempt may have run.
 
 mod attempts;
 mod budget;
--- a/crates/foxtide-core/src/retry/options.rs
+++ b/crates/foxtide-core/src/retry/options.rs
@@ -1,4 +1,4 @@
-//! Settings of retries, hedges and their budget.
+//! Settings of retries, hedges and the retry budget.
 
 use crate::units::{
     RequestRate,
@@ -9,12 +9,11 @@
 /// Settings of a [`RetryBudget`](super::RetryBudget).
 #[derive(Clone, Debug)]
 pub struct RetryBudgetOptions {
-    /// The retries and hedges allowed for each success. Default: 0.15.
+    /// The retries and hedges allowed per success. Default: 0.15.
     pub success_share: Share,
-    /// The retries and hedges allowed each second without any success.
-    /// Default: 1 a second.
+    /// The minimum rate of retries and hedges. Default: 1 a second.
     pub floor_rps: RequestRate,
-    /// The most that is saved up. Default: 20.
+    /// The maximum number of unused retries. Default: 20.
     pub burst: f64,
 }
 
@@ -31,23 +30,21 @@
 /// Settings of the attempts of one request.
 #[derive(Clone, Debug)]
 pub struct RetryOptions {
-    /// The most attempts of a request, hedges among them and the refusals
-    /// below aside. Default: 3.
+    /// The maximum number of attempts of a request, including hedges but not the refusals
+    /// that `refusals_max` exempts. Default: 3.
     pub attempts_max: u32,
-    /// How many refused attempts of a request take nothing from the budget.
-    /// They cost the upstream next to nothing and the balancer paces them by
-    /// an allowance of its own. Further ones count as attempts. Default: 16.
+    /// The number of refused attempts of a request that do not use the budget; further ones
+    /// count as attempts. Refusals are cheap for the upstream, and the balancer limits
+    /// their rate. Default: 16.
     pub refusals_max: u32,
-    /// The wait before the first retry; doubled by each that follows.
-    /// Default: 2 ms.
+    /// The delay before the first retry; it doubles with each further retry. Default: 2 ms.
     pub backoff: Duration,
-    /// The longest wait before a retry. Default: 50 ms.
+    /// The maximum delay before a retry. Default: 50 ms.
     pub backoff_max: Duration,
-    /// The time that must remain until the deadline for another attempt.
-    /// Default: 5 ms.
+    /// The minimum time left until the deadline for another attempt. Default: 5 ms.
     pub attempt_min: Duration,
-    /// What a caller is told to wait when a request is given up and the
-    /// upstream did not say. Default: 1 s.
+    /// The retry delay for callers whose request is given up, unless an upstream stated
+    /// one. Default: 1 s.
     pub retry_after: Duration,
 }
 
--- a/crates/foxtide-core/tests/retry_attempts.rs
+++ b/crates/foxtide-core/tests/retry_attempts.rs
@@ -1,4 +1,4 @@
-//! What a request does after each attempt's result.
+//! The next step after each result of an attempt.
 
 use foxtide_core::outcome::Outcome;
 use foxtide_core::retry::{
--- a/crates/foxtide-core/tests/retry_properties.rs
+++ b/crates/foxtide-core/tests/retry_properties.rs
@@ -1,4 +1,4 @@
-//! What holds of retries whatever the attempts bring.
+//! Safety properties of retries under arbitrary attempt results.
 
 use foxtide_core::outcome::Outcome;
 use foxtide_core::retry::{
@@ -28,7 +28,7 @@
     ]
 }
 
-/// One request, with what is true of its attempts.
+/// One request and the actual state of its attempts.
 struct RequestModel {
     attempts: Attempts,
     budget: RetryBudget,
@@ -59,11 +59,11 @@
 
     fn begin(&mut self) {
         let may_run_twice = self.may_have_run || !self.running.is_empty();
-        assert!(self.idempotent || !may_run_twice, "it could run twice");
+        assert!(self.idempotent || !may_run_twice, "request could run twice");
         self.running.push(self.attempts.begin(self.now));
     }
 
-    /// Ends an attempt; tells whether the request goes on.
+    /// Ends an attempt; tells whether the request continues.
     fn end(&mut self, result: AttemptResult) -> bool {
         let id = self.running.remove(0);
         self.may_have_run |= !result.is_not_run();
@@ -80,7 +80,7 @@
                 false
             }
             Step::GiveUp(end) => {
-                assert!(self.running.is_empty(), "an attempt still runs");
+                assert!(self.running.is_empty(), "an attempt is still running");
                 let truth = if self.may_have_run {
                     Outcome::Unknown
                 } else {
@@ -89,7 +89,7 @@
                 assert_eq!(end.outcome, truth);
                 false
             }
-            Step::Hedge => panic!("an ended attempt is no reason to hedge"),
+            Step::Hedge => panic!("an ended attempt must not cause a hedge"),
         }
     }
 
