--- a/crates/foxtide-core/src/idempotency/key.rs
+++ b/crates/foxtide-core/src/idempotency/key.rs
@@ -1,4 +1,4 @@
-//! Keys that name the process which may run them.
+//! Idempotency keys that name the process which may run them.
 
 use crate::ids::InstanceId;
 use crate::time::WallTime;
@@ -17,25 +17,25 @@
 const UUID_TIME_SHIFT: u32 = 80;
 const UUID_VERSION_TIME_ORDERED: usize = 7;
 
-/// Why a text is no key that can be run.
+/// Why a text is not a valid idempotency key.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum KeyError {
-    /// The key names no owner, such as a plain UUID.
-    #[error("the key `{text}` names no owner; valid: OWNER:UUID, with the owner from an answer")]
+    /// The key has no owner part, such as a plain UUID.
+    #[error("key `{text}` has no owner; valid: OWNER:UUID, with the owner from a response")]
     NoOwner {
-        /// The text that was given.
+        /// The key.
         text: String,
     },
-    /// The part before the separator is not an owner's name.
-    #[error("`{text}` is no owner; valid: INSTANCE.PROCESS, such as entry-3.9f2c8a7b6d5e4f30")]
+    /// The owner part is malformed.
+    #[error("`{text}` is not an owner; valid: INSTANCE.PROCESS, such as entry-3.9f2c8a7b6d5e4f30")]
     Owner {
-        /// The part that was given.
+        /// The owner part.
         text: String,
     },
-    /// The part after the separator is not a UUID of version 7.
-    #[error("`{text}` is no UUID of version 7 (RFC 9562, section 5.7)")]
+    /// The last part is not a UUID of version 7.
+    #[error("key part `{text}` is not a UUID of version 7 (RFC 9562, section 5.7)")]
     Unique {
-        /// The part that was given.
+        /// The last part.
         text: String,
     },
 }
@@ -57,15 +57,15 @@
     }
 }
 
-/// A number that an instance draws at random each time its process starts.
+/// A random number that identifies one process of an instance.
 ///
-/// It tells the processes of one instance apart: each starts with an empty
-/// table. Written as 16 hexadecimal digits.
+/// An instance draws a new number whenever it starts, since each process starts with an
+/// empty table. Written as 16 hexadecimal digits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct ProcessNumber(u64);
 
 impl ProcessNumber {
-    /// Returns the number, which the caller draws from the system's randomness.
+    /// Returns the process number for a random value.
     pub const fn new(number: u64) -> Self {
         Self(number)
     }
@@ -95,14 +95,13 @@
     }
 }
 
-/// The name of one process of one instance, the only one that runs the keys
-/// which carry it. Written as `INSTANCE.PROCESS`.
+/// Identifies the process of an instance that may run a key. Written as `INSTANCE.PROCESS`.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize)]
 #[serde(into = "String")]
 pub struct OwnerId {
     /// The instance.
     pub instance: InstanceId,
-    /// Its process.
+    /// The process of the instance.
     pub process: ProcessNumber,
 }
 
@@ -130,11 +129,11 @@
     }
 }
 
-/// The value of an `Idempotency-Key` header
-/// (draft-ietf-httpapi-idempotency-key-header): `OWNER:UUID`.
+/// The value of an `Idempotency-Key` header (draft-ietf-httpapi-idempotency-key-header):
+/// `OWNER:UUID`.
 ///
-/// The UUID is of version 7 (RFC 9562, section 5.7): its time says when the
-/// caller minted the key, and keys are ordered by it.
+/// The UUID is of version 7 (RFC 9562, section 5.7) and contains the time at which the
+/// caller minted the key; keys are ordered by it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct IdempotencyKey {
     owner: OwnerId,
@@ -142,7 +141,7 @@
 }
 
 impl IdempotencyKey {
-    /// Returns a new key for `owner`, minted at `now` with the given randomness.
+    /// Returns a new key for `owner`, minted at `now` with the given random bytes.
     pub fn mint(owner: OwnerId, now: WallTime, random: [u8; UUID_RANDOM_BYTES]) -> Self {
         let unique = Builder::from_unix_timestamp_millis(now.as_ms(), &random).into_uuid();
         Self { owner, unique }
@@ -153,7 +152,7 @@
         &self.owner
     }
 
-    /// Returns the part that tells the key from others of the same owner.
+    /// Returns the UUID, which is unique per owner.
     pub(crate) fn unique(&self) -> Uuid {
         self.unique
     }
@@ -164,7 +163,7 @@
     }
 }
 
-/// Returns the time in a UUID of version 7, which is its first 48 bits.
+/// Returns the timestamp of a UUID of version 7, its first 48 bits.
 pub(super) fn minted_at(unique: Uuid) -> WallTime {
     let ms = unique.as_u128() >> UUID_TIME_SHIFT;
     WallTime::from_ms(u64::try_from(ms).unwrap_or(u64::MAX))
@@ -179,8 +178,8 @@
 impl FromStr for IdempotencyKey {
     type Err = KeyError;
 
-    /// Reads a key, with or without the quotes that a structured field has
-    /// (RFC 9651, section 3.3.3).
+    /// Parses a key, with or without the quotes of a structured field (RFC 9651, section
+    /// 3.3.3).
     fn from_str(text: &str) -> Result<Self, KeyError> {
         let text = unquoted(text.trim());
         let parts = text.rsplit_once(OWNER_SEPARATOR);
--- a/crates/foxtide-core/src/idempotency/options.rs
+++ b/crates/foxtide-core/src/idempotency/options.rs
@@ -1,32 +1,29 @@
-//! How much a table keeps, and for how long.
+//! Limits of the idempotency table.
 
 use crate::time::CLOCK_SKEW_MAX;
 use crate::units::ByteSize;
 use std::time::Duration;
 
-/// The bounds of a [`Table`](super::Table).
+/// The limits of a [`Table`](super::Table).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TableOptions {
-    /// How long after it was minted a key may be retried. Default: 5 minutes,
-    /// above the longest deadline and a caller's few retries.
+    /// How long after it was minted a key may be retried. Default: 5 minutes, which exceeds
+    /// the longest deadline plus a few retries.
     pub validity: Duration,
-    /// How long a key may be retried at least, where the table is full: keys
-    /// older than this make room for new ones, and are refused from then on.
-    /// Default: 1 minute, in which 65,536 keys last for 1,092 requests/s.
+    /// The minimum time for which a key may be retried. A full table evicts older keys and
+    /// refuses them from then on. Default: 1 minute.
     pub validity_min: Duration,
-    /// How far in the future a key's time may lie. Default:
-    /// [`CLOCK_SKEW_MAX`]. A caller whose clock is further ahead is refused,
-    /// for its keys would stay in the table beyond their validity.
+    /// How far in the future a key's time may be. Default: [`CLOCK_SKEW_MAX`]. Keys beyond
+    /// it are refused, since they would stay in the table beyond their validity.
     pub clock_skew_max: Duration,
-    /// The most keys that are kept, running and ended. Default: 65,536; at
-    /// about 80 bytes a key (measured) that is 5.2 MB.
+    /// The maximum number of keys, running and ended. Default: 65,536.
     pub keys_max: usize,
-    /// The most that the kept answers take together; the oldest are dropped
-    /// first, their keys stay. Default: 4 MiB.
+    /// The maximum total size of the stored responses; the oldest are dropped first, while
+    /// their keys stay. Default: 4 MiB.
     pub answers_max: ByteSize,
-    /// The largest answer that is kept. Default: 64 KiB.
+    /// The maximum size of a stored response. Default: 64 KiB.
     pub answer_max: ByteSize,
-    /// When a caller whose key is running is told to ask again. Default: 1 s.
+    /// The retry delay for callers whose key is running. Default: 1 s.
     pub in_progress_retry: Duration,
 }
 
--- a/crates/foxtide-core/src/idempotency/refusal.rs
+++ b/crates/foxtide-core/src/idempotency/refusal.rs
@@ -1,4 +1,4 @@
-//! Why a key is not run, and what its caller is told.
+//! Refusals of requests with an idempotency key.
 
 use crate::outcome::Outcome;
 use std::fmt;
@@ -7,24 +7,24 @@
 /// Why a request with a key is not run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum RefusalReason {
-    /// The process that owns the key has ended; its table went with it.
+    /// The process that owns the key has ended, and its table is lost.
     OwnerGone,
-    /// The key came before with another request.
+    /// The key was used for another request.
     KeyReused,
-    /// The key was run, and no whole answer came back.
+    /// The key was run, but no complete response was received.
     AnswerLost,
-    /// The key was run and answered; the answer is no longer kept.
+    /// The key was run and answered, but the response is no longer stored.
     AnswerDropped,
-    /// The key is older than keys may be.
+    /// The key has expired.
     KeyExpired,
-    /// The key's time lies too far in the future.
+    /// The key's time is too far in the future.
     KeyFromFuture,
-    /// No more keys can be kept.
+    /// The table has no room for another key.
     TableFull,
 }
 
 impl RefusalReason {
-    /// Returns the reason's name, for answers, events and metrics.
+    /// Returns the name of the reason in responses, events and metrics.
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::OwnerGone => "owner-gone",
@@ -37,10 +37,9 @@
         }
     }
 
-    /// Returns what is known about the run of the key.
+    /// Returns what is known about whether the key was run.
     ///
-    /// A reused key is told as unknown, for the request that came first with
-    /// it may have run.
+    /// A reused key is reported as unknown, since the first request with it may have run.
     pub const fn outcome(self) -> Outcome {
         match self {
             Self::OwnerGone | Self::KeyReused | Self::AnswerLost | Self::KeyExpired => {
@@ -51,8 +50,8 @@
         }
     }
 
-    /// Returns the status of the HTTP answer (RFC 9110, section 15; 422 as the
-    /// Idempotency-Key draft has it, section 2.7).
+    /// Returns the HTTP status code (RFC 9110, section 15; 422 as in section 2.7 of the
+    /// Idempotency-Key draft).
     pub const fn status(self) -> u16 {
         match self {
             Self::OwnerGone | Self::AnswerLost | Self::AnswerDropped => 409,
@@ -70,17 +69,17 @@
     }
 }
 
-/// The final answer to a request whose key is not run.
+/// The response to a request whose key is not run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Refusal {
-    /// Why.
+    /// Why the key is not run.
     pub reason: RefusalReason,
-    /// When the same key is worth another try; `None` where it never is.
+    /// When the same key may be retried; `None` if never.
     pub retry_after: Option<Duration>,
 }
 
 impl Refusal {
-    /// Returns the refusal of a key that is never worth another try.
+    /// Returns the refusal of a key that may not be retried.
     pub(crate) const fn permanent(reason: RefusalReason) -> Self {
         let retry_after = None;
         Self {
@@ -89,7 +88,7 @@
         }
     }
 
-    /// Returns the refusal of a key that may be tried again after a time.
+    /// Returns the refusal of a key that may be retried after a delay.
     pub(crate) const fn temporary(reason: RefusalReason, retry_after: Duration) -> Self {
         let retry_after = Some(retry_after);
         Self {
@@ -98,7 +97,7 @@
         }
     }
 
-    /// Returns what is known about the run of the key.
+    /// Returns what is known about whether the key was run.
     pub const fn outcome(&self) -> Outcome {
         self.reason.outcome()
     }
--- a/crates/foxtide-core/src/idempotency/table.rs
+++ b/crates/foxtide-core/src/idempotency/table.rs
@@ -1,4 +1,4 @@
-//! What became of each key that a process owns.
+//! The states of the keys that a process owns.
 
 use super::key::minted_at;
 use super::{
@@ -19,54 +19,54 @@
 use std::time::Duration;
 use uuid::Uuid;
 
-/// How many old keys one call forgets at most, so that none holds up a request.
+/// Limits of the keys evicted by one call, which bound its duration.
 const EVICTIONS_PER_BEGIN_MAX: usize = 16;
 const EVICTIONS_PER_TICK_MAX: usize = 4_096;
 
-/// An answer that can be given again. Clones are to be cheap.
+/// A response that can be replayed. Clones should be cheap.
 pub trait ReplayableAnswer: Clone {
-    /// Returns the memory that the answer takes.
+    /// Returns the memory that the response occupies.
     fn size(&self) -> ByteSize;
 }
 
-/// What is to be done with a request that carries a key.
+/// What to do with a request that carries a key.
 #[derive(Debug)]
 #[must_use]
 pub enum Begin<A> {
-    /// The request is to be run; the claim goes back to the table by
-    /// [`Table::finish`] or [`Table::abandon`], whatever happens.
+    /// Run the request. Its claim must be returned by [`Table::finish`],
+    /// [`Table::finish_without_answer`] or [`Table::abandon`].
     Run(Claim),
-    /// The same request is running; its caller is to ask again later.
+    /// The same request is running.
     InProgress {
-        /// When.
+        /// The retry delay for the caller.
         retry_after: Duration,
     },
-    /// The request was run; this is its answer.
+    /// The request was run before with this response.
     Replay(A),
-    /// Another instance owns the key. Its caller is to be sent there, or told
-    /// [`RefusalReason::OwnerGone`] where that instance is no longer a member.
+    /// Another instance owns the key. Redirect the caller to it, or refuse the request with
+    /// [`RefusalReason::OwnerGone`] if that instance is no longer a member.
     Elsewhere,
-    /// The request is not run.
+    /// Refuse the request.
     Refuse(Refusal),
 }
 
-/// The right to run one key, given out once.
+/// The exclusive right to run one key.
 #[derive(Debug, PartialEq, Eq)]
-#[must_use = "a claim that is lost leaves its key running for ever"]
+#[must_use = "a dropped claim leaves its key marked as running"]
 pub struct Claim {
     unique: Uuid,
 }
 
-/// What a table holds at the moment.
+/// The contents of a table, as counts and sizes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct TableUsage {
-    /// Keys that are running.
+    /// The number of running keys.
     pub running: usize,
-    /// Keys whose run has ended.
+    /// The number of keys whose run has ended.
     pub ended: usize,
-    /// Answers that can be given again.
+    /// The number of stored responses.
     pub answers: usize,
-    /// What these answers take.
+    /// The total size of the stored responses.
     pub answers_size: ByteSize,
 }
 
@@ -77,9 +77,9 @@
     options: TableOptions,
     running: BTreeMap<Uuid, Running>,
     ended: BTreeMap<Uuid, Ended<A>>,
-    /// The newest key that was forgotten: none up to it is ever run again.
+    /// The newest evicted key. Unknown keys up to it are refused.
     evicted_through: Uuid,
-    /// The keys whose answers are kept, the oldest first.
+    /// The keys with stored responses, oldest first.
     answered: BTreeSet<Uuid>,
     answers_bytes: u64,
 }
@@ -87,7 +87,7 @@
 #[derive(Clone, Debug)]
 struct Running {
     fingerprint: Fingerprint,
-    /// Whether a byte may have gone out to an upstream.
+    /// Whether any byte may have been sent to an upstream.
     written: bool,
 }
 
@@ -118,12 +118,12 @@
         }
     }
 
-    /// Returns the name that callers put into keys for this process.
+    /// Returns the owner name that callers put into keys for this process.
     pub fn owner(&self) -> &OwnerId {
         &self.owner
     }
 
-    /// Decides about a request that came with a key, at `now`.
+    /// Decides what to do with a request that carries a key.
     pub fn begin(
         &mut self,
         key: &IdempotencyKey,
@@ -150,19 +150,19 @@
         Begin::Run(Claim { unique })
     }
 
-    /// Notes that the request's first byte is about to go to an upstream. To
-    /// be called before it does.
+    /// Records that the request may reach an upstream. Must be called before its first byte
+    /// is sent.
     pub fn mark_written(&mut self, claim: &Claim) {
         self.set_written(claim, true);
     }
 
-    /// Notes that the upstream provably ran nothing: it said so itself, or no
-    /// byte went out after all. The claim may be used for another attempt.
+    /// Records that the upstream did not run the request: it said so, or no byte was sent.
+    /// The claim may be used for another attempt.
     pub fn mark_not_run(&mut self, claim: &Claim) {
         self.set_written(claim, false);
     }
 
-    /// Keeps the whole answer of a request that was run.
+    /// Stores the complete response of a request.
     pub fn finish(&mut self, claim: Claim, answer: A) {
         if !self.can_store(answer.size()) {
             self.finish_without_answer(claim);
@@ -176,19 +176,19 @@
         }
     }
 
-    /// Notes that a request was run whose answer is too large to be kept.
+    /// Records that a request was run whose response is too large to store.
     pub fn finish_without_answer(&mut self, claim: Claim) {
         self.end(&claim, RunResult::AnswerDropped);
     }
 
-    /// Tells whether an answer of this size is kept.
+    /// Tells whether a response of this size is stored.
     pub fn can_store(&self, size: ByteSize) -> bool {
         size <= self.options.answer_max
     }
 
-    /// Gives up a request without a whole answer, and tells what is known.
+    /// Ends a request without a complete response and returns its outcome.
     ///
-    /// Where nothing was written the key may be begun again.
+    /// If nothing was written, the key may begin again.
     pub fn abandon(&mut self, claim: Claim) -> Outcome {
         let running = self.running.get(&claim.unique);
         if running.is_some_and(|running| !running.written) {
@@ -199,13 +199,13 @@
         Outcome::Unknown
     }
 
-    /// Forgets keys beyond their validity; to be called about once a second,
-    /// so that memory is given back also where no more requests come.
+    /// Evicts expired keys. Should be called about once a second, so that memory is freed
+    /// when no requests arrive.
     pub fn tick(&mut self, now: WallTime) {
         self.evict(now, self.options.validity, EVICTIONS_PER_TICK_MAX);
     }
 
-    /// Returns what the table holds.
+    /// Returns the current usage.
     pub fn usage(&self) -> TableUsage {
         TableUsage {
             running: self.running.len(),
@@ -255,8 +255,8 @@
         None
     }
 
-    /// Tells whether there is room for a key; where there is none, the oldest
-    /// make room that were kept for the least time.
+    /// Evicts keys older than the minimum validity if the table is full. Tells whether
+    /// there is room for a key.
     fn evict_if_full(&mut self, now: WallTime) -> bool {
         if self.is_full() {
             self.evict(now, self.options.validity_min, EVICTIONS_PER_BEGIN_MAX);
@@ -268,7 +268,7 @@
         self.running.len() + self.ended.len() >= self.options.keys_max
     }
 
-    /// Returns the time until the oldest key makes room.
+    /// Returns the time until the oldest key can be evicted.
     fn retry_after_full(&self, now: WallTime) -> Duration {
         let oldest = self.ended.first_key_value();
         let free_at = oldest.map(|(unique, _)| minted_at(*unique) + self.options.validity_min);
@@ -296,8 +296,8 @@
         true
     }
 
-    /// Forgets the oldest keys that were minted more than `age` ago, at most
-    /// `most` of them.
+    /// Evicts at most `max_count` of the oldest keys, which were minted more than `age`
+    /// ago.
     fn evict(&mut self, now: WallTime, age: Duration, max_count: usize) {
         for _ in 0..max_count {
             let Some(oldest) = self.ended.first_entry() else {
--- a/crates/foxtide-core/tests/idempotency_key.rs
+++ b/crates/foxtide-core/tests/idempotency_key.rs
@@ -1,4 +1,4 @@
-//! Keys name their owner and carry their time, and nothing else is a key.
+//! Parsing and formatting of idempotency keys.
 
 use foxtide_core::idempotency::{
     IdempotencyKey,
--- a/crates/foxtide-core/tests/idempotency_model/mod.rs
+++ b/crates/foxtide-core/tests/idempotency_model/mod.rs
@@ -1,8 +1,6 @@
-//! A small world in which copies of non-idempotent requests meet every fault:
-//! instances, what is under way to the upstream, and a caller that retries.
-//!
-//! A pause needs no step of its own: the steps of a copy may lie as far apart
-//! as the explorer or the random sequence puts them.
+//! A model of copies of non-idempotent requests under faults: instances, requests sent to
+//! the upstream and a caller that retries. Pauses are covered by the arbitrary order of
+//! steps.
 
 use foxtide_core::idempotency::{
     Begin,
@@ -36,39 +34,39 @@
     }
 }
 
-/// A mistake that the checks have to find.
+/// A bug that the checks must detect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum InjectedBug {
-    /// None: the checks must hold.
+    /// No bug: the checks must hold.
     None,
-    /// Whichever instance is asked runs the key: affinity alone.
+    /// Any instance runs the key, as with affinity alone.
     AnyInstanceRuns,
-    /// A process that starts again takes its predecessor's name.
+    /// A restarted process reuses the name of its predecessor.
     SameNameAfterRestart,
-    /// A full table forgets its keys and goes on.
+    /// A full table drops its keys and continues.
     ForgetsWhenFull,
-    /// A table forgets expired keys without refusing them afterwards.
+    /// A table drops expired keys without refusing them afterwards.
     ForgetsWithoutBound,
-    /// A byte goes out before the table was told.
+    /// A byte is sent before it is recorded in the table.
     WriteNotNoted,
-    /// An attempt without an answer is sent once more.
+    /// An attempt without a response is sent again.
     ResendsAfterWrite,
-    /// An instance that cannot reach the owner says that nothing was run.
+    /// An instance that cannot reach the owner reports that the request was not run.
     OwnerGoneIsNotRun,
 }
 
-/// What must never come about.
+/// A broken guarantee.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Violation {
     /// A key was run more than once.
     DoubledRun,
-    /// Not-run was said of a key that was run or is under way to an upstream.
+    /// A key was reported as not run although it was run or may still be.
     FalseNotRun,
-    /// Done was said of a key that was not run.
+    /// A key was reported as done although it was not run.
     FalseDone,
 }
 
-/// The size of a world.
+/// The size of a model.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Bounds {
     pub(crate) instances: usize,
@@ -77,35 +75,34 @@
     pub(crate) restarts: usize,
     pub(crate) jumps: usize,
     pub(crate) keys_max: usize,
-    /// How far a clock jumps, in seconds.
+    /// The size of a clock jump, in seconds.
     pub(crate) jump_s: u64,
 }
 
-/// One thing that happens.
+/// An event in the model.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Step {
     /// The caller sends a copy of a request.
     Send { key: usize, instance: usize },
-    /// A copy arrives, at an instance that may believe the owner to be gone,
-    /// rightly or not.
+    /// A copy arrives at an instance, which may consider the owner gone.
     Arrive { copy: usize, owner_gone: bool },
-    /// The copy's first byte goes to the upstream.
+    /// The copy's first byte is sent to the upstream.
     Write { copy: usize },
     /// Nothing could be sent: the connection was refused.
     WriteFails { copy: usize },
-    /// The copy's deadline passes, or its caller goes.
+    /// The copy's deadline passes or its caller disconnects.
     GiveUp { copy: usize },
-    /// The upstream says that it does not run the copy.
+    /// The upstream refuses to run the copy.
     UpstreamRefuses { copy: usize },
-    /// The upstream runs what reached it.
+    /// The upstream runs a request that reached it.
     UpstreamRuns { sent: usize },
-    /// The upstream's whole answer arrives.
+    /// The upstream's complete response arrives.
     Answered { copy: usize },
-    /// A process dies and another starts in its place.
+    /// A process dies and another replaces it.
     Restart { instance: usize },
-    /// An instance's clock jumps ahead.
+    /// An instance's clock jumps forward.
     ClockForward { instance: usize },
-    /// It jumps back.
+    /// An instance's clock jumps back.
     ClockBack { instance: usize },
 }
 
@@ -130,7 +127,7 @@
     now: WallTime,
 }
 
-/// A request whose first byte went out: the upstream may run it at any time.
+/// A request whose first byte was sent; the upstream may run it at any time.
 #[derive(Debug, PartialEq, Eq)]
 struct SentRequest {
     key: usize,
@@ -144,7 +141,7 @@
     Refused,
 }
 
-/// The world and what it has come to.
+/// The state of the model.
 #[derive(Debug)]
 pub(crate) struct Model {
     bounds: Bounds,
@@ -155,7 +152,7 @@
     sent: Vec<SentRequest>,
     restarts: usize,
     jumps: usize,
-    /// What came about and must not.
+    /// The guarantees that were broken.
     pub(crate) violations: Vec<Violation>,
 }
 
@@ -183,7 +180,7 @@
         }
     }
 
-    /// Returns all that may happen next.
+    /// Returns all possible next steps.
     pub(crate) fn steps(&self) -> Vec<Step> {
         let mut steps = Vec::new();
         self.caller_steps(&mut steps);
@@ -247,7 +244,7 @@
         }
     }
 
-    /// Takes one step.
+    /// Applies one step.
     pub(crate) fn take(&mut self, step: Step) {
         match step {
             Step::Send { key, instance } => self.copies.push(RequestCopy {
@@ -296,8 +293,7 @@
         instance.table.begin(&key, fingerprint, instance.now)
     }
 
-    /// Sends the caller to the owner or, where that is believed to be gone,
-    /// tells it so.
+    /// Redirects the caller to the owner or, if that is considered gone, reports it.
     fn redirect(&mut self, copy: usize, owner_gone: bool) {
         if owner_gone {
             let outcome = if self.bug == InjectedBug::OwnerGoneIsNotRun {
@@ -419,7 +415,7 @@
         self.sent.iter().filter(ran).count()
     }
 
-    /// Tells whether a key was run or is under way to the upstream.
+    /// Tells whether a key was run or is still on its way to the upstream.
     fn may_run(&self, key: usize) -> bool {
         let may = |sent: &SentRequest| sent.key == key && sent.state != SentState::Refused;
         self.sent.iter().any(may)
