--- a/crates/foxtide-core/tests/quota_model/fleet.rs
+++ b/crates/foxtide-core/tests/quota_model/fleet.rs
@@ -221,7 +221,7 @@
         if process.cache.take(now) {
             return Some(0);
         }
-        let question = QuotaRequest {
+        let request = QuotaRequest {
             organisation: self.organisation.clone(),
             priority: 1,
             wanted: process.cache.wanted(),
@@ -235,7 +235,7 @@
             .collect();
         let mut is_silent = false;
         for (source, is_same_region) in sources {
-            match self.answer(at, source, &question, now_ms) {
+            match self.answer(at, source, &request, now_ms) {
                 QuotaAnswer::Granted { tokens } => {
                     self.instances[at].process.cache.put(tokens - 1, now);
                     return Some(if is_same_region {
@@ -265,7 +265,7 @@
         &mut self,
         from: usize,
         to: usize,
-        question: &QuotaRequest,
+        request: &QuotaRequest,
         now_ms: u64,
     ) -> QuotaAnswer {
         let is_reached =
@@ -281,7 +281,7 @@
         let since = process.members.changed_at(&one.member.region);
         process
             .coordinator
-            .ask(question, &parts, since, time(now_ms))
+            .ask(request, &parts, since, time(now_ms))
     }
 
     /// Tells whether an instance considers itself the coordinator of its region and its
