--- a/crates/foxtide-core/src/quota/mod.rs
+++ b/crates/foxtide-core/src/quota/mod.rs
@@ -14,11 +14,11 @@
 //!
 //! - tokens expire after [`TOKEN_TIME`];
 //! - a new bucket holds what it would have accrued since the region's instances last
-//!   changed,   so that a failover or restart does not grant a second burst;
+//!   changed, so that a failover or restart does not grant a second burst;
 //! - a newly started process refills its buckets at a reduced rate, since another instance
-//!   may   still hand out the same part;
+//!   may still hand out the same part;
 //! - an instance whose coordinators do not answer has only [`FallbackTokens`], its share of
-//!   a   small part of the bound's slack.
+//!   a small part of the bound's slack.
 
 mod bucket;
 mod coordinator;
