--- a/crates/foxtide-core/src/admission/coordinator.rs
+++ b/crates/foxtide-core/src/admission/coordinator.rs
@@ -1,4 +1,4 @@
-//! The slots of all upstreams for which this instance speaks.
+//! Slot coordination for the upstreams that this instance is responsible for.
 
 use super::queue::SlotQueue;
 use super::request::{
@@ -14,17 +14,17 @@
 };
 use std::collections::HashMap;
 
-/// An answer and whom it is for.
-pub type Directed = (Ticket, Answer);
+/// An answer with the ticket of the request that it belongs to.
+pub type AddressedAnswer = (Ticket, Answer);
 
-/// The slots of an upstream since it started.
+/// The slot queue of one run of an upstream.
 #[derive(Clone, Debug, Default)]
 struct Incarnation {
     born_at: Option<WallTime>,
     queue: SlotQueue,
 }
 
-/// Gives out the slots of upstreams to those that ask.
+/// Grants the slots of upstreams to the requests of all instances.
 #[derive(Clone, Debug, Default)]
 pub struct Coordinator {
     queues: HashMap<UpstreamId, Incarnation>,
@@ -32,54 +32,63 @@
 }
 
 impl Coordinator {
-    /// Takes in a question about an upstream with `slots` slots; one that asks again
-    /// keeps its place and is answered as things stand then.
-    pub fn ask(&mut self, request: &SlotRequest, slots: u32, now: MonotonicTime) -> Vec<Directed> {
+    /// Asks for a slot of an upstream that has `slots` of them. A repeated request keeps
+    /// its place in the queue and gets its current answer.
+    pub fn ask(
+        &mut self,
+        request: &SlotRequest,
+        slots: u32,
+        now: MonotonicTime,
+    ) -> Vec<AddressedAnswer> {
         let mut answers = Vec::new();
         let queue = self.queue_of(request);
         queue.set_slots(slots);
         queue.ask(request, now, &mut answers);
         self.upstreams
             .insert(request.ticket, request.upstream.clone());
-        self.forget_refused(&answers);
+        self.remove_rejected(&answers);
         answers
     }
 
     /// Counts a request that is sent without a grant.
-    pub fn tell(&mut self, request: &SlotRequest, slots: u32, now: MonotonicTime) {
+    pub fn record_ungranted(&mut self, request: &SlotRequest, slots: u32, now: MonotonicTime) {
         let queue = self.queue_of(request);
         queue.set_slots(slots);
-        queue.tell(request, now);
+        queue.record_ungranted(request, now);
         self.upstreams
             .insert(request.ticket, request.upstream.clone());
     }
 
-    /// Takes in that a request ended or that its asker waits no longer.
-    pub fn end(&mut self, ticket: Ticket, ending: Ending, now: MonotonicTime) -> Vec<Directed> {
+    /// Releases the slot of a request that ended or whose requester no longer waits.
+    pub fn end(
+        &mut self,
+        ticket: Ticket,
+        ending: Ending,
+        now: MonotonicTime,
+    ) -> Vec<AddressedAnswer> {
         let mut answers = Vec::new();
         let upstream = self.upstreams.remove(&ticket);
         let incarnation = upstream.and_then(|upstream| self.queues.get_mut(&upstream));
         if let Some(Incarnation { queue, .. }) = incarnation {
             queue.end(ticket, ending, now, &mut answers);
         }
-        self.forget_refused(&answers);
+        self.remove_rejected(&answers);
         answers
     }
 
-    /// Forgets the incarnations that `is_known` does not know.
+    /// Drops the queues whose upstream and start time `is_known` does not accept.
     pub fn retain(&mut self, is_known: impl Fn(&UpstreamId, Option<WallTime>) -> bool) {
         self.queues
             .retain(|upstream, incarnation| is_known(upstream, incarnation.born_at));
         let queues = &self.queues;
         self.upstreams.retain(|ticket, upstream| {
             let incarnation = queues.get(upstream);
-            incarnation.is_some_and(|incarnation| incarnation.queue.knows(*ticket))
+            incarnation.is_some_and(|incarnation| incarnation.queue.contains(*ticket))
         });
     }
 
-    /// Returns the slots that a request asks for. An upstream that has started again holds
-    /// no request of before and knows no object; one that asks for an earlier incarnation
-    /// learns of its end before it sends anything.
+    /// Returns the queue of the request's upstream. A later start time replaces the queue,
+    /// since a restarted upstream has no requests in progress and no cached objects.
     fn queue_of(&mut self, request: &SlotRequest) -> &mut SlotQueue {
         let incarnation = self.queues.entry(request.upstream.clone()).or_default();
         if incarnation.born_at < request.born_at {
@@ -91,7 +100,7 @@
         &mut incarnation.queue
     }
 
-    fn forget_refused(&mut self, answers: &[Directed]) {
+    fn remove_rejected(&mut self, answers: &[AddressedAnswer]) {
         for (ticket, answer) in answers {
             if matches!(answer, Answer::Refused { .. } | Answer::Busy) {
                 self.upstreams.remove(ticket);
--- a/crates/foxtide-core/src/quota/bucket.rs
+++ b/crates/foxtide-core/src/quota/bucket.rs
@@ -1,40 +1,39 @@
-//! The tokens of one part of a quota.
+//! The token bucket of one region's part of a quota.
 
 use super::parts::QuotaParts;
 use crate::time::MonotonicTime;
 use std::time::Duration;
 
-/// The part of a bucket that is left to the most urgent requests of the organisation: it
-/// matters only when the quota binds, and gives these the first of what is refilled.
-const URGENT_SHARE: f64 = 0.1;
+/// The share of a bucket's capacity that is reserved for the organisation's
+/// highest-priority requests.
+const URGENT_RESERVE_SHARE: f64 = 0.1;
 
-/// How long after the last urgent request a part of the bucket is left to such.
-const URGENT_TIME: Duration = Duration::from_secs(5);
+/// How long the reserve is held after the last highest-priority request.
+const URGENT_RESERVE_TIME: Duration = Duration::from_secs(5);
 
-/// What a bucket keeps of its capacity before more than one token is handed out at a time:
-/// tokens that lie unused with one instance are missing to another.
-const AHEAD_SHARE: f64 = 0.5;
+/// The share of the capacity below which tokens are handed out one at a time, since tokens
+/// cached at one instance are missing at the others.
+const PREFETCH_RESERVE_SHARE: f64 = 0.5;
 
-/// The part of its rate at which a process refills its buckets that has just started: for a
-/// moment another instance is still asked for the same part. It is more than what
-/// organisations use of their quota on an ordinary day (five eighths, where quotas are
-/// sold at 1.6 times the usual load), so that a start of all instances at once refuses none.
-pub(super) const YOUNG_SHARE: f64 = 0.65;
+/// The share of its refill rate that a newly started process uses, since another instance
+/// may still hand out the same part for a moment.
+pub(super) const STARTUP_RATE_SHARE: f64 = 0.65;
 
-/// How long that holds: a change of the members is known to all in 2.2 to 3 s.
-pub(super) const YOUNG_TIME: Duration = Duration::from_secs(3);
+/// How long a process refills at the reduced rate: as long as a membership change takes to
+/// reach all instances.
+pub(super) const STARTUP_TIME: Duration = Duration::from_secs(3);
 
-/// The longest time after which a caller is told to come back.
+/// The longest retry delay in a refusal.
 const RETRY_AFTER_MAX: Duration = Duration::from_secs(10);
 
-/// A token bucket whose refusals promise its tokens in the order of the questions.
+/// A token bucket that assigns future tokens to refused requests in order of arrival.
 #[derive(Clone, Debug)]
 pub(super) struct Bucket {
     tokens: f64,
     refilled_at: MonotonicTime,
-    /// When the token comes that was promised last.
-    promised_at: MonotonicTime,
-    /// The rank of the most urgent requests of late, and when the last of them came.
+    /// When the latest assigned token becomes available.
+    last_retry_at: MonotonicTime,
+    /// The highest recent priority, and when it was last seen.
     most_urgent: (u32, MonotonicTime),
 }
 
@@ -44,16 +43,16 @@
         Self {
             tokens,
             refilled_at: now,
-            promised_at: now,
+            last_retry_at: now,
             most_urgent: (priority, now),
         }
     }
 
-    /// Takes up to `wanted` tokens for requests of one rank.
+    /// Takes up to `wanted` tokens for requests of one priority.
     ///
     /// # Errors
     ///
-    /// Fails with the time after which there is one, where there is none now.
+    /// Returns the time until a token is available if there is none now.
     pub(super) fn take(
         &mut self,
         wanted: u32,
@@ -66,10 +65,10 @@
         let reserve = self.reserve(priority, parts.capacity(), now);
         let available = self.tokens - reserve;
         if available < 1.0 {
-            return Err(self.promise(1.0 - available, rate_rps, now));
+            return Err(self.schedule_retry(1.0 - available, rate_rps, now));
         }
-        let ahead = (available - parts.capacity() * AHEAD_SHARE).max(0.0);
-        let granted = 1 + (ahead as u32).min(wanted.saturating_sub(1));
+        let prefetched = (available - parts.capacity() * PREFETCH_RESERVE_SHARE).max(0.0);
+        let granted = 1 + (prefetched as u32).min(wanted.saturating_sub(1));
         self.tokens -= f64::from(granted);
         Ok(granted)
     }
@@ -80,18 +79,19 @@
         self.tokens = (self.tokens + passed_s * rate_rps).min(capacity);
     }
 
-    /// Returns the tokens that are left to more urgent requests.
+    /// Returns the tokens that are reserved for requests of higher priority.
     fn reserve(&mut self, priority: u32, capacity: f64, now: MonotonicTime) -> f64 {
         let (most_urgent, seen_at) = self.most_urgent;
-        if priority <= most_urgent || now - seen_at > URGENT_TIME {
+        if priority <= most_urgent || now - seen_at > URGENT_RESERVE_TIME {
             self.most_urgent = (priority, now);
             return 0.0;
         }
-        capacity * URGENT_SHARE
+        capacity * URGENT_RESERVE_SHARE
     }
 
-    /// Returns when there is a token for one more, after all to whom one was promised.
-    fn promise(&mut self, missing: f64, rate_rps: f64, now: MonotonicTime) -> Duration {
+    /// Assigns the next unassigned token to a refusal and returns the time until it is
+    /// available.
+    fn schedule_retry(&mut self, missing: f64, rate_rps: f64, now: MonotonicTime) -> Duration {
         if rate_rps <= 0.0 {
             return RETRY_AFTER_MAX;
         }
@@ -100,8 +100,8 @@
             Duration::from_secs_f64(seconds.min(RETRY_AFTER_MAX.as_secs_f64()))
         };
         let latest = now + RETRY_AFTER_MAX;
-        let promised_at = (now + seconds(missing)).max(self.promised_at + seconds(1.0));
-        self.promised_at = promised_at.min(latest);
-        self.promised_at - now
+        let last_retry_at = (now + seconds(missing)).max(self.last_retry_at + seconds(1.0));
+        self.last_retry_at = last_retry_at.min(latest);
+        self.last_retry_at - now
     }
 }
--- a/crates/foxtide-core/src/quota/coordinator.rs
+++ b/crates/foxtide-core/src/quota/coordinator.rs
@@ -1,9 +1,9 @@
-//! The parts of quotas that one instance hands out.
+//! Hands out the parts of quotas that this instance coordinates.
 
 use super::bucket::{
     Bucket,
-    YOUNG_SHARE,
-    YOUNG_TIME, //
+    STARTUP_RATE_SHARE,
+    STARTUP_TIME, //
 };
 use super::parts::QuotaParts;
 use crate::ids::OrganisationId;
@@ -11,48 +11,48 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// How long a bucket is kept that nobody asks for; a new one holds as much by then.
-const UNUSED_TIME: Duration = Duration::from_secs(120);
+/// How long an unused bucket is retained; a new one would hold as many tokens by then.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(120);
 
-/// What an instance asks for.
+/// A request for tokens of a quota.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct QuotaQuestion {
-    /// The organisation whose request it has.
+pub struct QuotaRequest {
+    /// The organisation that the tokens are for.
     pub organisation: OrganisationId,
-    /// The rank of the request; 0 is the highest.
+    /// The priority of the request; 0 is the highest.
     pub priority: u32,
-    /// How many tokens it can use before they lapse, one at least.
+    /// The number of tokens that can be used before they expire; at least one.
     pub wanted: u32,
 }
 
-/// What a coordinator says.
+/// A coordinator's answer to a quota request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum QuotaAnswer {
-    /// So many requests may be forwarded, one at least.
+    /// The requests may be forwarded.
     Granted {
-        /// The number.
+        /// The number of tokens; at least one.
         tokens: u32,
     },
-    /// Its part of the quota is used up.
+    /// This part of the quota is used up.
     Refused {
-        /// When there is a token, after those that were promised to others.
+        /// The time until a token is available that is not assigned to an earlier refusal.
         retry_after: Duration,
     },
-    /// It does not hand out this quota: it knows of another that does, or it cannot tell.
-    NotMine,
+    /// The instance does not coordinate this quota or cannot tell whether it does.
+    NotCoordinator,
 }
 
 #[derive(Clone, Debug)]
-struct Part {
+struct BucketEntry {
     bucket: Bucket,
-    asked_at: MonotonicTime,
+    last_request_at: MonotonicTime,
 }
 
-/// Hands out the tokens of the parts of quotas for which this instance speaks.
+/// Hands out the tokens of the quota parts that this instance coordinates.
 #[derive(Clone, Debug, Default)]
 pub struct QuotaCoordinator {
     started_at: MonotonicTime,
-    parts: HashMap<OrganisationId, Part>,
+    buckets: HashMap<OrganisationId, BucketEntry>,
 }
 
 impl QuotaCoordinator {
@@ -60,50 +60,50 @@
     pub fn new(now: MonotonicTime) -> Self {
         Self {
             started_at: now,
-            parts: HashMap::new(),
+            buckets: HashMap::new(),
         }
     }
 
-    /// Answers a question. `since` is when the instances of the region last changed: until
-    /// then another one may have handed out this part.
+    /// Answers a request. `members_changed_at` is when the instances of the region last
+    /// changed; until then another instance may have handed out this part.
     pub fn ask(
         &mut self,
-        question: &QuotaQuestion,
+        request: &QuotaRequest,
         parts: &QuotaParts,
-        since: MonotonicTime,
+        members_changed_at: MonotonicTime,
         now: MonotonicTime,
     ) -> QuotaAnswer {
         let rate_rps = self.rate_rps(parts, now);
-        let priority = question.priority;
+        let priority = request.priority;
         let started_at = self.started_at;
-        let part = self
-            .parts
-            .entry(question.organisation.clone())
+        let entry = self
+            .buckets
+            .entry(request.organisation.clone())
             .or_insert_with(|| {
-                let gained = (now - since.max(started_at)).as_secs_f64() * rate_rps;
-                let tokens = gained.clamp(parts.first_tokens(), parts.capacity());
-                Part {
+                let accrued = (now - members_changed_at.max(started_at)).as_secs_f64() * rate_rps;
+                let tokens = accrued.clamp(parts.first_tokens(), parts.capacity());
+                BucketEntry {
                     bucket: Bucket::new(tokens, priority, now),
-                    asked_at: now,
+                    last_request_at: now,
                 }
             });
-        part.asked_at = now;
-        let wanted = question.wanted;
-        match part.bucket.take(wanted, priority, rate_rps, parts, now) {
+        entry.last_request_at = now;
+        let wanted = request.wanted;
+        match entry.bucket.take(wanted, priority, rate_rps, parts, now) {
             Ok(tokens) => QuotaAnswer::Granted { tokens },
             Err(retry_after) => QuotaAnswer::Refused { retry_after },
         }
     }
 
-    /// Forgets the parts that nobody has asked for in a while.
+    /// Drops the buckets that were not used recently.
     pub fn prune(&mut self, now: MonotonicTime) {
-        self.parts
-            .retain(|_, part| now - part.asked_at < UNUSED_TIME);
+        self.buckets
+            .retain(|_, entry| now - entry.last_request_at < IDLE_TIMEOUT);
     }
 
     fn rate_rps(&self, parts: &QuotaParts, now: MonotonicTime) -> f64 {
-        let is_young = now - self.started_at < YOUNG_TIME;
-        let share = if is_young { YOUNG_SHARE } else { 1.0 };
+        let is_starting = now - self.started_at < STARTUP_TIME;
+        let share = if is_starting { STARTUP_RATE_SHARE } else { 1.0 };
         parts.rate_rps() * share
     }
 }
--- a/crates/foxtide-core/tests/idempotency_model/mod.rs
+++ b/crates/foxtide-core/tests/idempotency_model/mod.rs
@@ -1,18 +1,16 @@
-//! A small world in which copies of non-idempotent requests meet every fault:
-//! instances, what is under way to the upstream, and a caller that retries.
-//!
-//! A pause needs no step of its own: the steps of a copy may lie as far apart
-//! as the explorer or the random sequence puts them.
+//! A model of copies of non-idempotent requests under faults: instances, requests sent to
+//! the upstream and a caller that retries. Pauses are covered by the arbitrary order of
+//! steps.
 
 use foxtide_core::idempotency::{
     Begin,
     Claim,
     Fingerprint,
     IdempotencyKey,
-    KeptAnswer,
     OwnerId,
     ProcessNumber,
     RefusalReason,
+    ReplayableAnswer,
     Table,
     TableOptions, //
 };
@@ -30,45 +28,45 @@
 #[derive(Clone, Debug)]
 struct Answer;
 
-impl KeptAnswer for Answer {
+impl ReplayableAnswer for Answer {
     fn size(&self) -> ByteSize {
         ByteSize::from_bytes(1)
     }
 }
 
-/// A mistake that the checks have to find.
+/// A bug that the checks must detect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Mistake {
-    /// None: the checks must hold.
+pub(crate) enum InjectedBug {
+    /// No bug: the checks must hold.
     None,
-    /// Whichever instance is asked runs the key: affinity alone.
+    /// Any instance runs the key, as with affinity alone.
     AnyInstanceRuns,
-    /// A process that starts again takes its predecessor's name.
+    /// A restarted process reuses the name of its predecessor.
     SameNameAfterRestart,
-    /// A full table forgets its keys and goes on.
+    /// A full table drops its keys and continues.
     ForgetsWhenFull,
-    /// A table forgets expired keys without refusing them afterwards.
+    /// A table drops expired keys without refusing them afterwards.
     ForgetsWithoutBound,
-    /// A byte goes out before the table was told.
+    /// A byte is sent before it is recorded in the table.
     WriteNotNoted,
-    /// An attempt without an answer is sent once more.
+    /// An attempt without a response is sent again.
     ResendsAfterWrite,
-    /// An instance that cannot reach the owner says that nothing was run.
+    /// An instance that cannot reach the owner reports that the request was not run.
     OwnerGoneIsNotRun,
 }
 
-/// What must never come about.
+/// A broken guarantee.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Violation {
     /// A key was run more than once.
     DoubledRun,
-    /// Not-run was said of a key that was run or is under way to an upstream.
+    /// A key was reported as not run although it was run or may still be.
     FalseNotRun,
-    /// Done was said of a key that was not run.
+    /// A key was reported as done although it was not run.
     FalseDone,
 }
 
-/// The size of a world.
+/// The size of a model.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Bounds {
     pub(crate) instances: usize,
@@ -77,35 +75,34 @@
     pub(crate) restarts: usize,
     pub(crate) jumps: usize,
     pub(crate) keys_max: usize,
-    /// How far a clock jumps, in seconds.
+    /// The size of a clock jump, in seconds.
     pub(crate) jump_s: u64,
 }
 
-/// One thing that happens.
+/// An event in the model.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Step {
     /// The caller sends a copy of a request.
     Send { key: usize, instance: usize },
-    /// A copy arrives, at an instance that may believe the owner to be gone,
-    /// rightly or not.
+    /// A copy arrives at an instance, which may consider the owner gone.
     Arrive { copy: usize, owner_gone: bool },
-    /// The copy's first byte goes to the upstream.
+    /// The copy's first byte is sent to the upstream.
     Write { copy: usize },
     /// Nothing could be sent: the connection was refused.
     WriteFails { copy: usize },
-    /// The copy's deadline passes, or its caller goes.
+    /// The copy's deadline passes or its caller disconnects.
     GiveUp { copy: usize },
-    /// The upstream says that it does not run the copy.
+    /// The upstream refuses to run the copy.
     UpstreamRefuses { copy: usize },
-    /// The upstream runs what reached it.
+    /// The upstream runs a request that reached it.
     UpstreamRuns { sent: usize },
-    /// The upstream's whole answer arrives.
+    /// The upstream's complete response arrives.
     Answered { copy: usize },
-    /// A process dies and another starts in its place.
+    /// A process dies and another replaces it.
     Restart { instance: usize },
-    /// An instance's clock jumps ahead.
+    /// An instance's clock jumps forward.
     ClockForward { instance: usize },
-    /// It jumps back.
+    /// An instance's clock jumps back.
     ClockBack { instance: usize },
 }
 
@@ -118,7 +115,7 @@
 }
 
 #[derive(Debug)]
-struct Copy {
+struct RequestCopy {
     key: usize,
     instance: usize,
     stage: Stage,
@@ -130,7 +127,7 @@
     now: WallTime,
 }
 
-/// A request whose first byte went out: the upstream may run it at any time.
+/// A request whose first byte was sent; the upstream may run it at any time.
 #[derive(Debug, PartialEq, Eq)]
 struct SentRequest {
     key: usize,
@@ -144,23 +141,23 @@
     Refused,
 }
 
-/// The world and what it has come to.
+/// The state of the model.
 #[derive(Debug)]
-pub(crate) struct World {
+pub(crate) struct Model {
     bounds: Bounds,
-    mistake: Mistake,
+    bug: InjectedBug,
     keys: Vec<IdempotencyKey>,
     instances: Vec<Instance>,
-    copies: Vec<Copy>,
+    copies: Vec<RequestCopy>,
     sent: Vec<SentRequest>,
     restarts: usize,
     jumps: usize,
-    /// What came about and must not.
+    /// The guarantees that were broken.
     pub(crate) violations: Vec<Violation>,
 }
 
-impl World {
-    pub(crate) fn new(bounds: Bounds, mistake: Mistake) -> Self {
+impl Model {
+    pub(crate) fn new(bounds: Bounds, bug: InjectedBug) -> Self {
         let owner = owner_of(OWNER, 0);
         let mint = |number: usize| {
             let minted_at = START + Duration::from_millis(number as u64);
@@ -172,7 +169,7 @@
         };
         Self {
             bounds,
-            mistake,
+            bug,
             keys: (0..bounds.keys).map(mint).collect(),
             instances: (0..bounds.instances).map(start).collect(),
             copies: Vec::new(),
@@ -183,7 +180,7 @@
         }
     }
 
-    /// Returns all that may happen next.
+    /// Returns all possible next steps.
     pub(crate) fn steps(&self) -> Vec<Step> {
         let mut steps = Vec::new();
         self.caller_steps(&mut steps);
@@ -247,10 +244,10 @@
         }
     }
 
-    /// Takes one step.
+    /// Applies one step.
     pub(crate) fn take(&mut self, step: Step) {
         match step {
-            Step::Send { key, instance } => self.copies.push(Copy {
+            Step::Send { key, instance } => self.copies.push(RequestCopy {
                 key,
                 instance,
                 stage: Stage::Sent,
@@ -269,9 +266,9 @@
     }
 
     fn arrive(&mut self, copy: usize, owner_gone: bool) {
-        let Copy { key, instance, .. } = self.copies[copy];
+        let RequestCopy { key, instance, .. } = self.copies[copy];
         let mut begin = self.begin(key, instance);
-        if self.mistake == Mistake::ForgetsWhenFull && is_full(&begin) {
+        if self.bug == InjectedBug::ForgetsWhenFull && is_full(&begin) {
             let owner = self.instances[instance].table.owner().clone();
             self.instances[instance].table = table_of(owner, self.bounds);
             begin = self.begin(key, instance);
@@ -288,7 +285,7 @@
     fn begin(&mut self, key: usize, instance: usize) -> Begin<Answer> {
         let instance = &mut self.instances[instance];
         let mut key = self.keys[key].clone();
-        if self.mistake == Mistake::AnyInstanceRuns {
+        if self.bug == InjectedBug::AnyInstanceRuns {
             let owner = instance.table.owner().clone();
             key = IdempotencyKey::mint(owner, key.minted_at(), [0; 10]);
         }
@@ -296,11 +293,10 @@
         instance.table.begin(&key, fingerprint, instance.now)
     }
 
-    /// Sends the caller to the owner or, where that is believed to be gone,
-    /// tells it so.
+    /// Redirects the caller to the owner or, if that is considered gone, reports it.
     fn redirect(&mut self, copy: usize, owner_gone: bool) {
         if owner_gone {
-            let outcome = if self.mistake == Mistake::OwnerGoneIsNotRun {
+            let outcome = if self.bug == InjectedBug::OwnerGoneIsNotRun {
                 Outcome::NotRun
             } else {
                 RefusalReason::OwnerGone.outcome()
@@ -316,8 +312,8 @@
             unreachable!("only a claimed copy is written");
         };
         let key = self.copies[copy].key;
-        if self.mistake != Mistake::WriteNotNoted {
-            self.table(copy).written(&claim);
+        if self.bug != InjectedBug::WriteNotNoted {
+            self.table(copy).mark_written(&claim);
         }
         let sent = self.send_upstream(key);
         self.copies[copy].stage = Stage::Written { claim, sent };
@@ -333,8 +329,8 @@
         let Stage::Claimed(claim) = self.take_stage(copy) else {
             unreachable!("only a claimed copy is written");
         };
-        self.table(copy).written(&claim);
-        self.table(copy).proved_not_run(&claim);
+        self.table(copy).mark_written(&claim);
+        self.table(copy).mark_not_run(&claim);
         let outcome = self.table(copy).abandon(claim);
         self.end(copy, outcome);
     }
@@ -342,7 +338,7 @@
     fn give_up(&mut self, copy: usize) {
         let stage = self.take_stage(copy);
         let key = self.copies[copy].key;
-        if self.mistake == Mistake::ResendsAfterWrite && matches!(stage, Stage::Written { .. }) {
+        if self.bug == InjectedBug::ResendsAfterWrite && matches!(stage, Stage::Written { .. }) {
             self.send_upstream(key);
         }
         if let Stage::Claimed(claim) | Stage::Written { claim, .. } = stage {
@@ -356,7 +352,7 @@
             unreachable!("only a written copy is refused");
         };
         self.sent[sent].state = SentState::Refused;
-        self.table(copy).proved_not_run(&claim);
+        self.table(copy).mark_not_run(&claim);
         let outcome = self.table(copy).abandon(claim);
         self.end(copy, outcome);
     }
@@ -378,14 +374,14 @@
 
     fn restart(&mut self, instance: usize) {
         self.restarts += 1;
-        let process = if self.mistake == Mistake::SameNameAfterRestart {
+        let process = if self.bug == InjectedBug::SameNameAfterRestart {
             0
         } else {
             self.restarts as u64
         };
         let owner = owner_of(instance, process);
         self.instances[instance].table = table_of(owner, self.bounds);
-        let lost = |copy: &&mut Copy| copy.instance == instance;
+        let lost = |copy: &&mut RequestCopy| copy.instance == instance;
         for copy in self.copies.iter_mut().filter(lost) {
             copy.stage = Stage::Ended;
         }
@@ -397,7 +393,7 @@
         let instance = &mut self.instances[instance];
         let before = instance.now;
         instance.now = change(before, by);
-        if self.mistake == Mistake::ForgetsWithoutBound && instance.now > before {
+        if self.bug == InjectedBug::ForgetsWithoutBound && instance.now > before {
             let owner = instance.table.owner().clone();
             instance.table = table_of(owner, self.bounds);
         }
@@ -419,7 +415,7 @@
         self.sent.iter().filter(ran).count()
     }
 
-    /// Tells whether a key was run or is under way to the upstream.
+    /// Tells whether a key was run or is still on its way to the upstream.
     fn may_run(&self, key: usize) -> bool {
         let may = |sent: &SentRequest| sent.key == key && sent.state != SentState::Refused;
         self.sent.iter().any(may)
--- a/crates/foxtide-core/tests/idempotency_table.rs
+++ b/crates/foxtide-core/tests/idempotency_table.rs
@@ -1,13 +1,13 @@
-//! What a table answers, case by case.
+//! Behaviour of the idempotency table, case by case.
 
 use foxtide_core::idempotency::{
     Begin,
     Claim,
     Fingerprint,
     IdempotencyKey,
-    KeptAnswer,
     OwnerId,
     RefusalReason,
+    ReplayableAnswer,
     Table,
     TableOptions,
     TableUsage, //
@@ -24,7 +24,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 struct Text(&'static str);
 
-impl KeptAnswer for Text {
+impl ReplayableAnswer for Text {
     fn size(&self) -> ByteSize {
         ByteSize::from_bytes(self.0.len() as u64)
     }
@@ -78,7 +78,7 @@
     let claim = run(&mut table, &key(1));
     let again = table.begin(&key(1), request(), START);
     assert!(matches!(again, Begin::InProgress { .. }), "{again:?}");
-    table.written(&claim);
+    table.mark_written(&claim);
     table.finish(claim, Text("opened"));
     assert!(is_replay(&mut table, &key(1), &Text("opened")));
 }
@@ -89,16 +89,16 @@
     let claim = run(&mut table, &key(1));
     assert_eq!(table.abandon(claim), Outcome::NotRun);
     let claim = run(&mut table, &key(1));
-    table.written(&claim);
-    table.proved_not_run(&claim);
+    table.mark_written(&claim);
+    table.mark_not_run(&claim);
     assert_eq!(table.abandon(claim), Outcome::NotRun);
 }
 
 #[test]
-fn verify_a_lost_answer_is_unknown_for_ever() {
+fn verify_a_lost_answer_stays_unknown() {
     let mut table = table(TableOptions::default());
     let claim = run(&mut table, &key(1));
-    table.written(&claim);
+    table.mark_written(&claim);
     assert_eq!(table.abandon(claim), Outcome::Unknown);
     let reason = refusal_at(&mut table, &key(1), START);
     assert_eq!(reason, RefusalReason::AnswerLost);
@@ -148,7 +148,7 @@
 }
 
 #[test]
-fn verify_a_forgotten_key_is_refused_also_when_the_clock_goes_back() {
+fn verify_an_evicted_key_is_refused_also_when_the_clock_goes_back() {
     let mut table = table(TableOptions::default());
     for number in [1, 3] {
         let claim = run(&mut table, &key(number));
@@ -156,12 +156,12 @@
     }
     let later = START + VALIDITY + Duration::from_millis(1);
     let claim = run_at(&mut table, &key_at(later, 1), later);
-    assert_eq!(table.usage().ended, 0, "both were forgotten");
+    assert_eq!(table.usage().ended, 0, "both are evicted");
     for number in 1..=3 {
         let reason = refusal_at(&mut table, &key(number), START);
         assert_eq!(reason, RefusalReason::KeyExpired);
     }
-    // A newer one than any that was forgotten is still good.
+    // A key newer than every evicted one is still accepted.
     let newer = run_at(&mut table, &key(4), START);
     assert_eq!(table.abandon(newer), Outcome::NotRun);
     assert_eq!(table.abandon(claim), Outcome::NotRun);
@@ -171,7 +171,7 @@
 fn verify_a_running_key_outlives_its_validity() {
     let mut table = table(TableOptions::default());
     let claim = run(&mut table, &key(1));
-    table.written(&claim);
+    table.mark_written(&claim);
     let later = START + VALIDITY * 2;
     let begin = table.begin(&key(1), request(), later);
     assert!(matches!(begin, Begin::InProgress { .. }), "{begin:?}");
@@ -196,7 +196,7 @@
 }
 
 #[test]
-fn verify_a_full_table_refuses_new_keys_and_keeps_the_known() {
+fn verify_a_full_table_refuses_new_keys_and_keeps_existing_ones() {
     let mut table = table(TableOptions {
         keys_max: 2,
         ..TableOptions::default()
@@ -217,7 +217,7 @@
 }
 
 #[test]
-fn verify_a_full_table_makes_room_and_refuses_what_it_forgot() {
+fn verify_a_full_table_evicts_old_keys_and_refuses_them() {
     let mut table = table(TableOptions {
         keys_max: 2,
         ..TableOptions::default()
--- a/crates/foxtide-core/tests/retry_properties.rs
+++ b/crates/foxtide-core/tests/retry_properties.rs
@@ -1,4 +1,4 @@
-//! What holds of retries whatever the attempts bring.
+//! Safety properties of retries under arbitrary attempt results.
 
 use foxtide_core::outcome::Outcome;
 use foxtide_core::retry::{
@@ -28,8 +28,8 @@
     ]
 }
 
-/// One request, with what is true of its attempts.
-struct Bench {
+/// One request and the actual state of its attempts.
+struct RequestModel {
     attempts: Attempts,
     budget: RetryBudget,
     now: MonotonicTime,
@@ -38,14 +38,14 @@
     idempotent: bool,
 }
 
-impl Bench {
+impl RequestModel {
     fn new(idempotent: bool) -> Self {
         let terms = RequestTerms {
             idempotent,
             deadline: START + Duration::from_secs(2),
             hedge_delay: Some(Duration::from_millis(5)),
         };
-        let mut bench = Self {
+        let mut model = Self {
             attempts: Attempts::new(terms, RetryOptions::default()),
             budget: RetryBudget::new(RetryBudgetOptions::default(), START),
             now: START,
@@ -53,17 +53,17 @@
             may_have_run: false,
             idempotent,
         };
-        bench.begin();
-        bench
+        model.begin();
+        model
     }
 
     fn begin(&mut self) {
         let may_run_twice = self.may_have_run || !self.running.is_empty();
-        assert!(self.idempotent || !may_run_twice, "it could run twice");
+        assert!(self.idempotent || !may_run_twice, "request could run twice");
         self.running.push(self.attempts.begin(self.now));
     }
 
-    /// Ends an attempt; tells whether the request goes on.
+    /// Ends an attempt; tells whether the request continues.
     fn end(&mut self, result: AttemptResult) -> bool {
         let id = self.running.remove(0);
         self.may_have_run |= !result.is_not_run();
@@ -80,7 +80,7 @@
                 false
             }
             Step::GiveUp(end) => {
-                assert!(self.running.is_empty(), "an attempt still runs");
+                assert!(self.running.is_empty(), "an attempt is still running");
                 let truth = if self.may_have_run {
                     Outcome::Unknown
                 } else {
@@ -89,7 +89,7 @@
                 assert_eq!(end.outcome, truth);
                 false
             }
-            Step::Hedge => panic!("an ended attempt is no reason to hedge"),
+            Step::Hedge => panic!("an ended attempt must not cause a hedge"),
         }
     }
 
@@ -115,13 +115,13 @@
         idempotent in any::<bool>(),
         steps in proptest::collection::vec((result(), any::<bool>(), 0..300u64), 1..40),
     ) {
-        let mut bench = Bench::new(idempotent);
+        let mut model = RequestModel::new(idempotent);
         for (result, hedge, ms) in steps {
             if hedge {
-                bench.hedge();
+                model.hedge();
             }
-            bench.now = bench.now + Duration::from_millis(ms);
-            if !bench.end(result) {
+            model.now = model.now + Duration::from_millis(ms);
+            if !model.end(result) {
                 break;
             }
         }
@@ -143,7 +143,7 @@
                 spent += f64::from(u8::from(budget.try_spend(now)));
             }
             let floor = (now - START).as_secs_f64() * options.floor_rps.get();
-            let allowed = options.saved_max + successes * options.success_share.get() + floor;
+            let allowed = options.burst + successes * options.success_share.get() + floor;
             prop_assert!(spent <= allowed + 1e-6, "{spent} of {allowed}");
         }
     }
