--- a/crates/foxtide-core/src/limits/claim.rs
+++ b/crates/foxtide-core/src/limits/claim.rs
@@ -106,18 +106,18 @@
     published: VecDeque<(MonotonicTime, Claim)>,
     usable: Claim,
     known: bool,
-    all_heard_since: Option<MonotonicTime>,
+    connected_since: Option<MonotonicTime>,
 }
 
 /// Whether what an instance publishes reaches those that share a limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Hearing {
+pub enum Connectivity {
     /// All whose claims are counted have been heard of late.
-    All,
+    Full,
     /// Some have not, but have not lost their claims yet.
-    Some,
+    Partial,
     /// The instance is cut off from the limit.
-    None,
+    Isolated,
 }
 
 impl ClaimWindow {
@@ -139,7 +139,7 @@
     /// at that time; before the first publication it is nothing. It grows only
     /// when all peers have been heard for a whole window: one that is not
     /// heard may not hear what is published either.
-    pub fn settle(&mut self, window: Duration, hearing: Hearing, now: MonotonicTime) {
+    pub fn settle(&mut self, window: Duration, connectivity: Connectivity, now: MonotonicTime) {
         let is_known = |(at, _): &(MonotonicTime, Claim)| now.since(*at) >= window;
         while self.published.get(1).is_some_and(is_known) {
             self.published.pop_front();
@@ -150,19 +150,19 @@
         if !published {
             least = Claim::default();
         }
-        if hearing != Hearing::All {
-            self.all_heard_since = None;
+        if connectivity != Connectivity::Full {
+            self.connected_since = None;
         }
-        let may_grow = hearing == Hearing::All && {
-            let since = *self.all_heard_since.get_or_insert(now);
+        let may_grow = connectivity == Connectivity::Full && {
+            let since = *self.connected_since.get_or_insert(now);
             now.since(since) >= window
         };
-        self.known = match hearing {
-            Hearing::None => false,
+        self.known = match connectivity {
+            Connectivity::Isolated => false,
             _ => self.known || (may_grow && published),
         };
-        self.usable = match hearing {
-            Hearing::None => Claim::default(),
+        self.usable = match connectivity {
+            Connectivity::Isolated => Claim::default(),
             _ if may_grow => least,
             _ => self.usable.least(least),
         };
--- a/crates/foxtide-core/src/limits/limit.rs
+++ b/crates/foxtide-core/src/limits/limit.rs
@@ -5,7 +5,7 @@
 use super::claim::{
     Claim,
     ClaimWindow,
-    Hearing, //
+    Connectivity, //
 };
 use super::gate::Gate;
 use super::split::{
@@ -106,12 +106,12 @@
         now: MonotonicTime,
     ) {
         let attached = self.heard.holds(times.attachment_hold, now);
-        let hearing = match (attached, input.stale) {
-            (false, _) => Hearing::None,
-            (true, true) => Hearing::Some,
-            (true, false) => Hearing::All,
+        let connectivity = match (attached, input.stale) {
+            (false, _) => Connectivity::Isolated,
+            (true, true) => Connectivity::Partial,
+            (true, false) => Connectivity::Full,
         };
-        self.claims.settle(times.growth_window, hearing, now);
+        self.claims.settle(times.growth_window, connectivity, now);
         self.change_mode(attached, now);
         let part = match self.mode {
             _ if input.alone => input.sold,
--- a/crates/foxtide-core/src/limits/mod.rs
+++ b/crates/foxtide-core/src/limits/mod.rs
@@ -16,7 +16,7 @@
 pub use claim::{
     Claim,
     ClaimWindow,
-    Hearing,
+    Connectivity,
     LimitUse, //
 };
 pub use split::{
