--- a/crates/foxtide-core/src/limits/limit.rs
+++ b/crates/foxtide-core/src/limits/limit.rs
@@ -1,13 +1,13 @@
 //! One instance's use of one limit: a region's or a link's sold rate.
 
 use super::TokenBucket;
-use super::attachment::Attachment;
 use super::claim::{
     Claim,
     ClaimWindow,
     Connectivity, //
 };
 use super::gate::Gate;
+use super::majority::MajorityContact;
 use super::split::{
     Claims,
     part, //
@@ -22,7 +22,7 @@
     /// How long a published claim must have been out before it counts.
     pub(crate) growth_window: Duration,
     /// How long an instance may go on without hearing the majority.
-    pub(crate) attachment_hold: Duration,
+    pub(crate) majority_hold: Duration,
     /// How long all others count a silent instance's claim, at most.
     pub(crate) claim_hold: Duration,
 }
@@ -57,7 +57,7 @@
 #[derive(Clone, Debug)]
 pub(crate) struct Limit {
     claims: ClaimWindow,
-    heard: Attachment,
+    majority: MajorityContact,
     mode: Mode,
     /// What it had when it fell back to its floor.
     had: RequestRate,
@@ -70,7 +70,7 @@
     pub(crate) fn new(now: MonotonicTime) -> Self {
         Self {
             claims: ClaimWindow::default(),
-            heard: Attachment::default(),
+            majority: MajorityContact::default(),
             mode: Mode::Floor { since: now },
             had: RequestRate::ZERO,
             gate: Gate::new(now),
@@ -79,7 +79,7 @@
 
     /// Notes how many of the instances that the limit hangs on were heard.
     pub(crate) fn observe(&mut self, live: u32, known: u32, at: MonotonicTime) {
-        self.heard.observe(live, known, at);
+        self.majority.observe(live, known, at);
     }
 
     /// Returns the claim to publish for this need, and remembers it.
@@ -105,14 +105,14 @@
         passed: Duration,
         now: MonotonicTime,
     ) {
-        let attached = self.heard.holds(times.attachment_hold, now);
-        let connectivity = match (attached, input.stale) {
+        let sees_majority = self.majority.is_recent(times.majority_hold, now);
+        let connectivity = match (sees_majority, input.stale) {
             (false, _) => Connectivity::Isolated,
             (true, true) => Connectivity::Partial,
             (true, false) => Connectivity::Full,
         };
         self.claims.settle(times.growth_window, connectivity, now);
-        self.change_mode(attached, now);
+        self.change_mode(sees_majority, now);
         let part = match self.mode {
             _ if input.alone => input.sold,
             Mode::Shared => {
@@ -130,9 +130,9 @@
         self.gate.update(part, passed, now);
     }
 
-    fn change_mode(&mut self, attached: bool, now: MonotonicTime) {
+    fn change_mode(&mut self, sees_majority: bool, now: MonotonicTime) {
         match self.mode {
-            Mode::Shared if !attached => {
+            Mode::Shared if !sees_majority => {
                 self.mode = Mode::Floor { since: now };
                 self.had = self.gate.part();
             }
--- a/crates/foxtide-core/src/limits/mod.rs
+++ b/crates/foxtide-core/src/limits/mod.rs
@@ -5,11 +5,11 @@
 //! parts under the sold rate while views differ, [`claim`] what an instance
 //! asks for, [`bucket`] how it spends its part.
 
-mod attachment;
 mod bucket;
 mod claim;
 mod gate;
 mod limit;
+mod majority;
 mod split;
 
 pub use bucket::TokenBucket;
--- a/crates/foxtide-core/src/steering/options.rs
+++ b/crates/foxtide-core/src/steering/options.rs
@@ -130,7 +130,7 @@
         LimitTimes {
             growth_window: self.growth_window,
             // It must have given up before peers reuse its part.
-            attachment_hold: self.claim_hold.saturating_sub(self.view_age_max * 2),
+            majority_hold: self.claim_hold.saturating_sub(self.view_age_max * 2),
             claim_hold: self.claim_hold,
         }
     }
