--- a/crates/foxtide-core/src/limits/limit.rs
+++ b/crates/foxtide-core/src/limits/limit.rs
@@ -6,8 +6,8 @@
     ClaimWindow,
     Connectivity, //
 };
-use super::gate::Gate;
 use super::majority::MajorityContact;
+use super::rate_limiter::RateLimiter;
 use super::split::{
     Claims,
     part, //
@@ -61,7 +61,7 @@
     mode: Mode,
     /// What it had when it fell back to its floor.
     had: RequestRate,
-    gate: Gate,
+    limiter: RateLimiter,
 }
 
 impl Limit {
@@ -73,7 +73,7 @@
             majority: MajorityContact::default(),
             mode: Mode::Floor { since: now },
             had: RequestRate::ZERO,
-            gate: Gate::new(now),
+            limiter: RateLimiter::new(now),
         }
     }
 
@@ -127,14 +127,14 @@
             Mode::Floor { since } if now.since(since) >= times.claim_hold => input.floor,
             Mode::Floor { .. } => RequestRate::clamped(self.had.get().min(input.floor.get())),
         };
-        self.gate.update(part, passed, now);
+        self.limiter.update(part, passed, now);
     }
 
     fn change_mode(&mut self, sees_majority: bool, now: MonotonicTime) {
         match self.mode {
             Mode::Shared if !sees_majority => {
                 self.mode = Mode::Floor { since: now };
-                self.had = self.gate.part();
+                self.had = self.limiter.part();
             }
             Mode::Floor { .. } if self.claims.is_known() => self.mode = Mode::Shared,
             _ => {}
@@ -143,16 +143,16 @@
 
     /// Cuts the part at once because the receiving side refused a request.
     pub(crate) fn refused(&mut self, now: MonotonicTime) {
-        self.gate.refused(now);
+        self.limiter.refused(now);
     }
 
     /// Returns the rate that the instance may send at.
     pub(crate) fn usable(&self) -> RequestRate {
-        self.gate.usable()
+        self.limiter.usable()
     }
 
     /// Returns the bucket that the part is spent from.
     pub(crate) fn bucket(&mut self) -> &mut TokenBucket {
-        self.gate.bucket()
+        self.limiter.bucket()
     }
 }
--- a/crates/foxtide-core/src/limits/mod.rs
+++ b/crates/foxtide-core/src/limits/mod.rs
@@ -7,9 +7,9 @@
 
 mod bucket;
 mod claim;
-mod gate;
 mod limit;
 mod majority;
+mod rate_limiter;
 mod split;
 
 pub use bucket::TokenBucket;
