--- a/crates/foxtide-core/src/limits/limit.rs
+++ b/crates/foxtide-core/src/limits/limit.rs
@@ -10,7 +10,7 @@
 use super::rate_limiter::RateLimiter;
 use super::split::{
     Claims,
-    part, //
+    allocate, //
 };
 use crate::time::MonotonicTime;
 use crate::units::RequestRate;
@@ -60,7 +60,7 @@
     majority: MajorityContact,
     mode: Mode,
     /// What it had when it fell back to its floor.
-    had: RequestRate,
+    fallback_max: RequestRate,
     limiter: RateLimiter,
 }
 
@@ -72,7 +72,7 @@
             claims: ClaimWindow::default(),
             majority: MajorityContact::default(),
             mode: Mode::Floor { since: now },
-            had: RequestRate::ZERO,
+            fallback_max: RequestRate::ZERO,
             limiter: RateLimiter::new(now),
         }
     }
@@ -113,11 +113,11 @@
         };
         self.claims.settle(times.growth_window, connectivity, now);
         self.change_mode(sees_majority, now);
-        let part = match self.mode {
+        let allocation = match self.mode {
             _ if input.alone => input.sold,
             Mode::Shared => {
                 let shared = input.sold.get() - input.reserved.get();
-                part(
+                allocate(
                     RequestRate::clamped(shared),
                     self.claims.usable(),
                     input.all,
@@ -125,16 +125,18 @@
             }
             // The others reserve it by then at the latest.
             Mode::Floor { since } if now.since(since) >= times.claim_hold => input.floor,
-            Mode::Floor { .. } => RequestRate::clamped(self.had.get().min(input.floor.get())),
+            Mode::Floor { .. } => {
+                RequestRate::clamped(self.fallback_max.get().min(input.floor.get()))
+            }
         };
-        self.limiter.update(part, passed, now);
+        self.limiter.update(allocation, passed, now);
     }
 
     fn change_mode(&mut self, sees_majority: bool, now: MonotonicTime) {
         match self.mode {
             Mode::Shared if !sees_majority => {
                 self.mode = Mode::Floor { since: now };
-                self.had = self.limiter.part();
+                self.fallback_max = self.limiter.allocation();
             }
             Mode::Floor { .. } if self.claims.is_known() => self.mode = Mode::Shared,
             _ => {}
--- a/crates/foxtide-core/src/limits/mod.rs
+++ b/crates/foxtide-core/src/limits/mod.rs
@@ -21,7 +21,7 @@
 };
 pub use split::{
     Claims,
-    part, //
+    allocate, //
 };
 
 pub(crate) use limit::{
--- a/crates/foxtide-core/src/limits/rate_limiter.rs
+++ b/crates/foxtide-core/src/limits/rate_limiter.rs
@@ -21,7 +21,7 @@
 #[derive(Clone, Debug)]
 pub(crate) struct RateLimiter {
     bucket: TokenBucket,
-    part: RequestRate,
+    allocation: RequestRate,
     usable_share: f64,
     refused_at: Option<MonotonicTime>,
 }
@@ -31,23 +31,23 @@
     pub(crate) fn new(now: MonotonicTime) -> Self {
         Self {
             bucket: TokenBucket::new(RequestRate::ZERO, now),
-            part: RequestRate::ZERO,
+            allocation: RequestRate::ZERO,
             usable_share: 1.0,
             refused_at: None,
         }
     }
 
     /// Sets the part, `passed` after the last time.
-    pub(crate) fn update(&mut self, part: RequestRate, passed: Duration, now: MonotonicTime) {
+    pub(crate) fn update(&mut self, allocation: RequestRate, passed: Duration, now: MonotonicTime) {
         let recovered = self.usable_share + passed.as_secs_f64() * RECOVERY_SHARE_PER_S;
         self.usable_share = recovered.min(1.0);
-        self.part = part;
+        self.allocation = allocation;
         self.bucket.set_rate(self.usable(), now);
     }
 
     /// Returns the part as it was set.
-    pub(crate) fn part(&self) -> RequestRate {
-        self.part
+    pub(crate) fn allocation(&self) -> RequestRate {
+        self.allocation
     }
 
     /// Cuts the part at once because the receiving side refused a request.
@@ -63,7 +63,7 @@
 
     /// Returns the rate that the instance may send at.
     pub(crate) fn usable(&self) -> RequestRate {
-        RequestRate::clamped(self.part.get() * self.usable_share)
+        RequestRate::clamped(self.allocation.get() * self.usable_share)
     }
 
     /// Returns the bucket that the part is spent from.
--- a/crates/foxtide-core/src/limits/split.rs
+++ b/crates/foxtide-core/src/limits/split.rs
@@ -42,7 +42,7 @@
 ///
 /// `own` is the least that every peer may know of the instance, `all` what it
 /// knows of everyone, itself counted in.
-pub fn part(sold: RequestRate, own: Claim, all: Claims) -> RequestRate {
+pub fn allocate(sold: RequestRate, own: Claim, all: Claims) -> RequestRate {
     let sold_rps = sold.get();
     // The view counts the instance in; it never counts for less than itself.
     let planned_sum = all.planned_rps.max(own.planned_rps.get());
--- a/crates/foxtide-core/tests/steering/limits.rs
+++ b/crates/foxtide-core/tests/steering/limits.rs
@@ -5,7 +5,7 @@
     ClaimWindow,
     Claims,
     Connectivity,
-    part, //
+    allocate, //
 };
 use foxtide_core::time::MonotonicTime;
 use foxtide_core::units::RequestRate;
@@ -47,7 +47,7 @@
             for (index, (claims, _)) in fleet.iter().enumerate() {
                 all.add(claims[usize::from(knows >> index & 1)]);
             }
-            total += part(RequestRate::clamped(SOLD_RPS), least(own), all).get();
+            total += allocate(RequestRate::clamped(SOLD_RPS), least(own), all).get();
         }
         prop_assert!(total <= SOLD_RPS * (1.0 + 1e-9), "{total}");
     }
@@ -59,9 +59,9 @@
         planned_rps: 80.0,
         spilled_rps: 60.0,
     };
-    let spilled = part(RequestRate::clamped(SOLD_RPS), claim(0.0, 60.0), all);
+    let spilled = allocate(RequestRate::clamped(SOLD_RPS), claim(0.0, 60.0), all);
     assert!((spilled.get() - 20.0).abs() < 1e-9);
-    let planned = part(RequestRate::clamped(SOLD_RPS), claim(80.0, 0.0), all);
+    let planned = allocate(RequestRate::clamped(SOLD_RPS), claim(80.0, 0.0), all);
     assert!((planned.get() - 80.0).abs() < 1e-9);
 }
 
