--- a/crates/foxtide-core/src/limits/claim.rs
+++ b/crates/foxtide-core/src/limits/claim.rs
@@ -13,10 +13,10 @@
 /// How far below the published claim the need must fall before it is lowered.
 ///
 /// Each change of a claim costs its growth window; noise must not cause it.
-const KEEP_DOWN_TO_SHARE: f64 = 0.7;
+const LOWER_BELOW_SHARE: f64 = 0.7;
 
 /// What a raised claim adds to the need, so that noise does not raise it again.
-const RAISE_BY_SHARE: f64 = 1.1;
+const RAISE_FACTOR: f64 = 1.1;
 
 /// What an instance, or all instances of a region, want to send to a region.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
@@ -39,7 +39,7 @@
     }
 
     /// Returns what is at least either of two claims.
-    pub(crate) fn most(self, other: Self) -> Self {
+    pub(crate) fn max(self, other: Self) -> Self {
         let planned = self.planned_rps.get().max(other.planned_rps.get());
         let spilled = self.spilled_rps.get().max(other.spilled_rps.get());
         Self {
@@ -48,7 +48,7 @@
         }
     }
 
-    fn least(self, other: Self) -> Self {
+    fn min(self, other: Self) -> Self {
         let planned = self.planned_rps.get().min(other.planned_rps.get());
         let spilled = self.spilled_rps.get().min(other.spilled_rps.get());
         Self {
@@ -126,8 +126,8 @@
         let last = self.published.back().map(|(_, claim)| *claim);
         let last = last.unwrap_or_default();
         let claim = Claim {
-            planned_rps: steadied(last.planned_rps, need.planned_rps),
-            spilled_rps: steadied(last.spilled_rps, need.spilled_rps),
+            planned_rps: with_hysteresis(last.planned_rps, need.planned_rps),
+            spilled_rps: with_hysteresis(last.spilled_rps, need.spilled_rps),
         };
         self.published.push_back((now, claim));
         claim
@@ -145,7 +145,7 @@
             self.published.pop_front();
         }
         let claims = self.published.iter().map(|(_, claim)| *claim);
-        let mut least = claims.reduce(Claim::least).unwrap_or_default();
+        let mut least = claims.reduce(Claim::min).unwrap_or_default();
         let published = self.published.front().is_some_and(is_known);
         if !published {
             least = Claim::default();
@@ -164,7 +164,7 @@
         self.usable = match connectivity {
             Connectivity::Isolated => Claim::default(),
             _ if may_grow => least,
-            _ => self.usable.least(least),
+            _ => self.usable.min(least),
         };
     }
 
@@ -179,11 +179,11 @@
     }
 }
 
-fn steadied(published: RequestRate, need: RequestRate) -> RequestRate {
+fn with_hysteresis(published: RequestRate, need: RequestRate) -> RequestRate {
     let (published_rps, need_rps) = (published.get(), need.get());
-    let within = need_rps <= published_rps && need_rps >= published_rps * KEEP_DOWN_TO_SHARE;
+    let within = need_rps <= published_rps && need_rps >= published_rps * LOWER_BELOW_SHARE;
     if within {
         return published;
     }
-    RequestRate::clamped(need_rps * RAISE_BY_SHARE)
+    RequestRate::clamped(need_rps * RAISE_FACTOR)
 }
--- a/crates/foxtide-core/src/spreading/load/record.rs
+++ b/crates/foxtide-core/src/spreading/load/record.rs
@@ -87,7 +87,7 @@
     pub(super) fn hold_claims(&mut self, before: &Self) {
         for (region, limit) in &before.sum.limits {
             let own = self.sum.limits.entry(region.clone()).or_default();
-            own.claim = own.claim.most(limit.claim);
+            own.claim = own.claim.max(limit.claim);
         }
     }
 
--- a/crates/foxtide-core/src/steering/engine.rs
+++ b/crates/foxtide-core/src/steering/engine.rs
@@ -239,7 +239,7 @@
                 .map(|service| service.claim(region, least_share));
             let need = claims.fold(Claim::default(), Claim::plus);
             let least = self.rooms.idle_claim(region, &self.options);
-            self.rooms.need(region, need.most(least));
+            self.rooms.need(region, need.max(least));
         }
     }
 
