--- a/crates/foxtide-core/src/steering/adopt.rs
+++ b/crates/foxtide-core/src/steering/adopt.rs
@@ -123,7 +123,12 @@
 
     fn add_flows(&mut self, origin: &RegionId) -> usize {
         let organisation = &self.organisation;
-        let mut flows = OriginFlows::new(organisation, origin.clone(), &self.options, &self.rooms);
+        let mut flows = OriginFlows::new(
+            organisation,
+            origin.clone(),
+            &self.options,
+            &self.destinations,
+        );
         flows.share_health(&self.flows[0]);
         // Others that serve these callers already know where they stand.
         let foreign = rows_of(&self.view.foreign(origin));
--- a/crates/foxtide-core/src/steering/decide.rs
+++ b/crates/foxtide-core/src/steering/decide.rs
@@ -4,11 +4,11 @@
     Admission,
     RefusalReason, //
 };
-use super::engine::Steering;
-use super::rooms::{
-    Full,
-    NoRoom, //
+use super::destinations::{
+    LimitExhausted, //
+    LimitKind,
 };
+use super::engine::Steering;
 use super::service::{
     Drawn,
     ServiceState, //
@@ -86,25 +86,25 @@
         let Some(drawn) = state.draw(draw) else {
             return refuse_unserved(state);
         };
-        match self.rooms.take(drawn.index, now) {
+        match self.destinations.try_acquire(drawn.index, now) {
             Ok(()) => self.send(drawn),
-            Err(no_room) => {
-                let without_room = self.retry_without_room();
+            Err(exhausted) => {
+                let without_capacity = self.retry_without_capacity();
                 let state = &self.flows[flows].services[index];
-                wait_or_refuse(state, no_room, waited, without_room)
+                wait_or_refuse(state, exhausted, waited, without_capacity)
             }
         }
     }
 
     /// Cuts this instance's part in a region whose side refused a request.
     pub fn refused_by(&mut self, region: &RegionId, now: MonotonicTime) {
-        self.rooms.refused(region, now);
+        self.destinations.refused(region, now);
     }
 
     /// Returns the wait that is told where no room is in sight: an instance
     /// that has just started gets its part once its claim has been out.
-    fn retry_without_room(&self) -> Duration {
-        match self.rooms.has_settled() {
+    fn retry_without_capacity(&self) -> Duration {
+        match self.destinations.has_settled() {
             true => RETRY_AFTER_MAX,
             false => self.options.growth_window,
         }
@@ -130,22 +130,25 @@
 
 fn wait_or_refuse(
     state: &ServiceState,
-    no_room: NoRoom,
+    exhausted: LimitExhausted,
     waited: Duration,
-    without_room: Duration,
+    without_capacity: Duration,
 ) -> Admission {
-    let retry_in = no_room.next_in.map(|next| next.max(RETRY_IN_MIN));
+    let retry_in = exhausted.next_in.map(|next| next.max(RETRY_IN_MIN));
     match retry_in.filter(|next| waited + *next <= state.priority.queue_max) {
         Some(retry_in) => Admission::Wait { retry_in },
-        None => refuse(no_room.full.into(), no_room.next_in.unwrap_or(without_room)),
+        None => refuse(
+            exhausted.limit.into(),
+            exhausted.next_in.unwrap_or(without_capacity),
+        ),
     }
 }
 
-impl From<Full> for RefusalReason {
-    fn from(full: Full) -> Self {
-        match full {
-            Full::Region => Self::RegionLimit,
-            Full::Link => Self::LinkLimit,
+impl From<LimitKind> for RefusalReason {
+    fn from(limit: LimitKind) -> Self {
+        match limit {
+            LimitKind::Region => Self::RegionLimit,
+            LimitKind::Link => Self::LinkLimit,
         }
     }
 }
--- a/crates/foxtide-core/src/steering/rooms.rs
+++ b/crates/foxtide-core/src/steering/destinations.rs
@@ -6,7 +6,7 @@
     Senders,
     heard, //
 };
-use super::target::RegionRoom;
+use super::target::FreeCapacity;
 use super::view::FleetView;
 use crate::ids::RegionId;
 use crate::limits::{
@@ -22,16 +22,16 @@
 
 /// The parts of an instance in each region's limit and in the links to them.
 #[derive(Clone, Debug)]
-pub(crate) struct Rooms {
+pub(crate) struct Destinations {
     regions: Vec<RegionId>,
     origin: RegionId,
-    rooms: Vec<Room>,
+    destinations: Vec<Destination>,
     settled: bool,
 }
 
 /// The instance's part of one region's limit and of the link to it.
 #[derive(Clone, Debug)]
-struct Room {
+struct Destination {
     sold: RequestRate,
     /// `None` inside the origin region, where no link is crossed.
     link_sold: Option<RequestRate>,
@@ -42,7 +42,7 @@
 
 /// Why a request finds no room at the moment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Full {
+pub(crate) enum LimitKind {
     /// The region's part is used up.
     Region,
     /// The link's part is used up.
@@ -51,57 +51,57 @@
 
 /// When there may be room again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct NoRoom {
+pub(crate) struct LimitExhausted {
     /// What is used up.
-    pub(crate) full: Full,
+    pub(crate) limit: LimitKind,
     /// The time until the next request may pass; `None` if none ever will.
     pub(crate) next_in: Option<Duration>,
 }
 
-impl Rooms {
+impl Destinations {
     /// Returns the parts of an instance that knows of no peer.
     pub(crate) fn new(organisation: &Organisation, origin: &RegionId, now: MonotonicTime) -> Self {
-        let mut rooms = Self {
+        let mut destinations = Self {
             regions: Vec::new(),
             origin: origin.clone(),
-            rooms: Vec::new(),
+            destinations: Vec::new(),
             settled: false,
         };
-        rooms.configure(organisation, now);
-        rooms
+        destinations.configure(organisation, now);
+        destinations
     }
 
     /// Takes over a new configuration; what was claimed stays claimed.
     pub(crate) fn configure(&mut self, organisation: &Organisation, now: MonotonicTime) {
         let names = std::mem::take(&mut self.regions).into_iter();
-        let mut known: BTreeMap<RegionId, Room> =
-            names.zip(std::mem::take(&mut self.rooms)).collect();
+        let mut known: BTreeMap<RegionId, Destination> =
+            names.zip(std::mem::take(&mut self.destinations)).collect();
         for region in &organisation.regions {
             let id = &region.region;
-            let mut room = known.remove(id).unwrap_or_else(|| Room::new(now));
+            let mut destination = known.remove(id).unwrap_or_else(|| Destination::new(now));
             let link = organisation.link(&self.origin, id);
             let link_sold = link.map_or(RequestRate::ZERO, |link| link.sold_rate_rps);
-            room.sold = region.sold_rate_rps;
-            room.link_sold = (*id != self.origin).then_some(link_sold);
+            destination.sold = region.sold_rate_rps;
+            destination.link_sold = (*id != self.origin).then_some(link_sold);
             self.regions.push(id.clone());
-            self.rooms.push(room);
+            self.destinations.push(destination);
         }
     }
 
     /// Tells whether anything may be sent to a region at all.
     pub(crate) fn reachable(&self, index: usize) -> bool {
-        let room = &self.rooms[index];
-        room.sold > RequestRate::ZERO && room.link_sold != Some(RequestRate::ZERO)
+        let destination = &self.destinations[index];
+        destination.sold > RequestRate::ZERO && destination.link_sold != Some(RequestRate::ZERO)
     }
 
     /// Notes which peers were heard.
     pub(crate) fn observe(&mut self, view: &FleetView) {
         let at = view.measured_at;
         let origin = heard(view, &self.origin);
-        for (id, room) in self.regions.iter().zip(&mut self.rooms) {
+        for (id, destination) in self.regions.iter().zip(&mut self.destinations) {
             let region = heard(view, id);
-            room.region.observe(region.live, region.known, at);
-            room.link.observe(origin.live, origin.known, at);
+            destination.region.observe(region.live, region.known, at);
+            destination.link.observe(origin.live, origin.known, at);
         }
     }
 
@@ -117,13 +117,13 @@
             .regions
             .iter()
             .position(|region| *region == self.origin);
-        let room = self.rooms.get(own.unwrap_or_default());
-        self.settled |= room.is_none_or(|room| room.region.is_settled());
+        let destination = self.destinations.get(own.unwrap_or_default());
+        self.settled |= destination.is_none_or(|destination| destination.region.is_settled());
     }
 
     /// Sets what the instance would send to a region.
-    pub(crate) fn need(&mut self, index: usize, need: Claim) {
-        self.rooms[index].need = need;
+    pub(crate) fn set_need(&mut self, index: usize, need: Claim) {
+        self.destinations[index].need = need;
     }
 
     /// Returns what an idle instance claims of a region: a part of its floor in
@@ -138,7 +138,8 @@
         }
         let floors = Floors::new(options, self.regions.len());
         let floor_share = floors.region_share(&self.origin, &self.origin);
-        let idle_rps = self.rooms[index].sold.get() * floor_share * options.idle_claim_of_floor;
+        let idle_rps =
+            self.destinations[index].sold.get() * floor_share * options.idle_claim_of_floor;
         Claim {
             planned_rps: RequestRate::clamped(idle_rps),
             ..Claim::default()
@@ -147,24 +148,29 @@
 
     /// Returns the rate that may be sent to a region.
     pub(crate) fn usable_rps(&self, index: usize) -> f64 {
-        let room = &self.rooms[index];
-        let region_rps = room.region.usable().get();
-        match room.link_sold {
-            Some(_) => region_rps.min(room.link.usable().get()),
+        let destination = &self.destinations[index];
+        let region_rps = destination.region.usable().get();
+        match destination.link_sold {
+            Some(_) => region_rps.min(destination.link.usable().get()),
             None => region_rps,
         }
     }
 
     /// Works out the room that a region has beyond what is wanted of it.
-    pub(crate) fn room(&self, index: usize, wanted_rps: f64, spill_at_share: f64) -> RegionRoom {
+    pub(crate) fn free_capacity(
+        &self,
+        index: usize,
+        wanted_rps: f64,
+        spill_at_share: f64,
+    ) -> FreeCapacity {
         let usable_rps = self.usable_rps(index) * spill_at_share;
         if wanted_rps > usable_rps {
-            return RegionRoom {
+            return FreeCapacity {
                 excess_share: 1.0 - usable_rps / wanted_rps,
                 free_rps: 0.0,
             };
         }
-        RegionRoom {
+        FreeCapacity {
             excess_share: 0.0,
             free_rps: usable_rps - wanted_rps,
         }
@@ -180,62 +186,66 @@
     ) {
         let floors = Floors::new(options, self.regions.len());
         let times = options.limit_times();
-        for (id, room) in self.regions.iter().zip(&mut self.rooms) {
+        for (id, destination) in self.regions.iter().zip(&mut self.destinations) {
             let senders = Senders::new(view, id, options.view_age_max, now);
-            let sold = RequestRate::clamped(room.sold.get() * options.sold_rate_factor);
+            let sold = RequestRate::clamped(destination.sold.get() * options.sold_rate_factor);
             let share_of = |origin: &RegionId| floors.region_share(origin, id);
             let input = senders.region_input(sold, &self.origin, share_of);
-            room.region.update(input, times, passed, now);
-            let sold = room.link_sold.unwrap_or_default().get();
+            destination.region.update(input, times, passed, now);
+            let sold = destination.link_sold.unwrap_or_default().get();
             let sold = RequestRate::clamped(sold * options.sold_rate_factor);
             let input = senders.link_input(sold, &self.origin, floors.link_share());
-            room.link.update(input, times, passed, now);
+            destination.link.update(input, times, passed, now);
         }
         self.note_settled();
     }
 
     /// Takes room for one request.
-    pub(crate) fn take(&mut self, index: usize, now: MonotonicTime) -> Result<(), NoRoom> {
-        let room = &mut self.rooms[index];
-        let region = room.region.bucket();
+    pub(crate) fn try_acquire(
+        &mut self,
+        index: usize,
+        now: MonotonicTime,
+    ) -> Result<(), LimitExhausted> {
+        let destination = &mut self.destinations[index];
+        let region = destination.region.bucket();
         if !region.has_token(now) {
-            return Err(NoRoom {
-                full: Full::Region,
+            return Err(LimitExhausted {
+                limit: LimitKind::Region,
                 next_in: region.next_token_in(),
             });
         }
-        if room.link_sold.is_some() {
-            let link = room.link.bucket();
+        if destination.link_sold.is_some() {
+            let link = destination.link.bucket();
             if !link.has_token(now) {
-                return Err(NoRoom {
-                    full: Full::Link,
+                return Err(LimitExhausted {
+                    limit: LimitKind::Link,
                     next_in: link.next_token_in(),
                 });
             }
             link.take();
         }
-        room.region.bucket().take();
+        destination.region.bucket().take();
         Ok(())
     }
 
     /// Cuts the part in a region that refused a request.
     pub(crate) fn refused(&mut self, region: &RegionId, now: MonotonicTime) {
-        let mut rooms = self.regions.iter().zip(&mut self.rooms);
-        if let Some((_, room)) = rooms.find(|(id, _)| *id == region) {
-            room.region.refused(now);
+        let mut destinations = self.regions.iter().zip(&mut self.destinations);
+        if let Some((_, destination)) = destinations.find(|(id, _)| *id == region) {
+            destination.region.refused(now);
         }
     }
 
     /// Returns what to publish now of the instance's use of the limits.
     pub(crate) fn publish(&mut self, now: MonotonicTime) -> BTreeMap<RegionId, LimitUse> {
-        let rooms = self.regions.iter().zip(&mut self.rooms);
-        rooms
-            .map(|(id, room)| (id.clone(), room.publish(now)))
+        let destinations = self.regions.iter().zip(&mut self.destinations);
+        destinations
+            .map(|(id, destination)| (id.clone(), destination.publish(now)))
             .collect()
     }
 }
 
-impl Room {
+impl Destination {
     fn new(now: MonotonicTime) -> Self {
         Self {
             sold: RequestRate::ZERO,
--- a/crates/foxtide-core/src/steering/engine.rs
+++ b/crates/foxtide-core/src/steering/engine.rs
@@ -1,9 +1,9 @@
 //! The steering decisions of one instance for one organisation.
 
+use super::destinations::Destinations;
 use super::flows::OriginFlows;
 use super::memory::Memory;
 use super::options::SteeringOptions;
-use super::rooms::Rooms;
 use super::service::ServiceState;
 use super::tables::{
     NamedRow,
@@ -43,7 +43,7 @@
     pub(super) tables: Tables,
     /// The own region's callers first, then those of other regions.
     pub(super) flows: Vec<OriginFlows>,
-    pub(super) rooms: Rooms,
+    pub(super) destinations: Destinations,
     pub(super) view: FleetView,
     memory: Memory,
     pub(super) last_rows: BTreeMap<RegionId, BTreeMap<ServiceId, NamedRow>>,
@@ -71,14 +71,14 @@
         origin: RegionId,
         options: SteeringOptions,
     ) -> Self {
-        let rooms = Rooms::new(&organisation, &origin, MonotonicTime::ZERO);
-        let flows = OriginFlows::new(&organisation, origin, &options, &rooms);
+        let destinations = Destinations::new(&organisation, &origin, MonotonicTime::ZERO);
+        let flows = OriginFlows::new(&organisation, origin, &options, &destinations);
         Self {
             tables: Tables::new(&organisation),
             organisation,
             options,
             flows: vec![flows],
-            rooms,
+            destinations,
             view: FleetView::default(),
             memory: Memory::default(),
             last_rows: BTreeMap::new(),
@@ -93,11 +93,12 @@
     /// Takes over a new configuration. Rows stay where they are and follow the
     /// new plan under the shift cap.
     pub fn configure(&mut self, organisation: Arc<Organisation>, now: MonotonicTime) {
-        self.rooms.configure(&organisation, now);
+        self.destinations.configure(&organisation, now);
         let tables = Tables::new(&organisation);
         for flows in &mut self.flows {
             let origin = flows.origin.clone();
-            let mut new = OriginFlows::new(&organisation, origin, &self.options, &self.rooms);
+            let mut new =
+                OriginFlows::new(&organisation, origin, &self.options, &self.destinations);
             new.keep(flows, &self.tables, &tables);
             new.take_told_health(&self.view, &tables);
             *flows = new;
@@ -117,7 +118,7 @@
         self.view = view.clone();
         let hold = self.options.lost_region_hold;
         self.memory.fill(&mut self.view, hold, now);
-        self.rooms.observe(&self.view);
+        self.destinations.observe(&self.view);
         for flows in &mut self.flows {
             flows.take_told_health(&self.view, &self.tables);
         }
@@ -152,7 +153,8 @@
         for service in self.flows.iter_mut().flat_map(|flows| &mut flows.services) {
             service.step(passed);
         }
-        self.rooms.update(&self.view, &self.options, passed, now);
+        self.destinations
+            .update(&self.view, &self.options, passed, now);
     }
 
     /// Tells whether the process stood still for so long that its rows are old.
@@ -164,7 +166,7 @@
     /// Tells whether the instance knows where its peers stand and has its part
     /// of its region's limit; until then look-ups should not name it.
     pub fn is_ready(&self, now: MonotonicTime) -> bool {
-        self.knows_rows(now) && self.rooms.has_settled()
+        self.knows_rows(now) && self.destinations.has_settled()
     }
 
     /// Tells whether the rows are up to date.
@@ -181,7 +183,7 @@
         InstanceReport {
             services: report(&self.flows[0]),
             foreign: foreign.collect(),
-            limits: self.rooms.publish(now),
+            limits: self.destinations.publish(now),
         }
     }
 
@@ -213,7 +215,7 @@
     /// Returns the rate that this instance may send to a region now.
     pub fn usable_rate(&self, region: &RegionId) -> Option<RequestRate> {
         let place = self.tables.region(region)?;
-        Some(RequestRate::clamped(self.rooms.usable_rps(place)))
+        Some(RequestRate::clamped(self.destinations.usable_rps(place)))
     }
 
     /// Works out what spills, and what is claimed of each region.
@@ -223,8 +225,9 @@
         for service in self.flows.iter_mut().flat_map(|flows| &mut flows.services) {
             let spill_at_share = service.priority.spill_at_share;
             let regions = wanted_rps.iter().enumerate();
-            let rooms = regions.map(|(r, rps)| self.rooms.room(r, *rps, spill_at_share));
-            service.aim_spill(&rooms.collect::<Vec<_>>());
+            let capacities =
+                regions.map(|(r, rps)| self.destinations.free_capacity(r, *rps, spill_at_share));
+            service.aim_spill(&capacities.collect::<Vec<_>>());
         }
         let started_at = *self.started_at.get_or_insert(now);
         let joining = now.since(started_at) < self.options.joining;
@@ -238,8 +241,8 @@
                 .services()
                 .map(|service| service.claim(region, least_share));
             let need = claims.fold(Claim::default(), Claim::plus);
-            let least = self.rooms.idle_claim(region, &self.options);
-            self.rooms.need(region, need.max(least));
+            let least = self.destinations.idle_claim(region, &self.options);
+            self.destinations.set_need(region, need.max(least));
         }
     }
 
--- a/crates/foxtide-core/src/steering/flows.rs
+++ b/crates/foxtide-core/src/steering/flows.rs
@@ -1,8 +1,8 @@
 //! The rows of all services for the callers of one origin region.
 
+use super::destinations::Destinations;
 use super::options::SteeringOptions;
 use super::planned::PlannedRows;
-use super::rooms::Rooms;
 use super::service::ServiceState;
 use super::tables::{
     NamedRow,
@@ -57,14 +57,14 @@
         organisation: &Organisation,
         origin: RegionId,
         options: &SteeringOptions,
-        rooms: &Rooms,
+        destinations: &Destinations,
     ) -> Self {
         let planned = PlannedRows::new(organisation, &origin, options.shift_cap_factor);
         let mut services = Vec::new();
         for (place, service) in organisation.services.iter().enumerate() {
             let homes = planned.homes_at(place);
             let mut state = ServiceState::new(service, homes, options);
-            state.reachable = reachable(organisation, service, rooms);
+            state.reachable = reachable(organisation, service, destinations);
             services.push(state);
         }
         Self {
@@ -197,11 +197,15 @@
 }
 
 /// Tells which regions could serve a service if they were healthy.
-fn reachable(organisation: &Organisation, service: &Service, rooms: &Rooms) -> Vec<bool> {
+fn reachable(
+    organisation: &Organisation,
+    service: &Service,
+    destinations: &Destinations,
+) -> Vec<bool> {
     let regions = organisation.regions.iter().enumerate();
     let reachable = regions.map(|(place, region)| {
         let mut upstreams = service.upstreams.iter();
-        rooms.reachable(place) && upstreams.any(|upstream| upstream.region == region.region)
+        destinations.reachable(place) && upstreams.any(|upstream| upstream.region == region.region)
     });
     reachable.collect()
 }
--- a/crates/foxtide-core/src/steering/service.rs
+++ b/crates/foxtide-core/src/steering/service.rs
@@ -13,7 +13,7 @@
 };
 use super::tables::Tables;
 use super::target::{
-    RegionRoom,
+    FreeCapacity,
     SpillLimit,
     spill,
     without_unusable, //
@@ -177,7 +177,7 @@
     }
 
     /// Works out what spills, given the room in each region.
-    pub(crate) fn aim_spill(&mut self, rooms: &[RegionRoom]) {
+    pub(crate) fn aim_spill(&mut self, capacities: &[FreeCapacity]) {
         let usable = self.usable();
         let homes = self.homes.iter().zip(usable);
         let takes: Vec<bool> = homes
@@ -193,7 +193,7 @@
             &mut self.target,
             &mut self.spill_claims,
             &takes,
-            rooms,
+            capacities,
             limit,
         );
     }
--- a/crates/foxtide-core/src/steering/target.rs
+++ b/crates/foxtide-core/src/steering/target.rs
@@ -23,7 +23,7 @@
 
 /// What is known of one region when spill is worked out.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct RegionRoom {
+pub(crate) struct FreeCapacity {
     /// The part of what is planned to go there that finds no room.
     pub(crate) excess_share: f64,
     /// What it could still take, in requests a second.
@@ -39,23 +39,23 @@
     row: &mut Row,
     claimed: &mut Row,
     takes: &[bool],
-    rooms: &[RegionRoom],
+    capacities: &[FreeCapacity],
     limit: SpillLimit,
 ) {
-    let excess = |index: usize| row[index] * rooms[index].excess_share;
+    let excess = |index: usize| row[index] * capacities[index].excess_share;
     let wanted: f64 = (0..row.len()).map(excess).sum();
     let spilled = wanted.min(limit.limit_share);
-    let takers = |index: &usize| takes[*index] && rooms[*index].excess_share <= 0.0;
+    let takers = |index: &usize| takes[*index] && capacities[*index].excess_share <= 0.0;
     let takers: Vec<usize> = (0..row.len()).filter(takers).collect();
     if spilled <= 0.0 || takers.is_empty() || limit.demand_rps <= 0.0 {
         return;
     }
-    let free = |index: &usize| rooms[*index].free_rps / limit.demand_rps;
+    let free = |index: &usize| capacities[*index].free_rps / limit.demand_rps;
     let free_share: f64 = takers.iter().map(free).sum();
     let found = spilled.min(free_share);
     let planned = row.clone();
     for (index, share) in row.iter_mut().enumerate() {
-        *share -= planned[index] * rooms[index].excess_share * found / wanted;
+        *share -= planned[index] * capacities[index].excess_share * found / wanted;
     }
     for index in &takers {
         claimed[*index] += spilled / takers.len() as f64;
