--- a/crates/foxtide-core/src/steering/destinations.rs
+++ b/crates/foxtide-core/src/steering/destinations.rs
@@ -1,11 +1,11 @@
 //! An instance's parts of all limits: what it claims and what it may send.
 
-use super::options::SteeringOptions;
-use super::senders::{
+use super::limit_inputs::{
     Floors,
-    Senders,
-    heard, //
+    LimitInputs,
+    instance_counts, //
 };
+use super::options::SteeringOptions;
 use super::target::FreeCapacity;
 use super::view::FleetView;
 use crate::ids::RegionId;
@@ -97,9 +97,9 @@
     /// Notes which peers were heard.
     pub(crate) fn observe(&mut self, view: &FleetView) {
         let at = view.measured_at;
-        let origin = heard(view, &self.origin);
+        let origin = instance_counts(view, &self.origin);
         for (id, destination) in self.regions.iter().zip(&mut self.destinations) {
-            let region = heard(view, id);
+            let region = instance_counts(view, id);
             destination.region.observe(region.live, region.known, at);
             destination.link.observe(origin.live, origin.known, at);
         }
@@ -187,14 +187,14 @@
         let floors = Floors::new(options, self.regions.len());
         let times = options.limit_times();
         for (id, destination) in self.regions.iter().zip(&mut self.destinations) {
-            let senders = Senders::new(view, id, options.view_age_max, now);
+            let inputs = LimitInputs::new(view, id, options.view_age_max, now);
             let sold = RequestRate::clamped(destination.sold.get() * options.sold_rate_factor);
             let share_of = |origin: &RegionId| floors.region_share(origin, id);
-            let input = senders.region_input(sold, &self.origin, share_of);
+            let input = inputs.region_input(sold, &self.origin, share_of);
             destination.region.update(input, times, passed, now);
             let sold = destination.link_sold.unwrap_or_default().get();
             let sold = RequestRate::clamped(sold * options.sold_rate_factor);
-            let input = senders.link_input(sold, &self.origin, floors.link_share());
+            let input = inputs.link_input(sold, &self.origin, floors.link_share());
             destination.link.update(input, times, passed, now);
         }
         self.note_settled();
--- a/crates/foxtide-core/src/steering/senders.rs
+++ b/crates/foxtide-core/src/steering/limit_inputs.rs
@@ -49,13 +49,13 @@
 }
 
 /// All that may send to one region, as one instance knows it.
-pub(super) struct Senders<'a> {
+pub(super) struct LimitInputs<'a> {
     view: &'a FleetView,
     region: &'a RegionId,
     stale_before: MonotonicTime,
 }
 
-impl<'a> Senders<'a> {
+impl<'a> LimitInputs<'a> {
     pub(super) fn new(
         view: &'a FleetView,
         region: &'a RegionId,
@@ -77,10 +77,12 @@
     ) -> LimitInput {
         let mut all = Claims::default();
         let mut reserved_share = 0.0;
-        for (origin, sender) in &self.view.regions {
-            let used = self.used(sender);
-            all.add(used.claim);
-            let others = sender.known_instances.saturating_sub(used.region_sharers);
+        for (origin, source) in &self.view.regions {
+            let limit_use = self.limit_use(source);
+            all.add(limit_use.claim);
+            let others = source
+                .known_instances
+                .saturating_sub(limit_use.region_sharers);
             reserved_share += f64::from(others) * floor_share(origin);
         }
         LimitInput {
@@ -93,7 +95,7 @@
                 .view
                 .regions
                 .values()
-                .any(|sender| self.is_stale(sender)),
+                .any(|source| self.is_stale(source)),
         }
     }
 
@@ -104,11 +106,13 @@
         floor_share: f64,
     ) -> LimitInput {
         let mut all = Claims::default();
-        let sender = self.view.regions.get(own);
-        let used = sender.map(|sender| self.used(sender)).unwrap_or_default();
-        all.add(used.claim);
-        let known = sender.map_or(0, |sender| sender.known_instances);
-        let others = known.saturating_sub(used.link_sharers);
+        let source = self.view.regions.get(own);
+        let limit_use = source
+            .map(|source| self.limit_use(source))
+            .unwrap_or_default();
+        all.add(limit_use.claim);
+        let known = source.map_or(0, |source| source.known_instances);
+        let others = known.saturating_sub(limit_use.link_sharers);
         let floor_rps = sold.get() * floor_share;
         LimitInput {
             sold,
@@ -116,29 +120,29 @@
             reserved: RequestRate::clamped(floor_rps * f64::from(others)),
             all,
             alone: self.view.is_alone(),
-            stale: sender.is_some_and(|sender| self.is_stale(sender)),
+            stale: source.is_some_and(|source| self.is_stale(source)),
         }
     }
 
-    fn used(&self, sender: &RegionView) -> LimitUse {
-        sender.limits.get(self.region).copied().unwrap_or_default()
+    fn limit_use(&self, source: &RegionView) -> LimitUse {
+        source.limits.get(self.region).copied().unwrap_or_default()
     }
 
     /// Tells whether some of a sender's claims on the region are old.
-    fn is_stale(&self, sender: &RegionView) -> bool {
-        let claims = self.used(sender).claim != Claim::default();
-        claims && sender.oldest_at < self.stale_before
+    fn is_stale(&self, source: &RegionView) -> bool {
+        let claims = self.limit_use(source).claim != Claim::default();
+        claims && source.oldest_at < self.stale_before
     }
 }
 
 /// How many of the instances that a limit hangs on were heard.
-pub(super) struct Heard {
+pub(super) struct InstanceCounts {
     pub(super) live: u32,
     pub(super) known: u32,
 }
 
 /// Counts the instances of a region, or of all where it has none.
-pub(super) fn heard(view: &FleetView, region: &RegionId) -> Heard {
+pub(super) fn instance_counts(view: &FleetView, region: &RegionId) -> InstanceCounts {
     let here = view
         .regions
         .get(region)
@@ -147,7 +151,7 @@
         Some(here) => vec![here],
         None => view.regions.values().collect(),
     };
-    Heard {
+    InstanceCounts {
         live: counted.iter().map(|region| region.live_instances).sum(),
         known: counted.iter().map(|region| region.known_instances).sum(),
     }
