--- a/crates/foxtide-core/src/steering/engine.rs
+++ b/crates/foxtide-core/src/steering/engine.rs
@@ -2,7 +2,7 @@
 
 use super::destinations::Destinations;
 use super::flows::OriginFlows;
-use super::memory::Memory;
+use super::known_instances::KnownInstances;
 use super::options::SteeringOptions;
 use super::service::ServiceState;
 use super::tables::{
@@ -45,7 +45,7 @@
     pub(super) flows: Vec<OriginFlows>,
     pub(super) destinations: Destinations,
     pub(super) view: FleetView,
-    memory: Memory,
+    known_instances: KnownInstances,
     pub(super) last_rows: BTreeMap<RegionId, BTreeMap<ServiceId, NamedRow>>,
     pub(super) adopt: Adopt,
     started_at: Option<MonotonicTime>,
@@ -80,7 +80,7 @@
             flows: vec![flows],
             destinations,
             view: FleetView::default(),
-            memory: Memory::default(),
+            known_instances: KnownInstances::default(),
             last_rows: BTreeMap::new(),
             adopt: Adopt::Waiting {
                 since: MonotonicTime::ZERO,
@@ -117,7 +117,7 @@
     pub fn observe(&mut self, view: &FleetView, now: MonotonicTime) {
         self.view = view.clone();
         let hold = self.options.lost_region_hold;
-        self.memory.fill(&mut self.view, hold, now);
+        self.known_instances.apply_to(&mut self.view, hold, now);
         self.destinations.observe(&self.view);
         for flows in &mut self.flows {
             flows.take_told_health(&self.view, &self.tables);
--- a/crates/foxtide-core/src/steering/memory.rs
+++ b/crates/foxtide-core/src/steering/known_instances.rs
@@ -14,29 +14,29 @@
 
 /// The instances of each region that may be alive.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Memory {
-    regions: BTreeMap<RegionId, Remembered>,
+pub(crate) struct KnownInstances {
+    regions: BTreeMap<RegionId, KnownCount>,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Remembered {
+struct KnownCount {
     instances: u32,
     confirmed_at: MonotonicTime,
 }
 
-impl Memory {
+impl KnownInstances {
     /// Takes a view in, and counts in it as known who may still be alive.
-    pub(crate) fn fill(&mut self, view: &mut FleetView, hold: Duration, now: MonotonicTime) {
+    pub(crate) fn apply_to(&mut self, view: &mut FleetView, hold: Duration, now: MonotonicTime) {
         let regions = &mut self.regions;
         regions.retain(|_, known| now.since(known.confirmed_at) < hold);
         for (id, region) in &view.regions {
-            let known = Remembered {
+            let known = KnownCount {
                 instances: region.known_instances,
                 confirmed_at: now,
             };
-            let remembered = regions.entry(id.clone()).or_insert(known);
-            if known.instances >= remembered.instances {
-                *remembered = known;
+            let stored = regions.entry(id.clone()).or_insert(known);
+            if known.instances >= stored.instances {
+                *stored = known;
             }
         }
         let all: u64 = regions
@@ -48,13 +48,13 @@
             .values()
             .map(|region| u64::from(region.live_instances));
         let has_majority = live.sum::<u64>() * 2 > all;
-        for (id, remembered) in regions {
+        for (id, stored) in regions {
             let region = view.regions.entry(id.clone()).or_default();
             if region.live_instances > 0 && has_majority {
-                remembered.instances = region.known_instances;
-                remembered.confirmed_at = now;
+                stored.instances = region.known_instances;
+                stored.confirmed_at = now;
             }
-            region.known_instances = remembered.instances;
+            region.known_instances = stored.instances;
         }
     }
 }
