--- a/crates/foxtide-core/src/limits/claim.rs
+++ b/crates/foxtide-core/src/limits/claim.rs
@@ -92,7 +92,7 @@
 
     /// Returns what is left of it when its maker is not heard: the claim still
     /// counts, but whether it shares is not known.
-    pub fn silent(self) -> Self {
+    pub fn claim_only(self) -> Self {
         Self {
             claim: self.claim,
             ..Self::default()
--- a/crates/foxtide-core/src/spreading/load/record.rs
+++ b/crates/foxtide-core/src/spreading/load/record.rs
@@ -6,8 +6,8 @@
 };
 use crate::steering::{
     FleetView,
-    HeardReport,
     InstanceReport,
+    ReceivedReport,
     RegionView,
     ViewOptions, //
 };
@@ -53,13 +53,13 @@
         report: &InstanceReport,
         made_at: WallTime,
     ) -> Self {
-        let heard = HeardReport {
+        let received = ReceivedReport {
             origin: region,
             made_at: MonotonicTime::ZERO,
             report,
         };
         let options = ViewOptions::default();
-        let view = FleetView::from_reports([heard], options, MonotonicTime::ZERO);
+        let view = FleetView::from_reports([received], options, MonotonicTime::ZERO);
         let mut regions = view.regions;
         let sum = regions.remove(region).unwrap_or_default();
         Self {
--- a/crates/foxtide-core/src/steering/adopt.rs
+++ b/crates/foxtide-core/src/steering/adopt.rs
@@ -51,8 +51,8 @@
     pub(super) fn start_rows(&mut self, now: MonotonicTime) {
         if let Adopt::Waiting { since } = self.adopt {
             let waited = now.since(since);
-            let may_hear = self.misses_peers() && waited < self.options.claim_hold;
-            if waited < self.adoption_wait() || may_hear {
+            let may_receive = self.is_missing_peers() && waited < self.options.claim_hold;
+            if waited < self.adoption_wait() || may_receive {
                 return;
             }
             self.adopt = Adopt::Done;
@@ -64,17 +64,17 @@
             }
         }
         self.start_own();
-        let hears_majority = self.view.hears_majority();
+        let sees_majority = self.view.sees_majority();
         for flows in self.flows.iter_mut().skip(1) {
             let region = self.view.regions.get(&flows.origin);
             let had_instances = region.is_some_and(|region| region.known_instances > 0);
-            flows.start_missing(hears_majority && !had_instances);
+            flows.start_missing(sees_majority && !had_instances);
         }
     }
 
     /// Starts the rows of the own origin's callers.
     fn start_own(&mut self) {
-        let cut_off = self.misses_peers();
+        let cut_off = self.is_missing_peers();
         let flows = &mut self.flows[0];
         if !flows.misses_rows() {
             return;
@@ -87,17 +87,17 @@
         if !cut_off {
             flows.adopt(&rows.collect(), &self.tables, Adoption::Missing);
         }
-        flows.start_missing(self.view.hears_majority() && !cut_off);
+        flows.start_missing(self.view.sees_majority() && !cut_off);
     }
 
     /// Tells whether the rows of this instance's origin are held by peers that
     /// are known but not heard.
-    fn misses_peers(&self) -> bool {
+    fn is_missing_peers(&self) -> bool {
         let origin = &self.flows[0].origin;
-        let told = !own_rows(&self.view, origin).is_empty();
+        let has_rows = !own_rows(&self.view, origin).is_empty();
         let here = self.view.regions.get(origin);
-        let heard = here.is_none_or(|here| here.live_instances >= here.known_instances);
-        !told && !heard
+        let all_live = here.is_none_or(|here| here.live_instances >= here.known_instances);
+        !has_rows && !all_live
     }
 
     /// Returns how long to wait for peers' rows: no report from before the
--- a/crates/foxtide-core/src/steering/engine.rs
+++ b/crates/foxtide-core/src/steering/engine.rs
@@ -100,7 +100,7 @@
             let mut new =
                 OriginFlows::new(&organisation, origin, &self.options, &self.destinations);
             new.keep(flows, &self.tables, &tables);
-            new.take_told_health(&self.view, &tables);
+            new.update_reported_health(&self.view, &tables);
             *flows = new;
         }
         self.organisation = organisation;
@@ -120,7 +120,7 @@
         self.known_instances.apply_to(&mut self.view, hold, now);
         self.destinations.observe(&self.view);
         for flows in &mut self.flows {
-            flows.take_told_health(&self.view, &self.tables);
+            flows.update_reported_health(&self.view, &self.tables);
         }
         self.adopt_rows();
     }
@@ -133,7 +133,7 @@
             return;
         };
         for flows in &mut self.flows {
-            flows.services[service].seen_health[region] = healthy;
+            flows.services[service].observed_health[region] = healthy;
         }
     }
 
--- a/crates/foxtide-core/src/steering/flows.rs
+++ b/crates/foxtide-core/src/steering/flows.rs
@@ -87,19 +87,19 @@
     /// Takes over what other flows of the instance see of the upstreams.
     pub(crate) fn share_health(&mut self, other: &Self) {
         for (state, other) in self.services.iter_mut().zip(&other.services) {
-            state.seen_health.clone_from(&other.seen_health);
-            state.told_health.clone_from(&other.told_health);
+            state.observed_health.clone_from(&other.observed_health);
+            state.reported_health.clone_from(&other.reported_health);
         }
     }
 
     /// Takes over what peers say of their regions' upstreams.
-    pub(crate) fn take_told_health(&mut self, view: &FleetView, tables: &Tables) {
+    pub(crate) fn update_reported_health(&mut self, view: &FleetView, tables: &Tables) {
         for (id, place) in &tables.services {
-            let told = tables
+            let health = tables
                 .regions
                 .iter()
-                .map(|region| told_health(view, region, id));
-            self.services[*place].told_health = told.collect();
+                .map(|region| reported_health(view, region, id));
+            self.services[*place].reported_health = health.collect();
         }
     }
 
@@ -155,9 +155,9 @@
     /// If most instances are heard and none sends a service's requests, then
     /// nothing flows that could shift, and the row starts at its target. An
     /// instance that is cut off cannot know; its row rises under the cap.
-    pub(crate) fn start_missing(&mut self, hears_majority: bool) {
+    pub(crate) fn start_missing(&mut self, sees_majority: bool) {
         for state in self.services.iter_mut().filter(|state| state.row.is_none()) {
-            if hears_majority {
+            if sees_majority {
                 state.start_at_target();
             } else {
                 state.start_empty();
@@ -187,7 +187,7 @@
             let row = state.row.as_ref().filter(|_| ready);
             let report = ServiceReport {
                 demand_rps: RequestRate::clamped(state.demand_rps),
-                healthy_share: own.and_then(|region| state.seen_health[region]),
+                healthy_share: own.and_then(|region| state.observed_health[region]),
                 row: row.map_or_else(NamedRow::new, |row| tables.named(row)),
             };
             (id.clone(), report)
@@ -210,7 +210,7 @@
     reachable.collect()
 }
 
-fn told_health(view: &FleetView, region: &RegionId, service: &ServiceId) -> Option<Share> {
+fn reported_health(view: &FleetView, region: &RegionId, service: &ServiceId) -> Option<Share> {
     view.regions
         .get(region)?
         .services
--- a/crates/foxtide-core/src/steering/merge.rs
+++ b/crates/foxtide-core/src/steering/merge.rs
@@ -47,7 +47,7 @@
         self.services.clear();
         self.foreign.clear();
         for limit in self.limits.values_mut() {
-            *limit = limit.silent();
+            *limit = limit.claim_only();
         }
     }
 }
--- a/crates/foxtide-core/src/steering/mod.rs
+++ b/crates/foxtide-core/src/steering/mod.rs
@@ -40,8 +40,8 @@
 pub use steps::leaves_at_us;
 pub use view::{
     FleetView,
-    HeardReport,
     InstanceReport,
+    ReceivedReport,
     RegionView,
     ServiceReport,
     ServiceView,
--- a/crates/foxtide-core/src/steering/service.rs
+++ b/crates/foxtide-core/src/steering/service.rs
@@ -48,9 +48,9 @@
     /// The regions that could serve it if they were healthy.
     pub(crate) reachable: Vec<bool>,
     /// What the instance itself sees of its upstreams, by region.
-    pub(crate) seen_health: Vec<Option<Share>>,
+    pub(crate) observed_health: Vec<Option<Share>>,
     /// What the instances of each region say of theirs.
-    pub(crate) told_health: Vec<Option<Share>>,
+    pub(crate) reported_health: Vec<Option<Share>>,
     /// The share that is sent to each region; `None` until known.
     pub(crate) row: Option<Row>,
     /// Where the plan and the health of the regions want the traffic.
@@ -84,8 +84,8 @@
             demand_rps: 0.0,
             homes: homes.to_vec(),
             reachable: Vec::new(),
-            seen_health: vec![None; homes.len()],
-            told_health: vec![None; homes.len()],
+            observed_health: vec![None; homes.len()],
+            reported_health: vec![None; homes.len()],
             row: None,
             wanted: nowhere.clone(),
             target: nowhere.clone(),
@@ -128,9 +128,9 @@
         self.arrived = old.arrived;
         let row = old.row.as_ref();
         self.row = row.map(|row| tables.plain(&old_tables.named(row)));
-        for (region, seen) in tables.regions.iter().zip(&mut self.seen_health) {
+        for (region, seen) in tables.regions.iter().zip(&mut self.observed_health) {
             let place = old_tables.region(region);
-            *seen = place.and_then(|place| old.seen_health[place]);
+            *seen = place.and_then(|place| old.observed_health[place]);
         }
     }
 
@@ -149,7 +149,7 @@
     /// Returns the regions that can serve it now.
     pub(crate) fn usable(&self) -> Vec<bool> {
         let healthy = |index: &usize| {
-            let known = self.seen_health[*index].or(self.told_health[*index]);
+            let known = self.observed_health[*index].or(self.reported_health[*index]);
             known.is_none_or(|share| share > Share::ZERO)
         };
         let regions = 0..self.reachable.len();
--- a/crates/foxtide-core/src/steering/view.rs
+++ b/crates/foxtide-core/src/steering/view.rs
@@ -43,7 +43,7 @@
 
 /// A report with where and when it came from.
 #[derive(Clone, Copy, Debug)]
-pub struct HeardReport<'a> {
+pub struct ReceivedReport<'a> {
     /// The region of the instance that made it.
     pub origin: &'a RegionId,
     /// When it was made, on the reader's clock; later than true is unsafe.
@@ -121,7 +121,7 @@
     /// have ended, or for [`ViewOptions::claim_hold`] at least; they count as
     /// known all that time.
     pub fn from_reports<'a>(
-        reports: impl IntoIterator<Item = HeardReport<'a>>,
+        reports: impl IntoIterator<Item = ReceivedReport<'a>>,
         options: ViewOptions,
         now: MonotonicTime,
     ) -> Self {
@@ -129,16 +129,16 @@
             measured_at: now,
             regions: BTreeMap::new(),
         };
-        for heard in reports {
-            let region = view.regions.entry(heard.origin.clone()).or_default();
-            region.add(heard, options, now);
+        for received in reports {
+            let region = view.regions.entry(received.origin.clone()).or_default();
+            region.add(received, options, now);
         }
         view
     }
 
     /// Takes over how many instances the platform's list names in a region,
     /// so that those count as known that have never been heard.
-    pub fn expect(&mut self, origin: &RegionId, listed_instances: u32) {
+    pub fn add_listed(&mut self, origin: &RegionId, listed_instances: u32) {
         if listed_instances > 0 {
             let region = self.regions.entry(origin.clone()).or_default();
             region.known_instances = region.known_instances.max(listed_instances);
@@ -148,8 +148,8 @@
     /// Returns what is told of a region's callers by instances elsewhere.
     pub(crate) fn foreign(&self, origin: &RegionId) -> BTreeMap<ServiceId, ServiceView> {
         let mut sum: BTreeMap<ServiceId, ServiceView> = BTreeMap::new();
-        let told = self.regions.values();
-        for services in told.filter_map(|region| region.foreign.get(origin)) {
+        let regions = self.regions.values();
+        for services in regions.filter_map(|region| region.foreign.get(origin)) {
             for (id, service) in services {
                 sum.entry(id.clone()).or_default().merge(service);
             }
@@ -159,7 +159,7 @@
 
     /// Tells whether more than half of all known instances have been heard, or
     /// there is none but the reader.
-    pub fn hears_majority(&self) -> bool {
+    pub fn sees_majority(&self) -> bool {
         let regions = self.regions.values();
         let live: u64 = regions.map(|region| u64::from(region.live_instances)).sum();
         live * 2 > self.known_instances() || self.is_alone()
@@ -180,28 +180,28 @@
 }
 
 impl RegionView {
-    fn add(&mut self, heard: HeardReport<'_>, options: ViewOptions, now: MonotonicTime) {
+    fn add(&mut self, received: ReceivedReport<'_>, options: ViewOptions, now: MonotonicTime) {
         self.known_instances += 1;
-        let age = now.since(heard.made_at);
+        let age = now.since(received.made_at);
         if age > options.claim_hold {
             return;
         }
-        if self.counted_instances == 0 || heard.made_at < self.oldest_at {
-            self.oldest_at = heard.made_at;
+        if self.counted_instances == 0 || received.made_at < self.oldest_at {
+            self.oldest_at = received.made_at;
         }
         self.counted_instances += 1;
-        let is_heard = age <= options.view_age_max;
-        for (region, limit) in &heard.report.limits {
-            let limit = if is_heard { *limit } else { limit.silent() };
+        let is_live = age <= options.view_age_max;
+        for (region, limit) in &received.report.limits {
+            let limit = if is_live { *limit } else { limit.claim_only() };
             let sum = self.limits.entry(region.clone()).or_default();
             *sum = sum.plus(limit);
         }
-        if !is_heard {
+        if !is_live {
             return;
         }
         self.live_instances += 1;
-        add_services(&mut self.services, &heard.report.services);
-        for (origin, services) in &heard.report.foreign {
+        add_services(&mut self.services, &received.report.services);
+        for (origin, services) in &received.report.foreign {
             add_services(self.foreign.entry(origin.clone()).or_default(), services);
         }
     }
--- a/crates/foxtide-core/tests/steering/node.rs
+++ b/crates/foxtide-core/tests/steering/node.rs
@@ -5,8 +5,8 @@
 use foxtide_core::organisation::Organisation;
 use foxtide_core::steering::{
     FleetView,
-    HeardReport,
     InstanceReport,
+    ReceivedReport,
     ViewOptions, //
 };
 use foxtide_core::time::MonotonicTime;
@@ -123,7 +123,7 @@
         let held = |made_ms| now_ms - made_ms < KEEP_REPORT_MS;
         self.known
             .retain(|from, known| (platform_list && listed[*from].1) || held(known.made_ms));
-        let reports = self.known.iter().map(|(from, known)| HeardReport {
+        let reports = self.known.iter().map(|(from, known)| ReceivedReport {
             origin: &regions[listed[*from].0],
             made_at: MonotonicTime::from_ms(known.made_ms - self.started_ms),
             report: &known.report,
@@ -132,7 +132,7 @@
         let seen = if platform_list { regions } else { &[] };
         for (place, region) in seen.iter().enumerate() {
             let here = listed.iter().filter(|listed| **listed == (place, true));
-            view.expect(region, here.count() as u32);
+            view.add_listed(region, here.count() as u32);
         }
         self.decider.observe(&view, now);
     }
--- a/crates/foxtide-core/tests/steering/rows.rs
+++ b/crates/foxtide-core/tests/steering/rows.rs
@@ -19,9 +19,9 @@
 use foxtide_core::steering::{
     Admission,
     FleetView,
-    HeardReport,
     InstanceReport,
     PlannedRows,
+    ReceivedReport,
     RefusalReason,
     Steering,
     SteeringOptions,
@@ -75,7 +75,7 @@
 
 /// Returns the view of an instance that has just heard these reports.
 fn view(reports: &[(RegionId, InstanceReport)], now: MonotonicTime) -> FleetView {
-    let heard = reports.iter().map(|(origin, report)| HeardReport {
+    let heard = reports.iter().map(|(origin, report)| ReceivedReport {
         origin,
         made_at: now,
         report,
@@ -284,7 +284,7 @@
     for _ in 0..152 {
         instance.now = instance.now + Duration::from_millis(100);
         let mut alone = view(&[], instance.now);
-        alone.expect(&region("khomas"), 4);
+        alone.add_listed(&region("khomas"), 4);
         instance.steering.observe(&alone, instance.now);
         instance.steering.tick(instance.now, instance.wall);
     }
--- a/crates/foxtide-testing/src/scenario/process.rs
+++ b/crates/foxtide-testing/src/scenario/process.rs
@@ -40,8 +40,8 @@
 };
 use foxtide_core::steering::{
     FleetView,
-    HeardReport,
     InstanceReport,
+    ReceivedReport,
     Steering,
     SteeringOptions,
     ViewOptions,
@@ -255,7 +255,7 @@
         }
         self.viewed_at = now;
         self.heard_news = false;
-        let reports = self.heard.values().map(|heard| HeardReport {
+        let reports = self.heard.values().map(|heard| ReceivedReport {
             origin: &heard.region,
             made_at: heard.made_at,
             report: &heard.report,
--- a/crates/foxtide/examples/measure/steering/costs.rs
+++ b/crates/foxtide/examples/measure/steering/costs.rs
@@ -18,7 +18,7 @@
 use foxtide_core::organisation::Organisation;
 use foxtide_core::steering::{
     FleetView,
-    HeardReport,
+    ReceivedReport,
     Steering,
     SteeringOptions,
     ViewOptions, //
@@ -100,7 +100,7 @@
 /// A view in which every region tells what this instance tells.
 fn view_of(organisation: &Organisation, steering: &mut Steering, now: MonotonicTime) -> FleetView {
     let report = steering.report(now);
-    let heard = organisation.regions.iter().map(|origin| HeardReport {
+    let heard = organisation.regions.iter().map(|origin| ReceivedReport {
         origin: &origin.region,
         made_at: now,
         report: &report,
