--- a/crates/foxtide-core/src/steering/adopt.rs
+++ b/crates/foxtide-core/src/steering/adopt.rs
@@ -32,8 +32,8 @@
         for (place, flows) in self.flows.iter_mut().enumerate() {
             let own = own_rows(&self.view, &flows.origin);
             if place == 0 {
-                flows.take_peers(&own, &self.tables);
-                flows.take_peers_demand(&self.view, &self.tables);
+                flows.set_peer_rows(&own, &self.tables);
+                flows.update_peer_demand(&self.view, &self.tables);
                 continue;
             }
             // The instances of an origin know best where its callers go; but
@@ -42,7 +42,7 @@
                 flows.adopt(&own, &self.tables, Adoption::All);
             }
             let foreign = rows_of(&self.view.foreign(&flows.origin));
-            flows.take_peers(&foreign, &self.tables);
+            flows.set_peer_rows(&foreign, &self.tables);
         }
     }
 
@@ -76,7 +76,7 @@
     fn start_own(&mut self) {
         let cut_off = self.is_missing_peers();
         let flows = &mut self.flows[0];
-        if !flows.misses_rows() {
+        if !flows.has_missing_rows() {
             return;
         }
         let services = self.tables.services.iter();
--- a/crates/foxtide-core/src/steering/decide.rs
+++ b/crates/foxtide-core/src/steering/decide.rs
@@ -75,7 +75,7 @@
         let Some(index) = self.tables.service(service) else {
             return refuse(RefusalReason::UnknownService, RETRY_AFTER_MAX);
         };
-        let ready = self.knows_rows(now);
+        let ready = self.rows_are_current(now);
         let state = &mut self.flows[flows].services[index];
         if waited.is_zero() {
             state.count_arrival();
@@ -125,7 +125,7 @@
     } else {
         RefusalReason::NoRegion
     };
-    refuse(reason, state.until_whole())
+    refuse(reason, state.time_to_full_service())
 }
 
 fn wait_or_refuse(
--- a/crates/foxtide-core/src/steering/engine.rs
+++ b/crates/foxtide-core/src/steering/engine.rs
@@ -99,7 +99,7 @@
             let origin = flows.origin.clone();
             let mut new =
                 OriginFlows::new(&organisation, origin, &self.options, &self.destinations);
-            new.keep(flows, &self.tables, &tables);
+            new.restore(flows, &self.tables, &tables);
             new.update_reported_health(&self.view, &tables);
             *flows = new;
         }
@@ -145,9 +145,9 @@
         let since_last = self.ticked_at.map_or(Duration::ZERO, |at| now.since(at));
         self.ticked_at = Some(now);
         for flows in &mut self.flows {
-            flows.aim(wall, since_last);
+            flows.update_wanted(wall, since_last);
         }
-        self.aim_spill(now);
+        self.update_spill(now);
         self.start_rows(now);
         let passed = since_last.min(self.options.tick_max);
         for service in self.flows.iter_mut().flat_map(|flows| &mut flows.services) {
@@ -166,17 +166,17 @@
     /// Tells whether the instance knows where its peers stand and has its part
     /// of its region's limit; until then look-ups should not name it.
     pub fn is_ready(&self, now: MonotonicTime) -> bool {
-        self.knows_rows(now) && self.destinations.has_settled()
+        self.rows_are_current(now) && self.destinations.has_settled()
     }
 
     /// Tells whether the rows are up to date.
-    pub(super) fn knows_rows(&self, now: MonotonicTime) -> bool {
+    pub(super) fn rows_are_current(&self, now: MonotonicTime) -> bool {
         self.adopt == Adopt::Done && !self.was_paused(now)
     }
 
     /// Returns the report to publish, and counts it as published.
     pub fn report(&mut self, now: MonotonicTime) -> InstanceReport {
-        let ready = self.knows_rows(now);
+        let ready = self.rows_are_current(now);
         let report = |flows: &OriginFlows| flows.report(&self.tables, ready);
         let foreign = self.flows.iter().skip(1);
         let foreign = foreign.map(|flows| (flows.origin.clone(), report(flows)));
@@ -219,7 +219,7 @@
     }
 
     /// Works out what spills, and what is claimed of each region.
-    fn aim_spill(&mut self, now: MonotonicTime) {
+    fn update_spill(&mut self, now: MonotonicTime) {
         let places = 0..self.tables.regions.len();
         let wanted_rps: Vec<f64> = places.map(|region| self.wanted_rps(region)).collect();
         for service in self.flows.iter_mut().flat_map(|flows| &mut flows.services) {
@@ -227,7 +227,7 @@
             let regions = wanted_rps.iter().enumerate();
             let capacities =
                 regions.map(|(r, rps)| self.destinations.free_capacity(r, *rps, spill_at_share));
-            service.aim_spill(&capacities.collect::<Vec<_>>());
+            service.update_spill(&capacities.collect::<Vec<_>>());
         }
         let started_at = *self.started_at.get_or_insert(now);
         let joining = now.since(started_at) < self.options.joining;
--- a/crates/foxtide-core/src/steering/flows.rs
+++ b/crates/foxtide-core/src/steering/flows.rs
@@ -75,11 +75,11 @@
     }
 
     /// Keeps the rows and what was measured under another configuration.
-    pub(crate) fn keep(&mut self, old: &Self, old_tables: &Tables, tables: &Tables) {
+    pub(crate) fn restore(&mut self, old: &Self, old_tables: &Tables, tables: &Tables) {
         for (id, place) in &tables.services {
             if let Some(old_place) = old_tables.service(id) {
                 let state = &mut self.services[*place];
-                state.keep(&old.services[old_place], old_tables, tables);
+                state.restore(&old.services[old_place], old_tables, tables);
             }
         }
     }
@@ -123,20 +123,20 @@
     }
 
     /// Notes what callers ask of a peer, on average.
-    pub(crate) fn take_peers_demand(&mut self, view: &FleetView, tables: &Tables) {
+    pub(crate) fn update_peer_demand(&mut self, view: &FleetView, tables: &Tables) {
         let here = view.regions.get(&self.origin);
         for (id, place) in &tables.services {
             let service = here.and_then(|here| here.services.get(id));
             let mean = service.map(|s| s.demand_rps.get() / f64::from(s.instances.max(1)));
-            self.services[*place].peers_demand_rps = mean.unwrap_or_default();
+            self.services[*place].peer_demand_rps = mean.unwrap_or_default();
         }
     }
 
     /// Notes where peers send the same callers' requests.
-    pub(crate) fn take_peers(&mut self, rows: &BTreeMap<ServiceId, NamedRow>, tables: &Tables) {
+    pub(crate) fn set_peer_rows(&mut self, rows: &BTreeMap<ServiceId, NamedRow>, tables: &Tables) {
         for (id, place) in &tables.services {
             let row = rows.get(id).map(|row| tables.plain(row));
-            self.services[*place].peers = row;
+            self.services[*place].peer_row = row;
         }
     }
 
@@ -146,7 +146,7 @@
     }
 
     /// Tells whether some service has no row yet.
-    pub(crate) fn misses_rows(&self) -> bool {
+    pub(crate) fn has_missing_rows(&self) -> bool {
         self.services.iter().any(|state| state.row.is_none())
     }
 
@@ -166,10 +166,10 @@
     }
 
     /// Works out where the traffic is wanted.
-    pub(crate) fn aim(&mut self, wall: WallTime, since_last: Duration) {
+    pub(crate) fn update_wanted(&mut self, wall: WallTime, since_last: Duration) {
         for (place, state) in self.services.iter_mut().enumerate() {
             state.measure_demand(since_last);
-            state.aim(self.planned.row_at(place, wall));
+            state.update_wanted(self.planned.row_at(place, wall));
         }
     }
 
--- a/crates/foxtide-core/src/steering/mod.rs
+++ b/crates/foxtide-core/src/steering/mod.rs
@@ -10,7 +10,6 @@
 
 mod admission;
 mod adopt;
-mod cohesion;
 mod decide;
 mod destinations;
 mod engine;
@@ -20,6 +19,7 @@
 mod merge;
 mod options;
 mod planned;
+mod row_band;
 mod service;
 mod shift;
 mod steps;
--- a/crates/foxtide-core/src/steering/cohesion.rs
+++ b/crates/foxtide-core/src/steering/row_band.rs
@@ -10,7 +10,12 @@
 /// Returns the row nearest to `target` whose shares lie within `band_share` of
 /// the peers' mean row. Regions that are not usable get nothing; what cannot be
 /// placed within the bands is left out, that is, refused.
-pub(crate) fn near(target: &[f64], peers: &[f64], band_share: f64, usable: &[bool]) -> Row {
+pub(crate) fn clamp_to_band(
+    target: &[f64],
+    peers: &[f64],
+    band_share: f64,
+    usable: &[bool],
+) -> Row {
     let most = |index: usize| {
         let most = (peers[index] + band_share).min(1.0);
         if usable[index] { most } else { 0.0 }
--- a/crates/foxtide-core/src/steering/service.rs
+++ b/crates/foxtide-core/src/steering/service.rs
@@ -1,22 +1,22 @@
 //! What an instance holds for one service.
 
-use super::cohesion::near;
 use super::options::{
     PriorityOptions,
     SteeringOptions, //
 };
+use super::row_band::clamp_to_band;
 use super::shift::{
     Row,
     StepLimit,
     drop_region,
-    follow, //
+    step_towards, //
 };
 use super::tables::Tables;
 use super::target::{
     FreeCapacity,
     SpillLimit,
+    redistribute_unusable, //
     spill,
-    without_unusable, //
 };
 use crate::limits::Claim;
 use crate::organisation::Service;
@@ -60,9 +60,9 @@
     /// The claims on each region beyond what is planned for it.
     pub(crate) spill_claims: Row,
     /// Where peers of the same origin send their requests, on average.
-    pub(crate) peers: Option<Row>,
+    pub(crate) peer_row: Option<Row>,
     /// What callers ask of a peer of the same origin, on average.
-    pub(crate) peers_demand_rps: f64,
+    pub(crate) peer_demand_rps: f64,
     cap_per_s: f64,
     band_share: f64,
     spill_limit_share: f64,
@@ -90,8 +90,8 @@
             wanted: nowhere.clone(),
             target: nowhere.clone(),
             spill_claims: nowhere,
-            peers: None,
-            peers_demand_rps: 0.0,
+            peer_row: None,
+            peer_demand_rps: 0.0,
             cap_per_s,
             band_share: cap_per_s * options.peers_band.as_secs_f64(),
             spill_limit_share: contract.spill_limit_share.get(),
@@ -118,12 +118,12 @@
             return;
         }
         let rate = f64::from(std::mem::take(&mut self.arrived)) / passed_s;
-        let kept = (-passed_s / DEMAND_TIME_CONSTANT_S).exp();
-        self.demand_rps = self.demand_rps * kept + rate * (1.0 - kept);
+        let decay = (-passed_s / DEMAND_TIME_CONSTANT_S).exp();
+        self.demand_rps = self.demand_rps * decay + rate * (1.0 - decay);
     }
 
     /// Keeps what was measured under the configuration before this one.
-    pub(crate) fn keep(&mut self, old: &Self, old_tables: &Tables, tables: &Tables) {
+    pub(crate) fn restore(&mut self, old: &Self, old_tables: &Tables, tables: &Tables) {
         self.demand_rps = old.demand_rps;
         self.arrived = old.arrived;
         let row = old.row.as_ref();
@@ -137,7 +137,7 @@
     /// Returns what the service claims of a region's limit: its need, at least
     /// `least_share` of its peers' mean.
     pub(crate) fn claim(&self, region: usize, least_share: f64) -> Claim {
-        let least_rps = (self.peers_demand_rps * least_share).max(CLAIM_MIN_RPS);
+        let least_rps = (self.peer_demand_rps * least_share).max(CLAIM_MIN_RPS);
         let planned_rps = self.demand_rps.max(least_rps) * self.wanted[region];
         let with_reserve_rps = planned_rps * (1.0 + self.priority.reserve_share);
         Claim {
@@ -159,9 +159,9 @@
     }
 
     /// Works out where the plan and the regions' health want the traffic.
-    pub(crate) fn aim(&mut self, planned: Row) {
+    pub(crate) fn update_wanted(&mut self, planned: Row) {
         let usable = self.usable();
-        self.wanted = without_unusable(&planned, &self.homes, &usable);
+        self.wanted = redistribute_unusable(&planned, &self.homes, &usable);
         self.drop_unusable();
         self.planned_next = planned;
     }
@@ -177,7 +177,7 @@
     }
 
     /// Works out what spills, given the room in each region.
-    pub(crate) fn aim_spill(&mut self, capacities: &[FreeCapacity]) {
+    pub(crate) fn update_spill(&mut self, capacities: &[FreeCapacity]) {
         let usable = self.usable();
         let homes = self.homes.iter().zip(usable);
         let takes: Vec<bool> = homes
@@ -203,8 +203,8 @@
         let planned = std::mem::take(&mut self.planned_next);
         let before = self.planned.as_ref().unwrap_or(&planned);
         let cap_share = self.cap_per_s * passed.as_secs_f64();
-        let target = match &self.peers {
-            Some(peers) => near(&self.target, peers, self.band_share, &self.usable()),
+        let target = match &self.peer_row {
+            Some(peers) => clamp_to_band(&self.target, peers, self.band_share, &self.usable()),
             None => self.target.clone(),
         };
         let limit = |index: usize| StepLimit {
@@ -212,7 +212,7 @@
             planned_share: planned[index] - before[index],
         };
         if let Some(row) = &mut self.row {
-            follow(row, &target, limit);
+            step_towards(row, &target, limit);
         }
         self.planned = Some(planned);
     }
@@ -244,7 +244,7 @@
     }
 
     /// Returns the time until the row serves all requests again.
-    pub(crate) fn until_whole(&self) -> Duration {
+    pub(crate) fn time_to_full_service(&self) -> Duration {
         let served: f64 = self.row.iter().flatten().sum();
         let missing = (1.0 - served).max(0.0);
         Duration::from_secs_f64((missing / self.cap_per_s).min(3_600.0))
--- a/crates/foxtide-core/src/steering/shift.rs
+++ b/crates/foxtide-core/src/steering/shift.rs
@@ -37,7 +37,7 @@
 ///
 /// A share falls no faster than others take it, so that nothing is refused
 /// that could still be served where it was.
-pub(crate) fn follow(row: &mut Row, target: &[f64], limit: impl Fn(usize) -> StepLimit) {
+pub(crate) fn step_towards(row: &mut Row, target: &[f64], limit: impl Fn(usize) -> StepLimit) {
     let free = (1.0 - row.iter().sum::<f64>()).max(0.0);
     let rise = |index: usize, share: f64| (target[index] - share).clamp(0.0, limit(index).up());
     let fall = |index: usize, share: f64| (share - target[index]).clamp(0.0, limit(index).down());
--- a/crates/foxtide-core/src/steering/target.rs
+++ b/crates/foxtide-core/src/steering/target.rs
@@ -4,12 +4,12 @@
 
 /// Returns the planned row with what is planned for regions that cannot serve
 /// moved to the homes that can, by their weights.
-pub(crate) fn without_unusable(planned: &[f64], homes: &[f64], usable: &[bool]) -> Row {
+pub(crate) fn redistribute_unusable(planned: &[f64], homes: &[f64], usable: &[bool]) -> Row {
     let weight = |index: usize| if usable[index] { homes[index] } else { 0.0 };
     let total: f64 = (0..planned.len()).map(weight).sum();
     let lost = (0..planned.len()).filter(|index| !usable[*index]);
     let lost_share: f64 = lost.map(|index| planned[index]).sum();
-    let kept = |index: usize| if usable[index] { planned[index] } else { 0.0 };
+    let retained = |index: usize| if usable[index] { planned[index] } else { 0.0 };
     let taken = |index: usize| {
         if total > 0.0 {
             lost_share * weight(index) / total
@@ -18,7 +18,7 @@
         }
     };
     let shares = 0..planned.len();
-    shares.map(|index| kept(index) + taken(index)).collect()
+    shares.map(|index| retained(index) + taken(index)).collect()
 }
 
 /// What is known of one region when spill is worked out.
