--- a/crates/foxtide-core/src/steering/adopt.rs
+++ b/crates/foxtide-core/src/steering/adopt.rs
@@ -1,14 +1,14 @@
 //! Where the rows of an instance start: where its peers stand.
 
 use super::engine::{
-    Adopt,
+    RowSync,
     Steering, //
 };
 use super::flows::{
     Adoption,
     OriginFlows, //
 };
-use super::tables::NamedRow;
+use super::name_index::NamedRow;
 use super::view::{
     FleetView,
     ServiceView, //
@@ -29,38 +29,38 @@
     /// Takes over the peers' rows where they lead.
     pub(super) fn adopt_rows(&mut self) {
         self.remember_rows();
-        for (place, flows) in self.flows.iter_mut().enumerate() {
+        for (index, flows) in self.flows.iter_mut().enumerate() {
             let own = own_rows(&self.view, &flows.origin);
-            if place == 0 {
-                flows.set_peer_rows(&own, &self.tables);
-                flows.update_peer_demand(&self.view, &self.tables);
+            if index == 0 {
+                flows.set_peer_rows(&own, &self.names);
+                flows.update_peer_demand(&self.view, &self.names);
                 continue;
             }
             // The instances of an origin know best where its callers go; but
             // what they said before they were gone must not come back.
             if flows.is_idle() {
-                flows.adopt(&own, &self.tables, Adoption::All);
+                flows.adopt(&own, &self.names, Adoption::All);
             }
             let foreign = rows_of(&self.view.foreign(&flows.origin));
-            flows.set_peer_rows(&foreign, &self.tables);
+            flows.set_peer_rows(&foreign, &self.names);
         }
     }
 
     /// Ends the waiting for peers' rows once they have had time to tell, and
     /// starts the rows that are not known yet.
     pub(super) fn start_rows(&mut self, now: MonotonicTime) {
-        if let Adopt::Waiting { since } = self.adopt {
+        if let RowSync::Waiting { since } = self.row_sync {
             let waited = now.since(since);
             let may_receive = self.is_missing_peers() && waited < self.options.claim_hold;
             if waited < self.adoption_wait() || may_receive {
                 return;
             }
-            self.adopt = Adopt::Done;
+            self.row_sync = RowSync::Done;
             for flows in &mut self.flows {
                 let foreign = rows_of(&self.view.foreign(&flows.origin));
-                flows.adopt(&foreign, &self.tables, Adoption::All);
+                flows.adopt(&foreign, &self.names, Adoption::All);
                 let own = own_rows(&self.view, &flows.origin);
-                flows.adopt(&own, &self.tables, Adoption::All);
+                flows.adopt(&own, &self.names, Adoption::All);
             }
         }
         self.start_own();
@@ -79,13 +79,13 @@
         if !flows.has_missing_rows() {
             return;
         }
-        let services = self.tables.services.iter();
+        let services = self.names.services.iter();
         let rows = services.filter_map(|(id, _)| {
             let row = row_elsewhere(&self.view, &flows.origin, id)?;
             Some((id.clone(), row))
         });
         if !cut_off {
-            flows.adopt(&rows.collect(), &self.tables, Adoption::Missing);
+            flows.adopt(&rows.collect(), &self.names, Adoption::Missing);
         }
         flows.start_missing(self.view.sees_majority() && !cut_off);
     }
@@ -114,9 +114,9 @@
     pub(super) fn flows_of(&mut self, origin: &RegionId) -> usize {
         let known = self.flows.iter().position(|flows| flows.origin == *origin);
         match known {
-            Some(place) => place,
+            Some(index) => index,
             // A caller from no region of the organisation is like one's own.
-            None if self.tables.region(origin).is_none() => 0,
+            None if self.names.region(origin).is_none() => 0,
             None => self.add_flows(origin),
         }
     }
@@ -132,9 +132,9 @@
         flows.share_health(&self.flows[0]);
         // Others that serve these callers already know where they stand.
         let foreign = rows_of(&self.view.foreign(origin));
-        flows.adopt(&foreign, &self.tables, Adoption::Missing);
+        flows.adopt(&foreign, &self.names, Adoption::Missing);
         if let Some(rows) = self.last_rows.get(origin) {
-            flows.adopt(rows, &self.tables, Adoption::Missing);
+            flows.adopt(rows, &self.names, Adoption::Missing);
         }
         self.flows.push(flows);
         self.adopt_rows();
--- a/crates/foxtide-core/src/steering/decide.rs
+++ b/crates/foxtide-core/src/steering/decide.rs
@@ -72,7 +72,7 @@
         waited: Duration,
         now: MonotonicTime,
     ) -> Admission {
-        let Some(index) = self.tables.service(service) else {
+        let Some(index) = self.names.service(service) else {
             return refuse(RefusalReason::UnknownService, RETRY_AFTER_MAX);
         };
         let ready = self.rows_are_current(now);
@@ -112,7 +112,7 @@
 
     fn send(&self, drawn: Drawn) -> Admission {
         Admission::Send {
-            region: self.tables.regions[drawn.index].clone(),
+            region: self.names.regions[drawn.index].clone(),
             spilled: drawn.spilled,
         }
     }
--- a/crates/foxtide-core/src/steering/engine.rs
+++ b/crates/foxtide-core/src/steering/engine.rs
@@ -3,12 +3,12 @@
 use super::destinations::Destinations;
 use super::flows::OriginFlows;
 use super::known_instances::KnownInstances;
-use super::options::SteeringOptions;
-use super::service::ServiceState;
-use super::tables::{
+use super::name_index::{
+    NameIndex, //
     NamedRow,
-    Tables, //
 };
+use super::options::SteeringOptions;
+use super::service::ServiceState;
 use super::view::{
     FleetView,
     InstanceReport, //
@@ -40,21 +40,21 @@
 pub struct Steering {
     pub(super) organisation: Arc<Organisation>,
     pub(super) options: SteeringOptions,
-    pub(super) tables: Tables,
+    pub(super) names: NameIndex,
     /// The own region's callers first, then those of other regions.
     pub(super) flows: Vec<OriginFlows>,
     pub(super) destinations: Destinations,
     pub(super) view: FleetView,
     known_instances: KnownInstances,
     pub(super) last_rows: BTreeMap<RegionId, BTreeMap<ServiceId, NamedRow>>,
-    pub(super) adopt: Adopt,
+    pub(super) row_sync: RowSync,
     started_at: Option<MonotonicTime>,
     ticked_at: Option<MonotonicTime>,
 }
 
 /// Whether the positions of peers are to be taken over.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Adopt {
+pub(super) enum RowSync {
     /// The process has just started, or was paused: peers know better.
     Waiting {
         /// Since when.
@@ -74,7 +74,7 @@
         let destinations = Destinations::new(&organisation, &origin, MonotonicTime::ZERO);
         let flows = OriginFlows::new(&organisation, origin, &options, &destinations);
         Self {
-            tables: Tables::new(&organisation),
+            names: NameIndex::new(&organisation),
             organisation,
             options,
             flows: vec![flows],
@@ -82,7 +82,7 @@
             view: FleetView::default(),
             known_instances: KnownInstances::default(),
             last_rows: BTreeMap::new(),
-            adopt: Adopt::Waiting {
+            row_sync: RowSync::Waiting {
                 since: MonotonicTime::ZERO,
             },
             started_at: None,
@@ -94,17 +94,17 @@
     /// new plan under the shift cap.
     pub fn configure(&mut self, organisation: Arc<Organisation>, now: MonotonicTime) {
         self.destinations.configure(&organisation, now);
-        let tables = Tables::new(&organisation);
+        let names = NameIndex::new(&organisation);
         for flows in &mut self.flows {
             let origin = flows.origin.clone();
             let mut new =
                 OriginFlows::new(&organisation, origin, &self.options, &self.destinations);
-            new.restore(flows, &self.tables, &tables);
-            new.update_reported_health(&self.view, &tables);
+            new.restore(flows, &self.names, &names);
+            new.update_reported_health(&self.view, &names);
             *flows = new;
         }
         self.organisation = organisation;
-        self.tables = tables;
+        self.names = names;
         self.adopt_rows();
     }
 
@@ -120,7 +120,7 @@
         self.known_instances.apply_to(&mut self.view, hold, now);
         self.destinations.observe(&self.view);
         for flows in &mut self.flows {
-            flows.update_reported_health(&self.view, &self.tables);
+            flows.update_reported_health(&self.view, &self.names);
         }
         self.adopt_rows();
     }
@@ -128,8 +128,8 @@
     /// Notes the healthy part of a service's upstreams in a region as this
     /// instance itself sees it; that outranks what peers say.
     pub fn set_health(&mut self, service: &ServiceId, region: &RegionId, healthy: Option<Share>) {
-        let places = (self.tables.service(service), self.tables.region(region));
-        let (Some(service), Some(region)) = places else {
+        let indices = (self.names.service(service), self.names.region(region));
+        let (Some(service), Some(region)) = indices else {
             return;
         };
         for flows in &mut self.flows {
@@ -140,7 +140,7 @@
     /// Moves all rows and parts on to `now`.
     pub fn tick(&mut self, now: MonotonicTime, wall: WallTime) {
         if self.ticked_at.is_none() || self.was_paused(now) {
-            self.adopt = Adopt::Waiting { since: now };
+            self.row_sync = RowSync::Waiting { since: now };
         }
         let since_last = self.ticked_at.map_or(Duration::ZERO, |at| now.since(at));
         self.ticked_at = Some(now);
@@ -171,13 +171,13 @@
 
     /// Tells whether the rows are up to date.
     pub(super) fn rows_are_current(&self, now: MonotonicTime) -> bool {
-        self.adopt == Adopt::Done && !self.was_paused(now)
+        self.row_sync == RowSync::Done && !self.was_paused(now)
     }
 
     /// Returns the report to publish, and counts it as published.
     pub fn report(&mut self, now: MonotonicTime) -> InstanceReport {
         let ready = self.rows_are_current(now);
-        let report = |flows: &OriginFlows| flows.report(&self.tables, ready);
+        let report = |flows: &OriginFlows| flows.report(&self.names, ready);
         let foreign = self.flows.iter().skip(1);
         let foreign = foreign.map(|flows| (flows.origin.clone(), report(flows)));
         InstanceReport {
@@ -201,27 +201,27 @@
         origin: &RegionId,
     ) -> Option<BTreeMap<RegionId, Share>> {
         let flows = self.flows.iter().find(|flows| flows.origin == *origin)?;
-        let state = &flows.services[self.tables.service(service)?];
-        Some(self.tables.named(state.row.as_ref()?))
+        let state = &flows.services[self.names.service(service)?];
+        Some(self.names.named(state.row.as_ref()?))
     }
 
     /// Returns the share that the plan and the regions' health want to go to
     /// each region.
     pub fn wanted_row(&self, service: &ServiceId) -> Option<BTreeMap<RegionId, Share>> {
-        let state = &self.flows[0].services[self.tables.service(service)?];
-        Some(self.tables.named(&state.wanted))
+        let state = &self.flows[0].services[self.names.service(service)?];
+        Some(self.names.named(&state.wanted))
     }
 
     /// Returns the rate that this instance may send to a region now.
     pub fn usable_rate(&self, region: &RegionId) -> Option<RequestRate> {
-        let place = self.tables.region(region)?;
-        Some(RequestRate::clamped(self.destinations.usable_rps(place)))
+        let index = self.names.region(region)?;
+        Some(RequestRate::clamped(self.destinations.usable_rps(index)))
     }
 
     /// Works out what spills, and what is claimed of each region.
     fn update_spill(&mut self, now: MonotonicTime) {
-        let places = 0..self.tables.regions.len();
-        let wanted_rps: Vec<f64> = places.map(|region| self.wanted_rps(region)).collect();
+        let indices = 0..self.names.regions.len();
+        let wanted_rps: Vec<f64> = indices.map(|region| self.wanted_rps(region)).collect();
         for service in self.flows.iter_mut().flat_map(|flows| &mut flows.services) {
             let spill_at_share = service.priority.spill_at_share;
             let regions = wanted_rps.iter().enumerate();
@@ -236,7 +236,7 @@
         } else {
             self.options.idle_claim_share
         };
-        for region in 0..self.tables.regions.len() {
+        for region in 0..self.names.regions.len() {
             let claims = self
                 .services()
                 .map(|service| service.claim(region, least_share));
--- a/crates/foxtide-core/src/steering/flows.rs
+++ b/crates/foxtide-core/src/steering/flows.rs
@@ -1,13 +1,13 @@
 //! The rows of all services for the callers of one origin region.
 
 use super::destinations::Destinations;
+use super::name_index::{
+    NameIndex, //
+    NamedRow,
+};
 use super::options::SteeringOptions;
 use super::planned::PlannedRows;
 use super::service::ServiceState;
-use super::tables::{
-    NamedRow,
-    Tables, //
-};
 use super::view::{
     FleetView,
     ServiceReport, //
@@ -61,8 +61,8 @@
     ) -> Self {
         let planned = PlannedRows::new(organisation, &origin, options.shift_cap_factor);
         let mut services = Vec::new();
-        for (place, service) in organisation.services.iter().enumerate() {
-            let homes = planned.homes_at(place);
+        for (index, service) in organisation.services.iter().enumerate() {
+            let homes = planned.homes_at(index);
             let mut state = ServiceState::new(service, homes, options);
             state.reachable = reachable(organisation, service, destinations);
             services.push(state);
@@ -75,11 +75,11 @@
     }
 
     /// Keeps the rows and what was measured under another configuration.
-    pub(crate) fn restore(&mut self, old: &Self, old_tables: &Tables, tables: &Tables) {
-        for (id, place) in &tables.services {
-            if let Some(old_place) = old_tables.service(id) {
-                let state = &mut self.services[*place];
-                state.restore(&old.services[old_place], old_tables, tables);
+    pub(crate) fn restore(&mut self, old: &Self, old_names: &NameIndex, names: &NameIndex) {
+        for (id, index) in &names.services {
+            if let Some(old_index) = old_names.service(id) {
+                let state = &mut self.services[*index];
+                state.restore(&old.services[old_index], old_names, names);
             }
         }
     }
@@ -93,13 +93,13 @@
     }
 
     /// Takes over what peers say of their regions' upstreams.
-    pub(crate) fn update_reported_health(&mut self, view: &FleetView, tables: &Tables) {
-        for (id, place) in &tables.services {
-            let health = tables
+    pub(crate) fn update_reported_health(&mut self, view: &FleetView, names: &NameIndex) {
+        for (id, index) in &names.services {
+            let health = names
                 .regions
                 .iter()
                 .map(|region| reported_health(view, region, id));
-            self.services[*place].reported_health = health.collect();
+            self.services[*index].reported_health = health.collect();
         }
     }
 
@@ -107,36 +107,40 @@
     pub(crate) fn adopt(
         &mut self,
         rows: &BTreeMap<ServiceId, NamedRow>,
-        tables: &Tables,
+        names: &NameIndex,
         which: Adoption,
     ) {
-        for (id, place) in &tables.services {
-            let state = &mut self.services[*place];
+        for (id, index) in &names.services {
+            let state = &mut self.services[*index];
             let row = rows
                 .get(id)
                 .filter(|_| which == Adoption::All || state.row.is_none());
             if let Some(row) = row {
-                state.row = Some(tables.plain(row));
+                state.row = Some(names.indexed(row));
                 state.drop_unusable();
             }
         }
     }
 
     /// Notes what callers ask of a peer, on average.
-    pub(crate) fn update_peer_demand(&mut self, view: &FleetView, tables: &Tables) {
+    pub(crate) fn update_peer_demand(&mut self, view: &FleetView, names: &NameIndex) {
         let here = view.regions.get(&self.origin);
-        for (id, place) in &tables.services {
+        for (id, index) in &names.services {
             let service = here.and_then(|here| here.services.get(id));
             let mean = service.map(|s| s.demand_rps.get() / f64::from(s.instances.max(1)));
-            self.services[*place].peer_demand_rps = mean.unwrap_or_default();
+            self.services[*index].peer_demand_rps = mean.unwrap_or_default();
         }
     }
 
     /// Notes where peers send the same callers' requests.
-    pub(crate) fn set_peer_rows(&mut self, rows: &BTreeMap<ServiceId, NamedRow>, tables: &Tables) {
-        for (id, place) in &tables.services {
-            let row = rows.get(id).map(|row| tables.plain(row));
-            self.services[*place].peer_row = row;
+    pub(crate) fn set_peer_rows(
+        &mut self,
+        rows: &BTreeMap<ServiceId, NamedRow>,
+        names: &NameIndex,
+    ) {
+        for (id, index) in &names.services {
+            let row = rows.get(id).map(|row| names.indexed(row));
+            self.services[*index].peer_row = row;
         }
     }
 
@@ -167,9 +171,9 @@
 
     /// Works out where the traffic is wanted.
     pub(crate) fn update_wanted(&mut self, wall: WallTime, since_last: Duration) {
-        for (place, state) in self.services.iter_mut().enumerate() {
+        for (index, state) in self.services.iter_mut().enumerate() {
             state.measure_demand(since_last);
-            state.update_wanted(self.planned.row_at(place, wall));
+            state.update_wanted(self.planned.row_at(index, wall));
         }
     }
 
@@ -177,18 +181,18 @@
     /// told only by those who know them.
     pub(crate) fn report(
         &self,
-        tables: &Tables,
+        names: &NameIndex,
         ready: bool,
     ) -> BTreeMap<ServiceId, ServiceReport> {
-        let own = tables.region(&self.origin);
-        let services = tables.services.iter();
-        let services = services.map(|(id, place)| {
-            let state = &self.services[*place];
+        let own = names.region(&self.origin);
+        let services = names.services.iter();
+        let services = services.map(|(id, index)| {
+            let state = &self.services[*index];
             let row = state.row.as_ref().filter(|_| ready);
             let report = ServiceReport {
                 demand_rps: RequestRate::clamped(state.demand_rps),
                 healthy_share: own.and_then(|region| state.observed_health[region]),
-                row: row.map_or_else(NamedRow::new, |row| tables.named(row)),
+                row: row.map_or_else(NamedRow::new, |row| names.named(row)),
             };
             (id.clone(), report)
         });
@@ -203,9 +207,9 @@
     destinations: &Destinations,
 ) -> Vec<bool> {
     let regions = organisation.regions.iter().enumerate();
-    let reachable = regions.map(|(place, region)| {
+    let reachable = regions.map(|(index, region)| {
         let mut upstreams = service.upstreams.iter();
-        destinations.reachable(place) && upstreams.any(|upstream| upstream.region == region.region)
+        destinations.reachable(index) && upstreams.any(|upstream| upstream.region == region.region)
     });
     reachable.collect()
 }
--- a/crates/foxtide-core/src/steering/mod.rs
+++ b/crates/foxtide-core/src/steering/mod.rs
@@ -17,13 +17,13 @@
 mod known_instances;
 mod limit_inputs;
 mod merge;
+mod name_index;
 mod options;
 mod planned;
 mod row_band;
 mod service;
 mod shift;
 mod steps;
-mod tables;
 mod target;
 mod view;
 
--- a/crates/foxtide-core/src/steering/tables.rs
+++ b/crates/foxtide-core/src/steering/name_index.rs
@@ -14,25 +14,25 @@
 
 /// Finds places by name and names rows.
 #[derive(Clone, Debug)]
-pub(crate) struct Tables {
+pub(crate) struct NameIndex {
     /// The regions, in the order of the configuration.
     pub(crate) regions: Vec<RegionId>,
     /// The services with their places, in the order of their names.
     pub(crate) services: Vec<(ServiceId, usize)>,
 }
 
-impl Tables {
+impl NameIndex {
     /// Returns the tables of a configuration.
     pub(crate) fn new(organisation: &Organisation) -> Self {
         let regions = organisation.regions.iter();
         let services = organisation.services.iter().enumerate();
-        let services = services.map(|(place, service)| (service.service.clone(), place));
-        let mut tables = Self {
+        let services = services.map(|(index, service)| (service.service.clone(), index));
+        let mut names = Self {
             regions: regions.map(|region| region.region.clone()).collect(),
             services: services.collect(),
         };
-        tables.services.sort();
-        tables
+        names.services.sort();
+        names
     }
 
     /// Finds a region's place.
@@ -54,7 +54,7 @@
     }
 
     /// Takes the names from a row.
-    pub(crate) fn plain(&self, row: &NamedRow) -> Row {
+    pub(crate) fn indexed(&self, row: &NamedRow) -> Row {
         let share = |region| row.get(region).map_or(0.0, |share| share.get());
         self.regions.iter().map(share).collect()
     }
--- a/crates/foxtide-core/src/steering/row_band.rs
+++ b/crates/foxtide-core/src/steering/row_band.rs
@@ -21,8 +21,8 @@
         if usable[index] { most } else { 0.0 }
     };
     let least = |index: usize| (peers[index] - band_share).clamp(0.0, most(index));
-    let places = 0..target.len();
-    let inside = places.map(|index| target[index].clamp(least(index), most(index)));
+    let indices = 0..target.len();
+    let inside = indices.map(|index| target[index].clamp(least(index), most(index)));
     let mut row: Row = inside.collect();
     let missing = target.iter().sum::<f64>() - row.iter().sum::<f64>();
     let slack = |index: usize, share: f64| {
--- a/crates/foxtide-core/src/steering/service.rs
+++ b/crates/foxtide-core/src/steering/service.rs
@@ -1,5 +1,6 @@
 //! What an instance holds for one service.
 
+use super::name_index::NameIndex;
 use super::options::{
     PriorityOptions,
     SteeringOptions, //
@@ -11,12 +12,11 @@
     drop_region,
     step_towards, //
 };
-use super::tables::Tables;
 use super::target::{
     FreeCapacity,
     SpillLimit,
     redistribute_unusable, //
-    spill,
+    spill,                 //
 };
 use crate::limits::Claim;
 use crate::organisation::Service;
@@ -123,14 +123,14 @@
     }
 
     /// Keeps what was measured under the configuration before this one.
-    pub(crate) fn restore(&mut self, old: &Self, old_tables: &Tables, tables: &Tables) {
+    pub(crate) fn restore(&mut self, old: &Self, old_names: &NameIndex, names: &NameIndex) {
         self.demand_rps = old.demand_rps;
         self.arrived = old.arrived;
         let row = old.row.as_ref();
-        self.row = row.map(|row| tables.plain(&old_tables.named(row)));
-        for (region, seen) in tables.regions.iter().zip(&mut self.observed_health) {
-            let place = old_tables.region(region);
-            *seen = place.and_then(|place| old.observed_health[place]);
+        self.row = row.map(|row| names.indexed(&old_names.named(row)));
+        for (region, seen) in names.regions.iter().zip(&mut self.observed_health) {
+            let index = old_names.region(region);
+            *seen = index.and_then(|index| old.observed_health[index]);
         }
     }
 
--- a/crates/foxtide-core/src/steering/steps.rs
+++ b/crates/foxtide-core/src/steering/steps.rs
@@ -78,11 +78,11 @@
 }
 
 fn move_step(organisation: &Organisation, planned: &PlannedMove, cap_per_s: f64) -> Option<Step> {
-    let place = |id: &RegionId| organisation.regions.iter().position(|r| r.region == *id);
+    let index = |id: &RegionId| organisation.regions.iter().position(|r| r.region == *id);
     Some(Step {
         change: Change::Move {
-            from: place(&planned.from)?,
-            to: place(&planned.to)?,
+            from: index(&planned.from)?,
+            to: index(&planned.to)?,
         },
         share: planned.share.get(),
         pace_per_s: planned.pace_share_per_s.get().min(cap_per_s),
