--- a/crates/foxtide-core/tests/steering/fleet.rs
+++ b/crates/foxtide-core/tests/steering/fleet.rs
@@ -77,10 +77,10 @@
     in_flight: Vec<InFlight>,
     /// In the order of time, then of their making.
     arrivals: BTreeMap<(u64, u64), Arrival>,
-    arrivals_seen: u64,
+    arrivals_added: u64,
     healthy: [bool; REGIONS.len()],
     cut: [bool; REGIONS.len()],
-    silent: bool,
+    reports_lost: bool,
     burst: [f64; REGIONS.len()],
     shedding: [bool; REGIONS.len()],
     newest: Arc<Organisation>,
@@ -98,11 +98,11 @@
         let mut fleet = Self::new(scenario, options);
         for step in 0..steps {
             fleet.now_ms = step * STEP_MS;
-            fleet.happen();
+            fleet.apply_due_events();
             fleet.exchange(step);
             fleet.tick(step);
             fleet.serve();
-            fleet.note_shares();
+            fleet.record_shares();
         }
         fleet.tally
     }
@@ -112,12 +112,12 @@
         let mut rng = StdRng::seed_from_u64(scenario.seed);
         let regions: Vec<RegionId> = REGIONS.iter().map(|name| region(name)).collect();
         let mut nodes = Vec::new();
-        for (place, count) in INSTANCES.iter().enumerate() {
+        for (region_index, count) in INSTANCES.iter().enumerate() {
             for _ in 0..*count {
-                let decider = D::start(&organisation, &regions[place], &options);
+                let decider = D::start(&organisation, &regions[region_index], &options);
                 let skew_ms = rng.random_range(0..=500);
                 nodes.push(Node::new(
-                    place,
+                    region_index,
                     decider,
                     skew_ms,
                     rng.random_range(0.5..1.5),
@@ -133,10 +133,10 @@
             nodes,
             in_flight: Vec::new(),
             arrivals: BTreeMap::new(),
-            arrivals_seen: 0,
+            arrivals_added: 0,
             healthy: [true; REGIONS.len()],
             cut: [false; REGIONS.len()],
-            silent: false,
+            reports_lost: false,
             burst: [1.0; REGIONS.len()],
             shedding: [false; REGIONS.len()],
             newest: organisation,
@@ -150,7 +150,7 @@
     }
 
     /// Lets the scenario's events of this step happen.
-    fn happen(&mut self) {
+    fn apply_due_events(&mut self) {
         let due = |event: &&(u64, Event)| event.0 == self.now_ms;
         let events: Vec<Event> = self
             .scenario
@@ -169,11 +169,11 @@
             Event::Stop(node) => self.nodes[node].stop(self.now_ms),
             Event::Start(node) => self.start(node),
             Event::Pause(node, for_ms) => self.nodes[node].paused_until_ms = self.now_ms + for_ms,
-            Event::Health(place, healthy) => self.set_health(place, healthy),
-            Event::Cut(place, cut) => self.cut[place] = cut,
-            Event::Silence(silent) => self.silent = silent,
-            Event::Burst(place, factor) => self.burst[place] = factor,
-            Event::Shed(place, shedding) => self.shedding[place] = shedding,
+            Event::Health(region_index, healthy) => self.set_health(region_index, healthy),
+            Event::Cut(region_index, cut) => self.cut[region_index] = cut,
+            Event::ReportLoss(reports_lost) => self.reports_lost = reports_lost,
+            Event::Burst(region_index, factor) => self.burst[region_index] = factor,
+            Event::Shed(region_index, shedding) => self.shedding[region_index] = shedding,
             Event::Skew(node, weight) => self.nodes[node].demand_weight = weight,
             Event::Configure(organisation) => self.configure(&organisation),
         }
@@ -186,18 +186,20 @@
         node.started_ms = self.now_ms;
         node.up = true;
         node.known.clear();
-        node.configured.clear();
+        node.pending_configurations.clear();
         let now_ms = self.now_ms;
         let healthy = self.healthy.iter().enumerate();
-        let seen = healthy.map(|(place, healthy)| (now_ms + 300, place, health(*healthy)));
-        node.seen_health = seen.collect();
+        let seen =
+            healthy.map(|(region_index, healthy)| (now_ms + 300, region_index, health(*healthy)));
+        node.pending_health = seen.collect();
     }
 
-    fn set_health(&mut self, place: usize, healthy: bool) {
-        self.healthy[place] = healthy;
+    fn set_health(&mut self, region_index: usize, healthy: bool) {
+        self.healthy[region_index] = healthy;
         for node in &mut self.nodes {
             let at_ms = self.now_ms + self.rng.random_range(0..1_500);
-            node.seen_health.push((at_ms, place, health(healthy)));
+            node.pending_health
+                .push((at_ms, region_index, health(healthy)));
         }
     }
 
@@ -205,7 +207,8 @@
         self.newest = Arc::clone(organisation);
         for node in &mut self.nodes {
             let at_ms = self.now_ms + self.rng.random_range(0..2_000);
-            node.configured.push((at_ms, Arc::clone(organisation)));
+            node.pending_configurations
+                .push((at_ms, Arc::clone(organisation)));
         }
     }
 
@@ -244,7 +247,7 @@
         for to in 0..self.nodes.len() {
             let (a, b) = (self.nodes[from].region, self.nodes[to].region);
             let cut = a != b && (self.cut[a] || self.cut[b]);
-            if to != from && (cut || self.silent || self.rng.random_bool(0.05)) {
+            if to != from && (cut || self.reports_lost || self.rng.random_bool(0.05)) {
                 continue;
             }
             let delay_ms = if to == from {
@@ -274,7 +277,7 @@
             if !node.runs(now_ms) {
                 continue;
             }
-            node.learn(regions, now_ms);
+            node.apply_pending(regions, now_ms);
             if is_due(step + 2, index) {
                 node.observe(regions, &listed, now_ms, self.scenario.platform_list);
             }
@@ -286,10 +289,10 @@
     /// Lets callers send for one step, in the order of time.
     fn serve(&mut self) {
         for origin in 0..REGIONS.len() {
-            for (index, part) in self.callers_use(origin) {
+            for (index, part) in self.callers_instances(origin) {
                 for service in 0..SERVICES.len() {
                     let rps = self.scenario.demand_rps[origin][service] * self.burst[origin] * part;
-                    self.arrive(index, (origin, service), rps);
+                    self.add_arrivals(index, (origin, service), rps);
                 }
             }
         }
@@ -309,13 +312,13 @@
     }
 
     fn push(&mut self, arrival: Arrival) {
-        self.arrivals_seen += 1;
-        let key = (arrival.at_us, self.arrivals_seen);
+        self.arrivals_added += 1;
+        let key = (arrival.at_us, self.arrivals_added);
         self.arrivals.insert(key, arrival);
     }
 
     /// Returns the instances that an origin's callers use, with their parts.
-    fn callers_use(&self, origin: usize) -> Vec<(usize, f64)> {
+    fn callers_instances(&self, origin: usize) -> Vec<(usize, f64)> {
         // Look-ups name no instance that is not ready.
         let runs = |index: &usize| {
             let node = &self.nodes[*index];
@@ -338,7 +341,7 @@
     }
 
     /// Draws the requests that come to an instance in this step.
-    fn arrive(&mut self, index: usize, (origin, service): (usize, usize), rps: f64) {
+    fn add_arrivals(&mut self, index: usize, (origin, service): (usize, usize), rps: f64) {
         let mean = rps * STEP_MS as f64 / 1_000.0;
         for _ in 0..poisson(&mut self.rng, mean) {
             let after_us = self.rng.random_range(0..STEP_MS * 1_000);
@@ -372,7 +375,7 @@
         };
         match node.decider.admit(&attempt, now) {
             Admission::Send { region, spilled } => {
-                let to = place_of(&self.regions, &region);
+                let to = region_index_of(&self.regions, &region);
                 let shed = self.shedding[to] && self.rng.random_bool(0.3);
                 if shed {
                     node.decider.refused_by(&region, now);
@@ -394,12 +397,12 @@
     }
 
     /// Notes the share of each origin's callers that goes to each region.
-    fn note_shares(&mut self) {
+    fn record_shares(&mut self) {
         for service in 0..SERVICES.len() {
             let mut shares = [0.0; REGIONS.len()];
             for origin in 0..REGIONS.len() {
                 let weight = self.scenario.origin_weight(origin, service);
-                for (index, part) in self.callers_use(origin) {
+                for (index, part) in self.callers_instances(origin) {
                     let decider = &self.nodes[index].decider;
                     let row = decider.row(&self.services[service], &self.regions[origin]);
                     for (share, region) in shares.iter_mut().zip(&self.regions) {
@@ -423,7 +426,7 @@
     if healthy { Share::ONE } else { Share::ZERO }
 }
 
-fn place_of(regions: &[RegionId], region: &RegionId) -> usize {
-    let place = regions.iter().position(|known| known == region);
-    place.expect("a region of the organisation")
+fn region_index_of(regions: &[RegionId], region: &RegionId) -> usize {
+    let region_index = regions.iter().position(|known| known == region);
+    region_index.expect("a region of the organisation")
 }
--- a/crates/foxtide-core/tests/steering/node.rs
+++ b/crates/foxtide-core/tests/steering/node.rs
@@ -20,7 +20,7 @@
 
 /// How long the report of an instance is kept that is no longer listed; longer
 /// than its claims are held.
-const KEEP_REPORT_MS: u64 = 20_000;
+const REPORT_HOLD_MS: u64 = 20_000;
 
 /// A peer's newest report as an instance knows it.
 pub(super) struct Known {
@@ -49,8 +49,8 @@
     pub(super) paused_until_ms: u64,
     pub(super) demand_weight: f64,
     pub(super) known: BTreeMap<usize, Known>,
-    pub(super) seen_health: Vec<(u64, usize, Share)>,
-    pub(super) configured: Vec<(u64, Arc<Organisation>)>,
+    pub(super) pending_health: Vec<(u64, usize, Share)>,
+    pub(super) pending_configurations: Vec<(u64, Arc<Organisation>)>,
 }
 
 impl<D: Decider> Node<D> {
@@ -66,8 +66,8 @@
             paused_until_ms: 0,
             demand_weight,
             known: BTreeMap::new(),
-            seen_health: Vec::new(),
-            configured: Vec::new(),
+            pending_health: Vec::new(),
+            pending_configurations: Vec::new(),
         }
     }
 
@@ -98,18 +98,21 @@
     }
 
     /// Learns of its upstreams' health and of a new configuration.
-    pub(super) fn learn(&mut self, regions: &[RegionId], now_ms: u64) {
+    pub(super) fn apply_pending(&mut self, regions: &[RegionId], now_ms: u64) {
         let now = self.now(now_ms);
-        let due = self.seen_health.iter().filter(|seen| seen.0 <= now_ms);
-        for (_, place, healthy) in due {
-            self.decider.set_health(&regions[*place], *healthy);
+        let due = self.pending_health.iter().filter(|seen| seen.0 <= now_ms);
+        for (_, region_index, healthy) in due {
+            self.decider.set_health(&regions[*region_index], *healthy);
         }
-        self.seen_health.retain(|seen| seen.0 > now_ms);
-        let mut due = self.configured.iter().filter(|due| due.0 <= now_ms);
+        self.pending_health.retain(|seen| seen.0 > now_ms);
+        let mut due = self
+            .pending_configurations
+            .iter()
+            .filter(|due| due.0 <= now_ms);
         if let Some((_, organisation)) = due.next_back() {
             self.decider.configure(organisation, now);
         }
-        self.configured.retain(|due| due.0 > now_ms);
+        self.pending_configurations.retain(|due| due.0 > now_ms);
     }
 
     pub(super) fn observe(
@@ -120,7 +123,7 @@
         platform_list: bool,
     ) {
         let now = self.now(now_ms);
-        let held = |made_ms| now_ms - made_ms < KEEP_REPORT_MS;
+        let held = |made_ms| now_ms - made_ms < REPORT_HOLD_MS;
         self.known
             .retain(|from, known| (platform_list && listed[*from].1) || held(known.made_ms));
         let reports = self.known.iter().map(|(from, known)| ReceivedReport {
@@ -130,8 +133,10 @@
         });
         let mut view = FleetView::from_reports(reports, ViewOptions::default(), now);
         let seen = if platform_list { regions } else { &[] };
-        for (place, region) in seen.iter().enumerate() {
-            let here = listed.iter().filter(|listed| **listed == (place, true));
+        for (region_index, region) in seen.iter().enumerate() {
+            let here = listed
+                .iter()
+                .filter(|listed| **listed == (region_index, true));
             view.add_listed(region, here.count() as u32);
         }
         self.decider.observe(&view, now);
--- a/crates/foxtide-core/tests/steering/rows.rs
+++ b/crates/foxtide-core/tests/steering/rows.rs
@@ -297,13 +297,13 @@
     let plain = organisation(&OrganisationOptions::default());
     let mut peer = Instance::new(plain.clone());
     peer.run(80);
-    let told = peer.steering.report(peer.now);
+    let report = peer.steering.report(peer.now);
     let mut instance = Instance::new(plain);
     instance.run(80);
     let steering = &mut instance.steering;
     steering.set_health(&viewer(), &region("khomas"), Some(Share::ZERO));
     for _ in 0..300 {
-        let seen = view(&[(region("khomas"), told.clone())], instance.now);
+        let seen = view(&[(region("khomas"), report.clone())], instance.now);
         instance.steering.observe(&seen, instance.now);
         instance.now = instance.now + Duration::from_millis(100);
         instance.steering.tick(instance.now, instance.wall);
--- a/crates/foxtide-core/tests/steering/scenario.rs
+++ b/crates/foxtide-core/tests/steering/scenario.rs
@@ -53,7 +53,7 @@
     /// A region's instances lose, or find, those of other regions.
     Cut(usize, bool),
     /// No report arrives any more, or reports arrive again.
-    Silence(bool),
+    ReportLoss(bool),
     /// The demand of a region's callers, times this.
     Burst(usize, f64),
     /// A region's upstreams refuse a part, or stop to.
@@ -134,7 +134,7 @@
 
     fn add_random(&mut self, at_ms: u64, rng: &mut StdRng) {
         let node = rng.random_range(0..NODES);
-        let place = rng.random_range(0..REGIONS.len());
+        let region_index = rng.random_range(0..REGIONS.len());
         let later_ms = at_ms + rng.random_range(10..400) * STEP_MS;
         match rng.random_range(0..11) {
             0 => {
@@ -151,32 +151,37 @@
             ),
             3 => self.between(
                 at_ms,
-                Event::Health(place, false),
+                Event::Health(region_index, false),
                 later_ms,
-                Event::Health(place, true),
+                Event::Health(region_index, true),
             ),
-            4 => self.lose_region(at_ms, place, later_ms),
+            4 => self.lose_region(at_ms, region_index, later_ms),
             5 => self.between(
                 at_ms,
-                Event::Cut(place, true),
+                Event::Cut(region_index, true),
                 later_ms,
-                Event::Cut(place, false),
+                Event::Cut(region_index, false),
+            ),
+            6 => self.between(
+                at_ms,
+                Event::ReportLoss(true),
+                later_ms,
+                Event::ReportLoss(false),
             ),
-            6 => self.between(at_ms, Event::Silence(true), later_ms, Event::Silence(false)),
             7 => {
                 let factor = rng.random_range(1.5..4.0);
                 self.between(
                     at_ms,
-                    Event::Burst(place, factor),
+                    Event::Burst(region_index, factor),
                     later_ms,
-                    Event::Burst(place, 1.0),
+                    Event::Burst(region_index, 1.0),
                 );
             }
             8 => self.between(
                 at_ms,
-                Event::Shed(place, true),
+                Event::Shed(region_index, true),
                 later_ms,
-                Event::Shed(place, false),
+                Event::Shed(region_index, false),
             ),
             9 => self.at(at_ms, Event::Skew(node, rng.random_range(0.0..8.0))),
             _ => self.reconfigure(at_ms, rng),
@@ -189,24 +194,24 @@
     }
 
     /// A region's upstreams and instances fail together and come back.
-    pub(crate) fn lose_region(&mut self, at_ms: u64, place: usize, until_ms: u64) {
+    pub(crate) fn lose_region(&mut self, at_ms: u64, region_index: usize, until_ms: u64) {
         let first = [0, 4, 7, NODES];
-        for node in first[place]..first[place + 1] {
+        for node in first[region_index]..first[region_index + 1] {
             self.between(at_ms, Event::Stop(node), until_ms, Event::Start(node));
         }
         self.between(
             at_ms,
-            Event::Health(place, false),
+            Event::Health(region_index, false),
             until_ms,
-            Event::Health(place, true),
+            Event::Health(region_index, true),
         );
     }
 
     fn reconfigure(&mut self, at_ms: u64, rng: &mut StdRng) {
         let start_us = WallTime::from_ms(1_000_000 + at_ms);
         let start_us = start_us + Duration::from_secs(rng.random_range(0..20));
-        let places = [(0, 1), (1, 2), (2, 0)][rng.random_range(0..3)];
-        let (from, to) = (region(REGIONS[places.0]), region(REGIONS[places.1]));
+        let indices = [(0, 1), (1, 2), (2, 0)][rng.random_range(0..3)];
+        let (from, to) = (region(REGIONS[indices.0]), region(REGIONS[indices.1]));
         let pace = self.options.shift_cap_share_per_s * rng.random_range(0.3..1.0);
         let mut changed = self.newest();
         match rng.random_range(0..4) {
--- a/crates/foxtide-core/tests/steering/scenarios.rs
+++ b/crates/foxtide-core/tests/steering/scenarios.rs
@@ -14,7 +14,7 @@
 use std::time::Duration;
 
 /// Seeds that once broke a promise, and by what.
-const ONCE_BROKEN: [(u64, &str); 11] = [
+const REGRESSION_SEEDS: [(u64, &str); 11] = [
     (4, "an instance took over rows of origins that serve others"),
     (47, "an instance that woke took over another origin's rows"),
     (123, "instances of one origin had spilled differently"),
@@ -54,7 +54,7 @@
     Fleet::<Steering>::run(Scenario::random(seed), options)
 }
 
-fn assert_kept(seed: u64, tally: &Tally) {
+fn assert_promises(seed: u64, tally: &Tally) {
     assert_eq!(
         tally.steps_over_cap, 0,
         "seed {seed}: {:.3} of the cap",
@@ -72,26 +72,26 @@
 #[test]
 fn verify_promises_hold_in_random_scenarios() {
     for seed in 0..SCENARIOS {
-        assert_kept(seed, &run(seed, SteeringOptions::default()));
+        assert_promises(seed, &run(seed, SteeringOptions::default()));
     }
 }
 
 #[test]
 fn verify_promises_hold_in_more_random_scenarios() {
     for seed in SCENARIOS..2 * SCENARIOS {
-        assert_kept(seed, &run(seed, SteeringOptions::default()));
+        assert_promises(seed, &run(seed, SteeringOptions::default()));
     }
 }
 
 #[test]
-fn verify_promises_hold_where_they_once_broke() {
-    for (seed, _) in ONCE_BROKEN {
-        assert_kept(seed, &run(seed, SteeringOptions::default()));
+fn verify_promises_hold_for_regression_seeds() {
+    for (seed, _) in REGRESSION_SEEDS {
+        assert_promises(seed, &run(seed, SteeringOptions::default()));
     }
 }
 
 /// Runs some scenarios with broken decisions and returns what was noticed.
-fn noticed(options: &SteeringOptions, count: impl Fn(&Tally) -> u64) -> u64 {
+fn violations(options: &SteeringOptions, count: impl Fn(&Tally) -> u64) -> u64 {
     let seeds = 0..BROKEN_SCENARIOS;
     seeds.map(|seed| count(&run(seed, options.clone()))).sum()
 }
@@ -102,7 +102,7 @@
         shift_cap_factor: 2.0,
         ..SteeringOptions::default()
     };
-    assert!(noticed(&options, |tally| tally.steps_over_cap) > 0);
+    assert!(violations(&options, |tally| tally.steps_over_cap) > 0);
 }
 
 #[test]
@@ -111,7 +111,7 @@
         sold_rate_factor: 1.5,
         ..SteeringOptions::default()
     };
-    assert!(noticed(&options, |tally| tally.seconds_over_region) > 0);
+    assert!(violations(&options, |tally| tally.seconds_over_region) > 0);
 }
 
 #[test]
@@ -120,11 +120,11 @@
         growth_window: Duration::ZERO,
         ..SteeringOptions::default()
     };
-    assert!(noticed(&options, |tally| tally.seconds_over_region) > 0);
+    assert!(violations(&options, |tally| tally.seconds_over_region) > 0);
 }
 
 /// One region's callers ask for more than it was sold, two have room.
-fn crowded() -> Scenario {
+fn overloaded_region() -> Scenario {
     let mut scenario = Scenario::quiet(1, OrganisationOptions::default(), 80.0);
     scenario.demand_rps[0] = [180.0, 180.0];
     scenario
@@ -132,8 +132,8 @@
 
 #[test]
 fn verify_spill_uses_room_elsewhere_within_its_limit() {
-    let tally = Fleet::<Steering>::run(crowded(), SteeringOptions::default());
-    assert_kept(1, &tally);
+    let tally = Fleet::<Steering>::run(overloaded_region(), SteeringOptions::default());
+    assert_promises(1, &tally);
     let spilled: u64 = tally.services.iter().map(|counts| counts.spilled).sum();
     let asked: u64 = tally.services.iter().map(|counts| counts.asked).sum();
     let share = spilled as f64 / asked as f64;
@@ -159,7 +159,7 @@
 #[test]
 fn verify_a_long_partition_sells_nothing_twice() {
     let tally = Fleet::<Steering>::run(long_partition(), SteeringOptions::default());
-    assert_kept(3, &tally);
+    assert_promises(3, &tally);
 }
 
 #[test]
@@ -174,7 +174,7 @@
 
 #[test]
 fn verify_a_broken_spill_limit_is_noticed() {
-    let mut scenario = crowded();
+    let mut scenario = overloaded_region();
     scenario.options.spill_limit_share = 0.02;
     let tally = Fleet::<Steering>::run(scenario, SteeringOptions::default());
     assert!(tally.steps_over_spill > 0);
--- a/crates/foxtide-core/tests/steering/tally.rs
+++ b/crates/foxtide-core/tests/steering/tally.rs
@@ -56,7 +56,7 @@
     /// What was sent to another region for want of room.
     pub(crate) spilled: u64,
     /// What was refused for want of room.
-    pub(crate) refused_for_room: u64,
+    pub(crate) refused_for_capacity: u64,
     /// What was refused because faster movement would break the cap.
     pub(crate) refused_for_cap: u64,
 }
@@ -87,7 +87,7 @@
     pub(crate) last_shares: Shares,
     /// The sum over steps of what could have been served but was refused for
     /// want of room, in requests; see [`Tally::end_step`].
-    pub(crate) refused_with_room: f64,
+    pub(crate) refused_with_capacity: f64,
     refused_for_cap_ms: Option<u64>,
     window: VecDeque<Sent>,
     shares: VecDeque<Shares>,
@@ -115,7 +115,7 @@
             seconds: 0,
             fullest_region: 0.0,
             last_shares: Default::default(),
-            refused_with_room: 0.0,
+            refused_with_capacity: 0.0,
             refused_for_cap_ms: None,
             window: VecDeque::from([Sent::default()]),
             shares: VecDeque::new(),
@@ -140,7 +140,7 @@
         let counts = &mut self.services[service];
         match reason {
             RefusalReason::RegionLimit | RefusalReason::LinkLimit => {
-                counts.refused_for_room += 1;
+                counts.refused_for_capacity += 1;
                 self.refused_in_step += 1;
             }
             _ => {
@@ -169,7 +169,7 @@
 
     /// Returns how long after a time it took until nothing was refused for the
     /// cap any more, in seconds.
-    pub(crate) fn whole_after_s(&self, since_ms: u64) -> f64 {
+    pub(crate) fn recovered_after_s(&self, since_ms: u64) -> f64 {
         let last_ms = self.refused_for_cap_ms.unwrap_or(since_ms);
         last_ms.saturating_sub(since_ms) as f64 / 1_000.0
     }
@@ -222,11 +222,11 @@
             self.window.iter().map(|sent| sent.over[from][to]).sum()
         };
         self.seconds += 1;
-        let mut room = 0.0;
+        let mut free_rps = 0.0;
         for to in 0..REGIONS.len() {
             let here: u64 = (0..REGIONS.len()).map(|from| sum(from, to)).sum();
             let full = here as f64 / self.region_rps;
-            room += (self.region_rps - here as f64).max(0.0);
+            free_rps += (self.region_rps - here as f64).max(0.0);
             self.fullest_region = self.fullest_region.max(full);
             self.seconds_over_region += u64::from(full > 1.0);
             let links = (0..REGIONS.len()).filter(|from| *from != to);
@@ -234,7 +234,7 @@
             self.seconds_over_link += over.count() as u64;
         }
         let refused: u64 = self.refused_window.iter().sum();
-        self.refused_with_room += (refused as f64).min(room) / RATE_STEPS as f64;
+        self.refused_with_capacity += (refused as f64).min(free_rps) / RATE_STEPS as f64;
         self.refused_window.pop_front();
         self.window.pop_front();
         self.window.push_back(Sent::default());
@@ -271,8 +271,8 @@
 }
 
 fn before(shares: &VecDeque<Shares>, steps: usize) -> Option<Shares> {
-    let place = shares.len().checked_sub(steps + 1)?;
-    shares.get(place).copied()
+    let index = shares.len().checked_sub(steps + 1)?;
+    shares.get(index).copied()
 }
 
 fn largest_rise(before: &Shares, after: &Shares) -> f64 {
--- a/crates/foxtide/examples/measure/steering.rs
+++ b/crates/foxtide/examples/measure/steering.rs
@@ -221,8 +221,12 @@
         let mut figure = |what: &str, value: f64, unit: &str| {
             report.figure(&format!("{name}.{what}"), value, unit, Limit::None);
         };
-        figure("until_served", ours.whole_after_s(LOST_MS), "s");
-        figure("until_served_even_split", even.whole_after_s(LOST_MS), "s");
+        figure("until_served", ours.recovered_after_s(LOST_MS), "s");
+        figure(
+            "until_served_even_split",
+            even.recovered_after_s(LOST_MS),
+            "s",
+        );
         figure("until_served_at_fleet_cap", 1.0 / 6.0 / cap, "s");
         figure("fastest_of_cap", ours.fastest_of_cap, "x cap");
         figure("fastest_of_cap_even_split", even.fastest_of_cap, "x cap");
