--- a/crates/foxtide-core/src/limits/bucket.rs
+++ b/crates/foxtide-core/src/limits/bucket.rs
@@ -1,27 +1,26 @@
-//! A token bucket whose output stays under its rate in every second.
+//! A token bucket that never exceeds its rate within any one second.
 
 use crate::time::MonotonicTime;
 use crate::units::RequestRate;
 use std::time::Duration;
 
-/// The part of a second's tokens that may be spent at one moment.
+/// The burst as a share of one second's tokens.
 const BURST_SHARE: f64 = 0.05;
 
-/// The least burst, in tokens: below it nothing would ever pass.
+/// The minimum burst, in tokens; a smaller bucket never holds a whole token.
 const BURST_MIN: f64 = 1.0;
 
-/// The part of a rate of less than [`BURST_MIN`] a second that is refilled.
+/// The refilled share of rates up to [`BURST_MIN`] per second.
 const SLOW_REFILL_SHARE: f64 = 0.5;
 
-/// The longest wait that is told, in seconds.
+/// The upper bound of [`TokenBucket::next_token_in`], in seconds.
 const WAIT_MAX_S: f64 = 3_600.0;
 
 /// A token bucket.
 ///
-/// A plain bucket passes its rate plus its burst in one second. This one takes
-/// the burst out of the refill, so that no second holds more than the rate:
-/// burst + refill = rate. Rates below one request a second cannot be kept that
-/// way; they pass one request and then refill at half the rate.
+/// A plain bucket passes its rate plus its burst in one second. This one
+/// deducts the burst from the refill, so that burst + refill = rate. Rates up
+/// to one request per second pass one request and refill at half the rate.
 #[derive(Clone, Debug)]
 pub struct TokenBucket {
     refill_per_s: f64,
@@ -31,7 +30,7 @@
 }
 
 impl TokenBucket {
-    /// Returns an empty bucket of this rate.
+    /// Creates an empty bucket.
     pub fn new(rate: RequestRate, now: MonotonicTime) -> Self {
         let mut bucket = Self {
             refill_per_s: 0.0,
@@ -43,8 +42,8 @@
         bucket
     }
 
-    /// Sets the rate. What the bucket holds does not grow by it, and shrinks
-    /// with the burst.
+    /// Sets the rate, without adding tokens; those above the new burst are
+    /// dropped.
     pub fn set_rate(&mut self, rate: RequestRate, now: MonotonicTime) {
         self.refill(now);
         let rate = rate.get();
@@ -66,19 +65,19 @@
         self.tokens = self.burst;
     }
 
-    /// Tells whether a token is there, without taking it.
+    /// Refills the bucket and returns whether it holds a token.
     pub fn has_token(&mut self, now: MonotonicTime) -> bool {
         self.refill(now);
         self.tokens >= 1.0
     }
 
-    /// Takes a token that [`Self::has_token`] has found.
+    /// Takes a token; call it only after [`Self::has_token`] returned `true`.
     pub fn take(&mut self) {
         self.tokens -= 1.0;
     }
 
-    /// Returns the time until the next token is there, or `None` where none
-    /// will come.
+    /// Returns the time until the next token, or `None` if the bucket is never
+    /// refilled.
     pub fn next_token_in(&self) -> Option<Duration> {
         if self.refill_per_s <= 0.0 {
             return None;
@@ -104,7 +103,7 @@
         let mut sent_ms = Vec::new();
         for ms in 0..10_000 {
             let now = MonotonicTime::from_ms(ms);
-            // Silence in every third second lets the bucket fill up.
+            // A pause in every third second lets the bucket fill up.
             while ms % 3_000 >= 1_000 && bucket.has_token(now) {
                 bucket.take();
                 sent_ms.push(ms);
--- a/crates/foxtide-core/src/limits/claim.rs
+++ b/crates/foxtide-core/src/limits/claim.rs
@@ -1,5 +1,4 @@
-//! What an instance claims of a limit, and the least that its peers may know
-//! of it.
+//! Claims of instances on a limit, and the lowest claim that peers may know.
 
 use crate::time::MonotonicTime;
 use crate::units::RequestRate;
@@ -10,20 +9,20 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// How far below the published claim the need must fall before it is lowered.
+/// The share of the published claim below which the need lowers it.
 ///
-/// Each change of a claim costs its growth window; noise must not cause it.
+/// Every raise takes a growth window to count, so noise must not change claims.
 const LOWER_BELOW_SHARE: f64 = 0.7;
 
-/// What a raised claim adds to the need, so that noise does not raise it again.
+/// The margin of a new claim over the need, so that noise does not raise it again.
 const RAISE_FACTOR: f64 = 1.1;
 
-/// What an instance, or all instances of a region, want to send to a region.
+/// The rate that an instance, or a group of instances, wants to send to a region.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Claim {
-    /// What is planned to go there.
+    /// The rate planned for the region.
     pub planned_rps: RequestRate,
-    /// What would go there because its planned region has no room.
+    /// The rate that spills over because its planned region lacks capacity.
     pub spilled_rps: RequestRate,
 }
 
@@ -38,7 +37,7 @@
         }
     }
 
-    /// Returns what is at least either of two claims.
+    /// Returns the component-wise maximum of two claims.
     pub(crate) fn max(self, other: Self) -> Self {
         let planned = self.planned_rps.get().max(other.planned_rps.get());
         let spilled = self.spilled_rps.get().max(other.spilled_rps.get());
@@ -58,21 +57,21 @@
     }
 }
 
-/// How an instance, or all instances of a region, use a region's limits.
+/// The use of a region's limits by an instance or a group of instances.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct LimitUse {
-    /// What they claim.
+    /// The sum of their claims.
     pub claim: Claim,
-    /// How many share in the region's sold rate by claims; the others use, or
-    /// may use, their floors.
+    /// The number of instances that share the region's sold rate by claims; the
+    /// others may use their floors.
     pub region_sharers: u32,
-    /// How many share in the link's sold rate by claims.
+    /// The number of instances that share the link's sold rate by claims.
     pub link_sharers: u32,
 }
 
 impl LimitUse {
-    /// Returns this use with no more sharers than another view of the same
-    /// instances counts.
+    /// Returns this use with the sharers capped by those of another view of the
+    /// same instances.
     pub(crate) fn with_sharers_of(self, other: Self) -> Self {
         Self {
             claim: self.claim,
@@ -90,8 +89,8 @@
         }
     }
 
-    /// Returns what is left of it when its maker is not heard: the claim still
-    /// counts, but whether it shares is not known.
+    /// Returns the use of an unreachable instance: its claim still counts, but
+    /// it is not known to share.
     pub fn claim_only(self) -> Self {
         Self {
             claim: self.claim,
@@ -100,7 +99,7 @@
     }
 }
 
-/// The claims that an instance has published for one region, of late.
+/// The claims that an instance has recently published for one region.
 #[derive(Clone, Debug, Default)]
 pub struct ClaimWindow {
     published: VecDeque<(MonotonicTime, Claim)>,
@@ -109,19 +108,19 @@
     connected_since: Option<MonotonicTime>,
 }
 
-/// Whether what an instance publishes reaches those that share a limit.
+/// The connectivity of an instance to its peers that share a limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Connectivity {
-    /// All whose claims are counted have been heard of late.
+    /// All peers with counted claims have reported recently.
     Full,
-    /// Some have not, but have not lost their claims yet.
+    /// Reports of some of these peers are stale.
     Partial,
-    /// The instance is cut off from the limit.
+    /// No majority of the instances has been live recently.
     Isolated,
 }
 
 impl ClaimWindow {
-    /// Returns the claim to publish for this need, and remembers it.
+    /// Records and returns the claim to publish for a need.
     pub fn publish(&mut self, need: Claim, now: MonotonicTime) -> Claim {
         let last = self.published.back().map(|(_, claim)| *claim);
         let last = last.unwrap_or_default();
@@ -133,12 +132,11 @@
         claim
     }
 
-    /// Works out the claim that the instance may count itself with.
+    /// Computes the claim that the instance may count for itself.
     ///
-    /// That is the least published since `now - window`, and what was in force
-    /// at that time; before the first publication it is nothing. It grows only
-    /// when all peers have been heard for a whole window: one that is not
-    /// heard may not hear what is published either.
+    /// This is the minimum of the claims in force since `now - window`, or zero
+    /// if none is that old. It grows only after a whole window of full
+    /// connectivity: an unreachable peer may not receive published claims.
     pub fn settle(&mut self, window: Duration, connectivity: Connectivity, now: MonotonicTime) {
         let is_known = |(at, _): &(MonotonicTime, Claim)| now.since(*at) >= window;
         while self.published.get(1).is_some_and(is_known) {
@@ -168,12 +166,12 @@
         };
     }
 
-    /// Tells whether all others know of a claim of this instance.
+    /// Returns whether all peers know a claim of this instance.
     pub fn is_known(&self) -> bool {
         self.known
     }
 
-    /// Returns what [`Self::settle`] worked out.
+    /// Returns the claim computed by [`Self::settle`].
     pub fn usable(&self) -> Claim {
         self.usable
     }
--- a/crates/foxtide-core/src/limits/limit.rs
+++ b/crates/foxtide-core/src/limits/limit.rs
@@ -16,57 +16,57 @@
 use crate::units::RequestRate;
 use std::time::Duration;
 
-/// The times by which instances give up and take over parts.
+/// The times after which instances release and take over allocations.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct LimitTimes {
-    /// How long a published claim must have been out before it counts.
+    /// The time for which a claim must have been published before it counts.
     pub(crate) growth_window: Duration,
-    /// How long an instance may go on without hearing the majority.
+    /// The time for which an instance keeps sharing without seeing a majority.
     pub(crate) majority_hold: Duration,
-    /// How long all others count a silent instance's claim, at most.
+    /// The longest time for which peers count the claim of a silent instance.
     pub(crate) claim_hold: Duration,
 }
 
-/// What a limit's part is worked out from.
+/// The inputs from which an instance's allocation of a limit is computed.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct LimitInput {
-    /// What may be sent through the limit by all instances.
+    /// The rate that all instances together may send.
     pub(crate) sold: RequestRate,
-    /// The instance's own floor.
+    /// The floor of this instance.
     pub(crate) floor: RequestRate,
-    /// The floors of all instances that use theirs, or may.
+    /// The sum of the floors of all instances that may use theirs.
     pub(crate) reserved: RequestRate,
-    /// What all instances have claimed.
+    /// The claims of all instances.
     pub(crate) all: Claims,
-    /// Whether some of these claims are old.
+    /// Whether some of these claims are stale.
     pub(crate) stale: bool,
     /// Whether there is no other instance.
     pub(crate) alone: bool,
 }
 
-/// How an instance uses a limit.
+/// How an instance obtains its allocation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Mode {
-    /// It shares by claims with all others that do.
+    /// In proportion to its claim, among all instances in this mode.
     Shared,
-    /// It uses its floor, which those reserve for it.
+    /// From its floor, which the sharing instances reserve.
     Floor { since: MonotonicTime },
 }
 
-/// An instance's use of a limit.
+/// The state of one limit on one instance.
 #[derive(Clone, Debug)]
 pub(crate) struct Limit {
     claims: ClaimWindow,
     majority: MajorityContact,
     mode: Mode,
-    /// What it had when it fell back to its floor.
+    /// The allocation at the time of the fallback to the floor.
     fallback_max: RequestRate,
     limiter: RateLimiter,
 }
 
 impl Limit {
-    /// Returns the use of an instance that has just started: nothing, until
-    /// its claim is known to all others.
+    /// Creates the state of an instance that has just started: its allocation
+    /// is zero until all peers know its claim.
     pub(crate) fn new(now: MonotonicTime) -> Self {
         Self {
             claims: ClaimWindow::default(),
@@ -77,27 +77,27 @@
         }
     }
 
-    /// Notes how many of the instances that the limit hangs on were heard.
+    /// Records how many of the instances that share the limit are live.
     pub(crate) fn observe(&mut self, live: u32, known: u32, at: MonotonicTime) {
         self.majority.observe(live, known, at);
     }
 
-    /// Returns the claim to publish for this need, and remembers it.
+    /// Records and returns the claim to publish for a need.
     pub(crate) fn publish(&mut self, need: Claim, now: MonotonicTime) -> Claim {
         self.claims.publish(need, now)
     }
 
-    /// Tells whether the instance shares in the limit by claims.
+    /// Returns whether the instance shares the limit by claims.
     pub(crate) fn is_shared(&self) -> bool {
         self.mode == Mode::Shared
     }
 
-    /// Tells whether the instance has its part, by claims or as its floor.
+    /// Returns whether the instance has an allocation, by claims or as its floor.
     pub(crate) fn is_settled(&self) -> bool {
         self.is_shared() || self.usable() > RequestRate::ZERO
     }
 
-    /// Works out the part anew, `passed` after the last time.
+    /// Recomputes the allocation, `passed` after the last update.
     pub(crate) fn update(
         &mut self,
         input: LimitInput,
@@ -123,7 +123,7 @@
                     input.all,
                 )
             }
-            // The others reserve it by then at the latest.
+            // By then all sharing instances reserve the floor.
             Mode::Floor { since } if now.since(since) >= times.claim_hold => input.floor,
             Mode::Floor { .. } => {
                 RequestRate::clamped(self.fallback_max.get().min(input.floor.get()))
@@ -143,17 +143,16 @@
         }
     }
 
-    /// Cuts the part at once because the receiving side refused a request.
+    /// Reduces the usable rate because the receiver refused a request.
     pub(crate) fn refused(&mut self, now: MonotonicTime) {
         self.limiter.refused(now);
     }
 
-    /// Returns the rate that the instance may send at.
+    /// Returns the rate at which the instance may send.
     pub(crate) fn usable(&self) -> RequestRate {
         self.limiter.usable()
     }
 
-    /// Returns the bucket that the part is spent from.
     pub(crate) fn bucket(&mut self) -> &mut TokenBucket {
         self.limiter.bucket()
     }
--- a/crates/foxtide-core/src/limits/mod.rs
+++ b/crates/foxtide-core/src/limits/mod.rs
@@ -1,9 +1,9 @@
-//! Keeps what is sent to regions and over links under what was sold.
+//! Limits the request rates to regions and over links to their sold rates.
 //!
-//! The sold rate of each region and of each link is split among the instances
-//! that send there. [`split`] holds the arithmetic that keeps the sum of the
-//! parts under the sold rate while views differ, [`claim`] what an instance
-//! asks for, [`bucket`] how it spends its part.
+//! Each sold rate is divided among the instances that send there. [`split`]
+//! computes allocations whose sum stays within the sold rate even while the
+//! instances' views differ, [`claim`] tracks the rates that instances ask for,
+//! and [`bucket`] enforces an allocation.
 
 mod bucket;
 mod claim;
--- a/crates/foxtide-core/src/limits/rate_limiter.rs
+++ b/crates/foxtide-core/src/limits/rate_limiter.rs
@@ -1,23 +1,23 @@
-//! One instance's part of one limit.
+//! Limits one instance's rate to its allocation, reduced after refusals.
 
 use super::bucket::TokenBucket;
 use crate::time::MonotonicTime;
 use crate::units::RequestRate;
 use std::time::Duration;
 
-/// What a receiver's refusal leaves of an instance's part.
+/// The factor by which a refusal reduces the usable share.
 const REFUSAL_FACTOR: f64 = 0.7;
 
-/// The least that refusals leave of it, so that recovery is noticed.
+/// The minimum usable share; some requests must pass to detect recovery.
 const USABLE_SHARE_MIN: f64 = 0.05;
 
-/// How fast a part that was cut by refusals grows again, in shares a second.
+/// The recovery of the usable share after refusals, per second.
 const RECOVERY_SHARE_PER_S: f64 = 0.05;
 
-/// Refusals closer together than this count as one.
+/// The minimum time between refusals that count separately.
 const REFUSAL_INTERVAL_MIN: Duration = Duration::from_millis(100);
 
-/// An instance's part of a region's or a link's sold rate.
+/// An instance's allocation of a region's or a link's sold rate.
 #[derive(Clone, Debug)]
 pub(crate) struct RateLimiter {
     bucket: TokenBucket,
@@ -27,7 +27,7 @@
 }
 
 impl RateLimiter {
-    /// Returns a limiter that lets nothing through yet.
+    /// Creates a limiter with an allocation of zero.
     pub(crate) fn new(now: MonotonicTime) -> Self {
         Self {
             bucket: TokenBucket::new(RequestRate::ZERO, now),
@@ -37,7 +37,7 @@
         }
     }
 
-    /// Sets the part, `passed` after the last time.
+    /// Sets the allocation, `passed` after the last update.
     pub(crate) fn update(&mut self, allocation: RequestRate, passed: Duration, now: MonotonicTime) {
         let recovered = self.usable_share + passed.as_secs_f64() * RECOVERY_SHARE_PER_S;
         self.usable_share = recovered.min(1.0);
@@ -45,12 +45,12 @@
         self.bucket.set_rate(self.usable(), now);
     }
 
-    /// Returns the part as it was set.
+    /// Returns the allocation before reductions for refusals.
     pub(crate) fn allocation(&self) -> RequestRate {
         self.allocation
     }
 
-    /// Cuts the part at once because the receiving side refused a request.
+    /// Reduces the usable rate because the receiver refused a request.
     pub(crate) fn refused(&mut self, now: MonotonicTime) {
         let again = self.refused_at.map(|at| now.since(at));
         if again.is_some_and(|passed| passed < REFUSAL_INTERVAL_MIN) {
@@ -61,12 +61,11 @@
         self.bucket.set_rate(self.usable(), now);
     }
 
-    /// Returns the rate that the instance may send at.
+    /// Returns the rate at which the instance may send.
     pub(crate) fn usable(&self) -> RequestRate {
         RequestRate::clamped(self.allocation.get() * self.usable_share)
     }
 
-    /// Returns the bucket that the part is spent from.
     pub(crate) fn bucket(&mut self) -> &mut TokenBucket {
         &mut self.bucket
     }
--- a/crates/foxtide-core/src/limits/split.rs
+++ b/crates/foxtide-core/src/limits/split.rs
@@ -1,50 +1,47 @@
-//! Splits a sold rate among the instances that send there.
+//! Divides a sold rate among the instances that send there.
 //!
-//! Every instance works out its own part from its own view, and the views
-//! differ. The sum still stays under the sold rate `S`, for any mixture of
-//! views:
+//! Every instance computes its own allocation from its own view. The sum stays
+//! within the sold rate `S` for any mixture of views:
 //!
 //! - Instance `i` counts itself with `n_i` (planned) and `s_i` (spilled), the
-//!   least it has published within the growth window. Whatever a peer knows of
-//!   it is at least that. So every peer's sums satisfy `P >= N = sum n_i` and
-//!   `Q >= M = sum s_i`.
-//! - A part is `S * (n_i + k * s_i) / (P + k * Q)`, `k * Q = min(Q, S - P)`
-//!   (at least 0): spilled requests take only what planned ones leave.
-//! - The planned parts sum to at most `S * N / (P + kQ)` and the spilled ones
-//!   to at most `S * x / (P' + x)`, `x = min(M, S - P')`, each for the worst
-//!   view. If the first is bound by `Q`, then `P + Q >= N + M` and the sum is at
-//!   most `S * (N + M) / (N + M)`. If it is bound by `S - P` (or `P > S`), it is
+//!   minimum it has published within the growth window. Every peer knows at
+//!   least that, so its sums satisfy `P >= N = sum n_i` and `Q >= M = sum s_i`.
+//! - An allocation is `S * (n_i + k * s_i) / (P + k * Q)`, `k * Q = min(Q, S - P)`
+//!   (at least 0): spilled requests use only what planned ones leave.
+//! - The planned allocations sum to at most `S * N / (P + kQ)` and the spilled
+//!   ones to at most `S * x / (P' + x)`, `x = min(M, S - P')`, each for the worst
+//!   view. If `Q` bounds the first, then `P + Q >= N + M` and the sum is at
+//!   most `S * (N + M) / (N + M)`. If `S - P` bounds it (or `P > S`), it is
 //!   at most `N`, and the second is at most `S - N`.
 
 use crate::units::RequestRate;
 
 use super::claim::Claim;
 
-/// What all instances together have claimed of one limit, as one of them
-/// knows it.
+/// The sum of all instances' claims on one limit, as one instance knows them.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Claims {
-    /// The sum of what is planned to go there.
+    /// The sum of the planned rates.
     pub planned_rps: f64,
-    /// The sum of what would spill there.
+    /// The sum of the spilled rates.
     pub spilled_rps: f64,
 }
 
 impl Claims {
-    /// Adds an instance's claim, or a region's sum of them.
+    /// Adds the claim of an instance or the sum for a region.
     pub fn add(&mut self, claim: Claim) {
         self.planned_rps += claim.planned_rps.get();
         self.spilled_rps += claim.spilled_rps.get();
     }
 }
 
-/// Returns an instance's part of a sold rate.
+/// Returns an instance's allocation of a sold rate.
 ///
-/// `own` is the least that every peer may know of the instance, `all` what it
-/// knows of everyone, itself counted in.
+/// `own` is the lowest claim that a peer may know of the instance; `all` is the
+/// sum of the claims that it knows, including its own.
 pub fn allocate(sold: RequestRate, own: Claim, all: Claims) -> RequestRate {
     let sold_rps = sold.get();
-    // The view counts the instance in; it never counts for less than itself.
+    // Guards against a view that holds less than the instance's own claim.
     let planned_sum = all.planned_rps.max(own.planned_rps.get());
     let spilled_sum = all.spilled_rps.max(own.spilled_rps.get());
     let spilled_taken = spilled_sum.min((sold_rps - planned_sum).max(0.0));
