--- a/crates/foxtide-core/src/steering/admission.rs
+++ b/crates/foxtide-core/src/steering/admission.rs
@@ -1,47 +1,47 @@
-//! What becomes of one attempt to send a request.
+//! The outcome of an admission decision.
 
 use crate::ids::RegionId;
 use std::fmt;
 use std::time::Duration;
 
-/// What is to be done with one attempt.
+/// The decision on one attempt to send a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Admission {
-    /// Send it to an upstream of this region.
+    /// Send the request to an upstream of this region.
     Send {
         /// The region.
         region: RegionId,
-        /// Whether the region is another than the planned one.
+        /// Whether the request spills over from its planned region.
         spilled: bool,
     },
-    /// Ask again, with the same draw, after this time.
+    /// Ask for admission again with the same draw.
     Wait {
-        /// How long to wait.
+        /// The time to wait before asking again.
         retry_in: Duration,
     },
-    /// Answer now that the request was not run.
+    /// Reject the request without running it.
     Refuse {
-        /// Why there is no room for it.
+        /// Why the request is rejected.
         reason: RefusalReason,
-        /// When the caller may try again.
+        /// The time after which the caller may retry.
         retry_after: Duration,
     },
 }
 
-/// Why a request finds no room.
+/// The reason why a request is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum RefusalReason {
-    /// The instance does not know yet where its peers stand.
+    /// The instance has not yet synchronised its rows with its peers.
     NotReady,
     /// The organisation has no such service.
     UnknownService,
-    /// No home region of the service can serve.
+    /// No home region can serve the service.
     NoRegion,
-    /// Traffic is moving, and moving faster would break the shift cap.
+    /// Serving the request would shift traffic faster than the shift cap allows.
     ShiftCap,
-    /// The instance's part of the region's sold rate is used up.
+    /// The instance's allocation of the region's sold rate is exhausted.
     RegionLimit,
-    /// The instance's part of the link's sold rate is used up.
+    /// The instance's allocation of the link's sold rate is exhausted.
     LinkLimit,
 }
 
--- a/crates/foxtide-core/src/steering/adopt.rs
+++ b/crates/foxtide-core/src/steering/adopt.rs
@@ -1,4 +1,4 @@
-//! Where the rows of an instance start: where its peers stand.
+//! Initialises an instance's rows from the rows of its peers.
 
 use super::engine::{
     RowSync,
@@ -22,11 +22,11 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// The rows of all services for one origin.
+/// The rows by service for one origin.
 type Rows = BTreeMap<ServiceId, NamedRow>;
 
 impl Steering {
-    /// Takes over the peers' rows where they lead.
+    /// Updates the peers' rows, and adopts those of other origins that are idle.
     pub(super) fn adopt_rows(&mut self) {
         self.remember_rows();
         for (index, flows) in self.flows.iter_mut().enumerate() {
@@ -36,8 +36,8 @@
                 flows.update_peer_demand(&self.view, &self.names);
                 continue;
             }
-            // The instances of an origin know best where its callers go; but
-            // what they said before they were gone must not come back.
+            // The origin's own instances are authoritative, but their old reports
+            // must not overwrite a row that is in use here.
             if flows.is_idle() {
                 flows.adopt(&own, &self.names, Adoption::All);
             }
@@ -46,8 +46,8 @@
         }
     }
 
-    /// Ends the waiting for peers' rows once they have had time to tell, and
-    /// starts the rows that are not known yet.
+    /// Completes the row synchronisation after its waiting time, and initialises
+    /// missing rows.
     pub(super) fn start_rows(&mut self, now: MonotonicTime) {
         if let RowSync::Waiting { since } = self.row_sync {
             let waited = now.since(since);
@@ -72,7 +72,7 @@
         }
     }
 
-    /// Starts the rows of the own origin's callers.
+    /// Initialises missing rows of this instance's own origin.
     fn start_own(&mut self) {
         let cut_off = self.is_missing_peers();
         let flows = &mut self.flows[0];
@@ -90,8 +90,8 @@
         flows.start_missing(self.view.sees_majority() && !cut_off);
     }
 
-    /// Tells whether the rows of this instance's origin are held by peers that
-    /// are known but not heard.
+    /// Returns whether no row of this origin is reported while some of its known
+    /// instances are not live.
     fn is_missing_peers(&self) -> bool {
         let origin = &self.flows[0].origin;
         let has_rows = !own_rows(&self.view, origin).is_empty();
@@ -100,8 +100,8 @@
         !has_rows && !all_live
     }
 
-    /// Returns how long to wait for peers' rows: no report from before the
-    /// start may count any more, as its maker may have died.
+    /// Returns how long to wait for peers' rows. By then reports from before the
+    /// start have expired; their senders may have died.
     fn adoption_wait(&self) -> Duration {
         let wait = self.options.startup_wait;
         if wait.is_zero() || self.view.is_alone() {
@@ -110,12 +110,12 @@
         wait.max(self.options.view_age_max)
     }
 
-    /// Finds the flows of an origin's callers, or makes them.
+    /// Returns the index of the flows of an origin, creating them if needed.
     pub(super) fn flows_of(&mut self, origin: &RegionId) -> usize {
         let known = self.flows.iter().position(|flows| flows.origin == *origin);
         match known {
             Some(index) => index,
-            // A caller from no region of the organisation is like one's own.
+            // Callers outside all of the organisation's regions use the own row.
             None if self.names.region(origin).is_none() => 0,
             None => self.add_flows(origin),
         }
@@ -130,7 +130,7 @@
             &self.destinations,
         );
         flows.share_health(&self.flows[0]);
-        // Others that serve these callers already know where they stand.
+        // Prefers the current rows of other instances that serve these callers.
         let foreign = rows_of(&self.view.foreign(origin));
         flows.adopt(&foreign, &self.names, Adoption::Missing);
         if let Some(rows) = self.last_rows.get(origin) {
@@ -141,8 +141,8 @@
         self.flows.len() - 1
     }
 
-    /// Remembers where each origin's callers went: when its instances are
-    /// gone, this is where the other ones go on from.
+    /// Stores each origin's rows, with which other instances continue when the
+    /// origin's instances fail.
     fn remember_rows(&mut self) {
         for (origin, region) in &self.view.regions {
             let rows = rows_of(&region.services);
@@ -156,7 +156,7 @@
     }
 }
 
-/// Returns where the instances of an origin send its callers' requests.
+/// Returns the rows reported by an origin's own instances.
 fn own_rows(view: &FleetView, origin: &RegionId) -> Rows {
     let region = view.regions.get(origin);
     region.map_or_else(Rows::new, |region| rows_of(&region.services))
@@ -170,11 +170,11 @@
         .collect()
 }
 
-/// Returns where a service's requests from an origin go that has no instance
-/// but this one.
+/// Returns the row of an origin without other instances, as known by instances
+/// of other regions that served its callers.
 ///
-/// Its callers have used instances of other regions: these know their rows, or
-/// served them like their own.
+/// Without a row for the origin, this is the mean of the other regions' rows,
+/// weighted by demand.
 fn row_elsewhere(view: &FleetView, origin: &RegionId, service: &ServiceId) -> Option<NamedRow> {
     let mut foreign = view.foreign(origin);
     if let Some(foreign) = foreign
--- a/crates/foxtide-core/src/steering/decide.rs
+++ b/crates/foxtide-core/src/steering/decide.rs
@@ -1,4 +1,4 @@
-//! The decision on one attempt.
+//! Admits or refuses attempts to send a request.
 
 use super::admission::{
     Admission,
@@ -20,22 +20,22 @@
 use crate::time::MonotonicTime;
 use std::time::Duration;
 
-/// The least time that a refused caller is asked to wait.
+/// The minimum retry-after of a refusal.
 const RETRY_AFTER_MIN: Duration = Duration::from_secs(1);
 
-/// The longest time that a refused caller is asked to wait.
+/// The maximum retry-after of a refusal.
 const RETRY_AFTER_MAX: Duration = Duration::from_secs(30);
 
-/// The least time between two tries of a waiting request.
+/// The minimum time between two attempts of a waiting request.
 const RETRY_IN_MIN: Duration = Duration::from_millis(1);
 
 impl Steering {
-    /// Decides on one attempt to send a request.
+    /// Decides on one attempt to send a request of the own region's callers.
     ///
-    /// Every attempt has to be admitted, retries and hedges too: each is a
-    /// request that the region receives. `draw` is uniform in `[0, 1)` and
-    /// stays the same while the request waits; `waited` is how long it has
-    /// waited so far, zero when it is new.
+    /// Every attempt needs admission, including retries and hedges, as the
+    /// region receives each of them. `draw` is uniform in `[0, 1)` and constant
+    /// while the request waits; `waited` is the time waited so far, zero for a
+    /// new request.
     pub fn admit(
         &mut self,
         service: &ServiceId,
@@ -46,12 +46,11 @@
         self.admit_at(0, service, draw, waited, now)
     }
 
-    /// Decides the same for a caller of any region.
+    /// Decides on one attempt for a caller of any region.
     ///
-    /// Callers of another region come when its instances are gone. Where the
-    /// caller's region is known, its row goes on from where it was, and moves
-    /// under the shift cap; with [`Self::admit`] their requests would move at
-    /// once.
+    /// Callers use instances of another region when their own region has none.
+    /// They keep the row of their own region, which changes under the shift
+    /// cap; [`Self::admit`] would move their requests at once.
     pub fn admit_from(
         &mut self,
         service: &ServiceId,
@@ -96,13 +95,13 @@
         }
     }
 
-    /// Cuts this instance's part in a region whose side refused a request.
+    /// Reduces this instance's rate to a region that refused a request.
     pub fn refused_by(&mut self, region: &RegionId, now: MonotonicTime) {
         self.destinations.refused(region, now);
     }
 
-    /// Returns the wait that is told where no room is in sight: an instance
-    /// that has just started gets its part once its claim has been out.
+    /// Returns the retry-after when no token will come. An instance that has
+    /// just started gets its allocation after the growth window.
     fn retry_without_capacity(&self) -> Duration {
         match self.destinations.has_settled() {
             true => RETRY_AFTER_MAX,
--- a/crates/foxtide-core/src/steering/destinations.rs
+++ b/crates/foxtide-core/src/steering/destinations.rs
@@ -1,4 +1,4 @@
-//! An instance's parts of all limits: what it claims and what it may send.
+//! An instance's claims on, and allocations of, the limits of all regions.
 
 use super::limit_inputs::{
     Floors,
@@ -20,7 +20,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// The parts of an instance in each region's limit and in the links to them.
+/// The limits of one instance towards all regions.
 #[derive(Clone, Debug)]
 pub(crate) struct Destinations {
     regions: Vec<RegionId>,
@@ -29,37 +29,37 @@
     settled: bool,
 }
 
-/// The instance's part of one region's limit and of the link to it.
+/// The limits of one instance towards one region.
 #[derive(Clone, Debug)]
 struct Destination {
     sold: RequestRate,
-    /// `None` inside the origin region, where no link is crossed.
+    /// `None` within the origin region, which needs no link.
     link_sold: Option<RequestRate>,
     region: Limit,
     link: Limit,
     need: Claim,
 }
 
-/// Why a request finds no room at the moment.
+/// The limits that a request must fit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum LimitKind {
-    /// The region's part is used up.
+    /// The region's sold rate.
     Region,
-    /// The link's part is used up.
+    /// The link's sold rate.
     Link,
 }
 
-/// When there may be room again.
+/// The error of a request that exceeds the instance's allocation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct LimitExhausted {
-    /// What is used up.
+    /// The exhausted limit.
     pub(crate) limit: LimitKind,
-    /// The time until the next request may pass; `None` if none ever will.
+    /// The time until the next request may pass; `None` if the rate is zero.
     pub(crate) next_in: Option<Duration>,
 }
 
 impl Destinations {
-    /// Returns the parts of an instance that knows of no peer.
+    /// Creates the limits of an instance that knows no peers.
     pub(crate) fn new(organisation: &Organisation, origin: &RegionId, now: MonotonicTime) -> Self {
         let mut destinations = Self {
             regions: Vec::new(),
@@ -71,7 +71,7 @@
         destinations
     }
 
-    /// Takes over a new configuration; what was claimed stays claimed.
+    /// Applies a new configuration; regions that remain keep their claims.
     pub(crate) fn configure(&mut self, organisation: &Organisation, now: MonotonicTime) {
         let names = std::mem::take(&mut self.regions).into_iter();
         let mut known: BTreeMap<RegionId, Destination> =
@@ -88,13 +88,13 @@
         }
     }
 
-    /// Tells whether anything may be sent to a region at all.
+    /// Returns whether the region and the link to it have non-zero sold rates.
     pub(crate) fn reachable(&self, index: usize) -> bool {
         let destination = &self.destinations[index];
         destination.sold > RequestRate::ZERO && destination.link_sold != Some(RequestRate::ZERO)
     }
 
-    /// Notes which peers were heard.
+    /// Records which peers are live.
     pub(crate) fn observe(&mut self, view: &FleetView) {
         let at = view.measured_at;
         let origin = instance_counts(view, &self.origin);
@@ -105,9 +105,8 @@
         }
     }
 
-    /// Tells whether the instance has had its part of its own region's limit,
-    /// or of the first one's where its region has none. Once it has, a part of
-    /// nothing is an answer too.
+    /// Returns whether the instance has ever had an allocation in its own region,
+    /// or in the first region if its own is not configured.
     pub(crate) fn has_settled(&self) -> bool {
         self.settled
     }
@@ -121,17 +120,16 @@
         self.settled |= destination.is_none_or(|destination| destination.region.is_settled());
     }
 
-    /// Sets what the instance would send to a region.
+    /// Sets the rates that the instance needs to send to a region.
     pub(crate) fn set_need(&mut self, index: usize, need: Claim) {
         self.destinations[index].need = need;
     }
 
-    /// Returns what an idle instance claims of a region: a part of its floor in
-    /// its own region, nothing of others.
+    /// Returns the minimum claim of an idle instance: a part of its floor in its
+    /// own region, zero in others.
     ///
-    /// When callers come to an idle fleet all claims rise at once, and for the
-    /// growth window each instance counts itself with its old one: its part is
-    /// smaller by the factor that claims rose by.
+    /// It bounds the factor by which claims rise when callers arrive at an idle
+    /// fleet; for a growth window, allocations shrink by that factor.
     pub(crate) fn idle_claim(&self, index: usize, options: &SteeringOptions) -> Claim {
         if self.regions[index] != self.origin {
             return Claim::default();
@@ -146,7 +144,7 @@
         }
     }
 
-    /// Returns the rate that may be sent to a region.
+    /// Returns the rate at which the instance may send to a region.
     pub(crate) fn usable_rps(&self, index: usize) -> f64 {
         let destination = &self.destinations[index];
         let region_rps = destination.region.usable().get();
@@ -156,7 +154,7 @@
         }
     }
 
-    /// Works out the room that a region has beyond what is wanted of it.
+    /// Returns a region's free capacity at a wanted rate.
     pub(crate) fn free_capacity(
         &self,
         index: usize,
@@ -176,7 +174,7 @@
         }
     }
 
-    /// Works out all parts anew.
+    /// Recomputes all allocations.
     pub(crate) fn update(
         &mut self,
         view: &FleetView,
@@ -200,7 +198,7 @@
         self.note_settled();
     }
 
-    /// Takes room for one request.
+    /// Takes a token for one request from the region's and the link's limits.
     pub(crate) fn try_acquire(
         &mut self,
         index: usize,
@@ -228,7 +226,7 @@
         Ok(())
     }
 
-    /// Cuts the part in a region that refused a request.
+    /// Reduces the rate to a region that refused a request.
     pub(crate) fn refused(&mut self, region: &RegionId, now: MonotonicTime) {
         let mut destinations = self.regions.iter().zip(&mut self.destinations);
         if let Some((_, destination)) = destinations.find(|(id, _)| *id == region) {
@@ -236,7 +234,7 @@
         }
     }
 
-    /// Returns what to publish now of the instance's use of the limits.
+    /// Records and returns the use of the limits to publish.
     pub(crate) fn publish(&mut self, now: MonotonicTime) -> BTreeMap<RegionId, LimitUse> {
         let destinations = self.regions.iter().zip(&mut self.destinations);
         destinations
@@ -257,7 +255,7 @@
     }
 
     fn publish(&mut self, now: MonotonicTime) -> LimitUse {
-        // The same needs in the same order: both publish the same claim.
+        // Both limits get the same sequence of needs, so their claims are equal.
         self.link.publish(self.need, now);
         LimitUse {
             claim: self.region.publish(self.need, now),
--- a/crates/foxtide-core/src/steering/engine.rs
+++ b/crates/foxtide-core/src/steering/engine.rs
@@ -1,4 +1,4 @@
-//! The steering decisions of one instance for one organisation.
+//! The steering state of one instance for one organisation.
 
 use super::destinations::Destinations;
 use super::flows::OriginFlows;
@@ -31,17 +31,17 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Decides, for one organisation at one instance, where each request goes.
+/// Chooses the region of each request of one organisation on one instance.
 ///
-/// Pure: the caller passes both clocks and all randomness in, calls
+/// It does no I/O: the caller supplies both clocks and all randomness, calls
 /// [`Self::tick`] every 100 ms, [`Self::report`] about every second and
-/// [`Self::observe`] whenever its view of the fleet is renewed.
+/// [`Self::observe`] whenever its view of the fleet changes.
 #[derive(Clone, Debug)]
 pub struct Steering {
     pub(super) organisation: Arc<Organisation>,
     pub(super) options: SteeringOptions,
     pub(super) names: NameIndex,
-    /// The own region's callers first, then those of other regions.
+    /// The flows by origin, the own region first.
     pub(super) flows: Vec<OriginFlows>,
     pub(super) destinations: Destinations,
     pub(super) view: FleetView,
@@ -52,12 +52,12 @@
     ticked_at: Option<MonotonicTime>,
 }
 
-/// Whether the positions of peers are to be taken over.
+/// The state of the synchronisation of rows with peers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum RowSync {
-    /// The process has just started, or was paused: peers know better.
+    /// The process has started or was paused, and waits for its peers' rows.
     Waiting {
-        /// Since when.
+        /// The start of the wait.
         since: MonotonicTime,
     },
     /// The rows are up to date.
@@ -65,7 +65,7 @@
 }
 
 impl Steering {
-    /// Returns the decisions of an instance that stands in `origin`.
+    /// Creates the state of an instance in the region `origin`.
     pub fn new(
         organisation: Arc<Organisation>,
         origin: RegionId,
@@ -90,8 +90,8 @@
         }
     }
 
-    /// Takes over a new configuration. Rows stay where they are and follow the
-    /// new plan under the shift cap.
+    /// Applies a new configuration. Rows are kept and move to the new plan under
+    /// the shift cap.
     pub fn configure(&mut self, organisation: Arc<Organisation>, now: MonotonicTime) {
         self.destinations.configure(&organisation, now);
         let names = NameIndex::new(&organisation);
@@ -108,12 +108,12 @@
         self.adopt_rows();
     }
 
-    /// Returns the configuration in force.
+    /// Returns the current configuration.
     pub fn organisation(&self) -> &Arc<Organisation> {
         &self.organisation
     }
 
-    /// Takes over what is known of all instances.
+    /// Applies a new view of the fleet.
     pub fn observe(&mut self, view: &FleetView, now: MonotonicTime) {
         self.view = view.clone();
         let hold = self.options.lost_region_hold;
@@ -125,8 +125,8 @@
         self.adopt_rows();
     }
 
-    /// Notes the healthy part of a service's upstreams in a region as this
-    /// instance itself sees it; that outranks what peers say.
+    /// Sets the healthy share of a service's upstreams in a region as observed by
+    /// this instance; it takes precedence over peers' reports.
     pub fn set_health(&mut self, service: &ServiceId, region: &RegionId, healthy: Option<Share>) {
         let indices = (self.names.service(service), self.names.region(region));
         let (Some(service), Some(region)) = indices else {
@@ -137,7 +137,7 @@
         }
     }
 
-    /// Moves all rows and parts on to `now`.
+    /// Advances all rows and allocations to `now`.
     pub fn tick(&mut self, now: MonotonicTime, wall: WallTime) {
         if self.ticked_at.is_none() || self.was_paused(now) {
             self.row_sync = RowSync::Waiting { since: now };
@@ -157,24 +157,24 @@
             .update(&self.view, &self.options, passed, now);
     }
 
-    /// Tells whether the process stood still for so long that its rows are old.
+    /// Returns whether the process was paused for so long that its rows are stale.
     pub(super) fn was_paused(&self, now: MonotonicTime) -> bool {
         let ticked_at = self.ticked_at.unwrap_or(now);
         now.since(ticked_at) > self.options.view_age_max
     }
 
-    /// Tells whether the instance knows where its peers stand and has its part
-    /// of its region's limit; until then look-ups should not name it.
+    /// Returns whether the instance has synchronised its rows and has an
+    /// allocation; until then look-ups should not return it.
     pub fn is_ready(&self, now: MonotonicTime) -> bool {
         self.rows_are_current(now) && self.destinations.has_settled()
     }
 
-    /// Tells whether the rows are up to date.
+    /// Returns whether the rows are synchronised and not stale.
     pub(super) fn rows_are_current(&self, now: MonotonicTime) -> bool {
         self.row_sync == RowSync::Done && !self.was_paused(now)
     }
 
-    /// Returns the report to publish, and counts it as published.
+    /// Returns the report to publish and records its claims as published.
     pub fn report(&mut self, now: MonotonicTime) -> InstanceReport {
         let ready = self.rows_are_current(now);
         let report = |flows: &OriginFlows| flows.report(&self.names, ready);
@@ -187,14 +187,14 @@
         }
     }
 
-    /// Returns the share of a service's requests that goes to each region, as
-    /// it is now; what is missing to 1 is refused.
+    /// Returns the current share of a service's requests that goes to each
+    /// region; the remainder to 1 is refused.
     pub fn row(&self, service: &ServiceId) -> Option<BTreeMap<RegionId, Share>> {
         self.row_from(service, &self.flows[0].origin)
     }
 
-    /// Returns the same for the callers of any region, or `None` where they
-    /// do not use this instance.
+    /// Returns the current row of a service for the callers of any region, or
+    /// `None` if they do not use this instance.
     pub fn row_from(
         &self,
         service: &ServiceId,
@@ -205,20 +205,19 @@
         Some(self.names.named(state.row.as_ref()?))
     }
 
-    /// Returns the share that the plan and the regions' health want to go to
-    /// each region.
+    /// Returns the row wanted by the plan, given the health of the regions.
     pub fn wanted_row(&self, service: &ServiceId) -> Option<BTreeMap<RegionId, Share>> {
         let state = &self.flows[0].services[self.names.service(service)?];
         Some(self.names.named(&state.wanted))
     }
 
-    /// Returns the rate that this instance may send to a region now.
+    /// Returns the rate at which this instance may currently send to a region.
     pub fn usable_rate(&self, region: &RegionId) -> Option<RequestRate> {
         let index = self.names.region(region)?;
         Some(RequestRate::clamped(self.destinations.usable_rps(index)))
     }
 
-    /// Works out what spills, and what is claimed of each region.
+    /// Updates the spill targets and the claims on each region.
     fn update_spill(&mut self, now: MonotonicTime) {
         let indices = 0..self.names.regions.len();
         let wanted_rps: Vec<f64> = indices.map(|region| self.wanted_rps(region)).collect();
@@ -246,7 +245,7 @@
         }
     }
 
-    /// Returns what is wanted to go to a region, in requests a second.
+    /// Returns the rate that is wanted to go to a region, before any spill-over.
     fn wanted_rps(&self, region: usize) -> f64 {
         let wanted = |service: &ServiceState| service.demand_rps * service.wanted[region];
         self.services().map(wanted).sum()
--- a/crates/foxtide-core/src/steering/flows.rs
+++ b/crates/foxtide-core/src/steering/flows.rs
@@ -1,4 +1,4 @@
-//! The rows of all services for the callers of one origin region.
+//! The state of all services for the callers of one origin region.
 
 use super::destinations::Destinations;
 use super::name_index::{
@@ -28,31 +28,30 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// The services as the callers of one origin use them.
+/// The state of all services for the callers of one origin.
 ///
-/// An instance serves its own region's callers; those of another region come
-/// when that region's instances are gone. Their row is their own origin's, so
-/// that nothing shifts by their coming.
+/// An instance also serves callers of regions without live instances. These
+/// keep the row of their own origin, so that their traffic does not shift.
 #[derive(Clone, Debug)]
 pub(crate) struct OriginFlows {
-    /// The callers' region.
+    /// The region of the callers.
     pub(crate) origin: RegionId,
     /// The services in the order of the configuration.
     pub(crate) services: Vec<ServiceState>,
     planned: PlannedRows,
 }
 
-/// Which rows are taken over from elsewhere.
+/// The rows that are adopted from peers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Adoption {
-    /// Those that are not known yet.
+    /// Only those that are missing.
     Missing,
-    /// All.
+    /// All rows.
     All,
 }
 
 impl OriginFlows {
-    /// Returns the flows of an origin; their rows are not known yet.
+    /// Creates the flows of an origin, without rows.
     pub(crate) fn new(
         organisation: &Organisation,
         origin: RegionId,
@@ -74,7 +73,7 @@
         }
     }
 
-    /// Keeps the rows and what was measured under another configuration.
+    /// Restores rows and measurements from the flows of the previous configuration.
     pub(crate) fn restore(&mut self, old: &Self, old_names: &NameIndex, names: &NameIndex) {
         for (id, index) in &names.services {
             if let Some(old_index) = old_names.service(id) {
@@ -84,7 +83,7 @@
         }
     }
 
-    /// Takes over what other flows of the instance see of the upstreams.
+    /// Copies the health of the upstreams from other flows of the instance.
     pub(crate) fn share_health(&mut self, other: &Self) {
         for (state, other) in self.services.iter_mut().zip(&other.services) {
             state.observed_health.clone_from(&other.observed_health);
@@ -92,7 +91,7 @@
         }
     }
 
-    /// Takes over what peers say of their regions' upstreams.
+    /// Updates the health that peers report for their regions' upstreams.
     pub(crate) fn update_reported_health(&mut self, view: &FleetView, names: &NameIndex) {
         for (id, index) in &names.services {
             let health = names
@@ -103,7 +102,7 @@
         }
     }
 
-    /// Takes over where these callers' requests go elsewhere.
+    /// Adopts rows that peers use for these callers.
     pub(crate) fn adopt(
         &mut self,
         rows: &BTreeMap<ServiceId, NamedRow>,
@@ -122,7 +121,7 @@
         }
     }
 
-    /// Notes what callers ask of a peer, on average.
+    /// Updates the mean demand per peer of the same origin.
     pub(crate) fn update_peer_demand(&mut self, view: &FleetView, names: &NameIndex) {
         let here = view.regions.get(&self.origin);
         for (id, index) in &names.services {
@@ -132,7 +131,7 @@
         }
     }
 
-    /// Notes where peers send the same callers' requests.
+    /// Sets the peers' mean rows for the same callers.
     pub(crate) fn set_peer_rows(
         &mut self,
         rows: &BTreeMap<ServiceId, NamedRow>,
@@ -144,21 +143,21 @@
         }
     }
 
-    /// Tells whether these callers use the instance no more, or not yet.
+    /// Returns whether no requests of these callers have arrived recently.
     pub(crate) fn is_idle(&self) -> bool {
         self.services.iter().all(ServiceState::is_idle)
     }
 
-    /// Tells whether some service has no row yet.
+    /// Returns whether any service has no row yet.
     pub(crate) fn has_missing_rows(&self) -> bool {
         self.services.iter().any(|state| state.row.is_none())
     }
 
-    /// Starts the rows that no peer knows of.
+    /// Initialises the rows that no peer reports.
     ///
-    /// If most instances are heard and none sends a service's requests, then
-    /// nothing flows that could shift, and the row starts at its target. An
-    /// instance that is cut off cannot know; its row rises under the cap.
+    /// If a majority of instances is live and none has a row, there is no traffic
+    /// to shift and the row starts at its target. Otherwise it starts empty and
+    /// rises under the shift cap.
     pub(crate) fn start_missing(&mut self, sees_majority: bool) {
         for state in self.services.iter_mut().filter(|state| state.row.is_none()) {
             if sees_majority {
@@ -169,7 +168,7 @@
         }
     }
 
-    /// Works out where the traffic is wanted.
+    /// Updates the measured demand and the wanted rows.
     pub(crate) fn update_wanted(&mut self, wall: WallTime, since_last: Duration) {
         for (index, state) in self.services.iter_mut().enumerate() {
             state.measure_demand(since_last);
@@ -177,8 +176,8 @@
         }
     }
 
-    /// Returns what to tell peers of these callers, for each service. Rows are
-    /// told only by those who know them.
+    /// Returns the reports of all services for these callers; rows are included
+    /// only if the instance is `ready`.
     pub(crate) fn report(
         &self,
         names: &NameIndex,
@@ -200,7 +199,7 @@
     }
 }
 
-/// Tells which regions could serve a service if they were healthy.
+/// Returns which regions could serve a service if they were healthy.
 fn reachable(
     organisation: &Organisation,
     service: &Service,
--- a/crates/foxtide-core/src/steering/known_instances.rs
+++ b/crates/foxtide-core/src/steering/known_instances.rs
@@ -1,10 +1,9 @@
-//! Remembers instances that are no longer known to be there.
+//! Counts the instances of each region that may still be alive.
 //!
-//! Membership forgets who is silent for long, and cannot tell the dead from
-//! those behind a partition. If both sides of a partition forgot each other,
-//! each would take all of a sold rate. So the count of a region's instances
-//! falls only where the rest of the region is heard and this side has the
-//! majority of all; a region that is not heard at all stays known.
+//! Membership drops silent instances and cannot tell dead ones from those
+//! behind a partition. If both sides of a partition dropped each other, each
+//! would use the whole sold rate. The count of a region therefore falls only
+//! while some of its instances are live and this side has the majority of all.
 
 use super::view::FleetView;
 use crate::ids::RegionId;
@@ -25,7 +24,7 @@
 }
 
 impl KnownInstances {
-    /// Takes a view in, and counts in it as known who may still be alive.
+    /// Records a view and sets its known instances to those that may be alive.
     pub(crate) fn apply_to(&mut self, view: &mut FleetView, hold: Duration, now: MonotonicTime) {
         let regions = &mut self.regions;
         regions.retain(|_, known| now.since(known.confirmed_at) < hold);
--- a/crates/foxtide-core/src/steering/limit_inputs.rs
+++ b/crates/foxtide-core/src/steering/limit_inputs.rs
@@ -1,4 +1,4 @@
-//! What an instance knows of all that may send to one region.
+//! Derives the inputs of a region's limits from a view of the fleet.
 
 use super::options::SteeringOptions;
 use super::view::{
@@ -16,7 +16,7 @@
 use crate::units::RequestRate;
 use std::time::Duration;
 
-/// The part of a sold rate that each instance's floor is.
+/// The floors of instances, as shares of a sold rate.
 pub(super) struct Floors {
     instances: f64,
     regions: f64,
@@ -32,7 +32,7 @@
         }
     }
 
-    /// The floor of an instance in `origin`, as a part of a region's rate.
+    /// Returns the floor of an instance in `origin` as a share of a region's rate.
     pub(super) fn region_share(&self, origin: &RegionId, region: &RegionId) -> f64 {
         let of_origin = if origin == region {
             self.local_share
@@ -42,13 +42,13 @@
         of_origin / self.instances
     }
 
-    /// The floor of an instance, as a part of a link's rate.
+    /// Returns the floor of an instance as a share of a link's rate.
     pub(super) fn link_share(&self) -> f64 {
         1.0 / self.instances
     }
 }
 
-/// All that may send to one region, as one instance knows it.
+/// Computes [`LimitInput`]s for one region from an instance's view.
 pub(super) struct LimitInputs<'a> {
     view: &'a FleetView,
     region: &'a RegionId,
@@ -128,20 +128,20 @@
         source.limits.get(self.region).copied().unwrap_or_default()
     }
 
-    /// Tells whether some of a sender's claims on the region are old.
+    /// Returns whether any claim of a source region on the region is stale.
     fn is_stale(&self, source: &RegionView) -> bool {
         let claims = self.limit_use(source).claim != Claim::default();
         claims && source.oldest_at < self.stale_before
     }
 }
 
-/// How many of the instances that a limit hangs on were heard.
+/// The live and known instances that share a limit.
 pub(super) struct InstanceCounts {
     pub(super) live: u32,
     pub(super) known: u32,
 }
 
-/// Counts the instances of a region, or of all where it has none.
+/// Counts the instances of a region, or of all regions if it has none.
 pub(super) fn instance_counts(view: &FleetView, region: &RegionId) -> InstanceCounts {
     let here = view
         .regions
--- a/crates/foxtide-core/src/steering/merge.rs
+++ b/crates/foxtide-core/src/steering/merge.rs
@@ -1,4 +1,4 @@
-//! Adds up what is known of several groups of instances of one region.
+//! Merges the views of disjoint groups of instances of one region.
 
 use super::view::{
     IDLE_WEIGHT_RPS,
@@ -13,8 +13,8 @@
 use std::collections::BTreeMap;
 
 impl RegionView {
-    /// Counts another group of instances of the same region in, none of which
-    /// is counted here already.
+    /// Adds another group of instances of the same region; the groups must be
+    /// disjoint.
     pub fn merge(&mut self, other: &Self) {
         if other.counted_instances > 0 {
             let oldest_at = other.oldest_at;
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Takes back that its instances were heard; their claims still count.
+    /// Marks all instances as not live; their claims still count.
     pub fn make_silent(&mut self) {
         self.live_instances = 0;
         self.services.clear();
@@ -53,7 +53,7 @@
 }
 
 impl ServiceView {
-    /// Counts another group of instances in.
+    /// Adds another group of instances.
     pub fn merge(&mut self, other: &Self) {
         self.healthy_share = match (self.healthy_share, other.healthy_share) {
             (Some(known), Some(new)) if new < known => Some(known),
@@ -65,7 +65,7 @@
         self.demand_rps = RequestRate::clamped(demand_rps);
     }
 
-    /// Returns the weight of this group's row; a group without one has none.
+    /// Returns the weight of this group's row, zero without a row.
     fn row_weight(&self) -> f64 {
         if self.row.is_empty() {
             return 0.0;
--- a/crates/foxtide-core/src/steering/mod.rs
+++ b/crates/foxtide-core/src/steering/mod.rs
@@ -1,12 +1,10 @@
-//! Decides in which region each request is served, and whether it is.
+//! Chooses a region for each request, or refuses the request.
 //!
-//! Look-ups only name entry instances near the caller. Traffic moves between
-//! regions by the choice made for each request: for every service an instance
-//! holds a row of shares over the home regions. Planned movement is a function
-//! of the wall clock ([`planned`]); everything else follows its target under
-//! the contract's shift cap ([`shift`]). What a row sends to a region then has
-//! to pass the instance's part of the region's and the link's sold rate
-//! ([`crate::limits`]).
+//! For every service an instance holds a row: the share of requests sent to
+//! each region. Planned moves are a function of the wall clock ([`planned`]);
+//! all other changes step towards a target under the contract's shift cap
+//! ([`shift`]). Each request must also fit the instance's allocation of the
+//! region's and the link's sold rate ([`crate::limits`]).
 
 mod admission;
 mod adopt;
--- a/crates/foxtide-core/src/steering/name_index.rs
+++ b/crates/foxtide-core/src/steering/name_index.rs
@@ -1,4 +1,4 @@
-//! The places of regions and services in an organisation's configuration.
+//! Maps names of regions and services to their indices in a configuration.
 
 use super::shift::Row;
 use crate::ids::{
@@ -9,20 +9,20 @@
 use crate::units::Share;
 use std::collections::BTreeMap;
 
-/// A row with the regions' names.
+/// A row keyed by region.
 pub(crate) type NamedRow = BTreeMap<RegionId, Share>;
 
-/// Finds places by name and names rows.
+/// The indices of regions and services, by name.
 #[derive(Clone, Debug)]
 pub(crate) struct NameIndex {
     /// The regions, in the order of the configuration.
     pub(crate) regions: Vec<RegionId>,
-    /// The services with their places, in the order of their names.
+    /// The services with their indices, sorted by name.
     pub(crate) services: Vec<(ServiceId, usize)>,
 }
 
 impl NameIndex {
-    /// Returns the tables of a configuration.
+    /// Creates the index of a configuration.
     pub(crate) fn new(organisation: &Organisation) -> Self {
         let regions = organisation.regions.iter();
         let services = organisation.services.iter().enumerate();
@@ -35,25 +35,25 @@
         names
     }
 
-    /// Finds a region's place.
+    /// Returns the index of a region.
     pub(crate) fn region(&self, id: &RegionId) -> Option<usize> {
         self.regions.iter().position(|region| region == id)
     }
 
-    /// Finds a service's place.
+    /// Returns the index of a service.
     pub(crate) fn service(&self, id: &ServiceId) -> Option<usize> {
         let found = self.services.binary_search_by(|(name, _)| name.cmp(id));
         found.ok().map(|index| self.services[index].1)
     }
 
-    /// Puts the regions' names to a row.
+    /// Converts a row to one keyed by region.
     pub(crate) fn named(&self, row: &Row) -> NamedRow {
         let shares = self.regions.iter().cloned().zip(row);
         let shares = shares.map(|(region, share)| (region, Share::clamped(*share)));
         shares.collect()
     }
 
-    /// Takes the names from a row.
+    /// Converts a row keyed by region to one in the order of the configuration.
     pub(crate) fn indexed(&self, row: &NamedRow) -> Row {
         let share = |region| row.get(region).map_or(0.0, |share| share.get());
         self.regions.iter().map(share).collect()
--- a/crates/foxtide-core/src/steering/options.rs
+++ b/crates/foxtide-core/src/steering/options.rs
@@ -1,86 +1,84 @@
-//! Settings of the steering decisions, with their defaults.
+//! Options of the steering decisions, with their defaults.
 
 use crate::limits::LimitTimes;
 use crate::organisation::Priority;
 use crate::time::CLOCK_SKEW_MAX;
 use std::time::Duration;
 
-/// The shortest time over which the shift cap is kept, in seconds.
+/// The shortest window over which the shift cap holds, in seconds.
 ///
-/// Over a window of `W` the share of a region rises by at most `f * cap * W`
-/// (each instance's own pace) plus the spread between instances of the same
-/// origin, because demand may move from one to another at any moment. The
-/// spread is at most `f * cap * (skew + 2 * band + age)`: clocks differ by the
-/// skew, rows lie within the band on both sides of their mean, and two
-/// instances know means that differ by the age of a report.
-/// So `f = W / (W + skew + 2 * band + age)`.
+/// Over a window `W` a region's share rises by at most `f * cap * W` (each
+/// instance's own pace) plus the spread between instances of the same origin,
+/// as demand may move between them. The spread is at most
+/// `f * cap * (skew + 2 * band + age)`, from the clock skew, the band on both
+/// sides of the mean row, and the age of the reports behind that mean.
+/// Hence `f = W / (W + skew + 2 * band + age)`.
 const SHIFT_WINDOW_S: f64 = 10.0;
 
-/// How far a row may be from its peers' mean, as the time that the cap takes
-/// for it, in seconds.
+/// The band around the peers' mean row, as the time that the shift cap takes to
+/// cross it, in seconds.
 ///
-/// Below the age of the mean (a report's period and its way) it would slow
-/// down what all instances do together.
+/// A band below the age of the mean would slow down shifts that all instances
+/// make together.
 const PEERS_BAND_S: f64 = 1.5;
 
-/// The usual age of the peers' mean, in seconds.
+/// The assumed age of the peers' mean row, in seconds.
 const PEERS_AGE_S: f64 = 1.5;
 
-/// The settings of [`super::Steering`].
+/// The options of [`super::Steering`].
 #[derive(Clone, Debug)]
 pub struct SteeringOptions {
-    /// The part of the contract's shift cap that each instance uses.
+    /// The factor applied to the contract's shift cap on each instance.
     pub shift_cap_factor: f64,
-    /// How far a row may be from its peers' mean, as the time that the cap
-    /// takes for it.
+    /// The band around the peers' mean row, as the time that the shift cap takes
+    /// to cross it.
     pub peers_band: Duration,
-    /// The part of each sold rate that the instances use.
+    /// The factor applied to each sold rate.
     pub sold_rate_factor: f64,
-    /// How old a report may be for a peer to count as heard: a report's period,
-    /// the period and way of the sums it travels in, and the clocks' skew.
+    /// The maximum age of the report of a live peer; covers the reporting and
+    /// aggregation periods, the network delay and the clock skew.
     pub view_age_max: Duration,
-    /// How long a published claim must have been out before it counts; above
-    /// [`Self::view_age_max`], so that all peers who are heard know of it.
+    /// The time for which a claim must have been published before it counts;
+    /// longer than [`Self::view_age_max`], so that all live peers know the claim.
     pub growth_window: Duration,
-    /// How long a silent peer's claim is kept for it.
+    /// The time for which a silent peer's claim counts.
     pub claim_hold: Duration,
-    /// The part of a region's sold rate that the floors of its own instances
-    /// sum to; those of all other regions sum to the rest.
+    /// The share of a region's sold rate for the floors of its own instances; the
+    /// rest is for the floors of instances of other regions.
     pub local_floors_share: f64,
-    /// How long the instances of a region that is not heard at all count as
-    /// alive, and keep their floors.
+    /// The time for which the instances of an unreachable region count as alive
+    /// and keep their floors.
     pub lost_region_hold: Duration,
-    /// What an idle instance claims, as a part of its peers' mean, so that it
-    /// has room when callers come.
+    /// The claim of an idle instance as a share of its peers' mean demand, so that
+    /// new callers find capacity.
     pub idle_claim_share: f64,
-    /// What an instance claims at least of its own region, as a part of its
-    /// floor there, so that callers who all come at once find room.
+    /// The minimum claim of an instance on its own region as a share of its floor
+    /// there, so that a burst of new callers finds capacity.
     pub idle_claim_of_floor: f64,
-    /// How long a new instance claims its peers' mean.
+    /// The time for which a new instance claims its peers' mean demand.
     pub joining: Duration,
-    /// The most instances that a region may ever hold. The floors count on it.
+    /// The maximum number of instances per region, which sizes the floors.
     pub instances_per_region_max: u32,
-    /// How long a new instance waits at least before it takes over its peers'
-    /// positions. Where there are others it waits for
-    /// [`Self::view_age_max`], so that no report of one that has died counts.
+    /// The minimum time before a new instance adopts its peers' rows. With peers
+    /// it waits for at least [`Self::view_age_max`], so that the reports of dead
+    /// instances have expired.
     pub startup_wait: Duration,
-    /// The longest step between two ticks that counts for movement.
+    /// The upper bound of the elapsed time that one tick applies.
     pub tick_max: Duration,
-    /// What a service with [`Priority::Latency`] gets.
+    /// The options of a service with [`Priority::Latency`].
     pub latency: PriorityOptions,
-    /// What a service with [`Priority::Headroom`] gets.
+    /// The options of a service with [`Priority::Headroom`].
     pub headroom: PriorityOptions,
 }
 
-/// The settings that follow a contract's priority.
+/// The options that depend on a contract's priority.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PriorityOptions {
-    /// How long a request may wait for room.
+    /// The maximum time for which a request waits for a token.
     pub queue_max: Duration,
-    /// The use of the instance's part of a limit from which requests spill.
+    /// The utilisation of the instance's allocation above which requests spill.
     pub spill_at_share: f64,
-    /// What is claimed beyond the need, as a part of it, so that bursts find
-    /// room at once.
+    /// The reserve claimed beyond the need, as a share of it, to absorb bursts.
     pub reserve_share: f64,
 }
 
@@ -117,7 +115,7 @@
 }
 
 impl SteeringOptions {
-    /// Returns the settings for a contract's priority.
+    /// Returns the options for a contract's priority.
     pub fn priority(&self, priority: Priority) -> PriorityOptions {
         match priority {
             Priority::Latency => self.latency,
@@ -125,11 +123,11 @@
         }
     }
 
-    /// Returns the times by which parts of limits are given up and taken over.
+    /// Returns the times after which allocations are released and taken over.
     pub(crate) fn limit_times(&self) -> LimitTimes {
         LimitTimes {
             growth_window: self.growth_window,
-            // It must have given up before peers reuse its part.
+            // An instance must release its allocation before peers reuse it.
             majority_hold: self.claim_hold.saturating_sub(self.view_age_max * 2),
             claim_hold: self.claim_hold,
         }
--- a/crates/foxtide-core/src/steering/planned.rs
+++ b/crates/foxtide-core/src/steering/planned.rs
@@ -1,7 +1,7 @@
-//! Where traffic is planned to go, as a function of the wall clock.
+//! Computes planned rows as a function of the wall clock.
 //!
-//! Every instance, also one that has just started, computes the same rows from
-//! the same configuration; two instances differ by the skew of their clocks.
+//! All instances compute the same rows from the same configuration, up to the
+//! skew of their clocks.
 
 use super::shift::Row;
 use super::steps::{
@@ -21,8 +21,8 @@
 };
 use crate::time::WallTime;
 
-/// The least weight of a home, so that one without a share still takes over
-/// from a home that leaves.
+/// The minimum weight of a home; homes without a share can still take over from
+/// others.
 const HOME_WEIGHT_MIN: f64 = 1e-9;
 
 /// The planned rows of all services for one origin region.
@@ -43,7 +43,7 @@
 impl PlannedRows {
     /// Compiles the rows of an organisation's services for one origin.
     ///
-    /// `cap_factor` is the part of each shift cap that may be used.
+    /// `cap_factor` is applied to each shift cap.
     pub fn new(organisation: &Organisation, origin: &RegionId, cap_factor: f64) -> Self {
         let compile = |service| PlannedService::new(organisation, service, origin, cap_factor);
         Self {
@@ -51,21 +51,20 @@
         }
     }
 
-    /// Returns the row of a service at this time, a share for each of the
-    /// organisation's regions in their order.
+    /// Returns the row of a service at a time, with the shares in the order of
+    /// the organisation's regions.
     pub fn row(&self, service: &ServiceId, wall: WallTime) -> Option<Vec<f64>> {
         let mut services = self.services.iter();
         let planned = services.find(|planned| planned.service == *service)?;
         Some(planned.row(wall))
     }
 
-    /// Returns the row of the service at this place of the configuration.
+    /// Returns the row of the service at an index of the configuration.
     pub(crate) fn row_at(&self, index: usize, wall: WallTime) -> Row {
         self.services[index].row(wall)
     }
 
-    /// Returns the weights by which the homes of a service take over from one
-    /// another.
+    /// Returns the weights by which the homes of a service take over shares.
     pub(crate) fn homes_at(&self, index: usize) -> &[f64] {
         &self.services[index].homes
     }
@@ -101,7 +100,7 @@
         row
     }
 
-    /// Moves a part of what a region has to the homes that stay.
+    /// Moves a part of a region's share to the homes that remain.
     fn leave(&self, row: &mut Row, region: usize, moved: f64) {
         let leaves = |index: usize| self.steps.iter().any(|step| step.change.leaves(index));
         let weight = |index: usize| {
@@ -129,7 +128,7 @@
     row[to] += part;
 }
 
-/// Returns the weight of each region among the homes, 0 for other regions.
+/// Returns the home weight of each region, 0 for regions that are not homes.
 fn home_weights(organisation: &Organisation, contract: &Contract) -> Row {
     let weight_of = |region: &RegionId| {
         let home = contract.homes.iter().find(|home| home.region == *region);
@@ -139,8 +138,8 @@
     regions.map(|region| weight_of(&region.region)).collect()
 }
 
-/// Returns the row before moves and drains: a home serves itself, any other
-/// origin splits by the homes' shares.
+/// Returns the row before moves and drains: all to the origin if it is a home,
+/// else divided by the homes' shares.
 fn base_row(organisation: &Organisation, homes: &[f64], origin: &RegionId) -> Row {
     let mut regions = organisation.regions.iter();
     let origin_index = regions.position(|region| region.region == *origin);
--- a/crates/foxtide-core/src/steering/row_band.rs
+++ b/crates/foxtide-core/src/steering/row_band.rs
@@ -1,15 +1,16 @@
-//! Keeps the rows of an origin's instances close to one another.
+//! Bounds the divergence between the rows of an origin's instances.
 //!
-//! Demand moves between the instances of an origin at any moment: callers
-//! come and go, instances start and stop. The share of a region then changes
-//! by the distance between the instances' rows, which no pace limits. So each
-//! row stays within a band around its peers' mean.
+//! When demand moves from one instance to another, a region's share jumps by
+//! the difference between their rows, regardless of the shift cap. Each row
+//! therefore stays within a band around its peers' mean.
 
 use super::shift::Row;
 
-/// Returns the row nearest to `target` whose shares lie within `band_share` of
-/// the peers' mean row. Regions that are not usable get nothing; what cannot be
-/// placed within the bands is left out, that is, refused.
+/// Clamps the shares of `target` to within `band_share` of the peers' mean row,
+/// and redistributes the difference within the bands.
+///
+/// Unusable regions get no share. What does not fit into the bands is left out,
+/// so that those requests are refused.
 pub(crate) fn clamp_to_band(
     target: &[f64],
     peers: &[f64],
--- a/crates/foxtide-core/src/steering/service.rs
+++ b/crates/foxtide-core/src/steering/service.rs
@@ -1,4 +1,4 @@
-//! What an instance holds for one service.
+//! The steering state of one service.
 
 use super::name_index::NameIndex;
 use super::options::{
@@ -26,42 +26,42 @@
 };
 use std::time::Duration;
 
-/// The demand that every instance at least reckons with, so that the first
-/// requests find room.
+/// The minimum demand that an instance claims for, so that first requests find
+/// capacity.
 const CLAIM_MIN_RPS: f64 = 0.5;
 
-/// Below this measured demand nobody has come for some time constants.
+/// The measured demand below which a service counts as idle.
 const IDLE_RPS: f64 = 0.01;
 
-/// How fast the measured demand follows what comes in.
+/// The time constant of the measured demand's exponential moving average.
 const DEMAND_TIME_CONSTANT_S: f64 = 1.0;
 
-/// A service's row, where it is going, and what its callers ask for.
+/// A service's row, its targets and its measured demand.
 #[derive(Clone, Debug)]
 pub(crate) struct ServiceState {
-    /// The settings that follow from the contract's priority.
+    /// The options that depend on the contract's priority.
     pub(crate) priority: PriorityOptions,
-    /// What callers ask for, in requests a second.
+    /// The measured demand, in requests per second.
     pub(crate) demand_rps: f64,
-    /// The weight of each region among the homes.
+    /// The home weight of each region.
     pub(crate) homes: Row,
-    /// The regions that could serve it if they were healthy.
+    /// Whether each region could serve the service if it were healthy.
     pub(crate) reachable: Vec<bool>,
-    /// What the instance itself sees of its upstreams, by region.
+    /// The healthy share of upstreams that this instance observes, by region.
     pub(crate) observed_health: Vec<Option<Share>>,
-    /// What the instances of each region say of theirs.
+    /// The healthy share of upstreams that each region's instances report.
     pub(crate) reported_health: Vec<Option<Share>>,
-    /// The share that is sent to each region; `None` until known.
+    /// The share that is sent to each region; `None` until initialised.
     pub(crate) row: Option<Row>,
-    /// Where the plan and the health of the regions want the traffic.
+    /// The planned row, adjusted for regions that are not usable.
     pub(crate) wanted: Row,
-    /// [`Self::wanted`], less what spills for want of room.
+    /// [`Self::wanted`], adjusted for spill-over.
     pub(crate) target: Row,
-    /// The claims on each region beyond what is planned for it.
+    /// The share of requests claimed as spill-over on each region.
     pub(crate) spill_claims: Row,
-    /// Where peers of the same origin send their requests, on average.
+    /// The mean row of the peers of the same origin.
     pub(crate) peer_row: Option<Row>,
-    /// What callers ask of a peer of the same origin, on average.
+    /// The mean demand per peer of the same origin, in requests per second.
     pub(crate) peer_demand_rps: f64,
     cap_per_s: f64,
     band_share: f64,
@@ -72,9 +72,8 @@
 }
 
 impl ServiceState {
-    /// Returns the state of a service that has seen no request yet.
-    ///
-    /// `homes` holds the weight of each region among the homes.
+    /// Creates the state of a service; `homes` holds the home weight of each
+    /// region.
     pub(crate) fn new(service: &Service, homes: &[f64], options: &SteeringOptions) -> Self {
         let nowhere = vec![0.0; homes.len()];
         let contract = &service.contract;
@@ -101,17 +100,17 @@
         }
     }
 
-    /// Counts a request of a caller.
+    /// Counts a new request.
     pub(crate) fn count_arrival(&mut self) {
         self.arrived = self.arrived.saturating_add(1);
     }
 
-    /// Tells whether no caller has come of late.
+    /// Returns whether no requests have arrived recently.
     pub(crate) fn is_idle(&self) -> bool {
         self.arrived == 0 && self.demand_rps < IDLE_RPS
     }
 
-    /// Takes the arrivals since the last tick into the measured demand.
+    /// Updates the measured demand with the arrivals since the last tick.
     pub(crate) fn measure_demand(&mut self, since_last: Duration) {
         let passed_s = since_last.as_secs_f64();
         if passed_s <= 0.0 {
@@ -122,7 +121,7 @@
         self.demand_rps = self.demand_rps * decay + rate * (1.0 - decay);
     }
 
-    /// Keeps what was measured under the configuration before this one.
+    /// Restores the row and measurements from the previous configuration.
     pub(crate) fn restore(&mut self, old: &Self, old_names: &NameIndex, names: &NameIndex) {
         self.demand_rps = old.demand_rps;
         self.arrived = old.arrived;
@@ -134,8 +133,8 @@
         }
     }
 
-    /// Returns what the service claims of a region's limit: its need, at least
-    /// `least_share` of its peers' mean.
+    /// Returns the claim on a region's limit, for a demand of at least
+    /// `least_share` of the peers' mean.
     pub(crate) fn claim(&self, region: usize, least_share: f64) -> Claim {
         let least_rps = (self.peer_demand_rps * least_share).max(CLAIM_MIN_RPS);
         let planned_rps = self.demand_rps.max(least_rps) * self.wanted[region];
@@ -146,7 +145,7 @@
         }
     }
 
-    /// Returns the regions that can serve it now.
+    /// Returns whether each region can currently serve the service.
     pub(crate) fn usable(&self) -> Vec<bool> {
         let healthy = |index: &usize| {
             let known = self.observed_health[*index].or(self.reported_health[*index]);
@@ -158,7 +157,7 @@
             .collect()
     }
 
-    /// Works out where the plan and the regions' health want the traffic.
+    /// Updates the wanted row from the planned one and the regions' health.
     pub(crate) fn update_wanted(&mut self, planned: Row) {
         let usable = self.usable();
         self.wanted = redistribute_unusable(&planned, &self.homes, &usable);
@@ -166,7 +165,7 @@
         self.planned_next = planned;
     }
 
-    /// Takes regions that cannot serve out of the row.
+    /// Removes unusable regions from the row.
     pub(crate) fn drop_unusable(&mut self) {
         let usable = self.usable();
         if let Some(row) = &mut self.row {
@@ -176,7 +175,7 @@
         }
     }
 
-    /// Works out what spills, given the room in each region.
+    /// Updates the target and the spill claims from the regions' free capacity.
     pub(crate) fn update_spill(&mut self, capacities: &[FreeCapacity]) {
         let usable = self.usable();
         let homes = self.homes.iter().zip(usable);
@@ -217,22 +216,22 @@
         self.planned = Some(planned);
     }
 
-    /// Starts at the target; only where nothing flows that this could shift.
+    /// Sets the row to its target; only valid while there is no traffic to shift.
     pub(crate) fn start_at_target(&mut self) {
         self.row = Some(self.target.clone());
     }
 
-    /// Starts with nothing; all that it takes then rises under the cap.
+    /// Sets an empty row, whose shares then rise under the shift cap.
     pub(crate) fn start_empty(&mut self) {
         self.row = Some(vec![0.0; self.target.len()]);
     }
 
-    /// Returns the region at this place of the row, and whether it is spill.
+    /// Selects a region by a draw from `[0, 1)`; `None` if the request is refused.
     pub(crate) fn draw(&self, draw: f64) -> Option<Drawn> {
         let mut left = draw;
         for (index, share) in self.row.as_ref()?.iter().enumerate() {
             if left < *share {
-                // Between a new configuration and the next tick nothing is wanted yet.
+                // `wanted` and `target` are empty until the first tick.
                 let wanted = self.wanted.get(index).copied().unwrap_or(*share);
                 let target = self.target.get(index).copied().unwrap_or(wanted);
                 let spilled = left >= wanted && target > wanted;
@@ -243,7 +242,7 @@
         None
     }
 
-    /// Returns the time until the row serves all requests again.
+    /// Returns the time until the row can serve all requests under the cap.
     pub(crate) fn time_to_full_service(&self) -> Duration {
         let served: f64 = self.row.iter().flatten().sum();
         let missing = (1.0 - served).max(0.0);
@@ -254,8 +253,8 @@
 /// The region that a request was drawn for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Drawn {
-    /// The region's place in the configuration.
+    /// The region's index in the configuration.
     pub(crate) index: usize,
-    /// Whether the request goes there for want of room in its planned region.
+    /// Whether the request spills over from its planned region.
     pub(crate) spilled: bool,
 }
--- a/crates/foxtide-core/src/steering/shift.rs
+++ b/crates/foxtide-core/src/steering/shift.rs
@@ -1,19 +1,19 @@
-//! Moves a row of shares towards its target under the shift cap.
+//! Moves a row towards its target under the shift cap.
 
-/// The share of an instance's requests that goes to each region, in the order
-/// of the configuration. What is missing to 1 is refused.
+/// The share of requests that goes to each region, in the order of the
+/// configuration. The remainder to 1 is refused.
 pub(crate) type Row = Vec<f64>;
 
-/// Shares closer than this are taken as equal.
+/// The sum of shares below which nothing is left to move.
 const SHARE_EPSILON: f64 = 1e-9;
 
-/// How far a region's share may move in one tick.
+/// The maximum change of a region's share in one tick.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct StepLimit {
-    /// What the cap allows.
+    /// The change that the shift cap allows.
     pub(crate) cap_share: f64,
-    /// What the plan has moved; followed even where that is more, as after a
-    /// pause of the process, because all others have moved as much.
+    /// The planned change. It may exceed the cap after a pause of the process,
+    /// as all peers have already made it.
     pub(crate) planned_share: f64,
 }
 
@@ -27,16 +27,16 @@
     }
 }
 
-/// Takes a region out of a row at once: what went there is refused until the
-/// other regions may take it.
+/// Removes a region from a row at once; its requests are refused until other
+/// regions may take them under the shift cap.
 pub(crate) fn drop_region(row: &mut Row, region: usize) {
     row[region] = 0.0;
 }
 
 /// Moves `row` towards `target`, each region by no more than `limit` allows.
 ///
-/// A share falls no faster than others take it, so that nothing is refused
-/// that could still be served where it was.
+/// Shares fall no faster than others rise, so that no request is refused that
+/// its current region could still serve.
 pub(crate) fn step_towards(row: &mut Row, target: &[f64], limit: impl Fn(usize) -> StepLimit) {
     let free = (1.0 - row.iter().sum::<f64>()).max(0.0);
     let rise = |index: usize, share: f64| (target[index] - share).clamp(0.0, limit(index).up());
--- a/crates/foxtide-core/src/steering/steps.rs
+++ b/crates/foxtide-core/src/steering/steps.rs
@@ -1,4 +1,4 @@
-//! Planned moves and drains as steps in time, and how far each has come.
+//! Models planned moves and drains as timed steps and computes their progress.
 
 use crate::ids::{
     RegionId,
@@ -14,35 +14,35 @@
 use crate::time::WallTime;
 use std::time::Duration;
 
-/// The slowest pace that a whole region's leaving is planned with.
+/// The minimum pace with which the drain of a whole region is scheduled.
 const SLOWEST_PER_S: f64 = 1e-5;
 
 /// A planned change of a service's rows.
 #[derive(Clone, Debug)]
 pub(crate) struct Step {
-    /// What changes.
+    /// The change to the row.
     pub(crate) change: Change,
-    /// The part that has moved in the end.
+    /// The part that has moved when the step is complete.
     pub(crate) share: f64,
-    /// How fast it moves when it is alone.
+    /// The pace while no other step is running.
     pub(crate) pace_per_s: f64,
-    /// When it starts.
+    /// The start time.
     pub(crate) start: WallTime,
-    /// When it was paused.
+    /// The time of a pause, from which the step no longer advances.
     pub(crate) paused: Option<WallTime>,
 }
 
-/// What a step changes; regions by their place in the configuration.
+/// The change that a step makes; regions are indices into the configuration.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum Change {
-    /// A part of what one region has moves to another.
+    /// Moves a part of one region's share to another region.
     Move {
-        /// The region that gives.
+        /// The source region.
         from: usize,
-        /// The region that takes.
+        /// The destination region.
         to: usize,
     },
-    /// All of what a region has moves to the homes that stay.
+    /// Moves a region's whole share to the homes that remain.
     Leave {
         /// The region.
         region: usize,
@@ -50,13 +50,13 @@
 }
 
 impl Change {
-    /// Tells whether this is a region's leaving.
+    /// Returns whether this change removes the region at `index`.
     pub(crate) fn leaves(self, index: usize) -> bool {
         matches!(self, Self::Leave { region } if region == index)
     }
 }
 
-/// Collects the steps of one service: its moves, then the regions that leave.
+/// Returns the steps of one service: its moves, then the regions that leave.
 pub(crate) fn steps(organisation: &Organisation, service: &Service, cap_per_s: f64) -> Vec<Step> {
     let of_service = |planned: &&PlannedMove| planned.service == service.service;
     let moves = organisation.moves.iter().filter(of_service);
@@ -91,10 +91,11 @@
     })
 }
 
-/// Returns when a service starts to leave a region, by a drain of the region
-/// or because drains take the last of its upstreams there.
+/// Returns when a service starts to leave a region, because the region is
+/// drained or because drains remove all of its upstreams there.
 ///
-/// In the second case the traffic has left when the last upstream goes.
+/// In the second case the start is early enough for all traffic to move before
+/// the last upstream leaves.
 fn leave_start(
     organisation: &Organisation,
     service: &Service,
@@ -110,7 +111,7 @@
     announced.into_iter().chain(emptied).min()
 }
 
-/// Returns when the last of a service's upstreams in a region has left.
+/// Returns when the last of a service's upstreams leaves a region.
 fn emptied_at(
     organisation: &Organisation,
     service: &Service,
@@ -131,8 +132,8 @@
 /// Returns when an upstream leaves by an announced drain of its own or of its
 /// availability zone.
 ///
-/// A region's drain makes no upstream leave: the traffic moves away from it
-/// under the shift cap.
+/// The drain of a region removes no upstream; its traffic moves away under the
+/// shift cap.
 pub fn leaves_at_us(
     organisation: &Organisation,
     service: &ServiceId,
@@ -151,10 +152,10 @@
     drains.map(|drain| drain.start_us).min()
 }
 
-/// Returns how much of each step has moved at `wall`.
+/// Returns the progress of each step at `wall`.
 ///
-/// Steps that run at the same time share the cap: all are slowed by the same
-/// factor where their paces sum to more.
+/// Concurrent steps share the shift cap: if the sum of their paces exceeds it,
+/// all are slowed by the same factor.
 pub(crate) fn progress(steps: &[Step], cap_per_s: f64, wall: WallTime) -> Vec<f64> {
     let mut moved = vec![0.0; steps.len()];
     let Some(mut at) = steps.iter().map(|step| step.start).min() else {
@@ -190,7 +191,7 @@
     let mut next = WallTime::from_us(u64::MAX);
     for (step, moved) in steps.iter().zip(moved) {
         let left_s = (step.share - moved).max(0.0) / (step.pace_per_s * slowed);
-        // Rounded up, so that the step has ended and time goes on.
+        // Rounded up, so that the step is complete and the loop advances.
         let end = Duration::from_secs_f64(left_s.min(1e9)) + Duration::from_micros(1);
         let running = step.start <= at && *moved < step.share;
         let ends = running.then(|| at + end);
--- a/crates/foxtide-core/src/steering/target.rs
+++ b/crates/foxtide-core/src/steering/target.rs
@@ -1,9 +1,9 @@
-//! Where a service's traffic should go now, given what can serve it.
+//! Computes target rows from the planned row, health and free capacity.
 
 use super::shift::Row;
 
-/// Returns the planned row with what is planned for regions that cannot serve
-/// moved to the homes that can, by their weights.
+/// Returns the planned row with the shares of unusable regions redistributed to
+/// the usable homes by weight.
 pub(crate) fn redistribute_unusable(planned: &[f64], homes: &[f64], usable: &[bool]) -> Row {
     let weight = |index: usize| if usable[index] { homes[index] } else { 0.0 };
     let total: f64 = (0..planned.len()).map(weight).sum();
@@ -21,20 +21,20 @@
     shares.map(|index| retained(index) + taken(index)).collect()
 }
 
-/// What is known of one region when spill is worked out.
+/// The free or missing capacity of one region.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct FreeCapacity {
-    /// The part of what is planned to go there that finds no room.
+    /// The part of the region's planned requests that exceeds its capacity.
     pub(crate) excess_share: f64,
-    /// What it could still take, in requests a second.
+    /// The free capacity, in requests per second.
     pub(crate) free_rps: f64,
 }
 
-/// Moves what finds no room in its region to other homes, inside the service's
-/// spill-over limit. Returns the share that was moved.
+/// Moves shares that exceed their region's capacity to other homes, within the
+/// service's spill-over limit.
 ///
-/// `claimed` gets what would be moved if the other homes had room; it is what
-/// the instance asks for, while `row` only takes what there is.
+/// `row` moves only what fits into the free capacity; `claimed` receives what
+/// would move if the other homes had enough.
 pub(crate) fn spill(
     row: &mut Row,
     claimed: &mut Row,
@@ -65,11 +65,11 @@
     }
 }
 
-/// How much of a service may spill.
+/// The bound on a service's spill-over.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct SpillLimit {
-    /// The contract's limit, less what already goes elsewhere than planned.
+    /// The contract's limit, as a share of requests.
     pub(crate) limit_share: f64,
-    /// What the instance's callers ask of the service.
+    /// The measured demand for the service, in requests per second.
     pub(crate) demand_rps: f64,
 }
--- a/crates/foxtide-core/src/steering/view.rs
+++ b/crates/foxtide-core/src/steering/view.rs
@@ -1,4 +1,4 @@
-//! What instances tell one another, and what one of them knows of all.
+//! Reports that instances exchange, and the view of the fleet built from them.
 
 use crate::ids::{
     RegionId,
@@ -17,47 +17,47 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// What an instance tells its peers, for one organisation.
+/// The report of an instance to its peers, for one organisation.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct InstanceReport {
-    /// What it knows of each service.
+    /// The reports by service.
     pub services: BTreeMap<ServiceId, ServiceReport>,
-    /// The same of the callers of other regions that use it.
+    /// The reports by service for callers of other regions that use it.
     #[serde(default)]
     pub foreign: BTreeMap<RegionId, BTreeMap<ServiceId, ServiceReport>>,
-    /// How it uses each region's limits.
+    /// Its use of each region's limits.
     pub limits: BTreeMap<RegionId, LimitUse>,
 }
 
-/// What an instance tells of one service.
+/// The report of an instance on one service.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ServiceReport {
-    /// What its callers ask for.
+    /// The demand of its callers.
     pub demand_rps: RequestRate,
-    /// The healthy part of the service's upstreams in the instance's own
-    /// region; `None` where it has seen none.
+    /// The healthy share of the service's upstreams in the instance's own
+    /// region; `None` if it has observed none.
     pub healthy_share: Option<Share>,
     /// The share of its requests that it sends to each region.
     pub row: BTreeMap<RegionId, Share>,
 }
 
-/// A report with where and when it came from.
+/// A report with its origin and time.
 #[derive(Clone, Copy, Debug)]
 pub struct ReceivedReport<'a> {
     /// The region of the instance that made it.
     pub origin: &'a RegionId,
-    /// When it was made, on the reader's clock; later than true is unsafe.
+    /// When it was made, on the reader's clock; must not be later than the truth.
     pub made_at: MonotonicTime,
-    /// What it says.
+    /// The report.
     pub report: &'a InstanceReport,
 }
 
-/// How old the reports of a view may be.
+/// The age limits of the reports in a view.
 #[derive(Clone, Copy, Debug)]
 pub struct ViewOptions {
-    /// Up to this age the maker counts as heard.
+    /// The maximum age of the report of a live instance.
     pub view_age_max: Duration,
-    /// Up to this age its claims are counted.
+    /// The maximum age of a report whose claims count.
     pub claim_hold: Duration,
 }
 
@@ -71,55 +71,54 @@
     }
 }
 
-/// What one instance knows of all, itself included.
+/// The view that one instance has of all instances, including itself.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct FleetView {
-    /// When it was put together, on the reader's clock.
+    /// When the view was built, on the reader's clock.
     pub measured_at: MonotonicTime,
-    /// What is known of the instances of each region.
+    /// The views by region.
     pub regions: BTreeMap<RegionId, RegionView>,
 }
 
-/// What is known of the instances of one region.
+/// The view of the instances of one region.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RegionView {
-    /// When the oldest report counted in here was made, on the reader's clock.
+    /// When the oldest counted report was made, on the reader's clock.
     pub oldest_at: MonotonicTime,
-    /// How many instances have their claims counted.
+    /// The number of instances whose claims count.
     pub counted_instances: u32,
-    /// How many instances have been heard of late.
+    /// The number of instances with a recent report.
     pub live_instances: u32,
-    /// How many instances are not known to have ended, heard or not.
+    /// The number of instances, live or silent, that are not known to have ended.
     pub known_instances: u32,
-    /// What they say of each service.
+    /// The views by service.
     pub services: BTreeMap<ServiceId, ServiceView>,
-    /// What they say of the callers of other regions, which come to them when
-    /// these regions' own instances are gone.
+    /// The views by service for callers of other regions, which use these
+    /// instances while their own region has none.
     pub foreign: BTreeMap<RegionId, BTreeMap<ServiceId, ServiceView>>,
-    /// How they use each region's limits, all together.
+    /// The sum of their use of each region's limits.
     pub limits: BTreeMap<RegionId, LimitUse>,
 }
 
-/// What is known of one service in one origin region.
+/// The view of one service in one origin region.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ServiceView {
-    /// How many instances the figures come from.
+    /// The number of instances that reported.
     pub instances: u32,
-    /// What callers ask of all instances there.
+    /// The demand summed over these instances.
     pub demand_rps: RequestRate,
-    /// The healthy part of the service's upstreams in this region.
+    /// The healthy share of the service's upstreams in this region.
     pub healthy_share: Option<Share>,
-    /// The mean row of the instances there, weighted by their demand.
+    /// The mean row of these instances, weighted by demand.
     pub row: BTreeMap<RegionId, Share>,
 }
 
 impl FleetView {
-    /// Puts a view together from the newest report of every instance, the
-    /// reader's own included.
+    /// Builds a view from the newest report of every instance, including the
+    /// reader's own.
     ///
-    /// Silent instances' reports must be handed in until they are known to
-    /// have ended, or for [`ViewOptions::claim_hold`] at least; they count as
-    /// known all that time.
+    /// The last report of a silent instance must be passed in until the instance
+    /// is known to have ended, or at least for [`ViewOptions::claim_hold`].
     pub fn from_reports<'a>(
         reports: impl IntoIterator<Item = ReceivedReport<'a>>,
         options: ViewOptions,
@@ -136,8 +135,8 @@
         view
     }
 
-    /// Takes over how many instances the platform's list names in a region,
-    /// so that those count as known that have never been heard.
+    /// Raises a region's known instances to the number in the platform's list,
+    /// which includes instances that have never reported.
     pub fn add_listed(&mut self, origin: &RegionId, listed_instances: u32) {
         if listed_instances > 0 {
             let region = self.regions.entry(origin.clone()).or_default();
@@ -145,7 +144,7 @@
         }
     }
 
-    /// Returns what is told of a region's callers by instances elsewhere.
+    /// Returns the views of a region's callers by instances of other regions.
     pub(crate) fn foreign(&self, origin: &RegionId) -> BTreeMap<ServiceId, ServiceView> {
         let mut sum: BTreeMap<ServiceId, ServiceView> = BTreeMap::new();
         let regions = self.regions.values();
@@ -157,16 +156,15 @@
         sum
     }
 
-    /// Tells whether more than half of all known instances have been heard, or
-    /// there is none but the reader.
+    /// Returns whether more than half of all known instances are live, or the
+    /// reader is the only instance.
     pub fn sees_majority(&self) -> bool {
         let regions = self.regions.values();
         let live: u64 = regions.map(|region| u64::from(region.live_instances)).sum();
         live * 2 > self.known_instances() || self.is_alone()
     }
 
-    /// Tells whether neither the members nor the platform's list name any
-    /// other instance.
+    /// Returns whether no instance other than the reader is known.
     pub fn is_alone(&self) -> bool {
         self.known_instances() <= 1
     }
@@ -207,7 +205,7 @@
     }
 }
 
-/// What is known of each service.
+/// The views by service.
 type ServiceViews = BTreeMap<ServiceId, ServiceView>;
 
 fn add_services(views: &mut ServiceViews, reports: &BTreeMap<ServiceId, ServiceReport>) {
@@ -216,13 +214,13 @@
     }
 }
 
-/// The weight of an idle instance's row, in requests a second.
+/// The weight of an idle instance's row, in requests per second.
 pub(super) const IDLE_WEIGHT_RPS: f64 = 0.01;
 
 impl ServiceView {
     fn add(&mut self, report: &ServiceReport) {
-        // One instance that sees an upstream healthy is proof; one that sees
-        // it broken may itself be cut off.
+        // The highest share wins: an instance that reports unhealthy upstreams
+        // may itself be partitioned from them.
         self.healthy_share = match (self.healthy_share, report.healthy_share) {
             (Some(known), Some(new)) if new < known => Some(known),
             (known, new) => new.or(known),
