--- a/crates/foxtide-core/tests/steering/decider.rs
+++ b/crates/foxtide-core/tests/steering/decider.rs
@@ -1,4 +1,4 @@
-//! What a fleet of instances is made of.
+//! The interface between the simulated fleet and the decisions under test.
 
 use super::fixture::SERVICES;
 use foxtide_core::ids::{
@@ -22,45 +22,43 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// What a fleet of instances is made of: the product's decisions or a simpler
-/// baseline.
+/// The decisions of one instance: those of [`Steering`] or a simpler baseline.
 pub(crate) trait Decider {
-    /// Starts an instance.
+    /// Creates the decisions of a starting instance.
     fn start(
         organisation: &Arc<Organisation>,
         origin: &RegionId,
         options: &SteeringOptions,
     ) -> Self;
-    /// Takes over a configuration.
+    /// Applies a configuration.
     fn configure(&mut self, organisation: &Arc<Organisation>, now: MonotonicTime);
-    /// Takes over a view.
+    /// Applies a view of the fleet.
     fn observe(&mut self, view: &FleetView, now: MonotonicTime);
-    /// Notes a region's health as the instance sees it.
+    /// Sets a region's health as observed by the instance.
     fn set_health(&mut self, region: &RegionId, healthy: Share);
-    /// Moves on.
+    /// Advances to the given times.
     fn tick(&mut self, now: MonotonicTime, wall: WallTime);
-    /// Returns what to publish.
+    /// Returns the report to publish.
     fn report(&mut self, now: MonotonicTime) -> InstanceReport;
-    /// Tells whether look-ups may name it.
+    /// Returns whether look-ups may return the instance.
     fn is_ready(&self, now: MonotonicTime) -> bool;
-    /// Decides on one attempt.
+    /// Decides on one attempt to send a request.
     fn admit(&mut self, attempt: &Attempt<'_>, now: MonotonicTime) -> Admission;
-    /// Notes a receiver's refusal.
+    /// Records that a region refused a request.
     fn refused_by(&mut self, region: &RegionId, now: MonotonicTime);
-    /// Returns the row in use for callers of an origin.
+    /// Returns the current row for callers of an origin.
     fn row(&self, service: &ServiceId, origin: &RegionId) -> Option<BTreeMap<RegionId, Share>>;
 }
 
-/// One attempt of a request.
+/// One attempt to send a request.
 #[derive(Clone, Debug)]
 pub(crate) struct Attempt<'a> {
-    /// The service.
     pub(crate) service: &'a ServiceId,
-    /// The region of the caller.
+    /// The caller's region.
     pub(crate) origin: &'a RegionId,
-    /// The draw that chooses the region.
+    /// The uniform draw that selects the region.
     pub(crate) draw: f64,
-    /// How long it has waited.
+    /// The time that the request has waited.
     pub(crate) waited: Duration,
 }
 
--- a/crates/foxtide-core/tests/steering/fixture.rs
+++ b/crates/foxtide-core/tests/steering/fixture.rs
@@ -1,20 +1,20 @@
-//! A small organisation of three regions.
+//! An organisation with three regions and two services.
 
 use foxtide_core::ids::RegionId;
 use foxtide_core::organisation::Organisation;
 
-/// What the tests vary of the organisation.
+/// The parameters of the organisation.
 #[derive(Clone, Debug)]
 pub(crate) struct OrganisationOptions {
-    /// The shift cap of each service, in shares a second.
+    /// The shift cap of each service, in shares per second.
     pub(crate) shift_cap_share_per_s: f64,
     /// The spill-over limit of each service.
     pub(crate) spill_limit_share: f64,
-    /// The sold rate of each region, in requests a second.
+    /// The sold rate of each region, in requests per second.
     pub(crate) region_rps: f64,
-    /// The sold rate of each link, in requests a second.
+    /// The sold rate of each link, in requests per second.
     pub(crate) link_rps: f64,
-    /// `latency` or `headroom`.
+    /// The priority of each service: `latency` or `headroom`.
     pub(crate) priority: &'static str,
 }
 
@@ -30,18 +30,16 @@
     }
 }
 
-/// The regions, all of them homes.
+/// The regions, all of which are homes of all services.
 pub(crate) const REGIONS: [&str; 3] = ["khomas", "erongo", "oshana"];
 
-/// The services.
 pub(crate) const SERVICES: [&str; 2] = ["viewer", "notices"];
 
-/// Returns the region of this name.
 pub(crate) fn region(name: &str) -> RegionId {
     name.parse().expect("a region's name")
 }
 
-/// Returns an organisation with two upstreams a service and region.
+/// Returns an organisation with two upstreams per service and region.
 pub(crate) fn organisation(options: &OrganisationOptions) -> Organisation {
     let regions = REGIONS.map(|region| {
         serde_json::json!({
--- a/crates/foxtide-core/tests/steering/fleet.rs
+++ b/crates/foxtide-core/tests/steering/fleet.rs
@@ -1,7 +1,7 @@
-//! Ten instances' pure decisions, driven through one scenario.
+//! Simulates a fleet of ten instances on virtual time.
 //!
-//! No process, socket or clock: reports travel as values with a delay, callers
-//! are random arrivals, upstreams are a health figure by region.
+//! Reports are delivered with a delay, requests arrive at random, and the
+//! upstreams of a region are either healthy or not.
 
 use super::decider::{
     Attempt,
@@ -44,16 +44,16 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// The time of one step, in milliseconds.
+/// The duration of one step, in milliseconds.
 pub(crate) const STEP_MS: u64 = 100;
 
-/// The steps between two reports, and between two views, of an instance.
+/// The steps between two reports, and between two views, of one instance.
 const REPORT_EVERY: u64 = 5;
 
-/// How many instances stand in each region.
+/// The number of instances in each region.
 const INSTANCES: [usize; REGIONS.len()] = [4, 3, 3];
 
-/// A report on its way.
+/// A report in transit.
 struct InFlight {
     to: usize,
     from: usize,
@@ -62,20 +62,20 @@
     report: Arc<InstanceReport>,
 }
 
-/// A request that comes to an instance, or tries again there.
+/// A new or waiting request at an instance.
 struct Arrival {
     at_us: u64,
     index: usize,
     request: Waiting,
 }
 
-/// The instances and the world around them.
+/// The instances, their network and their callers.
 pub(crate) struct Fleet<D> {
     scenario: Scenario,
     options: SteeringOptions,
     nodes: Vec<Node<D>>,
     in_flight: Vec<InFlight>,
-    /// In the order of time, then of their making.
+    /// Keyed by arrival time in microseconds, then by insertion order.
     arrivals: BTreeMap<(u64, u64), Arrival>,
     arrivals_added: u64,
     healthy: [bool; REGIONS.len()],
@@ -92,7 +92,7 @@
 }
 
 impl<D: Decider> Fleet<D> {
-    /// Runs a scenario and returns what was counted.
+    /// Runs a scenario and returns its tally.
     pub(crate) fn run(scenario: Scenario, options: SteeringOptions) -> Tally {
         let steps = scenario.length_ms / STEP_MS;
         let mut fleet = Self::new(scenario, options);
@@ -149,7 +149,6 @@
         }
     }
 
-    /// Lets the scenario's events of this step happen.
     fn apply_due_events(&mut self) {
         let due = |event: &&(u64, Event)| event.0 == self.now_ms;
         let events: Vec<Event> = self
@@ -212,7 +211,7 @@
         }
     }
 
-    /// Carries the instances' reports to one another.
+    /// Publishes due reports and delivers those that have arrived.
     fn exchange(&mut self, step: u64) {
         for from in 0..self.nodes.len() {
             if is_due(step, from) && self.nodes[from].runs(self.now_ms) {
@@ -286,7 +285,7 @@
         }
     }
 
-    /// Lets callers send for one step, in the order of time.
+    /// Processes the arrivals of one step in the order of time.
     fn serve(&mut self) {
         for origin in 0..REGIONS.len() {
             for (index, part) in self.callers_instances(origin) {
@@ -317,9 +316,9 @@
         self.arrivals.insert(key, arrival);
     }
 
-    /// Returns the instances that an origin's callers use, with their parts.
+    /// Returns the instances that an origin's callers use, with their shares.
     fn callers_instances(&self, origin: usize) -> Vec<(usize, f64)> {
-        // Look-ups name no instance that is not ready.
+        // Look-ups return only instances that are ready.
         let runs = |index: &usize| {
             let node = &self.nodes[*index];
             node.runs(self.now_ms) && node.decider.is_ready(node.now(self.now_ms))
@@ -340,7 +339,7 @@
             .collect()
     }
 
-    /// Draws the requests that come to an instance in this step.
+    /// Draws the requests that arrive at an instance in this step.
     fn add_arrivals(&mut self, index: usize, (origin, service): (usize, usize), rps: f64) {
         let mean = rps * STEP_MS as f64 / 1_000.0;
         for _ in 0..poisson(&mut self.rng, mean) {
@@ -396,7 +395,7 @@
         }
     }
 
-    /// Notes the share of each origin's callers that goes to each region.
+    /// Records the share of each service's requests that goes to each region.
     fn record_shares(&mut self) {
         for service in 0..SERVICES.len() {
             let mut shares = [0.0; REGIONS.len()];
@@ -417,7 +416,7 @@
     }
 }
 
-/// Tells whether an instance does at this step what it does every few steps.
+/// Returns whether an instance's periodic work is due at this step.
 fn is_due(step: u64, index: usize) -> bool {
     (step + index as u64).is_multiple_of(REPORT_EVERY)
 }
--- a/crates/foxtide-core/tests/steering/limits.rs
+++ b/crates/foxtide-core/tests/steering/limits.rs
@@ -1,4 +1,4 @@
-//! Tests of the split of sold rates.
+//! Tests of claims and of the allocation of sold rates.
 
 use foxtide_core::limits::{
     Claim,
@@ -22,7 +22,7 @@
     }
 }
 
-/// An instance's recent claims: any peer may know either of the two.
+/// Generates the two recent claims of an instance; a peer may know either.
 fn two_claims() -> impl Strategy<Value = [Claim; 2]> {
     let one = || (0.0..150.0, 0.0..150.0).prop_map(|(planned, spilled)| claim(planned, spilled));
     [one(), one()]
@@ -38,7 +38,7 @@
 
 proptest! {
     #[test]
-    fn verify_parts_never_sum_to_more_than_was_sold(
+    fn verify_allocations_never_sum_to_more_than_the_sold_rate(
         fleet in proptest::collection::vec((two_claims(), any::<u16>()), 1..12),
     ) {
         let mut total = 0.0;
--- a/crates/foxtide-core/tests/steering/main.rs
+++ b/crates/foxtide-core/tests/steering/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the steering decisions and of the limits.
+//! Tests of steering and of the limits.
 
 mod decider;
 mod fixture;
--- a/crates/foxtide-core/tests/steering/node.rs
+++ b/crates/foxtide-core/tests/steering/node.rs
@@ -1,4 +1,4 @@
-//! One instance of a scenario.
+//! One simulated instance.
 
 use super::decider::Decider;
 use foxtide_core::ids::RegionId;
@@ -15,20 +15,20 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// How long the platform's list names an instance that has died.
+/// The time for which the platform's list contains an instance that has stopped.
 const LIST_LAG_MS: u64 = 10_000;
 
-/// How long the report of an instance is kept that is no longer listed; longer
-/// than its claims are held.
+/// The time for which an unlisted instance's report is kept; longer than its
+/// claims count.
 const REPORT_HOLD_MS: u64 = 20_000;
 
-/// A peer's newest report as an instance knows it.
+/// The newest report received from a peer.
 pub(super) struct Known {
     pub(super) made_ms: u64,
     pub(super) report: Arc<InstanceReport>,
 }
 
-/// A request that waits for room.
+/// A request to be admitted.
 pub(super) struct Waiting {
     pub(super) service: usize,
     pub(super) origin: usize,
@@ -36,13 +36,13 @@
     pub(super) waited: Duration,
 }
 
-/// An instance with its clocks and what it knows.
+/// An instance with its clocks, received reports and pending updates.
 pub(super) struct Node<D> {
     pub(super) region: usize,
     pub(super) decider: D,
-    /// When its process started; its steady clock's beginning.
+    /// When its process started, the origin of its monotonic clock.
     pub(super) started_ms: u64,
-    /// What its wall clock is ahead of the slowest, in milliseconds.
+    /// The skew of its wall clock.
     pub(super) skew_ms: u64,
     pub(super) up: bool,
     pub(super) stopped_ms: u64,
@@ -54,7 +54,7 @@
 }
 
 impl<D: Decider> Node<D> {
-    /// Returns an instance that starts with the scenario.
+    /// Creates an instance that starts with the scenario.
     pub(super) fn new(region: usize, decider: D, skew_ms: u64, demand_weight: f64) -> Self {
         Self {
             region,
@@ -78,7 +78,7 @@
         }
     }
 
-    /// Tells whether the platform's list still names it.
+    /// Returns whether the platform's list contains the instance.
     pub(super) fn is_listed(&self, now_ms: u64) -> bool {
         self.up || now_ms - self.stopped_ms < LIST_LAG_MS
     }
@@ -87,17 +87,16 @@
         self.up && now_ms >= self.paused_until_ms
     }
 
-    /// The node's steady clock.
+    /// Converts scenario time to the instance's monotonic clock.
     pub(super) fn now(&self, at_ms: u64) -> MonotonicTime {
         self.now_us(at_ms * 1_000)
     }
 
-    /// The same in microseconds.
     pub(super) fn now_us(&self, at_us: u64) -> MonotonicTime {
         MonotonicTime::from_us(at_us - self.started_ms * 1_000)
     }
 
-    /// Learns of its upstreams' health and of a new configuration.
+    /// Applies pending health changes and the newest pending configuration.
     pub(super) fn apply_pending(&mut self, regions: &[RegionId], now_ms: u64) {
         let now = self.now(now_ms);
         let due = self.pending_health.iter().filter(|seen| seen.0 <= now_ms);
--- a/crates/foxtide-core/tests/steering/poisson.rs
+++ b/crates/foxtide-core/tests/steering/poisson.rs
@@ -1,4 +1,4 @@
-//! Random arrivals.
+//! Draws Poisson-distributed counts.
 
 use rand::RngExt;
 use rand::rngs::StdRng;
--- a/crates/foxtide-core/tests/steering/rows.rs
+++ b/crates/foxtide-core/tests/steering/rows.rs
@@ -1,4 +1,4 @@
-//! Tests of rows: plans, failures, new configurations, restarts.
+//! Tests of rows: plans, failures, reconfiguration and restarts.
 
 use super::fixture::{
     OrganisationOptions,
@@ -73,14 +73,14 @@
     );
 }
 
-/// Returns the view of an instance that has just heard these reports.
+/// Returns the view of an instance that has just received these reports.
 fn view(reports: &[(RegionId, InstanceReport)], now: MonotonicTime) -> FleetView {
-    let heard = reports.iter().map(|(origin, report)| ReceivedReport {
+    let received = reports.iter().map(|(origin, report)| ReceivedReport {
         origin,
         made_at: now,
         report,
     });
-    FleetView::from_reports(heard, ViewOptions::default(), now)
+    FleetView::from_reports(received, ViewOptions::default(), now)
 }
 
 /// An instance in khomas with its clocks.
@@ -225,7 +225,7 @@
 }
 
 #[test]
-fn verify_a_restarted_instance_starts_where_its_peers_stand() {
+fn verify_a_restarted_instance_adopts_its_peers_rows() {
     let plain = organisation(&OrganisationOptions::default());
     let mut peer = Instance::new(plain.clone());
     peer.run(30);
@@ -279,7 +279,7 @@
 }
 
 #[test]
-fn verify_an_instance_that_is_cut_off_starts_from_nothing() {
+fn verify_an_isolated_instance_starts_with_an_empty_row() {
     let mut instance = Instance::new(organisation(&OrganisationOptions::default()));
     for _ in 0..152 {
         instance.now = instance.now + Duration::from_millis(100);
@@ -314,7 +314,7 @@
 }
 
 #[test]
-fn verify_a_new_instance_without_a_part_yet_asks_for_a_short_wait() {
+fn verify_a_new_instance_without_an_allocation_returns_a_short_retry_after() {
     let mut started = Instance::new(organisation(&OrganisationOptions::default()));
     let reports = REGIONS.map(|name| (region(name), InstanceReport::default()));
     for _ in 0..300 {
--- a/crates/foxtide-core/tests/steering/scenario.rs
+++ b/crates/foxtide-core/tests/steering/scenario.rs
@@ -1,4 +1,4 @@
-//! Seeded scenarios: what fails, moves and bursts, and when.
+//! Seeded scenarios with timed failures, bursts and reconfigurations.
 
 use super::fixture::{
     OrganisationOptions,
@@ -27,65 +27,65 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// How many instances a scenario has.
+/// The number of instances in a scenario.
 pub(crate) const NODES: usize = 10;
 
-/// When the first event may happen: all instances know one another by then.
+/// The earliest time of an event; all instances know one another by then.
 const FIRST_EVENT_MS: u64 = 15_000;
 
-/// When the last event may begin.
+/// The latest start of an event.
 const LAST_EVENT_MS: u64 = 60_000;
 
-/// How long a scenario runs.
+/// The duration of a scenario.
 const LENGTH_MS: u64 = 90_000;
 
-/// What happens to the world.
+/// An event of a scenario; regions and instances are given by index.
 #[derive(Clone, Debug)]
 pub(crate) enum Event {
-    /// An instance dies.
+    /// Stops an instance.
     Stop(usize),
-    /// An instance starts anew.
+    /// Starts an instance without state.
     Start(usize),
-    /// An instance's process stands still for so many milliseconds.
+    /// Pauses an instance's process for a time in milliseconds.
     Pause(usize, u64),
-    /// A region's upstreams fail or come back.
+    /// Sets whether a region's upstreams are healthy.
     Health(usize, bool),
-    /// A region's instances lose, or find, those of other regions.
+    /// Sets whether a region's instances are partitioned from other regions.
     Cut(usize, bool),
-    /// No report arrives any more, or reports arrive again.
+    /// Sets whether all reports are lost.
     ReportLoss(bool),
-    /// The demand of a region's callers, times this.
+    /// Sets the factor applied to the demand of a region's callers.
     Burst(usize, f64),
-    /// A region's upstreams refuse a part, or stop to.
+    /// Sets whether a region's upstreams refuse a part of the requests.
     Shed(usize, bool),
-    /// An instance's weight among those of its region.
+    /// Sets an instance's share of its region's demand, as a weight.
     Skew(usize, f64),
-    /// A new configuration.
+    /// Publishes a configuration.
     Configure(Arc<Organisation>),
 }
 
-/// One scenario.
+/// The parameters and events of one simulation.
 #[derive(Clone, Debug)]
 pub(crate) struct Scenario {
-    /// The seed of all its randomness.
+    /// The seed of the simulation's randomness.
     pub(crate) seed: u64,
-    /// How long it runs.
+    /// The duration.
     pub(crate) length_ms: u64,
-    /// What the organisation was made from.
+    /// The parameters of the organisation.
     pub(crate) options: OrganisationOptions,
     /// The configuration at the start.
     pub(crate) organisation: Organisation,
-    /// What each region's callers ask of each service.
+    /// The demand by region and service.
     pub(crate) demand_rps: [[f64; SERVICES.len()]; REGIONS.len()],
-    /// Whether instances see the platform's list; without it they forget who
-    /// is silent for long.
+    /// Whether instances see the platform's list; without it they drop peers that
+    /// are silent for long.
     pub(crate) platform_list: bool,
-    /// What happens, and when.
+    /// The events with their times in milliseconds.
     pub(crate) events: Vec<(u64, Event)>,
 }
 
 impl Scenario {
-    /// Returns a scenario in which nothing happens.
+    /// Returns a scenario without events.
     pub(crate) fn quiet(seed: u64, options: OrganisationOptions, demand_rps: f64) -> Self {
         let each = demand_rps / SERVICES.len() as f64;
         Self {
@@ -99,7 +99,7 @@
         }
     }
 
-    /// Returns the scenario of a seed.
+    /// Returns the random scenario of a seed.
     pub(crate) fn random(seed: u64) -> Self {
         let mut rng = StdRng::seed_from_u64(seed ^ 0x5eed);
         let options = OrganisationOptions {
@@ -121,13 +121,12 @@
         scenario
     }
 
-    /// Returns an origin's part of the demand for a service.
+    /// Returns an origin's share of the demand for a service.
     pub(crate) fn origin_weight(&self, origin: usize, service: usize) -> f64 {
         let total: f64 = self.demand_rps.iter().map(|demand| demand[service]).sum();
         self.demand_rps[origin][service] / total
     }
 
-    /// Adds an event.
     pub(crate) fn at(&mut self, at_ms: u64, event: Event) {
         self.events.push((at_ms, event));
     }
@@ -193,7 +192,7 @@
         self.at(until_ms, end);
     }
 
-    /// A region's upstreams and instances fail together and come back.
+    /// Adds the failure and recovery of a region's upstreams and instances.
     pub(crate) fn lose_region(&mut self, at_ms: u64, region_index: usize, until_ms: u64) {
         let first = [0, 4, 7, NODES];
         for node in first[region_index]..first[region_index + 1] {
--- a/crates/foxtide-core/tests/steering/scenarios.rs
+++ b/crates/foxtide-core/tests/steering/scenarios.rs
@@ -1,4 +1,4 @@
-//! Runs seeded scenarios and checks that every promise was kept.
+//! Checks the promises on caps and limits in seeded scenarios.
 
 use super::fixture::OrganisationOptions;
 use super::fleet::Fleet;
@@ -13,41 +13,40 @@
 };
 use std::time::Duration;
 
-/// Seeds that once broke a promise, and by what.
+/// Seeds that exposed faults, each with its cause.
 const REGRESSION_SEEDS: [(u64, &str); 11] = [
-    (4, "an instance took over rows of origins that serve others"),
-    (47, "an instance that woke took over another origin's rows"),
-    (123, "instances of one origin had spilled differently"),
+    (4, "an instance adopted rows of origins that serve others"),
+    (
+        47,
+        "an instance adopted another origin's rows after a pause",
+    ),
+    (123, "instances of one origin spilled differently"),
     (
         143,
-        "a region came back while cut off, and started at its target",
+        "a region recovered while partitioned and started at its target",
     ),
-    (182, "a region came back while no report arrived"),
-    (193, "a region came back while cut off and reconfigured"),
+    (182, "a region recovered while all reports were lost"),
+    (193, "a region recovered while partitioned and reconfigured"),
     (
         230,
-        "an instance took an old row for callers that others served",
+        "an instance adopted a stale row for callers that others served",
     ),
     (
         352,
-        "instances that were cut off were named in look-ups no more",
-    ),
-    (
-        381,
-        "new instances took over the rows of those that had died",
+        "partitioned instances were no longer returned by look-ups",
     ),
+    (381, "new instances adopted the rows of dead ones"),
+    (595, "an instance guessed the row of an unknown origin"),
     (
-        595,
-        "an instance guessed the row of callers it had never heard of",
+        975,
+        "an instance without contact to its peers guessed their row",
     ),
-    (975, "an instance that missed its peers guessed their row"),
 ];
 
-/// How many scenarios each of two tests runs, which run at the same time; the
-/// measuring example runs 1,000.
+/// The number of scenarios in each of the two tests with random scenarios.
 const SCENARIOS: u64 = 12;
 
-/// How many scenarios are run with broken decisions.
+/// The number of scenarios run with faulty options.
 const BROKEN_SCENARIOS: u64 = 12;
 
 fn run(seed: u64, options: SteeringOptions) -> Tally {
@@ -90,7 +89,7 @@
     }
 }
 
-/// Runs some scenarios with broken decisions and returns what was noticed.
+/// Runs scenarios with faulty options and returns the number of violations.
 fn violations(options: &SteeringOptions, count: impl Fn(&Tally) -> u64) -> u64 {
     let seeds = 0..BROKEN_SCENARIOS;
     seeds.map(|seed| count(&run(seed, options.clone()))).sum()
@@ -123,7 +122,7 @@
     assert!(violations(&options, |tally| tally.seconds_over_region) > 0);
 }
 
-/// One region's callers ask for more than it was sold, two have room.
+/// Returns a scenario in which one region's demand exceeds its sold rate.
 fn overloaded_region() -> Scenario {
     let mut scenario = Scenario::quiet(1, OrganisationOptions::default(), 80.0);
     scenario.demand_rps[0] = [180.0, 180.0];
@@ -131,7 +130,7 @@
 }
 
 #[test]
-fn verify_spill_uses_room_elsewhere_within_its_limit() {
+fn verify_spill_uses_free_capacity_within_its_limit() {
     let tally = Fleet::<Steering>::run(overloaded_region(), SteeringOptions::default());
     assert_promises(1, &tally);
     let spilled: u64 = tally.services.iter().map(|counts| counts.spilled).sum();
@@ -140,8 +139,8 @@
     assert!(share > 0.05, "{share}");
 }
 
-/// A region with room is cut off from two that spill into it, for longer than
-/// anyone remembers who is silent. Nobody sees the platform's list.
+/// Returns a scenario in which a region with free capacity is partitioned from
+/// two that spill into it, without the platform's list and past the report hold.
 fn long_partition() -> Scenario {
     let options = OrganisationOptions {
         region_rps: 150.0,
@@ -157,7 +156,7 @@
 }
 
 #[test]
-fn verify_a_long_partition_sells_nothing_twice() {
+fn verify_a_long_partition_does_not_exceed_sold_rates() {
     let tally = Fleet::<Steering>::run(long_partition(), SteeringOptions::default());
     assert_promises(3, &tally);
 }
--- a/crates/foxtide-core/tests/steering/tally.rs
+++ b/crates/foxtide-core/tests/steering/tally.rs
@@ -1,6 +1,6 @@
-//! What happened in a scenario, and what broke a promise.
+//! Counts requests and violations of promises in a scenario.
 
-#![allow(dead_code)] // The tests and the measuring example each read a part.
+#![allow(dead_code)] // The tests and the example `measure` each use a part.
 
 use super::fixture::{
     REGIONS,
@@ -11,13 +11,13 @@
 use foxtide_core::steering::RefusalReason;
 use std::collections::VecDeque;
 
-/// The steps in a second, over which a sold rate is kept.
+/// The window over which sold rates are checked, in steps.
 const RATE_STEPS: usize = 10;
 
-/// The steps over which the shift cap is kept.
+/// The window over which the shift cap is checked, in steps.
 const SHIFT_STEPS: usize = 100;
 
-/// The time in which the instances start and learn of one another.
+/// The time in which the instances start and discover one another.
 pub(crate) const WARM_UP_MS: u64 = 10_000;
 
 const WARM_UP_STEPS: usize = (WARM_UP_MS / STEP_MS) as usize;
@@ -27,66 +27,65 @@
 /// The share of each service that goes to each region.
 type Shares = [ByRegion<f64>; SERVICES.len()];
 
-/// How far a count may lie above its mean by chance, in standard deviations.
+/// The tolerance for random deviations of spill-over, in standard deviations.
 const SPILL_SIGMAS: f64 = 5.0;
 
-/// A service's counts so far.
+/// A service's cumulative counts.
 #[derive(Clone, Copy, Debug, Default)]
 struct Spilled {
     asked: u64,
     spilled: u64,
 }
 
-/// What was sent in one step.
+/// The requests sent in one step.
 #[derive(Clone, Debug, Default)]
 struct Sent {
-    /// From the sending instance's region to the upstream's.
+    /// Counts by the sending instance's region, then the upstream's region.
     over: ByRegion<ByRegion<u64>>,
 }
 
-/// Counts of one service, from when all instances know one another.
+/// The counts of one service since the end of the warm-up.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ServiceTally {
-    /// What callers asked for.
+    /// New requests.
     pub(crate) asked: u64,
-    /// What was sent.
+    /// Requests sent.
     pub(crate) sent: u64,
-    /// What was sent to a region that could serve it.
+    /// Requests sent to a region that could serve them.
     pub(crate) served: u64,
-    /// What was sent to another region for want of room.
+    /// Requests that spilled over to another region.
     pub(crate) spilled: u64,
-    /// What was refused for want of room.
+    /// Requests refused for lack of capacity.
     pub(crate) refused_for_capacity: u64,
-    /// What was refused because faster movement would break the cap.
+    /// Requests refused for other reasons, mostly the shift cap.
     pub(crate) refused_for_cap: u64,
 }
 
-/// Counts over a scenario.
+/// The counts and violations of a scenario.
 #[derive(Clone, Debug)]
 pub(crate) struct Tally {
-    /// What became of each service's requests.
+    /// The counts by service.
     pub(crate) services: [ServiceTally; SERVICES.len()],
-    /// The steps at which a region's share had risen beyond the cap.
+    /// The steps at which a region's share had risen faster than the cap.
     pub(crate) steps_over_cap: u64,
-    /// The fastest rise over the cap's window, as a part of the cap.
+    /// The fastest rise over the cap's window, relative to the cap.
     pub(crate) fastest_of_cap: f64,
-    /// The fastest rise within one second over the highest share of the cap's
-    /// window, as a part of the cap.
+    /// The fastest rise within one second above the highest share of the cap's
+    /// window, relative to the cap.
     pub(crate) fastest_second_of_cap: f64,
-    /// The seconds in which a region got more than was sold.
+    /// The seconds in which a region received more than its sold rate.
     pub(crate) seconds_over_region: u64,
-    /// The seconds in which a link got more than was sold.
+    /// The seconds in which a link carried more than its sold rate.
     pub(crate) seconds_over_link: u64,
-    /// The steps at which more had spilled than the limit allows.
+    /// The steps at which spill-over exceeded its limit.
     pub(crate) steps_over_spill: u64,
-    /// The seconds counted for regions and links.
+    /// The number of one-second windows checked.
     pub(crate) seconds: u64,
-    /// The most that a region got in a second, as a part of what was sold.
+    /// The highest rate of a region in one second, relative to its sold rate.
     pub(crate) fullest_region: f64,
     /// The shares of the last step.
     pub(crate) last_shares: Shares,
-    /// The sum over steps of what could have been served but was refused for
-    /// want of room, in requests; see [`Tally::end_step`].
+    /// Requests refused for lack of capacity while some region had free capacity.
     pub(crate) refused_with_capacity: f64,
     refused_for_cap_ms: Option<u64>,
     window: VecDeque<Sent>,
@@ -102,7 +101,6 @@
 }
 
 impl Tally {
-    /// Returns an empty tally.
     pub(crate) fn new(scenario: &Scenario) -> Self {
         Self {
             services: Default::default(),
@@ -130,12 +128,11 @@
         }
     }
 
-    /// Counts a request.
+    /// Counts a new request.
     pub(crate) fn asked(&mut self, service: usize) {
         self.services[service].asked += 1;
     }
 
-    /// Counts a refused request.
     pub(crate) fn refused(&mut self, service: usize, reason: RefusalReason) {
         let counts = &mut self.services[service];
         match reason {
@@ -150,7 +147,6 @@
         }
     }
 
-    /// Counts a request that was sent.
     pub(crate) fn sent(
         &mut self,
         from: usize,
@@ -167,19 +163,19 @@
         step.over[from][to] += 1;
     }
 
-    /// Returns how long after a time it took until nothing was refused for the
-    /// cap any more, in seconds.
+    /// Returns the time from `since_ms` to the last refusal for the shift cap, in
+    /// seconds.
     pub(crate) fn recovered_after_s(&self, since_ms: u64) -> f64 {
         let last_ms = self.refused_for_cap_ms.unwrap_or(since_ms);
         last_ms.saturating_sub(since_ms) as f64 / 1_000.0
     }
 
-    /// Notes the share of a service that goes to each region.
+    /// Records the share of a service that goes to each region.
     pub(crate) fn shares(&mut self, service: usize, shares: ByRegion<f64>) {
         self.last_shares[service] = shares;
     }
 
-    /// Ends a step: checks the windows that end here.
+    /// Ends a step and checks the windows that end with it.
     pub(crate) fn end_step(&mut self) {
         self.steps += 1;
         if self.steps == WARM_UP_STEPS {
@@ -262,7 +258,7 @@
     }
 }
 
-/// Returns the higher share of each region.
+/// Returns the element-wise maximum.
 fn highest(one: Shares, two: Shares) -> Shares {
     let mut highest = one;
     let pairs = highest.iter_mut().flatten().zip(two.iter().flatten());
