--- /dev/null
+++ b/crates/foxtide-core/src/limits/rate_limiter.rs
@@ -0,0 +1,72 @@
+//! Limits one instance's rate to its allocation, reduced after refusals.
+
+use super::bucket::TokenBucket;
+use crate::time::MonotonicTime;
+use crate::units::RequestRate;
+use std::time::Duration;
+
+/// The factor by which a refusal reduces the usable share.
+const REFUSAL_FACTOR: f64 = 0.7;
+
+/// The minimum usable share; some requests must pass to detect recovery.
+const USABLE_SHARE_MIN: f64 = 0.05;
+
+/// The recovery of the usable share after refusals, per second.
+const RECOVERY_SHARE_PER_S: f64 = 0.05;
+
+/// The minimum time between refusals that count separately.
+const REFUSAL_INTERVAL_MIN: Duration = Duration::from_millis(100);
+
+/// An instance's allocation of a region's or a link's sold rate.
+#[derive(Clone, Debug)]
+pub(crate) struct RateLimiter {
+    bucket: TokenBucket,
+    allocation: RequestRate,
+    usable_share: f64,
+    refused_at: Option<MonotonicTime>,
+}
+
+impl RateLimiter {
+    /// Creates a limiter with an allocation of zero.
+    pub(crate) fn new(now: MonotonicTime) -> Self {
+        Self {
+            bucket: TokenBucket::new(RequestRate::ZERO, now),
+            allocation: RequestRate::ZERO,
+            usable_share: 1.0,
+            refused_at: None,
+        }
+    }
+
+    /// Sets the allocation, `passed` after the last update.
+    pub(crate) fn update(&mut self, allocation: RequestRate, passed: Duration, now: MonotonicTime) {
+        let recovered = self.usable_share + passed.as_secs_f64() * RECOVERY_SHARE_PER_S;
+        self.usable_share = recovered.min(1.0);
+        self.allocation = allocation;
+        self.bucket.set_rate(self.usable(), now);
+    }
+
+    /// Returns the allocation before reductions for refusals.
+    pub(crate) fn allocation(&self) -> RequestRate {
+        self.allocation
+    }
+
+    /// Reduces the usable rate because the receiver refused a request.
+    pub(crate) fn refused(&mut self, now: MonotonicTime) {
+        let again = self.refused_at.map(|at| now.since(at));
+        if again.is_some_and(|passed| passed < REFUSAL_INTERVAL_MIN) {
+            return;
+        }
+        self.refused_at = Some(now);
+        self.usable_share = (self.usable_share * REFUSAL_FACTOR).max(USABLE_SHARE_MIN);
+        self.bucket.set_rate(self.usable(), now);
+    }
+
+    /// Returns the rate at which the instance may send.
+    pub(crate) fn usable(&self) -> RequestRate {
+        RequestRate::clamped(self.allocation.get() * self.usable_share)
+    }
+
+    pub(crate) fn bucket(&mut self) -> &mut TokenBucket {
+        &mut self.bucket
+    }
+}
