--- a/crates/foxtide-mesh/src/handle.rs
+++ b/crates/foxtide-mesh/src/handle.rs
@@ -100,7 +100,7 @@
             process: identity.process,
             // Above that of an earlier process of the same name.
             incarnation: Incarnation::new(epoch_us / 1_000),
-            state: if options.joins_first {
+            state: if options.starts_joining {
                 MemberState::Joining
             } else {
                 MemberState::Alive
--- a/crates/foxtide-mesh/src/options.rs
+++ b/crates/foxtide-mesh/src/options.rs
@@ -43,7 +43,7 @@
     pub load: LoadOptions,
     /// Whether the instance is no member for callers until
     /// [`MeshHandle::serve`](crate::MeshHandle::serve). Default no.
-    pub joins_first: bool,
+    pub starts_joining: bool,
     /// Time between two steps of the protocol. Default 50 ms.
     pub tick_interval: Duration,
     /// How long connecting to a peer may take. Default 1 s.
@@ -71,7 +71,7 @@
             cluster: String::from("foxtide"),
             membership: MembershipOptions::default(),
             load: LoadOptions::default(),
-            joins_first: false,
+            starts_joining: false,
             tick_interval: Duration::from_millis(50),
             connect_timeout: Duration::from_secs(1),
             exchange_timeout: Duration::from_secs(5),
--- a/crates/foxtide-mesh/tests/mesh/membership.rs
+++ b/crates/foxtide-mesh/tests/mesh/membership.rs
@@ -59,7 +59,7 @@
 fn verify_a_joining_instance_is_not_used_until_it_serves() {
     let fleet = start_fleet(4, &Faults::default());
     let options = MeshOptions {
-        joins_first: true,
+        starts_joining: true,
         seed: Some(9),
         ..MeshOptions::default()
     };
--- a/crates/foxtide/src/node/options.rs
+++ b/crates/foxtide/src/node/options.rs
@@ -73,7 +73,7 @@
     let options = MeshOptions {
         cluster: settings.cluster.clone(),
         recorder: Some(recorder.clone()),
-        joins_first: true,
+        starts_joining: true,
         // Times in the view of the fleet then read as the request path's do.
         clock: clock.steady(),
         ..MeshOptions::default()
