--- a/crates/foxtide-mesh/src/datagrams.rs
+++ b/crates/foxtide-mesh/src/datagrams.rs
@@ -73,10 +73,10 @@
 fn admit(shared: &Shared, bytes: &[u8]) -> Result<(InstanceId, Content), Rejection> {
     let datagram = Datagram::decode(bytes).map_err(|_| Rejection::Malformed)?;
     let header = datagram.header.clone().ok_or(Rejection::Malformed)?;
-    shared.state.lock().guard.check(&header)?;
+    shared.state.lock().validator.check(&header)?;
     let sender = header.sender.parse().map_err(|_| Rejection::Malformed)?;
     let content = read(datagram).map_err(|_| Rejection::Malformed)?;
-    shared.state.lock().guard.check_once(&header)?;
+    shared.state.lock().validator.check_once(&header)?;
     shared.observe_clock(&header);
     Ok((sender, content))
 }
--- a/crates/foxtide-mesh/src/guard.rs
+++ b/crates/foxtide-mesh/src/header_validator.rs
@@ -16,7 +16,7 @@
 pub(crate) const MINIMUM_VERSION: u32 = 1;
 
 /// Packets that may overtake one another.
-const WINDOW: u64 = 64;
+const REPLAY_WINDOW_PACKETS: u64 = 64;
 
 /// Returns the number that stands for a fleet's name in each message.
 pub(crate) fn cluster_id(cluster: &str) -> u64 {
@@ -25,14 +25,14 @@
 
 /// The packets seen of one process of a peer (as RFC 4303, section 3.4.3).
 #[derive(Clone, Copy, Debug, Default)]
-struct Seen {
+struct ReplayWindow {
     epoch_us: u64,
     highest: u64,
     /// Bit `n` stands for the packet `n` before the highest.
-    bits: u64,
+    bitmap: u64,
 }
 
-impl Seen {
+impl ReplayWindow {
     /// Returns whether a packet is new, and notes it.
     fn accept(&mut self, epoch_us: u64, sequence: u64) -> bool {
         if epoch_us < self.epoch_us {
@@ -46,19 +46,19 @@
         }
         if sequence > self.highest {
             let ahead = sequence - self.highest;
-            self.bits = if ahead < WINDOW {
-                self.bits << ahead
+            self.bitmap = if ahead < REPLAY_WINDOW_PACKETS {
+                self.bitmap << ahead
             } else {
                 0
             };
-            self.bits |= 1;
+            self.bitmap |= 1;
             self.highest = sequence;
             return true;
         }
         let behind = self.highest - sequence;
-        let fresh = behind < WINDOW && self.bits & (1 << behind) == 0;
+        let fresh = behind < REPLAY_WINDOW_PACKETS && self.bitmap & (1 << behind) == 0;
         if fresh {
-            self.bits |= 1 << behind;
+            self.bitmap |= 1 << behind;
         }
         fresh
     }
@@ -66,17 +66,17 @@
 
 /// Decides which messages are taken in.
 #[derive(Debug)]
-pub(crate) struct Guard {
+pub(crate) struct HeaderValidator {
     cluster: u64,
-    seen: HashMap<String, Seen>,
+    windows: HashMap<String, ReplayWindow>,
 }
 
-impl Guard {
+impl HeaderValidator {
     /// Returns the guard of a fleet.
     pub(crate) fn new(cluster: u64) -> Self {
         Self {
             cluster,
-            seen: HashMap::new(),
+            windows: HashMap::new(),
         }
     }
 
@@ -94,8 +94,8 @@
     /// Checks a datagram, also that it was not seen before.
     pub(crate) fn check_once(&mut self, header: &Header) -> Result<(), Rejection> {
         self.check(header)?;
-        let seen = self.seen.entry(header.sender.clone()).or_default();
-        if seen.accept(header.epoch_us, header.sequence) {
+        let window = self.windows.entry(header.sender.clone()).or_default();
+        if window.accept(header.epoch_us, header.sequence) {
             Ok(())
         } else {
             Err(Rejection::Replayed)
@@ -103,13 +103,13 @@
     }
 
     /// Returns how many senders are kept.
-    pub(crate) fn senders(&self) -> usize {
-        self.seen.len()
+    pub(crate) fn sender_count(&self) -> usize {
+        self.windows.len()
     }
 
     /// Forgets all senders but those that `keep` accepts.
     pub(crate) fn retain(&mut self, keep: impl Fn(&str) -> bool) {
-        self.seen.retain(|sender, _| keep(sender));
+        self.windows.retain(|sender, _| keep(sender));
     }
 }
 
@@ -131,32 +131,32 @@
 
     #[test]
     fn verify_each_packet_counts_once() {
-        let mut guard = Guard::new(7);
+        let mut validator = HeaderValidator::new(7);
         for sequence in [1, 3, 2, 70, 69] {
-            assert_eq!(guard.check_once(&header(5, sequence)), Ok(()));
+            assert_eq!(validator.check_once(&header(5, sequence)), Ok(()));
         }
         for sequence in [1, 2, 3, 69, 70] {
-            let again = guard.check_once(&header(5, sequence));
+            let again = validator.check_once(&header(5, sequence));
             assert_eq!(again, Err(Rejection::Replayed), "{sequence}");
         }
     }
 
     #[test]
     fn verify_packets_of_an_earlier_process_are_replays() {
-        let mut guard = Guard::new(7);
-        assert_eq!(guard.check_once(&header(5, 9)), Ok(()));
-        assert_eq!(guard.check_once(&header(6, 1)), Ok(()));
-        let old = guard.check_once(&header(5, 10));
+        let mut validator = HeaderValidator::new(7);
+        assert_eq!(validator.check_once(&header(5, 9)), Ok(()));
+        assert_eq!(validator.check_once(&header(6, 1)), Ok(()));
+        let old = validator.check_once(&header(5, 10));
         assert_eq!(old, Err(Rejection::Replayed));
     }
 
     #[test]
     fn verify_newer_programs_that_can_be_read_are_accepted() {
-        let mut guard = Guard::new(7);
+        let mut validator = HeaderValidator::new(7);
         let mut newer = header(5, 1);
         newer.version = VERSION + 3;
-        assert_eq!(guard.check_once(&newer), Ok(()));
+        assert_eq!(validator.check_once(&newer), Ok(()));
         newer.minimum_version = VERSION + 1;
-        assert_eq!(guard.check_once(&newer), Err(Rejection::FutureVersion));
+        assert_eq!(validator.check_once(&newer), Err(Rejection::FutureVersion));
     }
 }
--- a/crates/foxtide-mesh/src/join.rs
+++ b/crates/foxtide-mesh/src/join.rs
@@ -43,7 +43,7 @@
 const ARRIVAL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Senders that are no members of which packet numbers are kept.
-const SENDERS_SPARE: usize = 64;
+const NON_MEMBER_SENDERS_MAX: usize = 64;
 
 /// Seeds tried at once.
 const SEEDS_AT_ONCE: usize = 8;
@@ -224,10 +224,12 @@
         .exchanged_at
         .retain(|_, last| now - *last < EXCHANGE_INTERVAL);
     let State {
-        membership, guard, ..
+        membership,
+        validator,
+        ..
     } = &mut *state;
-    if guard.senders() > SENDERS_SPARE + 2 * membership.members().count() {
-        guard.retain(|sender| {
+    if validator.sender_count() > NON_MEMBER_SENDERS_MAX + 2 * membership.members().count() {
+        validator.retain(|sender| {
             let sender = sender.parse().ok();
             sender.is_some_and(|sender| membership.member(&sender).is_some())
         });
--- a/crates/foxtide-mesh/src/shared.rs
+++ b/crates/foxtide-mesh/src/shared.rs
@@ -5,8 +5,8 @@
 
 use crate::calls::IncomingCall;
 use crate::documents;
-use crate::guard::{
-    Guard,
+use crate::header_validator::{
+    HeaderValidator,
     MINIMUM_VERSION,
     VERSION,
     cluster_id, //
@@ -82,7 +82,7 @@
     pub(crate) configurations: ConfigurationTable,
     pub(crate) fetches: FetchQueue,
     pub(crate) load: LoadSpreader,
-    pub(crate) guard: Guard,
+    pub(crate) validator: HeaderValidator,
     pub(crate) rng: StdRng,
     pub(crate) seeds: BTreeSet<SocketAddr>,
     pub(crate) synchronisation: Synchronisation,
@@ -133,7 +133,7 @@
             configurations: ConfigurationTable::default(),
             fetches: FetchQueue::default(),
             load,
-            guard: Guard::new(cluster_id(&options.cluster)),
+            validator: HeaderValidator::new(cluster_id(&options.cluster)),
             rng: StdRng::seed_from_u64(seed),
             seeds: seeds.iter().copied().collect(),
             synchronisation: Synchronisation::Joining,
--- a/crates/foxtide-mesh/src/streams.rs
+++ b/crates/foxtide-mesh/src/streams.rs
@@ -104,7 +104,7 @@
     let response = within(limit, exchange).await;
     let response = response.map_err(|source| Error::exchange(peer, source))?;
     let header = response.header.ok_or(Error::answer(peer, "no header"))?;
-    let checked = shared.state.lock().guard.check(&header);
+    let checked = shared.state.lock().validator.check(&header);
     checked.map_err(|rejection| {
         shared.reject(peer, rejection);
         Error::answer(peer, rejection.name())
@@ -175,7 +175,7 @@
 fn admit(shared: &Shared, bytes: &[u8]) -> std::result::Result<Request, Rejection> {
     let request = Request::decode(bytes).map_err(|_| Rejection::Malformed)?;
     let header = request.header.as_ref().ok_or(Rejection::Malformed)?;
-    shared.state.lock().guard.check(header)?;
+    shared.state.lock().validator.check(header)?;
     shared.observe_clock(header);
     Ok(request)
 }
