--- a/crates/foxtide-mesh/src/calls.rs
+++ b/crates/foxtide-mesh/src/calls.rs
@@ -23,15 +23,15 @@
     pub from: InstanceId,
     /// What it sent.
     pub bytes: Vec<u8>,
-    answer: Sender<Vec<u8>>,
+    response: Sender<Vec<u8>>,
 }
 
 impl IncomingCall {
     /// Answers the call. A call that is dropped instead is `unknown` to its
     /// caller.
-    pub fn answer(self, bytes: Vec<u8>) {
+    pub fn respond(self, bytes: Vec<u8>) {
         // Where the caller is gone nobody waits for the answer.
-        let _ = self.answer.try_send(bytes);
+        let _ = self.response.try_send(bytes);
     }
 }
 
@@ -48,7 +48,7 @@
         target: target.to_string(),
         bytes,
     });
-    match streams::ask(shared, member.peer_address, request, deadline).await {
+    match streams::send_request(shared, member.peer_address, request, deadline).await {
         Ok(response::Body::Call(response)) => read_response(target, response),
         Ok(_) => Err(CallError::unknown(target, "not the answer to a call")),
         Err(error @ Error::Connect { .. }) => Err(CallError::not_sent(target, error)),
@@ -67,7 +67,7 @@
 }
 
 /// Hands a peer's call to the program and waits for its answer.
-pub(crate) async fn answer(
+pub(crate) async fn handle_call(
     shared: &Shared,
     sender: &str,
     call: CallRequest,
@@ -76,15 +76,15 @@
     let from = sender.parse().ok();
     let meant = call.target == shared.instance.as_str();
     if let Some(from) = from.filter(|_| meant) {
-        let (answer, answered) = smol::channel::bounded(1);
+        let (response_sender, response_receiver) = smol::channel::bounded(1);
         let call = IncomingCall {
             from,
             bytes: call.bytes,
-            answer,
+            response: response_sender,
         };
         response.taken = shared.calls.0.try_send(call).is_ok();
         if response.taken
-            && let Ok(bytes) = answered.recv().await
+            && let Ok(bytes) = response_receiver.recv().await
         {
             response.finished = true;
             response.bytes = bytes;
--- a/crates/foxtide-mesh/src/datagrams.rs
+++ b/crates/foxtide-mesh/src/datagrams.rs
@@ -2,7 +2,7 @@
 
 use crate::shared::{
     Shared,
-    carry_out, //
+    apply_outputs, //
 };
 use crate::traffic::Rejection;
 use crate::wire::datagram::Body;
@@ -39,7 +39,7 @@
         match shared.socket.recv_from(&mut buffer).await {
             Ok((size_bytes, from)) => {
                 shared.traffic.received_datagram(size_bytes);
-                take_in(&shared, from, &buffer[..size_bytes]);
+                handle_datagram(&shared, from, &buffer[..size_bytes]);
             }
             Err(error) => {
                 log::debug!("receive at {}: {error}", shared.address);
@@ -49,15 +49,15 @@
     }
 }
 
-fn take_in(shared: &Arc<Shared>, from: SocketAddr, bytes: &[u8]) {
-    match admit(shared, bytes) {
+fn handle_datagram(shared: &Arc<Shared>, from: SocketAddr, bytes: &[u8]) {
+    match decode_datagram(shared, bytes) {
         Ok((sender, Content::Load(message))) => load::receive(shared, &sender, message),
         Ok((sender, Content::Packet(packet))) => {
             let now = shared.now();
             let mut state = shared.state.lock();
             let outputs = state.membership.receive(&sender, from, packet, now);
             drop(state);
-            carry_out(shared, outputs);
+            apply_outputs(shared, outputs);
         }
         Err(rejection) => shared.reject(from, rejection),
     }
@@ -70,7 +70,7 @@
 }
 
 /// Reads a datagram and checks that it is to be taken in.
-fn admit(shared: &Shared, bytes: &[u8]) -> Result<(InstanceId, Content), Rejection> {
+fn decode_datagram(shared: &Shared, bytes: &[u8]) -> Result<(InstanceId, Content), Rejection> {
     let datagram = Datagram::decode(bytes).map_err(|_| Rejection::Malformed)?;
     let header = datagram.header.clone().ok_or(Rejection::Malformed)?;
     shared.state.lock().validator.check(&header)?;
@@ -94,9 +94,9 @@
         smol::Timer::after(shared.options.tick_interval).await;
         let now = shared.now();
         let outputs = shared.state.lock().membership.tick(now);
-        carry_out(&shared, outputs);
+        apply_outputs(&shared, outputs);
         documents::start_fetches(&shared);
         load::tick(&shared);
-        join::tidy(&shared);
+        join::prune(&shared);
     }
 }
--- a/crates/foxtide-mesh/src/documents.rs
+++ b/crates/foxtide-mesh/src/documents.rs
@@ -6,7 +6,7 @@
 };
 use crate::shared::{
     Shared,
-    carry_out, //
+    apply_outputs, //
 };
 use crate::streams;
 use crate::wire::{
@@ -28,7 +28,7 @@
 
 /// Takes a document in where it is newer than the one held, and tells peers
 /// and the program; returns whether it was newer.
-pub(crate) fn accept(shared: &Arc<Shared>, document: &Document) -> bool {
+pub(crate) fn apply_document(shared: &Arc<Shared>, document: &Document) -> bool {
     let announcement = document.announcement();
     let now = shared.now();
     let mut state = shared.state.lock();
@@ -45,12 +45,16 @@
     subscribers.retain(|subscriber| subscriber.try_send(document.clone()).is_ok());
     drop(subscribers);
     drop(state);
-    carry_out(shared, outputs);
+    apply_outputs(shared, outputs);
     true
 }
 
 /// Notes that a peer holds a revision, and fetches it where it is newer.
-pub(crate) fn announced(shared: &Arc<Shared>, announcement: &Announcement, by: SocketAddr) {
+pub(crate) fn handle_announcement(
+    shared: &Arc<Shared>,
+    announcement: &Announcement,
+    by: SocketAddr,
+) {
     let mut state = shared.state.lock();
     if !state.configurations.wants(announcement) {
         return;
@@ -66,14 +70,14 @@
     let due = shared.state.lock().fetches.due(now);
     for fetch in due {
         let shared = shared.clone();
-        smol::spawn(async move { carry_through(&shared, &fetch).await }).detach();
+        smol::spawn(async move { run_fetch(&shared, &fetch).await }).detach();
     }
 }
 
-async fn carry_through(shared: &Arc<Shared>, fetch: &Fetch) {
-    match ask(shared, fetch).await {
+async fn run_fetch(shared: &Arc<Shared>, fetch: &Fetch) {
+    match fetch_document(shared, fetch).await {
         Ok(document) => {
-            accept(shared, &document);
+            apply_document(shared, &document);
         }
         Err(error) => {
             log::debug!("fetch {}: {error}", fetch.announcement.organisation);
@@ -83,7 +87,7 @@
     }
 }
 
-async fn ask(shared: &Shared, fetch: &Fetch) -> Result<Document> {
+async fn fetch_document(shared: &Shared, fetch: &Fetch) -> Result<Document> {
     let Announcement {
         organisation,
         revision,
@@ -92,7 +96,7 @@
         organisation: organisation.to_string(),
     });
     let limit = shared.options.exchange_timeout;
-    let answer = streams::ask(shared, fetch.from, request, limit).await?;
+    let answer = streams::send_request(shared, fetch.from, request, limit).await?;
     let response::Body::Document(document) = answer else {
         return Err(Error::answer(fetch.from, "not a document"));
     };
@@ -105,7 +109,7 @@
 }
 
 /// Answers a peer that fetches a document.
-pub(crate) fn answer(shared: &Shared, fetch: &FetchRequest) -> Option<response::Body> {
+pub(crate) fn handle_fetch(shared: &Shared, fetch: &FetchRequest) -> Option<response::Body> {
     let organisation = fetch.organisation.parse().ok()?;
     let state = shared.state.lock();
     let document = state.configurations.get(&organisation)?.clone();
--- a/crates/foxtide-mesh/src/handle.rs
+++ b/crates/foxtide-mesh/src/handle.rs
@@ -19,7 +19,7 @@
 };
 use crate::shared::{
     Shared,
-    carry_out, //
+    apply_outputs, //
 };
 use crate::traffic::TrafficCounts;
 use crate::{
@@ -186,7 +186,7 @@
     /// Publishes a document, as read from the store; returns whether it is
     /// newer than the one held. An older one is never applied.
     pub fn publish_configuration(&self, document: &Document) -> bool {
-        documents::accept(&self.shared, document)
+        documents::apply_document(&self.shared, document)
     }
 
     /// Returns the newest document held of each organisation.
@@ -261,7 +261,7 @@
     pub fn serve(&self) {
         let now = self.shared.now();
         let outputs = self.shared.state.lock().membership.serve(now);
-        carry_out(&self.shared, outputs);
+        apply_outputs(&self.shared, outputs);
     }
 
     /// Announces that this instance leaves. It keeps answering peers until it
@@ -269,7 +269,7 @@
     pub fn leave(&self) {
         let now = self.shared.now();
         let outputs = self.shared.state.lock().membership.leave(now);
-        carry_out(&self.shared, outputs);
+        apply_outputs(&self.shared, outputs);
     }
 
     /// Ends all work at once, without a word to peers.
--- a/crates/foxtide-mesh/src/join.rs
+++ b/crates/foxtide-mesh/src/join.rs
@@ -7,7 +7,7 @@
 use crate::shared::{
     Shared,
     State,
-    carry_out, //
+    apply_outputs, //
 };
 use crate::wire::{
     Snapshot,
@@ -62,9 +62,9 @@
 /// Joins the fleet, and keeps looking for parts of it that are not known.
 pub(crate) async fn run(shared: Arc<Shared>) {
     loop {
-        let peers = ask_seeds(&shared).await;
+        let peers = exchange_with_seeds(&shared).await;
         if peers > 0 || has_peers(&shared) {
-            arrive(&shared, peers).await;
+            wait_for_fetches(&shared, peers).await;
             break;
         }
         shared.state.lock().synchronisation = Synchronisation::Alone;
@@ -73,13 +73,13 @@
     loop {
         smol::Timer::after(HINT_INTERVAL).await;
         if let Some(seed) = unknown_seed(&shared) {
-            exchange_soon(&shared, seed);
+            start_exchange(&shared, seed);
         }
     }
 }
 
 /// Exchanges with as many seeds as are wanted; returns how many answered.
-async fn ask_seeds(shared: &Arc<Shared>) -> usize {
+async fn exchange_with_seeds(shared: &Arc<Shared>) -> usize {
     let seeds = shuffled_seeds(shared);
     let mut answered = 0;
     for batch in seeds.chunks(SEEDS_AT_ONCE) {
@@ -106,7 +106,7 @@
 }
 
 /// Waits until every document that peers announced is held.
-async fn arrive(shared: &Arc<Shared>, peers: usize) {
+async fn wait_for_fetches(shared: &Arc<Shared>, peers: usize) {
     while !shared.state.lock().fetches.is_empty() {
         smol::Timer::after(ARRIVAL_INTERVAL).await;
     }
@@ -131,7 +131,7 @@
 }
 
 /// Starts an exchange with a peer, unless there was one just now.
-pub(crate) fn exchange_soon(shared: &Arc<Shared>, peer: SocketAddr) {
+pub(crate) fn start_exchange(shared: &Arc<Shared>, peer: SocketAddr) {
     let now = shared.now();
     let mut state = shared.state.lock();
     let last = state.exchanged_at.get(&peer);
@@ -154,7 +154,7 @@
     let ours = snapshot(shared);
     let limit = shared.options.exchange_timeout;
     let request = request::Body::Synchronise(ours);
-    match streams::ask(shared, peer, request, limit).await? {
+    match streams::send_request(shared, peer, request, limit).await? {
         response::Body::Synchronise(theirs) => {
             merge(shared, &theirs, Some(peer));
             Ok(())
@@ -164,7 +164,7 @@
 }
 
 /// Answers a peer that wants to exchange all that is known.
-pub(crate) fn answer(
+pub(crate) fn handle_synchronise(
     shared: &Arc<Shared>,
     sender: &str,
     theirs: &Snapshot,
@@ -202,7 +202,7 @@
         .collect();
     let now = shared.now();
     let outputs = shared.state.lock().membership.merge(members, now);
-    carry_out(shared, outputs);
+    apply_outputs(shared, outputs);
     if let Some(theirs) = &theirs.load {
         load::merge(shared, theirs);
     }
@@ -211,13 +211,13 @@
     };
     for announcement in &theirs.announcements {
         if let Ok(announcement) = Announcement::try_from(announcement) {
-            documents::announced(shared, &announcement, peer);
+            documents::handle_announcement(shared, &announcement, peer);
         }
     }
 }
 
 /// Forgets what is kept of peers that are gone.
-pub(crate) fn tidy(shared: &Shared) {
+pub(crate) fn prune(shared: &Shared) {
     let now = shared.now();
     let mut state = shared.state.lock();
     state
--- a/crates/foxtide-mesh/src/shared.rs
+++ b/crates/foxtide-mesh/src/shared.rs
@@ -195,15 +195,15 @@
 }
 
 /// Does what a state machine decided.
-pub(crate) fn carry_out(shared: &Arc<Shared>, outputs: Vec<Output>) {
+pub(crate) fn apply_outputs(shared: &Arc<Shared>, outputs: Vec<Output>) {
     for output in outputs {
         match output {
             Output::Send { to, packet } => {
                 shared.send(to, &to_datagram(shared.header(), packet));
             }
-            Output::Synchronise { with } => join::exchange_soon(shared, with),
+            Output::Synchronise { with } => join::start_exchange(shared, with),
             Output::Announced { announcement, by } => {
-                documents::announced(shared, &announcement, by);
+                documents::handle_announcement(shared, &announcement, by);
             }
             Output::Changed(member) => log_change(&member),
         }
--- a/crates/foxtide-mesh/src/streams.rs
+++ b/crates/foxtide-mesh/src/streams.rs
@@ -81,7 +81,7 @@
 ///
 /// Fails with [`Error::Connect`] where nothing was sent, and otherwise where
 /// no answer came that can be read.
-pub(crate) async fn ask(
+pub(crate) async fn send_request(
     shared: &Shared,
     peer: SocketAddr,
     body: request::Body,
@@ -100,7 +100,7 @@
         body: Some(body),
     };
     let mut frames = frames(stream);
-    let exchange = converse(shared, &mut frames, &request);
+    let exchange = round_trip(shared, &mut frames, &request);
     let response = within(limit, exchange).await;
     let response = response.map_err(|source| Error::exchange(peer, source))?;
     let header = response.header.ok_or(Error::answer(peer, "no header"))?;
@@ -113,7 +113,11 @@
     response.body.ok_or(Error::answer(peer, "refused"))
 }
 
-async fn converse(shared: &Shared, frames: &mut Frames, request: &Request) -> io::Result<Response> {
+async fn round_trip(
+    shared: &Shared,
+    frames: &mut Frames,
+    request: &Request,
+) -> io::Result<Response> {
     let bytes = request.encode_to_vec();
     shared.traffic.sent_stream(bytes.len() as u64);
     frames.send(Bytes::from(bytes)).await?;
@@ -152,8 +156,8 @@
             return;
         };
         shared.traffic.received_stream(bytes.len() as u64);
-        let response = match admit(&shared, &bytes) {
-            Ok(request) => answer(&shared, request).await,
+        let response = match decode_request(&shared, &bytes) {
+            Ok(request) => handle_request(&shared, request).await,
             Err(rejection) => {
                 shared.reject(peer, rejection);
                 None
@@ -172,7 +176,7 @@
 }
 
 /// Reads a request and checks that it is to be answered.
-fn admit(shared: &Shared, bytes: &[u8]) -> std::result::Result<Request, Rejection> {
+fn decode_request(shared: &Shared, bytes: &[u8]) -> std::result::Result<Request, Rejection> {
     let request = Request::decode(bytes).map_err(|_| Rejection::Malformed)?;
     let header = request.header.as_ref().ok_or(Rejection::Malformed)?;
     shared.state.lock().validator.check(header)?;
@@ -180,11 +184,11 @@
     Ok(request)
 }
 
-async fn answer(shared: &Arc<Shared>, request: Request) -> Option<response::Body> {
+async fn handle_request(shared: &Arc<Shared>, request: Request) -> Option<response::Body> {
     let sender = request.header?.sender;
     match request.body? {
-        request::Body::Synchronise(theirs) => join::answer(shared, &sender, &theirs),
-        request::Body::Fetch(fetch) => documents::answer(shared, &fetch),
-        request::Body::Call(call) => calls::answer(shared, &sender, call).await,
+        request::Body::Synchronise(theirs) => join::handle_synchronise(shared, &sender, &theirs),
+        request::Body::Fetch(fetch) => documents::handle_fetch(shared, &fetch),
+        request::Body::Call(call) => calls::handle_call(shared, &sender, call).await,
     }
 }
--- a/crates/foxtide-mesh/tests/mesh/calls.rs
+++ b/crates/foxtide-mesh/tests/mesh/calls.rs
@@ -24,7 +24,7 @@
         assert_eq!(call.from.as_str(), "i0");
         let mut bytes = call.bytes.clone();
         bytes.reverse();
-        call.answer(bytes);
+        call.respond(bytes);
     });
     let answer = smol::block_on(fleet[0].call(&target, vec![1, 2, 3], DEADLINE));
     assert_eq!(answer.unwrap(), [3, 2, 1]);
--- a/crates/foxtide/src/copies.rs
+++ b/crates/foxtide/src/copies.rs
@@ -92,7 +92,7 @@
             .and_then(|c| c.copies);
         let kept = copies.and_then(|copies| self.time_line.accept(copies).ok());
         if let Some(ack) = kept {
-            call.answer(ack.encode_to_vec());
+            call.respond(ack.encode_to_vec());
         }
     }
 }
