--- a/crates/foxtide-mesh/src/datagrams.rs
+++ b/crates/foxtide-mesh/src/datagrams.rs
@@ -27,14 +27,14 @@
 
 /// Room for a datagram; of a larger one than ours the rest is cut off, so that
 /// it cannot be read.
-const BUFFER_BYTES: usize = 2_048;
+const RECEIVE_BUFFER_BYTES: usize = 2_048;
 
 /// Wait after a failed read, so that a broken socket does not spin.
-const FAILURE_PAUSE: Duration = Duration::from_millis(20);
+const ERROR_BACKOFF: Duration = Duration::from_millis(20);
 
 /// Receives datagrams for as long as the task lives.
 pub(crate) async fn receive(shared: Arc<Shared>) {
-    let mut buffer = vec![0; BUFFER_BYTES];
+    let mut buffer = vec![0; RECEIVE_BUFFER_BYTES];
     loop {
         match shared.socket.recv_from(&mut buffer).await {
             Ok((size_bytes, from)) => {
@@ -43,7 +43,7 @@
             }
             Err(error) => {
                 log::debug!("receive at {}: {error}", shared.address);
-                smol::Timer::after(FAILURE_PAUSE).await;
+                smol::Timer::after(ERROR_BACKOFF).await;
             }
         }
     }
--- a/crates/foxtide-mesh/src/documents.rs
+++ b/crates/foxtide-mesh/src/documents.rs
@@ -95,8 +95,8 @@
     let request = request::Body::Fetch(FetchRequest {
         organisation: organisation.to_string(),
     });
-    let limit = shared.options.exchange_timeout;
-    let answer = streams::send_request(shared, fetch.from, request, limit).await?;
+    let timeout = shared.options.exchange_timeout;
+    let answer = streams::send_request(shared, fetch.from, request, timeout).await?;
     let response::Body::Document(document) = answer else {
         return Err(Error::answer(fetch.from, "not a document"));
     };
--- a/crates/foxtide-mesh/src/handle.rs
+++ b/crates/foxtide-mesh/src/handle.rs
@@ -62,7 +62,7 @@
 const BIND_ATTEMPTS: u32 = 16;
 
 /// Documents that wait for a subscriber; one that lags so far is dropped.
-const SUBSCRIPTION_MAX: usize = 65_536;
+const SUBSCRIPTION_CAPACITY: usize = 65_536;
 
 /// The mesh; see [`Mesh::start`].
 #[derive(Debug)]
@@ -198,7 +198,7 @@
     /// Returns a stream of all documents that this instance takes in from now
     /// on, each newer than the one before it of the same organisation.
     pub fn configuration_changes(&self) -> Receiver<Document> {
-        let (sender, receiver) = smol::channel::bounded(SUBSCRIPTION_MAX);
+        let (sender, receiver) = smol::channel::bounded(SUBSCRIPTION_CAPACITY);
         self.shared.subscribers.lock().push(sender);
         receiver
     }
--- a/crates/foxtide-mesh/src/join.rs
+++ b/crates/foxtide-mesh/src/join.rs
@@ -34,19 +34,19 @@
 const EXCHANGE_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Wait between two attempts to find the fleet.
-const ALONE_INTERVAL: Duration = Duration::from_secs(1);
+const JOIN_RETRY_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Wait between two attempts to reach a seed that is no member.
-const HINT_INTERVAL: Duration = Duration::from_secs(5);
+const UNKNOWN_SEED_INTERVAL: Duration = Duration::from_secs(5);
 
 /// Wait between two looks at whether all documents have arrived.
-const ARRIVAL_INTERVAL: Duration = Duration::from_millis(20);
+const FETCH_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Senders that are no members of which packet numbers are kept.
 const NON_MEMBER_SENDERS_MAX: usize = 64;
 
 /// Seeds tried at once.
-const SEEDS_AT_ONCE: usize = 8;
+const SEED_BATCH_SIZE: usize = 8;
 
 /// How far an instance has come in taking over what its peers know.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -68,10 +68,10 @@
             break;
         }
         shared.state.lock().synchronisation = Synchronisation::Alone;
-        smol::Timer::after(ALONE_INTERVAL).await;
+        smol::Timer::after(JOIN_RETRY_INTERVAL).await;
     }
     loop {
-        smol::Timer::after(HINT_INTERVAL).await;
+        smol::Timer::after(UNKNOWN_SEED_INTERVAL).await;
         if let Some(seed) = unknown_seed(&shared) {
             start_exchange(&shared, seed);
         }
@@ -82,7 +82,7 @@
 async fn exchange_with_seeds(shared: &Arc<Shared>) -> usize {
     let seeds = shuffled_seeds(shared);
     let mut answered = 0;
-    for batch in seeds.chunks(SEEDS_AT_ONCE) {
+    for batch in seeds.chunks(SEED_BATCH_SIZE) {
         let exchanges = batch.iter().map(|seed| exchange(shared, *seed));
         let results = join_all(exchanges).await;
         answered += results.iter().filter(|result| result.is_ok()).count();
@@ -108,7 +108,7 @@
 /// Waits until every document that peers announced is held.
 async fn wait_for_fetches(shared: &Arc<Shared>, peers: usize) {
     while !shared.state.lock().fetches.is_empty() {
-        smol::Timer::after(ARRIVAL_INTERVAL).await;
+        smol::Timer::after(FETCH_POLL_INTERVAL).await;
     }
     shared.state.lock().synchronisation = Synchronisation::WithPeers(peers.max(1));
 }
@@ -152,9 +152,9 @@
 /// Exchanges all that is known with a peer.
 async fn exchange(shared: &Arc<Shared>, peer: SocketAddr) -> Result<()> {
     let ours = snapshot(shared);
-    let limit = shared.options.exchange_timeout;
+    let timeout = shared.options.exchange_timeout;
     let request = request::Body::Synchronise(ours);
-    match streams::send_request(shared, peer, request, limit).await? {
+    match streams::send_request(shared, peer, request, timeout).await? {
         response::Body::Synchronise(theirs) => {
             merge(shared, &theirs, Some(peer));
             Ok(())
--- a/crates/foxtide-mesh/src/shared.rs
+++ b/crates/foxtide-mesh/src/shared.rs
@@ -113,7 +113,7 @@
 }
 
 /// Calls that wait to be taken by the program that uses the mesh.
-const CALLS_MAX: usize = 1_024;
+const CALL_QUEUE_CAPACITY: usize = 1_024;
 
 impl Shared {
     pub(crate) fn new(
@@ -146,7 +146,7 @@
             socket,
             state: Mutex::new(state),
             subscribers: Mutex::default(),
-            calls: smol::channel::bounded(CALLS_MAX),
+            calls: smol::channel::bounded(CALL_QUEUE_CAPACITY),
             traffic: Traffic::default(),
             epoch_us,
             sequence: AtomicU64::new(0),
--- a/crates/foxtide-mesh/src/streams.rs
+++ b/crates/foxtide-mesh/src/streams.rs
@@ -48,15 +48,15 @@
 const FRAME_MAX_BYTES: usize = 2 * 1_024 * 1_024;
 
 /// A peer that asks for nothing for so long is disconnected.
-const IDLE_MAX: Duration = Duration::from_secs(60);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// Wait after a failed accept, so that a broken socket does not spin.
-const FAILURE_PAUSE: Duration = Duration::from_millis(20);
+const ERROR_BACKOFF: Duration = Duration::from_millis(20);
 
 /// A stream of messages.
-type Frames = Framed<Compat<TcpStream>, LengthDelimitedCodec>;
+type FramedStream = Framed<Compat<TcpStream>, LengthDelimitedCodec>;
 
-fn frames(stream: TcpStream) -> Frames {
+fn framed(stream: TcpStream) -> FramedStream {
     let codec = LengthDelimitedCodec::builder()
         .max_frame_length(FRAME_MAX_BYTES)
         .new_codec();
@@ -64,12 +64,12 @@
 }
 
 /// Waits for `future`, but no longer than `limit`.
-pub(crate) async fn within<T>(
-    limit: Duration,
+pub(crate) async fn with_timeout<T>(
+    timeout: Duration,
     future: impl Future<Output = io::Result<T>>,
 ) -> io::Result<T> {
     let timer = async {
-        smol::Timer::after(limit).await;
+        smol::Timer::after(timeout).await;
         Err(Error::timed_out())
     };
     smol::future::or(future, timer).await
@@ -85,13 +85,13 @@
     shared: &Shared,
     peer: SocketAddr,
     body: request::Body,
-    limit: Duration,
+    timeout: Duration,
 ) -> Result<response::Body> {
     if !shared.options.faults.connects(shared.address, peer) {
         return Err(Error::connect(peer, Error::timed_out()));
     }
-    let connect_limit = limit.min(shared.options.connect_timeout);
-    let stream = within(connect_limit, TcpStream::connect(peer)).await;
+    let connect_timeout = timeout.min(shared.options.connect_timeout);
+    let stream = with_timeout(connect_timeout, TcpStream::connect(peer)).await;
     let stream = stream.map_err(|source| Error::connect(peer, source))?;
     // Without it a small request may wait for the peer's delayed answer.
     let _ = stream.set_nodelay(true);
@@ -99,9 +99,9 @@
         header: Some(shared.header()),
         body: Some(body),
     };
-    let mut frames = frames(stream);
+    let mut frames = framed(stream);
     let exchange = round_trip(shared, &mut frames, &request);
-    let response = within(limit, exchange).await;
+    let response = with_timeout(timeout, exchange).await;
     let response = response.map_err(|source| Error::exchange(peer, source))?;
     let header = response.header.ok_or(Error::answer(peer, "no header"))?;
     let checked = shared.state.lock().validator.check(&header);
@@ -115,7 +115,7 @@
 
 async fn round_trip(
     shared: &Shared,
-    frames: &mut Frames,
+    frames: &mut FramedStream,
     request: &Request,
 ) -> io::Result<Response> {
     let bytes = request.encode_to_vec();
@@ -137,7 +137,7 @@
             }
             Err(error) => {
                 log::debug!("accept at {}: {error}", shared.address);
-                smol::Timer::after(FAILURE_PAUSE).await;
+                smol::Timer::after(ERROR_BACKOFF).await;
             }
         }
     }
@@ -146,9 +146,9 @@
 /// Answers the requests of one connection.
 async fn serve(shared: Weak<Shared>, stream: TcpStream, peer: SocketAddr) {
     let _ = stream.set_nodelay(true);
-    let mut frames = frames(stream);
+    let mut frames = framed(stream);
     loop {
-        let next = within(IDLE_MAX, async { Ok(frames.next().await) }).await;
+        let next = with_timeout(IDLE_TIMEOUT, async { Ok(frames.next().await) }).await;
         let Ok(Some(Ok(bytes))) = next else {
             return;
         };
