--- a/crates/foxtide-mesh/src/datagrams.rs
+++ b/crates/foxtide-mesh/src/datagrams.rs
@@ -8,7 +8,7 @@
 use crate::wire::datagram::Body;
 use crate::wire::{
     Datagram,
-    Unreadable,
+    InvalidMessage,
     read_datagram,
     read_load, //
 };
@@ -81,7 +81,7 @@
     Ok((sender, content))
 }
 
-fn read(datagram: Datagram) -> Result<Content, Unreadable> {
+fn read(datagram: Datagram) -> Result<Content, InvalidMessage> {
     if let Some(Body::Load(load)) = &datagram.body {
         return read_load(load).map(Content::Load);
     }
--- a/crates/foxtide-mesh/src/wire/convert.rs
+++ b/crates/foxtide-mesh/src/wire/convert.rs
@@ -1,8 +1,8 @@
 //! Conversion between the encoded form and the core's types.
 
+use super::invalid_message::InvalidMessage;
 use super::messages as wire;
 use super::messages::datagram::Body;
-use super::unreadable::Unreadable;
 use foxtide_core::idempotency::ProcessNumber;
 use foxtide_core::membership as core;
 use foxtide_core::membership::{
@@ -69,7 +69,7 @@
 /// Reads a packet from its encoded form, where it holds no load.
 ///
 /// A purpose that this program does not know leaves the rumours readable.
-pub(crate) fn read_datagram(datagram: wire::Datagram) -> Result<Packet, Unreadable> {
+pub(crate) fn read_datagram(datagram: wire::Datagram) -> Result<Packet, InvalidMessage> {
     let message = match datagram.body {
         Some(body) => read_body(body)?,
         None => Message::Rumours,
@@ -79,7 +79,7 @@
         rumours.push(Rumour::Member(read_member(member)?));
     }
     for suspicion in datagram.suspicions {
-        let member = suspicion.member.ok_or(Unreadable)?;
+        let member = suspicion.member.ok_or(InvalidMessage)?;
         rumours.push(Rumour::Suspicion(core::Suspicion {
             member: read_member(&member)?,
             by: suspicion.by.parse()?,
@@ -91,7 +91,7 @@
     Ok(Packet { message, rumours })
 }
 
-fn read_body(body: Body) -> Result<Message, Unreadable> {
+fn read_body(body: Body) -> Result<Message, InvalidMessage> {
     Ok(match body {
         Body::Ping(ping) => Message::Ping {
             probe: ProbeId(ping.probe),
@@ -124,14 +124,14 @@
     }
 }
 
-fn read_address(address: Option<&wire::Address>) -> Result<SocketAddr, Unreadable> {
-    let address = address.ok_or(Unreadable)?;
-    let port = u16::try_from(address.port).map_err(|_| Unreadable)?;
+fn read_address(address: Option<&wire::Address>) -> Result<SocketAddr, InvalidMessage> {
+    let address = address.ok_or(InvalidMessage)?;
+    let port = u16::try_from(address.port).map_err(|_| InvalidMessage)?;
     let ip = if let Ok(octets) = <[u8; 4]>::try_from(address.ip.as_slice()) {
         IpAddr::V4(Ipv4Addr::from(octets))
     } else {
         let octets = <[u8; 16]>::try_from(address.ip.as_slice());
-        IpAddr::V6(Ipv6Addr::from(octets.map_err(|_| Unreadable)?))
+        IpAddr::V6(Ipv6Addr::from(octets.map_err(|_| InvalidMessage)?))
     };
     Ok(SocketAddr::new(ip, port))
 }
@@ -159,8 +159,8 @@
 }
 
 /// Reads a member from its encoded form.
-pub(crate) fn read_member(member: &wire::Member) -> Result<core::Member, Unreadable> {
-    let state = match wire::State::try_from(member.state).map_err(|_| Unreadable)? {
+pub(crate) fn read_member(member: &wire::Member) -> Result<core::Member, InvalidMessage> {
+    let state = match wire::State::try_from(member.state).map_err(|_| InvalidMessage)? {
         wire::State::Joining => core::MemberState::Joining,
         wire::State::Alive => core::MemberState::Alive,
         wire::State::Suspect => core::MemberState::Suspect,
@@ -189,9 +189,9 @@
 }
 
 impl TryFrom<&wire::Announcement> for core::Announcement {
-    type Error = Unreadable;
+    type Error = InvalidMessage;
 
-    fn try_from(announcement: &wire::Announcement) -> Result<Self, Unreadable> {
+    fn try_from(announcement: &wire::Announcement) -> Result<Self, InvalidMessage> {
         Ok(Self {
             organisation: announcement.organisation.parse()?,
             revision: Revision::new(announcement.revision),
@@ -210,7 +210,9 @@
 }
 
 /// Reads a document from its encoded form.
-pub(crate) fn read_document(document: wire::Document) -> Result<spreading::Document, Unreadable> {
+pub(crate) fn read_document(
+    document: wire::Document,
+) -> Result<spreading::Document, InvalidMessage> {
     Ok(spreading::Document {
         organisation: document.organisation.parse()?,
         revision: Revision::new(document.revision),
--- a/crates/foxtide-mesh/src/wire/unreadable.rs
+++ b/crates/foxtide-mesh/src/wire/invalid_message.rs
@@ -2,15 +2,15 @@
 
 /// A message that cannot be read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct Unreadable;
+pub(crate) struct InvalidMessage;
 
-impl From<foxtide_core::Error> for Unreadable {
+impl From<foxtide_core::Error> for InvalidMessage {
     fn from(_: foxtide_core::Error) -> Self {
         Self
     }
 }
 
-impl From<prost::DecodeError> for Unreadable {
+impl From<prost::DecodeError> for InvalidMessage {
     fn from(_: prost::DecodeError) -> Self {
         Self
     }
--- a/crates/foxtide-mesh/src/wire/load/mod.rs
+++ b/crates/foxtide-mesh/src/wire/load/mod.rs
@@ -8,7 +8,7 @@
 pub(crate) use read::read_load;
 
 /// The encoded form of the share 1.
-const WHOLE: u16 = u16::MAX;
+const SHARE_SCALE: u16 = u16::MAX;
 
 /// Load records that travel together.
 #[derive(Clone, PartialEq, prost::Message)]
@@ -74,12 +74,12 @@
     pub(crate) instances: u32,
     #[prost(float, tag = "3")]
     pub(crate) demand_rps: f32,
-    /// In parts of [`WHOLE`].
+    /// In parts of [`SHARE_SCALE`].
     #[prost(uint32, optional, tag = "4")]
     pub(crate) healthy: Option<u32>,
     #[prost(uint32, repeated, tag = "5")]
     pub(crate) row_regions: Vec<u32>,
-    /// In parts of [`WHOLE`], two bytes each with the lower first.
+    /// In parts of [`SHARE_SCALE`], two bytes each with the lower first.
     #[prost(bytes = "vec", tag = "6")]
     pub(crate) row: Vec<u8>,
 }
@@ -87,7 +87,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::wire::unreadable::Unreadable;
+    use crate::wire::invalid_message::InvalidMessage;
     use foxtide_core::ids::{
         RegionId,
         ServiceId, //
@@ -172,6 +172,6 @@
     fn verify_records_with_unknown_names_are_unreadable() {
         let mut message = Load::from(&LoadMessage::Sum(vec![record()]));
         message.names.pop();
-        assert_eq!(read_load(&message), Err(Unreadable));
+        assert_eq!(read_load(&message), Err(InvalidMessage));
     }
 }
--- a/crates/foxtide-mesh/src/wire/load/read.rs
+++ b/crates/foxtide-mesh/src/wire/load/read.rs
@@ -3,10 +3,10 @@
 use super::{
     Load,
     Record,
-    Service,
-    WHOLE, //
+    SHARE_SCALE, //
+    Service,     //
 };
-use crate::wire::unreadable::Unreadable;
+use crate::wire::invalid_message::InvalidMessage;
 use foxtide_core::ids::{
     OrganisationId,
     RegionId,
@@ -36,7 +36,7 @@
 use std::str::FromStr;
 
 /// Reads load records from their encoded form.
-pub(crate) fn read_load(load: &Load) -> Result<LoadMessage, Unreadable> {
+pub(crate) fn read_load(load: &Load) -> Result<LoadMessage, InvalidMessage> {
     let records = load.records.iter();
     let records: Result<Vec<_>, _> = records.map(|record| read(record, &load.names)).collect();
     Ok(if load.is_table {
@@ -46,7 +46,7 @@
     })
 }
 
-fn read(record: &Record, names: &[String]) -> Result<LoadRecord, Unreadable> {
+fn read(record: &Record, names: &[String]) -> Result<LoadRecord, InvalidMessage> {
     let before = |age_us: u64| {
         let at_us = record.summed_at_us.saturating_sub(age_us);
         WallTime::from_us(at_us)
@@ -91,7 +91,7 @@
 fn read_services(
     services: &[Service],
     names: &[String],
-) -> Result<BTreeMap<ServiceId, ServiceView>, Unreadable> {
+) -> Result<BTreeMap<ServiceId, ServiceView>, InvalidMessage> {
     let services = services.iter();
     let services = services.map(|service| {
         let id = name(names, service.service)?;
@@ -100,7 +100,7 @@
     services.collect()
 }
 
-fn read_service(service: &Service, names: &[String]) -> Result<ServiceView, Unreadable> {
+fn read_service(service: &Service, names: &[String]) -> Result<ServiceView, InvalidMessage> {
     let (parts, _) = service.row.as_chunks();
     let parts = parts
         .iter()
@@ -113,7 +113,7 @@
         row.insert(name(names, *region)?, share);
     }
     let healthy = service.healthy.map(f64::from);
-    let healthy_share = healthy.map(|parts| Share::clamped(parts / f64::from(WHOLE)));
+    let healthy_share = healthy.map(|parts| Share::clamped(parts / f64::from(SHARE_SCALE)));
     Ok(ServiceView {
         instances: service.instances,
         demand_rps: rate(service.demand_rps)?,
@@ -122,11 +122,11 @@
     })
 }
 
-fn name<T: FromStr>(names: &[String], place: u32) -> Result<T, Unreadable> {
-    let name = names.get(place as usize).ok_or(Unreadable)?;
-    name.parse().map_err(|_| Unreadable)
+fn name<T: FromStr>(names: &[String], index: u32) -> Result<T, InvalidMessage> {
+    let name = names.get(index as usize).ok_or(InvalidMessage)?;
+    name.parse().map_err(|_| InvalidMessage)
 }
 
-fn rate(value: f32) -> Result<RequestRate, Unreadable> {
-    RequestRate::new(f64::from(value)).map_err(|_| Unreadable)
+fn rate(value: f32) -> Result<RequestRate, InvalidMessage> {
+    RequestRate::new(f64::from(value)).map_err(|_| InvalidMessage)
 }
--- a/crates/foxtide-mesh/src/wire/load/write.rs
+++ b/crates/foxtide-mesh/src/wire/load/write.rs
@@ -4,8 +4,8 @@
     Foreign,
     Load,
     Record,
-    Service,
-    WHOLE, //
+    SHARE_SCALE, //
+    Service,     //
 };
 use foxtide_core::ids::{
     RegionId,
@@ -33,28 +33,28 @@
 
 /// Collects the names of a message.
 #[derive(Debug, Default)]
-struct Names {
+struct NameTable {
     names: Vec<String>,
-    places: BTreeMap<String, u32>,
+    indices: BTreeMap<String, u32>,
 }
 
-impl Names {
-    fn place(&mut self, name: &str) -> u32 {
-        if let Some(place) = self.places.get(name) {
-            return *place;
+impl NameTable {
+    fn index(&mut self, name: &str) -> u32 {
+        if let Some(index) = self.indices.get(name) {
+            return *index;
         }
-        let place = self.places.len() as u32;
+        let index = self.indices.len() as u32;
         self.names.push(name.to_owned());
-        self.places.insert(name.to_owned(), place);
-        place
+        self.indices.insert(name.to_owned(), index);
+        index
     }
 
-    fn places<'a, T: 'a>(
+    fn indices<'a, T: 'a>(
         &mut self,
         entries: impl Iterator<Item = (&'a RegionId, T)>,
     ) -> (Vec<u32>, Vec<T>) {
         entries
-            .map(|(region, value)| (self.place(region.as_str()), value))
+            .map(|(region, value)| (self.index(region.as_str()), value))
             .unzip()
     }
 }
@@ -65,7 +65,7 @@
             LoadMessage::Sum(records) => (false, records),
             LoadMessage::Table(records) => (true, records),
         };
-        let mut names = Names::default();
+        let mut names = NameTable::default();
         let records = records.iter().map(|record| write(record, &mut names));
         let records = records.collect();
         Self {
@@ -76,9 +76,9 @@
     }
 }
 
-fn write(record: &LoadRecord, names: &mut Names) -> Record {
+fn write(record: &LoadRecord, names: &mut NameTable) -> Record {
     let limits = record.sum.limits.iter();
-    let (limit_regions, limits) = names.places(limits);
+    let (limit_regions, limits) = names.indices(limits);
     let claims = limits.iter().map(|limit| limit.claim);
     let planned = claims.clone().map(|claim| claim.planned_rps.get());
     let spilled = claims.map(|claim| rounded_up(claim.spilled_rps.get()));
@@ -86,13 +86,13 @@
     let spills = spilled.iter().any(|rate| *rate > 0.0);
     let foreign = record.sum.foreign.iter();
     let foreign = foreign.map(|(region, services)| Foreign {
-        region: names.place(region.as_str()),
+        region: names.index(region.as_str()),
         services: write_services(services, names),
     });
     let foreign = foreign.collect();
     Record {
-        organisation: names.place(record.organisation.as_str()),
-        region: names.place(record.region.as_str()),
+        organisation: names.index(record.organisation.as_str()),
+        region: names.index(record.region.as_str()),
         summed_at_us: record.summed_at.as_us(),
         oldest_age_us: age_us(record, record.oldest_at),
         live_age_us: age_us(record, record.live_since),
@@ -108,7 +108,10 @@
     }
 }
 
-fn write_services(services: &BTreeMap<ServiceId, ServiceView>, names: &mut Names) -> Vec<Service> {
+fn write_services(
+    services: &BTreeMap<ServiceId, ServiceView>,
+    names: &mut NameTable,
+) -> Vec<Service> {
     let services = services.iter();
     services
         .map(|(service, view)| write_service(service, view, names))
@@ -119,23 +122,25 @@
     record.summed_at.as_us().saturating_sub(at.as_us())
 }
 
-fn write_service(service: &ServiceId, view: &ServiceView, names: &mut Names) -> Service {
+fn write_service(service: &ServiceId, view: &ServiceView, names: &mut NameTable) -> Service {
     let row = view.row.iter();
-    let (row_regions, shares) = names.places(row);
+    let (row_regions, shares) = names.indices(row);
     Service {
-        service: names.place(service.as_str()),
+        service: names.index(service.as_str()),
         instances: view.instances,
         demand_rps: rounded_up(view.demand_rps.get()),
-        healthy: view.healthy_share.map(|share| u32::from(parts(share))),
+        healthy: view
+            .healthy_share
+            .map(|share| u32::from(scaled_share(share))),
         row_regions,
         row: shares
             .into_iter()
-            .flat_map(|share| parts(*share).to_le_bytes())
+            .flat_map(|share| scaled_share(*share).to_le_bytes())
             .collect(),
     }
 }
 
-/// Returns a share in parts of [`WHOLE`].
-fn parts(share: Share) -> u16 {
-    (share.get() * f64::from(WHOLE)).round() as u16
+/// Returns a share in parts of [`SHARE_SCALE`].
+fn scaled_share(share: Share) -> u16 {
+    (share.get() * f64::from(SHARE_SCALE)).round() as u16
 }
--- a/crates/foxtide-mesh/src/wire/mod.rs
+++ b/crates/foxtide-mesh/src/wire/mod.rs
@@ -3,9 +3,9 @@
 //! Field numbers are never used again; a reader skips fields it does not know.
 
 mod convert;
+mod invalid_message;
 mod load;
 mod messages;
-mod unreadable;
 
 pub(crate) use convert::{
     read_datagram,
@@ -13,6 +13,7 @@
     read_member,
     to_datagram, //
 };
+pub(crate) use invalid_message::InvalidMessage;
 pub(crate) use load::{
     Load,
     read_load, //
@@ -30,4 +31,3 @@
     request,
     response, //
 };
-pub(crate) use unreadable::Unreadable;
