--- a/crates/foxtide-mesh/src/calls.rs
+++ b/crates/foxtide-mesh/src/calls.rs
@@ -58,9 +58,11 @@
 
 fn read_response(target: &InstanceId, response: CallResponse) -> Result<Vec<u8>, CallError> {
     match response {
-        CallResponse { taken: false, .. } => Err(CallError::not_sent(target, "not taken")),
         CallResponse {
-            finished: false, ..
+            accepted: false, ..
+        } => Err(CallError::not_sent(target, "not taken")),
+        CallResponse {
+            completed: false, ..
         } => Err(CallError::unknown(target, "not finished")),
         CallResponse { bytes, .. } => Ok(bytes),
     }
@@ -82,11 +84,11 @@
             bytes: call.bytes,
             response: response_sender,
         };
-        response.taken = shared.calls.0.try_send(call).is_ok();
-        if response.taken
+        response.accepted = shared.calls.0.try_send(call).is_ok();
+        if response.accepted
             && let Ok(bytes) = response_receiver.recv().await
         {
-            response.finished = true;
+            response.completed = true;
             response.bytes = bytes;
         }
     }
--- a/crates/foxtide-mesh/src/documents.rs
+++ b/crates/foxtide-mesh/src/documents.rs
@@ -98,12 +98,16 @@
     let timeout = shared.options.exchange_timeout;
     let answer = streams::send_request(shared, fetch.from, request, timeout).await?;
     let response::Body::Document(document) = answer else {
-        return Err(Error::answer(fetch.from, "not a document"));
+        return Err(Error::invalid_response(fetch.from, "not a document"));
     };
     let document = read_document(document);
-    let document = document.map_err(|_| Error::answer(fetch.from, "unreadable document"))?;
+    let document =
+        document.map_err(|_| Error::invalid_response(fetch.from, "unreadable document"))?;
     if document.organisation != *organisation || document.revision < *revision {
-        return Err(Error::answer(fetch.from, "another document than announced"));
+        return Err(Error::invalid_response(
+            fetch.from,
+            "another document than announced",
+        ));
     }
     Ok(document)
 }
--- a/crates/foxtide-mesh/src/errors.rs
+++ b/crates/foxtide-mesh/src/errors.rs
@@ -35,12 +35,12 @@
         source: io::Error,
     },
     /// A peer's answer cannot be read or does not fit the request.
-    #[error("answer of {peer}: {problem}")]
-    Answer {
+    #[error("answer of {peer}: {reason}")]
+    InvalidResponse {
         /// The peer's address.
         peer: SocketAddr,
         /// What is wrong with it.
-        problem: &'static str,
+        reason: &'static str,
     },
 }
 
@@ -57,8 +57,8 @@
         Self::Exchange { peer, source }
     }
 
-    pub(crate) fn answer(peer: SocketAddr, problem: &'static str) -> Self {
-        Self::Answer { peer, problem }
+    pub(crate) fn invalid_response(peer: SocketAddr, reason: &'static str) -> Self {
+        Self::InvalidResponse { peer, reason }
     }
 
     pub(crate) fn timed_out() -> io::Error {
@@ -71,35 +71,35 @@
 pub enum CallError {
     /// The peer cannot have begun the call: no byte of it was sent, or the
     /// peer said that it did not take it.
-    #[error("call to {instance} not sent: {problem}")]
+    #[error("call to {instance} not sent: {reason}")]
     NotSent {
         /// Whom the call was for.
         instance: InstanceId,
         /// What stood in the way.
-        problem: String,
+        reason: String,
     },
     /// The call may have been carried out.
-    #[error("call to {instance} has no answer: {problem}")]
+    #[error("call to {instance} has no answer: {reason}")]
     Unknown {
         /// Whom the call was for.
         instance: InstanceId,
         /// What happened to the answer.
-        problem: String,
+        reason: String,
     },
 }
 
 impl CallError {
-    pub(crate) fn not_sent(instance: &InstanceId, problem: impl ToString) -> Self {
+    pub(crate) fn not_sent(instance: &InstanceId, reason: impl ToString) -> Self {
         Self::NotSent {
             instance: instance.clone(),
-            problem: problem.to_string(),
+            reason: reason.to_string(),
         }
     }
 
-    pub(crate) fn unknown(instance: &InstanceId, problem: impl ToString) -> Self {
+    pub(crate) fn unknown(instance: &InstanceId, reason: impl ToString) -> Self {
         Self::Unknown {
             instance: instance.clone(),
-            problem: problem.to_string(),
+            reason: reason.to_string(),
         }
     }
 }
--- a/crates/foxtide-mesh/src/faults.rs
+++ b/crates/foxtide-mesh/src/faults.rs
@@ -50,7 +50,7 @@
 
 impl Faults {
     /// Loses this share of all datagrams.
-    pub fn lose(&self, share: f64) {
+    pub fn set_loss(&self, share: f64) {
         self.change(|rules| rules.loss_share = share);
     }
 
@@ -78,17 +78,17 @@
     }
 
     /// Returns whether a datagram arrives.
-    pub(crate) fn datagram_passes(&self, from: SocketAddr, to: SocketAddr) -> bool {
+    pub(crate) fn delivers_datagram(&self, from: SocketAddr, to: SocketAddr) -> bool {
         if !self.0.active.load(Ordering::Acquire) {
             return true;
         }
         let loss_share = self.0.rules.read().loss_share;
         let lost = loss_share > 0.0 && self.0.rng.lock().random_bool(loss_share);
-        !lost && self.connects(from, to)
+        !lost && self.is_reachable(from, to)
     }
 
     /// Returns whether two addresses reach each other at all.
-    pub(crate) fn connects(&self, from: SocketAddr, to: SocketAddr) -> bool {
+    pub(crate) fn is_reachable(&self, from: SocketAddr, to: SocketAddr) -> bool {
         if !self.0.active.load(Ordering::Acquire) {
             return true;
         }
--- a/crates/foxtide-mesh/src/join.rs
+++ b/crates/foxtide-mesh/src/join.rs
@@ -54,7 +54,7 @@
     /// It is still asking.
     Joining,
     /// No peer answered; only the store can tell the configuration.
-    Alone,
+    NoPeers,
     /// It holds the newest that so many peers know.
     WithPeers(usize),
 }
@@ -67,7 +67,7 @@
             wait_for_fetches(&shared, peers).await;
             break;
         }
-        shared.state.lock().synchronisation = Synchronisation::Alone;
+        shared.state.lock().synchronisation = Synchronisation::NoPeers;
         smol::Timer::after(JOIN_RETRY_INTERVAL).await;
     }
     loop {
@@ -159,7 +159,7 @@
             merge(shared, &theirs, Some(peer));
             Ok(())
         }
-        _ => Err(Error::answer(peer, "not a snapshot")),
+        _ => Err(Error::invalid_response(peer, "not a snapshot")),
     }
 }
 
--- a/crates/foxtide-mesh/src/shared.rs
+++ b/crates/foxtide-mesh/src/shared.rs
@@ -214,7 +214,7 @@
     /// Sends a datagram; one that the system does not take is lost.
     pub(crate) fn send(&self, to: SocketAddr, datagram: &Datagram) {
         let bytes = datagram.encode_to_vec();
-        if !self.options.faults.datagram_passes(self.address, to) {
+        if !self.options.faults.delivers_datagram(self.address, to) {
             self.traffic.sent_datagram(bytes.len());
             return;
         }
--- a/crates/foxtide-mesh/src/streams.rs
+++ b/crates/foxtide-mesh/src/streams.rs
@@ -87,7 +87,7 @@
     body: request::Body,
     timeout: Duration,
 ) -> Result<response::Body> {
-    if !shared.options.faults.connects(shared.address, peer) {
+    if !shared.options.faults.is_reachable(shared.address, peer) {
         return Err(Error::connect(peer, Error::timed_out()));
     }
     let connect_timeout = timeout.min(shared.options.connect_timeout);
@@ -103,14 +103,18 @@
     let exchange = round_trip(shared, &mut frames, &request);
     let response = with_timeout(timeout, exchange).await;
     let response = response.map_err(|source| Error::exchange(peer, source))?;
-    let header = response.header.ok_or(Error::answer(peer, "no header"))?;
+    let header = response
+        .header
+        .ok_or(Error::invalid_response(peer, "no header"))?;
     let checked = shared.state.lock().validator.check(&header);
     checked.map_err(|rejection| {
         shared.reject(peer, rejection);
-        Error::answer(peer, rejection.name())
+        Error::invalid_response(peer, rejection.name())
     })?;
     shared.observe_clock(&header);
-    response.body.ok_or(Error::answer(peer, "refused"))
+    response
+        .body
+        .ok_or(Error::invalid_response(peer, "refused"))
 }
 
 async fn round_trip(
--- a/crates/foxtide-mesh/src/wire/messages.rs
+++ b/crates/foxtide-mesh/src/wire/messages.rs
@@ -201,12 +201,12 @@
 /// The answer to a call.
 #[derive(Clone, PartialEq, prost::Message)]
 pub(crate) struct CallResponse {
-    /// Whether the call was taken; one that was not did not begin.
+    /// Whether the call was accepted; one that was not did not begin.
     #[prost(bool, tag = "1")]
-    pub(crate) taken: bool,
+    pub(crate) accepted: bool,
     /// Whether the call came to its end.
     #[prost(bool, tag = "2")]
-    pub(crate) finished: bool,
+    pub(crate) completed: bool,
     #[prost(bytes = "vec", tag = "3")]
     pub(crate) bytes: Vec<u8>,
 }
--- a/crates/foxtide-mesh/tests/mesh/membership.rs
+++ b/crates/foxtide-mesh/tests/mesh/membership.rs
@@ -114,7 +114,7 @@
     let fleet = [start(0, &[], &faults), start(1, &[], &faults)];
     wait_until("each is alone", || {
         let mut states = fleet.iter().map(|handle| handle.synchronisation());
-        states.all(|state| state == Synchronisation::Alone)
+        states.all(|state| state == Synchronisation::NoPeers)
     });
     fleet[0].add_seeds(&[fleet[1].peer_address()]);
     wait_until("both know both", || all_see(&fleet, &fleet));
@@ -140,7 +140,7 @@
 fn verify_lost_packets_kill_nobody() {
     let faults = Faults::default();
     let fleet = start_fleet(8, &faults);
-    faults.lose(0.2);
+    faults.set_loss(0.2);
     let probes = |count: u64| fleet.iter().all(|handle| handle.counts().probes >= count);
     wait_until("each probed 40 times", || probes(40));
     faults.heal();
--- a/crates/foxtide-mesh/tests/mesh/spreading.rs
+++ b/crates/foxtide-mesh/tests/mesh/spreading.rs
@@ -103,7 +103,7 @@
 fn verify_a_document_spreads_though_packets_are_lost() {
     let faults = Faults::default();
     let fleet = start_fleet(8, &faults);
-    faults.lose(0.3);
+    faults.set_loss(0.3);
     assert!(fleet[7].publish_configuration(&document(1)));
     wait_until("all hold it", || all_hold(&fleet, 1));
 }
