--- a/crates/foxtide-events/src/lib.rs
+++ b/crates/foxtide-events/src/lib.rs
@@ -5,7 +5,7 @@
 //!
 //! Public: [`Recorder`], [`RecorderOptions`], [`WallClock`], [`Explainer`],
 //! [`TimeLine`], [`TimeLineOptions`]; for structured lines [`log_event!`],
-//! [`LineBudget`], [`LineKind`], [`LeftOut`].
+//! [`LogRateLimiter`], [`LineKind`], [`SuppressedLines`].
 
 mod explainer;
 mod lines;
@@ -16,9 +16,9 @@
 pub use explainer::Explainer;
 pub use foxtide_core::events::EventCode;
 pub use lines::{
-    LeftOut,
-    LineBudget,
     LineKind,
+    LogRateLimiter,
+    SuppressedLines,
     log_level, //
 };
 // `log_event!` expands to it in other packages.
--- a/crates/foxtide-events/src/lines.rs
+++ b/crates/foxtide-events/src/lines.rs
@@ -37,16 +37,16 @@
 /// one takes 3.1 us (286 bytes, measured over 200,000), so that these take 0.02 % of a
 /// core.
 const ANSWERED_LINES_PER_S: f64 = 60.0;
-const ANSWERED_LINES_AT_ONCE: f64 = 30.0;
+const ANSWERED_LINES_BURST: f64 = 30.0;
 
 /// Lines a second about requests that were not, and at one moment. They are what an
 /// engineer looks for, and come in bursts when something fails: 40 callers whose
 /// requests fail together make 120 lines.
 const FAILED_LINES_PER_S: f64 = 300.0;
-const FAILED_LINES_AT_ONCE: f64 = 600.0;
+const FAILED_LINES_BURST: f64 = 600.0;
 
 /// The part of those that only ends of requests may use, not their attempts.
-const ENDS_ONLY_SHARE: f64 = 0.5;
+const RESULTS_ONLY_SHARE: f64 = 0.5;
 
 /// What a line about a request tells of.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -61,7 +61,7 @@
 
 /// Lines that were left out.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct LeftOut {
+pub struct SuppressedLines {
     /// About requests that were answered well.
     pub answered: u64,
     /// About requests that were not, and steps on their way.
@@ -70,63 +70,63 @@
 
 /// Bounds the lines about requests and counts those that are left out.
 #[derive(Clone, Debug)]
-pub struct LineBudget {
-    answered: Reservoir,
-    failed: Reservoir,
-    left_out: LeftOut,
+pub struct LogRateLimiter {
+    answered: TokenBucket,
+    failed: TokenBucket,
+    suppressed: SuppressedLines,
 }
 
-impl LineBudget {
+impl LogRateLimiter {
     /// Returns a budget with room for a few lines at once.
     pub fn new(now: MonotonicTime) -> Self {
         Self {
-            answered: Reservoir::new(ANSWERED_LINES_PER_S, ANSWERED_LINES_AT_ONCE, now),
-            failed: Reservoir::new(FAILED_LINES_PER_S, FAILED_LINES_AT_ONCE, now),
-            left_out: LeftOut::default(),
+            answered: TokenBucket::new(ANSWERED_LINES_PER_S, ANSWERED_LINES_BURST, now),
+            failed: TokenBucket::new(FAILED_LINES_PER_S, FAILED_LINES_BURST, now),
+            suppressed: SuppressedLines::default(),
         }
     }
 
     /// Takes one line out of the budget; one for which there is no room is
     /// counted as left out.
     pub fn try_take(&mut self, kind: LineKind, now: MonotonicTime) -> bool {
-        let left_out = match kind {
-            LineKind::Answered => &mut self.left_out.answered,
-            LineKind::Failed | LineKind::Step => &mut self.left_out.failed,
+        let suppressed = match kind {
+            LineKind::Answered => &mut self.suppressed.answered,
+            LineKind::Failed | LineKind::Step => &mut self.suppressed.failed,
         };
         let is_taken = match kind {
             LineKind::Answered => self.answered.try_take(0.0, now),
             LineKind::Failed => self.failed.try_take(0.0, now),
             LineKind::Step => {
-                let reserved = FAILED_LINES_AT_ONCE * ENDS_ONLY_SHARE;
+                let reserved = FAILED_LINES_BURST * RESULTS_ONLY_SHARE;
                 self.failed.try_take(reserved, now)
             }
         };
-        *left_out += u64::from(!is_taken);
+        *suppressed += u64::from(!is_taken);
         is_taken
     }
 
     /// Returns the lines left out since the last call.
-    pub fn take_left_out(&mut self) -> LeftOut {
-        std::mem::take(&mut self.left_out)
+    pub fn take_suppressed(&mut self) -> SuppressedLines {
+        std::mem::take(&mut self.suppressed)
     }
 }
 
 /// Lines that may be written: a plain token bucket, full at first. What limits
 /// requests is stricter, since it lets through no more than its rate in any second.
 #[derive(Clone, Debug)]
-struct Reservoir {
-    per_s: f64,
-    most: f64,
-    lines: f64,
+struct TokenBucket {
+    rate_per_s: f64,
+    capacity: f64,
+    tokens: f64,
     refilled_at: MonotonicTime,
 }
 
-impl Reservoir {
-    fn new(per_s: f64, most: f64, now: MonotonicTime) -> Self {
+impl TokenBucket {
+    fn new(rate_per_s: f64, capacity: f64, now: MonotonicTime) -> Self {
         Self {
-            per_s,
-            most,
-            lines: most,
+            rate_per_s,
+            capacity,
+            tokens: capacity,
             refilled_at: now,
         }
     }
@@ -135,11 +135,11 @@
     fn try_take(&mut self, reserved: f64, now: MonotonicTime) -> bool {
         let passed_s = now.since(self.refilled_at).as_secs_f64();
         self.refilled_at = self.refilled_at.max(now);
-        self.lines = (self.lines + passed_s * self.per_s).min(self.most);
-        let is_there = self.lines >= reserved + 1.0;
-        if is_there {
-            self.lines -= 1.0;
+        self.tokens = (self.tokens + passed_s * self.rate_per_s).min(self.capacity);
+        let is_available = self.tokens >= reserved + 1.0;
+        if is_available {
+            self.tokens -= 1.0;
         }
-        is_there
+        is_available
     }
 }
--- a/crates/foxtide-gateway/src/journal/requests.rs
+++ b/crates/foxtide-gateway/src/journal/requests.rs
@@ -17,9 +17,9 @@
 };
 use foxtide_events::{
     EventCode,
-    LeftOut,
-    LineBudget,
     LineKind,
+    LogRateLimiter,
+    SuppressedLines,
     log_event, //
 };
 use parking_lot::Mutex;
@@ -29,7 +29,7 @@
 #[derive(Debug)]
 pub(crate) struct Journal {
     clock: SteadyClock,
-    budget: Mutex<LineBudget>,
+    budget: Mutex<LogRateLimiter>,
     routes: RouteLabels,
 }
 
@@ -38,15 +38,15 @@
     pub(crate) fn new(clock: SteadyClock) -> Self {
         Self {
             clock,
-            budget: Mutex::new(LineBudget::new(clock.now())),
+            budget: Mutex::new(LogRateLimiter::new(clock.now())),
             routes: RouteLabels::default(),
         }
     }
 
     /// Tells how many lines were left out since the last call, if any were.
     pub(crate) fn summarise(&self) {
-        let left_out = self.budget.lock().take_left_out();
-        if left_out != LeftOut::default() {
+        let left_out = self.budget.lock().take_suppressed();
+        if left_out != SuppressedLines::default() {
             log_event!(
                 EventCode::LinesLeftOut,
                 answered = left_out.answered,
