--- a/crates/foxtide-events/src/recorder.rs
+++ b/crates/foxtide-events/src/recorder.rs
@@ -43,7 +43,7 @@
     clock: HybridClock,
     ring: EventRing,
     repeats: RepeatFilter,
-    skew_reported_us: Option<WallTime>,
+    skew_reported_at: Option<WallTime>,
 }
 
 #[derive(Debug)]
@@ -68,7 +68,7 @@
             clock: HybridClock::default(),
             ring: EventRing::new(options.ring),
             repeats: RepeatFilter::default(),
-            skew_reported_us: None,
+            skew_reported_at: None,
         };
         let shared = Shared {
             instance,
@@ -95,7 +95,7 @@
             return clock;
         };
         let event = Event::new(clock, self.shared.instance.clone(), code, fields);
-        let line = wants_log(code).then(|| event.to_string());
+        let line = is_log_enabled(code).then(|| event.to_string());
         state.ring.push(event);
         drop(state);
         if let Some(line) = line {
@@ -141,10 +141,10 @@
 
     fn may_report_skew(&self, wall: WallTime) -> bool {
         let mut state = self.shared.state.lock();
-        let last = state.skew_reported_us;
+        let last = state.skew_reported_at;
         let due = last.is_none_or(|last| wall.since(last) >= SKEW_REPORT_INTERVAL);
         if due {
-            state.skew_reported_us = Some(wall);
+            state.skew_reported_at = Some(wall);
         }
         due
     }
@@ -167,6 +167,6 @@
     }
 }
 
-fn wants_log(code: EventCode) -> bool {
+fn is_log_enabled(code: EventCode) -> bool {
     log::log_enabled!(target: LOG_TARGET, log_level(code))
 }
--- a/crates/foxtide-events/src/time_line.rs
+++ b/crates/foxtide-events/src/time_line.rs
@@ -53,7 +53,7 @@
 #[derive(Debug)]
 struct Sending {
     sender: BackupSender,
-    lost: u64,
+    reported_lost: u64,
 }
 
 #[derive(Debug)]
@@ -91,7 +91,10 @@
             own,
             copies: options.copies,
             recorder,
-            sending: Mutex::new(Sending { sender, lost: 0 }),
+            sending: Mutex::new(Sending {
+                sender,
+                reported_lost: 0,
+            }),
             holder: Mutex::new(BackupHolder::new(options.holder)),
         };
         Self {
@@ -111,8 +114,8 @@
         let mut sending = self.shared.sending.lock();
         let after = |sequence, limit| recorder.notable_after(sequence, limit);
         let parcels = sending.sender.poll(now, after);
-        let newly_lost = sending.sender.lost() - sending.lost;
-        sending.lost += newly_lost;
+        let newly_lost = sending.sender.lost() - sending.reported_lost;
+        sending.reported_lost += newly_lost;
         drop(sending);
         if newly_lost > 0 {
             let detail = format!("events={newly_lost}");
@@ -144,8 +147,8 @@
     /// filter, in causal order; the latest [`EventFilter::limit`] of them.
     pub fn select(&self, filter: &EventFilter) -> Vec<Event> {
         let own = self.shared.recorder.select(filter);
-        let kept = self.shared.holder.lock().select(filter);
-        let mut events = merge([own, kept]);
+        let copies = self.shared.holder.lock().select(filter);
+        let mut events = merge([own, copies]);
         let limit = filter.limit.unwrap_or(usize::MAX);
         events.drain(..events.len().saturating_sub(limit));
         events
--- a/crates/foxtide-events/tests/recorder.rs
+++ b/crates/foxtide-events/tests/recorder.rs
@@ -51,12 +51,12 @@
 
 #[test]
 fn verify_broken_clock_of_a_peer_is_reported_once() {
-    let sound = recorder("k-1", 1_000);
+    let healthy = recorder("k-1", 1_000);
     let broken = recorder("k-2", 10_000_000);
     for _ in 0..3 {
-        sound.observe_from("k-2", broken.stamp());
+        healthy.observe_from("k-2", broken.stamp());
     }
-    let events = sound.select(&EventFilter::default());
+    let events = healthy.select(&EventFilter::default());
     assert_eq!(events.len(), 1);
     assert_eq!(events[0].code, EventCode::WallClockSkewed);
     assert_eq!(events[0].clock.wall_us.as_us(), 1_000);
