--- a/crates/foxtide-mesh/src/wire/convert.rs
+++ b/crates/foxtide-mesh/src/wire/convert.rs
@@ -1,4 +1,4 @@
-//! Conversion between the encoded form and the core's types.
+//! Conversion between the wire format and the types of `foxtide_core`.
 
 use super::invalid_message::InvalidMessage;
 use super::messages as wire;
@@ -20,7 +20,7 @@
     SocketAddr, //
 };
 
-/// Returns a packet in its encoded form.
+/// Encodes a packet.
 pub(crate) fn to_datagram(header: wire::Header, packet: Packet) -> wire::Datagram {
     let mut datagram = wire::Datagram {
         header: Some(header),
@@ -66,9 +66,9 @@
     }
 }
 
-/// Reads a packet from its encoded form, where it holds no load.
+/// Decodes a packet that holds no load.
 ///
-/// A purpose that this program does not know leaves the rumours readable.
+/// The rumours are read also if the body is of an unknown kind.
 pub(crate) fn read_datagram(datagram: wire::Datagram) -> Result<Packet, InvalidMessage> {
     let message = match datagram.body {
         Some(body) => read_body(body)?,
@@ -158,7 +158,7 @@
     }
 }
 
-/// Reads a member from its encoded form.
+/// Decodes a member.
 pub(crate) fn read_member(member: &wire::Member) -> Result<core::Member, InvalidMessage> {
     let state = match wire::State::try_from(member.state).map_err(|_| InvalidMessage)? {
         wire::State::Joining => core::MemberState::Joining,
@@ -209,7 +209,7 @@
     }
 }
 
-/// Reads a document from its encoded form.
+/// Decodes a document.
 pub(crate) fn read_document(
     document: wire::Document,
 ) -> Result<spreading::Document, InvalidMessage> {
@@ -236,7 +236,7 @@
     use foxtide_core::time::MonotonicTime;
     use prost::Message as _;
 
-    /// Returns a member whose fields take the most bytes.
+    /// Returns a member of the largest encoded size.
     fn member(number: usize, incarnation: u64) -> Member {
         let name = format!("{number:0width$}", width = NAME_MAX_BYTES);
         let port = 50_000 + u16::try_from(number).unwrap();
@@ -273,9 +273,9 @@
         let mut membership = Membership::new(member(0, 0), options, 1, now);
         let peers: Vec<_> = (1..20).map(|number| member(number, 0)).collect();
         membership.merge(peers, now);
-        // News of all, while none answers: pings, requests and suspicions.
-        let news: Vec<_> = (1..20).map(|number| member(number, 1)).collect();
-        membership.merge(news, now);
+        // Updates of all members while none responds: pings, ping requests and suspicions.
+        let updates: Vec<_> = (1..20).map(|number| member(number, 1)).collect();
+        membership.merge(updates, now);
         let mut sent = 0;
         for _ in 0..200 {
             now = now + std::time::Duration::from_millis(50);
--- a/crates/foxtide-mesh/src/wire/invalid_message.rs
+++ b/crates/foxtide-mesh/src/wire/invalid_message.rs
@@ -1,6 +1,6 @@
-//! The error of messages that cannot be read.
+//! The decoding error of the wire format.
 
-/// A message that cannot be read.
+/// A message cannot be decoded or holds invalid values.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct InvalidMessage;
 
--- a/crates/foxtide-mesh/src/wire/load/mod.rs
+++ b/crates/foxtide-mesh/src/wire/load/mod.rs
@@ -1,19 +1,19 @@
-//! The encoded form of load records.
+//! Wire format of load records.
 //!
-//! Names stand once in each message; records refer to them by place.
+//! Each message holds a table of names; records refer to names by index.
 
 mod read;
 mod write;
 
 pub(crate) use read::read_load;
 
-/// The encoded form of the share 1.
+/// The encoded value of the share 1.0.
 const SHARE_SCALE: u16 = u16::MAX;
 
-/// Load records that travel together.
+/// A message with load records.
 #[derive(Clone, PartialEq, prost::Message)]
 pub(crate) struct Load {
-    /// Whether the records are a table of regions, or else the sender's sum.
+    /// Whether the records are the table of regions or the sender's sum.
     #[prost(bool, tag = "1")]
     pub(crate) is_table: bool,
     #[prost(string, repeated, tag = "2")]
@@ -22,7 +22,7 @@
     pub(crate) records: Vec<Record>,
 }
 
-/// What some instances of a region report for one organisation.
+/// The summed reports of instances of a region for one organisation.
 #[derive(Clone, PartialEq, prost::Message)]
 pub(crate) struct Record {
     #[prost(uint32, tag = "1")]
@@ -45,7 +45,7 @@
     pub(crate) limit_regions: Vec<u32>,
     #[prost(float, repeated, tag = "10")]
     pub(crate) planned_rps: Vec<f32>,
-    /// None where nothing spills.
+    /// Empty if all values are zero.
     #[prost(float, repeated, tag = "11")]
     pub(crate) spilled_rps: Vec<f32>,
     #[prost(uint32, repeated, tag = "12")]
@@ -56,7 +56,7 @@
     pub(crate) foreign: Vec<Foreign>,
 }
 
-/// What they report of the callers of another region.
+/// The part of a record about callers of another region.
 #[derive(Clone, PartialEq, prost::Message)]
 pub(crate) struct Foreign {
     #[prost(uint32, tag = "1")]
@@ -65,7 +65,7 @@
     pub(crate) services: Vec<Service>,
 }
 
-/// What they report for one service.
+/// The part of a record about one service.
 #[derive(Clone, PartialEq, prost::Message)]
 pub(crate) struct Service {
     #[prost(uint32, tag = "1")]
@@ -74,12 +74,12 @@
     pub(crate) instances: u32,
     #[prost(float, tag = "3")]
     pub(crate) demand_rps: f32,
-    /// In parts of [`SHARE_SCALE`].
+    /// In units of 1 / [`SHARE_SCALE`].
     #[prost(uint32, optional, tag = "4")]
     pub(crate) healthy: Option<u32>,
     #[prost(uint32, repeated, tag = "5")]
     pub(crate) row_regions: Vec<u32>,
-    /// In parts of [`SHARE_SCALE`], two bytes each with the lower first.
+    /// Little-endian `u16` values in units of 1 / [`SHARE_SCALE`].
     #[prost(bytes = "vec", tag = "6")]
     pub(crate) row: Vec<u8>,
 }
@@ -148,7 +148,7 @@
     }
 
     #[test]
-    fn verify_claims_never_shrink_on_the_way() {
+    fn verify_claims_never_shrink_in_transit() {
         let sent = record();
         let message = Load::from(&LoadMessage::Table(vec![sent.clone()]));
         let LoadMessage::Table(read) = read_load(&message).unwrap() else {
--- a/crates/foxtide-mesh/src/wire/load/read.rs
+++ b/crates/foxtide-mesh/src/wire/load/read.rs
@@ -1,4 +1,4 @@
-//! Load records out of their encoded form.
+//! Decodes load records.
 
 use super::{
     Load,
@@ -35,7 +35,7 @@
 use std::collections::BTreeMap;
 use std::str::FromStr;
 
-/// Reads load records from their encoded form.
+/// Decodes load records.
 pub(crate) fn read_load(load: &Load) -> Result<LoadMessage, InvalidMessage> {
     let records = load.records.iter();
     let records: Result<Vec<_>, _> = records.map(|record| read(record, &load.names)).collect();
@@ -101,13 +101,13 @@
 }
 
 fn read_service(service: &Service, names: &[String]) -> Result<ServiceView, InvalidMessage> {
-    let (parts, _) = service.row.as_chunks();
-    let parts = parts
+    let (chunks, _) = service.row.as_chunks();
+    let parts = chunks
         .iter()
         .map(|bytes| f64::from(u16::from_le_bytes(*bytes)));
-    // The parts of a row are rounded, but together they are the whole.
-    let whole: f64 = parts.clone().sum();
-    let shares = parts.map(|part| Share::clamped(part / whole));
+    // The encoded shares are rounded; dividing by their sum restores a total of 1.
+    let total: f64 = parts.clone().sum();
+    let shares = parts.map(|part| Share::clamped(part / total));
     let mut row = BTreeMap::new();
     for (region, share) in service.row_regions.iter().zip(shares) {
         row.insert(name(names, *region)?, share);
--- a/crates/foxtide-mesh/src/wire/load/write.rs
+++ b/crates/foxtide-mesh/src/wire/load/write.rs
@@ -1,4 +1,4 @@
-//! Load records into their encoded form.
+//! Encodes load records.
 
 use super::{
     Foreign,
@@ -20,8 +20,7 @@
 use foxtide_core::units::Share;
 use std::collections::BTreeMap;
 
-/// Returns the nearest encoded number that is not below `value`: a peer must
-/// not know of less than what was claimed.
+/// Rounds up to `f32`, so that a peer never sees less than was claimed.
 fn rounded_up(value: f64) -> f32 {
     let rounded = value as f32;
     if f64::from(rounded) < value {
@@ -31,7 +30,7 @@
     }
 }
 
-/// Collects the names of a message.
+/// The names of a message and their indices.
 #[derive(Debug, Default)]
 struct NameTable {
     names: Vec<String>,
@@ -140,7 +139,7 @@
     }
 }
 
-/// Returns a share in parts of [`SHARE_SCALE`].
+/// Returns a share in units of 1 / [`SHARE_SCALE`].
 fn scaled_share(share: Share) -> u16 {
     (share.get() * f64::from(SHARE_SCALE)).round() as u16
 }
--- a/crates/foxtide-mesh/src/wire/messages.rs
+++ b/crates/foxtide-mesh/src/wire/messages.rs
@@ -1,37 +1,37 @@
-//! Messages in their encoded form.
+//! Wire format of the messages.
 
 use super::load::Load;
 
-/// What each message begins with.
+/// The header of every message.
 #[derive(Clone, PartialEq, prost::Message)]
 pub(crate) struct Header {
-    /// The version of the writing program.
+    /// The sender's protocol version.
     #[prost(uint32, tag = "1")]
     pub(crate) version: u32,
-    /// The oldest program that can read the message.
+    /// The oldest protocol version that can read the message.
     #[prost(uint32, tag = "2")]
     pub(crate) minimum_version: u32,
-    /// The fleet.
+    /// The hash of the cluster's name.
     #[prost(fixed64, tag = "3")]
     pub(crate) cluster: u64,
     /// The sending instance.
     #[prost(string, tag = "4")]
     pub(crate) sender: String,
-    /// When the sending process started, since the Unix epoch.
+    /// The start of the sending process, since the Unix epoch.
     #[prost(uint64, tag = "5")]
     pub(crate) epoch_us: u64,
-    /// The number of the datagram in its process.
+    /// The sequence number of the message in its process.
     #[prost(uint64, tag = "6")]
     pub(crate) sequence: u64,
-    /// The hybrid clock at the sending, in microseconds; 0 where there is none.
+    /// The hybrid clock at the time of sending; 0 if there is none.
     #[prost(uint64, tag = "7")]
     pub(crate) clock_us: u64,
-    /// The hybrid clock's counter.
+    /// The counter of the hybrid clock.
     #[prost(uint32, tag = "8")]
     pub(crate) clock_counter: u32,
 }
 
-/// A datagram.
+/// A datagram: its body and piggybacked rumours.
 #[derive(Clone, PartialEq, prost::Message)]
 pub(crate) struct Datagram {
     #[prost(message, optional, tag = "1")]
@@ -46,9 +46,8 @@
     pub(crate) announcements: Vec<Announcement>,
 }
 
-/// What a datagram is for.
+/// Bodies of datagrams.
 pub(crate) mod datagram {
-    /// The purpose.
     #[derive(Clone, PartialEq, prost::Oneof)]
     pub(crate) enum Body {
         #[prost(message, tag = "2")]
@@ -66,11 +65,11 @@
     }
 }
 
-/// Nothing.
+/// A body without fields.
 #[derive(Clone, Copy, PartialEq, prost::Message)]
 pub(crate) struct Empty {}
 
-/// Asks for an answer.
+/// Probes an instance, which responds with an ack.
 #[derive(Clone, PartialEq, prost::Message)]
 pub(crate) struct Ping {
     #[prost(uint64, tag = "1")]
@@ -79,7 +78,7 @@
     pub(crate) target: String,
 }
 
-/// Asks for a ping of another instance.
+/// Requests an indirect probe of another instance.
 #[derive(Clone, PartialEq, prost::Message)]
 pub(crate) struct PingRequest {
     #[prost(uint64, tag = "1")]
@@ -90,7 +89,7 @@
     pub(crate) address: Option<Address>,
 }
 
-/// Hashes over what the sender knows.
+/// Hashes of the sender's state.
 #[derive(Clone, Copy, PartialEq, prost::Message)]
 pub(crate) struct Digest {
     #[prost(fixed64, tag = "1")]
@@ -109,7 +108,7 @@
     pub(crate) port: u32,
 }
 
-/// The encoded states of a member.
+/// The state of a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, prost::Enumeration)]
 #[repr(i32)]
 pub(crate) enum State {
@@ -120,7 +119,7 @@
     Joining = 4,
 }
 
-/// A member and what is believed of it.
+/// A member and its state.
 #[derive(Clone, PartialEq, prost::Message)]
 pub(crate) struct Member {
     #[prost(string, tag = "1")]
@@ -141,7 +140,7 @@
     pub(crate) process: u64,
 }
 
-/// A member and who found it silent.
+/// A suspected member and the instance that suspects it.
 #[derive(Clone, PartialEq, prost::Message)]
 pub(crate) struct Suspicion {
     #[prost(message, optional, tag = "1")]
@@ -150,7 +149,7 @@
     pub(crate) by: String,
 }
 
-/// A revision that the sender holds.
+/// A document revision that the sender holds.
 #[derive(Clone, PartialEq, prost::Message)]
 pub(crate) struct Announcement {
     #[prost(string, tag = "1")]
@@ -159,7 +158,7 @@
     pub(crate) revision: u64,
 }
 
-/// A document of a configuration.
+/// The configuration document of an organisation.
 #[derive(Clone, PartialEq, prost::Message)]
 pub(crate) struct Document {
     #[prost(string, tag = "1")]
@@ -170,7 +169,7 @@
     pub(crate) bytes: Vec<u8>,
 }
 
-/// Everything that an instance knows, without the documents themselves.
+/// The full state of an instance, with announcements in place of documents.
 #[derive(Clone, PartialEq, prost::Message)]
 pub(crate) struct Snapshot {
     #[prost(message, repeated, tag = "1")]
@@ -181,37 +180,37 @@
     pub(crate) load: Option<Load>,
 }
 
-/// Asks for a document.
+/// Requests the document of an organisation.
 #[derive(Clone, PartialEq, prost::Message)]
 pub(crate) struct FetchRequest {
     #[prost(string, tag = "1")]
     pub(crate) organisation: String,
 }
 
-/// A call to the program that uses the mesh.
+/// A call to the application above the mesh.
 #[derive(Clone, PartialEq, prost::Message)]
 pub(crate) struct CallRequest {
-    /// Whom it is for.
+    /// The instance that is called.
     #[prost(string, tag = "1")]
     pub(crate) target: String,
     #[prost(bytes = "vec", tag = "2")]
     pub(crate) bytes: Vec<u8>,
 }
 
-/// The answer to a call.
+/// The response to a call.
 #[derive(Clone, PartialEq, prost::Message)]
 pub(crate) struct CallResponse {
-    /// Whether the call was accepted; one that was not did not begin.
+    /// Whether the call was accepted; if not, it did not start.
     #[prost(bool, tag = "1")]
     pub(crate) accepted: bool,
-    /// Whether the call came to its end.
+    /// Whether the call completed.
     #[prost(bool, tag = "2")]
     pub(crate) completed: bool,
     #[prost(bytes = "vec", tag = "3")]
     pub(crate) bytes: Vec<u8>,
 }
 
-/// A request over a stream.
+/// A request over TCP.
 #[derive(Clone, PartialEq, prost::Message)]
 pub(crate) struct Request {
     #[prost(message, optional, tag = "1")]
@@ -220,9 +219,8 @@
     pub(crate) body: Option<request::Body>,
 }
 
-/// What a request asks for.
+/// Bodies of requests.
 pub(crate) mod request {
-    /// The purpose.
     #[derive(Clone, PartialEq, prost::Oneof)]
     pub(crate) enum Body {
         #[prost(message, tag = "2")]
@@ -234,7 +232,7 @@
     }
 }
 
-/// The answer to a request.
+/// The response to a request; without a body the request failed.
 #[derive(Clone, PartialEq, prost::Message)]
 pub(crate) struct Response {
     #[prost(message, optional, tag = "1")]
@@ -243,9 +241,8 @@
     pub(crate) body: Option<response::Body>,
 }
 
-/// What a response holds.
+/// Bodies of responses.
 pub(crate) mod response {
-    /// The content.
     #[derive(Clone, PartialEq, prost::Oneof)]
     pub(crate) enum Body {
         #[prost(message, tag = "2")]
--- a/crates/foxtide-mesh/src/wire/mod.rs
+++ b/crates/foxtide-mesh/src/wire/mod.rs
@@ -1,6 +1,6 @@
-//! The encoded form of all messages, and its conversion.
+//! Wire format of all messages (Protocol Buffers) and its conversion.
 //!
-//! Field numbers are never used again; a reader skips fields it does not know.
+//! Tags are never reused; readers skip unknown fields.
 
 mod convert;
 mod invalid_message;
