--- a/crates/foxtide-mesh/src/calls.rs
+++ b/crates/foxtide-mesh/src/calls.rs
@@ -1,4 +1,4 @@
-//! Calls from instance to instance on behalf of the program.
+//! Remote calls between instances, made for the application above the mesh.
 
 use crate::errors::{
     CallError,
@@ -16,26 +16,26 @@
 use smol::channel::Sender;
 use std::time::Duration;
 
-/// A peer's call, to be answered once.
+/// A call received from a peer.
 #[derive(Debug)]
 pub struct IncomingCall {
-    /// Who calls.
+    /// The calling instance.
     pub from: InstanceId,
-    /// What it sent.
+    /// The payload of the call.
     pub bytes: Vec<u8>,
     response: Sender<Vec<u8>>,
 }
 
 impl IncomingCall {
-    /// Answers the call. A call that is dropped instead is `unknown` to its
-    /// caller.
+    /// Sends the response. Dropping the call instead makes it fail at the
+    /// caller with [`CallError::Unknown`].
     pub fn respond(self, bytes: Vec<u8>) {
-        // Where the caller is gone nobody waits for the answer.
+        // Fails only if the caller has disconnected.
         let _ = self.response.try_send(bytes);
     }
 }
 
-/// Calls a peer.
+/// Sends a call to a peer and waits for its response.
 pub(crate) async fn call(
     shared: &Shared,
     target: &InstanceId,
@@ -43,14 +43,17 @@
     deadline: Duration,
 ) -> Result<Vec<u8>, CallError> {
     let member = shared.state.lock().membership.member(target).cloned();
-    let member = member.ok_or_else(|| CallError::not_sent(target, "no such member"))?;
+    let member = member.ok_or_else(|| CallError::not_sent(target, "not a known member"))?;
     let request = request::Body::Call(CallRequest {
         target: target.to_string(),
         bytes,
     });
     match streams::send_request(shared, member.peer_address, request, deadline).await {
         Ok(response::Body::Call(response)) => read_response(target, response),
-        Ok(_) => Err(CallError::unknown(target, "not the answer to a call")),
+        Ok(_) => Err(CallError::unknown(
+            target,
+            "the response is of another kind",
+        )),
         Err(error @ Error::Connect { .. }) => Err(CallError::not_sent(target, error)),
         Err(error) => Err(CallError::unknown(target, error)),
     }
@@ -60,15 +63,21 @@
     match response {
         CallResponse {
             accepted: false, ..
-        } => Err(CallError::not_sent(target, "not taken")),
+        } => Err(CallError::not_sent(
+            target,
+            "the peer did not accept the call",
+        )),
         CallResponse {
             completed: false, ..
-        } => Err(CallError::unknown(target, "not finished")),
+        } => Err(CallError::unknown(
+            target,
+            "the peer did not complete the call",
+        )),
         CallResponse { bytes, .. } => Ok(bytes),
     }
 }
 
-/// Hands a peer's call to the program and waits for its answer.
+/// Queues a peer's call for the application and waits for its response.
 pub(crate) async fn handle_call(
     shared: &Shared,
     sender: &str,
@@ -76,8 +85,8 @@
 ) -> Option<response::Body> {
     let mut response = CallResponse::default();
     let from = sender.parse().ok();
-    let meant = call.target == shared.instance.as_str();
-    if let Some(from) = from.filter(|_| meant) {
+    let is_target = call.target == shared.instance.as_str();
+    if let Some(from) = from.filter(|_| is_target) {
         let (response_sender, response_receiver) = smol::channel::bounded(1);
         let call = IncomingCall {
             from,
--- a/crates/foxtide-mesh/src/documents.rs
+++ b/crates/foxtide-mesh/src/documents.rs
@@ -1,4 +1,4 @@
-//! Publishing documents and fetching those that peers announce.
+//! Publishes configuration documents and fetches those that peers announce.
 
 use crate::errors::{
     Error,
@@ -26,8 +26,8 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// Takes a document in where it is newer than the one held, and tells peers
-/// and the program; returns whether it was newer.
+/// Stores a document if it is newer than the stored one, then announces it to
+/// peers and subscribers; returns whether it was newer.
 pub(crate) fn apply_document(shared: &Arc<Shared>, document: &Document) -> bool {
     let announcement = document.announcement();
     let now = shared.now();
@@ -40,7 +40,7 @@
     state.membership.set_configuration_hash(hash);
     let rumour = Rumour::Configuration(announcement);
     let outputs = state.membership.spread(rumour, now);
-    // Under the state's lock, so that subscribers see revisions in order.
+    // Under the state lock, so that subscribers see revisions in order.
     let mut subscribers = shared.subscribers.lock();
     subscribers.retain(|subscriber| subscriber.try_send(document.clone()).is_ok());
     drop(subscribers);
@@ -49,7 +49,7 @@
     true
 }
 
-/// Notes that a peer holds a revision, and fetches it where it is newer.
+/// Schedules a fetch of a revision that a peer announced, if it is newer.
 pub(crate) fn handle_announcement(
     shared: &Arc<Shared>,
     announcement: &Announcement,
@@ -80,7 +80,10 @@
             apply_document(shared, &document);
         }
         Err(error) => {
-            log::debug!("fetch {}: {error}", fetch.announcement.organisation);
+            log::debug!(
+                "fetching the configuration of {} failed: {error}",
+                fetch.announcement.organisation
+            );
             let now = shared.now();
             shared.state.lock().fetches.failed(fetch, now);
         }
@@ -96,23 +99,26 @@
         organisation: organisation.to_string(),
     });
     let timeout = shared.options.exchange_timeout;
-    let answer = streams::send_request(shared, fetch.from, request, timeout).await?;
-    let response::Body::Document(document) = answer else {
-        return Err(Error::invalid_response(fetch.from, "not a document"));
+    let response = streams::send_request(shared, fetch.from, request, timeout).await?;
+    let response::Body::Document(document) = response else {
+        return Err(Error::invalid_response(
+            fetch.from,
+            "the response is not a document",
+        ));
     };
     let document = read_document(document);
-    let document =
-        document.map_err(|_| Error::invalid_response(fetch.from, "unreadable document"))?;
+    let document = document
+        .map_err(|_| Error::invalid_response(fetch.from, "the document cannot be decoded"))?;
     if document.organisation != *organisation || document.revision < *revision {
         return Err(Error::invalid_response(
             fetch.from,
-            "another document than announced",
+            "the document does not match its announcement",
         ));
     }
     Ok(document)
 }
 
-/// Answers a peer that fetches a document.
+/// Returns the document that a peer requests.
 pub(crate) fn handle_fetch(shared: &Shared, fetch: &FetchRequest) -> Option<response::Body> {
     let organisation = fetch.organisation.parse().ok()?;
     let state = shared.state.lock();
--- a/crates/foxtide-mesh/src/errors.rs
+++ b/crates/foxtide-mesh/src/errors.rs
@@ -1,4 +1,4 @@
-//! What can go wrong between two processes.
+//! Errors of the mesh.
 
 use foxtide_core::ids::InstanceId;
 use std::io;
@@ -7,39 +7,39 @@
 /// The result of a fallible operation of this crate.
 pub type Result<T> = std::result::Result<T, Error>;
 
-/// What went wrong, at which step and with which peer.
+/// An error of the mesh, by step and address.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// A socket of this instance cannot be opened.
-    #[error("listen on {address}: {source}")]
+    /// Opening a listening socket failed.
+    #[error("cannot listen on {address}: {source}")]
     Listen {
-        /// The address that was asked for.
+        /// The requested address.
         address: SocketAddr,
-        /// What the system said.
+        /// The operating system error.
         source: io::Error,
     },
-    /// A peer cannot be connected to; nothing was sent.
-    #[error("connect to {peer}: {source}")]
+    /// Connecting to a peer failed; nothing was sent.
+    #[error("cannot connect to {peer}: {source}")]
     Connect {
         /// The peer's address.
         peer: SocketAddr,
-        /// What the system said.
+        /// The operating system error.
         source: io::Error,
     },
-    /// An exchange with a peer broke off after something was sent.
-    #[error("exchange with {peer}: {source}")]
+    /// An exchange with a peer failed after data may have been sent.
+    #[error("exchange with {peer} failed: {source}")]
     Exchange {
         /// The peer's address.
         peer: SocketAddr,
-        /// What the system said.
+        /// The operating system error.
         source: io::Error,
     },
-    /// A peer's answer cannot be read or does not fit the request.
-    #[error("answer of {peer}: {reason}")]
+    /// The response of a peer is malformed or does not match the request.
+    #[error("invalid response from {peer}: {reason}")]
     InvalidResponse {
         /// The peer's address.
         peer: SocketAddr,
-        /// What is wrong with it.
+        /// Why the response is invalid.
         reason: &'static str,
     },
 }
@@ -66,24 +66,24 @@
     }
 }
 
-/// Why a call to a peer has no answer.
+/// An error of a call to a peer.
 #[derive(Debug, thiserror::Error)]
 pub enum CallError {
-    /// The peer cannot have begun the call: no byte of it was sent, or the
-    /// peer said that it did not take it.
-    #[error("call to {instance} not sent: {reason}")]
+    /// The peer did not start the call: nothing was sent, or the peer did not
+    /// accept it.
+    #[error("call to {instance} was not sent: {reason}")]
     NotSent {
-        /// Whom the call was for.
+        /// The instance that was called.
         instance: InstanceId,
-        /// What stood in the way.
+        /// Why the call was not sent or not accepted.
         reason: String,
     },
-    /// The call may have been carried out.
-    #[error("call to {instance} has no answer: {reason}")]
+    /// No valid response arrived; the peer may have executed the call.
+    #[error("outcome of the call to {instance} is unknown: {reason}")]
     Unknown {
-        /// Whom the call was for.
+        /// The instance that was called.
         instance: InstanceId,
-        /// What happened to the answer.
+        /// Why there is no valid response.
         reason: String,
     },
 }
--- a/crates/foxtide-mesh/src/join.rs
+++ b/crates/foxtide-mesh/src/join.rs
@@ -1,4 +1,4 @@
-//! Joining the fleet, and exchanging all that is known with one peer.
+//! Joins the fleet and synchronises full state with single peers.
 
 use crate::errors::{
     Error,
@@ -30,36 +30,37 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Shortest time between two exchanges with the same peer.
+/// Minimum time between two exchanges with the same peer.
 const EXCHANGE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Wait between two attempts to find the fleet.
+/// Delay between attempts to join while no peer responds.
 const JOIN_RETRY_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Wait between two attempts to reach a seed that is no member.
+/// Interval between attempts to reach a seed that is no known member.
 const UNKNOWN_SEED_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Wait between two looks at whether all documents have arrived.
+/// Polling interval while fetches are in progress.
 const FETCH_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Senders that are no members of which packet numbers are kept.
+/// Allowance for replay windows of senders that are no members.
 const NON_MEMBER_SENDERS_MAX: usize = 64;
 
-/// Seeds tried at once.
+/// Number of seeds contacted concurrently.
 const SEED_BATCH_SIZE: usize = 8;
 
-/// How far an instance has come in taking over what its peers know.
+/// Progress of synchronising with peers after the start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Synchronisation {
-    /// It is still asking.
+    /// The first exchange with peers is in progress.
     Joining,
-    /// No peer answered; only the store can tell the configuration.
+    /// No peer responded; the configuration can only come from the store.
     NoPeers,
-    /// It holds the newest that so many peers know.
+    /// The state of this many peers has been merged.
     WithPeers(usize),
 }
 
-/// Joins the fleet, and keeps looking for parts of it that are not known.
+/// Joins the fleet, then keeps contacting seeds that are no known members, so
+/// that separated parts of the fleet merge.
 pub(crate) async fn run(shared: Arc<Shared>) {
     loop {
         let peers = exchange_with_seeds(&shared).await;
@@ -78,19 +79,20 @@
     }
 }
 
-/// Exchanges with as many seeds as are wanted; returns how many answered.
+/// Exchanges state with seeds until `join_peers` of them have responded; returns
+/// how many did.
 async fn exchange_with_seeds(shared: &Arc<Shared>) -> usize {
     let seeds = shuffled_seeds(shared);
-    let mut answered = 0;
+    let mut responses = 0;
     for batch in seeds.chunks(SEED_BATCH_SIZE) {
         let exchanges = batch.iter().map(|seed| exchange(shared, *seed));
         let results = join_all(exchanges).await;
-        answered += results.iter().filter(|result| result.is_ok()).count();
-        if answered >= shared.options.join_peers {
+        responses += results.iter().filter(|result| result.is_ok()).count();
+        if responses >= shared.options.join_peers {
             break;
         }
     }
-    answered
+    responses
 }
 
 fn shuffled_seeds(shared: &Shared) -> Vec<SocketAddr> {
@@ -105,7 +107,7 @@
     shared.state.lock().membership.members().count() > 1
 }
 
-/// Waits until every document that peers announced is held.
+/// Waits until every announced document has been fetched.
 async fn wait_for_fetches(shared: &Arc<Shared>, peers: usize) {
     while !shared.state.lock().fetches.is_empty() {
         smol::Timer::after(FETCH_POLL_INTERVAL).await;
@@ -113,7 +115,7 @@
     shared.state.lock().synchronisation = Synchronisation::WithPeers(peers.max(1));
 }
 
-/// Returns a seed that is the address of no member.
+/// Returns a random seed that is not the address of a known member.
 fn unknown_seed(shared: &Shared) -> Option<SocketAddr> {
     let mut state = shared.state.lock();
     let State {
@@ -130,7 +132,7 @@
     unknown.choose(rng)
 }
 
-/// Starts an exchange with a peer, unless there was one just now.
+/// Starts an exchange with a peer, unless one started within [`EXCHANGE_INTERVAL`].
 pub(crate) fn start_exchange(shared: &Arc<Shared>, peer: SocketAddr) {
     let now = shared.now();
     let mut state = shared.state.lock();
@@ -143,38 +145,41 @@
     let shared = shared.clone();
     smol::spawn(async move {
         if let Err(error) = exchange(&shared, peer).await {
-            log::debug!("{error}");
+            log::debug!("state exchange failed: {error}");
         }
     })
     .detach();
 }
 
-/// Exchanges all that is known with a peer.
+/// Exchanges full state with a peer.
 async fn exchange(shared: &Arc<Shared>, peer: SocketAddr) -> Result<()> {
-    let ours = snapshot(shared);
+    let local = snapshot(shared);
     let timeout = shared.options.exchange_timeout;
-    let request = request::Body::Synchronise(ours);
+    let request = request::Body::Synchronise(local);
     match streams::send_request(shared, peer, request, timeout).await? {
-        response::Body::Synchronise(theirs) => {
-            merge(shared, &theirs, Some(peer));
+        response::Body::Synchronise(remote) => {
+            merge(shared, &remote, Some(peer));
             Ok(())
         }
-        _ => Err(Error::invalid_response(peer, "not a snapshot")),
+        _ => Err(Error::invalid_response(
+            peer,
+            "the response is not a snapshot",
+        )),
     }
 }
 
-/// Answers a peer that wants to exchange all that is known.
+/// Merges a peer's snapshot and returns the own one.
 pub(crate) fn handle_synchronise(
     shared: &Arc<Shared>,
     sender: &str,
-    theirs: &Snapshot,
+    remote: &Snapshot,
 ) -> Option<response::Body> {
-    let ours = snapshot(shared);
-    merge(shared, theirs, address_in(theirs, sender));
-    Some(response::Body::Synchronise(ours))
+    let local = snapshot(shared);
+    merge(shared, remote, address_in(remote, sender));
+    Some(response::Body::Synchronise(local))
 }
 
-/// Returns where the sender of a snapshot says that it listens.
+/// Returns the peer address that the sender of a snapshot lists for itself.
 fn address_in(snapshot: &Snapshot, sender: &str) -> Option<SocketAddr> {
     let mut members = snapshot.members.iter();
     let own = members.find(|member| member.instance == sender)?;
@@ -192,31 +197,30 @@
     }
 }
 
-/// Takes in what a peer knows; its documents only where it can be asked for
-/// them at a known address.
-fn merge(shared: &Arc<Shared>, theirs: &Snapshot, peer: Option<SocketAddr>) {
-    // A member that cannot be read does not spoil the rest.
-    let members = theirs.members.iter();
+/// Merges a peer's snapshot; documents are fetched only if its address is known.
+fn merge(shared: &Arc<Shared>, remote: &Snapshot, peer: Option<SocketAddr>) {
+    // Skips members that cannot be decoded, such as those of newer versions.
+    let members = remote.members.iter();
     let members: Vec<_> = members
         .filter_map(|member| read_member(member).ok())
         .collect();
     let now = shared.now();
     let outputs = shared.state.lock().membership.merge(members, now);
     apply_outputs(shared, outputs);
-    if let Some(theirs) = &theirs.load {
-        load::merge(shared, theirs);
+    if let Some(remote) = &remote.load {
+        load::merge(shared, remote);
     }
     let Some(peer) = peer else {
         return;
     };
-    for announcement in &theirs.announcements {
+    for announcement in &remote.announcements {
         if let Ok(announcement) = Announcement::try_from(announcement) {
             documents::handle_announcement(shared, &announcement, peer);
         }
     }
 }
 
-/// Forgets what is kept of peers that are gone.
+/// Removes state of peers that are no longer members.
 pub(crate) fn prune(shared: &Shared) {
     let now = shared.now();
     let mut state = shared.state.lock();
--- a/crates/foxtide-mesh/src/streams.rs
+++ b/crates/foxtide-mesh/src/streams.rs
@@ -1,4 +1,4 @@
-//! Requests to peers and answers to theirs, over streams.
+//! Request and response exchanges with peers over TCP.
 
 use crate::errors::{
     Error,
@@ -44,16 +44,16 @@
     FuturesAsyncReadCompatExt, //
 };
 
-/// The largest message over a stream: a document and its surroundings.
+/// Maximum size of a message; must exceed the largest document.
 const FRAME_MAX_BYTES: usize = 2 * 1_024 * 1_024;
 
-/// A peer that asks for nothing for so long is disconnected.
+/// Time without a request after which a connection is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Wait after a failed accept, so that a broken socket does not spin.
+/// Delay after a failed accept, to avoid a busy loop on a broken socket.
 const ERROR_BACKOFF: Duration = Duration::from_millis(20);
 
-/// A stream of messages.
+/// A TCP stream with length-delimited messages.
 type FramedStream = Framed<Compat<TcpStream>, LengthDelimitedCodec>;
 
 fn framed(stream: TcpStream) -> FramedStream {
@@ -63,7 +63,7 @@
     Framed::new(stream.compat(), codec)
 }
 
-/// Waits for `future`, but no longer than `limit`.
+/// Waits for `future` for at most `timeout`.
 pub(crate) async fn with_timeout<T>(
     timeout: Duration,
     future: impl Future<Output = io::Result<T>>,
@@ -75,12 +75,12 @@
     smol::future::or(future, timer).await
 }
 
-/// Sends a request to a peer and returns its answer.
+/// Sends a request to a peer and returns the body of its response.
 ///
 /// # Errors
 ///
-/// Fails with [`Error::Connect`] where nothing was sent, and otherwise where
-/// no answer came that can be read.
+/// Fails with [`Error::Connect`] if nothing was sent, with [`Error::Exchange`] if
+/// no response arrived, and with [`Error::InvalidResponse`] if it is invalid.
 pub(crate) async fn send_request(
     shared: &Shared,
     peer: SocketAddr,
@@ -93,7 +93,7 @@
     let connect_timeout = timeout.min(shared.options.connect_timeout);
     let stream = with_timeout(connect_timeout, TcpStream::connect(peer)).await;
     let stream = stream.map_err(|source| Error::connect(peer, source))?;
-    // Without it a small request may wait for the peer's delayed answer.
+    // Nagle's algorithm would delay small requests.
     let _ = stream.set_nodelay(true);
     let request = Request {
         header: Some(shared.header()),
@@ -105,7 +105,7 @@
     let response = response.map_err(|source| Error::exchange(peer, source))?;
     let header = response
         .header
-        .ok_or(Error::invalid_response(peer, "no header"))?;
+        .ok_or(Error::invalid_response(peer, "the response has no header"))?;
     let checked = shared.state.lock().validator.check(&header);
     checked.map_err(|rejection| {
         shared.reject(peer, rejection);
@@ -114,7 +114,7 @@
     shared.observe_clock(&header);
     response
         .body
-        .ok_or(Error::invalid_response(peer, "refused"))
+        .ok_or(Error::invalid_response(peer, "the response has no body"))
 }
 
 async fn round_trip(
@@ -125,13 +125,13 @@
     let bytes = request.encode_to_vec();
     shared.traffic.sent_stream(bytes.len() as u64);
     frames.send(Bytes::from(bytes)).await?;
-    let answer = frames.next().await;
-    let answer = answer.ok_or(io::ErrorKind::UnexpectedEof)??;
-    shared.traffic.received_stream(answer.len() as u64);
-    Ok(Response::decode(answer.freeze())?)
+    let bytes = frames.next().await;
+    let bytes = bytes.ok_or(io::ErrorKind::UnexpectedEof)??;
+    shared.traffic.received_stream(bytes.len() as u64);
+    Ok(Response::decode(bytes.freeze())?)
 }
 
-/// Accepts connections of peers for as long as the task lives.
+/// Accepts connections from peers until the task is cancelled.
 pub(crate) async fn accept(shared: Arc<Shared>, listener: TcpListener) {
     loop {
         match listener.accept().await {
@@ -140,14 +140,17 @@
                 smol::spawn(serve(shared, stream, peer)).detach();
             }
             Err(error) => {
-                log::debug!("accept at {}: {error}", shared.address);
+                log::debug!(
+                    "accepting a connection at {} failed: {error}",
+                    shared.address
+                );
                 smol::Timer::after(ERROR_BACKOFF).await;
             }
         }
     }
 }
 
-/// Answers the requests of one connection.
+/// Responds to the requests of one connection.
 async fn serve(shared: Weak<Shared>, stream: TcpStream, peer: SocketAddr) {
     let _ = stream.set_nodelay(true);
     let mut frames = framed(stream);
@@ -179,7 +182,7 @@
     }
 }
 
-/// Reads a request and checks that it is to be answered.
+/// Decodes a request and validates its header.
 fn decode_request(shared: &Shared, bytes: &[u8]) -> std::result::Result<Request, Rejection> {
     let request = Request::decode(bytes).map_err(|_| Rejection::Malformed)?;
     let header = request.header.as_ref().ok_or(Rejection::Malformed)?;
@@ -191,7 +194,9 @@
 async fn handle_request(shared: &Arc<Shared>, request: Request) -> Option<response::Body> {
     let sender = request.header?.sender;
     match request.body? {
-        request::Body::Synchronise(theirs) => join::handle_synchronise(shared, &sender, &theirs),
+        request::Body::Synchronise(snapshot) => {
+            join::handle_synchronise(shared, &sender, &snapshot)
+        }
         request::Body::Fetch(fetch) => documents::handle_fetch(shared, &fetch),
         request::Body::Call(call) => calls::handle_call(shared, &sender, call).await,
     }
