--- a/crates/foxtide-mesh/src/datagrams.rs
+++ b/crates/foxtide-mesh/src/datagrams.rs
@@ -1,4 +1,4 @@
-//! Receiving datagrams and stepping the protocol.
+//! Receives datagrams and advances the protocol timers.
 
 use crate::shared::{
     Shared,
@@ -25,14 +25,13 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Room for a datagram; of a larger one than ours the rest is cut off, so that
-/// it cannot be read.
+/// Larger than any valid datagram; a longer one is truncated and fails to decode.
 const RECEIVE_BUFFER_BYTES: usize = 2_048;
 
-/// Wait after a failed read, so that a broken socket does not spin.
+/// Delay after a failed read, to avoid a busy loop on a broken socket.
 const ERROR_BACKOFF: Duration = Duration::from_millis(20);
 
-/// Receives datagrams for as long as the task lives.
+/// Receives datagrams until the task is cancelled.
 pub(crate) async fn receive(shared: Arc<Shared>) {
     let mut buffer = vec![0; RECEIVE_BUFFER_BYTES];
     loop {
@@ -42,7 +41,7 @@
                 handle_datagram(&shared, from, &buffer[..size_bytes]);
             }
             Err(error) => {
-                log::debug!("receive at {}: {error}", shared.address);
+                log::debug!("receiving a datagram at {} failed: {error}", shared.address);
                 smol::Timer::after(ERROR_BACKOFF).await;
             }
         }
@@ -63,13 +62,13 @@
     }
 }
 
-/// What a datagram holds.
+/// The decoded body of a datagram.
 enum Content {
     Packet(Packet),
     Load(LoadMessage),
 }
 
-/// Reads a datagram and checks that it is to be taken in.
+/// Decodes a datagram and validates its header.
 fn decode_datagram(shared: &Shared, bytes: &[u8]) -> Result<(InstanceId, Content), Rejection> {
     let datagram = Datagram::decode(bytes).map_err(|_| Rejection::Malformed)?;
     let header = datagram.header.clone().ok_or(Rejection::Malformed)?;
@@ -88,7 +87,7 @@
     read_datagram(datagram).map(Content::Packet)
 }
 
-/// Steps the protocol for as long as the task lives.
+/// Advances the protocols once per tick until the task is cancelled.
 pub(crate) async fn tick(shared: Arc<Shared>) {
     loop {
         smol::Timer::after(shared.options.tick_interval).await;
--- a/crates/foxtide-mesh/src/faults.rs
+++ b/crates/foxtide-mesh/src/faults.rs
@@ -1,4 +1,4 @@
-//! Loss of messages on purpose, for tests and measurements.
+//! Fault injection: packet loss and network partitions, for tests and benchmarks.
 
 use parking_lot::Mutex;
 use parking_lot::RwLock;
@@ -15,19 +15,19 @@
     Ordering, //
 };
 
-/// The side of a partition on which an address lies.
+/// The side of a partition to which an address belongs.
 type Side = u32;
 
-/// What is to be lost.
+/// The faults in effect.
 #[derive(Debug, Default)]
 struct Rules {
     loss_share: f64,
     sides: HashMap<SocketAddr, Side>,
 }
 
-/// A network that loses messages; shared by all instances of a test.
+/// Injects network faults; clones share the faults.
 ///
-/// Without rules it costs one atomic read a message.
+/// Without faults it costs one atomic load per message.
 #[derive(Clone, Debug, Default)]
 pub struct Faults(Arc<Inner>);
 
@@ -49,12 +49,12 @@
 }
 
 impl Faults {
-    /// Loses this share of all datagrams.
+    /// Drops this share of all datagrams at random.
     pub fn set_loss(&self, share: f64) {
         self.change(|rules| rules.loss_share = share);
     }
 
-    /// Cuts the given groups off from one another and from all others.
+    /// Isolates the given groups from one another and from all other addresses.
     pub fn partition(&self, groups: &[Vec<SocketAddr>]) {
         self.change(|rules| {
             rules.sides.clear();
@@ -65,7 +65,7 @@
         });
     }
 
-    /// Ends all faults.
+    /// Removes all faults.
     pub fn heal(&self) {
         self.change(|rules| *rules = Rules::default());
     }
@@ -77,7 +77,7 @@
         self.0.active.store(active, Ordering::Release);
     }
 
-    /// Returns whether a datagram arrives.
+    /// Returns whether a datagram is delivered.
     pub(crate) fn delivers_datagram(&self, from: SocketAddr, to: SocketAddr) -> bool {
         if !self.0.active.load(Ordering::Acquire) {
             return true;
@@ -87,7 +87,7 @@
         !lost && self.is_reachable(from, to)
     }
 
-    /// Returns whether two addresses reach each other at all.
+    /// Returns whether no partition separates two addresses.
     pub(crate) fn is_reachable(&self, from: SocketAddr, to: SocketAddr) -> bool {
         if !self.0.active.load(Ordering::Acquire) {
             return true;
--- a/crates/foxtide-mesh/src/handle.rs
+++ b/crates/foxtide-mesh/src/handle.rs
@@ -1,4 +1,4 @@
-//! Starting the mesh of an instance and using it.
+//! Public interface of the mesh: starting it and its handle.
 
 use crate::calls::{
     self,
@@ -58,23 +58,23 @@
     UNIX_EPOCH, //
 };
 
-/// Attempts to find a port that is free for both protocols.
+/// Attempts to find a port that is free for both TCP and UDP.
 const BIND_ATTEMPTS: u32 = 16;
 
-/// Documents that wait for a subscriber; one that lags so far is dropped.
+/// Documents queued for a subscriber; a subscriber whose queue is full is removed.
 const SUBSCRIPTION_CAPACITY: usize = 65_536;
 
-/// The mesh; see [`Mesh::start`].
+/// Entry point of the mesh; see [`Mesh::start`].
 #[derive(Debug)]
 pub struct Mesh;
 
 impl Mesh {
-    /// Starts to listen, to probe and to join the fleet through `seeds`, which
-    /// may be out of date.
+    /// Starts listening and probing, and joins the fleet through `seeds`, some of
+    /// which may be stale.
     ///
     /// # Errors
     ///
-    /// Fails where the peer address cannot be listened at.
+    /// Fails if the peer address cannot be bound.
     pub fn start(
         identity: Identity,
         seeds: &[SocketAddr],
@@ -98,7 +98,7 @@
             peer_address: bound,
             caller_address: identity.caller_address,
             process: identity.process,
-            // Above that of an earlier process of the same name.
+            // Higher than that of an earlier process of the same name.
             incarnation: Incarnation::new(epoch_us / 1_000),
             state: if options.starts_joining {
                 MemberState::Joining
@@ -120,7 +120,7 @@
     }
 }
 
-/// Binds both protocols to the same port.
+/// Binds TCP and UDP to the same port.
 fn bind(address: SocketAddr) -> std::io::Result<(TcpListener, UdpSocket)> {
     let mut attempt = 1;
     loop {
@@ -133,9 +133,9 @@
     }
 }
 
-/// The running mesh of one instance; clones share it.
+/// A handle to the running mesh of one instance; clones share it.
 ///
-/// It runs until [`MeshHandle::stop`] or until the last clone is dropped.
+/// The mesh runs until [`MeshHandle::stop`] or until the last clone is dropped.
 #[derive(Clone, Debug)]
 pub struct MeshHandle {
     shared: Arc<Shared>,
@@ -143,17 +143,17 @@
 }
 
 impl MeshHandle {
-    /// Returns this instance as it presents itself.
+    /// Returns the member record of this instance.
     pub fn own(&self) -> Member {
         self.shared.state.lock().membership.own().clone()
     }
 
-    /// Returns where this instance listens for others.
+    /// Returns the address at which this instance listens for peers.
     pub fn peer_address(&self) -> SocketAddr {
         self.shared.address
     }
 
-    /// Returns all members, this instance and the dead of late included.
+    /// Returns all members, including this instance and recently dead ones.
     pub fn members(&self) -> Vec<Member> {
         let state = self.shared.state.lock();
         state.membership.members().cloned().collect()
@@ -169,50 +169,49 @@
             .cloned()
     }
 
-    /// Adds addresses at which instances may be, such as the platform's list
-    /// names; they are hints only.
+    /// Adds addresses to try when looking for instances; they may be stale.
     pub fn add_seeds(&self, seeds: &[SocketAddr]) {
         self.shared.state.lock().seeds.extend(seeds);
     }
 
-    /// Returns whether this instance is one of those of its zone that watch
-    /// the store.
+    /// Returns whether this instance is one of the store watchers of its
+    /// availability zone.
     pub fn is_watcher(&self) -> bool {
         let count = self.shared.options.watchers_per_zone;
         let state = self.shared.state.lock();
         state.membership.holds(Role::Watcher, count)
     }
 
-    /// Publishes a document, as read from the store; returns whether it is
-    /// newer than the one held. An older one is never applied.
+    /// Publishes a document read from the store; returns whether it is newer
+    /// than the stored one. An older one is ignored.
     pub fn publish_configuration(&self, document: &Document) -> bool {
         documents::apply_document(&self.shared, document)
     }
 
-    /// Returns the newest document held of each organisation.
+    /// Returns the newest known document of each organisation.
     pub fn configurations(&self) -> Vec<Document> {
         let state = self.shared.state.lock();
         state.configurations.documents().cloned().collect()
     }
 
-    /// Returns a stream of all documents that this instance takes in from now
-    /// on, each newer than the one before it of the same organisation.
+    /// Returns a channel of the documents applied from now on; the revisions of
+    /// an organisation increase.
     pub fn configuration_changes(&self) -> Receiver<Document> {
         let (sender, receiver) = smol::channel::bounded(SUBSCRIPTION_CAPACITY);
         self.shared.subscribers.lock().push(sender);
         receiver
     }
 
-    /// Sets what this instance reports for an organisation.
+    /// Sets the load report of this instance for an organisation.
     pub fn publish_load(&self, organisation: &OrganisationId, report: InstanceReport) {
         let now = load::wall_now();
         let mut state = self.shared.state.lock();
         state.load.publish(organisation.clone(), report, now);
     }
 
-    /// Returns what is known of an organisation's load in all regions.
+    /// Returns the known load of an organisation in all regions.
     ///
-    /// Its times are on [`MeshOptions::clock`].
+    /// Its times are those of [`MeshOptions::clock`].
     pub fn fleet_view(&self, organisation: &OrganisationId) -> FleetView {
         let now = load::moment(&self.shared);
         let state = self.shared.state.lock();
@@ -220,29 +219,28 @@
         state.load.fleet_view(organisation, members, now)
     }
 
-    /// Returns the time between two rounds of spreading load; it grows where
-    /// the table of all regions is too large for the budget.
+    /// Returns the interval between load messages; it grows when the table of
+    /// all regions exceeds the bandwidth budget.
     pub fn load_interval(&self) -> Duration {
         self.shared.state.lock().load.interval()
     }
 
-    /// Returns how far this instance has taken over what its peers know.
+    /// Returns the progress of synchronising with peers after the start.
     pub fn synchronisation(&self) -> Synchronisation {
         self.shared.state.lock().synchronisation
     }
 
-    /// Returns whether this instance holds the newest that its peers know, or
-    /// found that it has none.
+    /// Returns whether synchronising has ended, with or without peers.
     pub fn synchronised(&self) -> bool {
         self.synchronisation() != Synchronisation::Joining
     }
 
-    /// Calls a peer, which receives it by [`MeshHandle::incoming_calls`].
+    /// Calls a peer, which receives the call from [`MeshHandle::incoming_calls`].
     ///
     /// # Errors
     ///
-    /// Fails with [`CallError::NotSent`] where the peer cannot have begun the
-    /// call, and with [`CallError::Unknown`] where it may have.
+    /// Fails with [`CallError::NotSent`] if the peer did not start the call, and
+    /// with [`CallError::Unknown`] if it may have.
     pub async fn call(
         &self,
         target: &InstanceId,
@@ -252,42 +250,42 @@
         calls::call(&self.shared, target, bytes, deadline).await
     }
 
-    /// Returns the stream of peers' calls; each goes to one receiver.
+    /// Returns the channel of calls from peers; each call goes to one receiver.
     pub fn incoming_calls(&self) -> Receiver<IncomingCall> {
         self.shared.calls.1.clone()
     }
 
-    /// Announces that this instance, which was joining, serves callers.
+    /// Announces that this instance has finished joining and serves callers.
     pub fn serve(&self) {
         let now = self.shared.now();
         let outputs = self.shared.state.lock().membership.serve(now);
         apply_outputs(&self.shared, outputs);
     }
 
-    /// Announces that this instance leaves. It keeps answering peers until it
-    /// is stopped.
+    /// Announces that this instance is leaving. It responds to peers until it is
+    /// stopped.
     pub fn leave(&self) {
         let now = self.shared.now();
         let outputs = self.shared.state.lock().membership.leave(now);
         apply_outputs(&self.shared, outputs);
     }
 
-    /// Ends all work at once, without a word to peers.
+    /// Stops all tasks at once, without notifying peers.
     pub fn stop(&self) {
         self.tasks.lock().clear();
     }
 
-    /// Returns what this instance sent, received and rejected.
+    /// Returns the traffic counters of this instance.
     pub fn traffic(&self) -> TrafficCounts {
         self.shared.traffic.counts()
     }
 
-    /// Returns how many rumours this instance still spreads.
+    /// Returns the number of rumours queued for sending.
     pub fn waiting_rumours(&self) -> usize {
         self.shared.state.lock().membership.waiting_rumours()
     }
 
-    /// Returns how often things happened in the membership protocol.
+    /// Returns the event counters of the membership protocol.
     pub fn counts(&self) -> MembershipCounts {
         self.shared.state.lock().membership.counts()
     }
--- a/crates/foxtide-mesh/src/header_validator.rs
+++ b/crates/foxtide-mesh/src/header_validator.rs
@@ -1,39 +1,38 @@
-//! Which messages are taken in: those of the own fleet, of a version that can
-//! be read, and each only once.
+//! Validates message headers: cluster, version and replays.
 
 use crate::traffic::Rejection;
 use crate::wire::Header;
 use std::collections::HashMap;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// The version of the messages that this program writes.
+/// The protocol version of the messages that this program sends.
 pub(crate) const VERSION: u32 = 1;
 
-/// The oldest program that can read what this program writes.
+/// The oldest protocol version whose programs can read these messages.
 ///
-/// A field that older programs may skip raises [`VERSION`] alone; a change
-/// that they would misread raises this too, one release later.
+/// A field that older programs may skip raises [`VERSION`] alone; an
+/// incompatible change raises this too, one release later.
 pub(crate) const MINIMUM_VERSION: u32 = 1;
 
-/// Packets that may overtake one another.
+/// Packets behind the highest sequence number that are still accepted.
 const REPLAY_WINDOW_PACKETS: u64 = 64;
 
-/// Returns the number that stands for a fleet's name in each message.
+/// Returns the hash of a cluster's name that each header carries.
 pub(crate) fn cluster_id(cluster: &str) -> u64 {
     xxh3_64(cluster.as_bytes())
 }
 
-/// The packets seen of one process of a peer (as RFC 4303, section 3.4.3).
+/// The anti-replay window of one process of a peer (RFC 4303, section 3.4.3).
 #[derive(Clone, Copy, Debug, Default)]
 struct ReplayWindow {
     epoch_us: u64,
     highest: u64,
-    /// Bit `n` stands for the packet `n` before the highest.
+    /// Bit `n` is set once packet `highest - n` has arrived.
     bitmap: u64,
 }
 
 impl ReplayWindow {
-    /// Returns whether a packet is new, and notes it.
+    /// Records a packet; returns whether it is new.
     fn accept(&mut self, epoch_us: u64, sequence: u64) -> bool {
         if epoch_us < self.epoch_us {
             return false;
@@ -64,7 +63,7 @@
     }
 }
 
-/// Decides which messages are taken in.
+/// Validates the headers of received messages.
 #[derive(Debug)]
 pub(crate) struct HeaderValidator {
     cluster: u64,
@@ -72,7 +71,7 @@
 }
 
 impl HeaderValidator {
-    /// Returns the guard of a fleet.
+    /// Returns a validator that accepts messages of `cluster` only.
     pub(crate) fn new(cluster: u64) -> Self {
         Self {
             cluster,
@@ -80,7 +79,7 @@
         }
     }
 
-    /// Checks the fleet and version of a message.
+    /// Checks the cluster and version of a message.
     pub(crate) fn check(&self, header: &Header) -> Result<(), Rejection> {
         if header.cluster != self.cluster {
             return Err(Rejection::ForeignCluster);
@@ -91,7 +90,7 @@
         Ok(())
     }
 
-    /// Checks a datagram, also that it was not seen before.
+    /// Checks a datagram, and that it is no replay.
     pub(crate) fn check_once(&mut self, header: &Header) -> Result<(), Rejection> {
         self.check(header)?;
         let window = self.windows.entry(header.sender.clone()).or_default();
@@ -102,12 +101,12 @@
         }
     }
 
-    /// Returns how many senders are kept.
+    /// Returns the number of senders with a replay window.
     pub(crate) fn sender_count(&self) -> usize {
         self.windows.len()
     }
 
-    /// Forgets all senders but those that `keep` accepts.
+    /// Removes the replay windows of senders for which `keep` returns false.
     pub(crate) fn retain(&mut self, keep: impl Fn(&str) -> bool) {
         self.windows.retain(|sender, _| keep(sender));
     }
--- a/crates/foxtide-mesh/src/lib.rs
+++ b/crates/foxtide-mesh/src/lib.rs
@@ -1,7 +1,7 @@
-//! What foxtide processes say to each other: membership and spreading.
+//! Messages between foxtide instances: membership, configuration, load and calls.
 //!
-//! The decisions are in [`foxtide_core::membership`] and
-//! [`foxtide_core::spreading`]; this crate encodes, sends and receives.
+//! The protocols are state machines in [`foxtide_core::membership`] and
+//! [`foxtide_core::spreading`]; this crate does their encoding and network I/O.
 
 mod calls;
 mod datagrams;
--- a/crates/foxtide-mesh/src/load.rs
+++ b/crates/foxtide-mesh/src/load.rs
@@ -1,4 +1,4 @@
-//! Sending and receiving load records.
+//! Sends and receives load records.
 
 use crate::shared::Shared;
 use crate::wire::{
@@ -23,13 +23,13 @@
     UNIX_EPOCH, //
 };
 
-/// Returns the wall clock's time.
+/// Returns the current wall-clock time.
 pub(crate) fn wall_now() -> WallTime {
     let since = SystemTime::now().duration_since(UNIX_EPOCH);
     WallTime::ZERO + since.unwrap_or(Duration::ZERO)
 }
 
-/// Returns the present moment on both clocks.
+/// Returns the current time on both clocks.
 pub(crate) fn moment(shared: &Shared) -> Moment {
     Moment {
         monotonic: shared.now(),
@@ -37,7 +37,7 @@
     }
 }
 
-/// Sends what is due.
+/// Sends the load messages that are due.
 pub(crate) fn tick(shared: &Shared) {
     let mut guard = shared.state.lock();
     let state = &mut *guard;
@@ -50,20 +50,20 @@
     send_all(shared, sends);
 }
 
-/// Takes in load records of a peer.
+/// Merges the load records of a peer and sends the resulting messages.
 pub(crate) fn receive(shared: &Shared, sender: &InstanceId, message: LoadMessage) {
     let now = wall_now();
     let sends = shared.state.lock().load.receive(sender, message, now);
     send_all(shared, sends);
 }
 
-/// Returns the table of all regions, for a peer that starts.
+/// Returns the table of all regions, for a snapshot.
 pub(crate) fn snapshot(shared: &Shared) -> Load {
     let records = shared.state.lock().load.records().cloned().collect();
     Load::from(&LoadMessage::Table(records))
 }
 
-/// Takes a peer's table in.
+/// Merges the load table of a peer's snapshot.
 pub(crate) fn merge(shared: &Shared, load: &Load) {
     if let Ok(LoadMessage::Table(records)) = read_load(load) {
         shared.state.lock().load.take_newer(records, wall_now());
@@ -76,15 +76,15 @@
     }
 }
 
-/// Sends a message in as many datagrams as it needs.
+/// Sends a message, split into as many datagrams as it needs.
 fn send(shared: &Shared, to: SocketAddr, message: LoadMessage) {
-    let whole = Datagram {
+    let datagram = Datagram {
         header: Some(shared.header()),
         body: Some(datagram::Body::Load((&message).into())),
         ..Datagram::default()
     };
-    if whole.encoded_len() <= DATAGRAM_MAX_BYTES {
-        shared.send(to, &whole);
+    if datagram.encoded_len() <= DATAGRAM_MAX_BYTES {
+        shared.send(to, &datagram);
         return;
     }
     let (mut records, wrap): (_, fn(_) -> _) = match message {
@@ -93,7 +93,10 @@
     };
     if records.len() <= 1 {
         shared.traffic.unsent_datagram();
-        log::warn!("load record of {} bytes is not sent", whole.encoded_len());
+        log::warn!(
+            "load record of {} bytes exceeds the datagram limit; not sent",
+            datagram.encoded_len()
+        );
         return;
     }
     let rest = records.split_off(records.len() / 2);
--- a/crates/foxtide-mesh/src/options.rs
+++ b/crates/foxtide-mesh/src/options.rs
@@ -1,4 +1,4 @@
-//! Settings of the mesh.
+//! Identity of an instance and options of the mesh.
 
 use crate::faults::Faults;
 use foxtide_clock::SteadyClock;
@@ -14,54 +14,54 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Who an instance is and where it stands.
+/// Name, location and addresses of an instance.
 #[derive(Clone, Debug)]
 pub struct Identity {
-    /// Its name, unique in the fleet.
+    /// The name of the instance, unique in the fleet.
     pub instance: InstanceId,
-    /// The region it stands in.
+    /// The region of the instance.
     pub region: RegionId,
-    /// The availability zone it stands in.
+    /// The availability zone of the instance.
     pub availability_zone: AvailabilityZoneId,
-    /// Where it listens for other instances, UDP and TCP; port 0 takes any.
+    /// The address for other instances, UDP and TCP; port 0 selects a free port.
     pub peer_address: SocketAddr,
-    /// Where callers reach it.
+    /// The address for callers.
     pub caller_address: SocketAddr,
-    /// The process in which it runs, for idempotency keys.
+    /// The number of the process, for idempotency keys.
     pub process: ProcessNumber,
 }
 
-/// Settings of the mesh.
+/// Options of the mesh.
 #[derive(Clone, Debug)]
 pub struct MeshOptions {
-    /// The fleet's name; messages of other fleets are dropped. Default
+    /// The cluster's name; messages of other clusters are dropped. Default
     /// `foxtide`.
     pub cluster: String,
-    /// The membership protocol's settings.
+    /// Options of the membership protocol.
     pub membership: MembershipOptions,
-    /// The settings of the spreading of load.
+    /// Options of the distribution of load records.
     pub load: LoadOptions,
-    /// Whether the instance is no member for callers until
-    /// [`MeshHandle::serve`](crate::MeshHandle::serve). Default no.
+    /// Whether the instance stays in the joining state, in which it gets no
+    /// callers, until [`MeshHandle::serve`](crate::MeshHandle::serve). Default no.
     pub starts_joining: bool,
-    /// Time between two steps of the protocol. Default 50 ms.
+    /// Interval between protocol ticks. Default 50 ms.
     pub tick_interval: Duration,
-    /// How long connecting to a peer may take. Default 1 s.
+    /// Timeout for connecting to a peer. Default 1 s.
     pub connect_timeout: Duration,
-    /// How long an exchange with a peer may take. Default 5 s.
+    /// Timeout for an exchange with a peer. Default 5 s.
     pub exchange_timeout: Duration,
-    /// Peers from which a starting instance takes what they know. Default 3.
+    /// Number of peers with which a starting instance synchronises. Default 3.
     pub join_peers: usize,
-    /// Instances of each availability zone that watch the store. Default 2.
+    /// Number of instances per availability zone that watch the store. Default 2.
     pub watchers_per_zone: usize,
-    /// The steady clock. Default: one that begins with the call.
+    /// The clock of the protocols. Default: one that starts with the options.
     pub clock: SteadyClock,
-    /// Seed of all random choices; `None` draws one. Default `None`.
+    /// Seed of all random choices; `None` uses a random one. Default `None`.
     pub seed: Option<u64>,
-    /// The recorder whose hybrid clock goes along with every message, so that
-    /// events are placed after those that caused them. Default: none.
+    /// The recorder whose hybrid clock is sent with every message, so that
+    /// events sort after their causes. Default: none.
     pub recorder: Option<Recorder>,
-    /// Messages to lose, for tests and measurements. Default: none.
+    /// Injected network faults, for tests and benchmarks. Default: none.
     pub faults: Faults,
 }
 
--- a/crates/foxtide-mesh/src/shared.rs
+++ b/crates/foxtide-mesh/src/shared.rs
@@ -1,7 +1,7 @@
-//! What the tasks of one instance share.
+//! State shared by the tasks of one instance.
 //!
-//! Lock order: `state`, `subscribers`, then the recorder's own; none is held over an await
-//! or while a socket is used.
+//! Lock order: `state`, `subscribers`, then the recorder's own. No lock is held
+//! across an await or during socket I/O.
 
 use crate::calls::IncomingCall;
 use crate::documents;
@@ -75,7 +75,7 @@
     Ordering, //
 };
 
-/// What one instance knows.
+/// Protocol state of one instance.
 #[derive(Debug)]
 pub(crate) struct State {
     pub(crate) membership: Membership,
@@ -86,11 +86,11 @@
     pub(crate) rng: StdRng,
     pub(crate) seeds: BTreeSet<SocketAddr>,
     pub(crate) synchronisation: Synchronisation,
-    /// When each peer was last asked for all it knows.
+    /// Start of the last full exchange with each peer.
     pub(crate) exchanged_at: HashMap<SocketAddr, MonotonicTime>,
 }
 
-/// What the tasks of one instance share.
+/// State shared by the tasks of one instance.
 #[derive(Debug)]
 pub(crate) struct Shared {
     pub(crate) options: MeshOptions,
@@ -105,14 +105,12 @@
     sequence: AtomicU64,
 }
 
-/// Returns a seed that differs between instances.
 fn random_seed() -> u64 {
-    // Without the system's randomness all instances make the same choices,
-    // which costs speed alone.
+    // A constant seed makes instances choose alike, which is slower but correct.
     SysRng.try_next_u64().unwrap_or_default()
 }
 
-/// Calls that wait to be taken by the program that uses the mesh.
+/// Incoming calls queued for the application.
 const CALL_QUEUE_CAPACITY: usize = 1_024;
 
 impl Shared {
@@ -153,7 +151,6 @@
         }
     }
 
-    /// Returns the present time.
     pub(crate) fn now(&self) -> MonotonicTime {
         self.options.clock.now()
     }
@@ -174,7 +171,7 @@
         }
     }
 
-    /// Moves the hybrid clock past the sending of a message.
+    /// Advances the hybrid clock past a message's send time.
     pub(crate) fn observe_clock(&self, header: &Header) {
         let Some(recorder) = &self.options.recorder else {
             return;
@@ -186,7 +183,7 @@
         recorder.observe_from(&header.sender, clock);
     }
 
-    /// Counts and logs a message that is dropped.
+    /// Counts and logs a rejected message.
     pub(crate) fn reject(&self, from: SocketAddr, rejection: Rejection) {
         self.traffic.rejected(rejection);
         let code = EventCode::PeerMessageRejected.number();
@@ -194,7 +191,7 @@
     }
 }
 
-/// Does what a state machine decided.
+/// Executes the outputs of the membership state machine.
 pub(crate) fn apply_outputs(shared: &Arc<Shared>, outputs: Vec<Output>) {
     for output in outputs {
         match output {
@@ -211,7 +208,7 @@
 }
 
 impl Shared {
-    /// Sends a datagram; one that the system does not take is lost.
+    /// Sends a datagram; send errors are counted, not returned.
     pub(crate) fn send(&self, to: SocketAddr, datagram: &Datagram) {
         let bytes = datagram.encode_to_vec();
         if !self.options.faults.delivers_datagram(self.address, to) {
@@ -222,7 +219,7 @@
             Ok(size_bytes) => self.traffic.sent_datagram(size_bytes),
             Err(error) => {
                 self.traffic.unsent_datagram();
-                log::debug!("send to {to}: {error}");
+                log::debug!("sending a datagram to {to} failed: {error}");
             }
         }
     }
--- a/crates/foxtide-mesh/src/traffic.rs
+++ b/crates/foxtide-mesh/src/traffic.rs
@@ -1,28 +1,28 @@
-//! Counts of what one instance sends, receives and rejects.
+//! Counters of sent, received and rejected messages.
 
 use std::sync::atomic::{
     AtomicU64,
     Ordering, //
 };
 
-/// Bytes of IPv4 and UDP headers that each datagram costs besides its content.
+/// Size of the IPv4 and UDP headers of a datagram.
 const DATAGRAM_OVERHEAD_BYTES: u64 = 28;
 
-/// Why a message was dropped.
+/// Why a message was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Rejection {
-    /// It cannot be read.
+    /// The message cannot be decoded.
     Malformed,
-    /// It belongs to another fleet.
+    /// The message belongs to another cluster.
     ForeignCluster,
-    /// It says that this program is too old for it.
+    /// The message requires a newer protocol version.
     FutureVersion,
-    /// It was seen before.
+    /// The message is a replay.
     Replayed,
 }
 
 impl Rejection {
-    /// Returns the name used in metrics and logs.
+    /// Returns the name for metrics and logs.
     pub const fn name(self) -> &'static str {
         match self {
             Self::Malformed => "malformed",
@@ -33,28 +33,28 @@
     }
 }
 
-/// What one instance sent, received and rejected since its start.
+/// Traffic counters of one instance since its start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct TrafficCounts {
     /// Datagrams sent.
     pub sent_datagrams: u64,
-    /// Bytes sent, with the headers of datagrams.
+    /// Bytes sent, including the headers of datagrams.
     pub sent_bytes: u64,
-    /// Bytes received, with the headers of datagrams.
+    /// Bytes received, including the headers of datagrams.
     pub received_bytes: u64,
-    /// Datagrams that the system did not take.
+    /// Datagrams that could not be sent.
     pub unsent_datagrams: u64,
-    /// Messages that could not be read.
+    /// Messages that could not be decoded.
     pub malformed: u64,
-    /// Messages of other fleets.
+    /// Messages of other clusters.
     pub foreign_cluster: u64,
-    /// Messages for newer programs.
+    /// Messages that require a newer protocol version.
     pub future_version: u64,
-    /// Messages seen before.
+    /// Replayed messages.
     pub replayed: u64,
 }
 
-/// The running counts.
+/// The counters behind [`TrafficCounts`].
 #[derive(Debug, Default)]
 pub(crate) struct Traffic {
     sent_datagrams: AtomicU64,
