--- a/crates/foxtide-mesh/tests/mesh/calls.rs
+++ b/crates/foxtide-mesh/tests/mesh/calls.rs
@@ -1,4 +1,4 @@
-//! Calls between instances, and what their errors claim.
+//! Calls between instances and their errors.
 
 use crate::fleet::{
     start_fleet,
@@ -19,27 +19,27 @@
     let fleet = start_fleet(2, &Faults::default());
     let calls = fleet[1].incoming_calls();
     let target = fleet[1].own().instance;
-    let answering = smol::spawn(async move {
+    let responder = smol::spawn(async move {
         let call = calls.recv().await.unwrap();
         assert_eq!(call.from.as_str(), "i0");
         let mut bytes = call.bytes.clone();
         bytes.reverse();
         call.respond(bytes);
     });
-    let answer = smol::block_on(fleet[0].call(&target, vec![1, 2, 3], DEADLINE));
-    assert_eq!(answer.unwrap(), [3, 2, 1]);
-    smol::block_on(answering);
+    let response = smol::block_on(fleet[0].call(&target, vec![1, 2, 3], DEADLINE));
+    assert_eq!(response.unwrap(), [3, 2, 1]);
+    smol::block_on(responder);
 }
 
 #[test]
 fn verify_a_call_that_was_dropped_is_unknown() {
     let fleet = start_fleet(2, &Faults::default());
     let calls = fleet[1].incoming_calls();
-    let dropping = smol::spawn(async move { drop(calls.recv().await) });
+    let responder = smol::spawn(async move { drop(calls.recv().await) });
     let target = fleet[1].own().instance;
-    let answer = smol::block_on(fleet[0].call(&target, vec![1], DEADLINE));
-    assert!(matches!(answer, Err(CallError::Unknown { .. })));
-    smol::block_on(dropping);
+    let response = smol::block_on(fleet[0].call(&target, vec![1], DEADLINE));
+    assert!(matches!(response, Err(CallError::Unknown { .. })));
+    smol::block_on(responder);
 }
 
 #[test]
@@ -47,21 +47,21 @@
     let fleet = start_fleet(2, &Faults::default());
     let target = fleet[1].own().instance;
     let deadline = Duration::from_millis(50);
-    let answer = smol::block_on(fleet[0].call(&target, vec![1], deadline));
-    assert!(matches!(answer, Err(CallError::Unknown { .. })));
+    let response = smol::block_on(fleet[0].call(&target, vec![1], deadline));
+    assert!(matches!(response, Err(CallError::Unknown { .. })));
 }
 
 #[test]
 fn verify_a_call_to_a_stopped_instance_is_not_sent() {
     let fleet = start_fleet(2, &Faults::default());
     fleet[1].stop();
-    wait_until("it is gone", || {
+    wait_until("the stopped instance is dead", || {
         state_of(&fleet[0], &fleet[1]) == Some(MemberState::Dead)
     });
     let target = fleet[1].own().instance;
-    let answer = smol::block_on(fleet[0].call(&target, vec![1], DEADLINE));
-    assert!(matches!(answer, Err(CallError::NotSent { .. })));
-    let nobody = "nobody".parse().unwrap();
-    let answer = smol::block_on(fleet[0].call(&nobody, vec![1], DEADLINE));
-    assert!(matches!(answer, Err(CallError::NotSent { .. })));
+    let response = smol::block_on(fleet[0].call(&target, vec![1], DEADLINE));
+    assert!(matches!(response, Err(CallError::NotSent { .. })));
+    let unknown = "unknown".parse().unwrap();
+    let response = smol::block_on(fleet[0].call(&unknown, vec![1], DEADLINE));
+    assert!(matches!(response, Err(CallError::NotSent { .. })));
 }
--- a/crates/foxtide-mesh/tests/mesh/fleet.rs
+++ b/crates/foxtide-mesh/tests/mesh/fleet.rs
@@ -1,4 +1,4 @@
-//! A few instances on loopback, and waiting for what they come to know.
+//! A fleet of instances on loopback, and conditions to wait for.
 
 use foxtide_core::idempotency::ProcessNumber;
 use foxtide_core::ids::InstanceId;
@@ -18,14 +18,16 @@
     Instant, //
 };
 
-/// Far above what any condition takes; only a fault reaches it.
-const PATIENCE: Duration = Duration::from_secs(60);
+const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// Waits until `condition` holds.
 pub(crate) fn wait_until(what: &str, condition: impl Fn() -> bool) {
     let started = Instant::now();
     while !condition() {
-        assert!(started.elapsed() < PATIENCE, "never: {what}");
+        assert!(
+            started.elapsed() < WAIT_TIMEOUT,
+            "timed out waiting until {what}"
+        );
         std::thread::sleep(Duration::from_millis(10));
     }
 }
@@ -55,24 +57,24 @@
     Mesh::start(identity(number), seeds, options).unwrap()
 }
 
-/// Starts `count` instances and waits until all know all.
+/// Starts `count` instances and waits until each lists all as usable.
 pub(crate) fn start_fleet(count: usize, faults: &Faults) -> Vec<MeshHandle> {
     let first = start(0, &[], faults);
     let seeds = [first.peer_address()];
     let mut fleet = vec![first];
     fleet.extend((1..count).map(|number| start(number, &seeds, faults)));
-    wait_until("all know all", || all_see(&fleet, &fleet));
+    wait_until("all instances know all", || all_see(&fleet, &fleet));
     fleet
 }
 
-/// Returns whether each of `watching` sees exactly `expected` as usable.
-pub(crate) fn all_see(watching: &[MeshHandle], expected: &[MeshHandle]) -> bool {
+/// Returns whether the usable members of each observer are exactly `expected`.
+pub(crate) fn all_see(observers: &[MeshHandle], expected: &[MeshHandle]) -> bool {
     let mut names: Vec<_> = expected
         .iter()
         .map(|handle| handle.own().instance)
         .collect();
     names.sort();
-    watching.iter().all(|handle| usable(handle) == names)
+    observers.iter().all(|handle| usable(handle) == names)
 }
 
 fn usable(handle: &MeshHandle) -> Vec<InstanceId> {
@@ -81,7 +83,7 @@
     usable.map(|member| member.instance).collect()
 }
 
-/// Returns what `handle` believes of `subject`.
+/// Returns the state of `subject` as known to `handle`.
 pub(crate) fn state_of(handle: &MeshHandle, subject: &MeshHandle) -> Option<MemberState> {
     let member = handle.member(&subject.own().instance)?;
     Some(member.state)
@@ -96,13 +98,15 @@
     }
 }
 
-/// Returns whether all hold the given revision.
+/// Returns whether all instances hold exactly the given revision.
 pub(crate) fn all_hold(fleet: &[MeshHandle], revision: u64) -> bool {
-    let wanted = vec![document(revision)];
-    fleet.iter().all(|handle| handle.configurations() == wanted)
+    let expected = vec![document(revision)];
+    fleet
+        .iter()
+        .all(|handle| handle.configurations() == expected)
 }
 
-/// Returns the addresses of some instances.
+/// Returns the peer addresses of instances.
 pub(crate) fn addresses(fleet: &[MeshHandle]) -> Vec<SocketAddr> {
     fleet.iter().map(MeshHandle::peer_address).collect()
 }
--- a/crates/foxtide-mesh/tests/mesh/load.rs
+++ b/crates/foxtide-mesh/tests/mesh/load.rs
@@ -1,4 +1,4 @@
-//! Load that every instance comes to know of all.
+//! Distribution of load reports to all instances.
 
 use crate::fleet::{
     start_fleet,
@@ -80,12 +80,12 @@
     view.regions.into_values().collect()
 }
 
-fn live(handle: &MeshHandle) -> Vec<u32> {
+fn live_instances(handle: &MeshHandle) -> Vec<u32> {
     let views = views(handle).into_iter();
     views.map(|region| region.live_instances).collect()
 }
 
-fn sharers(handle: &MeshHandle) -> Vec<u32> {
+fn region_sharers(handle: &MeshHandle) -> Vec<u32> {
     let views = views(handle).into_iter();
     let limits = views.map(|view| view.limits.get(&region()).copied());
     let sharers = limits.map(|limit| limit.unwrap_or_default().region_sharers);
@@ -95,9 +95,11 @@
 #[test]
 fn verify_all_know_the_load_of_all_regions() {
     let fleet = start_fleet(12, &Faults::default());
-    wait_until("all heard all", || {
+    wait_until("all reports have reached all instances", || {
         publish(&fleet);
-        fleet.iter().all(|handle| sharers(handle) == [4, 4, 4])
+        fleet
+            .iter()
+            .all(|handle| region_sharers(handle) == [4, 4, 4])
     });
     let sum = 4.0 * RATE_RPS;
     for view in views(&fleet[7]) {
@@ -116,9 +118,11 @@
 #[test]
 fn verify_the_claims_of_a_killed_instance_stay_counted() {
     let fleet = start_fleet(12, &Faults::default());
-    wait_until("all heard all", || {
+    wait_until("all reports have reached all instances", || {
         publish(&fleet);
-        fleet.iter().all(|handle| live(handle) == [4, 4, 4])
+        fleet
+            .iter()
+            .all(|handle| live_instances(handle) == [4, 4, 4])
     });
     fleet[6].stop();
     let rest: Vec<_> = fleet
@@ -126,14 +130,14 @@
         .filter(|handle| handle.peer_address() != fleet[6].peer_address())
         .cloned()
         .collect();
-    wait_until("it is no longer heard", || {
+    wait_until("the stopped instance no longer counts as live", || {
         publish(&rest);
         let dead = state_of(&fleet[1], &fleet[6]) == Some(MemberState::Dead);
         let khomas = &fleet[1].fleet_view(&organisation()).regions[&region()];
         let at_least = khomas.counted_instances >= 4;
         assert!(
             at_least || khomas.counted_instances == 0,
-            "claims were forgotten"
+            "the claims of the stopped instance were dropped"
         );
         dead && khomas.live_instances == 3 && khomas.known_instances == 4
     });
--- a/crates/foxtide-mesh/tests/mesh/main.rs
+++ b/crates/foxtide-mesh/tests/mesh/main.rs
@@ -1,4 +1,4 @@
-//! Scenarios with several instances of the mesh in one process.
+//! Tests with several mesh instances in one process.
 
 mod calls;
 mod fleet;
--- a/crates/foxtide-mesh/tests/mesh/rejections.rs
+++ b/crates/foxtide-mesh/tests/mesh/rejections.rs
@@ -1,4 +1,4 @@
-//! Datagrams that are not taken in, and those of newer programs that are.
+//! Rejection of invalid datagrams, and acceptance of compatible newer versions.
 
 use crate::fleet::{
     start,
@@ -20,7 +20,7 @@
 use std::time::Duration;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// A header as a program of a later version writes it.
+/// The header format of a later version.
 #[derive(Clone, PartialEq, prost::Message)]
 struct LaterHeader {
     #[prost(uint32, tag = "1")]
@@ -47,7 +47,7 @@
     target: String,
 }
 
-/// A datagram as a program of a later version writes it.
+/// The datagram format of a later version.
 #[derive(Clone, PartialEq, prost::Message)]
 struct LaterDatagram {
     #[prost(message, optional, tag = "1")]
@@ -60,13 +60,13 @@
     unknown: String,
 }
 
-/// An instance and a socket that plays its peer.
-struct Pair {
+/// An instance and the socket of a simulated peer.
+struct Fixture {
     instance: MeshHandle,
     socket: UdpSocket,
 }
 
-impl Pair {
+impl Fixture {
     fn start() -> Self {
         let socket = UdpSocket::bind("127.0.0.1:0").unwrap();
         socket
@@ -83,7 +83,7 @@
         self.socket.send_to(bytes, to).unwrap();
     }
 
-    /// Waits until one more datagram was counted by `count`.
+    /// Sends a datagram and waits until the counter has increased by one.
     fn expect_one_more(&self, bytes: &[u8], count: fn(&TrafficCounts) -> u64) {
         let before = count(&self.instance.traffic());
         self.send(bytes);
@@ -92,7 +92,7 @@
         });
     }
 
-    /// Waits for the answer to the ping with this number.
+    /// Waits for the ack of the given probe.
     fn expect_ack(&self, probe: u64) {
         let mut buffer = [0; 2_048];
         loop {
@@ -132,70 +132,70 @@
 }
 
 #[test]
-fn verify_a_ping_is_answered() {
-    let pair = Pair::start();
-    pair.send(&ping(1).encode_to_vec());
-    pair.expect_ack(1);
+fn verify_a_ping_is_acknowledged() {
+    let fixture = Fixture::start();
+    fixture.send(&ping(1).encode_to_vec());
+    fixture.expect_ack(1);
 }
 
 #[test]
-fn verify_a_later_version_that_can_be_read_is_answered() {
-    let pair = Pair::start();
+fn verify_a_compatible_later_version_is_acknowledged() {
+    let fixture = Fixture::start();
     let mut datagram = ping(1);
     datagram.unknown = String::from("of a later version");
     let header = datagram.header.as_mut().unwrap();
     header.version = 9;
     header.unknown = String::from("of a later version");
-    pair.send(&datagram.encode_to_vec());
-    pair.expect_ack(1);
+    fixture.send(&datagram.encode_to_vec());
+    fixture.expect_ack(1);
 }
 
 #[test]
-fn verify_a_version_that_cannot_be_read_is_dropped() {
-    let pair = Pair::start();
+fn verify_an_incompatible_version_is_dropped() {
+    let fixture = Fixture::start();
     let bytes = with_header(1, |header| header.minimum_version = 2);
-    pair.expect_one_more(&bytes, |counts| counts.future_version);
+    fixture.expect_one_more(&bytes, |counts| counts.future_version);
 }
 
 #[test]
-fn verify_another_fleet_is_dropped() {
-    let pair = Pair::start();
+fn verify_another_cluster_is_dropped() {
+    let fixture = Fixture::start();
     let bytes = with_header(1, |header| header.cluster = xxh3_64(b"other"));
-    pair.expect_one_more(&bytes, |counts| counts.foreign_cluster);
+    fixture.expect_one_more(&bytes, |counts| counts.foreign_cluster);
 }
 
 #[test]
 fn verify_a_replayed_datagram_is_dropped() {
-    let pair = Pair::start();
+    let fixture = Fixture::start();
     let bytes = ping(1).encode_to_vec();
-    pair.send(&bytes);
-    pair.expect_ack(1);
-    pair.expect_one_more(&bytes, |counts| counts.replayed);
+    fixture.send(&bytes);
+    fixture.expect_ack(1);
+    fixture.expect_one_more(&bytes, |counts| counts.replayed);
     let earlier = with_header(2, |header| header.epoch_us = 6);
-    pair.expect_one_more(&earlier, |counts| counts.replayed);
+    fixture.expect_one_more(&earlier, |counts| counts.replayed);
 }
 
 #[test]
-fn verify_malformed_datagrams_do_no_harm() {
-    let pair = Pair::start();
-    pair.expect_one_more(b"", |counts| counts.malformed);
-    pair.expect_one_more(&[0xff; 1_400], |counts| counts.malformed);
+fn verify_malformed_datagrams_are_dropped() {
+    let fixture = Fixture::start();
+    fixture.expect_one_more(b"", |counts| counts.malformed);
+    fixture.expect_one_more(&[0xff; 1_400], |counts| counts.malformed);
     let no_name = with_header(1, |header| header.sender = String::from("No Name"));
-    pair.expect_one_more(&no_name, |counts| counts.malformed);
-    let whole = ping(2).encode_to_vec();
+    fixture.expect_one_more(&no_name, |counts| counts.malformed);
+    let valid = ping(2).encode_to_vec();
     let mut rng = StdRng::seed_from_u64(1);
     for _ in 0..500 {
-        let mut bytes = whole.clone();
-        let place = rng.random_range(0..bytes.len());
-        bytes[place] = rng.next_u32() as u8;
-        bytes.truncate(rng.random_range(0..=whole.len()));
-        pair.send(&bytes);
+        let mut bytes = valid.clone();
+        let index = rng.random_range(0..bytes.len());
+        bytes[index] = rng.next_u32() as u8;
+        bytes.truncate(rng.random_range(0..=valid.len()));
+        fixture.send(&bytes);
     }
-    // The last number that no changed datagram can have used.
+    // The highest epoch and sequence number, which no mutated datagram has used.
     let last = with_header(u64::MAX, |header| header.epoch_us = u64::MAX);
-    wait_until("it answers still", || {
-        pair.send(&last);
-        pair.instance.traffic().replayed > 0
+    wait_until("the instance still accepts valid datagrams", || {
+        fixture.send(&last);
+        fixture.instance.traffic().replayed > 0
     });
-    pair.expect_ack(u64::MAX);
+    fixture.expect_ack(u64::MAX);
 }
--- a/crates/foxtide-mesh/tests/mesh/spreading.rs
+++ b/crates/foxtide-mesh/tests/mesh/spreading.rs
@@ -1,4 +1,4 @@
-//! Documents that reach every instance and never go back.
+//! Distribution of documents to every instance; revisions never decrease.
 
 use crate::fleet::{
     addresses,
@@ -21,7 +21,7 @@
     for revision in 1..=20 {
         assert!(fleet[0].publish_configuration(&document(revision)));
     }
-    wait_until("all hold the last", || all_hold(&fleet, 20));
+    wait_until("all hold the last revision", || all_hold(&fleet, 20));
     let mut revisions = Vec::new();
     while let Ok(change) = changes.try_recv() {
         revisions.push(change.revision);
@@ -34,7 +34,7 @@
 fn verify_an_older_document_is_never_applied() {
     let fleet = start_fleet(3, &Faults::default());
     assert!(fleet[0].publish_configuration(&document(9)));
-    wait_until("all hold it", || all_hold(&fleet, 9));
+    wait_until("all hold the document", || all_hold(&fleet, 9));
     for revision in [8, 9] {
         assert!(!fleet[1].publish_configuration(&document(revision)));
     }
@@ -42,13 +42,15 @@
 }
 
 #[test]
-fn verify_a_starting_instance_takes_the_newest_of_its_peers() {
+fn verify_a_starting_instance_fetches_the_newest_document() {
     let faults = Faults::default();
     let mut fleet = start_fleet(4, &faults);
     assert!(fleet[0].publish_configuration(&document(3)));
-    wait_until("all hold it", || all_hold(&fleet, 3));
+    wait_until("all hold the document", || all_hold(&fleet, 3));
     let started = start(4, &addresses(&fleet), &faults);
-    wait_until("it is synchronised", || started.synchronised());
+    wait_until("the new instance is synchronised", || {
+        started.synchronised()
+    });
     assert!(matches!(
         started.synchronisation(),
         Synchronisation::WithPeers(_)
@@ -58,7 +60,7 @@
 }
 
 #[test]
-fn verify_no_side_of_a_partition_goes_back() {
+fn verify_revisions_never_decrease_across_a_partition() {
     let faults = Faults::default();
     let fleet = start_fleet(9, &faults);
     let streams: Vec<_> = fleet
@@ -66,16 +68,16 @@
         .map(foxtide_mesh::MeshHandle::configuration_changes)
         .collect();
     assert!(fleet[0].publish_configuration(&document(1)));
-    wait_until("all hold the first", || all_hold(&fleet, 1));
-    let (cut, rest) = fleet.split_at(3);
-    faults.partition(&[addresses(cut), addresses(rest)]);
-    assert!(cut[0].publish_configuration(&document(2)));
+    wait_until("all hold the first revision", || all_hold(&fleet, 1));
+    let (isolated, rest) = fleet.split_at(3);
+    faults.partition(&[addresses(isolated), addresses(rest)]);
+    assert!(isolated[0].publish_configuration(&document(2)));
     assert!(rest[0].publish_configuration(&document(5)));
-    wait_until("each side holds its own", || {
-        all_hold(cut, 2) && all_hold(rest, 5)
+    wait_until("each side holds its own revision", || {
+        all_hold(isolated, 2) && all_hold(rest, 5)
     });
     faults.heal();
-    wait_until("all hold the newest", || all_hold(&fleet, 5));
+    wait_until("all hold the newest revision", || all_hold(&fleet, 5));
     for stream in streams {
         let mut revisions = Vec::new();
         while let Ok(change) = stream.try_recv() {
@@ -93,19 +95,19 @@
         ..document(1)
     };
     assert!(fleet[0].publish_configuration(&large));
-    wait_until("all hold it", || {
-        let mut held = fleet.iter().map(|handle| handle.configurations());
-        held.all(|documents| documents == [large.clone()])
+    wait_until("all hold the document", || {
+        let mut configurations = fleet.iter().map(|handle| handle.configurations());
+        configurations.all(|documents| documents == [large.clone()])
     });
 }
 
 #[test]
-fn verify_a_document_spreads_though_packets_are_lost() {
+fn verify_a_document_spreads_despite_packet_loss() {
     let faults = Faults::default();
     let fleet = start_fleet(8, &faults);
     faults.set_loss(0.3);
     assert!(fleet[7].publish_configuration(&document(1)));
-    wait_until("all hold it", || all_hold(&fleet, 1));
+    wait_until("all hold the document", || all_hold(&fleet, 1));
 }
 
 #[test]
