--- a/crates/foxtide-events/src/explainer.rs
+++ b/crates/foxtide-events/src/explainer.rs
@@ -1,7 +1,6 @@
-//! The explain log that all workers of a process share.
+//! Thread-safe explain log, shared by all workers of a process.
 //!
-//! Locks: one, around the log, held for a push or a copy and never together
-//! with another.
+//! Its one lock is held for a push or a copy and never together with another.
 
 use foxtide_core::events::EventDraft;
 use foxtide_core::explain::{
@@ -21,8 +20,7 @@
 use parking_lot::Mutex;
 use std::sync::Arc;
 
-/// Keeps why look-ups and requests went where they did; see
-/// [`foxtide_core::explain`] for who calls what.
+/// Records the reasons for routing decisions; see [`foxtide_core::explain`].
 ///
 /// Clones share one log.
 #[derive(Clone, Debug, Default)]
@@ -31,14 +29,14 @@
 }
 
 impl Explainer {
-    /// Returns an empty one.
+    /// Returns an empty explain log.
     pub fn new(options: ExplainOptions) -> Self {
         Self {
             log: Arc::new(Mutex::new(ExplainLog::new(options))),
         }
     }
 
-    /// Tells whether a view of the service is due.
+    /// Returns whether a new view of the service is due.
     pub fn is_view_due(
         &self,
         organisation: &OrganisationId,
@@ -48,23 +46,22 @@
         self.log.lock().is_view_due(organisation, service, now)
     }
 
-    /// Keeps a view; returns the number that decisions name it by.
+    /// Records a view; returns the id by which decisions refer to it.
     pub fn publish(&self, view: View) -> ViewId {
         self.log.lock().publish(view)
     }
 
-    /// Keeps a decision.
+    /// Records a decision.
     pub fn record(&self, decision: Decision) {
         self.log.lock().record(decision);
     }
 
-    /// Returns what changed at the services since the last call, as events to
-    /// record.
+    /// Returns the changes of services since the last call, as events to record.
     pub fn changes(&self, now: WallTime) -> Vec<EventDraft> {
         self.log.lock().changes(now)
     }
 
-    /// Explains the decisions that are asked for, the latest first.
+    /// Returns explanations of the decisions that match a filter, latest first.
     pub fn select(&self, filter: &ExplainFilter) -> Vec<Explanation> {
         self.log.lock().select(filter)
     }
--- a/crates/foxtide-events/src/lib.rs
+++ b/crates/foxtide-events/src/lib.rs
@@ -1,10 +1,10 @@
-//! The recorder of events that all parts of a process share.
+//! Event recording, structured logging and the explain log of a process.
 //!
-//! The parts in `foxtide_core::events` are pure; this crate adds the clock,
-//! the lock and the log, which the core must not have.
+//! `foxtide_core::events` is free of I/O; this crate adds clocks, locks and
+//! log output.
 //!
-//! Public: [`Recorder`], [`RecorderOptions`], [`WallClock`], [`Explainer`],
-//! [`TimeLine`], [`TimeLineOptions`]; for structured lines [`log_event!`],
+//! Public items: [`Recorder`], [`RecorderOptions`], [`WallClock`], [`Explainer`],
+//! [`TimeLine`], [`TimeLineOptions`]; for structured log lines [`log_event!`],
 //! [`LogRateLimiter`], [`LineKind`], [`SuppressedLines`].
 
 mod explainer;
@@ -21,7 +21,7 @@
     SuppressedLines,
     log_level, //
 };
-// `log_event!` expands to it in other packages.
+// Used by the expansion of `log_event!` in other crates.
 #[doc(hidden)]
 pub use log;
 pub use recorder::{
--- a/crates/foxtide-events/src/lines.rs
+++ b/crates/foxtide-events/src/lines.rs
@@ -1,4 +1,4 @@
-//! Structured log lines: a numbered event with fields, within a bounded volume.
+//! Structured log lines of events, and rate limits for lines about requests.
 
 use foxtide_core::events::{
     EventCode,
@@ -33,42 +33,38 @@
     }
 }
 
-/// Lines a second about requests that were answered well, and at one moment. Writing
-/// one takes 3.1 us (286 bytes, measured over 200,000), so that these take 0.02 % of a
-/// core.
+/// Limit on lines about successful requests.
 const ANSWERED_LINES_PER_S: f64 = 60.0;
 const ANSWERED_LINES_BURST: f64 = 30.0;
 
-/// Lines a second about requests that were not, and at one moment. They are what an
-/// engineer looks for, and come in bursts when something fails: 40 callers whose
-/// requests fail together make 120 lines.
+/// Limit on lines about failed requests, which come in bursts.
 const FAILED_LINES_PER_S: f64 = 300.0;
 const FAILED_LINES_BURST: f64 = 600.0;
 
-/// The part of those that only ends of requests may use, not their attempts.
+/// The share of the burst that is reserved for final results; steps cannot use it.
 const RESULTS_ONLY_SHARE: f64 = 0.5;
 
-/// What a line about a request tells of.
+/// The subject of a log line about a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LineKind {
-    /// The request was answered well.
+    /// The request succeeded.
     Answered,
-    /// It was not.
+    /// The request failed.
     Failed,
-    /// An attempt of it failed, or another step on its way.
+    /// A step of the request, such as a failed attempt.
     Step,
 }
 
-/// Lines that were left out.
+/// Numbers of suppressed log lines.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct SuppressedLines {
-    /// About requests that were answered well.
+    /// Lines about successful requests.
     pub answered: u64,
-    /// About requests that were not, and steps on their way.
+    /// Lines about failed requests and steps.
     pub failed: u64,
 }
 
-/// Bounds the lines about requests and counts those that are left out.
+/// Limits the rate of log lines about requests and counts the suppressed ones.
 #[derive(Clone, Debug)]
 pub struct LogRateLimiter {
     answered: TokenBucket,
@@ -77,7 +73,7 @@
 }
 
 impl LogRateLimiter {
-    /// Returns a budget with room for a few lines at once.
+    /// Returns a limiter with full token buckets.
     pub fn new(now: MonotonicTime) -> Self {
         Self {
             answered: TokenBucket::new(ANSWERED_LINES_PER_S, ANSWERED_LINES_BURST, now),
@@ -86,8 +82,7 @@
         }
     }
 
-    /// Takes one line out of the budget; one for which there is no room is
-    /// counted as left out.
+    /// Returns whether a line may be written; if not, counts it as suppressed.
     pub fn try_take(&mut self, kind: LineKind, now: MonotonicTime) -> bool {
         let suppressed = match kind {
             LineKind::Answered => &mut self.suppressed.answered,
@@ -105,14 +100,13 @@
         is_taken
     }
 
-    /// Returns the lines left out since the last call.
+    /// Returns the numbers of lines suppressed since the last call.
     pub fn take_suppressed(&mut self) -> SuppressedLines {
         std::mem::take(&mut self.suppressed)
     }
 }
 
-/// Lines that may be written: a plain token bucket, full at first. What limits
-/// requests is stricter, since it lets through no more than its rate in any second.
+/// A token bucket, initially full.
 #[derive(Clone, Debug)]
 struct TokenBucket {
     rate_per_s: f64,
@@ -131,7 +125,7 @@
         }
     }
 
-    /// Takes one line where more than `reserved` are left.
+    /// Takes one token if at least `reserved` remain afterwards.
     fn try_take(&mut self, reserved: f64, now: MonotonicTime) -> bool {
         let passed_s = now.since(self.refilled_at).as_secs_f64();
         self.refilled_at = self.refilled_at.max(now);
--- a/crates/foxtide-events/src/recorder.rs
+++ b/crates/foxtide-events/src/recorder.rs
@@ -1,7 +1,7 @@
-//! The recorder.
+//! Records, timestamps and logs the events of a process.
 //!
-//! Locks: one, around clock and ring. It is held for a stamp and a push, or
-//! for a copy; never while a line is logged and never together with another.
+//! One lock protects clock and ring. It is not held while a line is logged, and
+//! no other lock is taken under it.
 
 use crate::WallClock;
 use crate::log_level;
@@ -26,15 +26,15 @@
 
 const LOG_TARGET: &str = "foxtide";
 
-/// The shortest time between two events about a peer's clock.
+/// Minimum time between two events about clock skew of peers.
 const SKEW_REPORT_INTERVAL: Duration = Duration::from_secs(60);
 
-/// How a recorder works.
+/// Options of a recorder.
 #[derive(Clone, Debug, Default)]
 pub struct RecorderOptions {
-    /// How many events are kept.
+    /// Capacity of the event ring.
     pub ring: EventRingOptions,
-    /// The wall clock; the system's by default.
+    /// The wall clock; the system clock by default.
     pub clock: WallClock,
 }
 
@@ -53,9 +53,9 @@
     state: Mutex<State>,
 }
 
-/// Stamps, keeps and logs the events of one process.
+/// Records and logs the events of one process, with hybrid timestamps.
 ///
-/// Clones record into the same ring.
+/// Clones share one ring.
 #[derive(Clone, Debug)]
 pub struct Recorder {
     shared: Arc<Shared>,
@@ -85,8 +85,8 @@
         &self.shared.instance
     }
 
-    /// Records and logs an event; returns its time. One that repeats is only
-    /// counted, see [`RepeatFilter`].
+    /// Records and logs an event; returns its timestamp. Repeated events are only
+    /// counted; see [`RepeatFilter`].
     pub fn record(&self, code: EventCode, fields: EventFields) -> HybridTime {
         let wall = self.shared.wall.now();
         let mut state = self.shared.state.lock();
@@ -104,28 +104,28 @@
         clock
     }
 
-    /// Records and logs events, in their order.
+    /// Records and logs events in order.
     pub fn record_all(&self, drafts: Vec<EventDraft>) {
         for draft in drafts {
             self.record(draft.code, draft.fields);
         }
     }
 
-    /// Returns the time to send along with a message to a peer.
+    /// Returns the timestamp for a message to a peer.
     pub fn stamp(&self) -> HybridTime {
         let wall = self.shared.wall.now();
         self.shared.state.lock().clock.tick(wall)
     }
 
-    /// Notes the time that came with a peer's message, so that later events
-    /// here are placed after the sending.
+    /// Advances the clock past the timestamp of a received message, so that later
+    /// events sort after its sending.
     pub fn observe(&self, remote: HybridTime) -> HybridTime {
         let wall = self.shared.wall.now();
         self.shared.state.lock().clock.observe(remote, wall)
     }
 
-    /// As [`observe`](Self::observe); records where the peer's time lies too
-    /// far ahead, at most once a minute.
+    /// Does the same as [`observe`](Self::observe), and records an event if the
+    /// peer's clock is too far ahead, at most once a minute.
     pub fn observe_from(&self, peer: &str, remote: HybridTime) {
         let wall = self.shared.wall.now();
         self.shared.state.lock().clock.observe(remote, wall);
@@ -149,19 +149,19 @@
         due
     }
 
-    /// Returns the kept events that pass a filter, oldest first.
+    /// Returns the events that match a filter, oldest first.
     pub fn select(&self, filter: &EventFilter) -> Vec<Event> {
         self.shared.state.lock().ring.select(filter)
     }
 
-    /// Returns the oldest `limit` events above [`Level::Debug`] that were
-    /// recorded after `sequence`, to be copied to peers.
+    /// Returns the oldest `limit` events above [`Level::Debug`] recorded after
+    /// `sequence`, for copying to peers.
     pub fn notable_after(&self, sequence: u64, limit: usize) -> Vec<RingEntry> {
         let state = self.shared.state.lock();
         state.ring.notable_after(sequence, limit)
     }
 
-    /// Returns how many events were dropped for want of room.
+    /// Returns how many events were dropped because the ring was full.
     pub fn dropped(&self) -> u64 {
         self.shared.state.lock().ring.dropped()
     }
--- a/crates/foxtide-events/src/time_line.rs
+++ b/crates/foxtide-events/src/time_line.rs
@@ -1,8 +1,7 @@
-//! The time line as one instance knows it: its own events and those that it
-//! keeps for peers.
+//! Replicates the events of an instance to peers and stores theirs.
 //!
-//! Locks: one around the sender, one around the holder; the recorder's is
-//! taken inside the sender's, none other is nested.
+//! Sender and holder have a lock each. The recorder's lock may be taken under the
+//! sender's; no other locks are nested.
 
 use crate::Recorder;
 use foxtide_core::Result;
@@ -29,14 +28,14 @@
 use parking_lot::Mutex;
 use std::sync::Arc;
 
-/// How a time line works.
+/// Options of a time line.
 #[derive(Clone, Copy, Debug)]
 pub struct TimeLineOptions {
-    /// At how many peers this instance's events are kept; 2 by default.
+    /// Number of peers that store this instance's events; 2 by default.
     pub copies: usize,
-    /// How they are sent.
+    /// Options for sending events.
     pub sender: SenderOptions,
-    /// How much is kept for others.
+    /// Options for storing the events of peers.
     pub holder: HolderOptions,
 }
 
@@ -65,21 +64,19 @@
     holder: Mutex<BackupHolder>,
 }
 
-/// Copies this instance's events to peers and keeps those of others.
+/// Replicates this instance's events to peers and stores theirs.
 ///
-/// The mesh calls [`set_members`](Self::set_members) when the members change,
-/// [`poll`](Self::poll) once a second and sends what it returns, passes
-/// arriving copies to [`accept`](Self::accept) and sends its answer back, and
-/// passes arriving answers to [`acknowledge`](Self::acknowledge). Clones share
-/// all.
+/// The caller calls [`set_members`](Self::set_members) when the members change,
+/// sends the messages that [`poll`](Self::poll) returns once a second, passes
+/// received copies to [`accept`](Self::accept) and sends its ack back, and passes
+/// received acks to [`acknowledge`](Self::acknowledge). Clones share all state.
 #[derive(Clone, Debug)]
 pub struct TimeLine {
     shared: Arc<Shared>,
 }
 
 impl TimeLine {
-    /// Returns the time line of the recorder's instance, which stands where
-    /// `own` says.
+    /// Returns the time line of the recorder's instance; `own` is its location.
     pub fn new(
         recorder: Recorder,
         own: BackupPeer,
@@ -102,7 +99,7 @@
         }
     }
 
-    /// Chooses the peers that keep this instance's events among the members.
+    /// Chooses the peers that store this instance's events from the members.
     pub fn set_members(&self, members: &[BackupPeer]) {
         let peers = choose_peers(&self.shared.own, members, self.shared.copies);
         self.shared.sending.lock().sender.set_peers(peers);
@@ -124,18 +121,18 @@
         parcels
     }
 
-    /// Notes a peer's answer.
+    /// Processes the ack of a peer.
     pub fn acknowledge(&self, peer: &InstanceId, ack: EventCopiesAck) {
         let mut sending = self.shared.sending.lock();
         sending.sender.acknowledge(peer, ack.through);
     }
 
-    /// Keeps what a peer sent; returns the answer to it. Later events here are
-    /// placed after the ones kept.
+    /// Stores events of a peer and returns the ack. Later events of this instance
+    /// sort after them.
     ///
     /// # Errors
     ///
-    /// Fails where the origin's name does not parse.
+    /// Fails if the name of the originating instance is invalid.
     pub fn accept(&self, copies: EventCopies) -> Result<EventCopiesAck> {
         if let Some(last) = copies.events.last() {
             self.shared.recorder.observe(last.clock());
@@ -143,8 +140,8 @@
         self.shared.holder.lock().accept(copies)
     }
 
-    /// Returns this instance's events and those kept for peers that pass a
-    /// filter, in causal order; the latest [`EventFilter::limit`] of them.
+    /// Returns the latest [`EventFilter::limit`] own and stored events that match a
+    /// filter, in causal order.
     pub fn select(&self, filter: &EventFilter) -> Vec<Event> {
         let own = self.shared.recorder.select(filter);
         let copies = self.shared.holder.lock().select(filter);
@@ -154,7 +151,7 @@
         events
     }
 
-    /// Returns the memory that events kept for peers take, in bytes.
+    /// Returns the memory used by the events of peers, in bytes.
     pub fn held_bytes(&self) -> usize {
         self.shared.holder.lock().size_bytes()
     }
--- a/crates/foxtide-events/src/wall.rs
+++ b/crates/foxtide-events/src/wall.rs
@@ -1,4 +1,4 @@
-//! Where the recorder reads the wall time.
+//! Wall-clock time sources.
 
 use foxtide_core::time::WallTime;
 use std::sync::Arc;
@@ -14,7 +14,7 @@
 /// A source of wall time.
 #[derive(Clone, Debug, Default)]
 pub enum WallClock {
-    /// The system's clock.
+    /// The system clock.
     #[default]
     System,
     /// Microseconds since the Unix epoch, set by a test.
@@ -22,7 +22,7 @@
 }
 
 impl WallClock {
-    /// Reads the clock; a clock before 1970 reads as 1970.
+    /// Returns the current time; times before 1970 are clamped to 1970.
     pub fn now(&self) -> WallTime {
         match self {
             Self::System => system_time(),
--- a/crates/foxtide-events/tests/lines.rs
+++ b/crates/foxtide-events/tests/lines.rs
@@ -1,4 +1,4 @@
-//! The bound on log lines about requests.
+//! Rate limits on log lines about requests.
 
 use foxtide_core::time::MonotonicTime;
 use foxtide_events::{
@@ -8,19 +8,19 @@
 };
 
 #[test]
-fn verify_lines_about_failures_are_not_displaced_by_others() {
+fn verify_successes_do_not_use_up_the_limit_of_failures() {
     let now = MonotonicTime::from_ms(5);
     let mut limiter = LogRateLimiter::new(now);
     assert!(limiter.try_take(LineKind::Failed, now));
     let taken = (0..10_000)
         .filter(|_| limiter.try_take(LineKind::Answered, now))
         .count();
-    assert!(taken < 100, "{taken} lines at one moment");
+    assert!(taken < 100, "{taken} lines in one burst");
     assert!(limiter.try_take(LineKind::Failed, now));
 }
 
 #[test]
-fn verify_what_is_left_out_is_counted_once() {
+fn verify_suppressed_lines_are_counted_once() {
     let mut limiter = LogRateLimiter::new(MonotonicTime::ZERO);
     let mut written = 0;
     for ms in 0..10_000 {
@@ -33,7 +33,7 @@
     assert_eq!(limiter.take_suppressed(), SuppressedLines::default());
 }
 
-/// Forty callers whose requests fail at the same moment have each its lines.
+/// Guards against suppressed lines when 40 requests fail at the same time.
 #[test]
 fn verify_a_burst_of_failures_keeps_its_lines() {
     let now = MonotonicTime::from_ms(5);
@@ -46,11 +46,11 @@
 }
 
 #[test]
-fn verify_steps_leave_room_for_the_ends_of_requests() {
+fn verify_steps_leave_room_for_final_results() {
     let now = MonotonicTime::from_ms(5);
     let mut limiter = LogRateLimiter::new(now);
     let steps = (0..10_000).filter(|_| limiter.try_take(LineKind::Step, now));
     assert!(steps.count() < 400);
-    let ends = (0..10_000).filter(|_| limiter.try_take(LineKind::Failed, now));
-    assert!(ends.count() >= 250);
+    let results = (0..10_000).filter(|_| limiter.try_take(LineKind::Failed, now));
+    assert!(results.count() >= 250);
 }
--- a/crates/foxtide-events/tests/recorder.rs
+++ b/crates/foxtide-events/tests/recorder.rs
@@ -1,4 +1,4 @@
-//! The recorder stamps, keeps and is shared.
+//! Timestamps, repeat filtering and sharing of the recorder.
 
 use foxtide_core::events::{
     EventCode,
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn verify_events_after_a_message_come_after_its_sending() {
+fn verify_events_after_a_message_sort_after_its_sending() {
     let ahead = recorder("k-1", 900);
     let behind = recorder("k-2", 5);
     let cause = ahead.record(EventCode::MemberLeaving, EventFields::default());
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn verify_a_flood_of_the_same_leaves_room_for_others() {
+fn verify_repeated_events_do_not_displace_others() {
     let wall = Arc::new(AtomicU64::new(1_000_000));
     let options = RecorderOptions {
         clock: WallClock::Manual(Arc::clone(&wall)),
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn verify_more_sorts_than_are_watched_are_all_recorded() {
+fn verify_distinct_events_beyond_the_filter_capacity_are_all_recorded() {
     let recorder = recorder("k-1", 5);
     for number in 0..3_000 {
         let fields = EventFields {
--- a/crates/foxtide-events/tests/time_line.rs
+++ b/crates/foxtide-events/tests/time_line.rs
@@ -1,4 +1,4 @@
-//! The time line outlives an instance that is replaced.
+//! Replicated events survive the loss of their instance.
 
 use foxtide_core::events::backup::BackupPeer;
 use foxtide_core::events::{
@@ -14,7 +14,7 @@
     TimeLineOptions, //
 };
 
-fn place(name: &str, zone: &str, region: &str) -> BackupPeer {
+fn location(name: &str, zone: &str, region: &str) -> BackupPeer {
     BackupPeer {
         instance: name.parse().unwrap(),
         availability_zone: zone.parse().unwrap(),
@@ -31,20 +31,20 @@
 
 #[test]
 fn verify_events_outlive_their_instance_at_both_peers() {
-    let places = [
-        place("k-1", "khomas-a", "khomas"),
-        place("k-2", "khomas-b", "khomas"),
-        place("e-1", "erongo-a", "erongo"),
+    let locations = [
+        location("k-1", "khomas-a", "khomas"),
+        location("k-2", "khomas-b", "khomas"),
+        location("e-1", "erongo-a", "erongo"),
     ];
-    let (recorder, line) = start(&places[0]);
-    let peers = [start(&places[1]).1, start(&places[2]).1];
-    line.set_members(&places);
+    let (recorder, line) = start(&locations[0]);
+    let peers = [start(&locations[1]).1, start(&locations[2]).1];
+    line.set_members(&locations);
     let stopping = EventFields::detail("signal=terminate");
     recorder.record(EventCode::ProcessStopping, stopping);
     let parcels = line.poll(MonotonicTime::from_ms(1_000));
     assert_eq!(parcels.len(), 2);
     for parcel in parcels {
-        let holder = if parcel.to == places[1].instance {
+        let holder = if parcel.to == locations[1].instance {
             0
         } else {
             1
@@ -55,9 +55,9 @@
     assert!(line.poll(MonotonicTime::from_ms(60_000)).is_empty());
     drop((recorder, line));
     for peer in &peers {
-        let kept = peer.select(&EventFilter::default());
-        assert_eq!(kept.len(), 1);
-        assert_eq!(kept[0].code, EventCode::ProcessStopping);
-        assert_eq!(kept[0].instance, places[0].instance);
+        let events = peer.select(&EventFilter::default());
+        assert_eq!(events.len(), 1);
+        assert_eq!(events[0].code, EventCode::ProcessStopping);
+        assert_eq!(events[0].instance, locations[0].instance);
     }
 }
