--- a/crates/foxtide-clock/src/lib.rs
+++ b/crates/foxtide-clock/src/lib.rs
@@ -1,8 +1,7 @@
-//! The steady clock of a process.
+//! Monotonic clock that keeps counting while the machine is suspended.
 //!
-//! The clock behind [`Instant`] stands still while a machine is suspended (`CLOCK_MONOTONIC`).
-//! A lease, an age or a hold that is measured by it is then taken for younger than it is: the
-//! others have counted on. This clock runs on (`CLOCK_BOOTTIME`).
+//! [`Instant`] uses `CLOCK_MONOTONIC`, which stops during a suspend, so that leases and ages
+//! would appear younger than they are to other machines. This clock uses `CLOCK_BOOTTIME`.
 
 use foxtide_core::time::MonotonicTime;
 use nix::time::{
@@ -14,10 +13,9 @@
     Instant, //
 };
 
-/// Reads the time since the process started, suspensions included.
+/// Measures the time since its creation, including time in suspend.
 #[derive(Clone, Copy, Debug)]
 pub struct SteadyClock {
-    /// The reading at the start.
     origin: Duration,
 }
 
@@ -30,13 +28,13 @@
 }
 
 impl SteadyClock {
-    /// Returns the time since the process started.
+    /// Returns the time since the clock was created.
     pub fn now(&self) -> MonotonicTime {
         MonotonicTime::ZERO + since_boot().saturating_sub(self.origin)
     }
 
-    /// Returns the moment as the system's own type, for timers. It is exact as long as the
-    /// machine is not suspended between now and then.
+    /// Converts a time to an [`Instant`], for timers. The result is exact unless the machine
+    /// is suspended in between.
     pub fn instant(&self, time: MonotonicTime) -> Instant {
         let now = self.now();
         let instant = Instant::now();
@@ -51,18 +49,17 @@
 ///
 /// # Panics
 ///
-/// Panics where the kernel has no such clock; Linux has it since 2.6.39.
+/// Panics if the kernel lacks `CLOCK_BOOTTIME`, which Linux has since 2.6.39.
 fn since_boot() -> Duration {
     let read = clock_gettime(ClockId::CLOCK_BOOTTIME);
-    Duration::from(read.expect("the kernel counts the time since boot"))
+    Duration::from(read.expect("the kernel supports CLOCK_BOOTTIME"))
 }
 
 #[cfg(test)]
 mod tests {
     use super::*;
 
-    /// Guards against a clock that stands still while the machine is suspended: it must be
-    /// the one that the kernel documents to run on.
+    /// Guards against a clock that stops while the machine is suspended.
     #[test]
     fn verify_time_is_that_since_boot() {
         let clock = SteadyClock::default();
@@ -74,7 +71,7 @@
     }
 
     #[test]
-    fn verify_moments_are_those_of_timers() {
+    fn verify_instants_match_clock_times() {
         let clock = SteadyClock::default();
         let before = Instant::now();
         let now = clock.instant(clock.now());
