--- a/crates/foxtide-mesh/src/calls.rs
+++ b/crates/foxtide-mesh/src/calls.rs
@@ -52,7 +52,7 @@
         Ok(response::Body::Call(response)) => read_response(target, response),
         Ok(_) => Err(CallError::unknown(
             target,
-            "the response is of another kind",
+            "the response is not that of a call",
         )),
         Err(error @ Error::Connect { .. }) => Err(CallError::not_sent(target, error)),
         Err(error) => Err(CallError::unknown(target, error)),
--- a/crates/foxtide-mesh/src/handle.rs
+++ b/crates/foxtide-mesh/src/handle.rs
@@ -1,4 +1,4 @@
-//! Public interface of the mesh: starting it and its handle.
+//! Starts the mesh and provides the handle to it.
 
 use crate::calls::{
     self,
@@ -230,7 +230,7 @@
         self.shared.state.lock().synchronisation
     }
 
-    /// Returns whether synchronising has ended, with or without peers.
+    /// Returns whether the first synchronisation has ended, with or without peers.
     pub fn synchronised(&self) -> bool {
         self.synchronisation() != Synchronisation::Joining
     }
--- a/crates/foxtide-mesh/src/join.rs
+++ b/crates/foxtide-mesh/src/join.rs
@@ -168,7 +168,7 @@
     }
 }
 
-/// Merges a peer's snapshot and returns the own one.
+/// Merges a peer's snapshot and returns that of this instance.
 pub(crate) fn handle_synchronise(
     shared: &Arc<Shared>,
     sender: &str,
@@ -199,7 +199,7 @@
 
 /// Merges a peer's snapshot; documents are fetched only if its address is known.
 fn merge(shared: &Arc<Shared>, remote: &Snapshot, peer: Option<SocketAddr>) {
-    // Skips members that cannot be decoded, such as those of newer versions.
+    // A member that cannot be decoded does not invalidate the snapshot.
     let members = remote.members.iter();
     let members: Vec<_> = members
         .filter_map(|member| read_member(member).ok())
@@ -220,7 +220,7 @@
     }
 }
 
-/// Removes state of peers that are no longer members.
+/// Removes expired exchange times and the replay windows of non-members.
 pub(crate) fn prune(shared: &Shared) {
     let now = shared.now();
     let mut state = shared.state.lock();
