--- a/crates/foxtide-events/src/lib.rs
+++ b/crates/foxtide-events/src/lib.rs
@@ -8,14 +8,14 @@
 //! [`LogRateLimiter`], [`LineKind`], [`SuppressedLines`].
 
 mod explainer;
-mod lines;
+mod log_lines;
 mod recorder;
 mod time_line;
-mod wall;
+mod wall_clock;
 
 pub use explainer::Explainer;
 pub use foxtide_core::events::EventCode;
-pub use lines::{
+pub use log_lines::{
     LineKind,
     LogRateLimiter,
     SuppressedLines,
@@ -32,4 +32,4 @@
     TimeLine,
     TimeLineOptions, //
 };
-pub use wall::WallClock;
+pub use wall_clock::WallClock;
