--- a/crates/foxtide-clock/src/lib.rs
+++ b/crates/foxtide-clock/src/lib.rs
@@ -1,7 +1,7 @@
 //! Monotonic clock that keeps counting while the machine is suspended.
 //!
-//! [`Instant`] uses `CLOCK_MONOTONIC`, which stops during a suspend, so that leases and ages
-//! would appear younger than they are to other machines. This clock uses `CLOCK_BOOTTIME`.
+//! [`Instant`] uses `CLOCK_MONOTONIC`, which stops during a suspend, so that a lease would
+//! outlive its expiry on other machines. This clock uses `CLOCK_BOOTTIME`.
 
 use foxtide_core::time::MonotonicTime;
 use nix::time::{
--- a/crates/foxtide-events/src/log_lines.rs
+++ b/crates/foxtide-events/src/log_lines.rs
@@ -33,11 +33,11 @@
     }
 }
 
-/// Limit on lines about successful requests.
+/// Sustained rate and burst of lines about successful requests.
 const ANSWERED_LINES_PER_S: f64 = 60.0;
 const ANSWERED_LINES_BURST: f64 = 30.0;
 
-/// Limit on lines about failed requests, which come in bursts.
+/// Sustained rate and burst of lines about failed requests, most of which come together.
 const FAILED_LINES_PER_S: f64 = 300.0;
 const FAILED_LINES_BURST: f64 = 600.0;
 
