--- a/crates/foxtide-mesh/src/documents.rs
+++ b/crates/foxtide-mesh/src/documents.rs
@@ -50,11 +50,7 @@
 }
 
 /// Schedules a fetch of a revision that a peer announced, if it is newer.
-pub(crate) fn handle_announcement(
-    shared: &Arc<Shared>,
-    announcement: &Announcement,
-    by: SocketAddr,
-) {
+pub(crate) fn fetch_if_newer(shared: &Arc<Shared>, announcement: &Announcement, by: SocketAddr) {
     let mut state = shared.state.lock();
     if !state.configurations.wants(announcement) {
         return;
@@ -101,16 +97,13 @@
     let timeout = shared.options.exchange_timeout;
     let response = streams::send_request(shared, fetch.from, request, timeout).await?;
     let response::Body::Document(document) = response else {
-        return Err(Error::invalid_response(
-            fetch.from,
-            "the response is not a document",
-        ));
+        return Err(Error::invalid(fetch.from, "the response is not a document"));
     };
     let document = read_document(document);
-    let document = document
-        .map_err(|_| Error::invalid_response(fetch.from, "the document cannot be decoded"))?;
+    let document =
+        document.map_err(|_| Error::invalid(fetch.from, "the document cannot be decoded"))?;
     if document.organisation != *organisation || document.revision < *revision {
-        return Err(Error::invalid_response(
+        return Err(Error::invalid(
             fetch.from,
             "the document does not match its announcement",
         ));
--- a/crates/foxtide-mesh/src/errors.rs
+++ b/crates/foxtide-mesh/src/errors.rs
@@ -57,7 +57,7 @@
         Self::Exchange { peer, source }
     }
 
-    pub(crate) fn invalid_response(peer: SocketAddr, reason: &'static str) -> Self {
+    pub(crate) fn invalid(peer: SocketAddr, reason: &'static str) -> Self {
         Self::InvalidResponse { peer, reason }
     }
 
--- a/crates/foxtide-mesh/src/join.rs
+++ b/crates/foxtide-mesh/src/join.rs
@@ -161,10 +161,7 @@
             merge(shared, &remote, Some(peer));
             Ok(())
         }
-        _ => Err(Error::invalid_response(
-            peer,
-            "the response is not a snapshot",
-        )),
+        _ => Err(Error::invalid(peer, "the response is not a snapshot")),
     }
 }
 
@@ -215,7 +212,7 @@
     };
     for announcement in &remote.announcements {
         if let Ok(announcement) = Announcement::try_from(announcement) {
-            documents::handle_announcement(shared, &announcement, peer);
+            documents::fetch_if_newer(shared, &announcement, peer);
         }
     }
 }
--- a/crates/foxtide-mesh/src/shared.rs
+++ b/crates/foxtide-mesh/src/shared.rs
@@ -200,7 +200,7 @@
             }
             Output::Synchronise { with } => join::start_exchange(shared, with),
             Output::Announced { announcement, by } => {
-                documents::handle_announcement(shared, &announcement, by);
+                documents::fetch_if_newer(shared, &announcement, by);
             }
             Output::Changed(member) => log_change(&member),
         }
--- a/crates/foxtide-mesh/src/streams.rs
+++ b/crates/foxtide-mesh/src/streams.rs
@@ -105,16 +105,16 @@
     let response = response.map_err(|source| Error::exchange(peer, source))?;
     let header = response
         .header
-        .ok_or(Error::invalid_response(peer, "the response has no header"))?;
+        .ok_or(Error::invalid(peer, "the response has no header"))?;
     let checked = shared.state.lock().validator.check(&header);
     checked.map_err(|rejection| {
         shared.reject(peer, rejection);
-        Error::invalid_response(peer, rejection.name())
+        Error::invalid(peer, rejection.name())
     })?;
     shared.observe_clock(&header);
     response
         .body
-        .ok_or(Error::invalid_response(peer, "the response has no body"))
+        .ok_or(Error::invalid(peer, "the response has no body"))
 }
 
 async fn round_trip(
