--- a/crates/foxtide-events/src/log_lines.rs
+++ b/crates/foxtide-events/src/log_lines.rs
@@ -37,7 +37,7 @@
 const ANSWERED_LINES_PER_S: f64 = 60.0;
 const ANSWERED_LINES_BURST: f64 = 30.0;
 
-/// Sustained rate and burst of lines about failed requests, most of which come together.
+/// Sustained rate and burst of lines about failed requests.
 const FAILED_LINES_PER_S: f64 = 300.0;
 const FAILED_LINES_BURST: f64 = 600.0;
 
--- a/crates/foxtide-mesh/src/calls.rs
+++ b/crates/foxtide-mesh/src/calls.rs
@@ -50,10 +50,7 @@
     });
     match streams::send_request(shared, member.peer_address, request, deadline).await {
         Ok(response::Body::Call(response)) => read_response(target, response),
-        Ok(_) => Err(CallError::unknown(
-            target,
-            "the response is not that of a call",
-        )),
+        Ok(_) => Err(CallError::unknown(target, "not a call response")),
         Err(error @ Error::Connect { .. }) => Err(CallError::not_sent(target, error)),
         Err(error) => Err(CallError::unknown(target, error)),
     }
@@ -63,16 +60,10 @@
     match response {
         CallResponse {
             accepted: false, ..
-        } => Err(CallError::not_sent(
-            target,
-            "the peer did not accept the call",
-        )),
+        } => Err(CallError::not_sent(target, "not accepted by the peer")),
         CallResponse {
             completed: false, ..
-        } => Err(CallError::unknown(
-            target,
-            "the peer did not complete the call",
-        )),
+        } => Err(CallError::unknown(target, "not completed by the peer")),
         CallResponse { bytes, .. } => Ok(bytes),
     }
 }
--- a/crates/foxtide-mesh/src/datagrams.rs
+++ b/crates/foxtide-mesh/src/datagrams.rs
@@ -41,7 +41,7 @@
                 handle_datagram(&shared, from, &buffer[..size_bytes]);
             }
             Err(error) => {
-                log::debug!("receiving a datagram at {} failed: {error}", shared.address);
+                log::debug!("receive failed on {}: {error}", shared.address);
                 smol::Timer::after(ERROR_BACKOFF).await;
             }
         }
--- a/crates/foxtide-mesh/src/documents.rs
+++ b/crates/foxtide-mesh/src/documents.rs
@@ -97,16 +97,12 @@
     let timeout = shared.options.exchange_timeout;
     let response = streams::send_request(shared, fetch.from, request, timeout).await?;
     let response::Body::Document(document) = response else {
-        return Err(Error::invalid(fetch.from, "the response is not a document"));
+        return Err(Error::invalid(fetch.from, "not a document"));
     };
     let document = read_document(document);
-    let document =
-        document.map_err(|_| Error::invalid(fetch.from, "the document cannot be decoded"))?;
+    let document = document.map_err(|_| Error::invalid(fetch.from, "malformed document"))?;
     if document.organisation != *organisation || document.revision < *revision {
-        return Err(Error::invalid(
-            fetch.from,
-            "the document does not match its announcement",
-        ));
+        return Err(Error::invalid(fetch.from, "not the announced document"));
     }
     Ok(document)
 }
--- a/crates/foxtide-mesh/src/faults.rs
+++ b/crates/foxtide-mesh/src/faults.rs
@@ -18,7 +18,6 @@
 /// The side of a partition to which an address belongs.
 type Side = u32;
 
-/// The faults in effect.
 #[derive(Debug, Default)]
 struct Rules {
     loss_share: f64,
--- a/crates/foxtide-mesh/src/join.rs
+++ b/crates/foxtide-mesh/src/join.rs
@@ -161,7 +161,7 @@
             merge(shared, &remote, Some(peer));
             Ok(())
         }
-        _ => Err(Error::invalid(peer, "the response is not a snapshot")),
+        _ => Err(Error::invalid(peer, "not a snapshot")),
     }
 }
 
--- a/crates/foxtide-mesh/src/load.rs
+++ b/crates/foxtide-mesh/src/load.rs
@@ -23,7 +23,6 @@
     UNIX_EPOCH, //
 };
 
-/// Returns the current wall-clock time.
 pub(crate) fn wall_now() -> WallTime {
     let since = SystemTime::now().duration_since(UNIX_EPOCH);
     WallTime::ZERO + since.unwrap_or(Duration::ZERO)
--- a/crates/foxtide-mesh/src/streams.rs
+++ b/crates/foxtide-mesh/src/streams.rs
@@ -103,18 +103,14 @@
     let exchange = round_trip(shared, &mut frames, &request);
     let response = with_timeout(timeout, exchange).await;
     let response = response.map_err(|source| Error::exchange(peer, source))?;
-    let header = response
-        .header
-        .ok_or(Error::invalid(peer, "the response has no header"))?;
+    let header = response.header.ok_or(Error::invalid(peer, "no header"))?;
     let checked = shared.state.lock().validator.check(&header);
     checked.map_err(|rejection| {
         shared.reject(peer, rejection);
         Error::invalid(peer, rejection.name())
     })?;
     shared.observe_clock(&header);
-    response
-        .body
-        .ok_or(Error::invalid(peer, "the response has no body"))
+    response.body.ok_or(Error::invalid(peer, "no body"))
 }
 
 async fn round_trip(
@@ -140,10 +136,7 @@
                 smol::spawn(serve(shared, stream, peer)).detach();
             }
             Err(error) => {
-                log::debug!(
-                    "accepting a connection at {} failed: {error}",
-                    shared.address
-                );
+                log::debug!("accept failed on {}: {error}", shared.address);
                 smol::Timer::after(ERROR_BACKOFF).await;
             }
         }
--- a/crates/foxtide-mesh/src/wire/convert.rs
+++ b/crates/foxtide-mesh/src/wire/convert.rs
@@ -20,7 +20,6 @@
     SocketAddr, //
 };
 
-/// Encodes a packet.
 pub(crate) fn to_datagram(header: wire::Header, packet: Packet) -> wire::Datagram {
     let mut datagram = wire::Datagram {
         header: Some(header),
@@ -158,7 +157,6 @@
     }
 }
 
-/// Decodes a member.
 pub(crate) fn read_member(member: &wire::Member) -> Result<core::Member, InvalidMessage> {
     let state = match wire::State::try_from(member.state).map_err(|_| InvalidMessage)? {
         wire::State::Joining => core::MemberState::Joining,
@@ -209,7 +207,6 @@
     }
 }
 
-/// Decodes a document.
 pub(crate) fn read_document(
     document: wire::Document,
 ) -> Result<spreading::Document, InvalidMessage> {
--- a/crates/foxtide-mesh/src/wire/load/mod.rs
+++ b/crates/foxtide-mesh/src/wire/load/mod.rs
@@ -10,7 +10,6 @@
 /// The encoded value of the share 1.0.
 const SHARE_SCALE: u16 = u16::MAX;
 
-/// A message with load records.
 #[derive(Clone, PartialEq, prost::Message)]
 pub(crate) struct Load {
     /// Whether the records are the table of regions or the sender's sum.
--- a/crates/foxtide-mesh/src/wire/load/read.rs
+++ b/crates/foxtide-mesh/src/wire/load/read.rs
@@ -35,7 +35,6 @@
 use std::collections::BTreeMap;
 use std::str::FromStr;
 
-/// Decodes load records.
 pub(crate) fn read_load(load: &Load) -> Result<LoadMessage, InvalidMessage> {
     let records = load.records.iter();
     let records: Result<Vec<_>, _> = records.map(|record| read(record, &load.names)).collect();
--- a/crates/foxtide-mesh/src/wire/messages.rs
+++ b/crates/foxtide-mesh/src/wire/messages.rs
@@ -2,7 +2,6 @@
 
 use super::load::Load;
 
-/// The header of every message.
 #[derive(Clone, PartialEq, prost::Message)]
 pub(crate) struct Header {
     /// The sender's protocol version.
@@ -14,7 +13,6 @@
     /// The hash of the cluster's name.
     #[prost(fixed64, tag = "3")]
     pub(crate) cluster: u64,
-    /// The sending instance.
     #[prost(string, tag = "4")]
     pub(crate) sender: String,
     /// The start of the sending process, since the Unix epoch.
@@ -26,7 +24,6 @@
     /// The hybrid clock at the time of sending; 0 if there is none.
     #[prost(uint64, tag = "7")]
     pub(crate) clock_us: u64,
-    /// The counter of the hybrid clock.
     #[prost(uint32, tag = "8")]
     pub(crate) clock_counter: u32,
 }
@@ -65,7 +62,6 @@
     }
 }
 
-/// A body without fields.
 #[derive(Clone, Copy, PartialEq, prost::Message)]
 pub(crate) struct Empty {}
 
@@ -98,7 +94,6 @@
     pub(crate) configuration_hash: u64,
 }
 
-/// An IP address with its port.
 #[derive(Clone, PartialEq, prost::Message)]
 pub(crate) struct Address {
     /// Four bytes for IPv4, sixteen for IPv6.
@@ -108,7 +103,6 @@
     pub(crate) port: u32,
 }
 
-/// The state of a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, prost::Enumeration)]
 #[repr(i32)]
 pub(crate) enum State {
@@ -158,7 +152,6 @@
     pub(crate) revision: u64,
 }
 
-/// The configuration document of an organisation.
 #[derive(Clone, PartialEq, prost::Message)]
 pub(crate) struct Document {
     #[prost(string, tag = "1")]
@@ -197,7 +190,6 @@
     pub(crate) bytes: Vec<u8>,
 }
 
-/// The response to a call.
 #[derive(Clone, PartialEq, prost::Message)]
 pub(crate) struct CallResponse {
     /// Whether the call was accepted; if not, it did not start.
@@ -210,7 +202,6 @@
     pub(crate) bytes: Vec<u8>,
 }
 
-/// A request over TCP.
 #[derive(Clone, PartialEq, prost::Message)]
 pub(crate) struct Request {
     #[prost(message, optional, tag = "1")]
--- a/crates/foxtide-mesh/tests/mesh/fleet.rs
+++ b/crates/foxtide-mesh/tests/mesh/fleet.rs
@@ -24,10 +24,7 @@
 pub(crate) fn wait_until(what: &str, condition: impl Fn() -> bool) {
     let started = Instant::now();
     while !condition() {
-        assert!(
-            started.elapsed() < WAIT_TIMEOUT,
-            "timed out waiting until {what}"
-        );
+        assert!(started.elapsed() < WAIT_TIMEOUT, "timeout: {what}");
         std::thread::sleep(Duration::from_millis(10));
     }
 }
@@ -100,10 +97,8 @@
 
 /// Returns whether all instances hold exactly the given revision.
 pub(crate) fn all_hold(fleet: &[MeshHandle], revision: u64) -> bool {
-    let expected = vec![document(revision)];
-    fleet
-        .iter()
-        .all(|handle| handle.configurations() == expected)
+    let wanted = vec![document(revision)];
+    fleet.iter().all(|handle| handle.configurations() == wanted)
 }
 
 /// Returns the peer addresses of instances.
--- a/crates/foxtide-mesh/tests/mesh/load.rs
+++ b/crates/foxtide-mesh/tests/mesh/load.rs
@@ -80,12 +80,12 @@
     view.regions.into_values().collect()
 }
 
-fn live_instances(handle: &MeshHandle) -> Vec<u32> {
+fn live(handle: &MeshHandle) -> Vec<u32> {
     let views = views(handle).into_iter();
     views.map(|region| region.live_instances).collect()
 }
 
-fn region_sharers(handle: &MeshHandle) -> Vec<u32> {
+fn sharers(handle: &MeshHandle) -> Vec<u32> {
     let views = views(handle).into_iter();
     let limits = views.map(|view| view.limits.get(&region()).copied());
     let sharers = limits.map(|limit| limit.unwrap_or_default().region_sharers);
@@ -97,9 +97,7 @@
     let fleet = start_fleet(12, &Faults::default());
     wait_until("all reports have reached all instances", || {
         publish(&fleet);
-        fleet
-            .iter()
-            .all(|handle| region_sharers(handle) == [4, 4, 4])
+        fleet.iter().all(|handle| sharers(handle) == [4, 4, 4])
     });
     let sum = 4.0 * RATE_RPS;
     for view in views(&fleet[7]) {
@@ -120,9 +118,7 @@
     let fleet = start_fleet(12, &Faults::default());
     wait_until("all reports have reached all instances", || {
         publish(&fleet);
-        fleet
-            .iter()
-            .all(|handle| live_instances(handle) == [4, 4, 4])
+        fleet.iter().all(|handle| live(handle) == [4, 4, 4])
     });
     fleet[6].stop();
     let rest: Vec<_> = fleet
--- a/crates/foxtide-mesh/tests/mesh/membership.rs
+++ b/crates/foxtide-mesh/tests/mesh/membership.rs
@@ -72,10 +72,7 @@
     wait_until("all know that it is joining", || {
         has_state(MemberState::Joining)
     });
-    assert!(
-        all_see(&fleet, &fleet),
-        "a joining instance must not be usable"
-    );
+    assert!(all_see(&fleet, &fleet), "joining instance is usable");
     joining.serve();
     wait_until("all know that it serves", || has_state(MemberState::Alive));
 }
