--- a/crates/foxtide-gateway/src/dialect.rs
+++ b/crates/foxtide-gateway/src/dialect.rs
@@ -26,14 +26,14 @@
 /// it with whole heads, and passes on what it leaves in them.
 pub trait Dialect: Send + Sync + 'static {
     /// Reads what a caller says of its request.
-    fn caller_facts(&self, lines: &Lines) -> CallerFacts;
+    fn read_caller_headers(&self, lines: &Lines) -> CallerHeaders;
 
     /// Writes for whom a request is, whose it is and how much time is left for it. What
     /// the caller proves itself with is taken out wherever callers need a key.
-    fn address_request(&self, lines: &mut Lines, address: &RequestAddress<'_>);
+    fn write_forward_headers(&self, lines: &mut Lines, address: &ForwardHeaders<'_>);
 
     /// Reads what an upstream says of its response.
-    fn upstream_facts(&self, head: &ForwardedResponse) -> UpstreamFacts;
+    fn read_upstream_headers(&self, head: &ForwardedResponse) -> UpstreamHeaders;
 
     /// Reads a caller's question which instances to use; nothing where the
     /// request is none.
@@ -43,12 +43,12 @@
     fn lookup_answer(&self, addresses: &[SocketAddr], ttl: Duration) -> Vec<u8>;
 
     /// Tells whether a request asks if the instance is ready.
-    fn asks_readiness(&self, request: &ForwardedRequest) -> bool;
+    fn is_readiness_check(&self, request: &ForwardedRequest) -> bool;
 }
 
 /// What a caller says of its request.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct CallerFacts {
+pub struct CallerHeaders {
     /// The identity of the request.
     pub request_id: Option<String>,
     /// How long the caller waits.
@@ -94,7 +94,7 @@
 
 /// For whom a request is and whose it is.
 #[derive(Clone, Copy, Debug)]
-pub struct RequestAddress<'a> {
+pub struct ForwardHeaders<'a> {
     /// The upstream.
     pub upstream: &'a UpstreamId,
     /// The time that is left.
@@ -105,7 +105,7 @@
 
 /// What an upstream says of its response.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct UpstreamFacts {
+pub struct UpstreamHeaders {
     /// The identity of the request to which it responds.
     pub request_id: Option<String>,
     /// Whether the request did not run there and never will.
--- a/crates/foxtide-gateway/src/forward/attempt.rs
+++ b/crates/foxtide-gateway/src/forward/attempt.rs
@@ -4,8 +4,8 @@
 use crate::dialect::{
     CallerIdentity,
     Dialect,
-    RequestAddress,
-    UpstreamFacts, //
+    ForwardHeaders,
+    UpstreamHeaders, //
 };
 use crate::outcome::AttemptEnd;
 use crate::shared::Shared;
@@ -102,12 +102,14 @@
     };
     let time_left = ends_at.saturating_duration_since(Instant::now());
     let mut head = request.head.clone();
-    let address = RequestAddress {
+    let address = ForwardHeaders {
         upstream: &registration.upstream,
         time_left,
         caller,
     };
-    shared.dialect.address_request(&mut head.lines, &address);
+    shared
+        .dialect
+        .write_forward_headers(&mut head.lines, &address);
     let bytes = head.encode(&request.body);
     let sent_before = stream.sent_bytes();
     let conversed = converse(shared, &mut stream, request, &registration.upstream, &bytes);
@@ -118,9 +120,9 @@
     let conversed = or(async { Some(conversed.await) }, timed).await;
     let is_sent = stream.sent_bytes() > sent_before;
     match conversed {
-        Some(Ok((response, facts))) => {
+        Some(Ok((response, headers))) => {
             let latency = started.elapsed();
-            judge(shared, registration, stream, response, &facts, latency)
+            judge(shared, registration, stream, response, &headers, latency)
         }
         Some(Err(error)) => {
             if is_silence(&error) {
@@ -183,7 +185,7 @@
     request: &CallerRequest,
     upstream: &UpstreamId,
     bytes: &[u8],
-) -> Result<(WholeResponse, UpstreamFacts), MessageError> {
+) -> Result<(WholeResponse, UpstreamHeaders), MessageError> {
     // An upstream may respond and close before it has read the whole request.
     let written = stream.write_all(bytes).await;
     for _ in 0..STRAY_RESPONSES_MAX {
@@ -193,12 +195,12 @@
             Ok(()) => error,
         })?;
         response.head.close |= written.is_err();
-        let facts = shared.dialect.upstream_facts(&response.head);
-        if facts.request_id.is_some() && facts.request_id == request.facts.request_id {
-            return Ok((response, facts));
+        let headers = shared.dialect.read_upstream_headers(&response.head);
+        if headers.request_id.is_some() && headers.request_id == request.headers.request_id {
+            return Ok((response, headers));
         }
-        if request.facts.request_id.is_none() && facts.is_not_run {
-            return Ok((response, facts));
+        if request.headers.request_id.is_none() && headers.is_not_run {
+            return Ok((response, headers));
         }
         shared.journal.stray_response(request.id(), upstream);
     }
@@ -259,7 +261,7 @@
     registration: &Registration,
     stream: BufferedStream,
     response: WholeResponse,
-    facts: &UpstreamFacts,
+    headers: &UpstreamHeaders,
     latency: Duration,
 ) -> AttemptReport {
     if response.keeps_connection() && stream.buffered().is_empty() {
@@ -273,29 +275,29 @@
             .pool
             .put(registration, stream, keep_alive, connections_max, now);
     }
-    let (end, result) = meaning(response, facts, latency);
+    let (end, result) = meaning(response, headers, latency);
     AttemptReport {
         end,
         result,
-        load: facts.load,
+        load: headers.load,
         has_ended: false,
     }
 }
 
 fn meaning(
     response: WholeResponse,
-    facts: &UpstreamFacts,
+    headers: &UpstreamHeaders,
     latency: Duration,
 ) -> (AttemptEnd, AttemptResult) {
-    if facts.is_not_run {
-        let is_other_incarnation = facts.is_other_incarnation;
+    if headers.is_not_run {
+        let is_other_incarnation = headers.is_other_incarnation;
         let end = AttemptEnd::NotRun {
             is_other_incarnation,
         };
         return (end, AttemptResult::Full);
     }
     let is_success = (200..300).contains(&response.head.status);
-    if facts.is_encoded || (is_success && !facts.is_signed) {
+    if headers.is_encoded || (is_success && !headers.is_signed) {
         let cause = "the response is not the upstream's own".to_owned();
         return (AttemptEnd::Unknown { cause }, AttemptResult::Faulty);
     }
--- a/crates/foxtide-gateway/src/forward/entry.rs
+++ b/crates/foxtide-gateway/src/forward/entry.rs
@@ -124,7 +124,7 @@
 
 /// Returns when the request's time is up: the caller's or the route's limit.
 fn ends_at<D: Dialect>(shared: &Shared<D>, request: &CallerRequest, route: &Route) -> Instant {
-    let limit = match request.facts.time_left {
+    let limit = match request.headers.time_left {
         Some(time_left) => time_left.min(route.timeout),
         None => route.timeout,
     };
--- a/crates/foxtide-gateway/src/forward/request.rs
+++ b/crates/foxtide-gateway/src/forward/request.rs
@@ -1,7 +1,7 @@
 //! A caller's whole request.
 
 use crate::dialect::{
-    CallerFacts,
+    CallerHeaders,
     CallerIdentity,
     Credentials, //
 };
@@ -27,7 +27,7 @@
     /// The memory that the body takes.
     pub(crate) _memory: Reserved,
     /// What the caller says of it.
-    pub(crate) facts: CallerFacts,
+    pub(crate) headers: CallerHeaders,
     /// When its head had arrived.
     pub(crate) received_at: MonotonicTime,
 }
@@ -35,7 +35,7 @@
 impl CallerRequest {
     /// Returns the request's identity for logs.
     pub(crate) fn id(&self) -> &str {
-        self.facts.request_id.as_deref().unwrap_or("-")
+        self.headers.request_id.as_deref().unwrap_or("-")
     }
 
     /// Tells whose request it is, by one version of the configuration.
@@ -57,7 +57,7 @@
         let Some(organisations) = routes.organisations() else {
             return Ok(CallerIdentity::Unasked);
         };
-        let reason = match &self.facts.credentials {
+        let reason = match &self.headers.credentials {
             Credentials::Key(key) => match organisations.find(key) {
                 Some(terms) => return Ok(CallerIdentity::Organisation(Arc::clone(terms))),
                 None => "key_unknown",
@@ -87,6 +87,6 @@
 
     /// Returns the key of the object that the request concerns, if it names one.
     pub(crate) fn object(&self) -> Option<ObjectKey> {
-        self.facts.object.as_deref().map(ObjectKey::new)
+        self.headers.object.as_deref().map(ObjectKey::new)
     }
 }
--- a/crates/foxtide-gateway/src/front/connection.rs
+++ b/crates/foxtide-gateway/src/front/connection.rs
@@ -160,14 +160,14 @@
             Ok(received) => received,
             Err(reason) => return self.no_request(reason).await,
         };
-        let facts = self.shared.dialect.caller_facts(&head.lines);
+        let headers = self.shared.dialect.read_caller_headers(&head.lines);
         // The caller's wish to close is for its own connection alone.
         let close = std::mem::replace(&mut head.close, false);
         let request = CallerRequest {
             head,
             body,
             _memory: memory,
-            facts,
+            headers,
             received_at,
         };
         self.answer(request, close).await
@@ -191,7 +191,7 @@
 
     /// Returns the reply to a request; nothing where its caller is gone.
     async fn reply(&self, request: CallerRequest) -> Option<(Reply, Inputs)> {
-        let Some(routes) = self.await_routes(request.facts.time_left).await else {
+        let Some(routes) = self.await_routes(request.headers.time_left).await else {
             let ready_after = self.shared.state.lock().ready_after();
             let retry_after = ready_after.max(START_RETRY_AFTER);
             let inputs = Inputs::new(request.id(), "no_configuration_yet");
--- a/crates/foxtide-gateway/src/front/own.rs
+++ b/crates/foxtide-gateway/src/front/own.rs
@@ -11,7 +11,7 @@
     head: &ForwardedRequest,
 ) -> Option<Vec<u8>> {
     let dialect = &shared.dialect;
-    if dialect.asks_readiness(head) {
+    if dialect.is_readiness_check(head) {
         return Some(own_message(shared.is_ready(), b""));
     }
     let lookup = dialect.lookup(head)?;
--- a/crates/foxtide-gateway/src/lib.rs
+++ b/crates/foxtide-gateway/src/lib.rs
@@ -35,13 +35,13 @@
 mod traffic;
 
 pub use dialect::{
-    CallerFacts,
+    CallerHeaders,
     CallerIdentity,
     Credentials,
     Dialect,
+    ForwardHeaders,
     Lookup,
-    RequestAddress,
-    UpstreamFacts, //
+    UpstreamHeaders, //
 };
 pub use errors::{
     Error,
--- a/crates/foxtide-gateway/tests/gateway/support/dialect.rs
+++ b/crates/foxtide-gateway/tests/gateway/support/dialect.rs
@@ -2,13 +2,13 @@
 
 use foxtide_core::placement::LoadReport;
 use foxtide_gateway::{
-    CallerFacts,
+    CallerHeaders,
     CallerIdentity,
     Credentials,
     Dialect,
+    ForwardHeaders,
     Lookup,
-    RequestAddress,
-    UpstreamFacts, //
+    UpstreamHeaders, //
 };
 use foxtide_http::{
     ForwardedRequest,
@@ -23,11 +23,11 @@
 pub(crate) struct PlainDialect;
 
 impl Dialect for PlainDialect {
-    fn caller_facts(&self, lines: &Lines) -> CallerFacts {
+    fn read_caller_headers(&self, lines: &Lines) -> CallerHeaders {
         let time_left_ms = lines
             .text("time-left-ms")
             .and_then(|text| text.parse().ok());
-        CallerFacts {
+        CallerHeaders {
             request_id: lines.text("request").map(str::to_owned),
             time_left: time_left_ms.map(Duration::from_millis),
             object: lines.get("object").map(<[u8]>::to_vec),
@@ -35,7 +35,7 @@
         }
     }
 
-    fn address_request(&self, lines: &mut Lines, address: &RequestAddress<'_>) {
+    fn write_forward_headers(&self, lines: &mut Lines, address: &ForwardHeaders<'_>) {
         lines.set("time-left-ms", &address.time_left.as_millis().to_string());
         lines.set("incarnation", address.upstream.as_str());
         if *address.caller == CallerIdentity::Unasked {
@@ -48,10 +48,10 @@
         }
     }
 
-    fn upstream_facts(&self, head: &ForwardedResponse) -> UpstreamFacts {
+    fn read_upstream_headers(&self, head: &ForwardedResponse) -> UpstreamHeaders {
         let lines = &head.lines;
         let is_other_incarnation = lines.get("other-incarnation").is_some();
-        UpstreamFacts {
+        UpstreamHeaders {
             request_id: lines.text("request").map(str::to_owned),
             is_not_run: is_other_incarnation || lines.get("not-run").is_some(),
             is_other_incarnation,
@@ -74,7 +74,7 @@
         format!("{} {}", lines.join(","), ttl.as_millis()).into_bytes()
     }
 
-    fn asks_readiness(&self, request: &ForwardedRequest) -> bool {
+    fn is_readiness_check(&self, request: &ForwardedRequest) -> bool {
         request.path() == "/ready"
     }
 }
