--- a/crates/foxtide-gateway/src/dialect.rs
+++ b/crates/foxtide-gateway/src/dialect.rs
@@ -68,14 +68,14 @@
     /// A key.
     Key(ApiKey),
     /// Something else than one key, in another form.
-    Unreadable,
+    Malformed,
 }
 
 /// Whose request it is.
 #[derive(Clone, Debug, PartialEq)]
 pub enum CallerIdentity {
     /// The configuration has no organisations: nobody is asked.
-    Unasked,
+    NotRequired,
     /// Nobody's: the route is public, and the caller shows no key that is known.
     Anonymous,
     /// An organisation's.
@@ -86,7 +86,7 @@
     /// Returns the organisation, if it is one's.
     pub fn organisation(&self) -> Option<&OrganisationTerms> {
         match self {
-            Self::Unasked | Self::Anonymous => None,
+            Self::NotRequired | Self::Anonymous => None,
             Self::Organisation(terms) => Some(terms),
         }
     }
--- a/crates/foxtide-gateway/src/forward/request.rs
+++ b/crates/foxtide-gateway/src/forward/request.rs
@@ -55,7 +55,7 @@
         route: &Route,
     ) -> Result<CallerIdentity, &'static str> {
         let Some(organisations) = routes.organisations() else {
-            return Ok(CallerIdentity::Unasked);
+            return Ok(CallerIdentity::NotRequired);
         };
         let reason = match &self.headers.credentials {
             Credentials::Key(key) => match organisations.find(key) {
@@ -63,7 +63,7 @@
                 None => "key_unknown",
             },
             Credentials::Missing => "key_missing",
-            Credentials::Unreadable => "key_unreadable",
+            Credentials::Malformed => "key_unreadable",
         };
         if route.is_public {
             return Ok(CallerIdentity::Anonymous);
--- a/crates/foxtide-gateway/tests/gateway/support/dialect.rs
+++ b/crates/foxtide-gateway/tests/gateway/support/dialect.rs
@@ -38,7 +38,7 @@
     fn write_forward_headers(&self, lines: &mut Lines, address: &ForwardHeaders<'_>) {
         lines.set("time-left-ms", &address.time_left.as_millis().to_string());
         lines.set("incarnation", address.upstream.as_str());
-        if *address.caller == CallerIdentity::Unasked {
+        if *address.caller == CallerIdentity::NotRequired {
             return;
         }
         lines.remove("key");
@@ -82,8 +82,6 @@
 fn credentials(lines: &Lines) -> Credentials {
     match lines.text("key") {
         None => Credentials::Missing,
-        Some(key) => key
-            .parse()
-            .map_or(Credentials::Unreadable, Credentials::Key),
+        Some(key) => key.parse().map_or(Credentials::Malformed, Credentials::Key),
     }
 }
