--- a/crates/foxtide-gateway/src/admission/mod.rs
+++ b/crates/foxtide-gateway/src/admission/mod.rs
@@ -144,7 +144,7 @@
     /// Sends a datagram to another instance.
     pub(crate) fn send(&self, to: SocketAddr, datagram: &Datagram) {
         let bytes = datagram.encode_to_vec();
-        self.traffic.count(datagram.sent(), bytes.len());
+        self.traffic.count(datagram.traffic_kind(), bytes.len());
         // A datagram that cannot be sent at once is lost like any other.
         if let Err(error) = self.socket.get_ref().send_to(&bytes, to) {
             log::debug!("a datagram to {to} was not sent: {error}");
--- a/crates/foxtide-gateway/src/datagram/mod.rs
+++ b/crates/foxtide-gateway/src/datagram/mod.rs
@@ -18,7 +18,7 @@
     RequestMessage, //
 };
 
-use crate::traffic::Sent;
+use crate::traffic::TrafficKind;
 use std::time::Duration;
 
 /// A question, an answer or news.
@@ -66,12 +66,14 @@
 
 impl Datagram {
     /// Returns what the datagram is for.
-    pub(crate) fn sent(&self) -> Sent {
+    pub(crate) fn traffic_kind(&self) -> TrafficKind {
         match &self.body {
-            Some(Body::QuotaQuestion(_) | Body::QuotaAnswer(_)) => Sent::Quotas,
-            Some(Body::EndReport(_) | Body::Cleared(_) | Body::Quarantine(_)) => Sent::Poison,
+            Some(Body::QuotaQuestion(_) | Body::QuotaAnswer(_)) => TrafficKind::Quotas,
+            Some(Body::EndReport(_) | Body::Cleared(_) | Body::Quarantine(_)) => {
+                TrafficKind::Poison
+            }
             Some(Body::Ask(_) | Body::Tell(_) | Body::End(_) | Body::Answer(_)) | None => {
-                Sent::Slots
+                TrafficKind::Slots
             }
         }
     }
--- a/crates/foxtide-gateway/src/gateway.rs
+++ b/crates/foxtide-gateway/src/gateway.rs
@@ -207,7 +207,7 @@
         shared.beat();
         if round.is_multiple_of(LEDGER_ROUNDS) {
             shared.ledger.tell();
-            shared.traffic.tell();
+            shared.traffic.report();
         }
         let now = shared.clock.now();
         shared.state.lock().expire();
--- a/crates/foxtide-gateway/src/relay/server.rs
+++ b/crates/foxtide-gateway/src/relay/server.rs
@@ -10,7 +10,7 @@
 use crate::dialect::Dialect;
 use crate::shared::Shared;
 use crate::state::State;
-use crate::traffic::Sent;
+use crate::traffic::TrafficKind;
 use bytes::Bytes;
 use foxtide_core::records::are_told;
 use foxtide_events::{
@@ -110,9 +110,9 @@
             .increment(1);
         let bytes = packed(response, &request).encode_to_vec();
         let sent = if is_everything {
-            Sent::Everything
+            TrafficKind::Everything
         } else {
-            Sent::Changes
+            TrafficKind::Changes
         };
         shared.traffic.count(sent, bytes.len());
         frames.send(Bytes::from(bytes)).await?;
--- a/crates/foxtide-gateway/src/traffic.rs
+++ b/crates/foxtide-gateway/src/traffic.rs
@@ -14,7 +14,7 @@
 
 /// What is sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Sent {
+pub(crate) enum TrafficKind {
     /// What has changed in the store, to one that follows this instance.
     Changes,
     /// All that the store holds.
@@ -29,7 +29,7 @@
     Poison,
 }
 
-impl Sent {
+impl TrafficKind {
     const ALL: [Self; 6] = [
         Self::Changes,
         Self::Everything,
@@ -54,23 +54,23 @@
 /// The bytes that an instance has sent to others.
 #[derive(Debug, Default)]
 pub(crate) struct Traffic {
-    /// Bytes that no line has told yet, in the order of [`Sent::ALL`].
-    untold: [AtomicU64; Sent::ALL.len()],
+    /// Bytes that no line has told yet, in the order of [`TrafficKind::ALL`].
+    unreported: [AtomicU64; TrafficKind::ALL.len()],
 }
 
 impl Traffic {
     /// Counts a message.
-    pub(crate) fn count(&self, sent: Sent, size_bytes: usize) {
+    pub(crate) fn count(&self, sent: TrafficKind, size_bytes: usize) {
         let size_bytes = size_bytes as u64;
-        self.untold[sent as usize].fetch_add(size_bytes, Ordering::Relaxed);
+        self.unreported[sent as usize].fetch_add(size_bytes, Ordering::Relaxed);
         metrics::counter!("foxtide_instance_bytes_total", "sent" => sent.as_str())
             .increment(size_bytes);
     }
 
     /// Writes a line about what was sent since the last one, if anything was.
-    pub(crate) fn tell(&self) {
+    pub(crate) fn report(&self) {
         let [changes, everything, question, slots, quotas, poison] =
-            Sent::ALL.map(|sent| self.untold[sent as usize].swap(0, Ordering::Relaxed));
+            TrafficKind::ALL.map(|sent| self.unreported[sent as usize].swap(0, Ordering::Relaxed));
         if changes + everything + question + slots + quotas + poison == 0 {
             return;
         }
