--- a/crates/foxtide-gateway/src/forward/admit.rs
+++ b/crates/foxtide-gateway/src/forward/admit.rs
@@ -171,7 +171,7 @@
         let terms = SlotTerms {
             registration: &pick.registration,
             object: self.object,
-            priority: self.order.priority(),
+            priority: self.route_match.priority(),
             objective_at: self.objective_at,
             ends_at: self.ends_at,
             patience,
--- a/crates/foxtide-gateway/src/forward/entry.rs
+++ b/crates/foxtide-gateway/src/forward/entry.rs
@@ -1,9 +1,9 @@
 //! What is decided of a request before its first attempt.
 
 use super::caller::CallerWatch;
-use super::order::Order;
 use super::request::CallerRequest;
 use super::review::QUARANTINED;
+use super::route_match::RouteMatch;
 use super::run::{
     RETRY_AFTER,
     Run, //
@@ -29,25 +29,25 @@
 pub(crate) async fn forward<D: Dialect>(
     shared: &Arc<Shared<D>>,
     request: &CallerRequest,
-    order: &Order,
+    route_match: &RouteMatch,
     caller: &CallerWatch,
 ) -> (Reply, Inputs) {
-    let route = &*order.route;
+    let route = &*route_match.route;
     let mut inputs = Inputs::new(request.id(), "");
     inputs.route.clone_from(&route.name);
     inputs.is_idempotent = route.is_idempotent;
     inputs.latency_objective = route.latency_objective;
-    if let Some(terms) = order.caller.organisation() {
+    if let Some(terms) = route_match.caller.organisation() {
         inputs.organisation = terms.organisation.to_string();
     }
-    let fingerprint = request.fingerprint(&order.caller);
+    let fingerprint = request.fingerprint(&route_match.caller);
     inputs.fingerprint = fingerprint.to_string();
-    let Some(home_regions) = order.home_regions() else {
+    let Some(home_regions) = route_match.home_regions() else {
         inputs.reason = "no_common_home";
         let retry_after = RETRY_AFTER;
         return (Refusal::NotRun { retry_after }.into(), inputs);
     };
-    if let Err(refusal) = take_token(shared, order).await {
+    if let Err(refusal) = take_token(shared, route_match).await {
         let retry_after = refusal.retry_after;
         let refused = Refusal::OverQuota { retry_after };
         inputs.reason = refused.reason();
@@ -71,7 +71,7 @@
     let mut run = Run {
         shared,
         request,
-        order,
+        route_match,
         route,
         home_regions,
         fingerprint,
@@ -95,15 +95,18 @@
 
 /// Takes a token of the organisation's quota, if it has one. Where it is used up the request
 /// takes no slot and waits nowhere.
-async fn take_token<D: Dialect>(shared: &Shared<D>, order: &Order) -> Result<(), QuotaRefusal> {
-    let Some(terms) = order.caller.organisation() else {
+async fn take_token<D: Dialect>(
+    shared: &Shared<D>,
+    route_match: &RouteMatch,
+) -> Result<(), QuotaRefusal> {
+    let Some(terms) = route_match.caller.organisation() else {
         return Ok(());
     };
     let Some(quota) = terms.quota else {
         return Ok(());
     };
     // Among an organisation's own requests the routes' ranks tell them apart.
-    let priority = order.route.priority;
+    let priority = route_match.route.priority;
     let taken = quotas::take_token(shared, &terms.organisation, quota, priority).await;
     taken.inspect_err(|refusal| {
         let now = shared.clock.now();
--- a/crates/foxtide-gateway/src/forward/mod.rs
+++ b/crates/foxtide-gateway/src/forward/mod.rs
@@ -5,13 +5,13 @@
 mod begun;
 mod caller;
 mod entry;
-mod order;
 mod placed;
 mod request;
 mod review;
+mod route_match;
 mod run;
 
 pub(crate) use caller::CallerWatch;
 pub(crate) use entry::forward;
-pub(crate) use order::Order;
 pub(crate) use request::CallerRequest;
+pub(crate) use route_match::RouteMatch;
--- a/crates/foxtide-gateway/src/forward/review.rs
+++ b/crates/foxtide-gateway/src/forward/review.rs
@@ -43,12 +43,12 @@
             return Some(self.failure.clone().unwrap_or_else(|| refused.into()));
         }
         let routes = self.shared.state.lock().routes()?;
-        if routes.version() == self.order.version {
+        if routes.version() == self.route_match.version {
             return None;
         }
         let caller = self.request.identify(&routes, self.route);
         let reason = match caller {
-            Ok(caller) if is_same(&caller, &self.order.caller) => return None,
+            Ok(caller) if is_same(&caller, &self.route_match.caller) => return None,
             Ok(_) => "key_changed_hands",
             Err(reason) => reason,
         };
--- a/crates/foxtide-gateway/src/forward/order.rs
+++ b/crates/foxtide-gateway/src/forward/route_match.rs
@@ -10,7 +10,7 @@
 
 /// The route of a request and whose it is, by one version of the configuration.
 #[derive(Clone, Debug)]
-pub(crate) struct Order {
+pub(crate) struct RouteMatch {
     /// The route.
     pub(crate) route: Arc<Route>,
     /// Whose request it is.
@@ -19,7 +19,7 @@
     pub(crate) version: u64,
 }
 
-impl Order {
+impl RouteMatch {
     /// Returns the rank of the request: the organisation's goes before the route's.
     pub(super) fn priority(&self) -> u32 {
         let organisation = self.caller.organisation();
--- a/crates/foxtide-gateway/src/forward/run.rs
+++ b/crates/foxtide-gateway/src/forward/run.rs
@@ -6,9 +6,9 @@
 };
 use super::begun::Begun;
 use super::caller::CallerWatch;
-use super::order::Order;
 use super::placed::Placed;
 use super::request::CallerRequest;
+use super::route_match::RouteMatch;
 use crate::admission::{
     Slot,
     SlotAnswer, //
@@ -64,7 +64,7 @@
 pub(super) struct Run<'a, D> {
     pub(super) shared: &'a Arc<Shared<D>>,
     pub(super) request: &'a CallerRequest,
-    pub(super) order: &'a Order,
+    pub(super) route_match: &'a RouteMatch,
     pub(super) route: &'a Route,
     /// The only regions that may serve it; empty: all.
     pub(super) home_regions: Vec<RegionId>,
@@ -164,7 +164,7 @@
         let report = attempt(
             self.shared,
             self.request,
-            &self.order.caller,
+            &self.route_match.caller,
             &pick.registration,
             self.route.is_idempotent,
             self.ends_at,
--- a/crates/foxtide-gateway/src/front/connection.rs
+++ b/crates/foxtide-gateway/src/front/connection.rs
@@ -10,7 +10,7 @@
 use crate::forward::{
     CallerRequest,
     CallerWatch,
-    Order,
+    RouteMatch,
     forward, //
 };
 use crate::outcome::{
@@ -210,7 +210,7 @@
                 return Some((Refusal::Unauthorised.into(), inputs));
             }
         };
-        let order = Order {
+        let route_match = RouteMatch {
             route,
             caller,
             version: routes.version(),
@@ -218,7 +218,7 @@
         if !self
             .shared
             .lifecycle
-            .has_time_for(order.route.timeout + REPLY_MARGIN)
+            .has_time_for(route_match.route.timeout + REPLY_MARGIN)
         {
             let retry_after = STOP_RETRY_AFTER;
             let inputs = Inputs::new(request.id(), "stopping");
@@ -228,17 +228,17 @@
             self.stream.closed_by_peer().await;
             None
         };
-        if order.route.is_idempotent {
+        if route_match.route.is_idempotent {
             // Where the caller is gone its work is dropped.
             let reply = async {
-                Some(forward(self.shared, &request, &order, &CallerWatch::default()).await)
+                Some(forward(self.shared, &request, &route_match, &CallerWatch::default()).await)
             };
             return or(reply, gone).await;
         }
         // Work that cannot be repeated is not broken off, but what has not been sent
         // is not begun for a caller that has left.
         let (present, open): (Sender<()>, _) = bounded(1);
-        let mut task = Some(self.spawn_forward(request, order, CallerWatch::new(open)));
+        let mut task = Some(self.spawn_forward(request, route_match, CallerWatch::new(open)));
         let reply = async {
             match task.as_mut() {
                 Some(task) => Some(task.await),
@@ -277,11 +277,11 @@
     fn spawn_forward(
         &self,
         request: CallerRequest,
-        order: Order,
+        route_match: RouteMatch,
         caller: CallerWatch,
     ) -> smol::Task<(Reply, Inputs)> {
         let shared = Arc::clone(self.shared);
-        let forwarding = async move { forward(&shared, &request, &order, &caller).await };
+        let forwarding = async move { forward(&shared, &request, &route_match, &caller).await };
         self.shared.executor.spawn(forwarding)
     }
 
