--- a/crates/foxtide-gateway/src/forward/admit.rs
+++ b/crates/foxtide-gateway/src/forward/admit.rs
@@ -1,7 +1,7 @@
 //! The wait for a slot before a request is sent.
 
-use super::placed::Placed;
 use super::run::Run;
+use super::target::Target;
 use crate::admission::{
     Admitted,
     Slot,
@@ -41,7 +41,7 @@
     /// # Errors
     ///
     /// Fails with the reply where there is no upstream for it in its time.
-    pub(super) async fn place(&mut self) -> Result<Placed<'a>, Reply> {
+    pub(super) async fn acquire_target(&mut self) -> Result<Target<'a>, Reply> {
         loop {
             if Instant::now() >= self.ends_at {
                 return Err(self.out_of_time());
@@ -49,16 +49,16 @@
             let own = self.pick().map_err(|reason| self.no_upstream(reason))?;
             let mut admitted = self.admit(&own, self.patience()).await;
             if matches!(admitted, Admitted::Busy) {
-                if let Some(placed) = self.second_choice(&own).await {
-                    return Ok(placed);
+                if let Some(target) = self.second_choice(&own).await {
+                    return Ok(target);
                 }
-                if let Some(placed) = self.elsewhere().await {
-                    return Ok(placed);
+                if let Some(target) = self.elsewhere().await {
+                    return Ok(target);
                 }
                 admitted = self.admit(&own, Patience::ToTheEnd).await;
             }
             match admitted {
-                Admitted::Granted(slot) => return Ok(Placed { pick: own, slot }),
+                Admitted::Granted(slot) => return Ok(Target { pick: own, slot }),
                 Admitted::Refused { retry_after } => {
                     let elsewhere = self.elsewhere().await;
                     return elsewhere.ok_or_else(|| self.no_slot(&own, retry_after));
@@ -85,19 +85,19 @@
     /// of its objects, two of three second choices would stand elsewhere, where no slot can
     /// be asked for. There 136 of a region's 153 refusals in nine seconds had such a second
     /// choice, while neighbours were idle; those who came back were then all of that region.
-    async fn second_choice(&mut self, own: &Pick) -> Option<Placed<'a>> {
-        let (end, placed) = self.try_second_choice(own).await;
+    async fn second_choice(&mut self, own: &Pick) -> Option<Target<'a>> {
+        let (end, target) = self.try_second_choice(own).await;
         self.inputs.second_choice = end;
         metrics::counter!("foxtide_second_choices_total", "end" => end.as_str()).increment(1);
-        placed
+        target
     }
 
-    async fn try_second_choice(&mut self, own: &Pick) -> (SecondChoice, Option<Placed<'a>>) {
+    async fn try_second_choice(&mut self, own: &Pick) -> (SecondChoice, Option<Target<'a>>) {
         let Ok(pick) = self.pick_neighbour(&own.registration.upstream) else {
             return (SecondChoice::Missing, None);
         };
         match self.admit(&pick, Patience::None).await {
-            Admitted::Granted(slot) => (SecondChoice::Granted, Some(Placed { pick, slot })),
+            Admitted::Granted(slot) => (SecondChoice::Granted, Some(Target { pick, slot })),
             Admitted::Busy | Admitted::Refused { .. } | Admitted::Elsewhere => {
                 (SecondChoice::Busy, None)
             }
@@ -110,7 +110,7 @@
     /// Once no new requests came, what waited at such a region and what it had refused were
     /// nearly all served there: of its traffic 0.33 moved home within 2 s, on a whole day where
     /// 0.15 may. `docs/design/shifted.md` has what is left of that, and what it costs.
-    async fn elsewhere(&mut self) -> Option<Placed<'a>> {
+    async fn elsewhere(&mut self) -> Option<Target<'a>> {
         // What has waited for long would be late there as well.
         if Instant::now() >= self.objective_at {
             return None;
@@ -130,7 +130,7 @@
         match self.admit(&pick, Patience::None).await {
             Admitted::Granted(slot) => {
                 metrics::counter!("foxtide_overflows_total").increment(1);
-                Some(Placed { pick, slot })
+                Some(Target { pick, slot })
             }
             Admitted::Busy | Admitted::Refused { .. } | Admitted::Elsewhere => None,
         }
--- a/crates/foxtide-gateway/src/forward/mod.rs
+++ b/crates/foxtide-gateway/src/forward/mod.rs
@@ -5,11 +5,11 @@
 mod begun;
 mod caller;
 mod entry;
-mod placed;
 mod request;
 mod review;
 mod route_match;
 mod run;
+mod target;
 
 pub(crate) use caller::CallerWatch;
 pub(crate) use entry::forward;
--- a/crates/foxtide-gateway/src/forward/run.rs
+++ b/crates/foxtide-gateway/src/forward/run.rs
@@ -6,9 +6,9 @@
 };
 use super::begun::Begun;
 use super::caller::CallerWatch;
-use super::placed::Placed;
 use super::request::CallerRequest;
 use super::route_match::RouteMatch;
+use super::target::Target;
 use crate::admission::{
     Slot,
     SlotAnswer, //
@@ -100,8 +100,8 @@
     /// Goes from attempt to attempt until there is a reply.
     pub(super) async fn finish(&mut self) -> Reply {
         loop {
-            let Placed { pick, slot } = match self.place().await {
-                Ok(placed) => placed,
+            let Target { pick, slot } = match self.acquire_target().await {
+                Ok(target) => target,
                 Err(reply) => return reply,
             };
             self.shared.catch_up().await;
