--- a/crates/foxtide-gateway/src/forward/begun.rs
+++ b/crates/foxtide-gateway/src/forward/attempt_guard.rs
@@ -7,13 +7,13 @@
 use foxtide_core::registry::Registration;
 
 /// An attempt that counts as in flight until it has ended or was dropped.
-pub(super) struct Begun<'a, D: Dialect> {
+pub(super) struct AttemptGuard<'a, D: Dialect> {
     shared: &'a Shared<D>,
     registration: &'a Registration,
     is_ended: bool,
 }
 
-impl<'a, D: Dialect> Begun<'a, D> {
+impl<'a, D: Dialect> AttemptGuard<'a, D> {
     /// Counts an attempt at an incarnation of an upstream.
     pub(super) fn new(shared: &'a Shared<D>, registration: &'a Registration) -> Self {
         shared.state.lock().begin_attempt(registration);
@@ -32,7 +32,7 @@
     }
 }
 
-impl<D: Dialect> Drop for Begun<'_, D> {
+impl<D: Dialect> Drop for AttemptGuard<'_, D> {
     fn drop(&mut self) {
         if !self.is_ended {
             let mut state = self.shared.state.lock();
--- a/crates/foxtide-gateway/src/forward/mod.rs
+++ b/crates/foxtide-gateway/src/forward/mod.rs
@@ -2,7 +2,7 @@
 
 mod admit;
 mod attempt;
-mod begun;
+mod attempt_guard;
 mod caller;
 mod entry;
 mod request;
--- a/crates/foxtide-gateway/src/forward/run.rs
+++ b/crates/foxtide-gateway/src/forward/run.rs
@@ -4,7 +4,7 @@
     AttemptReport,
     attempt, //
 };
-use super::begun::Begun;
+use super::attempt_guard::AttemptGuard;
 use super::caller::CallerWatch;
 use super::request::CallerRequest;
 use super::route_match::RouteMatch;
@@ -160,7 +160,7 @@
     }
 
     async fn send(&self, pick: &Pick, mut slot: Option<Slot<'_>>) -> AttemptReport {
-        let begun = Begun::new(self.shared, &pick.registration);
+        let guard = AttemptGuard::new(self.shared, &pick.registration);
         let report = attempt(
             self.shared,
             self.request,
@@ -175,7 +175,7 @@
             let under_way = self.shared.state.lock().under_way(upstream);
             poison::upstream_ended(self.shared, self.fingerprint, &pick.registration, under_way);
         }
-        begun.end(&report);
+        guard.end(&report);
         if let (Some(slot), AttemptResult::Answered { .. }) = (&mut slot, report.result) {
             slot.served();
         }
