--- a/crates/foxtide-gateway/src/forward/admit.rs
+++ b/crates/foxtide-gateway/src/forward/admit.rs
@@ -1,6 +1,6 @@
 //! The wait for a slot before a request is sent.
 
-use super::run::Run;
+use super::attempt_loop::AttemptLoop;
 use super::target::Target;
 use crate::admission::{
     Admitted,
@@ -30,7 +30,7 @@
 /// When a caller is told to come back whose time passed while it waited.
 const RETRY_AFTER_WAIT: Duration = Duration::from_millis(200);
 
-impl<'a, D: Dialect> Run<'a, D> {
+impl<'a, D: Dialect> AttemptLoop<'a, D> {
     /// Picks an upstream and waits until the request may be sent to it.
     ///
     /// Where the object's own upstream would not serve it early, its second choice does
--- a/crates/foxtide-gateway/src/forward/run.rs
+++ b/crates/foxtide-gateway/src/forward/attempt_loop.rs
@@ -49,7 +49,7 @@
 };
 
 /// The most upstreams that are tried in vain, where nothing was sent to them.
-const UNSENT_MAX: u32 = 4;
+const UNSENT_ATTEMPTS_MAX: u32 = 4;
 
 /// When a caller is told to come back where the request has not run and nothing
 /// is known of how long the upstream works on one.
@@ -61,7 +61,7 @@
 const RETRY_AFTER_MAX: Duration = Duration::from_millis(1_000);
 
 /// Where the attempts of a request stand.
-pub(super) struct Run<'a, D> {
+pub(super) struct AttemptLoop<'a, D> {
     pub(super) shared: &'a Arc<Shared<D>>,
     pub(super) request: &'a CallerRequest,
     pub(super) route_match: &'a RouteMatch,
@@ -82,9 +82,9 @@
     pub(super) ends_at: Instant,
     pub(super) tried: Vec<UpstreamId>,
     /// Attempts of which some byte was sent.
-    pub(super) sent: u32,
+    pub(super) sent_attempts: u32,
     /// Attempts of which no byte was sent.
-    pub(super) unsent: u32,
+    pub(super) unsent_attempts: u32,
     /// The failure to report where no later attempt does better.
     pub(super) failure: Option<Reply>,
     pub(super) inputs: Inputs,
@@ -96,9 +96,9 @@
     Again,
 }
 
-impl<'a, D: Dialect> Run<'a, D> {
+impl<'a, D: Dialect> AttemptLoop<'a, D> {
     /// Goes from attempt to attempt until there is a reply.
-    pub(super) async fn finish(&mut self) -> Reply {
+    pub(super) async fn run(&mut self) -> Reply {
         loop {
             let Target { pick, slot } = match self.acquire_target().await {
                 Ok(target) => target,
@@ -198,7 +198,7 @@
             AttemptEnd::NotRun {
                 is_other_incarnation,
             } => {
-                self.sent += 1;
+                self.sent_attempts += 1;
                 if is_other_incarnation {
                     let mut state = self.shared.state.lock();
                     state.address_taken(&pick.registration);
@@ -209,16 +209,16 @@
                 self.again_or(self.not_run())
             }
             AttemptEnd::NotSent { .. } => {
-                self.unsent += 1;
+                self.unsent_attempts += 1;
                 self.inputs.reason = "upstreams_unreachable";
-                if self.unsent >= UNSENT_MAX {
+                if self.unsent_attempts >= UNSENT_ATTEMPTS_MAX {
                     return Next::Reply(self.not_run());
                 }
                 Next::Again
             }
             AttemptEnd::Unknown { .. } => self.unknown(Refusal::Failed),
             AttemptEnd::TimedOut => {
-                self.sent += 1;
+                self.sent_attempts += 1;
                 self.inputs.reason = "time_up_at_upstream";
                 Next::Reply(Refusal::TimedOut.into())
             }
@@ -242,7 +242,7 @@
     /// A response is the reply, except a server error where another upstream
     /// may do better.
     fn responded(&mut self, response: Box<WholeResponse>) -> Next {
-        self.sent += 1;
+        self.sent_attempts += 1;
         let is_error = response.head.status >= 500;
         if is_error {
             self.inputs.reason = "upstream_error";
@@ -257,7 +257,7 @@
 
     /// The request may have run: only an idempotent one is sent again.
     fn unknown(&mut self, refusal: Refusal) -> Next {
-        self.sent += 1;
+        self.sent_attempts += 1;
         self.inputs.reason = "response_lost";
         let reply = Reply::from(refusal);
         if !self.route.is_idempotent {
@@ -269,7 +269,7 @@
 
     /// Goes on where the route and the budget of repeats allow it.
     fn again_or(&mut self, reply: Reply) -> Next {
-        let may_repeat = self.sent < self.route.attempts_max
+        let may_repeat = self.sent_attempts < self.route.attempts_max
             && self.shared.state.lock().take_repeat(self.service);
         if may_repeat {
             Next::Again
--- a/crates/foxtide-gateway/src/forward/entry.rs
+++ b/crates/foxtide-gateway/src/forward/entry.rs
@@ -1,13 +1,13 @@
 //! What is decided of a request before its first attempt.
 
+use super::attempt_loop::{
+    AttemptLoop, //
+    RETRY_AFTER,
+};
 use super::caller::CallerWatch;
 use super::request::CallerRequest;
 use super::review::QUARANTINED;
 use super::route_match::RouteMatch;
-use super::run::{
-    RETRY_AFTER,
-    Run, //
-};
 use crate::dialect::Dialect;
 use crate::outcome::{
     Inputs,
@@ -68,7 +68,7 @@
     };
     let object = request.object().filter(|_| route.has_affinity);
     inputs.object = object.map_or_else(String::new, |object| object.to_string());
-    let mut run = Run {
+    let mut attempt_loop = AttemptLoop {
         shared,
         request,
         route_match,
@@ -84,13 +84,13 @@
             .instant(request.received_at + route.latency_objective),
         ends_at: ends_at(shared, request, route),
         tried: Vec::new(),
-        sent: 0,
-        unsent: 0,
+        sent_attempts: 0,
+        unsent_attempts: 0,
         failure: None,
         inputs,
     };
-    let reply = run.finish().await;
-    (reply, run.inputs)
+    let reply = attempt_loop.run().await;
+    (reply, attempt_loop.inputs)
 }
 
 /// Takes a token of the organisation's quota, if it has one. Where it is used up the request
--- a/crates/foxtide-gateway/src/forward/mod.rs
+++ b/crates/foxtide-gateway/src/forward/mod.rs
@@ -3,12 +3,12 @@
 mod admit;
 mod attempt;
 mod attempt_guard;
+mod attempt_loop;
 mod caller;
 mod entry;
 mod request;
 mod review;
 mod route_match;
-mod run;
 mod target;
 
 pub(crate) use caller::CallerWatch;
--- a/crates/foxtide-gateway/src/forward/review.rs
+++ b/crates/foxtide-gateway/src/forward/review.rs
@@ -1,6 +1,6 @@
 //! What is looked at again between the attempts of a request.
 
-use super::run::Run;
+use super::attempt_loop::AttemptLoop;
 use crate::dialect::{
     CallerIdentity,
     Dialect, //
@@ -30,7 +30,7 @@
     name(one) == name(other)
 }
 
-impl<D: Dialect> Run<'_, D> {
+impl<D: Dialect> AttemptLoop<'_, D> {
     /// The reply where the request may not be sent any more: it has turned out to end its
     /// upstreams, or the caller's key was taken away. It may have waited for a slot, or have
     /// been sent in vain before.
@@ -62,7 +62,7 @@
     /// Returns when the caller may come back where the request is quarantined and may not be
     /// sent once more as its trial.
     fn quarantined_for(&self) -> Option<Duration> {
-        if self.sending == Sending::Once && self.sent == 0 {
+        if self.sending == Sending::Once && self.sent_attempts == 0 {
             return None;
         }
         let now = self.shared.clock.now();
