--- a/crates/foxtide-gateway/src/admission/client.rs
+++ b/crates/foxtide-gateway/src/admission/client.rs
@@ -42,7 +42,7 @@
     /// When its latency objective passes.
     pub(crate) objective_at: Instant,
     /// When its caller's or its route's limit passes.
-    pub(crate) ends_at: Instant,
+    pub(crate) deadline: Instant,
     /// How long it is ready to wait.
     pub(crate) patience: Patience,
 }
@@ -208,7 +208,7 @@
             object: terms.object,
             priority: terms.priority,
             objective_left: terms.objective_at.saturating_duration_since(now),
-            time_left: terms.ends_at.saturating_duration_since(now),
+            time_left: terms.deadline.saturating_duration_since(now),
             patience: terms.patience,
         }
     }
--- a/crates/foxtide-gateway/src/forward/admit.rs
+++ b/crates/foxtide-gateway/src/forward/admit.rs
@@ -43,7 +43,7 @@
     /// Fails with the reply where there is no upstream for it in its time.
     pub(super) async fn acquire_target(&mut self) -> Result<Target<'a>, Reply> {
         loop {
-            if Instant::now() >= self.ends_at {
+            if Instant::now() >= self.deadline {
                 return Err(self.out_of_time());
             }
             let own = self.pick().map_err(|reason| self.no_upstream(reason))?;
@@ -173,7 +173,7 @@
             object: self.object,
             priority: self.route_match.priority(),
             objective_at: self.objective_at,
-            ends_at: self.ends_at,
+            deadline: self.deadline,
             patience,
         };
         // What a cold upstream may get was taken from its rate already.
@@ -184,7 +184,7 @@
         let asked = admission.ask(coordinator, &terms, is_eligible);
         let in_vain = async {
             let late = async {
-                Timer::at(self.ends_at).await;
+                Timer::at(self.deadline).await;
             };
             or(self.caller.left(), late).await;
             Admitted::Refused {
--- a/crates/foxtide-gateway/src/forward/attempt.rs
+++ b/crates/foxtide-gateway/src/forward/attempt.rs
@@ -89,10 +89,10 @@
     caller: &CallerIdentity,
     registration: &Registration,
     is_idempotent: bool,
-    ends_at: Instant,
+    deadline: Instant,
 ) -> AttemptReport {
     let started = Instant::now();
-    let opened = open(shared, registration, is_idempotent, ends_at).await;
+    let opened = open(shared, registration, is_idempotent, deadline).await;
     let mut stream = match opened {
         Ok(stream) => stream,
         Err(error) => {
@@ -100,7 +100,7 @@
             return AttemptReport::new(AttemptEnd::NotSent { cause }, AttemptResult::Unreachable);
         }
     };
-    let time_left = ends_at.saturating_duration_since(Instant::now());
+    let time_left = deadline.saturating_duration_since(Instant::now());
     let mut head = request.head.clone();
     let address = ForwardHeaders {
         upstream: &registration.upstream,
@@ -114,7 +114,7 @@
     let sent_before = stream.sent_bytes();
     let conversed = converse(shared, &mut stream, request, &registration.upstream, &bytes);
     let timed = async {
-        Timer::at(ends_at + LIMIT_MARGIN).await;
+        Timer::at(deadline + LIMIT_MARGIN).await;
         None
     };
     let conversed = or(async { Some(conversed.await) }, timed).await;
@@ -145,14 +145,14 @@
     shared: &Shared<D>,
     registration: &Registration,
     is_idempotent: bool,
-    ends_at: Instant,
+    deadline: Instant,
 ) -> io::Result<BufferedStream> {
     let now = shared.clock.now();
     if let Some(stream) = shared.pool.take(registration, is_idempotent, now) {
         return Ok(stream);
     }
     metrics::counter!("foxtide_upstream_connections_total").increment(1);
-    let limit = ends_at.min(Instant::now() + connect_time(shared, registration));
+    let limit = deadline.min(Instant::now() + connect_time(shared, registration));
     let timed = async {
         Timer::at(limit).await;
         Err(io::ErrorKind::TimedOut.into())
--- a/crates/foxtide-gateway/src/forward/attempt_loop.rs
+++ b/crates/foxtide-gateway/src/forward/attempt_loop.rs
@@ -79,7 +79,7 @@
     /// When the latency objective passes.
     pub(super) objective_at: Instant,
     /// When the caller's or the route's limit passes.
-    pub(super) ends_at: Instant,
+    pub(super) deadline: Instant,
     pub(super) tried: Vec<UpstreamId>,
     /// Attempts of which some byte was sent.
     pub(super) sent_attempts: u32,
@@ -167,7 +167,7 @@
             &self.route_match.caller,
             &pick.registration,
             self.route.is_idempotent,
-            self.ends_at,
+            self.deadline,
         )
         .await;
         if report.has_ended {
--- a/crates/foxtide-gateway/src/forward/entry.rs
+++ b/crates/foxtide-gateway/src/forward/entry.rs
@@ -2,7 +2,7 @@
 
 use super::attempt_loop::{
     AttemptLoop, //
-    RETRY_AFTER,
+    RETRY_AFTER, //
 };
 use super::caller::CallerWatch;
 use super::request::CallerRequest;
@@ -82,7 +82,7 @@
         objective_at: shared
             .clock
             .instant(request.received_at + route.latency_objective),
-        ends_at: ends_at(shared, request, route),
+        deadline: deadline(shared, request, route),
         tried: Vec::new(),
         sent_attempts: 0,
         unsent_attempts: 0,
@@ -126,7 +126,7 @@
 }
 
 /// Returns when the request's time is up: the caller's or the route's limit.
-fn ends_at<D: Dialect>(shared: &Shared<D>, request: &CallerRequest, route: &Route) -> Instant {
+fn deadline<D: Dialect>(shared: &Shared<D>, request: &CallerRequest, route: &Route) -> Instant {
     let limit = match request.headers.time_left {
         Some(time_left) => time_left.min(route.timeout),
         None => route.timeout,
--- a/crates/foxtide-gateway/src/forward/review.rs
+++ b/crates/foxtide-gateway/src/forward/review.rs
@@ -72,7 +72,7 @@
     /// Waits until it can be known whether the request ends its upstreams, unless its
     /// caller leaves.
     pub(super) async fn wait_for_verdict(&self) {
-        let time_left = self.ends_at.saturating_duration_since(Instant::now());
+        let time_left = self.deadline.saturating_duration_since(Instant::now());
         let waited = async {
             Timer::after(REPEAT_WAIT.min(time_left)).await;
         };
--- a/crates/foxtide-gateway/src/front/connection.rs
+++ b/crates/foxtide-gateway/src/front/connection.rs
@@ -260,15 +260,15 @@
     async fn await_routes(&self, time_left: Option<Duration>) -> Option<Arc<RouteTable>> {
         let waits_until = self.shared.clock.instant(MonotonicTime::ZERO + START_TIME);
         let patience = time_left.map_or(START_WAIT, |time| START_WAIT.min(time / 3));
-        let ends_at = waits_until.min(Instant::now() + patience);
+        let deadline = waits_until.min(Instant::now() + patience);
         loop {
             let changed = self.shared.log_changed.listen();
             let routes = self.shared.state.lock().routes();
-            if routes.is_some() || Instant::now() >= ends_at {
+            if routes.is_some() || Instant::now() >= deadline {
                 return routes;
             }
             let late = async {
-                Timer::at(ends_at).await;
+                Timer::at(deadline).await;
             };
             or(changed, late).await;
         }
