--- a/crates/foxtide-gateway/src/forward/attempt_loop.rs
+++ b/crates/foxtide-gateway/src/forward/attempt_loop.rs
@@ -93,7 +93,7 @@
 /// Whether another attempt follows.
 enum Next {
     Reply(Reply),
-    Again,
+    Retry,
 }
 
 impl<'a, D: Dialect> AttemptLoop<'a, D> {
@@ -190,7 +190,7 @@
         let journal = &self.shared.journal;
         journal.attempt_failed(&self.inputs, pick, &report.end, took);
         self.inputs.note(pick);
-        if !self.may_stay(&report.end) {
+        if !self.may_retry_same_upstream(&report.end) {
             self.tried.push(upstream);
         }
         match report.end {
@@ -206,7 +206,7 @@
                 if self.failure.is_none() {
                     self.inputs.reason = "upstream_refused";
                 }
-                self.again_or(self.not_run())
+                self.retry_or(self.not_run())
             }
             AttemptEnd::NotSent { .. } => {
                 self.unsent_attempts += 1;
@@ -214,7 +214,7 @@
                 if self.unsent_attempts >= UNSENT_ATTEMPTS_MAX {
                     return Next::Reply(self.not_run());
                 }
-                Next::Again
+                Next::Retry
             }
             AttemptEnd::Unknown { .. } => self.unknown(Refusal::Failed),
             AttemptEnd::TimedOut => {
@@ -229,7 +229,7 @@
     /// its coordinator had granted a slot, so that it is not full but turns away part
     /// of its requests. There the object is known; at another one it takes three times
     /// the work. That brings 0.007 of the worth of a day on which a service does so.
-    fn may_stay(&self, end: &AttemptEnd) -> bool {
+    fn may_retry_same_upstream(&self, end: &AttemptEnd) -> bool {
         let is_refused = matches!(
             end,
             AttemptEnd::NotRun {
@@ -252,7 +252,7 @@
             return Next::Reply(reply);
         }
         self.failure = Some(reply.clone());
-        self.again_or(reply)
+        self.retry_or(reply)
     }
 
     /// The request may have run: only an idempotent one is sent again.
@@ -264,15 +264,15 @@
             return Next::Reply(reply);
         }
         self.failure = Some(reply.clone());
-        self.again_or(reply)
+        self.retry_or(reply)
     }
 
     /// Goes on where the route and the budget of repeats allow it.
-    fn again_or(&mut self, reply: Reply) -> Next {
-        let may_repeat = self.sent_attempts < self.route.attempts_max
-            && self.shared.state.lock().take_repeat(self.service);
-        if may_repeat {
-            Next::Again
+    fn retry_or(&mut self, reply: Reply) -> Next {
+        let may_retry = self.sent_attempts < self.route.attempts_max
+            && self.shared.state.lock().take_retry(self.service);
+        if may_retry {
+            Next::Retry
         } else {
             Next::Reply(reply)
         }
--- a/crates/foxtide-gateway/src/state/mod.rs
+++ b/crates/foxtide-gateway/src/state/mod.rs
@@ -265,7 +265,7 @@
     }
 
     /// Takes one repeat out of a service's budget; tells whether there was one.
-    pub(crate) fn take_repeat(&mut self, service: &ServiceId) -> bool {
+    pub(crate) fn take_retry(&mut self, service: &ServiceId) -> bool {
         let now = self.clock.now();
         self.budget(service).try_spend(now)
     }
