--- a/crates/foxtide-gateway/src/forward/attempt_loop.rs
+++ b/crates/foxtide-gateway/src/forward/attempt_loop.rs
@@ -105,7 +105,7 @@
                 Err(reply) => return reply,
             };
             self.shared.catch_up().await;
-            if let Some(reply) = self.refused_meanwhile() {
+            if let Some(reply) = self.recheck() {
                 return reply;
             }
             let began_at = Instant::now();
--- a/crates/foxtide-gateway/src/forward/entry.rs
+++ b/crates/foxtide-gateway/src/forward/entry.rs
@@ -5,8 +5,8 @@
     RETRY_AFTER, //
 };
 use super::caller::CallerWatch;
+use super::recheck::QUARANTINED_REASON;
 use super::request::CallerRequest;
-use super::review::QUARANTINED;
 use super::route_match::RouteMatch;
 use crate::dialect::Dialect;
 use crate::outcome::{
@@ -57,7 +57,7 @@
     let sending = match poison::admit(shared, fingerprint).await {
         Ok(sending) => sending,
         Err(retry_after) => {
-            inputs.reason = QUARANTINED;
+            inputs.reason = QUARANTINED_REASON;
             return (Refusal::NotRun { retry_after }.into(), inputs);
         }
     };
--- a/crates/foxtide-gateway/src/forward/mod.rs
+++ b/crates/foxtide-gateway/src/forward/mod.rs
@@ -6,8 +6,8 @@
 mod attempt_loop;
 mod caller;
 mod entry;
+mod recheck;
 mod request;
-mod review;
 mod route_match;
 mod target;
 
--- a/crates/foxtide-gateway/src/forward/review.rs
+++ b/crates/foxtide-gateway/src/forward/recheck.rs
@@ -19,10 +19,10 @@
 };
 
 /// The reason in logs where a request ends its upstreams.
-pub(super) const QUARANTINED: &str = "ends_its_upstreams";
+pub(super) const QUARANTINED_REASON: &str = "ends_its_upstreams";
 
 /// Tells whether two versions of the configuration take a caller for the same.
-fn is_same(one: &CallerIdentity, other: &CallerIdentity) -> bool {
+fn is_same_organisation(one: &CallerIdentity, other: &CallerIdentity) -> bool {
     let name = |caller: &CallerIdentity| {
         let terms = caller.organisation()?;
         Some(terms.organisation.clone())
@@ -34,10 +34,10 @@
     /// The reply where the request may not be sent any more: it has turned out to end its
     /// upstreams, or the caller's key was taken away. It may have waited for a slot, or have
     /// been sent in vain before.
-    pub(super) fn refused_meanwhile(&mut self) -> Option<Reply> {
-        if let Some(retry_after) = self.quarantined_for() {
+    pub(super) fn recheck(&mut self) -> Option<Reply> {
+        if let Some(retry_after) = self.quarantine_retry_after() {
             if self.failure.is_none() {
-                self.inputs.reason = QUARANTINED;
+                self.inputs.reason = QUARANTINED_REASON;
             }
             let refused = Refusal::NotRun { retry_after };
             return Some(self.failure.clone().unwrap_or_else(|| refused.into()));
@@ -48,7 +48,7 @@
         }
         let caller = self.request.identify(&routes, self.route);
         let reason = match caller {
-            Ok(caller) if is_same(&caller, &self.route_match.caller) => return None,
+            Ok(caller) if is_same_organisation(&caller, &self.route_match.caller) => return None,
             Ok(_) => "key_changed_hands",
             Err(reason) => reason,
         };
@@ -61,7 +61,7 @@
 
     /// Returns when the caller may come back where the request is quarantined and may not be
     /// sent once more as its trial.
-    fn quarantined_for(&self) -> Option<Duration> {
+    fn quarantine_retry_after(&self) -> Option<Duration> {
         if self.sending == Sending::Once && self.sent_attempts == 0 {
             return None;
         }
