--- a/crates/foxtide-gateway/src/forward/attempt.rs
+++ b/crates/foxtide-gateway/src/forward/attempt.rs
@@ -35,23 +35,23 @@
 
 /// How long a connection within the region may take to be made. A round trip is
 /// 2 ms; a lost packet is sent again after a second only, which is too late.
-const CONNECT_TIME_NEAR: Duration = Duration::from_millis(120);
+const CONNECT_TIMEOUT_OWN_REGION: Duration = Duration::from_millis(120);
 
 /// How long a connection to another region may take: three of the longest round
 /// trips that deployments have (110 ms).
-const CONNECT_TIME_FAR: Duration = Duration::from_millis(350);
+const CONNECT_TIMEOUT_OTHER_REGION: Duration = Duration::from_millis(350);
 
 /// When it is looked once more: a process that ends closes what it has one after the other,
 /// and with many connections it does so for some milliseconds.
-const CHECK_AGAIN_AFTER: Duration = Duration::from_millis(20);
+const RECHECK_DELAY: Duration = Duration::from_millis(20);
 
 /// How long sent bytes may stay unacknowledged before the upstream counts as
 /// unreachable.
-const UNACKNOWLEDGED_TIME: Duration = Duration::from_millis(1_000);
+const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_millis(1_000);
 
 /// How long a response is waited for beyond the limit that the upstream was
 /// given: its own word that time is up arrives then.
-const LIMIT_MARGIN: Duration = Duration::from_millis(100);
+const DEADLINE_MARGIN: Duration = Duration::from_millis(100);
 
 /// The most responses to other requests that are passed over on a connection.
 const STRAY_RESPONSES_MAX: usize = 4;
@@ -112,26 +112,28 @@
         .write_forward_headers(&mut head.lines, &address);
     let bytes = head.encode(&request.body);
     let sent_before = stream.sent_bytes();
-    let conversed = converse(shared, &mut stream, request, &registration.upstream, &bytes);
+    let exchanged = exchange(shared, &mut stream, request, &registration.upstream, &bytes);
     let timed = async {
-        Timer::at(deadline + LIMIT_MARGIN).await;
+        Timer::at(deadline + DEADLINE_MARGIN).await;
         None
     };
-    let conversed = or(async { Some(conversed.await) }, timed).await;
+    let exchanged = or(async { Some(exchanged.await) }, timed).await;
     let is_sent = stream.sent_bytes() > sent_before;
-    match conversed {
+    match exchanged {
         Some(Ok((response, headers))) => {
             let latency = started.elapsed();
-            judge(shared, registration, stream, response, &headers, latency)
+            evaluate_response(shared, registration, stream, response, &headers, latency)
         }
         Some(Err(error)) => {
-            if is_silence(&error) {
+            if is_unacknowledged(&error) {
                 shared.pool.forget(&registration.upstream);
             }
-            let has_ended = is_sent && is_closed(&error) && is_gone(shared, registration).await;
+            let has_ended = is_sent
+                && is_closed_by_upstream(&error)
+                && refuses_connections(shared, registration).await;
             AttemptReport {
                 has_ended,
-                ..broken(&error, is_sent)
+                ..failed_report(&error, is_sent)
             }
         }
         None => {
@@ -152,34 +154,34 @@
         return Ok(stream);
     }
     metrics::counter!("foxtide_upstream_connections_total").increment(1);
-    let limit = deadline.min(Instant::now() + connect_time(shared, registration));
+    let limit = deadline.min(Instant::now() + connect_timeout(shared, registration));
     let timed = async {
         Timer::at(limit).await;
         Err(io::ErrorKind::TimedOut.into())
     };
     let connected = or(BufferedStream::connect(registration.address, None), timed).await;
     let stream = connected?;
-    if let Err(error) = stream.limit_unacknowledged(UNACKNOWLEDGED_TIME) {
+    if let Err(error) = stream.limit_unacknowledged(UNACKNOWLEDGED_TIMEOUT) {
         log::debug!("the system does not limit unacknowledged data: {error}");
     }
     Ok(stream)
 }
 
 /// Returns how long a connection to an upstream may take to be made, or to be refused.
-fn connect_time<D>(shared: &Shared<D>, registration: &Registration) -> Duration {
-    connect_time_within(registration.region == shared.options.place.region)
+fn connect_timeout<D>(shared: &Shared<D>, registration: &Registration) -> Duration {
+    connect_timeout_for(registration.region == shared.options.place.region)
 }
 
-fn connect_time_within(is_own_region: bool) -> Duration {
+fn connect_timeout_for(is_own_region: bool) -> Duration {
     if is_own_region {
-        CONNECT_TIME_NEAR
+        CONNECT_TIMEOUT_OWN_REGION
     } else {
-        CONNECT_TIME_FAR
+        CONNECT_TIMEOUT_OTHER_REGION
     }
 }
 
 /// Writes the request and reads until the response that names it.
-async fn converse<D: Dialect>(
+async fn exchange<D: Dialect>(
     shared: &Shared<D>,
     stream: &mut BufferedStream,
     request: &CallerRequest,
@@ -208,12 +210,12 @@
 }
 
 /// Tells whether a connection failed since what was sent stayed unacknowledged.
-fn is_silence(error: &MessageError) -> bool {
+fn is_unacknowledged(error: &MessageError) -> bool {
     matches!(error, MessageError::Io(error) if error.kind() == io::ErrorKind::TimedOut)
 }
 
 /// Tells whether the upstream has closed the connection in place of a whole response.
-fn is_closed(error: &MessageError) -> bool {
+fn is_closed_by_upstream(error: &MessageError) -> bool {
     match error {
         MessageError::Truncated => true,
         MessageError::Io(error) => matches!(
@@ -229,10 +231,10 @@
 
 /// Tells whether nobody takes connections at an upstream's address any more. An upstream
 /// that lost one answer, or forgot an idle connection, does.
-async fn is_gone<D>(shared: &Shared<D>, registration: &Registration) -> bool {
+async fn refuses_connections<D>(shared: &Shared<D>, registration: &Registration) -> bool {
     let is_refused = || async {
         let late = async {
-            Timer::after(connect_time(shared, registration)).await;
+            Timer::after(connect_timeout(shared, registration)).await;
             Err(io::ErrorKind::TimedOut.into())
         };
         let connected = or(BufferedStream::connect(registration.address, None), late).await;
@@ -241,11 +243,11 @@
     if is_refused().await {
         return true;
     }
-    Timer::after(CHECK_AGAIN_AFTER).await;
+    Timer::after(RECHECK_DELAY).await;
     is_refused().await
 }
 
-fn broken(error: &MessageError, is_sent: bool) -> AttemptReport {
+fn failed_report(error: &MessageError, is_sent: bool) -> AttemptReport {
     let cause = error.to_string();
     if is_sent {
         AttemptReport::new(AttemptEnd::Unknown { cause }, AttemptResult::Faulty)
@@ -256,7 +258,7 @@
 
 /// Says what a whole response means, and keeps the connection where it can
 /// carry another request.
-fn judge<D: Dialect>(
+fn evaluate_response<D: Dialect>(
     shared: &Shared<D>,
     registration: &Registration,
     stream: BufferedStream,
@@ -275,7 +277,7 @@
             .pool
             .put(registration, stream, keep_alive, connections_max, now);
     }
-    let (end, result) = meaning(response, headers, latency);
+    let (end, result) = classify_response(response, headers, latency);
     AttemptReport {
         end,
         result,
@@ -284,7 +286,7 @@
     }
 }
 
-fn meaning(
+fn classify_response(
     response: WholeResponse,
     headers: &UpstreamHeaders,
     latency: Duration,
@@ -318,6 +320,6 @@
     #[test]
     fn verify_the_refusal_of_a_far_upstream_is_waited_for() {
         let longest_round_trip = Duration::from_millis(110);
-        assert!(connect_time_within(false) >= 2 * longest_round_trip);
+        assert!(connect_timeout_for(false) >= 2 * longest_round_trip);
     }
 }
