--- a/crates/foxtide-gateway/src/admission/client.rs
+++ b/crates/foxtide-gateway/src/admission/client.rs
@@ -61,7 +61,7 @@
         retry_after: Duration,
     },
     /// The upstream takes no requests any more: another is to be picked.
-    Elsewhere,
+    PickAgain,
 }
 
 /// How a request came to be sent.
@@ -165,7 +165,7 @@
                 Some(Answer::Busy) => return Admitted::Busy,
                 Some(Answer::Refused { retry_after }) => return Admitted::Refused { retry_after },
                 Some(Answer::Waiting) if is_eligible() => {}
-                Some(Answer::Waiting) => return Admitted::Elsewhere,
+                Some(Answer::Waiting) => return Admitted::PickAgain,
                 None => {
                     self.note_silent(coordinator);
                     slot.answer = SlotAnswer::Unanswered;
--- a/crates/foxtide-gateway/src/forward/admit.rs
+++ b/crates/foxtide-gateway/src/forward/admit.rs
@@ -52,7 +52,7 @@
                 if let Some(target) = self.second_choice(&own).await {
                     return Ok(target);
                 }
-                if let Some(target) = self.elsewhere().await {
+                if let Some(target) = self.overflow().await {
                     return Ok(target);
                 }
                 admitted = self.admit(&own, Patience::ToTheEnd).await;
@@ -60,10 +60,10 @@
             match admitted {
                 Admitted::Granted(slot) => return Ok(Target { pick: own, slot }),
                 Admitted::Refused { retry_after } => {
-                    let elsewhere = self.elsewhere().await;
-                    return elsewhere.ok_or_else(|| self.no_slot(&own, retry_after));
+                    let overflow = self.overflow().await;
+                    return overflow.ok_or_else(|| self.no_slot(&own, retry_after));
                 }
-                Admitted::Elsewhere | Admitted::Busy => {}
+                Admitted::PickAgain | Admitted::Busy => {}
             }
         }
     }
@@ -98,7 +98,7 @@
         };
         match self.admit(&pick, Patience::None).await {
             Admitted::Granted(slot) => (SecondChoice::Granted, Some(Target { pick, slot })),
-            Admitted::Busy | Admitted::Refused { .. } | Admitted::Elsewhere => {
+            Admitted::Busy | Admitted::Refused { .. } | Admitted::PickAgain => {
                 (SecondChoice::Busy, None)
             }
         }
@@ -110,7 +110,7 @@
     /// Once no new requests came, what waited at such a region and what it had refused were
     /// nearly all served there: of its traffic 0.33 moved home within 2 s, on a whole day where
     /// 0.15 may. `docs/design/shifted.md` has what is left of that, and what it costs.
-    async fn elsewhere(&mut self) -> Option<Target<'a>> {
+    async fn overflow(&mut self) -> Option<Target<'a>> {
         // What has waited for long would be late there as well.
         if Instant::now() >= self.objective_at {
             return None;
@@ -120,11 +120,11 @@
             object: self.object,
             regions: &self.home_regions,
             tried: &self.tried,
-            is_relief: true,
+            requires_warm: true,
         };
         let pick = {
             let mut state = self.shared.state.lock();
-            state.pick_elsewhere(&request)
+            state.pick_overflow(&request)
         };
         let pick = pick.ok()?;
         match self.admit(&pick, Patience::None).await {
@@ -132,7 +132,7 @@
                 metrics::counter!("foxtide_overflows_total").increment(1);
                 Some(Target { pick, slot })
             }
-            Admitted::Busy | Admitted::Refused { .. } | Admitted::Elsewhere => None,
+            Admitted::Busy | Admitted::Refused { .. } | Admitted::PickAgain => None,
         }
     }
 
@@ -147,8 +147,8 @@
         self.note_wait(&admitted, began_at.elapsed());
         // Drains, evacuations and the bound on cold upstreams hold at the sending.
         let is_granted = matches!(admitted, Admitted::Granted(_));
-        if is_granted && !self.shared.state.lock().is_still_picked(pick) {
-            return Admitted::Elsewhere;
+        if is_granted && !self.shared.state.lock().is_pick_valid(pick) {
+            return Admitted::PickAgain;
         }
         admitted
     }
@@ -180,7 +180,7 @@
         if !self.is_near(pick) || pick.is_cold {
             return Admitted::Granted(Some(admission.tell(coordinator, &terms)));
         }
-        let is_eligible = || shared.state.lock().is_still_picked(pick);
+        let is_eligible = || shared.state.lock().is_pick_valid(pick);
         let asked = admission.ask(coordinator, &terms, is_eligible);
         let in_vain = async {
             let late = async {
@@ -201,7 +201,7 @@
     fn note_wait(&mut self, admitted: &Admitted<'_>, wait: Duration) {
         let answer = match admitted {
             Admitted::Granted(slot) => slot.as_ref().map_or(SlotAnswer::NotAsked, Slot::answer),
-            Admitted::Busy | Admitted::Refused { .. } | Admitted::Elsewhere => SlotAnswer::Refused,
+            Admitted::Busy | Admitted::Refused { .. } | Admitted::PickAgain => SlotAnswer::Refused,
         };
         self.inputs.slot = answer;
         self.inputs.slot_wait += wait;
--- a/crates/foxtide-gateway/src/forward/attempt_loop.rs
+++ b/crates/foxtide-gateway/src/forward/attempt_loop.rs
@@ -127,7 +127,7 @@
             object: self.object,
             regions: &self.home_regions,
             tried: &self.tried,
-            is_relief: false,
+            requires_warm: false,
         })
     }
 
@@ -140,7 +140,7 @@
             object: self.object,
             regions: std::slice::from_ref(&self.shared.options.place.region),
             tried: &tried,
-            is_relief: true,
+            requires_warm: true,
         })
     }
 
@@ -172,8 +172,8 @@
         .await;
         if report.has_ended {
             let upstream = &pick.registration.upstream;
-            let under_way = self.shared.state.lock().under_way(upstream);
-            poison::upstream_ended(self.shared, self.fingerprint, &pick.registration, under_way);
+            let in_flight = self.shared.state.lock().in_flight(upstream);
+            poison::upstream_ended(self.shared, self.fingerprint, &pick.registration, in_flight);
         }
         guard.end(&report);
         if let (Some(slot), AttemptResult::Answered { .. }) = (&mut slot, report.result) {
@@ -201,7 +201,7 @@
                 self.sent_attempts += 1;
                 if is_other_incarnation {
                     let mut state = self.shared.state.lock();
-                    state.address_taken(&pick.registration);
+                    state.note_address_reused(&pick.registration);
                 }
                 if self.failure.is_none() {
                     self.inputs.reason = "upstream_refused";
--- a/crates/foxtide-gateway/src/state/mod.rs
+++ b/crates/foxtide-gateway/src/state/mod.rs
@@ -312,7 +312,7 @@
     }
 
     /// Notes that another upstream has an incarnation's address.
-    pub(crate) fn address_taken(&mut self, registration: &Registration) {
+    pub(crate) fn note_address_reused(&mut self, registration: &Registration) {
         let now = self.clock.now();
         let change = self.registry.discard(registration, now);
         self.note_changes(&[change]);
--- a/crates/foxtide-gateway/src/state/pick.rs
+++ b/crates/foxtide-gateway/src/state/pick.rs
@@ -37,7 +37,7 @@
     /// Upstreams that have been tried.
     pub(crate) tried: &'a [UpstreamId],
     /// Whether it is to relieve a busy upstream: a cold or an ejected one does not.
-    pub(crate) is_relief: bool,
+    pub(crate) requires_warm: bool,
 }
 
 /// An upstream to send to.
@@ -89,10 +89,10 @@
         }
         let order = request.object;
         let order = order.unwrap_or_else(|| ObjectKey::random(fastrand::u64(..)));
-        match self.pick_of(request, order, FIRST_CHOICES, now) {
+        match self.pick_among(request, order, FIRST_CHOICES, now) {
             Ok(pick) => Ok(pick),
-            Err(reason) if request.is_relief => Err(reason),
-            Err(_) => self.pick_of(request, order, usize::MAX, now),
+            Err(reason) if request.requires_warm => Err(reason),
+            Err(_) => self.pick_among(request, order, usize::MAX, now),
         }
     }
 
@@ -102,7 +102,7 @@
     /// # Errors
     ///
     /// Fails where there is none, or the budget is spent.
-    pub(crate) fn pick_elsewhere(&mut self, request: &PickRequest<'_>) -> Result<Pick, NoUpstream> {
+    pub(crate) fn pick_overflow(&mut self, request: &PickRequest<'_>) -> Result<Pick, NoUpstream> {
         let key = (request.service.clone(), request.regions.to_vec());
         let placement = self.placements.get(&key);
         if placement.is_none_or(|placement| !is_short(placement.own_share())) {
@@ -114,13 +114,13 @@
         let is_allowed = |region: &&RegionId| {
             *region != own && (request.regions.is_empty() || request.regions.contains(region))
         };
-        let elsewhere: BTreeSet<RegionId> = regions.filter(is_allowed).cloned().collect();
-        if elsewhere.is_empty() {
+        let other_regions: BTreeSet<RegionId> = regions.filter(is_allowed).cloned().collect();
+        if other_regions.is_empty() {
             return Err(NoUpstream::NoneRegistered);
         }
-        let elsewhere: Vec<RegionId> = elsewhere.into_iter().collect();
+        let other_regions: Vec<RegionId> = other_regions.into_iter().collect();
         let pick = self.pick(&PickRequest {
-            regions: &elsewhere,
+            regions: &other_regions,
             ..*request
         })?;
         let now = self.clock.now();
@@ -131,7 +131,7 @@
     }
 
     /// Picks one of the first `count` upstreams in an object's order.
-    fn pick_of(
+    fn pick_among(
         &mut self,
         request: &PickRequest<'_>,
         order: ObjectKey,
@@ -159,15 +159,15 @@
             usable.extend(ejected);
         }
         for (rank, upstream) in usable {
-            if upstream.is_cold(now) && !self.may_take_cold(request, &upstream, now) {
+            if upstream.is_cold(now) && !self.try_take_cold_share(request, &upstream, now) {
                 continue;
             }
-            return Ok(self.pick_at(&upstream, rank, now));
+            return Ok(self.pick_with_rank(&upstream, rank, now));
         }
         Err(NoUpstream::AllCold)
     }
 
-    fn pick_at(&self, upstream: &Registered, rank: usize, now: MonotonicTime) -> Pick {
+    fn pick_with_rank(&self, upstream: &Registered, rank: usize, now: MonotonicTime) -> Pick {
         let registration = Arc::clone(&upstream.registration);
         let health = self.health.get(&registration.upstream);
         Pick {
@@ -180,7 +180,7 @@
 
     /// Tells whether a request that waited may still be sent to the upstream that
     /// was picked: it is neither leaving nor has it started again or turned cold.
-    pub(crate) fn is_still_picked(&self, pick: &Pick) -> bool {
+    pub(crate) fn is_pick_valid(&self, pick: &Pick) -> bool {
         let now = self.clock.now();
         let upstream = &pick.registration.upstream;
         let registered = self.registry.registered(upstream);
@@ -201,7 +201,7 @@
     }
 
     /// Returns how many attempts at an upstream this instance has under way.
-    pub(crate) fn under_way(&self, upstream: &UpstreamId) -> u32 {
+    pub(crate) fn in_flight(&self, upstream: &UpstreamId) -> u32 {
         let health = self.health.get(upstream);
         health.map_or(0, UpstreamHealth::in_flight)
     }
@@ -211,13 +211,13 @@
         health.is_some_and(|health| health.is_ejected(now))
     }
 
-    fn may_take_cold(
+    fn try_take_cold_share(
         &mut self,
         request: &PickRequest<'_>,
         upstream: &Registered,
         now: MonotonicTime,
     ) -> bool {
-        if request.is_relief {
+        if request.requires_warm {
             return false;
         }
         let routes = self.routes.as_ref();
