--- a/crates/foxtide-gateway/src/forward/admit.rs
+++ b/crates/foxtide-gateway/src/forward/admit.rs
@@ -87,7 +87,7 @@
     /// choice, while neighbours were idle; those who came back were then all of that region.
     async fn second_choice(&mut self, own: &Pick) -> Option<Target<'a>> {
         let (end, target) = self.try_second_choice(own).await;
-        self.inputs.second_choice = end;
+        self.trace.second_choice = end;
         metrics::counter!("foxtide_second_choices_total", "end" => end.as_str()).increment(1);
         target
     }
@@ -141,7 +141,7 @@
         let Some((instance, coordinator)) = self.coordinator(pick) else {
             return Admitted::Granted(None);
         };
-        self.inputs.coordinator = instance.to_string();
+        self.trace.coordinator = instance.to_string();
         let began_at = Instant::now();
         let admitted = self.ask(pick, coordinator, patience).await;
         self.note_wait(&admitted, began_at.elapsed());
@@ -203,8 +203,8 @@
             Admitted::Granted(slot) => slot.as_ref().map_or(SlotAnswer::NotAsked, Slot::answer),
             Admitted::Busy | Admitted::Refused { .. } | Admitted::PickAgain => SlotAnswer::Refused,
         };
-        self.inputs.slot = answer;
-        self.inputs.slot_wait += wait;
+        self.trace.slot = answer;
+        self.trace.slot_wait += wait;
         metrics::counter!("foxtide_slot_answers_total", "answer" => answer.as_str()).increment(1);
         if matches!(answer, SlotAnswer::Granted | SlotAnswer::Refused) {
             metrics::histogram!("foxtide_slot_wait_seconds").record(wait.as_secs_f64());
--- a/crates/foxtide-gateway/src/forward/attempt_loop.rs
+++ b/crates/foxtide-gateway/src/forward/attempt_loop.rs
@@ -16,9 +16,9 @@
 use crate::dialect::Dialect;
 use crate::outcome::{
     AttemptEnd,
-    Inputs,
     Refusal,
     Reply, //
+    RequestTrace,
 };
 use crate::poison::{
     self,
@@ -87,7 +87,7 @@
     pub(super) unsent_attempts: u32,
     /// The failure to report where no later attempt does better.
     pub(super) failure: Option<Reply>,
-    pub(super) inputs: Inputs,
+    pub(super) trace: RequestTrace,
 }
 
 /// Whether another attempt follows.
@@ -151,9 +151,9 @@
 
     /// The reply where the upstream's slots are taken for longer than there is time.
     pub(super) fn no_slot(&mut self, pick: &Pick, retry_after: Duration) -> Reply {
-        self.inputs.note(pick);
+        self.trace.record_attempt(pick);
         if self.failure.is_none() {
-            self.inputs.reason = "no_slot_in_time";
+            self.trace.reason = "no_slot_in_time";
         }
         let refused = Refusal::NotRun { retry_after };
         self.failure.clone().unwrap_or_else(|| refused.into())
@@ -188,8 +188,8 @@
     fn conclude(&mut self, pick: &Pick, report: AttemptReport, took: Duration) -> Next {
         let upstream = pick.registration.upstream.clone();
         let journal = &self.shared.journal;
-        journal.attempt_failed(&self.inputs, pick, &report.end, took);
-        self.inputs.note(pick);
+        journal.attempt_failed(&self.trace, pick, &report.end, took);
+        self.trace.record_attempt(pick);
         if !self.may_retry_same_upstream(&report.end) {
             self.tried.push(upstream);
         }
@@ -204,13 +204,13 @@
                     state.note_address_reused(&pick.registration);
                 }
                 if self.failure.is_none() {
-                    self.inputs.reason = "upstream_refused";
+                    self.trace.reason = "upstream_refused";
                 }
                 self.retry_or(self.not_run())
             }
             AttemptEnd::NotSent { .. } => {
                 self.unsent_attempts += 1;
-                self.inputs.reason = "upstreams_unreachable";
+                self.trace.reason = "upstreams_unreachable";
                 if self.unsent_attempts >= UNSENT_ATTEMPTS_MAX {
                     return Next::Reply(self.not_run());
                 }
@@ -219,7 +219,7 @@
             AttemptEnd::Unknown { .. } => self.unknown(Refusal::Failed),
             AttemptEnd::TimedOut => {
                 self.sent_attempts += 1;
-                self.inputs.reason = "time_up_at_upstream";
+                self.trace.reason = "time_up_at_upstream";
                 Next::Reply(Refusal::TimedOut.into())
             }
         }
@@ -236,7 +236,7 @@
                 is_other_incarnation: false
             }
         );
-        is_refused && self.inputs.slot == SlotAnswer::Granted
+        is_refused && self.trace.slot == SlotAnswer::Granted
     }
 
     /// A response is the reply, except a server error where another upstream
@@ -245,7 +245,7 @@
         self.sent_attempts += 1;
         let is_error = response.head.status >= 500;
         if is_error {
-            self.inputs.reason = "upstream_error";
+            self.trace.reason = "upstream_error";
         }
         let reply = Reply::Response(response);
         if !is_error || !self.route.is_idempotent {
@@ -258,7 +258,7 @@
     /// The request may have run: only an idempotent one is sent again.
     fn unknown(&mut self, refusal: Refusal) -> Next {
         self.sent_attempts += 1;
-        self.inputs.reason = "response_lost";
+        self.trace.reason = "response_lost";
         let reply = Reply::from(refusal);
         if !self.route.is_idempotent {
             return Next::Reply(reply);
@@ -298,10 +298,10 @@
 
     pub(super) fn no_upstream(&mut self, reason: NoUpstream) -> Reply {
         // Where all were tried, why they did not serve it is the reason.
-        if reason != NoUpstream::AllTried || self.inputs.reason.is_empty() {
+        if reason != NoUpstream::AllTried || self.trace.reason.is_empty() {
             let journal = &self.shared.journal;
             journal.no_upstream(self.request.id(), self.service, reason);
-            self.inputs.reason = reason.as_str();
+            self.trace.reason = reason.as_str();
         }
         self.not_run()
     }
@@ -310,7 +310,7 @@
     pub(super) fn out_of_time(&mut self) -> Reply {
         // What failed before is the reply, and its reason stays.
         if self.failure.is_none() {
-            self.inputs.reason = "time_up_before_sending";
+            self.trace.reason = "time_up_before_sending";
         }
         self.not_run()
     }
--- a/crates/foxtide-gateway/src/forward/entry.rs
+++ b/crates/foxtide-gateway/src/forward/entry.rs
@@ -10,9 +10,9 @@
 use super::route_match::RouteMatch;
 use crate::dialect::Dialect;
 use crate::outcome::{
-    Inputs,
     Refusal,
     Reply, //
+    RequestTrace,
 };
 use crate::poison;
 use crate::quotas::{
@@ -31,43 +31,43 @@
     request: &CallerRequest,
     route_match: &RouteMatch,
     caller: &CallerWatch,
-) -> (Reply, Inputs) {
+) -> (Reply, RequestTrace) {
     let route = &*route_match.route;
-    let mut inputs = Inputs::new(request.id(), "");
-    inputs.route.clone_from(&route.name);
-    inputs.is_idempotent = route.is_idempotent;
-    inputs.latency_objective = route.latency_objective;
+    let mut trace = RequestTrace::new(request.id(), "");
+    trace.route.clone_from(&route.name);
+    trace.is_idempotent = route.is_idempotent;
+    trace.latency_objective = route.latency_objective;
     if let Some(terms) = route_match.caller.organisation() {
-        inputs.organisation = terms.organisation.to_string();
+        trace.organisation = terms.organisation.to_string();
     }
     let fingerprint = request.fingerprint(&route_match.caller);
-    inputs.fingerprint = fingerprint.to_string();
+    trace.fingerprint = fingerprint.to_string();
     let Some(home_regions) = route_match.home_regions() else {
-        inputs.reason = "no_common_home";
+        trace.reason = "no_common_home";
         let retry_after = RETRY_AFTER;
-        return (Refusal::NotRun { retry_after }.into(), inputs);
+        return (Refusal::NotRun { retry_after }.into(), trace);
     };
     if let Err(refusal) = take_token(shared, route_match).await {
         let retry_after = refusal.retry_after;
         let refused = Refusal::OverQuota { retry_after };
-        inputs.reason = refused.reason();
-        return (refused.into(), inputs);
+        trace.reason = refused.reason();
+        return (refused.into(), trace);
     }
     shared.catch_up().await;
     let sending = match poison::admit(shared, fingerprint).await {
         Ok(sending) => sending,
         Err(retry_after) => {
-            inputs.reason = QUARANTINED_REASON;
-            return (Refusal::NotRun { retry_after }.into(), inputs);
+            trace.reason = QUARANTINED_REASON;
+            return (Refusal::NotRun { retry_after }.into(), trace);
         }
     };
-    let Some(service) = begin(shared, route, &mut inputs) else {
-        inputs.reason = "no_service_has_weight";
+    let Some(service) = begin(shared, route, &mut trace) else {
+        trace.reason = "no_service_has_weight";
         let retry_after = RETRY_AFTER;
-        return (Refusal::NotRun { retry_after }.into(), inputs);
+        return (Refusal::NotRun { retry_after }.into(), trace);
     };
     let object = request.object().filter(|_| route.has_affinity);
-    inputs.object = object.map_or_else(String::new, |object| object.to_string());
+    trace.object = object.map_or_else(String::new, |object| object.to_string());
     let mut attempt_loop = AttemptLoop {
         shared,
         request,
@@ -87,10 +87,10 @@
         sent_attempts: 0,
         unsent_attempts: 0,
         failure: None,
-        inputs,
+        trace,
     };
     let reply = attempt_loop.run().await;
-    (reply, attempt_loop.inputs)
+    (reply, attempt_loop.trace)
 }
 
 /// Takes a token of the organisation's quota, if it has one. Where it is used up the request
@@ -115,13 +115,13 @@
 }
 
 /// Picks the service and counts the request.
-fn begin<D>(shared: &Shared<D>, route: &Route, inputs: &mut Inputs) -> Option<ServiceId> {
+fn begin<D>(shared: &Shared<D>, route: &Route, trace: &mut RequestTrace) -> Option<ServiceId> {
     let mut state = shared.state.lock();
-    inputs.version = state.routes().map_or(0, |routes| routes.version());
-    inputs.knowledge_age_ms = state.knowledge_age().as_millis() as u64;
+    trace.version = state.routes().map_or(0, |routes| routes.version());
+    trace.knowledge_age_ms = state.knowledge_age().as_millis() as u64;
     let service = state.pick_service(route)?;
     state.count_request(&service);
-    inputs.service = service.to_string();
+    trace.service = service.to_string();
     Some(service)
 }
 
--- a/crates/foxtide-gateway/src/forward/recheck.rs
+++ b/crates/foxtide-gateway/src/forward/recheck.rs
@@ -37,7 +37,7 @@
     pub(super) fn recheck(&mut self) -> Option<Reply> {
         if let Some(retry_after) = self.quarantine_retry_after() {
             if self.failure.is_none() {
-                self.inputs.reason = QUARANTINED_REASON;
+                self.trace.reason = QUARANTINED_REASON;
             }
             let refused = Refusal::NotRun { retry_after };
             return Some(self.failure.clone().unwrap_or_else(|| refused.into()));
@@ -53,7 +53,7 @@
             Err(reason) => reason,
         };
         if self.failure.is_none() {
-            self.inputs.reason = reason;
+            self.trace.reason = reason;
         }
         let refused = Refusal::Unauthorised.into();
         Some(self.failure.clone().unwrap_or(refused))
--- a/crates/foxtide-gateway/src/front/connection.rs
+++ b/crates/foxtide-gateway/src/front/connection.rs
@@ -14,9 +14,9 @@
     forward, //
 };
 use crate::outcome::{
-    Inputs,
     Refusal,
     Reply, //
+    RequestTrace,
 };
 use crate::shared::Shared;
 use foxtide_core::routing::{
@@ -178,36 +178,36 @@
         let id = request.id().to_owned();
         let received_at = request.received_at;
         let journal = &self.shared.journal;
-        let Some((reply, inputs)) = self.reply(request).await else {
+        let Some((reply, trace)) = self.reply(request).await else {
             journal.caller_gone(&id);
             return Next::Close;
         };
         let latency = self.shared.clock.now() - received_at;
-        journal.request_ended(&inputs, &reply, latency);
+        journal.request_ended(&trace, &reply, latency);
         let close = close || self.shared.lifecycle.is_stopping();
         let bytes = reply.encode(&method, close);
         self.send(&bytes, close).await
     }
 
     /// Returns the reply to a request; nothing where its caller is gone.
-    async fn reply(&self, request: CallerRequest) -> Option<(Reply, Inputs)> {
+    async fn reply(&self, request: CallerRequest) -> Option<(Reply, RequestTrace)> {
         let Some(routes) = self.await_routes(request.headers.time_left).await else {
             let ready_after = self.shared.state.lock().ready_after();
             let retry_after = ready_after.max(START_RETRY_AFTER);
-            let inputs = Inputs::new(request.id(), "no_configuration_yet");
-            return Some((Refusal::NotRun { retry_after }.into(), inputs));
+            let trace = RequestTrace::new(request.id(), "no_configuration_yet");
+            return Some((Refusal::NotRun { retry_after }.into(), trace));
         };
         let route = routes.find(&request.head.host, request.head.path());
         let Some(route) = route.cloned() else {
-            let inputs = refused(&request, &routes, "no_route");
-            return Some((Refusal::NotFound.into(), inputs));
+            let trace = refused(&request, &routes, "no_route");
+            return Some((Refusal::NotFound.into(), trace));
         };
         let caller = match request.identify(&routes, &route) {
             Ok(caller) => caller,
             Err(reason) => {
-                let mut inputs = refused(&request, &routes, reason);
-                inputs.route.clone_from(&route.name);
-                return Some((Refusal::Unauthorised.into(), inputs));
+                let mut trace = refused(&request, &routes, reason);
+                trace.route.clone_from(&route.name);
+                return Some((Refusal::Unauthorised.into(), trace));
             }
         };
         let route_match = RouteMatch {
@@ -221,8 +221,8 @@
             .has_time_for(route_match.route.timeout + REPLY_MARGIN)
         {
             let retry_after = STOP_RETRY_AFTER;
-            let inputs = Inputs::new(request.id(), "stopping");
-            return Some((Refusal::NotRun { retry_after }.into(), inputs));
+            let trace = RequestTrace::new(request.id(), "stopping");
+            return Some((Refusal::NotRun { retry_after }.into(), trace));
         }
         let gone = async {
             self.stream.closed_by_peer().await;
@@ -279,7 +279,7 @@
         request: CallerRequest,
         route_match: RouteMatch,
         caller: CallerWatch,
-    ) -> smol::Task<(Reply, Inputs)> {
+    ) -> smol::Task<(Reply, RequestTrace)> {
         let shared = Arc::clone(self.shared);
         let forwarding = async move { forward(&shared, &request, &route_match, &caller).await };
         self.shared.executor.spawn(forwarding)
@@ -290,9 +290,9 @@
             return Next::Close;
         };
         let reply = Reply::from(refusal);
-        let inputs = Inputs::new("-", refusal.reason());
+        let trace = RequestTrace::new("-", refusal.reason());
         let journal = &self.shared.journal;
-        journal.request_ended(&inputs, &reply, Duration::ZERO);
+        journal.request_ended(&trace, &reply, Duration::ZERO);
         let bytes = reply.encode("GET", true);
         if self.send(&bytes, false).await == Next::Request {
             self.linger().await;
@@ -327,10 +327,10 @@
 }
 
 /// Returns what is known of a request that is refused before it is placed.
-fn refused(request: &CallerRequest, routes: &RouteTable, reason: &'static str) -> Inputs {
-    let mut inputs = Inputs::new(request.id(), reason);
-    inputs.version = routes.version();
-    inputs
+fn refused(request: &CallerRequest, routes: &RouteTable, reason: &'static str) -> RequestTrace {
+    let mut trace = RequestTrace::new(request.id(), reason);
+    trace.version = routes.version();
+    trace
 }
 
 async fn fill(stream: &mut BufferedStream) -> Next {
--- a/crates/foxtide-gateway/src/journal/requests.rs
+++ b/crates/foxtide-gateway/src/journal/requests.rs
@@ -3,8 +3,8 @@
 use super::labels::RouteLabels;
 use crate::outcome::{
     AttemptEnd,
-    Inputs,
     Reply, //
+    RequestTrace,
 };
 use crate::state::{
     NoUpstream,
@@ -56,71 +56,71 @@
     }
 
     /// A request has its reply.
-    pub(crate) fn request_ended(&self, inputs: &Inputs, reply: &Reply, latency: Duration) {
+    pub(crate) fn request_ended(&self, trace: &RequestTrace, reply: &Reply, latency: Duration) {
         let status = reply.status();
         let source = match reply {
             Reply::Response(_) => "upstream",
             Reply::Refused(_) => "instance",
         };
-        self.count_request(inputs, status, source, latency);
+        self.count_request(trace, status, source, latency);
         let latency_ms = latency.as_secs_f64() * 1_000.0;
-        let slot_wait_ms = inputs.slot_wait.as_millis() as u64;
+        let slot_wait_ms = trace.slot_wait.as_millis() as u64;
         let is_answered = status < 400;
         // A late answer is a failure to those who ask after it.
-        let kind = if is_answered && latency <= inputs.latency_objective {
+        let kind = if is_answered && latency <= trace.latency_objective {
             LineKind::Answered
         } else {
             LineKind::Failed
         };
-        let objective_ms = inputs.latency_objective.as_millis() as u64;
+        let objective_ms = trace.latency_objective.as_millis() as u64;
         if !self.has_room(kind) {
             return;
         }
         if is_answered {
             log_event!(
                 EventCode::RequestAnswered,
-                request = inputs.request.as_str(),
+                request = trace.request.as_str(),
                 status = status,
-                route = inputs.route.as_str(),
-                organisation = inputs.organisation.as_str(),
-                service = inputs.service.as_str(),
-                object = inputs.object.as_str(),
-                upstream = inputs.upstream.as_str(),
-                region = inputs.region.as_str(),
-                attempts = inputs.attempts,
-                rank = inputs.rank,
-                occupancy = inputs.occupancy,
-                second_choice = inputs.second_choice.as_str(),
-                slot = inputs.slot.as_str(),
+                route = trace.route.as_str(),
+                organisation = trace.organisation.as_str(),
+                service = trace.service.as_str(),
+                object = trace.object.as_str(),
+                upstream = trace.upstream.as_str(),
+                region = trace.region.as_str(),
+                attempts = trace.attempts,
+                rank = trace.rank,
+                occupancy = trace.occupancy,
+                second_choice = trace.second_choice.as_str(),
+                slot = trace.slot.as_str(),
                 slot_wait_ms = slot_wait_ms,
-                coordinator = inputs.coordinator.as_str(),
-                version = inputs.version,
-                knowledge_age_ms = inputs.knowledge_age_ms,
+                coordinator = trace.coordinator.as_str(),
+                version = trace.version,
+                knowledge_age_ms = trace.knowledge_age_ms,
                 objective_ms = objective_ms,
                 latency_ms = latency_ms
             );
         } else {
             log_event!(
                 EventCode::RequestFailed,
-                request = inputs.request.as_str(),
+                request = trace.request.as_str(),
                 status = status,
                 source = source,
-                reason = inputs.reason,
-                route = inputs.route.as_str(),
-                organisation = inputs.organisation.as_str(),
-                is_idempotent = inputs.is_idempotent,
-                service = inputs.service.as_str(),
-                object = inputs.object.as_str(),
-                fingerprint = inputs.fingerprint.as_str(),
-                upstream = inputs.upstream.as_str(),
-                region = inputs.region.as_str(),
-                attempts = inputs.attempts,
-                second_choice = inputs.second_choice.as_str(),
-                slot = inputs.slot.as_str(),
+                reason = trace.reason,
+                route = trace.route.as_str(),
+                organisation = trace.organisation.as_str(),
+                is_idempotent = trace.is_idempotent,
+                service = trace.service.as_str(),
+                object = trace.object.as_str(),
+                fingerprint = trace.fingerprint.as_str(),
+                upstream = trace.upstream.as_str(),
+                region = trace.region.as_str(),
+                attempts = trace.attempts,
+                second_choice = trace.second_choice.as_str(),
+                slot = trace.slot.as_str(),
                 slot_wait_ms = slot_wait_ms,
-                coordinator = inputs.coordinator.as_str(),
-                version = inputs.version,
-                knowledge_age_ms = inputs.knowledge_age_ms,
+                coordinator = trace.coordinator.as_str(),
+                version = trace.version,
+                knowledge_age_ms = trace.knowledge_age_ms,
                 latency_ms = latency_ms
             );
         }
@@ -129,7 +129,7 @@
     /// An attempt at an upstream has ended without a response to deliver.
     pub(crate) fn attempt_failed(
         &self,
-        inputs: &Inputs,
+        trace: &RequestTrace,
         pick: &Pick,
         end: &AttemptEnd,
         took: Duration,
@@ -145,10 +145,10 @@
         if self.has_room(LineKind::Step) {
             log_event!(
                 EventCode::AttemptFailed,
-                request = inputs.request.as_str(),
-                route = inputs.route.as_str(),
-                fingerprint = inputs.fingerprint.as_str(),
-                service = inputs.service.as_str(),
+                request = trace.request.as_str(),
+                route = trace.route.as_str(),
+                fingerprint = trace.fingerprint.as_str(),
+                service = trace.service.as_str(),
                 outcome = outcome,
                 cause = cause,
                 upstream = pick.registration.upstream.as_str(),
@@ -197,19 +197,25 @@
         self.budget.lock().try_take(kind, now)
     }
 
-    fn count_request(&self, inputs: &Inputs, status: u16, source: &'static str, latency: Duration) {
-        let route = self.routes.label(&inputs.route);
-        let service = inputs.service.clone();
+    fn count_request(
+        &self,
+        trace: &RequestTrace,
+        status: u16,
+        source: &'static str,
+        latency: Duration,
+    ) {
+        let route = self.routes.label(&trace.route);
+        let service = trace.service.clone();
         metrics::counter!(
             "foxtide_requests_total",
             "route" => route.clone(), "service" => service.clone(),
             "source" => source, "status" => status.to_string()
         )
         .increment(1);
-        if !inputs.region.is_empty() {
+        if !trace.region.is_empty() {
             metrics::counter!(
                 "foxtide_region_requests_total",
-                "service" => service.clone(), "region" => inputs.region.clone(),
+                "service" => service.clone(), "region" => trace.region.clone(),
                 "source" => source
             )
             .increment(1);
--- a/crates/foxtide-gateway/src/outcome/inputs.rs
+++ b/crates/foxtide-gateway/src/outcome/trace.rs
@@ -7,7 +7,7 @@
 
 /// The inputs of the decisions on one request.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Inputs {
+pub(crate) struct RequestTrace {
     /// The request's identity.
     pub(crate) request: String,
     /// The route's name.
@@ -50,7 +50,7 @@
     pub(crate) reason: &'static str,
 }
 
-impl Inputs {
+impl RequestTrace {
     /// Returns what is known of a request at its beginning; `reason` where it is
     /// refused already, else empty.
     pub(crate) fn new(request: &str, reason: &'static str) -> Self {
@@ -62,7 +62,7 @@
     }
 
     /// Notes an attempt.
-    pub(crate) fn note(&mut self, pick: &Pick) {
+    pub(crate) fn record_attempt(&mut self, pick: &Pick) {
         self.attempts += 1;
         self.upstream = pick.registration.upstream.to_string();
         self.region = pick.registration.region.to_string();
