--- a/crates/foxtide-gateway/src/forward/attempt_loop.rs
+++ b/crates/foxtide-gateway/src/forward/attempt_loop.rs
@@ -17,8 +17,8 @@
 use crate::outcome::{
     AttemptEnd,
     Refusal,
-    Reply, //
-    RequestTrace,
+    Reply,        //
+    RequestTrace, //
 };
 use crate::poison::{
     self,
--- a/crates/foxtide-gateway/src/forward/entry.rs
+++ b/crates/foxtide-gateway/src/forward/entry.rs
@@ -11,8 +11,8 @@
 use crate::dialect::Dialect;
 use crate::outcome::{
     Refusal,
-    Reply, //
-    RequestTrace,
+    Reply,        //
+    RequestTrace, //
 };
 use crate::poison;
 use crate::quotas::{
--- a/crates/foxtide-gateway/src/front/connection.rs
+++ b/crates/foxtide-gateway/src/front/connection.rs
@@ -1,8 +1,8 @@
 //! The life of one connection.
 
-use super::own::own_answer;
+use super::local::answer_locally;
 use super::receive::{
-    NoRequest,
+    ReceiveError,
     receive_body,
     receive_head, //
 };
@@ -15,8 +15,8 @@
 };
 use crate::outcome::{
     Refusal,
-    Reply, //
-    RequestTrace,
+    Reply,        //
+    RequestTrace, //
 };
 use crate::shared::Shared;
 use foxtide_core::routing::{
@@ -41,27 +41,27 @@
 };
 
 /// How long a caller may take to read a reply.
-const REPLY_TIME: Duration = Duration::from_secs(20);
+const REPLY_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// How much of a refused request is still read, and for how long, so that its
 /// sender reads the reply before the connection is reset.
 const DISCARD_MAX_BYTES: usize = 256 * 1_024;
-const DISCARD_TIME: Duration = Duration::from_millis(500);
+const DISCARD_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// How long a connection that is made late in a stop is kept open for its first
 /// request, which is on its way.
-const FIRST_REQUEST_TIME: Duration = Duration::from_millis(300);
+const FIRST_REQUEST_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// The least time after which a caller is told to come back to an instance that knows
 /// nothing yet.
-const START_RETRY_AFTER: Duration = Duration::from_millis(250);
+const STARTUP_RETRY_AFTER: Duration = Duration::from_millis(250);
 
 /// How long after its start an instance lets requests wait for the configuration, and
 /// how long each waits at most; it waits for a third of its time at most, as long as
 /// callers wait for a request to be read. Of the callers that come back after all
 /// instances have lost power, 67 in half a second were refused for want of one.
-const START_TIME: Duration = Duration::from_millis(1_000);
-const START_WAIT: Duration = Duration::from_millis(400);
+const STARTUP_PERIOD: Duration = Duration::from_millis(1_000);
+const STARTUP_WAIT_MAX: Duration = Duration::from_millis(400);
 
 /// What a reply may take beyond the route's timeout.
 const REPLY_MARGIN: Duration = Duration::from_millis(200);
@@ -117,7 +117,7 @@
         let stopping = async {
             lifecycle.closing_idle().await;
             if is_new {
-                Timer::after(FIRST_REQUEST_TIME).await;
+                Timer::after(FIRST_REQUEST_TIMEOUT).await;
             }
         };
         let closing = async {
@@ -150,15 +150,15 @@
         let received_at = self.shared.clock.now();
         let mut head = match received {
             Ok(head) => head,
-            Err(reason) => return self.no_request(reason).await,
+            Err(reason) => return self.reject(reason).await,
         };
-        if let Some(reply) = own_answer(self.shared, &head) {
+        if let Some(reply) = answer_locally(self.shared, &head) {
             return self.send(&reply, head.close).await;
         }
         let memory = &self.shared.body_memory;
         let (body, memory) = match receive_body(&mut self.stream, &head, &limits, memory).await {
             Ok(received) => received,
-            Err(reason) => return self.no_request(reason).await,
+            Err(reason) => return self.reject(reason).await,
         };
         let headers = self.shared.dialect.read_caller_headers(&head.lines);
         // The caller's wish to close is for its own connection alone.
@@ -193,7 +193,7 @@
     async fn reply(&self, request: CallerRequest) -> Option<(Reply, RequestTrace)> {
         let Some(routes) = self.await_routes(request.headers.time_left).await else {
             let ready_after = self.shared.state.lock().ready_after();
-            let retry_after = ready_after.max(START_RETRY_AFTER);
+            let retry_after = ready_after.max(STARTUP_RETRY_AFTER);
             let trace = RequestTrace::new(request.id(), "no_configuration_yet");
             return Some((Refusal::NotRun { retry_after }.into(), trace));
         };
@@ -258,8 +258,11 @@
     /// Returns the routes; a request that comes right after a start waits for the
     /// first reading of the store, which takes 0.1 to 0.25 s.
     async fn await_routes(&self, time_left: Option<Duration>) -> Option<Arc<RouteTable>> {
-        let waits_until = self.shared.clock.instant(MonotonicTime::ZERO + START_TIME);
-        let patience = time_left.map_or(START_WAIT, |time| START_WAIT.min(time / 3));
+        let waits_until = self
+            .shared
+            .clock
+            .instant(MonotonicTime::ZERO + STARTUP_PERIOD);
+        let patience = time_left.map_or(STARTUP_WAIT_MAX, |time| STARTUP_WAIT_MAX.min(time / 3));
         let deadline = waits_until.min(Instant::now() + patience);
         loop {
             let changed = self.shared.log_changed.listen();
@@ -285,8 +288,8 @@
         self.shared.executor.spawn(forwarding)
     }
 
-    async fn no_request(&mut self, reason: NoRequest) -> Next {
-        let NoRequest::Refused(refusal) = reason else {
+    async fn reject(&mut self, reason: ReceiveError) -> Next {
+        let ReceiveError::Refused(refusal) = reason else {
             return Next::Close;
         };
         let reply = Reply::from(refusal);
@@ -302,7 +305,7 @@
 
     async fn send(&mut self, bytes: &[u8], close: bool) -> Next {
         let late = async {
-            Timer::after(REPLY_TIME).await;
+            Timer::after(REPLY_TIMEOUT).await;
             Err(std::io::ErrorKind::TimedOut.into())
         };
         match or(self.stream.write_all(bytes), late).await {
@@ -320,7 +323,7 @@
     async fn linger(&mut self) {
         self.stream.finish_sending();
         let late = async {
-            Timer::after(DISCARD_TIME).await;
+            Timer::after(DISCARD_TIMEOUT).await;
         };
         or(self.stream.discard(DISCARD_MAX_BYTES), late).await;
     }
--- a/crates/foxtide-gateway/src/front/own.rs
+++ b/crates/foxtide-gateway/src/front/local.rs
@@ -6,22 +6,22 @@
 use foxtide_http::ForwardedRequest;
 
 /// Answers what is asked of the instance itself.
-pub(super) fn own_answer<D: Dialect>(
+pub(super) fn answer_locally<D: Dialect>(
     shared: &Shared<D>,
     head: &ForwardedRequest,
 ) -> Option<Vec<u8>> {
     let dialect = &shared.dialect;
     if dialect.is_readiness_check(head) {
-        return Some(own_message(shared.is_ready(), b""));
+        return Some(local_response(shared.is_ready(), b""));
     }
     let lookup = dialect.lookup(head)?;
     metrics::counter!("foxtide_lookups_total").increment(1);
     let body = directory::answer(shared, &lookup);
-    Some(own_message(body.is_some(), &body.unwrap_or_default()))
+    Some(local_response(body.is_some(), &body.unwrap_or_default()))
 }
 
-fn own_message(is_good: bool, body: &[u8]) -> Vec<u8> {
-    let status = if is_good {
+fn local_response(is_success: bool, body: &[u8]) -> Vec<u8> {
+    let status = if is_success {
         "200 OK"
     } else {
         "503 Service Unavailable"
--- a/crates/foxtide-gateway/src/front/mod.rs
+++ b/crates/foxtide-gateway/src/front/mod.rs
@@ -1,7 +1,7 @@
 //! Callers' connections: request after request, reply after reply.
 
 mod connection;
-mod own;
+mod local;
 mod receive;
 
 pub(crate) use connection::serve_connection;
--- a/crates/foxtide-gateway/src/front/receive.rs
+++ b/crates/foxtide-gateway/src/front/receive.rs
@@ -23,16 +23,16 @@
 const CONTINUE: &[u8] = b"HTTP/1.1 100 Continue\r\n\r\n";
 
 /// How long a body may take to arrive, beyond which its sender has stalled.
-const BODY_TIME: Duration = Duration::from_secs(20);
+const BODY_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// When a caller for whose body there is no memory is told to come back.
 const MEMORY_RETRY_AFTER: Duration = Duration::from_millis(300);
 
 /// Why there is no request.
 #[derive(Debug)]
-pub(super) enum NoRequest {
+pub(super) enum ReceiveError {
     /// The caller has gone.
-    Gone,
+    Disconnected,
     /// The request is refused and the connection cannot be used further.
     Refused(Refusal),
 }
@@ -45,12 +45,12 @@
 pub(super) async fn receive_head(
     stream: &mut BufferedStream,
     limits: &CallerLimits,
-) -> Result<ForwardedRequest, NoRequest> {
+) -> Result<ForwardedRequest, ReceiveError> {
     let limit_bytes = usize::try_from(limits.head.get()).unwrap_or(usize::MAX);
     let reading = read_head(stream, limit_bytes);
-    let read = timed(limits.head_time, reading).await?;
-    let Some(bytes) = read.map_err(no_request)? else {
-        return Err(NoRequest::Gone);
+    let read = with_timeout(limits.head_time, reading).await?;
+    let Some(bytes) = read.map_err(receive_error)? else {
+        return Err(ReceiveError::Disconnected);
     };
     ForwardedRequest::parse(&bytes).map_err(bad_head)
 }
@@ -65,7 +65,7 @@
     head: &ForwardedRequest,
     limits: &CallerLimits,
     memory: &BodyMemory,
-) -> Result<(Vec<u8>, Reserved), NoRequest> {
+) -> Result<(Vec<u8>, Reserved), ReceiveError> {
     let stated_bytes = match head.length {
         BodyLength::Fixed { size_bytes } if size_bytes <= limits.body.get() => size_bytes,
         _ => 0,
@@ -80,9 +80,9 @@
     Ok((body, reserved))
 }
 
-fn reserve(memory: &BodyMemory, size_bytes: u64) -> Result<Reserved, NoRequest> {
+fn reserve(memory: &BodyMemory, size_bytes: u64) -> Result<Reserved, ReceiveError> {
     let retry_after = MEMORY_RETRY_AFTER;
-    let refused = NoRequest::Refused(Refusal::NotRun { retry_after });
+    let refused = ReceiveError::Refused(Refusal::NotRun { retry_after });
     memory.try_reserve(size_bytes).ok_or(refused)
 }
 
@@ -90,41 +90,46 @@
     stream: &mut BufferedStream,
     head: &ForwardedRequest,
     limits: &CallerLimits,
-) -> Result<Vec<u8>, NoRequest> {
+) -> Result<Vec<u8>, ReceiveError> {
     let limit_bytes = usize::try_from(limits.body.get()).unwrap_or(usize::MAX);
     if head.length == BodyLength::None {
         return Ok(Vec::new());
     }
     if matches!(head.length, BodyLength::Fixed { size_bytes } if size_bytes > limits.body.get()) {
-        return Err(NoRequest::Refused(Refusal::BodyTooLong));
+        return Err(ReceiveError::Refused(Refusal::BodyTooLong));
     }
     if head.expects_continue && stream.write_all(CONTINUE).await.is_err() {
-        return Err(NoRequest::Gone);
+        return Err(ReceiveError::Disconnected);
     }
     let reading = read_body(stream, head.length, limit_bytes);
-    timed(BODY_TIME, reading).await?.map_err(no_request)
+    with_timeout(BODY_TIMEOUT, reading)
+        .await?
+        .map_err(receive_error)
 }
 
-async fn timed<T>(limit: Duration, future: impl Future<Output = T>) -> Result<T, NoRequest> {
+async fn with_timeout<T>(
+    limit: Duration,
+    future: impl Future<Output = T>,
+) -> Result<T, ReceiveError> {
     let late = async {
         Timer::after(limit).await;
-        Err(NoRequest::Refused(Refusal::RequestTimeout))
+        Err(ReceiveError::Refused(Refusal::RequestTimeout))
     };
     or(async { Ok(future.await) }, late).await
 }
 
-fn no_request(error: MessageError) -> NoRequest {
+fn receive_error(error: MessageError) -> ReceiveError {
     match error {
-        MessageError::Io(_) | MessageError::Truncated => NoRequest::Gone,
-        MessageError::HeadTooLong => NoRequest::Refused(Refusal::HeadTooLong),
-        MessageError::BodyTooLong => NoRequest::Refused(Refusal::BodyTooLong),
+        MessageError::Io(_) | MessageError::Truncated => ReceiveError::Disconnected,
+        MessageError::HeadTooLong => ReceiveError::Refused(Refusal::HeadTooLong),
+        MessageError::BodyTooLong => ReceiveError::Refused(Refusal::BodyTooLong),
         MessageError::BadChunk
         | MessageError::Surplus
         | MessageError::NoStatedEnd
-        | MessageError::Head(_) => NoRequest::Refused(Refusal::BadRequest),
+        | MessageError::Head(_) => ReceiveError::Refused(Refusal::BadRequest),
     }
 }
 
-fn bad_head(_: HeadError) -> NoRequest {
-    NoRequest::Refused(Refusal::BadRequest)
+fn bad_head(_: HeadError) -> ReceiveError {
+    ReceiveError::Refused(Refusal::BadRequest)
 }
--- a/crates/foxtide-gateway/src/journal/requests.rs
+++ b/crates/foxtide-gateway/src/journal/requests.rs
@@ -3,8 +3,8 @@
 use super::labels::RouteLabels;
 use crate::outcome::{
     AttemptEnd,
-    Reply, //
-    RequestTrace,
+    Reply,        //
+    RequestTrace, //
 };
 use crate::state::{
     NoUpstream,
