--- a/crates/foxtide-gateway/src/dialect.rs
+++ b/crates/foxtide-gateway/src/dialect.rs
@@ -30,7 +30,7 @@
 
     /// Writes for whom a request is, whose it is and how much time is left for it. What
     /// the caller proves itself with is taken out wherever callers need a key.
-    fn write_forward_headers(&self, lines: &mut Lines, address: &ForwardHeaders<'_>);
+    fn write_forward_headers(&self, lines: &mut Lines, values: &ForwardHeaders<'_>);
 
     /// Reads what an upstream says of its response.
     fn read_upstream_headers(&self, head: &ForwardedResponse) -> UpstreamHeaders;
--- a/crates/foxtide-gateway/src/forward/attempt.rs
+++ b/crates/foxtide-gateway/src/forward/attempt.rs
@@ -102,14 +102,14 @@
     };
     let time_left = deadline.saturating_duration_since(Instant::now());
     let mut head = request.head.clone();
-    let address = ForwardHeaders {
+    let values = ForwardHeaders {
         upstream: &registration.upstream,
         time_left,
         caller,
     };
     shared
         .dialect
-        .write_forward_headers(&mut head.lines, &address);
+        .write_forward_headers(&mut head.lines, &values);
     let bytes = head.encode(&request.body);
     let sent_before = stream.sent_bytes();
     let exchanged = exchange(shared, &mut stream, request, &registration.upstream, &bytes);
--- a/crates/foxtide-gateway/src/forward/attempt_loop.rs
+++ b/crates/foxtide-gateway/src/forward/attempt_loop.rs
@@ -17,7 +17,7 @@
 use crate::outcome::{
     AttemptEnd,
     Refusal,
-    Reply,        //
+    Reply,
     RequestTrace, //
 };
 use crate::poison::{
--- a/crates/foxtide-gateway/src/forward/entry.rs
+++ b/crates/foxtide-gateway/src/forward/entry.rs
@@ -1,7 +1,7 @@
 //! What is decided of a request before its first attempt.
 
 use super::attempt_loop::{
-    AttemptLoop, //
+    AttemptLoop,
     RETRY_AFTER, //
 };
 use super::caller::CallerWatch;
@@ -11,7 +11,7 @@
 use crate::dialect::Dialect;
 use crate::outcome::{
     Refusal,
-    Reply,        //
+    Reply,
     RequestTrace, //
 };
 use crate::poison;
--- a/crates/foxtide-gateway/src/front/connection.rs
+++ b/crates/foxtide-gateway/src/front/connection.rs
@@ -15,7 +15,7 @@
 };
 use crate::outcome::{
     Refusal,
-    Reply,        //
+    Reply,
     RequestTrace, //
 };
 use crate::shared::Shared;
--- a/crates/foxtide-gateway/src/journal/requests.rs
+++ b/crates/foxtide-gateway/src/journal/requests.rs
@@ -3,7 +3,7 @@
 use super::labels::RouteLabels;
 use crate::outcome::{
     AttemptEnd,
-    Reply,        //
+    Reply,
     RequestTrace, //
 };
 use crate::state::{
--- a/crates/foxtide-gateway/src/traffic.rs
+++ b/crates/foxtide-gateway/src/traffic.rs
@@ -60,17 +60,17 @@
 
 impl Traffic {
     /// Counts a message.
-    pub(crate) fn count(&self, sent: TrafficKind, size_bytes: usize) {
+    pub(crate) fn count(&self, kind: TrafficKind, size_bytes: usize) {
         let size_bytes = size_bytes as u64;
-        self.unreported[sent as usize].fetch_add(size_bytes, Ordering::Relaxed);
-        metrics::counter!("foxtide_instance_bytes_total", "sent" => sent.as_str())
+        self.unreported[kind as usize].fetch_add(size_bytes, Ordering::Relaxed);
+        metrics::counter!("foxtide_instance_bytes_total", "sent" => kind.as_str())
             .increment(size_bytes);
     }
 
     /// Writes a line about what was sent since the last one, if anything was.
     pub(crate) fn report(&self) {
         let [changes, everything, question, slots, quotas, poison] =
-            TrafficKind::ALL.map(|sent| self.unreported[sent as usize].swap(0, Ordering::Relaxed));
+            TrafficKind::ALL.map(|kind| self.unreported[kind as usize].swap(0, Ordering::Relaxed));
         if changes + everything + question + slots + quotas + poison == 0 {
             return;
         }
--- a/crates/foxtide-gateway/tests/gateway/support/dialect.rs
+++ b/crates/foxtide-gateway/tests/gateway/support/dialect.rs
@@ -35,15 +35,15 @@
         }
     }
 
-    fn write_forward_headers(&self, lines: &mut Lines, address: &ForwardHeaders<'_>) {
-        lines.set("time-left-ms", &address.time_left.as_millis().to_string());
-        lines.set("incarnation", address.upstream.as_str());
-        if *address.caller == CallerIdentity::NotRequired {
+    fn write_forward_headers(&self, lines: &mut Lines, values: &ForwardHeaders<'_>) {
+        lines.set("time-left-ms", &values.time_left.as_millis().to_string());
+        lines.set("incarnation", values.upstream.as_str());
+        if *values.caller == CallerIdentity::NotRequired {
             return;
         }
         lines.remove("key");
         lines.remove("organisation");
-        if let Some(terms) = address.caller.organisation() {
+        if let Some(terms) = values.caller.organisation() {
             lines.set("organisation", terms.organisation.as_str());
         }
     }
