--- a/crates/foxtide-gateway/src/admission/client.rs
+++ b/crates/foxtide-gateway/src/admission/client.rs
@@ -71,7 +71,7 @@
     #[default]
     NotAsked,
     /// The coordinator was told: it is far away, or the upstream is cold.
-    Told,
+    Notified,
     /// The coordinator granted a slot.
     Granted,
     /// The coordinator did not answer.
@@ -85,7 +85,7 @@
     pub(crate) fn as_str(self) -> &'static str {
         match self {
             Self::NotAsked => "not_asked",
-            Self::Told => "told",
+            Self::Notified => "told",
             Self::Granted => "granted",
             Self::Unanswered => "unanswered",
             Self::Refused => "refused",
@@ -132,10 +132,10 @@
 
 impl Admission {
     /// Tells a coordinator of a request that is sent without asking.
-    pub(crate) fn tell(&self, coordinator: SocketAddr, terms: &SlotTerms<'_>) -> Slot<'_> {
+    pub(crate) fn notify(&self, coordinator: SocketAddr, terms: &SlotTerms<'_>) -> Slot<'_> {
         let slot = self.slot(coordinator);
         let request = self.request(slot.number, terms);
-        self.send_tell(coordinator, &request, terms);
+        self.send_notice(coordinator, &request, terms);
         slot
     }
 
@@ -148,8 +148,8 @@
         terms: &SlotTerms<'_>,
         is_eligible: impl Fn() -> bool,
     ) -> Admitted<'_> {
-        if self.is_silent(coordinator) {
-            return Admitted::Granted(Some(self.tell(coordinator, terms)));
+        if self.is_unresponsive(coordinator) {
+            return Admitted::Granted(Some(self.notify(coordinator, terms)));
         }
         let mut slot = self.slot(coordinator);
         let (answered, answers) = bounded(ANSWERS_MAX);
@@ -167,10 +167,10 @@
                 Some(Answer::Waiting) if is_eligible() => {}
                 Some(Answer::Waiting) => return Admitted::PickAgain,
                 None => {
-                    self.note_silent(coordinator);
+                    self.mark_unresponsive(coordinator);
                     slot.answer = SlotAnswer::Unanswered;
                     let request = self.request(slot.number, terms);
-                    self.send_tell(coordinator, &request, terms);
+                    self.send_notice(coordinator, &request, terms);
                     return Admitted::Granted(Some(slot));
                 }
             }
@@ -191,7 +191,7 @@
             admission: self,
             coordinator,
             number: self.number(),
-            answer: SlotAnswer::Told,
+            answer: SlotAnswer::Notified,
             ending: Ending::NotServed,
         }
     }
@@ -222,13 +222,13 @@
         }
     }
 
-    fn send_tell(&self, coordinator: SocketAddr, request: &SlotRequest, terms: &SlotTerms<'_>) {
+    fn send_notice(&self, coordinator: SocketAddr, request: &SlotRequest, terms: &SlotTerms<'_>) {
         let slots = terms.registration.slots;
         if coordinator == self.address {
             let now = self.clock.now();
             self.coordinator.lock().tell(request, slots, now);
         } else {
-            self.send(coordinator, &Datagram::tell(request, slots));
+            self.send(coordinator, &Datagram::notify(request, slots));
         }
     }
 }
--- a/crates/foxtide-gateway/src/admission/mod.rs
+++ b/crates/foxtide-gateway/src/admission/mod.rs
@@ -3,7 +3,7 @@
 //! Datagrams carry questions and answers: they cost one system call each, a lost
 //! one only costs the time of an answer, and no connection can fall silent.
 //!
-//! Locks: of `coordinator`, `pending` and `silent` none is taken while another is held.
+//! Locks: of `coordinator`, `pending` and `unresponsive` none is taken while another is held.
 //! The state may be taken while `coordinator` is held (housekeeping), never the other way
 //! round.
 
@@ -63,7 +63,7 @@
     /// Those of this instance that wait for an answer, by their numbers.
     pending: Mutex<HashMap<u64, Sender<Answer>>>,
     /// Coordinators that did not answer, and until when they are not asked.
-    silent: Mutex<HashMap<SocketAddr, MonotonicTime>>,
+    unresponsive: Mutex<HashMap<SocketAddr, MonotonicTime>>,
     next_number: AtomicU64,
 }
 
@@ -88,7 +88,7 @@
             address,
             coordinator: Mutex::default(),
             pending: Mutex::default(),
-            silent: Mutex::default(),
+            unresponsive: Mutex::default(),
             // A process that starts again on the same address uses other numbers.
             next_number: AtomicU64::new(fastrand::u64(..)),
         })
@@ -116,7 +116,7 @@
         is_known: impl Fn(&UpstreamId, Option<WallTime>) -> bool,
     ) {
         self.coordinator.lock().retain(is_known);
-        self.silent.lock().retain(|_, until| now < *until);
+        self.unresponsive.lock().retain(|_, until| now < *until);
     }
 
     fn answer(&self, ticket: Ticket, answer: Answer) {
@@ -157,15 +157,17 @@
     }
 
     /// Tells whether an instance did not answer a moment ago.
-    pub(crate) fn is_silent(&self, coordinator: SocketAddr) -> bool {
+    pub(crate) fn is_unresponsive(&self, coordinator: SocketAddr) -> bool {
         let now = self.clock.now();
-        let silent = self.silent.lock();
-        silent.get(&coordinator).is_some_and(|until| now < *until)
+        let unresponsive = self.unresponsive.lock();
+        unresponsive
+            .get(&coordinator)
+            .is_some_and(|until| now < *until)
     }
 
     /// Notes that an instance did not answer.
-    pub(crate) fn note_silent(&self, coordinator: SocketAddr) {
+    pub(crate) fn mark_unresponsive(&self, coordinator: SocketAddr) {
         let until = self.clock.now() + self.options.silent_time;
-        self.silent.lock().insert(coordinator, until);
+        self.unresponsive.lock().insert(coordinator, until);
     }
 }
--- a/crates/foxtide-gateway/src/admission/server.rs
+++ b/crates/foxtide-gateway/src/admission/server.rs
@@ -71,7 +71,7 @@
                     self.coordinate(|own, now| own.ask(&request, message.slots, now));
                 }
             }
-            Some(Body::Tell(message)) => {
+            Some(Body::Notify(message)) => {
                 if let Some(request) = request(&message) {
                     self.coordinator
                         .lock()
--- a/crates/foxtide-gateway/src/datagram/mod.rs
+++ b/crates/foxtide-gateway/src/datagram/mod.rs
@@ -40,7 +40,7 @@
     Ask(RequestMessage),
     /// Tells of a request that is sent without a question.
     #[prost(message, tag = "3")]
-    Tell(RequestMessage),
+    Notify(RequestMessage),
     /// A request has ended; whether the upstream served it.
     #[prost(bool, tag = "4")]
     End(bool),
@@ -72,7 +72,7 @@
             Some(Body::EndReport(_) | Body::Cleared(_) | Body::Quarantine(_)) => {
                 TrafficKind::Poison
             }
-            Some(Body::Ask(_) | Body::Tell(_) | Body::End(_) | Body::Answer(_)) | None => {
+            Some(Body::Ask(_) | Body::Notify(_) | Body::End(_) | Body::Answer(_)) | None => {
                 TrafficKind::Slots
             }
         }
@@ -124,7 +124,7 @@
     /// Reads all that a datagram may hold, as the instance does.
     fn take_in(datagram: &Datagram) {
         match &datagram.body {
-            Some(Body::Ask(message) | Body::Tell(message)) => {
+            Some(Body::Ask(message) | Body::Notify(message)) => {
                 let from = std::net::SocketAddr::from(([127, 0, 0, 1], 1));
                 drop(message.request(from, datagram.number));
             }
--- a/crates/foxtide-gateway/src/datagram/slots.rs
+++ b/crates/foxtide-gateway/src/datagram/slots.rs
@@ -72,10 +72,10 @@
     }
 
     /// Returns the news of a request that is sent without a question.
-    pub(crate) fn tell(request: &SlotRequest, slots: u32) -> Self {
+    pub(crate) fn notify(request: &SlotRequest, slots: u32) -> Self {
         Self {
             number: request.ticket.number,
-            body: Some(Body::Tell(RequestMessage::new(request, slots))),
+            body: Some(Body::Notify(RequestMessage::new(request, slots))),
         }
     }
 
--- a/crates/foxtide-gateway/src/forward/admit.rs
+++ b/crates/foxtide-gateway/src/forward/admit.rs
@@ -178,7 +178,7 @@
         };
         // What a cold upstream may get was taken from its rate already.
         if !self.is_near(pick) || pick.is_cold {
-            return Admitted::Granted(Some(admission.tell(coordinator, &terms)));
+            return Admitted::Granted(Some(admission.notify(coordinator, &terms)));
         }
         let is_eligible = || shared.state.lock().is_pick_valid(pick);
         let asked = admission.ask(coordinator, &terms, is_eligible);
--- a/crates/foxtide-gateway/src/quotas/ask.rs
+++ b/crates/foxtide-gateway/src/quotas/ask.rs
@@ -85,7 +85,7 @@
         }
         tally.take_in(answer);
     }
-    if tally.is_silent && take_spare(shared, organisation, quota) {
+    if tally.has_unanswered && take_spare(shared, organisation, quota) {
         return Ok(());
     }
     Err(tally.refusal())
@@ -95,7 +95,7 @@
 #[derive(Debug, Default)]
 struct Tally {
     retry_after: Option<Duration>,
-    is_silent: bool,
+    has_unanswered: bool,
 }
 
 impl Tally {
@@ -105,14 +105,14 @@
                 let earliest = self.retry_after.unwrap_or(retry_after);
                 self.retry_after = Some(earliest.min(retry_after));
             }
-            QuotaAnswer::NotMine | QuotaAnswer::Granted { .. } => self.is_silent = true,
+            QuotaAnswer::NotMine | QuotaAnswer::Granted { .. } => self.has_unanswered = true,
         }
     }
 
     fn refusal(&self) -> QuotaRefusal {
         QuotaRefusal {
             retry_after: self.retry_after.unwrap_or(RETRY_AFTER),
-            cause: if self.is_silent {
+            cause: if self.has_unanswered {
                 QuotaCause::CoordinatorSilent
             } else {
                 QuotaCause::UsedUp
@@ -164,7 +164,7 @@
     if source.address == admission.address() {
         return Some(coordinate(shared, question));
     }
-    if admission.is_silent(source.address) {
+    if admission.is_unresponsive(source.address) {
         return None;
     }
     let now = shared.clock.now();
@@ -178,7 +178,7 @@
     };
     let answer = exchange(shared, source.address, question, times, time).await;
     match answer {
-        None => admission.note_silent(source.address),
+        None => admission.mark_unresponsive(source.address),
         Some(QuotaAnswer::Refused { retry_after }) if !source.is_near => {
             let until = shared.clock.now() + REFUSAL_TIME;
             let key = (question.organisation.clone(), source.address);
