--- a/crates/foxtide-gateway/src/admission/client.rs
+++ b/crates/foxtide-gateway/src/admission/client.rs
@@ -123,7 +123,7 @@
         if self.coordinator == admission.address {
             let asker = admission.address;
             let ticket = Ticket { asker, number };
-            admission.coordinate(|own, now| own.end(ticket, ending, now));
+            admission.with_coordinator(|own, now| own.end(ticket, ending, now));
         } else {
             admission.send(self.coordinator, &Datagram::end(number, ending));
         }
@@ -157,7 +157,7 @@
         loop {
             let request = self.request(slot.number, terms);
             self.send_ask(coordinator, &request, terms);
-            match self.answer_to(&answers).await {
+            match self.receive_answer(&answers).await {
                 Some(Answer::Granted) => {
                     slot.answer = SlotAnswer::Granted;
                     return Admitted::Granted(Some(slot));
@@ -178,19 +178,23 @@
     }
 
     /// Returns the answer to a question; nothing where none came in time.
-    async fn answer_to(&self, answers: &Receiver<Answer>) -> Option<Answer> {
-        let answer = within(self.options.answer_time, answers).await?;
+    async fn receive_answer(&self, answers: &Receiver<Answer>) -> Option<Answer> {
+        let answer = receive_within(self.options.answer_time, answers).await?;
         if answer != Answer::Waiting {
             return Some(answer);
         }
-        Some(within(ASK_AGAIN_PERIOD, answers).await.unwrap_or(answer))
+        Some(
+            receive_within(ASK_AGAIN_PERIOD, answers)
+                .await
+                .unwrap_or(answer),
+        )
     }
 
     fn slot(&self, coordinator: SocketAddr) -> Slot<'_> {
         Slot {
             admission: self,
             coordinator,
-            number: self.number(),
+            number: self.next_question_number(),
             answer: SlotAnswer::Notified,
             ending: Ending::NotServed,
         }
@@ -216,7 +220,7 @@
     fn send_ask(&self, coordinator: SocketAddr, request: &SlotRequest, terms: &SlotTerms<'_>) {
         let slots = terms.registration.slots;
         if coordinator == self.address {
-            self.coordinate(|own, now| own.ask(request, slots, now));
+            self.with_coordinator(|own, now| own.ask(request, slots, now));
         } else {
             self.send(coordinator, &Datagram::ask(request, slots));
         }
@@ -233,7 +237,7 @@
     }
 }
 
-async fn within(time: Duration, answers: &Receiver<Answer>) -> Option<Answer> {
+async fn receive_within(time: Duration, answers: &Receiver<Answer>) -> Option<Answer> {
     let late = async {
         Timer::after(time).await;
         None
--- a/crates/foxtide-gateway/src/admission/mod.rs
+++ b/crates/foxtide-gateway/src/admission/mod.rs
@@ -100,7 +100,10 @@
     }
 
     /// Lets `change` work on the coordinator, and sends the answers.
-    fn coordinate(&self, change: impl FnOnce(&mut Coordinator, MonotonicTime) -> Vec<Directed>) {
+    fn with_coordinator(
+        &self,
+        change: impl FnOnce(&mut Coordinator, MonotonicTime) -> Vec<Directed>,
+    ) {
         let now = self.clock.now();
         let answers = change(&mut self.coordinator.lock(), now);
         for (ticket, answer) in answers {
@@ -152,7 +155,7 @@
     }
 
     /// Returns a number for a question that was not used before.
-    pub(crate) fn number(&self) -> u64 {
+    pub(crate) fn next_question_number(&self) -> u64 {
         self.next_number.fetch_add(1, Ordering::Relaxed)
     }
 
--- a/crates/foxtide-gateway/src/admission/server.rs
+++ b/crates/foxtide-gateway/src/admission/server.rs
@@ -33,7 +33,7 @@
     loop {
         match admission.socket.recv_from(&mut bytes).await {
             Ok((size_bytes, from)) => match Datagram::decode(&bytes[..size_bytes]) {
-                Ok(datagram) => take_in(&shared, from, datagram),
+                Ok(datagram) => handle_datagram(&shared, from, datagram),
                 Err(error) => log::debug!("a datagram of {from} cannot be read: {error}"),
             },
             Err(error) => {
@@ -44,7 +44,7 @@
     }
 }
 
-fn take_in<D: Dialect>(shared: &Arc<Shared<D>>, from: SocketAddr, datagram: Datagram) {
+fn handle_datagram<D: Dialect>(shared: &Arc<Shared<D>>, from: SocketAddr, datagram: Datagram) {
     shared.quotas.hear(from, shared.clock.now());
     let number = datagram.number;
     match datagram.body {
@@ -53,12 +53,12 @@
         Some(Body::EndReport(message)) => poison::take_in_end(shared, from, &message),
         Some(Body::Cleared(hash)) => poison::take_in_cleared(&shared.poison, hash),
         Some(Body::Quarantine(message)) => poison::take_in_quarantine(shared, from, &message),
-        body => shared.admission.take_in(from, number, body),
+        body => shared.admission.handle_slot_message(from, number, body),
     }
 }
 
 impl Admission {
-    fn take_in(&self, from: SocketAddr, number: u64, body: Option<Body>) {
+    fn handle_slot_message(&self, from: SocketAddr, number: u64, body: Option<Body>) {
         let request = |message: &RequestMessage| {
             let request = message.request(from, number);
             request
@@ -68,7 +68,7 @@
         match body {
             Some(Body::Ask(message)) => {
                 if let Some(request) = request(&message) {
-                    self.coordinate(|own, now| own.ask(&request, message.slots, now));
+                    self.with_coordinator(|own, now| own.ask(&request, message.slots, now));
                 }
             }
             Some(Body::Notify(message)) => {
@@ -88,7 +88,7 @@
                 } else {
                     Ending::NotServed
                 };
-                self.coordinate(|own, now| own.end(ticket, ending, now));
+                self.with_coordinator(|own, now| own.end(ticket, ending, now));
             }
             Some(Body::Answer(message)) => self.deliver(number, message.answer()),
             _ => {
--- a/crates/foxtide-gateway/src/datagram/mod.rs
+++ b/crates/foxtide-gateway/src/datagram/mod.rs
@@ -122,7 +122,7 @@
     }
 
     /// Reads all that a datagram may hold, as the instance does.
-    fn take_in(datagram: &Datagram) {
+    fn decode_body(datagram: &Datagram) {
         match &datagram.body {
             Some(Body::Ask(message) | Body::Notify(message)) => {
                 let from = std::net::SocketAddr::from(([127, 0, 0, 1], 1));
@@ -155,7 +155,7 @@
             }
             bytes.truncate(draws.usize(..=bytes.len()));
             if let Ok(datagram) = Datagram::decode(bytes.as_slice()) {
-                take_in(&datagram);
+                decode_body(&datagram);
             }
         }
     }
--- a/crates/foxtide-gateway/src/poison/reports.rs
+++ b/crates/foxtide-gateway/src/poison/reports.rs
@@ -48,7 +48,7 @@
         return;
     }
     poison.note_reported(fingerprint, now);
-    let number = shared.admission.number();
+    let number = shared.admission.next_question_number();
     let datagram = Datagram::end_report(number, &report);
     send_to_aggregators(shared, fingerprint, &datagram);
     // An instance knows its own ends whatever becomes of the aggregators.
@@ -61,7 +61,7 @@
     for &fingerprint in quarantined {
         let reports = shared.poison.suspects.lock().reports(fingerprint);
         for report in reports {
-            let number = shared.admission.number();
+            let number = shared.admission.next_question_number();
             let datagram = Datagram::end_report(number, &report);
             send_to_aggregators(shared, fingerprint, &datagram);
         }
@@ -81,7 +81,7 @@
         poison.release(fingerprint);
         poison.keeper.remove(fingerprint);
     }
-    let number = shared.admission.number();
+    let number = shared.admission.next_question_number();
     let datagram = Datagram::cleared(number, fingerprint);
     send_to_aggregators(shared, fingerprint, &datagram);
     poison.suspects.lock().clear(fingerprint);
@@ -143,7 +143,7 @@
         let addresses = of_region.map(|member| member.datagram_address);
         addresses.filter(|address| *address != own).collect()
     };
-    let number = shared.admission.number();
+    let number = shared.admission.next_question_number();
     let datagram = Datagram::quarantine(number, fingerprint, entry);
     send_repeatedly(shared, neighbours, datagram);
 }
--- a/crates/foxtide-gateway/src/quotas/answer.rs
+++ b/crates/foxtide-gateway/src/quotas/answer.rs
@@ -34,13 +34,16 @@
             return;
         }
     };
-    let answer = coordinate(shared, &question);
+    let answer = answer_locally(shared, &question);
     let datagram = Datagram::quota_answer(number, answer);
     shared.admission.send(from, &datagram);
 }
 
 /// Answers a question from this instance's part of the quota, where it has one.
-pub(super) fn coordinate<D: Dialect>(shared: &Shared<D>, question: &QuotaQuestion) -> QuotaAnswer {
+pub(super) fn answer_locally<D: Dialect>(
+    shared: &Shared<D>,
+    question: &QuotaQuestion,
+) -> QuotaAnswer {
     let now = shared.clock.now();
     let (parts, since) = {
         let state = shared.state.lock();
--- a/crates/foxtide-gateway/src/quotas/ask.rs
+++ b/crates/foxtide-gateway/src/quotas/ask.rs
@@ -1,6 +1,6 @@
 //! Asks the coordinators of a quota for tokens.
 
-use super::answer::coordinate;
+use super::answer::answer_locally;
 use super::{
     QuotaCause,
     QuotaRefusal,
@@ -162,7 +162,7 @@
     let quotas = &shared.quotas;
     let admission = &shared.admission;
     if source.address == admission.address() {
-        return Some(coordinate(shared, question));
+        return Some(answer_locally(shared, question));
     }
     if admission.is_unresponsive(source.address) {
         return None;
@@ -197,7 +197,7 @@
     times: u32,
     time: Duration,
 ) -> Option<QuotaAnswer> {
-    let number = shared.admission.number();
+    let number = shared.admission.next_question_number();
     let (answered, answers) = bounded(1);
     let _pending = Pending::new(shared, number, answered);
     let datagram = Datagram::quota_question(number, question);
