--- a/crates/foxtide-gateway/src/quotas/answer.rs
+++ b/crates/foxtide-gateway/src/quotas/answer.rs
@@ -49,7 +49,8 @@
         let state = shared.state.lock();
         let routes = state.routes();
         let quota = routes.and_then(|routes| routes.quota(&question.organisation));
-        let Some(quota) = quota.filter(|_| speaks_for(shared, &state, question, now)) else {
+        let Some(quota) = quota.filter(|_| is_active_coordinator(shared, &state, question, now))
+        else {
             return QuotaAnswer::NotMine;
         };
         let since = state.members().changed_at(&shared.options.place.region);
@@ -61,7 +62,7 @@
 
 /// Tells whether this instance hands out an organisation's quota: it is the region's
 /// coordinator, and others would not take its place for being out of touch.
-fn speaks_for<D: Dialect>(
+fn is_active_coordinator<D: Dialect>(
     shared: &Shared<D>,
     state: &State,
     question: &QuotaQuestion,
@@ -80,5 +81,5 @@
         .all()
         .filter(|member| member.region == place.region && member.instance != place.instance);
     let neighbours: Vec<SocketAddr> = neighbours.map(|member| member.datagram_address).collect();
-    shared.quotas.hears_region(&neighbours, now)
+    shared.quotas.reaches_region_majority(&neighbours, now)
 }
--- a/crates/foxtide-gateway/src/quotas/ask.rs
+++ b/crates/foxtide-gateway/src/quotas/ask.rs
@@ -27,15 +27,15 @@
 
 /// How long a coordinator of another region may take to answer: a round trip between the
 /// regions that are furthest apart is 110 ms.
-const ANSWER_TIME_FAR: Duration = Duration::from_millis(250);
+const ANSWER_TIMEOUT_OTHER_REGION: Duration = Duration::from_millis(250);
 
 /// How often a coordinator of the own region is asked before it counts as silent: single
 /// datagrams are lost, and a silent one is not asked again for half a second.
-const QUESTIONS_NEAR: u32 = 2;
+const QUESTIONS_OWN_REGION: u32 = 2;
 
 /// For how long a coordinator of another region is not asked again that had no token: its
 /// part fills up slowly, and each question in vain delays the refusal by a round trip.
-const REFUSAL_TIME: Duration = Duration::from_millis(150);
+const REFUSAL_TTL: Duration = Duration::from_millis(150);
 
 /// When a caller is told to come back where no coordinator tells.
 const RETRY_AFTER: Duration = Duration::from_millis(500);
@@ -44,7 +44,7 @@
 #[derive(Clone, Copy, Debug)]
 struct Source {
     address: SocketAddr,
-    is_near: bool,
+    is_own_region: bool,
 }
 
 /// Takes a token of an organisation's quota for one request.
@@ -60,9 +60,9 @@
 ) -> Result<(), QuotaRefusal> {
     let now = shared.clock.now();
     let (has_token, wanted) = {
-        let mut stocks = shared.quotas.stocks.lock();
-        let stock = stocks.entry(organisation.clone()).or_default();
-        (stock.take(now), stock.wanted())
+        let mut local_tokens = shared.quotas.local_tokens.lock();
+        let local = local_tokens.entry(organisation.clone()).or_default();
+        (local.take(now), local.wanted())
     };
     if has_token {
         return Ok(());
@@ -74,32 +74,32 @@
     };
     // One after the other: a token of each, of which one is used, would leave small
     // quotas short.
-    let mut tally = Tally::default();
+    let mut answers = CoordinatorAnswers::default();
     for source in sources(shared, organisation) {
         let answer = ask(shared, source, &question).await;
         if let QuotaAnswer::Granted { tokens } = answer {
-            let mut stocks = shared.quotas.stocks.lock();
-            let stock = stocks.entry(organisation.clone()).or_default();
-            stock.put(tokens - 1, now);
+            let mut local_tokens = shared.quotas.local_tokens.lock();
+            let local = local_tokens.entry(organisation.clone()).or_default();
+            local.put(tokens - 1, now);
             return Ok(());
         }
-        tally.take_in(answer);
+        answers.add(answer);
     }
-    if tally.has_unanswered && take_spare(shared, organisation, quota) {
+    if answers.has_unanswered && take_spare(shared, organisation, quota) {
         return Ok(());
     }
-    Err(tally.refusal())
+    Err(answers.refusal())
 }
 
 /// What the coordinators of a quota have said that granted nothing.
 #[derive(Debug, Default)]
-struct Tally {
+struct CoordinatorAnswers {
     retry_after: Option<Duration>,
     has_unanswered: bool,
 }
 
-impl Tally {
-    fn take_in(&mut self, answer: QuotaAnswer) {
+impl CoordinatorAnswers {
+    fn add(&mut self, answer: QuotaAnswer) {
         match answer {
             QuotaAnswer::Refused { retry_after } => {
                 let earliest = self.retry_after.unwrap_or(retry_after);
@@ -127,7 +127,7 @@
     let coordinators = state.members().quota_coordinators(organisation, own);
     let source = |member: &&Member| Source {
         address: member.datagram_address,
-        is_near: member.region == *own,
+        is_own_region: member.region == *own,
     };
     coordinators.iter().map(source).collect()
 }
@@ -139,13 +139,16 @@
     question: &QuotaQuestion,
 ) -> QuotaAnswer {
     let answer = ask_source(shared, source, question).await;
-    let (kind, place) = (kind(answer), if source.is_near { "near" } else { "far" });
-    metrics::counter!("foxtide_quota_answers_total", "answer" => kind, "place" => place)
+    let (answer_label, place) = (
+        answer_label(answer),
+        if source.is_own_region { "near" } else { "far" },
+    );
+    metrics::counter!("foxtide_quota_answers_total", "answer" => answer_label, "place" => place)
         .increment(1);
     answer.unwrap_or(QuotaAnswer::NotMine)
 }
 
-fn kind(answer: Option<QuotaAnswer>) -> &'static str {
+fn answer_label(answer: Option<QuotaAnswer>) -> &'static str {
     match answer {
         Some(QuotaAnswer::Granted { .. }) => "granted",
         Some(QuotaAnswer::Refused { .. }) => "refused",
@@ -168,21 +171,24 @@
         return None;
     }
     let now = shared.clock.now();
-    if let Some(retry_after) = quotas.refusal_of(&question.organisation, source.address, now) {
+    if let Some(retry_after) = quotas.recent_refusal(&question.organisation, source.address, now) {
         return Some(QuotaAnswer::Refused { retry_after });
     }
-    let (times, time) = if source.is_near {
-        (QUESTIONS_NEAR, admission.answer_time())
+    let (times, time) = if source.is_own_region {
+        (QUESTIONS_OWN_REGION, admission.answer_time())
     } else {
-        (1, ANSWER_TIME_FAR)
+        (1, ANSWER_TIMEOUT_OTHER_REGION)
     };
     let answer = exchange(shared, source.address, question, times, time).await;
     match answer {
         None => admission.mark_unresponsive(source.address),
-        Some(QuotaAnswer::Refused { retry_after }) if !source.is_near => {
-            let until = shared.clock.now() + REFUSAL_TIME;
+        Some(QuotaAnswer::Refused { retry_after }) if !source.is_own_region => {
+            let until = shared.clock.now() + REFUSAL_TTL;
             let key = (question.organisation.clone(), source.address);
-            quotas.refusing.lock().insert(key, (until, retry_after));
+            quotas
+                .recent_refusals
+                .lock()
+                .insert(key, (until, retry_after));
         }
         Some(_) => {}
     }
--- a/crates/foxtide-gateway/src/quotas/mod.rs
+++ b/crates/foxtide-gateway/src/quotas/mod.rs
@@ -1,6 +1,6 @@
 //! Asks the coordinators of an organisation's quota, and answers as one.
 //!
-//! Locks: of those of [`Quotas`] none is taken while another is held. `heard` may be taken
+//! Locks: of those of [`Quotas`] none is taken while another is held. `last_contact` may be taken
 //! while the state is held, never the other way round.
 
 mod answer;
@@ -33,13 +33,13 @@
 use std::time::Duration;
 
 /// How long ago an instance may have been heard that counts as in touch with this one.
-const HEARD_TIME: Duration = Duration::from_secs(2);
+const CONTACT_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// How long what an organisation needed is remembered.
-const STOCK_TIME: Duration = Duration::from_secs(30);
+const LOCAL_TOKENS_TTL: Duration = Duration::from_secs(30);
 
 /// How often a line tells that an organisation's quota is used up.
-const LINE_PERIOD: Duration = Duration::from_secs(5);
+const LOG_PERIOD: Duration = Duration::from_secs(5);
 
 /// Why a request is over its organisation's quota.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -73,23 +73,23 @@
 #[derive(Debug, Default)]
 pub(crate) struct Quotas {
     coordinator: Mutex<QuotaCoordinator>,
-    stocks: Mutex<HashMap<OrganisationId, QuotaStock>>,
+    local_tokens: Mutex<HashMap<OrganisationId, QuotaStock>>,
     spare: Mutex<SpareTokens>,
     /// Questions that wait for an answer, by their numbers.
     pending: Mutex<HashMap<u64, Sender<QuotaAnswer>>>,
     /// When other instances last sent a datagram.
-    heard: Mutex<HashMap<SocketAddr, MonotonicTime>>,
+    last_contact: Mutex<HashMap<SocketAddr, MonotonicTime>>,
     /// Coordinators of other regions that had no token for an organisation, until when
     /// they are not asked, and what they told.
-    refusing: Mutex<HashMap<(OrganisationId, SocketAddr), (MonotonicTime, Duration)>>,
+    recent_refusals: Mutex<HashMap<(OrganisationId, SocketAddr), (MonotonicTime, Duration)>>,
     /// When a line last told that an organisation's quota is used up.
-    told: Mutex<HashMap<OrganisationId, MonotonicTime>>,
+    last_logged: Mutex<HashMap<OrganisationId, MonotonicTime>>,
 }
 
 impl Quotas {
     /// Notes that another instance sent a datagram.
-    pub(crate) fn hear(&self, from: SocketAddr, now: MonotonicTime) {
-        self.heard.lock().insert(from, now);
+    pub(crate) fn note_contact(&self, from: SocketAddr, now: MonotonicTime) {
+        self.last_contact.lock().insert(from, now);
     }
 
     /// Hands an answer to the question that waits for it, if it still does.
@@ -105,16 +105,18 @@
     pub(crate) fn prune(&self, now: MonotonicTime) {
         self.coordinator.lock().prune(now);
         self.spare.lock().prune(now);
-        self.stocks
+        self.local_tokens
             .lock()
-            .retain(|_, stock| !stock.is_unused(STOCK_TIME, now));
-        self.heard
+            .retain(|_, tokens| !tokens.is_unused(LOCAL_TOKENS_TTL, now));
+        self.last_contact
             .lock()
-            .retain(|_, heard_at| now - *heard_at < HEARD_TIME);
-        self.refusing.lock().retain(|_, (until, _)| now < *until);
-        self.told
+            .retain(|_, contact_at| now - *contact_at < CONTACT_TIMEOUT);
+        self.recent_refusals
             .lock()
-            .retain(|_, told_at| now - *told_at < LINE_PERIOD);
+            .retain(|_, (until, _)| now < *until);
+        self.last_logged
+            .lock()
+            .retain(|_, logged_at| now - *logged_at < LOG_PERIOD);
     }
 
     /// Notes a refusal; writes a line where none did of late.
@@ -126,36 +128,36 @@
     ) {
         metrics::counter!("foxtide_quota_refusals_total", "cause" => refusal.cause.as_str())
             .increment(1);
-        let mut told = self.told.lock();
-        let told_at = told.get(&terms.organisation);
-        if told_at.is_none_or(|&told_at| now - told_at >= LINE_PERIOD) {
-            told.insert(terms.organisation.clone(), now);
+        let mut last_logged = self.last_logged.lock();
+        let logged_at = last_logged.get(&terms.organisation);
+        if logged_at.is_none_or(|&logged_at| now - logged_at >= LOG_PERIOD) {
+            last_logged.insert(terms.organisation.clone(), now);
             beliefs::quota_reached(terms, refusal);
         }
     }
 
     /// Returns what a coordinator told that had no token a moment ago.
-    fn refusal_of(
+    fn recent_refusal(
         &self,
         organisation: &OrganisationId,
         coordinator: SocketAddr,
         now: MonotonicTime,
     ) -> Option<Duration> {
-        let refusing = self.refusing.lock();
-        let (until, retry_after) = refusing.get(&(organisation.clone(), coordinator))?;
+        let recent_refusals = self.recent_refusals.lock();
+        let (until, retry_after) = recent_refusals.get(&(organisation.clone(), coordinator))?;
         (now < *until).then_some(*retry_after)
     }
 
     /// Tells whether more than half of the region's instances, this one among them, were
     /// heard of late.
-    fn hears_region(&self, neighbours: &[SocketAddr], now: MonotonicTime) -> bool {
-        let heard = self.heard.lock();
-        let is_heard = |address: &&SocketAddr| {
-            let heard_at = heard.get(*address);
-            heard_at.is_some_and(|&heard_at| now - heard_at < HEARD_TIME)
+    fn reaches_region_majority(&self, neighbours: &[SocketAddr], now: MonotonicTime) -> bool {
+        let last_contact = self.last_contact.lock();
+        let is_reachable = |address: &&SocketAddr| {
+            let contact_at = last_contact.get(*address);
+            contact_at.is_some_and(|&contact_at| now - contact_at < CONTACT_TIMEOUT)
         };
-        let heard = neighbours.iter().filter(is_heard).count();
-        (heard + 1) * 2 > neighbours.len() + 1
+        let reachable = neighbours.iter().filter(is_reachable).count();
+        (reachable + 1) * 2 > neighbours.len() + 1
     }
 }
 
