--- a/crates/foxtide-gateway/src/follow/peers.rs
+++ b/crates/foxtide-gateway/src/follow/peers.rs
@@ -172,7 +172,7 @@
         let state = self.shared.state.lock();
         let version = state.version();
         let is_behind = 0 < self.peer_version && self.peer_version < version;
-        let kept = state.kept_configuration().filter(|_| is_behind);
+        let kept = state.unstored_configuration().filter(|_| is_behind);
         Question {
             version,
             configuration: kept.cloned(),
--- a/crates/foxtide-gateway/src/relay/server.rs
+++ b/crates/foxtide-gateway/src/relay/server.rs
@@ -243,6 +243,6 @@
 /// Returns the configuration in force for an asker whose own is older, where the store holds
 /// an older one too. Else the asker learns it as it learns everything.
 fn configuration_for(state: &State, request: &ChangesRequest) -> Option<RecordMessage> {
-    let kept = state.kept_configuration()?;
+    let kept = state.unstored_configuration()?;
     (request.version < state.version()).then(|| kept.clone().into())
 }
--- a/crates/foxtide-gateway/src/state/facts.rs
+++ b/crates/foxtide-gateway/src/state/facts.rs
@@ -110,14 +110,14 @@
         let routes = RouteTable::new(document);
         beliefs::organisations_in_force(&routes);
         beliefs::configuration_in_force(routes.version(), in_force, routes.routes_count());
-        self.homed.begin(&routes, self.clock.now());
+        self.homed.initialise(&routes, self.clock.now());
         self.routes = Some(Arc::new(routes));
     }
 
     /// Takes in which zones the store says are to get nothing. While it is not known what
     /// it has lost, those that are missing stay evacuated.
     fn note_evacuated(&mut self, mut zones: HashSet<AvailabilityZoneId>) {
-        if self.unsettled_until.is_some() {
+        if self.evacuations_kept_until.is_some() {
             let missing = self.registry.evacuated().difference(&zones);
             self.missing_evacuations.extend(missing.cloned());
             self.missing_evacuations
@@ -128,11 +128,11 @@
     }
 
     /// Takes back the evacuations that operators have not written again.
-    pub(super) fn settle_evacuations(&mut self, now: MonotonicTime) {
-        if self.unsettled_until.is_none_or(|until| now < until) {
+    pub(super) fn drop_missing_evacuations(&mut self, now: MonotonicTime) {
+        if self.evacuations_kept_until.is_none_or(|until| now < until) {
             return;
         }
-        self.unsettled_until = None;
+        self.evacuations_kept_until = None;
         let missing = std::mem::take(&mut self.missing_evacuations);
         let evacuated = self.registry.evacuated();
         let kept = evacuated.difference(&missing).cloned().collect();
--- a/crates/foxtide-gateway/src/state/homed.rs
+++ b/crates/foxtide-gateway/src/state/homed.rs
@@ -12,7 +12,7 @@
 /// How far a part of the traffic moves in a second when a new version of the configuration
 /// binds another one. A region's own share moves by up to three times as much; organisations
 /// are promised that no more than 0.15 of it moves in 2 s, half of which this takes.
-const STEP_PER_S: f64 = 0.0125;
+const LOAD_STEP_PER_S: f64 = 0.0125;
 
 /// The part of the traffic that is taken for homed now.
 #[derive(Debug, Default)]
@@ -21,31 +21,31 @@
     /// Counts the changes of `load`.
     generation: u64,
     /// When `load` was last looked at; nothing before the first configuration.
-    followed_at: Option<MonotonicTime>,
+    advanced_at: Option<MonotonicTime>,
 }
 
 impl HomedTraffic {
     /// Takes in a configuration; the first one holds at once.
-    pub(super) fn begin(&mut self, routes: &RouteTable, now: MonotonicTime) {
-        if self.followed_at.is_none() {
-            self.followed_at = Some(now);
+    pub(super) fn initialise(&mut self, routes: &RouteTable, now: MonotonicTime) {
+        if self.advanced_at.is_none() {
+            self.advanced_at = Some(now);
             self.load = routes.homed_load().clone();
             self.generation += 1;
         }
     }
 
     /// Moves towards what the configuration in force says.
-    pub(super) fn follow(&mut self, routes: Option<&RouteTable>, now: MonotonicTime) {
-        let (Some(routes), Some(followed_at)) = (routes, self.followed_at) else {
+    pub(super) fn advance(&mut self, routes: Option<&RouteTable>, now: MonotonicTime) {
+        let (Some(routes), Some(advanced_at)) = (routes, self.advanced_at) else {
             return;
         };
-        self.followed_at = Some(now);
+        self.advanced_at = Some(now);
         if self.load == *routes.homed_load() {
             return;
         }
-        let passed_s = (now - followed_at).as_secs_f64();
+        let passed_s = (now - advanced_at).as_secs_f64();
         self.load
-            .approach(routes.homed_load(), passed_s * STEP_PER_S);
+            .approach(routes.homed_load(), passed_s * LOAD_STEP_PER_S);
         self.generation += 1;
     }
 
--- a/crates/foxtide-gateway/src/state/mod.rs
+++ b/crates/foxtide-gateway/src/state/mod.rs
@@ -105,16 +105,16 @@
     is_store_followed: bool,
     /// Until when it is not known whether the operators write again what the store has
     /// lost; nothing where it has lost nothing of late.
-    unsettled_until: Option<MonotonicTime>,
+    evacuations_kept_until: Option<MonotonicTime>,
     /// Evacuations that are missing in the store meanwhile.
     missing_evacuations: HashSet<AvailabilityZoneId>,
     /// How often the store has come back from an older copy.
     restorations: u64,
     /// The record of the configuration in force, and the version that the store told last.
     configuration: Option<Record>,
-    told_version: u64,
+    stored_version: u64,
     /// When the store, or a peer in its place, last told what it says.
-    told_at: MonotonicTime,
+    store_answered_at: MonotonicTime,
     /// When an instance that knows nothing yet expects to know the configuration.
     ready_at: MonotonicTime,
     splits: HashMap<String, SplitCounter>,
@@ -141,12 +141,12 @@
             homed: HomedTraffic::default(),
             log: RecordLog::default(),
             is_store_followed: false,
-            unsettled_until: None,
+            evacuations_kept_until: None,
             missing_evacuations: HashSet::new(),
             restorations: 0,
             configuration: None,
-            told_version: 0,
-            told_at: MonotonicTime::ZERO,
+            stored_version: 0,
+            store_answered_at: MonotonicTime::ZERO,
             ready_at: MonotonicTime::ZERO,
             splits: HashMap::new(),
             budgets: HashMap::new(),
@@ -232,7 +232,7 @@
     /// Returns how long ago the store, or a peer in its place, told what it
     /// says.
     pub(crate) fn knowledge_age(&self) -> Duration {
-        self.clock.now() - self.told_at
+        self.clock.now() - self.store_answered_at
     }
 
     /// Drops what was kept in doubt while the store was away, and what is
@@ -242,9 +242,9 @@
         let changes = self.registry.expire(now);
         self.note_changes(&changes);
         self.members.expire(self.registry.phase(), now);
-        self.settle_evacuations(now);
+        self.drop_missing_evacuations(now);
         self.cold.prune(now);
-        self.homed.follow(self.routes.as_deref(), now);
+        self.homed.advance(self.routes.as_deref(), now);
         self.placements
             .retain(|_, placement| placement.is_used(now));
     }
--- a/crates/foxtide-gateway/src/state/placement.rs
+++ b/crates/foxtide-gateway/src/state/placement.rs
@@ -22,12 +22,12 @@
 use std::time::Duration;
 
 /// How long a placement without requests is kept: its route may be gone.
-const UNUSED_TIME: Duration = Duration::from_secs(60);
+const UNUSED_TTL: Duration = Duration::from_secs(60);
 
 /// How far a region's share moves before a line tells it: a third of the shift that
 /// organisations are usually promised (0.15), so that no larger one goes untold, and a
 /// region that loses its upstreams one by one writes twenty lines at most.
-const SHARE_STEP: f64 = 0.05;
+const LOGGED_SHARE_STEP: f64 = 0.05;
 
 /// The upstreams of a service in the regions that may serve a route.
 #[derive(Debug, Default)]
@@ -40,7 +40,7 @@
     /// The share of the requests that the own region serves.
     own_share: f64,
     /// The regions' shares that were last told in the log.
-    told_shares: RegionShares,
+    logged_shares: RegionShares,
     used_at: MonotonicTime,
 }
 
@@ -68,7 +68,7 @@
         self.candidates = self.weighted(&weights);
         let own_share = weights.shares().get(&place.region);
         self.own_share = own_share.copied().unwrap_or_default();
-        self.tell_shares(request, weights.shares());
+        self.log_shares(request, weights.shares());
     }
 
     /// Returns the first `count` upstreams in the order of an object.
@@ -91,18 +91,19 @@
 
     /// Tells whether there was a request of late.
     pub(super) fn is_used(&self, now: MonotonicTime) -> bool {
-        now - self.used_at < UNUSED_TIME
+        now - self.used_at < UNUSED_TTL
     }
 
     /// Writes a line where a region's share has moved by a step since the last one.
-    fn tell_shares(&mut self, request: &PickRequest<'_>, shares: &RegionShares) {
-        let told = |region: &RegionId| self.told_shares.get(region).copied().unwrap_or(0.0);
-        let has_moved =
-            |(region, share): (&RegionId, &f64)| (share - told(region)).abs() >= SHARE_STEP;
+    fn log_shares(&mut self, request: &PickRequest<'_>, shares: &RegionShares) {
+        let logged = |region: &RegionId| self.logged_shares.get(region).copied().unwrap_or(0.0);
+        let has_moved = |(region, share): (&RegionId, &f64)| {
+            (share - logged(region)).abs() >= LOGGED_SHARE_STEP
+        };
         // Of one region alone there is nothing to tell.
         if shares.len() > 1 && shares.iter().any(has_moved) {
             beliefs::region_shares_changed(request.service, shares);
-            self.told_shares = shares.clone();
+            self.logged_shares = shares.clone();
         }
     }
 
--- a/crates/foxtide-gateway/src/state/stored.rs
+++ b/crates/foxtide-gateway/src/state/stored.rs
@@ -13,7 +13,7 @@
 /// stays in force: operators see the return as instances do and write theirs again, by hand
 /// at worst. A zone that is used too early breaks what was announced; one that is used too
 /// late leaves a sixth of the upstreams idle for as long.
-const OPERATORS_TIME: Duration = Duration::from_secs(10);
+const EVACUATION_GRACE: Duration = Duration::from_secs(10);
 
 impl State {
     /// Returns what was read of the store.
@@ -46,7 +46,7 @@
         let now = self.clock.now();
         beliefs::store_restored(index);
         self.registry.store_restored(now);
-        self.unsettled_until = Some(now + OPERATORS_TIME);
+        self.evacuations_kept_until = Some(now + EVACUATION_GRACE);
         self.restorations += 1;
     }
 
@@ -62,15 +62,15 @@
 
     /// Returns the configuration in force where the store holds an older one: others learn
     /// it from instances alone.
-    pub(crate) fn kept_configuration(&self) -> Option<&Record> {
-        let is_lost = self.told_version < self.version();
+    pub(crate) fn unstored_configuration(&self) -> Option<&Record> {
+        let is_lost = self.stored_version < self.version();
         self.configuration.as_ref().filter(|_| is_lost)
     }
 
     /// Notes the record of a version that the store holds, or another instance has in force.
     pub(crate) fn note_configuration(&mut self, version: u64, record: Record, is_stored: bool) {
         if is_stored {
-            self.told_version = version;
+            self.stored_version = version;
         }
         if self.configuration.is_none() || version >= self.version() {
             self.configuration = Some(record);
@@ -80,7 +80,7 @@
     /// Notes that the store, or a peer that it answers, has told what it says.
     pub(crate) fn store_answered(&mut self) {
         let now = self.clock.now();
-        self.told_at = now;
+        self.store_answered_at = now;
         self.registry.store_answered(now);
     }
 }
