--- a/crates/foxtide-gateway/src/datagram/mod.rs
+++ b/crates/foxtide-gateway/src/datagram/mod.rs
@@ -6,8 +6,8 @@
 mod slots;
 
 pub(crate) use poison::{
-    EndMessage,
-    QuarantineMessage, //
+    QuarantineMessage,
+    UpstreamEndMessage, //
 };
 pub(crate) use quota::{
     QuotaAnswerMessage,
@@ -55,7 +55,7 @@
     QuotaAnswer(QuotaAnswerMessage),
     /// An upstream has ended under a request.
     #[prost(message, tag = "8")]
-    EndReport(EndMessage),
+    EndReport(UpstreamEndMessage),
     /// A request under which an end was reported has been served: its fingerprint.
     #[prost(fixed64, tag = "9")]
     Cleared(u64),
@@ -166,7 +166,7 @@
             let read = Datagram::decode(sample.encode_to_vec().as_slice()).unwrap();
             assert_eq!(read, sample);
         }
-        let wrong = EndMessage::default();
+        let wrong = UpstreamEndMessage::default();
         assert!(wrong.report().is_err());
         assert!(QuotaQuestionMessage::default().question().is_err());
         assert_eq!(QuotaAnswerMessage::default().answer(), QuotaAnswer::NotMine);
--- a/crates/foxtide-gateway/src/datagram/poison.rs
+++ b/crates/foxtide-gateway/src/datagram/poison.rs
@@ -13,7 +13,7 @@
 
 /// An upstream has ended under a request.
 #[derive(Clone, PartialEq, prost::Message)]
-pub(crate) struct EndMessage {
+pub(crate) struct UpstreamEndMessage {
     #[prost(fixed64, tag = "1")]
     fingerprint: u64,
     #[prost(string, tag = "2")]
@@ -39,7 +39,7 @@
 impl Datagram {
     /// Returns the message that an upstream has ended under a request.
     pub(crate) fn end_report(number: u64, report: &EndReport) -> Self {
-        let message = EndMessage {
+        let message = UpstreamEndMessage {
             fingerprint: report.fingerprint.hash(),
             upstream: report.upstream.to_string(),
             born_ms: report.born_at.map(WallTime::as_ms),
@@ -72,7 +72,7 @@
     }
 }
 
-impl EndMessage {
+impl UpstreamEndMessage {
     /// Returns what is reported.
     ///
     /// # Errors
--- a/crates/foxtide-gateway/src/forward/admit.rs
+++ b/crates/foxtide-gateway/src/forward/admit.rs
@@ -186,7 +186,7 @@
             let late = async {
                 Timer::at(self.deadline).await;
             };
-            or(self.caller.left(), late).await;
+            or(self.caller.disconnected(), late).await;
             Admitted::Refused {
                 retry_after: RETRY_AFTER_WAIT,
             }
--- a/crates/foxtide-gateway/src/forward/attempt.rs
+++ b/crates/foxtide-gateway/src/forward/attempt.rs
@@ -126,7 +126,7 @@
         }
         Some(Err(error)) => {
             if is_unacknowledged(&error) {
-                shared.pool.forget(&registration.upstream);
+                shared.pool.close_idle(&registration.upstream);
             }
             let has_ended = is_sent
                 && is_closed_by_upstream(&error)
@@ -137,7 +137,7 @@
             }
         }
         None => {
-            shared.pool.forget(&registration.upstream);
+            shared.pool.close_idle(&registration.upstream);
             AttemptReport::new(AttemptEnd::TimedOut, AttemptResult::Faulty)
         }
     }
--- a/crates/foxtide-gateway/src/forward/caller.rs
+++ b/crates/foxtide-gateway/src/forward/caller.rs
@@ -7,21 +7,23 @@
 #[derive(Debug, Default)]
 pub(crate) struct CallerWatch {
     /// Closes when the caller has left.
-    open: Option<Receiver<()>>,
+    connection: Option<Receiver<()>>,
 }
 
 impl CallerWatch {
     /// Returns a watch on a caller that has left once the other end of the channel is
     /// dropped.
-    pub(crate) fn new(open: Receiver<()>) -> Self {
-        Self { open: Some(open) }
+    pub(crate) fn new(connection: Receiver<()>) -> Self {
+        Self {
+            connection: Some(connection),
+        }
     }
 
     /// Waits until the caller has left.
-    pub(crate) async fn left(&self) {
-        match &self.open {
+    pub(crate) async fn disconnected(&self) {
+        match &self.connection {
             // Nothing is ever sent: this returns when the channel is closed.
-            Some(open) => while open.recv().await.is_ok() {},
+            Some(connection) => while connection.recv().await.is_ok() {},
             None => pending().await,
         }
     }
--- a/crates/foxtide-gateway/src/forward/recheck.rs
+++ b/crates/foxtide-gateway/src/forward/recheck.rs
@@ -76,6 +76,6 @@
         let waited = async {
             Timer::after(REPEAT_WAIT.min(time_left)).await;
         };
-        or(self.caller.left(), waited).await;
+        or(self.caller.disconnected(), waited).await;
     }
 }
--- a/crates/foxtide-gateway/src/poison/reports.rs
+++ b/crates/foxtide-gateway/src/poison/reports.rs
@@ -3,8 +3,8 @@
 use super::Poison;
 use crate::datagram::{
     Datagram,
-    EndMessage,
-    QuarantineMessage, //
+    QuarantineMessage,
+    UpstreamEndMessage, //
 };
 use crate::dialect::Dialect;
 use crate::journal::beliefs;
@@ -91,7 +91,7 @@
 pub(crate) fn take_in_end<D: Dialect>(
     shared: &Arc<Shared<D>>,
     from: SocketAddr,
-    message: &EndMessage,
+    message: &UpstreamEndMessage,
 ) {
     match message.report() {
         Ok(report) => aggregate(shared, &report),
--- a/crates/foxtide-gateway/src/pool.rs
+++ b/crates/foxtide-gateway/src/pool.rs
@@ -17,29 +17,29 @@
 
 /// How long an idle connection is used again where the upstream does not say
 /// how long it keeps it. Servers usually keep them for 5 s or more.
-const IDLE_TIME_DEFAULT: Duration = Duration::from_secs(4);
+const IDLE_TIMEOUT_DEFAULT: Duration = Duration::from_secs(4);
 
 /// What is left of the upstream's own time when a connection is given up: a
 /// request must not cross the upstream's close.
-const IDLE_TIME_MARGIN: Duration = Duration::from_millis(1_200);
+const IDLE_TIMEOUT_MARGIN: Duration = Duration::from_millis(1_200);
 
 /// The part of that time for which a connection carries a request that must
 /// not run twice.
-const NON_IDEMPOTENT_PART: f64 = 0.6;
+const NON_IDEMPOTENT_SHARE: f64 = 0.6;
 
 #[derive(Debug)]
-struct Idle {
+struct IdleConnection {
     stream: BufferedStream,
     /// When the upstream started that it leads to.
     born_at: Option<WallTime>,
     since: MonotonicTime,
-    limit: Duration,
+    timeout: Duration,
 }
 
 /// The idle connections to all upstreams.
 #[derive(Debug, Default)]
 pub(crate) struct Pool {
-    idle: Mutex<HashMap<UpstreamId, Vec<Idle>>>,
+    idle: Mutex<HashMap<UpstreamId, Vec<IdleConnection>>>,
 }
 
 impl Pool {
@@ -53,16 +53,16 @@
         is_idempotent: bool,
         now: MonotonicTime,
     ) -> Option<BufferedStream> {
-        let part = if is_idempotent {
+        let share = if is_idempotent {
             1.0
         } else {
-            NON_IDEMPOTENT_PART
+            NON_IDEMPOTENT_SHARE
         };
         let mut idle = self.idle.lock();
         let connections = idle.get_mut(&registration.upstream)?;
         connections.retain(|connection| connection.born_at == registration.born_at);
         while let Some(connection) = connections.pop() {
-            let is_fresh = now - connection.since <= connection.limit.mul_f64(part);
+            let is_fresh = now - connection.since <= connection.timeout.mul_f64(share);
             if !is_fresh {
                 // Those below it are older still, but may carry requests that
                 // may run twice.
@@ -86,24 +86,24 @@
         connections_max: usize,
         now: MonotonicTime,
     ) {
-        let limit = keep_alive.map_or(IDLE_TIME_DEFAULT, |time| {
-            time.saturating_sub(IDLE_TIME_MARGIN)
+        let timeout = keep_alive.map_or(IDLE_TIMEOUT_DEFAULT, |time| {
+            time.saturating_sub(IDLE_TIMEOUT_MARGIN)
         });
         let mut idle = self.idle.lock();
         let connections = idle.entry(registration.upstream.clone()).or_default();
         if connections.len() < connections_max {
-            connections.push(Idle {
+            connections.push(IdleConnection {
                 stream,
                 born_at: registration.born_at,
                 since: now,
-                limit,
+                timeout,
             });
         }
     }
 
     /// Closes the idle connections to an upstream: one beside them has fallen silent,
     /// and so may they, while new ones work.
-    pub(crate) fn forget(&self, upstream: &UpstreamId) {
+    pub(crate) fn close_idle(&self, upstream: &UpstreamId) {
         self.idle.lock().remove(upstream);
     }
 
@@ -117,7 +117,7 @@
         let mut idle = self.idle.lock();
         idle.retain(|upstream, connections| {
             connections.retain(|connection| {
-                let is_fresh = now - connection.since <= connection.limit;
+                let is_fresh = now - connection.since <= connection.timeout;
                 is_fresh
                     && connection.stream.quiet() == Quiet::Yes
                     && is_known(upstream, connection.born_at)
