--- a/crates/foxtide-gateway/tests/gateway/admission.rs
+++ b/crates/foxtide-gateway/tests/gateway/admission.rs
@@ -17,7 +17,7 @@
 const ADMITTED: usize = 5;
 
 /// Requests of these tests are given up by their callers only.
-fn patient(route: Route) -> Route {
+fn with_long_timeout(route: Route) -> Route {
     Route {
         timeout: Duration::from_secs(60),
         ..route
@@ -34,7 +34,10 @@
     names: [&str; COUNT],
 ) -> (Fleet, [Instance; 2], [FakeUpstream; COUNT]) {
     let fleet = Fleet::new();
-    let routes = vec![patient(route("safe", true)), patient(route("once", false))];
+    let routes = vec![
+        with_long_timeout(route("safe", true)),
+        with_long_timeout(route("once", false)),
+    ];
     fleet.configure(2, routes);
     let upstreams = names.map(|name| fleet.upstream(name, "khomas-a"));
     for upstream in &upstreams {
@@ -57,7 +60,7 @@
 }
 
 /// Fills the slots from both instances in turn.
-fn fill(instances: &[Instance; 2], upstream: &FakeUpstream) -> Vec<Caller> {
+fn fill_slots(instances: &[Instance; 2], upstream: &FakeUpstream) -> Vec<Caller> {
     let callers = (0..ADMITTED)
         .map(|number| send(&instances[number % 2], "/safe/", &format!("first-{number}")))
         .collect();
@@ -68,7 +71,7 @@
 #[test]
 fn verify_instances_keep_to_an_upstreams_slots_together() {
     let (_fleet, instances, upstream) = fleet_with_a_silent_upstream();
-    let mut callers = fill(&instances, &upstream);
+    let mut callers = fill_slots(&instances, &upstream);
     for instance in &instances {
         let lines = "request: r-1\r\ntime-left-ms: 300\r\nobject: r-1\r\n";
         let response = instance.get("/safe/", lines);
@@ -89,7 +92,7 @@
 fn verify_what_waits_is_not_sent_once_its_caller_has_left() {
     for path in ["/safe/", "/once/"] {
         let (_fleet, instances, upstream) = fleet_with_a_silent_upstream();
-        let mut callers = fill(&instances, &upstream);
+        let mut callers = fill_slots(&instances, &upstream);
         let left = send(&instances[0], path, "left");
         let _stays = send(&instances[1], path, "stays");
         drop(left);
@@ -129,7 +132,7 @@
 #[test]
 fn verify_a_request_that_waits_for_a_leaving_upstream_goes_elsewhere() {
     let (fleet, instances, upstream) = fleet_with_a_silent_upstream();
-    let _callers = fill(&instances, &upstream);
+    let _callers = fill_slots(&instances, &upstream);
     let mut waiting = send(&instances[0], "/safe/", "next");
     let other = fleet.upstream("i-2", "khomas-a");
     fleet.store.remove(&upstream.key());
--- a/crates/foxtide-gateway/tests/gateway/many.rs
+++ b/crates/foxtide-gateway/tests/gateway/many.rs
@@ -16,14 +16,14 @@
 const WATCHERS: usize = 6;
 
 /// How often the store is followed until it is seen who does so: two periods.
-const WAITS_SEEN: usize = 2;
+const WAITS_MIN: usize = 2;
 
-struct Many {
+struct LargeFleet {
     fleet: Fleet,
     instances: Vec<Instance>,
 }
 
-impl Many {
+impl LargeFleet {
     /// Starts the fleet and waits until all know each other.
     fn start() -> Self {
         let fleet = Fleet::new();
@@ -45,7 +45,7 @@
 
     /// Waits until the watchers have followed the store for a while, and returns how
     /// many others have asked it meanwhile.
-    fn others_that_ask(&self) -> usize {
+    fn followers_that_ask(&self) -> usize {
         let before = self.waits();
         let begun = || {
             let begun = self.waits().into_iter().zip(&before);
@@ -53,7 +53,7 @@
         };
         eventually("the watchers follow", || {
             let waits = begun().into_iter();
-            waits.filter(|&waits| waits >= WAITS_SEEN).count() >= WATCHERS
+            waits.filter(|&waits| waits >= WAITS_MIN).count() >= WATCHERS
         });
         let asking = begun().into_iter().filter(|&waits| waits > 0).count();
         asking - WATCHERS
@@ -65,7 +65,7 @@
 
     /// Waits until watchers keep the records of all others, and returns one of these
     /// with the watcher.
-    fn kept(&self) -> (String, String) {
+    fn followed_record(&self) -> (String, String) {
         eventually("watchers keep the others' records", || {
             let registrars = self.registrars();
             let kept = registrars.values().flatten().count();
@@ -77,15 +77,17 @@
     }
 
     /// Takes an instance out of the fleet.
-    fn take(&mut self, name: &str) -> Instance {
+    fn remove_instance(&mut self, name: &str) -> Instance {
         let own = name.parse().unwrap();
         let is_own = |instance: &Instance| *instance.gateway().name() == own;
         let at = self.instances.iter().position(is_own);
         self.instances.swap_remove(at.expect("the instance runs"))
     }
 
-    fn settle(&self) {
-        eventually("only the watchers follow", || self.others_that_ask() == 0);
+    fn wait_for_watchers(&self) {
+        eventually("only the watchers follow", || {
+            self.followers_that_ask() == 0
+        });
     }
 }
 
@@ -94,12 +96,12 @@
 /// some 10 calls, 3,000 in a fleet of 300.
 #[test]
 fn verify_a_cut_of_all_waits_sends_no_follower_to_the_store() {
-    let many = Many::start();
-    many.settle();
+    let large = LargeFleet::start();
+    large.wait_for_watchers();
     // A machine that stands still for a moment sends a follower there as well.
     eventually("a cut sends no follower to the store", || {
-        many.fleet.store.cut_waits();
-        many.others_that_ask() == 0
+        large.fleet.store.cut_waits();
+        large.followers_that_ask() == 0
     });
 }
 
@@ -107,82 +109,82 @@
 /// for these too, though their watchers say all the while that the store does not answer.
 #[test]
 fn verify_followers_go_on_by_themselves_while_all_watchers_are_turned_away() {
-    let many = Many::start();
-    let upstream = many.fleet.upstream("i-1", "khomas-a");
-    let (follower, _) = many.kept();
-    let registrars = many.registrars();
+    let large = LargeFleet::start();
+    let upstream = large.fleet.upstream("i-1", "khomas-a");
+    let (follower, _) = large.followed_record();
+    let registrars = large.registrars();
     let is_watcher = |name: &str| registrars.get(name) == Some(&None);
-    for instance in &many.instances {
+    for instance in &large.instances {
         let name = instance.gateway().name().to_string();
         instance.store.set_turned_away(is_watcher(&name));
     }
     let is_follower = |one: &&Instance| one.gateway().name().to_string() == follower;
-    let follower = many.instances.iter().find(is_follower).unwrap();
+    let follower = large.instances.iter().find(is_follower).unwrap();
     let status = || {
         let response = follower.get("/safe/x", "request: r\r\nobject: o\r\n");
         response.head.status
     };
     eventually("the upstream serves", || status() == 200);
-    many.fleet.store.remove(&upstream.key());
+    large.fleet.store.remove(&upstream.key());
     eventually("it gets nothing any more", || status() == 503);
 }
 
 /// A lease and a record of each instance are most of a large fleet's calls.
 #[test]
 fn verify_watchers_keep_the_records_of_the_others() {
-    let mut many = Many::start();
-    many.settle();
-    let (kept, _) = many.kept();
-    let mut leaving = many.take(&kept);
+    let mut large = LargeFleet::start();
+    large.wait_for_watchers();
+    let (kept, _) = large.followed_record();
+    let mut leaving = large.remove_instance(&kept);
     leaving.stop();
     eventually("its record is removed", || {
-        !many.registrars().contains_key(&kept)
+        !large.registrars().contains_key(&kept)
     });
     // Others that live stay as they are.
-    assert_eq!(many.registrars().len(), INSTANCES - 1);
+    assert_eq!(large.registrars().len(), INSTANCES - 1);
 }
 
 /// It lost power: nothing tells of it but its silence.
 #[test]
 fn verify_a_watcher_removes_the_record_of_one_that_died() {
-    let mut many = Many::start();
-    let (kept, _) = many.kept();
-    drop(many.take(&kept));
+    let mut large = LargeFleet::start();
+    let (kept, _) = large.followed_record();
+    drop(large.remove_instance(&kept));
     eventually("its record is removed", || {
-        !many.registrars().contains_key(&kept)
+        !large.registrars().contains_key(&kept)
     });
-    assert_eq!(many.registrars().len(), INSTANCES - 1);
+    assert_eq!(large.registrars().len(), INSTANCES - 1);
 }
 
 /// The records under a watcher's lease lapse with it; their instances have found another
 /// watcher by then, or do so.
 #[test]
 fn verify_the_neighbours_of_a_watcher_that_died_are_kept_by_another() {
-    let mut many = Many::start();
-    let (kept, watcher) = many.kept();
-    drop(many.take(&watcher));
+    let mut large = LargeFleet::start();
+    let (kept, watcher) = large.followed_record();
+    drop(large.remove_instance(&watcher));
     eventually("another keeps its record", || {
-        let registrar = many.registrars().remove(&kept).flatten();
+        let registrar = large.registrars().remove(&kept).flatten();
         registrar.is_some_and(|registrar| registrar != watcher)
     });
-    many.fleet.store.lapse(&watcher);
+    large.fleet.store.lapse(&watcher);
     eventually("all that live have a record", || {
-        many.registrars().len() == INSTANCES - 1
+        large.registrars().len() == INSTANCES - 1
     });
-    assert!(!many.registrars().contains_key(&watcher));
+    assert!(!large.registrars().contains_key(&watcher));
 }
 
 /// A watcher that stops hands its neighbours on before its lease ends.
 #[test]
 fn verify_a_watcher_that_stops_hands_its_neighbours_on() {
-    let mut many = Many::start();
-    let (kept, watcher) = many.kept();
-    let mut leaving = many.take(&watcher);
+    let mut large = LargeFleet::start();
+    let (kept, watcher) = large.followed_record();
+    let mut leaving = large.remove_instance(&watcher);
     leaving.stop();
     // Leases of this store never lapse: what the watcher kept is with others, or the
     // instance keeps it in the watcher's place.
     eventually("others keep the records", || {
-        let registrars = many.registrars();
+        let registrars = large.registrars();
         let is_elsewhere = registrars
             .get(&kept)
             .is_some_and(|registrar| registrar.as_ref() != Some(&watcher));
@@ -194,14 +196,14 @@
 /// opened one again and announced itself, 590 calls in a second.
 #[test]
 fn verify_the_records_of_a_lost_lease_come_back_under_watchers() {
-    let many = Many::start();
-    many.settle();
-    let (kept, watcher) = many.kept();
-    many.fleet.store.lapse(&watcher);
+    let large = LargeFleet::start();
+    large.wait_for_watchers();
+    let (kept, watcher) = large.followed_record();
+    large.fleet.store.lapse(&watcher);
     eventually("all records are back", || {
-        many.registrars().contains_key(&kept) && many.registrars().len() == INSTANCES
+        large.registrars().contains_key(&kept) && large.registrars().len() == INSTANCES
     });
-    many.kept();
+    large.followed_record();
 }
 
 /// The store turns one instance of a small fleet away, and its lease lapses.
--- a/crates/foxtide-gateway/tests/gateway/small_region.rs
+++ b/crates/foxtide-gateway/tests/gateway/small_region.rs
@@ -103,7 +103,7 @@
     }
 
     /// Returns objects whose own upstream is near and whose next two are not.
-    fn objects_between_regions(&self) -> impl Iterator<Item = String> {
+    fn objects_with_far_second_choices(&self) -> impl Iterator<Item = String> {
         let is_near = |upstream: &FakeUpstream| upstream.zone() == "erongo-a";
         (0..10_000)
             .map(|number| format!("o-{number}"))
@@ -115,7 +115,7 @@
 
     /// Returns such an object of one upstream.
     fn object_of(&self, upstream: &FakeUpstream) -> String {
-        let mut objects = self.objects_between_regions();
+        let mut objects = self.objects_with_far_second_choices();
         let is_own = |object: &String| self.order(object)[0].key() == upstream.key();
         objects.find(is_own).expect("one of many has this order")
     }
@@ -131,7 +131,7 @@
 
     /// Has an object's own upstream work for so long that what waits there is late, and
     /// fills its slots.
-    fn fill(&self, object: &str) -> Vec<Caller> {
+    fn fill_slots(&self, object: &str) -> Vec<Caller> {
         let own = self.order(object)[0];
         let before = own.seen().len();
         own.always(Behaviour::Silent);
@@ -152,9 +152,9 @@
 #[test]
 fn verify_a_neighbour_relieves_an_upstream_where_the_next_choices_stand_elsewhere() {
     let region = SmallRegion::new();
-    let mut objects = region.objects_between_regions();
+    let mut objects = region.objects_with_far_second_choices();
     let object = objects.next().expect("one of many has this order");
-    let _callers = region.fill(&object);
+    let _callers = region.fill_slots(&object);
     let own = region.order(&object)[0];
     let is_neighbour = |one: &&FakeUpstream| one.zone() == own.zone() && one.key() != own.key();
     let neighbour = region.upstreams.iter().find(is_neighbour).unwrap();
@@ -177,7 +177,7 @@
     });
     let [own, neighbour] = [&region.upstreams[0], &region.upstreams[1]];
     let object = region.object_of(own);
-    let _callers = region.fill(&object);
+    let _callers = region.fill_slots(&object);
     // These wait until they are late, then look for a neighbour; as many would use up its
     // rate.
     let late = (0..20).map(|number| {
@@ -212,7 +212,7 @@
     own.next(Behaviour::Respond(200, "fine", Duration::from_secs(2)));
     let lines = format!("request: earlier\r\nobject: {object}\r\n");
     assert_eq!(region.instance.get("/safe/", &lines).head.status, 200);
-    let _callers = region.fill(&object);
+    let _callers = region.fill_slots(&object);
     let ask = |request: &str| {
         let lines = format!("request: {request}\r\ntime-left-ms: 900\r\nobject: {object}\r\n");
         region.instance.get("/safe/", &lines)
