--- a/crates/foxtide-gateway/src/forward/admit.rs
+++ b/crates/foxtide-gateway/src/forward/admit.rs
@@ -1,4 +1,4 @@
-//! The wait for a slot before a request is sent.
+//! Picks an upstream for a request and acquires a slot there.
 
 use super::attempt_loop::AttemptLoop;
 use super::target::Target;
@@ -27,20 +27,18 @@
     Instant, //
 };
 
-/// When a caller is told to come back whose time passed while it waited.
+/// Retry-After of a request whose deadline passed while it waited for a slot.
 const RETRY_AFTER_WAIT: Duration = Duration::from_millis(200);
 
 impl<'a, D: Dialect> AttemptLoop<'a, D> {
-    /// Picks an upstream and waits until the request may be sent to it.
+    /// Picks an upstream and waits for one of its slots.
     ///
-    /// Where the object's own upstream would not serve it early, its second choice does
-    /// if it has a slot free: the object is known there from then on, so that two
-    /// upstreams share what is too much for one. That brings 0.01 to 0.04 of the worth
-    /// of days of high load; a third choice in vain brought nothing more.
+    /// If the first choice of the object is busy, its second choice or another region with a
+    /// free slot serves the request.
     ///
     /// # Errors
     ///
-    /// Fails with the reply where there is no upstream for it in its time.
+    /// Fails with the reply if no upstream can take the request before its deadline.
     pub(super) async fn acquire_target(&mut self) -> Result<Target<'a>, Reply> {
         loop {
             if Instant::now() >= self.deadline {
@@ -68,8 +66,7 @@
         }
     }
 
-    /// The first attempt goes elsewhere rather than be late; a later one has been
-    /// elsewhere.
+    /// Only the first attempt leaves a busy upstream early; a retry waits until its deadline.
     fn patience(&self) -> Patience {
         if self.is_first_attempt() {
             Patience::WhileEarly
@@ -78,13 +75,10 @@
         }
     }
 
-    /// Takes a slot of the upstream that comes after the object's own in the region, if
-    /// one is free.
+    /// Takes a free slot of the next upstream of the own region in the object's order.
     ///
-    /// Upstreams of other regions don't count in that order: in a region that keeps a third
-    /// of its objects, two of three second choices would stand elsewhere, where no slot can
-    /// be asked for. There 136 of a region's 153 refusals in nine seconds had such a second
-    /// choice, while neighbours were idle; those who came back were then all of that region.
+    /// Upstreams of other regions are skipped: no slot can be asked for there, and in a region
+    /// that keeps few of its objects they would be most of the second choices.
     async fn second_choice(&mut self, own: &Pick) -> Option<Target<'a>> {
         let (end, target) = self.try_second_choice(own).await;
         self.trace.second_choice = end;
@@ -104,14 +98,10 @@
         }
     }
 
-    /// Sends to another region what a region that is short of upstreams would serve late or
-    /// not at all, as far as the instance may.
-    ///
-    /// Once no new requests came, what waited at such a region and what it had refused were
-    /// nearly all served there: of its traffic 0.33 moved home within 2 s, on a whole day where
-    /// 0.15 may. `docs/design/shifted.md` has what is left of that, and what it costs.
+    /// Sends the request to another region if the own one is short of upstreams, within the
+    /// instance's overflow budget.
     async fn overflow(&mut self) -> Option<Target<'a>> {
-        // What has waited for long would be late there as well.
+        // Past its objective the request would be late in any region.
         if Instant::now() >= self.objective_at {
             return None;
         }
@@ -136,7 +126,7 @@
         }
     }
 
-    /// Waits until the request may be sent to the upstream that was picked.
+    /// Acquires a slot of the picked upstream and checks the pick again.
     async fn admit(&mut self, pick: &Pick, patience: Patience) -> Admitted<'a> {
         let Some((instance, coordinator)) = self.coordinator(pick) else {
             return Admitted::Granted(None);
@@ -145,7 +135,7 @@
         let began_at = Instant::now();
         let admitted = self.ask(pick, coordinator, patience).await;
         self.note_wait(&admitted, began_at.elapsed());
-        // Drains, evacuations and the bound on cold upstreams hold at the sending.
+        // The upstream may have been drained, evacuated or restarted during the wait.
         let is_granted = matches!(admitted, Admitted::Granted(_));
         if is_granted && !self.shared.state.lock().is_pick_valid(pick) {
             return Admitted::PickAgain;
@@ -153,7 +143,7 @@
         admitted
     }
 
-    /// Returns who coordinates the slots of the upstream.
+    /// Returns the instance that coordinates the upstream's slots, with its datagram address.
     fn coordinator(&self, pick: &Pick) -> Option<(InstanceId, SocketAddr)> {
         let registration = &pick.registration;
         let state = self.shared.state.lock();
@@ -162,9 +152,8 @@
         Some((member.instance.clone(), member.datagram_address))
     }
 
-    /// Asks a coordinator that is near, and tells one that is far away: a slot that is
-    /// kept for a request under way between regions is idle for 70 to 110 ms, which
-    /// costs 0.02 to 0.2 of the worth of days of high load.
+    /// Asks a coordinator of the own region, and only notifies one of another region: a slot
+    /// that is reserved for a request in transit would idle for a round trip.
     async fn ask(&self, pick: &Pick, coordinator: SocketAddr, patience: Patience) -> Admitted<'a> {
         let shared = self.shared;
         let admission = &shared.admission;
@@ -176,7 +165,7 @@
             deadline: self.deadline,
             patience,
         };
-        // What a cold upstream may get was taken from its rate already.
+        // The pick has already spent a cold upstream's rate.
         if !self.is_near(pick) || pick.is_cold {
             return Admitted::Granted(Some(admission.notify(coordinator, &terms)));
         }
--- a/crates/foxtide-gateway/src/forward/attempt.rs
+++ b/crates/foxtide-gateway/src/forward/attempt.rs
@@ -1,4 +1,4 @@
-//! One sending of a request to one upstream.
+//! Sends a request to one upstream and evaluates the response.
 
 use super::request::CallerRequest;
 use crate::dialect::{
@@ -29,43 +29,40 @@
     Instant, //
 };
 
-/// The longest response that is held; responses are held whole so that a cut
-/// one is never passed on.
+/// The longest response that is buffered; only whole responses are passed on.
 const RESPONSE_MAX_BYTES: usize = 16 * 1_024 * 1_024;
 
-/// How long a connection within the region may take to be made. A round trip is
-/// 2 ms; a lost packet is sent again after a second only, which is too late.
+/// Connection timeout within the region: shorter than the first retransmission of a lost packet
+/// after a second.
 const CONNECT_TIMEOUT_OWN_REGION: Duration = Duration::from_millis(120);
 
-/// How long a connection to another region may take: three of the longest round
-/// trips that deployments have (110 ms).
+/// Connection timeout to another region: three of the longest supported round trips (110 ms).
 const CONNECT_TIMEOUT_OTHER_REGION: Duration = Duration::from_millis(350);
 
-/// When it is looked once more: a process that ends closes what it has one after the other,
-/// and with many connections it does so for some milliseconds.
+/// Delay before an ended upstream is checked again: a process with many connections takes
+/// milliseconds to close them.
 const RECHECK_DELAY: Duration = Duration::from_millis(20);
 
 /// How long sent bytes may stay unacknowledged before the upstream counts as
 /// unreachable.
 const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// How long a response is waited for beyond the limit that the upstream was
-/// given: its own word that time is up arrives then.
+/// How long a response is awaited past the deadline, when the upstream's own timeout response
+/// arrives.
 const DEADLINE_MARGIN: Duration = Duration::from_millis(100);
 
-/// The most responses to other requests that are passed over on a connection.
+/// The most responses to other requests that are skipped on a connection.
 const STRAY_RESPONSES_MAX: usize = 4;
 
-/// What the attempt tells besides its end.
+/// The outcome of an attempt.
 #[derive(Debug)]
 pub(super) struct AttemptReport {
-    /// How it ended.
     pub(super) end: AttemptEnd,
-    /// What it tells of the upstream's health.
+    /// The effect on the upstream's health.
     pub(super) result: AttemptResult,
-    /// The load that the upstream told.
+    /// The load that the upstream reported.
     pub(super) load: Option<LoadReport>,
-    /// Whether the upstream has ended while it worked on the request.
+    /// Whether the upstream process ended while it worked on the request.
     pub(super) has_ended: bool,
 }
 
@@ -162,12 +159,11 @@
     let connected = or(BufferedStream::connect(registration.address, None), timed).await;
     let stream = connected?;
     if let Err(error) = stream.limit_unacknowledged(UNACKNOWLEDGED_TIMEOUT) {
-        log::debug!("the system does not limit unacknowledged data: {error}");
+        log::debug!("cannot set the timeout of unacknowledged data: {error}");
     }
     Ok(stream)
 }
 
-/// Returns how long a connection to an upstream may take to be made, or to be refused.
 fn connect_timeout<D>(shared: &Shared<D>, registration: &Registration) -> Duration {
     connect_timeout_for(registration.region == shared.options.place.region)
 }
@@ -180,7 +176,7 @@
     }
 }
 
-/// Writes the request and reads until the response that names it.
+/// Writes the request and reads the response that carries its identity.
 async fn exchange<D: Dialect>(
     shared: &Shared<D>,
     stream: &mut BufferedStream,
@@ -209,12 +205,12 @@
     Err(MessageError::Surplus)
 }
 
-/// Tells whether a connection failed since what was sent stayed unacknowledged.
+/// Tells whether a connection failed because sent data stayed unacknowledged.
 fn is_unacknowledged(error: &MessageError) -> bool {
     matches!(error, MessageError::Io(error) if error.kind() == io::ErrorKind::TimedOut)
 }
 
-/// Tells whether the upstream has closed the connection in place of a whole response.
+/// Tells whether the upstream closed the connection before the end of its response.
 fn is_closed_by_upstream(error: &MessageError) -> bool {
     match error {
         MessageError::Truncated => true,
@@ -229,8 +225,8 @@
     }
 }
 
-/// Tells whether nobody takes connections at an upstream's address any more. An upstream
-/// that lost one answer, or forgot an idle connection, does.
+/// Tells whether the upstream's address refuses connections. An upstream that only closed one
+/// connection still accepts others.
 async fn refuses_connections<D>(shared: &Shared<D>, registration: &Registration) -> bool {
     let is_refused = || async {
         let late = async {
@@ -256,8 +252,7 @@
     }
 }
 
-/// Says what a whole response means, and keeps the connection where it can
-/// carry another request.
+/// Classifies a whole response and returns a reusable connection to the pool.
 fn evaluate_response<D: Dialect>(
     shared: &Shared<D>,
     registration: &Registration,
@@ -300,7 +295,7 @@
     }
     let is_success = (200..300).contains(&response.head.status);
     if headers.is_encoded || (is_success && !headers.is_signed) {
-        let cause = "the response is not the upstream's own".to_owned();
+        let cause = "the response is encoded or lacks the signature of the upstream".to_owned();
         return (AttemptEnd::Unknown { cause }, AttemptResult::Faulty);
     }
     let result = if response.head.status >= 500 {
@@ -315,8 +310,8 @@
 mod tests {
     use super::*;
 
-    /// Guards against ends of upstreams in other regions that are taken for broken
-    /// connections, since the refusal of a new one comes after the check has given up.
+    /// An ended upstream of another region must not pass for a broken connection because its
+    /// refusal arrives after the timeout.
     #[test]
     fn verify_the_refusal_of_a_far_upstream_is_waited_for() {
         let longest_round_trip = Duration::from_millis(110);
--- a/crates/foxtide-gateway/src/forward/attempt_guard.rs
+++ b/crates/foxtide-gateway/src/forward/attempt_guard.rs
@@ -1,4 +1,4 @@
-//! An attempt that is under way.
+//! Counts the attempts in flight.
 
 use super::attempt::AttemptReport;
 use crate::dialect::Dialect;
@@ -6,7 +6,7 @@
 use foxtide_core::placement::AttemptResult;
 use foxtide_core::registry::Registration;
 
-/// An attempt that counts as in flight until it has ended or was dropped.
+/// An attempt that counts as in flight until it ends or is dropped.
 pub(super) struct AttemptGuard<'a, D: Dialect> {
     shared: &'a Shared<D>,
     registration: &'a Registration,
@@ -14,7 +14,7 @@
 }
 
 impl<'a, D: Dialect> AttemptGuard<'a, D> {
-    /// Counts an attempt at an incarnation of an upstream.
+    /// Begins an attempt at an incarnation of an upstream.
     pub(super) fn new(shared: &'a Shared<D>, registration: &'a Registration) -> Self {
         shared.state.lock().begin_attempt(registration);
         Self {
@@ -24,7 +24,7 @@
         }
     }
 
-    /// Notes how it ended.
+    /// Records the attempt's result.
     pub(super) fn end(mut self, report: &AttemptReport) {
         self.is_ended = true;
         let mut state = self.shared.state.lock();
--- a/crates/foxtide-gateway/src/forward/attempt_loop.rs
+++ b/crates/foxtide-gateway/src/forward/attempt_loop.rs
@@ -1,4 +1,4 @@
-//! The attempts of one request, until it has a reply.
+//! Makes attempts at a request until it has a reply.
 
 use super::attempt::{
     AttemptReport,
@@ -48,56 +48,54 @@
     Instant, //
 };
 
-/// The most upstreams that are tried in vain, where nothing was sent to them.
+/// The most failed attempts of which no byte was sent.
 const UNSENT_ATTEMPTS_MAX: u32 = 4;
 
-/// When a caller is told to come back where the request has not run and nothing
-/// is known of how long the upstream works on one.
+/// Retry-After of a request that did not run, if the latency of the upstream is unknown.
 pub(super) const RETRY_AFTER: Duration = Duration::from_millis(200);
 
-/// The bounds of when a caller is told to come back to an upstream that was
-/// full: a slot of it is free after about the time that a request takes.
+/// The bounds of Retry-After for a full upstream, whose next slot is free after about the
+/// latency of one request.
 const RETRY_AFTER_MIN: Duration = Duration::from_millis(100);
 const RETRY_AFTER_MAX: Duration = Duration::from_millis(1_000);
 
-/// Where the attempts of a request stand.
+/// The state of a request between its attempts.
 pub(super) struct AttemptLoop<'a, D> {
     pub(super) shared: &'a Arc<Shared<D>>,
     pub(super) request: &'a CallerRequest,
     pub(super) route_match: &'a RouteMatch,
     pub(super) route: &'a Route,
-    /// The only regions that may serve it; empty: all.
+    /// The regions that may serve it; empty for all.
     pub(super) home_regions: Vec<RegionId>,
-    /// The identity of its content.
     pub(super) fingerprint: Fingerprint,
     /// How often it may be sent.
     pub(super) sending: Sending,
     pub(super) caller: &'a CallerWatch,
     pub(super) service: &'a ServiceId,
-    /// What decides the order of the upstreams; nothing where any will do.
+    /// The object that determines the order of upstreams; `None` if it has none.
     pub(super) object: Option<ObjectKey>,
     /// When the latency objective passes.
     pub(super) objective_at: Instant,
-    /// When the caller's or the route's limit passes.
+    /// The earlier of the caller's and the route's time limit.
     pub(super) deadline: Instant,
     pub(super) tried: Vec<UpstreamId>,
     /// Attempts of which some byte was sent.
     pub(super) sent_attempts: u32,
     /// Attempts of which no byte was sent.
     pub(super) unsent_attempts: u32,
-    /// The failure to report where no later attempt does better.
+    /// The failure to report if no later attempt succeeds.
     pub(super) failure: Option<Reply>,
     pub(super) trace: RequestTrace,
 }
 
-/// Whether another attempt follows.
+/// What follows an attempt.
 enum Next {
     Reply(Reply),
     Retry,
 }
 
 impl<'a, D: Dialect> AttemptLoop<'a, D> {
-    /// Goes from attempt to attempt until there is a reply.
+    /// Makes attempts until there is a reply.
     pub(super) async fn run(&mut self) -> Reply {
         loop {
             let Target { pick, slot } = match self.acquire_target().await {
@@ -131,8 +129,7 @@
         })
     }
 
-    /// Picks the object's next upstream of the own region besides `own`, which stands there
-    /// as well. What a cold one may get is left to the objects that are its own.
+    /// Picks the object's next warm upstream of the own region besides `own`.
     pub(super) fn pick_neighbour(&self, own: &UpstreamId) -> Result<Pick, NoUpstream> {
         let tried: Vec<UpstreamId> = self.tried.iter().chain([own]).cloned().collect();
         self.shared.state.lock().pick(&PickRequest {
@@ -144,12 +141,11 @@
         })
     }
 
-    /// Tells whether nothing was tried yet.
     pub(super) fn is_first_attempt(&self) -> bool {
         self.tried.is_empty()
     }
 
-    /// The reply where the upstream's slots are taken for longer than there is time.
+    /// Returns the reply if no slot becomes free before the deadline.
     pub(super) fn no_slot(&mut self, pick: &Pick, retry_after: Duration) -> Reply {
         self.trace.record_attempt(pick);
         if self.failure.is_none() {
@@ -225,10 +221,8 @@
         }
     }
 
-    /// Tells whether the next attempt may go to the same upstream: it refused though
-    /// its coordinator had granted a slot, so that it is not full but turns away part
-    /// of its requests. There the object is known; at another one it takes three times
-    /// the work. That brings 0.007 of the worth of a day on which a service does so.
+    /// Tells whether a retry may go to the same upstream: it refused although a slot was
+    /// granted, so it is not full, and it knows the object.
     fn may_retry_same_upstream(&self, end: &AttemptEnd) -> bool {
         let is_refused = matches!(
             end,
@@ -239,8 +233,7 @@
         is_refused && self.trace.slot == SlotAnswer::Granted
     }
 
-    /// A response is the reply, except a server error where another upstream
-    /// may do better.
+    /// Replies with the response, unless it is a server error and another attempt follows.
     fn responded(&mut self, response: Box<WholeResponse>) -> Next {
         self.sent_attempts += 1;
         let is_error = response.head.status >= 500;
@@ -255,7 +248,7 @@
         self.retry_or(reply)
     }
 
-    /// The request may have run: only an idempotent one is sent again.
+    /// Handles a lost response: only an idempotent request is retried.
     fn unknown(&mut self, refusal: Refusal) -> Next {
         self.sent_attempts += 1;
         self.trace.reason = "response_lost";
@@ -267,7 +260,7 @@
         self.retry_or(reply)
     }
 
-    /// Goes on where the route and the budget of repeats allow it.
+    /// Retries if the route and the retry budget allow it.
     fn retry_or(&mut self, reply: Reply) -> Next {
         let may_retry = self.sent_attempts < self.route.attempts_max
             && self.shared.state.lock().take_retry(self.service);
@@ -278,7 +271,7 @@
         }
     }
 
-    /// The reply where all attempts so far did not run.
+    /// Returns the reply if no attempt ran the request.
     fn not_run(&self) -> Reply {
         let not_run = Refusal::NotRun {
             retry_after: self.retry_after(),
@@ -286,7 +279,7 @@
         self.failure.clone().unwrap_or_else(|| not_run.into())
     }
 
-    /// Returns when the object's own upstream will have room again.
+    /// Estimates when the first upstream that was tried has a free slot.
     fn retry_after(&self) -> Duration {
         let own = self.tried.first();
         let state = self.shared.state.lock();
@@ -297,7 +290,7 @@
     }
 
     pub(super) fn no_upstream(&mut self, reason: NoUpstream) -> Reply {
-        // Where all were tried, why they did not serve it is the reason.
+        // If all upstreams were tried, the reason of the last failure stays.
         if reason != NoUpstream::AllTried || self.trace.reason.is_empty() {
             let journal = &self.shared.journal;
             journal.no_upstream(self.request.id(), self.service, reason);
@@ -306,9 +299,9 @@
         self.not_run()
     }
 
-    /// The reply where time is up between attempts.
+    /// Returns the reply if the deadline passes between attempts.
     pub(super) fn out_of_time(&mut self) -> Reply {
-        // What failed before is the reply, and its reason stays.
+        // An earlier failure is the reply, and its reason stays.
         if self.failure.is_none() {
             self.trace.reason = "time_up_before_sending";
         }
--- a/crates/foxtide-gateway/src/forward/caller.rs
+++ b/crates/foxtide-gateway/src/forward/caller.rs
@@ -1,17 +1,17 @@
-//! Whether the caller of a request that is not broken off is still there.
+//! Detects that the caller of a non-idempotent request has disconnected.
 
 use smol::channel::Receiver;
 use std::future::pending;
 
-/// Tells when a caller has left; what of its request was not sent need not be.
+/// Reports the disconnect of a caller, after which its request is not sent any more.
 #[derive(Debug, Default)]
 pub(crate) struct CallerWatch {
-    /// Closes when the caller has left.
+    /// Closes when the caller disconnects.
     connection: Option<Receiver<()>>,
 }
 
 impl CallerWatch {
-    /// Returns a watch on a caller that has left once the other end of the channel is
+    /// Returns a watch on a caller that counts as disconnected once the channel's sender is
     /// dropped.
     pub(crate) fn new(connection: Receiver<()>) -> Self {
         Self {
@@ -19,7 +19,7 @@
         }
     }
 
-    /// Waits until the caller has left.
+    /// Waits until the caller disconnects.
     pub(crate) async fn disconnected(&self) {
         match &self.connection {
             // Nothing is ever sent: this returns when the channel is closed.
--- a/crates/foxtide-gateway/src/forward/entry.rs
+++ b/crates/foxtide-gateway/src/forward/entry.rs
@@ -1,4 +1,4 @@
-//! What is decided of a request before its first attempt.
+//! Prepares a request for its first attempt: homes, quota, quarantine and service.
 
 use super::attempt_loop::{
     AttemptLoop,
@@ -25,7 +25,7 @@
 use std::sync::Arc;
 use std::time::Instant;
 
-/// Forwards a request and returns the reply with what decided it.
+/// Forwards a request and returns the reply with its trace.
 pub(crate) async fn forward<D: Dialect>(
     shared: &Arc<Shared<D>>,
     request: &CallerRequest,
@@ -93,8 +93,7 @@
     (reply, attempt_loop.trace)
 }
 
-/// Takes a token of the organisation's quota, if it has one. Where it is used up the request
-/// takes no slot and waits nowhere.
+/// Takes a token of the organisation's quota, if it has one, before a slot is asked for.
 async fn take_token<D: Dialect>(
     shared: &Shared<D>,
     route_match: &RouteMatch,
@@ -105,7 +104,7 @@
     let Some(quota) = terms.quota else {
         return Ok(());
     };
-    // Among an organisation's own requests the routes' ranks tell them apart.
+    // Requests of one organisation are ranked by their routes' priorities.
     let priority = route_match.route.priority;
     let taken = quotas::take_token(shared, &terms.organisation, quota, priority).await;
     taken.inspect_err(|refusal| {
@@ -125,7 +124,7 @@
     Some(service)
 }
 
-/// Returns when the request's time is up: the caller's or the route's limit.
+/// Returns the earlier of the caller's and the route's time limit.
 fn deadline<D: Dialect>(shared: &Shared<D>, request: &CallerRequest, route: &Route) -> Instant {
     let limit = match request.headers.time_left {
         Some(time_left) => time_left.min(route.timeout),
--- a/crates/foxtide-gateway/src/forward/mod.rs
+++ b/crates/foxtide-gateway/src/forward/mod.rs
@@ -1,4 +1,4 @@
-//! A request's way to an upstream and back.
+//! Forwards requests to upstreams.
 
 mod admit;
 mod attempt;
--- a/crates/foxtide-gateway/src/forward/recheck.rs
+++ b/crates/foxtide-gateway/src/forward/recheck.rs
@@ -1,4 +1,4 @@
-//! What is looked at again between the attempts of a request.
+//! Rechecks a request before each attempt.
 
 use super::attempt_loop::AttemptLoop;
 use crate::dialect::{
@@ -18,10 +18,10 @@
     Instant, //
 };
 
-/// The reason in logs where a request ends its upstreams.
+/// Log reason of a request that is quarantined for ending its upstreams.
 pub(super) const QUARANTINED_REASON: &str = "ends_its_upstreams";
 
-/// Tells whether two versions of the configuration take a caller for the same.
+/// Tells whether two identities name the same organisation.
 fn is_same_organisation(one: &CallerIdentity, other: &CallerIdentity) -> bool {
     let name = |caller: &CallerIdentity| {
         let terms = caller.organisation()?;
@@ -31,9 +31,8 @@
 }
 
 impl<D: Dialect> AttemptLoop<'_, D> {
-    /// The reply where the request may not be sent any more: it has turned out to end its
-    /// upstreams, or the caller's key was taken away. It may have waited for a slot, or have
-    /// been sent in vain before.
+    /// Returns the reply if the request may not be sent any more: it was quarantined, or the
+    /// key of the caller was revoked.
     pub(super) fn recheck(&mut self) -> Option<Reply> {
         if let Some(retry_after) = self.quarantine_retry_after() {
             if self.failure.is_none() {
@@ -59,8 +58,7 @@
         Some(self.failure.clone().unwrap_or(refused))
     }
 
-    /// Returns when the caller may come back where the request is quarantined and may not be
-    /// sent once more as its trial.
+    /// Returns the retry delay if the request is quarantined and the attempt is not its trial.
     fn quarantine_retry_after(&self) -> Option<Duration> {
         if self.sending == Sending::Once && self.sent_attempts == 0 {
             return None;
@@ -69,8 +67,8 @@
         self.shared.poison.held_for(self.fingerprint, now)
     }
 
-    /// Waits until it can be known whether the request ends its upstreams, unless its
-    /// caller leaves.
+    /// Waits until a quarantine of the request can have become known, unless the caller
+    /// disconnects.
     pub(super) async fn wait_for_verdict(&self) {
         let time_left = self.deadline.saturating_duration_since(Instant::now());
         let waited = async {
--- a/crates/foxtide-gateway/src/forward/request.rs
+++ b/crates/foxtide-gateway/src/forward/request.rs
@@ -1,4 +1,4 @@
-//! A caller's whole request.
+//! A request as received from its caller.
 
 use crate::dialect::{
     CallerHeaders,
@@ -17,18 +17,16 @@
 use foxtide_http::ForwardedRequest;
 use std::sync::Arc;
 
-/// A whole request with what its caller says of it.
+/// A whole request with the values of its headers.
 #[derive(Debug)]
 pub(crate) struct CallerRequest {
-    /// The head.
     pub(crate) head: ForwardedRequest,
-    /// The body.
     pub(crate) body: Vec<u8>,
-    /// The memory that the body takes.
+    /// The reservation of the body's memory.
     pub(crate) _memory: Reserved,
-    /// What the caller says of it.
+    /// The values of the caller's headers.
     pub(crate) headers: CallerHeaders,
-    /// When its head had arrived.
+    /// When the whole head had arrived.
     pub(crate) received_at: MonotonicTime,
 }
 
@@ -38,17 +36,14 @@
         self.headers.request_id.as_deref().unwrap_or("-")
     }
 
-    /// Tells whose request it is, by one version of the configuration.
+    /// Identifies the caller under one version of the configuration.
     ///
-    /// A public route serves callers with and without a key; a key that is known counts
-    /// there as well, so that the upstream is told whose request it is, and homes and
-    /// quotas hold. One that is not known is no reason to turn the caller away where it
-    /// could have come without.
+    /// On a public route a known key identifies the organisation as well; without one the
+    /// caller is anonymous.
     ///
     /// # Errors
     ///
-    /// Fails with the reason where the caller has to show a key and shows none that is
-    /// known.
+    /// Fails with the reason if the route needs a key and the caller presents no known one.
     pub(crate) fn identify(
         &self,
         routes: &RouteTable,
@@ -71,8 +66,8 @@
         Err(reason)
     }
 
-    /// Returns the identity of the request's content. What one organisation sends may end
-    /// upstreams and be another's everyday request.
+    /// Returns the fingerprint of the request's content. It includes the organisation, so that
+    /// a quarantine does not affect other organisations.
     pub(crate) fn fingerprint(&self, caller: &CallerIdentity) -> Fingerprint {
         let head = &self.head;
         let organisation = caller.organisation().map(|terms| &terms.organisation);
--- a/crates/foxtide-gateway/src/forward/target.rs
+++ b/crates/foxtide-gateway/src/forward/target.rs
@@ -1,12 +1,11 @@
-//! Where a request may be sent.
+//! The upstream to which a request is sent.
 
 use crate::admission::Slot;
 use crate::state::Pick;
 
-/// An upstream that the request may be sent to now.
+/// An upstream to which the request may be sent now.
 pub(super) struct Target<'a> {
-    /// The upstream.
     pub(super) pick: Pick,
-    /// The slot that is held; nothing where no coordinator knows of the request.
+    /// The slot that is held; `None` if no coordinator knows of the request.
     pub(super) slot: Option<Slot<'a>>,
 }
