--- a/crates/foxtide-gateway/src/state/facts.rs
+++ b/crates/foxtide-gateway/src/state/facts.rs
@@ -1,4 +1,4 @@
-//! What the store says, taken into the state.
+//! Applies the contents and changes of the store to the state.
 
 use super::State;
 use crate::journal::beliefs;
@@ -14,12 +14,12 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// How long upstreams of a zone that is taken back count as cold where no
-/// service says how long that takes.
+/// How long upstreams count as cold after the evacuation of their zone ends, if no service
+/// configures it.
 const COLD_DURATION_DEFAULT: Duration = Duration::from_secs(3);
 
 impl State {
-    /// Takes in all that the store holds.
+    /// Replaces the state with the whole contents of the store.
     pub(crate) fn replace(&mut self, facts: Vec<Fact>) {
         let now = self.clock.now();
         let mut registrations = Vec::new();
@@ -53,7 +53,7 @@
         self.note_evacuated(evacuated);
     }
 
-    /// Takes in what has changed, in its order.
+    /// Applies changes in order.
     pub(crate) fn apply(&mut self, facts: Vec<Fact>) {
         for fact in facts {
             self.apply_one(fact);
@@ -114,8 +114,8 @@
         self.routes = Some(Arc::new(routes));
     }
 
-    /// Takes in which zones the store says are to get nothing. While it is not known what
-    /// it has lost, those that are missing stay evacuated.
+    /// Applies the set of evacuated zones. After a restore of the store, missing ones stay
+    /// evacuated for a grace period.
     fn note_evacuated(&mut self, mut zones: HashSet<AvailabilityZoneId>) {
         if self.evacuations_kept_until.is_some() {
             let missing = self.registry.evacuated().difference(&zones);
@@ -127,7 +127,7 @@
         self.set_evacuated(zones);
     }
 
-    /// Takes back the evacuations that operators have not written again.
+    /// Ends the evacuations that the store still lacks after the grace period.
     pub(super) fn drop_missing_evacuations(&mut self, now: MonotonicTime) {
         if self.evacuations_kept_until.is_none_or(|until| now < until) {
             return;
--- a/crates/foxtide-gateway/src/state/homed.rs
+++ b/crates/foxtide-gateway/src/state/homed.rs
@@ -9,23 +9,23 @@
 use foxtide_core::routing::RouteTable;
 use foxtide_core::time::MonotonicTime;
 
-/// How far a part of the traffic moves in a second when a new version of the configuration
-/// binds another one. A region's own share moves by up to three times as much; organisations
-/// are promised that no more than 0.15 of it moves in 2 s, half of which this takes.
+/// How far a share of the traffic moves per second when a new configuration binds another one.
+/// The own share of a region moves up to three times as far; organisations are promised at most
+/// 0.15 in 2 s.
 const LOAD_STEP_PER_S: f64 = 0.0125;
 
-/// The part of the traffic that is taken for homed now.
+/// The homed traffic that placement assumes now.
 #[derive(Debug, Default)]
 pub(super) struct HomedTraffic {
     load: HomedLoad,
     /// Counts the changes of `load`.
     generation: u64,
-    /// When `load` was last looked at; nothing before the first configuration.
+    /// When `load` last advanced; `None` before the first configuration.
     advanced_at: Option<MonotonicTime>,
 }
 
 impl HomedTraffic {
-    /// Takes in a configuration; the first one holds at once.
+    /// Applies the first configuration at once; later ones take effect gradually.
     pub(super) fn initialise(&mut self, routes: &RouteTable, now: MonotonicTime) {
         if self.advanced_at.is_none() {
             self.advanced_at = Some(now);
@@ -34,7 +34,7 @@
         }
     }
 
-    /// Moves towards what the configuration in force says.
+    /// Moves the load towards that of the configuration in force.
     pub(super) fn advance(&mut self, routes: Option<&RouteTable>, now: MonotonicTime) {
         let (Some(routes), Some(advanced_at)) = (routes, self.advanced_at) else {
             return;
@@ -49,13 +49,12 @@
         self.generation += 1;
     }
 
-    /// Returns a number that is another one after each change.
+    /// Returns a number that changes with the load.
     pub(super) fn generation(&self) -> u64 {
         self.generation
     }
 
-    /// Returns the demand beside which requests are placed that `regions` may serve; empty
-    /// for all.
+    /// Returns the demand to assume for requests that only `regions` may serve; empty for all.
     pub(super) fn demand(&self, regions: &[RegionId], place: &Place) -> Demand {
         let homed = if regions.is_empty() {
             self.load.clone()
--- a/crates/foxtide-gateway/src/state/mod.rs
+++ b/crates/foxtide-gateway/src/state/mod.rs
@@ -1,6 +1,6 @@
-//! What an instance knows and what it decides from.
+//! The state on which an instance bases its decisions.
 //!
-//! One lock covers it all; it is never held across a wait.
+//! One lock protects it; the lock is never held across an await.
 
 mod facts;
 mod homed;
@@ -71,19 +71,18 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// The part of the permitted repeats that is used. What is left covers that
-/// instances come and go, so that their parts do not quite add up to one.
+/// The used share of the permitted retries. The rest covers changes in the number of instances,
+/// among which the budget is divided.
 const RETRY_SHARE_USED: f64 = 0.7;
 
-/// The part of an upstream's connections that may be idle; the rest is for
-/// requests under way and for instances that come while others still count.
+/// The share of an upstream's connections that may be idle; the rest is for requests in flight
+/// and for new instances that others do not count yet.
 const IDLE_CONNECTIONS_SHARE: f64 = 0.5;
 
-/// The most idle connections to one upstream: it works on three to five requests
-/// at a time.
+/// The most idle connections to one upstream.
 const IDLE_CONNECTIONS_MAX: usize = 8;
 
-/// Everything that decisions rest on.
+/// The state of an instance.
 #[derive(Debug)]
 pub(crate) struct State {
     pub(super) options: Arc<GatewayOptions>,
@@ -94,7 +93,7 @@
     pub(super) members: Members,
     pub(super) health: HashMap<UpstreamId, UpstreamHealth>,
     pub(super) cold: ColdShare,
-    /// By service and the regions that may serve.
+    /// Keyed by service and the regions that may serve.
     pub(super) placements: HashMap<(ServiceId, Vec<RegionId>), Placement>,
     homed: HomedTraffic,
     /// The records that this instance keeps for others.
@@ -103,28 +102,28 @@
     registrar_address: Option<SocketAddr>,
     log: RecordLog,
     is_store_followed: bool,
-    /// Until when it is not known whether the operators write again what the store has
-    /// lost; nothing where it has lost nothing of late.
+    /// Until when evacuations that a restored store lacks stay in force; `None` without a
+    /// recent restore.
     evacuations_kept_until: Option<MonotonicTime>,
-    /// Evacuations that are missing in the store meanwhile.
+    /// The evacuations that the restored store lacks.
     missing_evacuations: HashSet<AvailabilityZoneId>,
-    /// How often the store has come back from an older copy.
+    /// How often the store was restored from an older copy.
     restorations: u64,
-    /// The record of the configuration in force, and the version that the store told last.
+    /// The record of the configuration in force, and the last version that the store held.
     configuration: Option<Record>,
     stored_version: u64,
-    /// When the store, or a peer in its place, last told what it says.
+    /// When the store, or a peer in its place, last answered.
     store_answered_at: MonotonicTime,
-    /// When an instance that knows nothing yet expects to know the configuration.
+    /// When the first configuration is expected.
     ready_at: MonotonicTime,
     splits: HashMap<String, SplitCounter>,
     budgets: HashMap<ServiceId, RetryBudget>,
-    /// What may go to other regions beyond their shares.
+    /// The budget of requests to other regions beyond their shares.
     overflow: RetryBudget,
 }
 
 impl State {
-    /// Returns the state of an instance that knows nothing yet.
+    /// Returns the state of an instance that has not read the store yet.
     pub(crate) fn new(options: Arc<GatewayOptions>, clock: SteadyClock) -> Self {
         Self {
             bounds: options.bounds,
@@ -154,12 +153,11 @@
         }
     }
 
-    /// Returns what binds all instances together.
+    /// Returns the bounds that all instances keep together.
     pub(crate) fn bounds(&self) -> &Bounds {
         &self.bounds
     }
 
-    /// Sets what binds all instances together.
     pub(crate) fn set_bounds(&mut self, bounds: Bounds) {
         self.bounds = bounds;
     }
@@ -174,19 +172,19 @@
         &self.members
     }
 
-    /// Returns the record of this instance that the store holds, as far as is known.
+    /// Returns this instance's record in the store, as far as known.
     pub(crate) fn own_record(&self) -> Option<&Member> {
         self.members.get(&self.options.place.instance)
     }
 
-    /// Tells whether this instance keeps its own record: it follows the store itself, for
-    /// others or since the fleet is small.
+    /// Tells whether this instance keeps its own record: it is a watcher, or its region has
+    /// none.
     pub(crate) fn should_keep_own_record(&self) -> bool {
         let watchers = self.members.watchers(&self.options.place.region);
         watchers.is_empty() || self.is_among(&watchers)
     }
 
-    /// Tells whether this instance follows the store for others.
+    /// Tells whether this instance watches the store for others.
     pub(crate) fn follows_for_others(&self) -> bool {
         let watchers = self.members.watchers(&self.options.place.region);
         self.is_among(&watchers)
@@ -197,8 +195,8 @@
         members.iter().any(|member| member.instance == *own)
     }
 
-    /// Tells whether another instance is to keep this one's record: that is how it is, or
-    /// the store turns this one away and has no record of its own writing.
+    /// Tells whether another instance should keep the record of this one: a watcher does so, or
+    /// the store turns this instance away and holds no record that it wrote itself.
     pub(crate) fn wants_registrar(&self, is_turned_away: bool) -> bool {
         let has_own = self.own_record().is_some_and(|own| own.registrar.is_none());
         !self.should_keep_own_record() || (is_turned_away && !has_own)
@@ -209,7 +207,7 @@
         self.registrar_address
     }
 
-    /// Notes which peer was asked to keep this instance's record.
+    /// Sets the peer that was last asked to keep this instance's record.
     pub(crate) fn set_registrar_address(&mut self, peer: SocketAddr) {
         self.registrar_address = Some(peer);
     }
@@ -219,24 +217,23 @@
         &mut self.registrar
     }
 
-    /// Notes when the first reading is expected to end.
+    /// Sets how long the first read of the store is expected to take.
     pub(crate) fn expect_ready_after(&mut self, time: Duration) {
         self.ready_at = self.clock.now() + time;
     }
 
-    /// Returns how long the first reading is expected to take from now on.
+    /// Returns the expected remaining time of the first read of the store.
     pub(crate) fn ready_after(&self) -> Duration {
         self.ready_at - self.clock.now()
     }
 
-    /// Returns how long ago the store, or a peer in its place, told what it
-    /// says.
+    /// Returns the time since the store, or a peer in its place, last answered.
     pub(crate) fn knowledge_age(&self) -> Duration {
         self.clock.now() - self.store_answered_at
     }
 
-    /// Drops what was kept in doubt while the store was away, and what is
-    /// known of upstreams that are gone.
+    /// Drops entries that were kept while the store was unavailable, and data on removed
+    /// upstreams.
     pub(crate) fn expire(&mut self) {
         let now = self.clock.now();
         let changes = self.registry.expire(now);
@@ -258,19 +255,19 @@
         counter.pick(&route.services).cloned()
     }
 
-    /// Notes that a caller's request is meant for a service.
+    /// Counts a caller's request towards the retry and overflow budgets.
     pub(crate) fn count_request(&mut self, service: &ServiceId) {
         self.budget(service).record_success();
         self.overflow.record_success();
     }
 
-    /// Takes one repeat out of a service's budget; tells whether there was one.
+    /// Spends one retry of a service's budget; returns whether there was one.
     pub(crate) fn take_retry(&mut self, service: &ServiceId) -> bool {
         let now = self.clock.now();
         self.budget(service).try_spend(now)
     }
 
-    /// Notes how an attempt ended.
+    /// Records the result of an attempt.
     pub(crate) fn end_attempt(
         &mut self,
         registration: &Registration,
@@ -278,7 +275,7 @@
         load: Option<LoadReport>,
     ) {
         if !self.registry.is_current(registration) {
-            // It tells nothing of one that has started again since.
+            // The upstream has restarted since, so the result does not concern it.
             return;
         }
         let now = self.clock.now();
@@ -294,9 +291,9 @@
         }
     }
 
-    /// Returns how many idle connections this instance may keep to an upstream of
-    /// a service: its part of what the upstream takes from all instances, at least
-    /// one, and no more than the upstream can be busy with.
+    /// Returns how many idle connections this instance may keep to an upstream of a service:
+    /// its share of the upstream's limit, but at least one and at most
+    /// [`IDLE_CONNECTIONS_MAX`].
     pub(crate) fn idle_connections_max(&self, service: &ServiceId) -> usize {
         let routes = self.routes.as_ref();
         let terms = routes.and_then(|routes| routes.service(service));
@@ -306,12 +303,12 @@
         (part as usize).clamp(1, IDLE_CONNECTIONS_MAX)
     }
 
-    /// Returns how long an upstream takes for a request of late.
+    /// Returns the recent latency of an upstream.
     pub(crate) fn latency(&self, upstream: &UpstreamId) -> Option<Duration> {
         self.health.get(upstream)?.latency()
     }
 
-    /// Notes that another upstream has an incarnation's address.
+    /// Discards an incarnation whose address another one uses now.
     pub(crate) fn note_address_reused(&mut self, registration: &Registration) {
         let now = self.clock.now();
         let change = self.registry.discard(registration, now);
@@ -335,13 +332,13 @@
         budget
     }
 
-    /// Tells whether an upstream may get requests and started at this time.
+    /// Tells whether the incarnation that started at `born_at` may get requests.
     pub(crate) fn is_registered(&self, upstream: &UpstreamId, born_at: Option<WallTime>) -> bool {
         let registration = self.registration(upstream);
         registration.is_some_and(|registration| registration.born_at == born_at)
     }
 
-    /// Returns a registration that may get requests.
+    /// Returns the registration of an upstream that may get requests.
     pub(crate) fn registration(&self, upstream: &UpstreamId) -> Option<Arc<Registration>> {
         self.registry.registration(upstream)
     }
--- a/crates/foxtide-gateway/src/state/pick.rs
+++ b/crates/foxtide-gateway/src/state/pick.rs
@@ -1,4 +1,4 @@
-//! The choice of the upstream for one attempt.
+//! Picks the upstream of an attempt.
 
 use super::State;
 use foxtide_core::ids::{
@@ -20,36 +20,32 @@
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-/// How many upstreams of an object's order are looked at first: four may be out
-/// of reach and as many refuse. The whole order is made only where none of these
-/// may get the request.
+/// How many upstreams of an object's order are considered first: enough for four unreachable
+/// ones and four refusals. The whole order is computed only if none of these is usable.
 const FIRST_CHOICES: usize = 8;
 
-/// What is asked for.
+/// The constraints of a pick.
 #[derive(Debug)]
 pub(crate) struct PickRequest<'a> {
-    /// The service.
     pub(crate) service: &'a ServiceId,
-    /// The object that the request concerns, if it does any.
+    /// The object that the request concerns, if any.
     pub(crate) object: Option<ObjectKey>,
-    /// The only regions that may serve it; empty: all.
+    /// The regions that may serve it; empty for all.
     pub(crate) regions: &'a [RegionId],
-    /// Upstreams that have been tried.
+    /// Upstreams that were tried before.
     pub(crate) tried: &'a [UpstreamId],
-    /// Whether it is to relieve a busy upstream: a cold or an ejected one does not.
+    /// Whether cold and ejected upstreams are excluded.
     pub(crate) requires_warm: bool,
 }
 
-/// An upstream to send to.
+/// A picked upstream.
 #[derive(Clone, Debug)]
 pub(crate) struct Pick {
-    /// The upstream.
     pub(crate) registration: Arc<Registration>,
-    /// Its place in the object's order; 0 is the object's own.
+    /// Its place in the object's order; 0 is the first choice.
     pub(crate) rank: usize,
-    /// Whether it is cold.
     pub(crate) is_cold: bool,
-    /// What it has to do, as far as is known.
+    /// Its occupancy as known to this instance.
     pub(crate) occupancy: u32,
 }
 
@@ -58,14 +54,14 @@
 pub(crate) enum NoUpstream {
     /// None is registered where the request may be served.
     NoneRegistered,
-    /// All that are left are cold and have had their part of requests.
+    /// All that are left are cold and have used up their rate.
     AllCold,
     /// All have been tried.
     AllTried,
 }
 
 impl NoUpstream {
-    /// Returns the reason as it stands in logs.
+    /// Returns the reason for logs.
     pub(crate) fn as_str(self) -> &'static str {
         match self {
             Self::NoneRegistered => "no_upstream_registered",
@@ -76,12 +72,11 @@
 }
 
 impl State {
-    /// Picks an upstream for an attempt; of a cold one's rate the request's part is
-    /// taken.
+    /// Picks an upstream for an attempt, and spends the rate of a cold one.
     ///
     /// # Errors
     ///
-    /// Fails where no upstream may get the request now.
+    /// Fails if no upstream may get the request now.
     pub(crate) fn pick(&mut self, request: &PickRequest<'_>) -> Result<Pick, NoUpstream> {
         let now = self.clock.now();
         if self.registry.has_doubts() {
@@ -96,12 +91,13 @@
         }
     }
 
-    /// Picks an upstream of another region that has a slot free, as far as is known; the
-    /// instance's budget for that is spent by it.
+    /// Picks an upstream of another region that is known to have a slot free, and spends the
+    /// overflow budget.
     ///
     /// # Errors
     ///
-    /// Fails where there is none, or the budget is spent.
+    /// Fails if the own region is not short of upstreams, no other region has a free slot, or
+    /// the budget is spent.
     pub(crate) fn pick_overflow(&mut self, request: &PickRequest<'_>) -> Result<Pick, NoUpstream> {
         let key = (request.service.clone(), request.regions.to_vec());
         let placement = self.placements.get(&key);
@@ -178,8 +174,8 @@
         }
     }
 
-    /// Tells whether a request that waited may still be sent to the upstream that
-    /// was picked: it is neither leaving nor has it started again or turned cold.
+    /// Tells whether a picked upstream may still get the request: it is neither draining nor
+    /// restarted, and has not turned cold.
     pub(crate) fn is_pick_valid(&self, pick: &Pick) -> bool {
         let now = self.clock.now();
         let upstream = &pick.registration.upstream;
@@ -192,7 +188,6 @@
         })
     }
 
-    /// Counts an attempt as begun.
     pub(crate) fn begin_attempt(&mut self, registration: &Registration) {
         if self.registry.is_current(registration) {
             let upstream = registration.upstream.clone();
@@ -200,7 +195,7 @@
         }
     }
 
-    /// Returns how many attempts at an upstream this instance has under way.
+    /// Returns how many attempts at an upstream this instance has in flight.
     pub(crate) fn in_flight(&self, upstream: &UpstreamId) -> u32 {
         let health = self.health.get(upstream);
         health.map_or(0, UpstreamHealth::in_flight)
@@ -228,7 +223,7 @@
             slack_rps: self.bounds().cold_slack_rps,
         };
         let own = &self.options.place.instance;
-        // An instance that the others do not count has no part of the rate.
+        // An instance that others do not count yet has no share of the rate.
         let instances = self.members.names();
         let upstream = &upstream.registration.upstream;
         self.cold.try_take(upstream, &terms, own, &instances, now)
--- a/crates/foxtide-gateway/src/state/placement.rs
+++ b/crates/foxtide-gateway/src/state/placement.rs
@@ -24,28 +24,27 @@
 /// How long a placement without requests is kept: its route may be gone.
 const UNUSED_TTL: Duration = Duration::from_secs(60);
 
-/// How far a region's share moves before a line tells it: a third of the shift that
-/// organisations are usually promised (0.15), so that no larger one goes untold, and a
-/// region that loses its upstreams one by one writes twenty lines at most.
+/// The least change of a region's share that is logged: a third of the 0.15 that organisations
+/// are usually promised as the largest shift.
 const LOGGED_SHARE_STEP: f64 = 0.05;
 
 /// The upstreams of a service in the regions that may serve a route.
 #[derive(Debug, Default)]
 pub(crate) struct Placement {
-    /// The generations of the registry and of the homed load from which the rest was made.
+    /// The generations of the registry and of the homed load that this was computed from.
     generation: Option<(u64, u64)>,
     upstreams: Vec<Registered>,
     /// The upstreams' weights, in the same order.
     candidates: Vec<Candidate>,
     /// The share of the requests that the own region serves.
     own_share: f64,
-    /// The regions' shares that were last told in the log.
+    /// The shares as last logged.
     logged_shares: RegionShares,
     used_at: MonotonicTime,
 }
 
 impl Placement {
-    /// Takes in what has changed in the registry.
+    /// Recomputes the weights if the registry or the homed load has changed.
     pub(super) fn refresh(
         &mut self,
         request: &PickRequest<'_>,
@@ -89,18 +88,18 @@
         self.own_share
     }
 
-    /// Tells whether there was a request of late.
+    /// Tells whether the placement was used recently.
     pub(super) fn is_used(&self, now: MonotonicTime) -> bool {
         now - self.used_at < UNUSED_TTL
     }
 
-    /// Writes a line where a region's share has moved by a step since the last one.
+    /// Logs the shares if one has moved by a step since they were last logged.
     fn log_shares(&mut self, request: &PickRequest<'_>, shares: &RegionShares) {
         let logged = |region: &RegionId| self.logged_shares.get(region).copied().unwrap_or(0.0);
         let has_moved = |(region, share): (&RegionId, &f64)| {
             (share - logged(region)).abs() >= LOGGED_SHARE_STEP
         };
-        // Of one region alone there is nothing to tell.
+        // A single region always serves all requests.
         if shares.len() > 1 && shares.iter().any(has_moved) {
             beliefs::region_shares_changed(request.service, shares);
             self.logged_shares = shares.clone();
--- a/crates/foxtide-gateway/src/state/stored.rs
+++ b/crates/foxtide-gateway/src/state/stored.rs
@@ -1,4 +1,4 @@
-//! What is known of the store itself, and of what it has lost.
+//! Tracks the availability, restores and configuration of the store.
 
 use super::State;
 use crate::journal::beliefs;
@@ -9,19 +9,16 @@
 use foxtide_core::store::StoreIndex;
 use std::time::Duration;
 
-/// How long after its return from an older copy an evacuation that is missing in the store
-/// stays in force: operators see the return as instances do and write theirs again, by hand
-/// at worst. A zone that is used too early breaks what was announced; one that is used too
-/// late leaves a sixth of the upstreams idle for as long.
+/// How long an evacuation that a restored store lacks stays in force, so that operators can
+/// write it again.
 const EVACUATION_GRACE: Duration = Duration::from_secs(10);
 
 impl State {
-    /// Returns what was read of the store.
+    /// Returns the records that were read from the store.
     pub(crate) fn log(&self) -> &RecordLog {
         &self.log
     }
 
-    /// Returns what was read of the store, to be added to.
     pub(crate) fn log_mut(&mut self) -> &mut RecordLog {
         &mut self.log
     }
@@ -31,17 +28,17 @@
         self.is_store_followed
     }
 
-    /// Notes whether the store itself answers this instance.
+    /// Sets whether the store itself answers this instance.
     pub(crate) fn set_store_followed(&mut self, is_followed: bool) {
         self.is_store_followed = is_followed;
     }
 
-    /// Notes that neither the store nor a peer tells what the store says.
+    /// Records that neither the store nor a peer answers.
     pub(crate) fn store_failed(&mut self) {
         self.registry.store_failed();
     }
 
-    /// Notes that the store has come back from an older copy, as `index` tells.
+    /// Records a restore of the store from an older copy, as of `index`.
     pub(crate) fn store_restored(&mut self, index: StoreIndex) {
         let now = self.clock.now();
         beliefs::store_restored(index);
@@ -50,7 +47,7 @@
         self.restorations += 1;
     }
 
-    /// Returns how often the store has come back from an older copy.
+    /// Returns how often the store was restored from an older copy.
     pub(crate) fn restorations(&self) -> u64 {
         self.restorations
     }
@@ -60,14 +57,14 @@
         self.routes.as_ref().map_or(0, |routes| routes.version())
     }
 
-    /// Returns the configuration in force where the store holds an older one: others learn
-    /// it from instances alone.
+    /// Returns the configuration in force if the store holds an older one, so that instances
+    /// pass it on to each other.
     pub(crate) fn unstored_configuration(&self) -> Option<&Record> {
         let is_lost = self.stored_version < self.version();
         self.configuration.as_ref().filter(|_| is_lost)
     }
 
-    /// Notes the record of a version that the store holds, or another instance has in force.
+    /// Records a configuration that the store holds, or that another instance has in force.
     pub(crate) fn note_configuration(&mut self, version: u64, record: Record, is_stored: bool) {
         if is_stored {
             self.stored_version = version;
@@ -77,7 +74,7 @@
         }
     }
 
-    /// Notes that the store, or a peer that it answers, has told what it says.
+    /// Records that the store, or a peer in its place, answered.
     pub(crate) fn store_answered(&mut self) {
         let now = self.clock.now();
         self.store_answered_at = now;
