--- a/crates/foxtide-gateway/src/front/connection.rs
+++ b/crates/foxtide-gateway/src/front/connection.rs
@@ -1,4 +1,4 @@
-//! The life of one connection.
+//! Serves the connection of a caller.
 
 use super::local::answer_locally;
 use super::receive::{
@@ -43,34 +43,29 @@
 /// How long a caller may take to read a reply.
 const REPLY_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// How much of a refused request is still read, and for how long, so that its
-/// sender reads the reply before the connection is reset.
+/// Limits of reading the rest of a refused request, so that its sender reads the reply before
+/// the connection is reset.
 const DISCARD_MAX_BYTES: usize = 256 * 1_024;
 const DISCARD_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// How long a connection that is made late in a stop is kept open for its first
-/// request, which is on its way.
+/// How long a new connection stays open for its first request while the instance stops.
 const FIRST_REQUEST_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// The least time after which a caller is told to come back to an instance that knows
-/// nothing yet.
+/// The shortest Retry-After of an instance without a configuration.
 const STARTUP_RETRY_AFTER: Duration = Duration::from_millis(250);
 
-/// How long after its start an instance lets requests wait for the configuration, and
-/// how long each waits at most; it waits for a third of its time at most, as long as
-/// callers wait for a request to be read. Of the callers that come back after all
-/// instances have lost power, 67 in half a second were refused for want of one.
+/// How long after its start an instance lets requests wait for the configuration, and how long
+/// each waits at most.
 const STARTUP_PERIOD: Duration = Duration::from_millis(1_000);
 const STARTUP_WAIT_MAX: Duration = Duration::from_millis(400);
 
-/// What a reply may take beyond the route's timeout.
+/// The time for a reply beyond the route's timeout.
 const REPLY_MARGIN: Duration = Duration::from_millis(200);
 
-/// When a caller that an instance late in its stop refuses is told to come back:
-/// it connects to another one.
+/// Retry-After of an instance that is stopping: the caller connects to another one.
 const STOP_RETRY_AFTER: Duration = Duration::from_millis(20);
 
-/// Whether a connection stays open.
+/// What a connection does next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Next {
     Request,
@@ -95,7 +90,7 @@
 struct Connection<'a, D> {
     shared: &'a Arc<Shared<D>>,
     stream: BufferedStream,
-    /// Whether no request has come on it yet.
+    /// Whether no request has arrived on it yet.
     is_new: bool,
 }
 
@@ -133,10 +128,10 @@
         }
     }
 
-    /// Closes, unless a request has arrived at this very moment.
+    /// Closes the connection, unless request bytes have just arrived.
     ///
-    /// Nothing more is read: a request that crosses the close on its way is then
-    /// reset unread, and its caller knows that it did not run.
+    /// Nothing more is read: a request that crosses the close is reset unread, so that its
+    /// caller knows that it did not run.
     async fn close_idle(&mut self) -> Next {
         match self.stream.quiet() {
             Quiet::No => fill(&mut self.stream).await,
@@ -161,7 +156,7 @@
             Err(reason) => return self.reject(reason).await,
         };
         let headers = self.shared.dialect.read_caller_headers(&head.lines);
-        // The caller's wish to close is for its own connection alone.
+        // `connection: close` concerns the connection of the caller alone.
         let close = std::mem::replace(&mut head.close, false);
         let request = CallerRequest {
             head,
@@ -189,7 +184,7 @@
         self.send(&bytes, close).await
     }
 
-    /// Returns the reply to a request; nothing where its caller is gone.
+    /// Returns the reply to a request; `None` if its caller has disconnected.
     async fn reply(&self, request: CallerRequest) -> Option<(Reply, RequestTrace)> {
         let Some(routes) = self.await_routes(request.headers.time_left).await else {
             let ready_after = self.shared.state.lock().ready_after();
@@ -229,14 +224,13 @@
             None
         };
         if route_match.route.is_idempotent {
-            // Where the caller is gone its work is dropped.
+            // A disconnect cancels the work.
             let reply = async {
                 Some(forward(self.shared, &request, &route_match, &CallerWatch::default()).await)
             };
             return or(reply, gone).await;
         }
-        // Work that cannot be repeated is not broken off, but what has not been sent
-        // is not begun for a caller that has left.
+        // Non-idempotent work is not cancelled by a disconnect, but no new attempt is begun.
         let (present, open): (Sender<()>, _) = bounded(1);
         let mut task = Some(self.spawn_forward(request, route_match, CallerWatch::new(open)));
         let reply = async {
@@ -255,8 +249,8 @@
         reply
     }
 
-    /// Returns the routes; a request that comes right after a start waits for the
-    /// first reading of the store, which takes 0.1 to 0.25 s.
+    /// Returns the routes. A request right after the start waits for the first read of the
+    /// store.
     async fn await_routes(&self, time_left: Option<Duration>) -> Option<Arc<RouteTable>> {
         let waits_until = self
             .shared
@@ -318,8 +312,8 @@
         }
     }
 
-    /// Ends the sending half and drops what still comes, so that the reply is
-    /// read before the connection is reset.
+    /// Shuts down the sending half and discards received data, so that the reply is read before
+    /// the connection is reset.
     async fn linger(&mut self) {
         self.stream.finish_sending();
         let late = async {
@@ -329,7 +323,7 @@
     }
 }
 
-/// Returns what is known of a request that is refused before it is placed.
+/// Returns the trace of a request that is refused before it is forwarded.
 fn refused(request: &CallerRequest, routes: &RouteTable, reason: &'static str) -> RequestTrace {
     let mut trace = RequestTrace::new(request.id(), reason);
     trace.version = routes.version();
--- a/crates/foxtide-gateway/src/front/local.rs
+++ b/crates/foxtide-gateway/src/front/local.rs
@@ -1,11 +1,11 @@
-//! What is asked of the instance itself: look-ups and readiness.
+//! Answers look-ups and readiness checks without an upstream.
 
 use crate::dialect::Dialect;
 use crate::directory;
 use crate::shared::Shared;
 use foxtide_http::ForwardedRequest;
 
-/// Answers what is asked of the instance itself.
+/// Answers a look-up or a readiness check; `None` for other requests.
 pub(super) fn answer_locally<D: Dialect>(
     shared: &Shared<D>,
     head: &ForwardedRequest,
--- a/crates/foxtide-gateway/src/front/mod.rs
+++ b/crates/foxtide-gateway/src/front/mod.rs
@@ -1,4 +1,4 @@
-//! Callers' connections: request after request, reply after reply.
+//! Serves the connections of callers.
 
 mod connection;
 mod local;
--- a/crates/foxtide-gateway/src/front/receive.rs
+++ b/crates/foxtide-gateway/src/front/receive.rs
@@ -1,4 +1,4 @@
-//! Takes one whole request off a connection.
+//! Reads a whole request from a connection.
 
 use crate::memory::{
     BodyMemory,
@@ -22,18 +22,18 @@
 
 const CONTINUE: &[u8] = b"HTTP/1.1 100 Continue\r\n\r\n";
 
-/// How long a body may take to arrive, beyond which its sender has stalled.
+/// How long a body may take to arrive.
 const BODY_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// When a caller for whose body there is no memory is told to come back.
+/// Retry-After if there is no memory for a body.
 const MEMORY_RETRY_AFTER: Duration = Duration::from_millis(300);
 
-/// Why there is no request.
+/// Why no request was received.
 #[derive(Debug)]
 pub(super) enum ReceiveError {
-    /// The caller has gone.
+    /// The caller has disconnected.
     Disconnected,
-    /// The request is refused and the connection cannot be used further.
+    /// The request is refused, and the connection cannot be used any more.
     Refused(Refusal),
 }
 
@@ -41,7 +41,7 @@
 ///
 /// # Errors
 ///
-/// Fails where no proper head came in time.
+/// Fails if no valid head arrives in time.
 pub(super) async fn receive_head(
     stream: &mut BufferedStream,
     limits: &CallerLimits,
@@ -59,7 +59,7 @@
 ///
 /// # Errors
 ///
-/// Fails where no whole body came in time, or where there is no memory for it.
+/// Fails if the body does not arrive in time or there is no memory for it.
 pub(super) async fn receive_body(
     stream: &mut BufferedStream,
     head: &ForwardedRequest,
@@ -75,7 +75,7 @@
     if body.len() as u64 == stated_bytes {
         return Ok((body, reserved));
     }
-    // In chunks, whose size is known only now.
+    // The size of a chunked body is known only now.
     let reserved = reserve(memory, body.len() as u64)?;
     Ok((body, reserved))
 }
--- a/crates/foxtide-gateway/src/outcome/attempt.rs
+++ b/crates/foxtide-gateway/src/outcome/attempt.rs
@@ -1,4 +1,4 @@
-//! How an attempt at an upstream ended.
+//! The outcomes of an attempt at an upstream.
 
 use foxtide_http::WholeResponse;
 
@@ -9,19 +9,13 @@
     Responded(Box<WholeResponse>),
     /// The upstream said that it did not run the request and will not.
     NotRun {
-        /// Whether another incarnation has the address.
+        /// Whether another incarnation uses the address now.
         is_other_incarnation: bool,
     },
     /// No byte of the request left this instance.
-    NotSent {
-        /// Why.
-        cause: String,
-    },
-    /// The request may have run, but no whole response to it came.
-    Unknown {
-        /// Why.
-        cause: String,
-    },
-    /// The time was up before the response; the request may have run.
+    NotSent { cause: String },
+    /// The request may have run, but no whole response arrived.
+    Unknown { cause: String },
+    /// The deadline passed before the response; the request may have run.
     TimedOut,
 }
--- a/crates/foxtide-gateway/src/outcome/mod.rs
+++ b/crates/foxtide-gateway/src/outcome/mod.rs
@@ -1,4 +1,4 @@
-//! How attempts and requests ended, and what decided it.
+//! The outcomes of attempts and requests.
 
 mod attempt;
 mod reply;
--- a/crates/foxtide-gateway/src/outcome/reply.rs
+++ b/crates/foxtide-gateway/src/outcome/reply.rs
@@ -1,16 +1,16 @@
-//! What a caller gets.
+//! Replies to callers.
 
 use foxtide_http::WholeResponse;
 use std::time::Duration;
 
-/// A status of our own, with its meaning (RFC 9110, section 15).
+/// An error reply that the instance makes itself (RFC 9110, section 15).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Refusal {
     /// The request cannot be understood.
     BadRequest,
-    /// The caller shows no key of an organisation.
+    /// The caller presents no valid key.
     Unauthorised,
-    /// No route leads on.
+    /// No route matches.
     NotFound,
     /// The caller took too long to send the request.
     RequestTimeout,
@@ -20,23 +20,22 @@
     HeadTooLong,
     /// The request may have run, but no response can be delivered.
     Failed,
-    /// The request has not run and will not run; the caller may come back.
+    /// The request has not run and will not run; the caller may retry.
     NotRun {
-        /// When to come back.
+        /// When to retry.
         retry_after: Duration,
     },
-    /// The caller's organisation has used up its quota: the request has not run and will
-    /// not run; the caller may come back.
+    /// The organisation of the caller has used up its quota; the request will not run.
     OverQuota {
-        /// When the quota has room for it.
+        /// When the quota has a token again.
         retry_after: Duration,
     },
-    /// The time was up while an upstream had the request.
+    /// The deadline passed while an upstream worked on the request.
     TimedOut,
 }
 
 impl Refusal {
-    /// Returns why a request is refused before it is routed, for logs.
+    /// Returns the reason for logs.
     pub(crate) fn reason(self) -> &'static str {
         match self {
             Self::BadRequest => "malformed",
@@ -69,12 +68,12 @@
     }
 }
 
-/// An upstream's response, or a refusal of our own.
+/// A reply to a caller.
 #[derive(Clone, Debug)]
 pub(crate) enum Reply {
     /// The upstream's whole response, unchanged.
     Response(Box<WholeResponse>),
-    /// A refusal of our own.
+    /// A reply that the instance makes itself.
     Refused(Refusal),
 }
 
@@ -125,7 +124,7 @@
             let seconds = retry_after.as_secs_f64();
             message.extend_from_slice(format!("retry-after: {seconds:.3}\r\n").as_bytes());
         }
-        // The challenge that HTTP asks for (RFC 9110, section 15.5.2).
+        // HTTP requires a challenge (RFC 9110, section 15.5.2).
         Refusal::Unauthorised => message.extend_from_slice(b"www-authenticate: Bearer\r\n"),
         _ => {}
     }
--- a/crates/foxtide-gateway/src/outcome/second_choice.rs
+++ b/crates/foxtide-gateway/src/outcome/second_choice.rs
@@ -1,21 +1,21 @@
-//! What became of an object's second choice.
+//! The outcomes of trying the second choice of an object.
 
-/// What became of the upstream that may serve a request in place of the object's own.
+/// Whether the second choice of an object serves the request.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) enum SecondChoice {
-    /// The object's own upstream had room, or the request had been sent before.
+    /// The first choice had a slot, or the request is a retry.
     #[default]
     NotAsked,
     /// The region has no other upstream that is warm and not ejected.
     Missing,
     /// It has no slot free.
     Busy,
-    /// It got the request.
+    /// It serves the request.
     Granted,
 }
 
 impl SecondChoice {
-    /// Returns the end as it stands in logs and metrics.
+    /// Returns the label for logs and metrics.
     pub(crate) fn as_str(self) -> &'static str {
         match self {
             Self::NotAsked => "not_asked",
--- a/crates/foxtide-gateway/src/outcome/trace.rs
+++ b/crates/foxtide-gateway/src/outcome/trace.rs
@@ -1,11 +1,11 @@
-//! What decided a request's way, for its log line.
+//! The decisions on a request, for its log line.
 
 use super::SecondChoice;
 use crate::admission::SlotAnswer;
 use crate::state::Pick;
 use std::time::Duration;
 
-/// The inputs of the decisions on one request.
+/// What was decided on a request, logged with its reply.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct RequestTrace {
     /// The request's identity.
@@ -14,45 +14,41 @@
     pub(crate) route: String,
     /// Whether the route's requests may run more than once.
     pub(crate) is_idempotent: bool,
-    /// How long the route's requests are to take at most.
     pub(crate) latency_objective: Duration,
-    /// The organisation whose request it is; empty where that is not known.
+    /// The caller's organisation; empty if unknown.
     pub(crate) organisation: String,
-    /// The service.
     pub(crate) service: String,
-    /// The key of the request's object; empty where any upstream will do.
+    /// The key of the request's object; empty if it has none.
     pub(crate) object: String,
-    /// The fingerprint of its content; empty where it was not looked at.
+    /// The fingerprint of its content; empty if it was not computed.
     pub(crate) fingerprint: String,
     /// The upstream of the last attempt.
     pub(crate) upstream: String,
-    /// The region in which that upstream stands.
+    /// The region of that upstream.
     pub(crate) region: String,
-    /// The attempts so far.
     pub(crate) attempts: u32,
     /// The upstream's place in the object's order.
     pub(crate) rank: usize,
-    /// What the upstream had to do, as far as was known.
+    /// The occupancy of the upstream as known to this instance.
     pub(crate) occupancy: u32,
     /// The version of the configuration in force.
     pub(crate) version: u64,
-    /// How long ago the store, or a peer in its place, told what it says.
+    /// The time since the store, or a peer in its place, last answered.
     pub(crate) knowledge_age_ms: u64,
-    /// How its last attempt came to be sent.
+    /// The coordinator's answer for the last attempt.
     pub(crate) slot: SlotAnswer,
-    /// What became of the object's second choice.
+    /// Whether the object's second choice was used.
     pub(crate) second_choice: SecondChoice,
     /// The instance that coordinates the upstream's slots.
     pub(crate) coordinator: String,
     /// How long it waited for slots.
     pub(crate) slot_wait: Duration,
-    /// Why the request failed, where it did.
+    /// Why the request failed; empty if it did not.
     pub(crate) reason: &'static str,
 }
 
 impl RequestTrace {
-    /// Returns what is known of a request at its beginning; `reason` where it is
-    /// refused already, else empty.
+    /// Returns the trace of a new request; `reason` is empty unless it is refused already.
     pub(crate) fn new(request: &str, reason: &'static str) -> Self {
         Self {
             request: request.to_owned(),
@@ -61,7 +57,7 @@
         }
     }
 
-    /// Notes an attempt.
+    /// Records an attempt.
     pub(crate) fn record_attempt(&mut self, pick: &Pick) {
         self.attempts += 1;
         self.upstream = pick.registration.upstream.to_string();
