--- a/crates/foxtide-gateway/src/admission/client.rs
+++ b/crates/foxtide-gateway/src/admission/client.rs
@@ -1,4 +1,4 @@
-//! Asks for a slot and holds it until the request has ended.
+//! Asks a coordinator for a slot and holds it until the request has ended.
 
 use super::Admission;
 use crate::datagram::Datagram;
@@ -23,65 +23,63 @@
     Instant, //
 };
 
-/// How often one that waits asks again: a lost answer costs no more than this, and
-/// the coordinator looks then whether anything has lapsed.
+/// How often a waiting request repeats its question, which replaces lost answers and lets the
+/// coordinator expire lapsed grants.
 const ASK_AGAIN_PERIOD: Duration = Duration::from_millis(150);
 
-/// Answers that may lie unread: one of each kind.
+/// The capacity for unread answers: one of each kind.
 const ANSWERS_MAX: usize = 4;
 
-/// What a request that asks for a slot brings.
+/// The properties of a request that asks for a slot.
 #[derive(Clone, Debug)]
 pub(crate) struct SlotTerms<'a> {
-    /// The upstream.
     pub(crate) registration: &'a Registration,
-    /// The object that it concerns, if it does any.
+    /// The object that it concerns, if any.
     pub(crate) object: Option<ObjectKey>,
-    /// Its rank; 0 is the highest.
+    /// Its priority; 0 is the highest.
     pub(crate) priority: u32,
     /// When its latency objective passes.
     pub(crate) objective_at: Instant,
-    /// When its caller's or its route's limit passes.
+    /// The earlier of the time limits of its caller and its route.
     pub(crate) deadline: Instant,
-    /// How long it is ready to wait.
+    /// How long it may wait.
     pub(crate) patience: Patience,
 }
 
-/// Whether a request may be sent.
+/// The result of asking for a slot.
 #[derive(Debug)]
 pub(crate) enum Admitted<'a> {
-    /// It may, and holds the slot until this is dropped; nothing where no coordinator
-    /// knows of it.
+    /// The request may be sent; `None` if no coordinator knows of it.
     Granted(Option<Slot<'a>>),
-    /// It would have to wait for longer than it is ready to.
+    /// The wait would be longer than the request may wait.
     Busy,
-    /// It cannot be served in its time.
+    /// It cannot be served before its deadline.
     Refused {
-        /// When room is expected.
+        /// When a slot is expected to be free.
         retry_after: Duration,
     },
-    /// The upstream takes no requests any more: another is to be picked.
+    /// The upstream takes no more requests; another one has to be picked.
     PickAgain,
 }
 
-/// How a request came to be sent.
+/// How a coordinator answered a request for a slot.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) enum SlotAnswer {
-    /// Nobody was asked: there is no coordinator.
+    /// There is no coordinator.
     #[default]
     NotAsked,
-    /// The coordinator was told: it is far away, or the upstream is cold.
+    /// The coordinator was only notified: it is in another region, or the upstream is cold.
     Notified,
     /// The coordinator granted a slot.
     Granted,
     /// The coordinator did not answer.
     Unanswered,
-    /// The coordinator refused one, or would have had it wait for too long.
+    /// The coordinator refused a slot, or the wait would be too long.
     Refused,
 }
 
 impl SlotAnswer {
-    /// Returns the answer as it stands in logs and metrics.
+    /// Returns the label for logs and metrics.
     pub(crate) fn as_str(self) -> &'static str {
         match self {
             Self::NotAsked => "not_asked",
@@ -93,7 +91,7 @@
     }
 }
 
-/// A request that a coordinator knows of, until it is dropped.
+/// A request that its coordinator knows of; dropping this ends it there.
 #[derive(Debug)]
 pub(crate) struct Slot<'a> {
     admission: &'a Admission,
@@ -104,12 +102,12 @@
 }
 
 impl Slot<'_> {
-    /// Returns how the request came to be sent.
+    /// Returns the coordinator's answer.
     pub(crate) fn answer(&self) -> SlotAnswer {
         self.answer
     }
 
-    /// Notes that the upstream served the request.
+    /// Records that the upstream served the request.
     pub(crate) fn served(&mut self) {
         self.ending = Ending::Served;
     }
@@ -131,7 +129,7 @@
 }
 
 impl Admission {
-    /// Tells a coordinator of a request that is sent without asking.
+    /// Notifies a coordinator of a request that is sent without asking.
     pub(crate) fn notify(&self, coordinator: SocketAddr, terms: &SlotTerms<'_>) -> Slot<'_> {
         let slot = self.slot(coordinator);
         let request = self.request(slot.number, terms);
@@ -141,7 +139,7 @@
 
     /// Asks a coordinator for a slot and waits for it.
     ///
-    /// A coordinator that does not answer is passed over: the request is sent.
+    /// If the coordinator does not answer, the request is sent all the same.
     pub(crate) async fn ask(
         &self,
         coordinator: SocketAddr,
@@ -177,7 +175,7 @@
         }
     }
 
-    /// Returns the answer to a question; nothing where none came in time.
+    /// Returns the answer to a question; `None` after a timeout.
     async fn receive_answer(&self, answers: &Receiver<Answer>) -> Option<Answer> {
         let answer = receive_within(self.options.answer_time, answers).await?;
         if answer != Answer::Waiting {
--- a/crates/foxtide-gateway/src/admission/mod.rs
+++ b/crates/foxtide-gateway/src/admission/mod.rs
@@ -1,11 +1,10 @@
-//! Asks the coordinator of an upstream for a slot, and answers as one.
+//! Asks the coordinators of upstreams for slots, and answers as a coordinator.
 //!
-//! Datagrams carry questions and answers: they cost one system call each, a lost
-//! one only costs the time of an answer, and no connection can fall silent.
+//! Questions and answers are datagrams: each costs one system call, and a lost one costs only
+//! the answer timeout.
 //!
-//! Locks: of `coordinator`, `pending` and `unresponsive` none is taken while another is held.
-//! The state may be taken while `coordinator` is held (housekeeping), never the other way
-//! round.
+//! Locks: at most one of `coordinator`, `pending` and `unresponsive` is held at a time. The
+//! state may be locked while `coordinator` is held (housekeeping), never the other way round.
 
 mod client;
 mod server;
@@ -51,7 +50,7 @@
 };
 use std::time::Duration;
 
-/// What an instance shares out and what it asks for.
+/// The slots that an instance coordinates and those that it asks for.
 #[derive(Debug)]
 pub(crate) struct Admission {
     options: AdmissionOptions,
@@ -60,7 +59,7 @@
     socket: Async<UdpSocket>,
     address: SocketAddr,
     coordinator: Mutex<Coordinator>,
-    /// Those of this instance that wait for an answer, by their numbers.
+    /// The unanswered questions of this instance, by number.
     pending: Mutex<HashMap<u64, Sender<Answer>>>,
     /// Coordinators that did not answer, and until when they are not asked.
     unresponsive: Mutex<HashMap<SocketAddr, MonotonicTime>>,
@@ -72,7 +71,7 @@
     ///
     /// # Errors
     ///
-    /// Fails where the address cannot be bound.
+    /// Fails if the address cannot be bound.
     pub(crate) fn bind(
         address: SocketAddr,
         options: AdmissionOptions,
@@ -89,17 +88,17 @@
             coordinator: Mutex::default(),
             pending: Mutex::default(),
             unresponsive: Mutex::default(),
-            // A process that starts again on the same address uses other numbers.
+            // A restarted process on the same address uses other numbers.
             next_number: AtomicU64::new(fastrand::u64(..)),
         })
     }
 
-    /// Returns where other instances ask.
+    /// Returns the address for datagrams of other instances.
     pub(crate) fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Lets `change` work on the coordinator, and sends the answers.
+    /// Applies `change` to the coordinator and sends the resulting answers.
     fn with_coordinator(
         &self,
         change: impl FnOnce(&mut Coordinator, MonotonicTime) -> Vec<Directed>,
@@ -111,8 +110,8 @@
         }
     }
 
-    /// Forgets what concerns incarnations of upstreams that `is_known` does not know, and
-    /// coordinators that may be asked again.
+    /// Drops incarnations that `is_known` does not know, and unresponsive coordinators that may
+    /// be asked again.
     pub(crate) fn prune(
         &self,
         now: MonotonicTime,
@@ -135,12 +134,12 @@
         self.options.answer_time
     }
 
-    /// Hands an answer to the request that waits for it, if it still does.
+    /// Delivers an answer to the request that waits for it, if any.
     fn deliver(&self, number: u64, answer: Answer) {
         if let Some(waiting) = self.pending.lock().get(&number)
             && waiting.try_send(answer).is_err()
         {
-            log::debug!("answer {number} came after its request had ended");
+            log::debug!("dropped slot answer {number}: its request has ended");
         }
     }
 
@@ -148,18 +147,18 @@
     pub(crate) fn send(&self, to: SocketAddr, datagram: &Datagram) {
         let bytes = datagram.encode_to_vec();
         self.traffic.count(datagram.traffic_kind(), bytes.len());
-        // A datagram that cannot be sent at once is lost like any other.
+        // A datagram that the socket cannot take at once counts as lost.
         if let Err(error) = self.socket.get_ref().send_to(&bytes, to) {
-            log::debug!("a datagram to {to} was not sent: {error}");
+            log::debug!("cannot send a datagram to {to}: {error}");
         }
     }
 
-    /// Returns a number for a question that was not used before.
+    /// Returns an unused number for a question.
     pub(crate) fn next_question_number(&self) -> u64 {
         self.next_number.fetch_add(1, Ordering::Relaxed)
     }
 
-    /// Tells whether an instance did not answer a moment ago.
+    /// Tells whether a coordinator recently failed to answer.
     pub(crate) fn is_unresponsive(&self, coordinator: SocketAddr) -> bool {
         let now = self.clock.now();
         let unresponsive = self.unresponsive.lock();
@@ -168,7 +167,7 @@
             .is_some_and(|until| now < *until)
     }
 
-    /// Notes that an instance did not answer.
+    /// Records that a coordinator failed to answer.
     pub(crate) fn mark_unresponsive(&self, coordinator: SocketAddr) {
         let until = self.clock.now() + self.options.silent_time;
         self.unresponsive.lock().insert(coordinator, until);
--- a/crates/foxtide-gateway/src/admission/server.rs
+++ b/crates/foxtide-gateway/src/admission/server.rs
@@ -1,4 +1,4 @@
-//! Answers the questions of other instances.
+//! Receives and handles the datagrams of other instances.
 
 use super::Admission;
 use crate::datagram::{
@@ -26,7 +26,7 @@
 /// How long receiving pauses after a failure.
 const RECEIVE_PAUSE: Duration = Duration::from_millis(20);
 
-/// Takes in datagrams for as long as the future is run.
+/// Receives datagrams until the future is dropped.
 pub(crate) async fn serve_admission<D: Dialect>(shared: Arc<Shared<D>>) {
     let admission = &shared.admission;
     let mut bytes = [0; DATAGRAM_MAX_BYTES];
@@ -34,10 +34,10 @@
         match admission.socket.recv_from(&mut bytes).await {
             Ok((size_bytes, from)) => match Datagram::decode(&bytes[..size_bytes]) {
                 Ok(datagram) => handle_datagram(&shared, from, datagram),
-                Err(error) => log::debug!("a datagram of {from} cannot be read: {error}"),
+                Err(error) => log::debug!("cannot decode a datagram from {from}: {error}"),
             },
             Err(error) => {
-                log::debug!("no datagram was received: {error}");
+                log::debug!("cannot receive a datagram: {error}");
                 Timer::after(RECEIVE_PAUSE).await;
             }
         }
@@ -62,7 +62,7 @@
         let request = |message: &RequestMessage| {
             let request = message.request(from, number);
             request
-                .inspect_err(|error| log::debug!("a question of {from} is wrong: {error}"))
+                .inspect_err(|error| log::debug!("invalid request for a slot from {from}: {error}"))
                 .ok()
         };
         match body {
@@ -92,7 +92,7 @@
             }
             Some(Body::Answer(message)) => self.deliver(number, message.answer()),
             _ => {
-                log::debug!("a datagram of {from} says nothing of slots");
+                log::debug!("a datagram from {from} has no known body");
             }
         }
     }
--- a/crates/foxtide-gateway/src/admission/socket.rs
+++ b/crates/foxtide-gateway/src/admission/socket.rs
@@ -15,7 +15,7 @@
 ///
 /// # Errors
 ///
-/// Fails where the address is in use or not this machine's.
+/// Fails if the address is in use or not local.
 pub(super) fn bind(address: SocketAddr) -> Result<(Async<UdpSocket>, SocketAddr)> {
     let step = Step::Bind;
     let failed = |source| Error::Io {
--- a/crates/foxtide-gateway/src/datagram/mod.rs
+++ b/crates/foxtide-gateway/src/datagram/mod.rs
@@ -1,5 +1,4 @@
-//! The datagrams between instances; the attributes are what a generator would have
-//! written from their schema.
+//! The datagrams between instances, as Protocol Buffers messages.
 
 mod poison;
 mod quota;
@@ -21,42 +20,41 @@
 use crate::traffic::TrafficKind;
 use std::time::Duration;
 
-/// A question, an answer or news.
+/// A question, an answer or a notice.
 #[derive(Clone, PartialEq, prost::Message)]
 pub(crate) struct Datagram {
-    /// The asker's number of the request.
+    /// The number of the request or question at the instance that asks.
     #[prost(fixed64, tag = "1")]
     pub(crate) number: u64,
-    /// What it says.
     #[prost(oneof = "Body", tags = "2, 3, 4, 5, 6, 7, 8, 9, 10")]
     pub(crate) body: Option<Body>,
 }
 
-/// What a datagram says.
+/// The contents of a datagram.
 #[derive(Clone, PartialEq, prost::Oneof)]
 pub(crate) enum Body {
     /// Asks for a slot.
     #[prost(message, tag = "2")]
     Ask(RequestMessage),
-    /// Tells of a request that is sent without a question.
+    /// Notifies of a request that is sent without asking.
     #[prost(message, tag = "3")]
     Notify(RequestMessage),
     /// A request has ended; whether the upstream served it.
     #[prost(bool, tag = "4")]
     End(bool),
-    /// Answers a question.
+    /// Answers a request for a slot.
     #[prost(message, tag = "5")]
     Answer(AnswerMessage),
     /// Asks for tokens of a quota.
     #[prost(message, tag = "6")]
     QuotaQuestion(QuotaQuestionMessage),
-    /// Answers such a question.
+    /// Answers a quota question.
     #[prost(message, tag = "7")]
     QuotaAnswer(QuotaAnswerMessage),
-    /// An upstream has ended under a request.
+    /// An upstream ended while it worked on a request.
     #[prost(message, tag = "8")]
     EndReport(UpstreamEndMessage),
-    /// A request under which an end was reported has been served: its fingerprint.
+    /// The fingerprint of a suspected request that was served.
     #[prost(fixed64, tag = "9")]
     Cleared(u64),
     /// A request is quarantined.
@@ -65,7 +63,7 @@
 }
 
 impl Datagram {
-    /// Returns what the datagram is for.
+    /// Returns the kind of traffic that the datagram counts as.
     pub(crate) fn traffic_kind(&self) -> TrafficKind {
         match &self.body {
             Some(Body::QuotaQuestion(_) | Body::QuotaAnswer(_)) => TrafficKind::Quotas,
@@ -121,7 +119,7 @@
         ]
     }
 
-    /// Reads all that a datagram may hold, as the instance does.
+    /// Decodes every kind of body, as the instance does.
     fn decode_body(datagram: &Datagram) {
         match &datagram.body {
             Some(Body::Ask(message) | Body::Notify(message)) => {
@@ -137,9 +135,9 @@
         }
     }
 
-    /// Bytes of anybody, and datagrams with some of their bytes changed or cut off.
+    /// Random bytes and corrupted or truncated datagrams must not cause a panic.
     #[test]
-    fn verify_no_bytes_of_others_do_harm() {
+    fn verify_malformed_datagrams_cause_no_panic() {
         let mut draws = fastrand::Rng::with_seed(5);
         let samples = samples();
         for _ in 0..20_000 {
@@ -161,7 +159,7 @@
     }
 
     #[test]
-    fn verify_what_is_told_comes_back_as_it_was() {
+    fn verify_datagrams_survive_a_round_trip() {
         for sample in samples() {
             let read = Datagram::decode(sample.encode_to_vec().as_slice()).unwrap();
             assert_eq!(read, sample);
--- a/crates/foxtide-gateway/src/datagram/poison.rs
+++ b/crates/foxtide-gateway/src/datagram/poison.rs
@@ -11,7 +11,7 @@
 };
 use foxtide_core::time::WallTime;
 
-/// An upstream has ended under a request.
+/// An upstream that ended while it worked on a request.
 #[derive(Clone, PartialEq, prost::Message)]
 pub(crate) struct UpstreamEndMessage {
     #[prost(fixed64, tag = "1")]
@@ -28,16 +28,16 @@
 pub(crate) struct QuarantineMessage {
     #[prost(fixed64, tag = "1")]
     fingerprint: u64,
-    /// The upstreams that have ended under it.
+    /// How many upstreams ended while they worked on it.
     #[prost(uint32, tag = "3")]
     ends: u32,
-    /// How often an instance was allowed to send it after that.
+    /// How often an instance was allowed to send it as a trial.
     #[prost(uint32, tag = "4")]
     trials: u32,
 }
 
 impl Datagram {
-    /// Returns the message that an upstream has ended under a request.
+    /// Returns the report of an upstream that ended while it worked on a request.
     pub(crate) fn end_report(number: u64, report: &EndReport) -> Self {
         let message = UpstreamEndMessage {
             fingerprint: report.fingerprint.hash(),
@@ -50,7 +50,7 @@
         }
     }
 
-    /// Returns the message that a request has been served under which an end was reported.
+    /// Returns the message that a suspected request was served.
     pub(crate) fn cleared(number: u64, fingerprint: Fingerprint) -> Self {
         Self {
             number,
@@ -73,11 +73,11 @@
 }
 
 impl UpstreamEndMessage {
-    /// Returns what is reported.
+    /// Returns the report.
     ///
     /// # Errors
     ///
-    /// Fails where the upstream's name is none.
+    /// Fails if the name of the upstream is invalid.
     pub(crate) fn report(&self) -> foxtide_core::Result<EndReport> {
         Ok(EndReport {
             fingerprint: Fingerprint::from_hash(self.fingerprint),
@@ -88,7 +88,7 @@
 }
 
 impl QuarantineMessage {
-    /// Returns the message about a request.
+    /// Returns the message on a quarantined request.
     pub(crate) fn new(fingerprint: Fingerprint, entry: QuarantineEntry) -> Self {
         Self {
             fingerprint: fingerprint.hash(),
@@ -97,12 +97,12 @@
         }
     }
 
-    /// Returns the request.
+    /// Returns the fingerprint of the request.
     pub(crate) fn fingerprint(&self) -> Fingerprint {
         Fingerprint::from_hash(self.fingerprint)
     }
 
-    /// Returns what the sender knows of it.
+    /// Returns the quarantine entry of the request.
     pub(crate) fn entry(&self) -> QuarantineEntry {
         QuarantineEntry {
             ends: self.ends,
--- a/crates/foxtide-gateway/src/datagram/quota.rs
+++ b/crates/foxtide-gateway/src/datagram/quota.rs
@@ -22,14 +22,13 @@
     wanted: u32,
 }
 
-/// An answer to such a question; one that says nothing comes from an instance that does
-/// not hand out this quota.
+/// An answer to a quota question; empty if the sender does not coordinate the quota.
 #[derive(Clone, PartialEq, prost::Message)]
 pub(crate) struct QuotaAnswerMessage {
     /// How many tokens are granted.
     #[prost(uint32, optional, tag = "1")]
     tokens: Option<u32>,
-    /// When there is a token, where none is granted.
+    /// When a token is available, if none is granted.
     #[prost(uint32, optional, tag = "2")]
     retry_after_ms: Option<u32>,
 }
@@ -73,7 +72,7 @@
     ///
     /// # Errors
     ///
-    /// Fails where the organisation's name is none.
+    /// Fails if the name of the organisation is invalid.
     pub(crate) fn question(&self) -> foxtide_core::Result<QuotaQuestion> {
         Ok(QuotaQuestion {
             organisation: self.organisation.parse()?,
--- a/crates/foxtide-gateway/src/datagram/slots.rs
+++ b/crates/foxtide-gateway/src/datagram/slots.rs
@@ -17,7 +17,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// A request that is to be sent to an upstream.
+/// A request for a slot of an upstream.
 #[derive(Clone, PartialEq, prost::Message)]
 pub(crate) struct RequestMessage {
     #[prost(string, tag = "1")]
@@ -39,7 +39,7 @@
     born_ms: Option<u64>,
 }
 
-/// How long a request is ready to wait.
+/// How long a request may wait.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, prost::Enumeration)]
 #[repr(i32)]
 enum PatienceMessage {
@@ -48,16 +48,16 @@
     None = 2,
 }
 
-/// An answer.
+/// An answer to a request for a slot.
 #[derive(Clone, PartialEq, prost::Message)]
 pub(crate) struct AnswerMessage {
     /// Whether the request may be sent.
     #[prost(bool, tag = "1")]
     is_granted: bool,
-    /// When room is expected, where the request is refused.
+    /// When a slot is expected to be free, if the request is refused.
     #[prost(uint32, optional, tag = "2")]
     retry_after_ms: Option<u32>,
-    /// Whether the wait is longer than the request is ready to wait.
+    /// Whether the wait would be longer than the request may wait.
     #[prost(bool, tag = "3")]
     is_busy: bool,
 }
@@ -71,7 +71,7 @@
         }
     }
 
-    /// Returns the news of a request that is sent without a question.
+    /// Returns the notice of a request that is sent without asking.
     pub(crate) fn notify(request: &SlotRequest, slots: u32) -> Self {
         Self {
             number: request.ticket.number,
@@ -79,7 +79,7 @@
         }
     }
 
-    /// Returns the news of a request's end.
+    /// Returns the notice of a request's end.
     pub(crate) fn end(number: u64, ending: Ending) -> Self {
         Self {
             number,
@@ -123,7 +123,7 @@
     ///
     /// # Errors
     ///
-    /// Fails where the upstream's name is none.
+    /// Fails if the name of the upstream is invalid.
     pub(crate) fn request(
         &self,
         asker: SocketAddr,
