--- a/crates/foxtide-gateway/src/pool.rs
+++ b/crates/foxtide-gateway/src/pool.rs
@@ -1,5 +1,4 @@
-//! Idle connections to upstreams, by incarnation: one that has started again knows nothing
-//! of the connections that it had.
+//! Pools idle connections to upstreams, by incarnation.
 
 use foxtide_core::ids::UpstreamId;
 use foxtide_core::registry::Registration;
@@ -15,22 +14,20 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// How long an idle connection is used again where the upstream does not say
-/// how long it keeps it. Servers usually keep them for 5 s or more.
+/// Idle timeout where the upstream does not state one; servers usually allow 5 s or more.
 const IDLE_TIMEOUT_DEFAULT: Duration = Duration::from_secs(4);
 
-/// What is left of the upstream's own time when a connection is given up: a
-/// request must not cross the upstream's close.
+/// How long before the end of the upstream's own timeout a connection is closed, so that no
+/// request crosses the upstream's close.
 const IDLE_TIMEOUT_MARGIN: Duration = Duration::from_millis(1_200);
 
-/// The part of that time for which a connection carries a request that must
-/// not run twice.
+/// The share of the timeout in which a connection may carry a non-idempotent request.
 const NON_IDEMPOTENT_SHARE: f64 = 0.6;
 
 #[derive(Debug)]
 struct IdleConnection {
     stream: BufferedStream,
-    /// When the upstream started that it leads to.
+    /// When the incarnation of the upstream started.
     born_at: Option<WallTime>,
     since: MonotonicTime,
     timeout: Duration,
@@ -43,10 +40,9 @@
 }
 
 impl Pool {
-    /// Takes the connection used last that is open and quiet.
+    /// Takes the most recently used connection that is open and has no unread data.
     ///
-    /// One on which bytes wait may hold a response to an earlier request; it
-    /// is closed.
+    /// Unread data may be a response to an earlier request; such a connection is closed.
     pub(crate) fn take(
         &self,
         registration: &Registration,
@@ -64,8 +60,7 @@
         while let Some(connection) = connections.pop() {
             let is_fresh = now - connection.since <= connection.timeout.mul_f64(share);
             if !is_fresh {
-                // Those below it are older still, but may carry requests that
-                // may run twice.
+                // Older connections may still carry idempotent requests.
                 connections.push(connection);
                 return None;
             }
@@ -76,8 +71,8 @@
         None
     }
 
-    /// Keeps a connection whose last response was read to its exact end; at most
-    /// `connections_max` to one upstream.
+    /// Adds a connection whose last response was read to its end, up to `connections_max` per
+    /// upstream.
     pub(crate) fn put(
         &self,
         registration: &Registration,
@@ -101,14 +96,13 @@
         }
     }
 
-    /// Closes the idle connections to an upstream: one beside them has fallen silent,
-    /// and so may they, while new ones work.
+    /// Closes the idle connections to an upstream of which another connection has failed.
     pub(crate) fn close_idle(&self, upstream: &UpstreamId) {
         self.idle.lock().remove(upstream);
     }
 
-    /// Closes connections that were idle for too long or that their upstream
-    /// has closed, and those to incarnations that `is_known` does not know.
+    /// Closes connections whose timeout has passed, that their upstream has closed, or whose
+    /// incarnation `is_known` does not know.
     pub(crate) fn prune(
         &self,
         now: MonotonicTime,
--- a/crates/foxtide-gateway/src/quotas/answer.rs
+++ b/crates/foxtide-gateway/src/quotas/answer.rs
@@ -1,4 +1,4 @@
-//! Answers the questions of instances for tokens of quotas.
+//! Answers questions for tokens of quotas.
 
 use super::parts;
 use crate::datagram::{
@@ -16,8 +16,8 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// How old what an instance knows of the store may be while it hands out quotas. Where the
-/// store has not heard of it for longer, others take its place.
+/// The age of the data from the store up to which an instance hands out quotas without further
+/// checks: other instances take over the quotas of one that the store has not heard for longer.
 const KNOWLEDGE_AGE_MAX: Duration = Duration::from_millis(3_500);
 
 /// Answers another instance's question.
@@ -30,7 +30,7 @@
     let question = match message.question() {
         Ok(question) => question,
         Err(error) => {
-            log::debug!("a question of {from} is wrong: {error}");
+            log::debug!("invalid quota question from {from}: {error}");
             return;
         }
     };
@@ -39,7 +39,7 @@
     shared.admission.send(from, &datagram);
 }
 
-/// Answers a question from this instance's part of the quota, where it has one.
+/// Answers a question from this instance's part of the quota, if it has one.
 pub(super) fn answer_locally<D: Dialect>(
     shared: &Shared<D>,
     question: &QuotaQuestion,
@@ -60,8 +60,8 @@
     coordinator.ask(question, &parts, since, now)
 }
 
-/// Tells whether this instance hands out an organisation's quota: it is the region's
-/// coordinator, and others would not take its place for being out of touch.
+/// Tells whether this instance hands out the quota of an organisation: it is the coordinator of
+/// its region, and either its data is recent or it reaches most of the region.
 fn is_active_coordinator<D: Dialect>(
     shared: &Shared<D>,
     state: &State,
--- a/crates/foxtide-gateway/src/quotas/ask.rs
+++ b/crates/foxtide-gateway/src/quotas/ask.rs
@@ -25,19 +25,18 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// How long a coordinator of another region may take to answer: a round trip between the
-/// regions that are furthest apart is 110 ms.
+/// Answer timeout of a coordinator in another region; the longest round trip is 110 ms.
 const ANSWER_TIMEOUT_OTHER_REGION: Duration = Duration::from_millis(250);
 
-/// How often a coordinator of the own region is asked before it counts as silent: single
-/// datagrams are lost, and a silent one is not asked again for half a second.
+/// How often a coordinator of the own region is asked before it counts as unresponsive: single
+/// datagrams are lost.
 const QUESTIONS_OWN_REGION: u32 = 2;
 
-/// For how long a coordinator of another region is not asked again that had no token: its
-/// part fills up slowly, and each question in vain delays the refusal by a round trip.
+/// How long a refusal by a coordinator of another region is reused: each further question would
+/// delay the refusal by a round trip.
 const REFUSAL_TTL: Duration = Duration::from_millis(150);
 
-/// When a caller is told to come back where no coordinator tells.
+/// Retry-After if no coordinator states one.
 const RETRY_AFTER: Duration = Duration::from_millis(500);
 
 /// An instance that hands out a quota.
@@ -51,7 +50,7 @@
 ///
 /// # Errors
 ///
-/// Fails where the quota has no room for it, or nobody who could tell answers.
+/// Fails if the quota is used up, or if coordinators do not answer and no spare token is left.
 pub(crate) async fn take_token<D: Dialect>(
     shared: &Shared<D>,
     organisation: &OrganisationId,
@@ -72,8 +71,8 @@
         priority,
         wanted,
     };
-    // One after the other: a token of each, of which one is used, would leave small
-    // quotas short.
+    // Sequential: asking all at once would take several tokens for one request from small
+    // quotas.
     let mut answers = CoordinatorAnswers::default();
     for source in sources(shared, organisation) {
         let answer = ask(shared, source, &question).await;
@@ -91,7 +90,7 @@
     Err(answers.refusal())
 }
 
-/// What the coordinators of a quota have said that granted nothing.
+/// The answers of coordinators that granted no token.
 #[derive(Debug, Default)]
 struct CoordinatorAnswers {
     retry_after: Option<Duration>,
@@ -132,7 +131,7 @@
     coordinators.iter().map(source).collect()
 }
 
-/// Asks one coordinator; one that does not answer hands out nothing.
+/// Asks one coordinator and counts its answer.
 async fn ask<D: Dialect>(
     shared: &Shared<D>,
     source: Source,
@@ -195,7 +194,7 @@
     answer
 }
 
-/// Sends a question until it is answered, but no more than `times`.
+/// Sends a question until it is answered, at most `times` times.
 async fn exchange<D: Dialect>(
     shared: &Shared<D>,
     coordinator: SocketAddr,
@@ -221,7 +220,7 @@
     None
 }
 
-/// A question that waits for its answer until this is dropped.
+/// An unanswered question; dropping it stops the wait for the answer.
 struct Pending<'a, D> {
     shared: &'a Shared<D>,
     number: u64,
--- a/crates/foxtide-gateway/src/quotas/mod.rs
+++ b/crates/foxtide-gateway/src/quotas/mod.rs
@@ -1,6 +1,6 @@
-//! Asks the coordinators of an organisation's quota, and answers as one.
+//! Asks the coordinators of quotas for tokens, and answers as a coordinator.
 //!
-//! Locks: of those of [`Quotas`] none is taken while another is held. `last_contact` may be taken
+//! Locks: at most one of those of [`Quotas`] is held at a time. `last_contact` may be locked
 //! while the state is held, never the other way round.
 
 mod answer;
@@ -32,13 +32,13 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// How long ago an instance may have been heard that counts as in touch with this one.
+/// How long after its last datagram another instance counts as reachable.
 const CONTACT_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// How long what an organisation needed is remembered.
+/// How long the unused tokens and the demand of an organisation are kept.
 const LOCAL_TOKENS_TTL: Duration = Duration::from_secs(30);
 
-/// How often a line tells that an organisation's quota is used up.
+/// How often a used-up quota of an organisation is logged at most.
 const LOG_PERIOD: Duration = Duration::from_secs(5);
 
 /// Why a request is over its organisation's quota.
@@ -51,7 +51,7 @@
 }
 
 impl QuotaCause {
-    /// Returns the cause as it stands in logs.
+    /// Returns the label for logs and metrics.
     pub(crate) fn as_str(self) -> &'static str {
         match self {
             Self::UsedUp => "used_up",
@@ -60,48 +60,47 @@
     }
 }
 
-/// The quota has no room for a request.
+/// The refusal of a request by a quota.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct QuotaRefusal {
-    /// When it has.
+    /// When a token is available.
     pub(crate) retry_after: Duration,
-    /// Why.
     pub(crate) cause: QuotaCause,
 }
 
-/// What an instance hands out of quotas and what it holds of them.
+/// The quotas that an instance coordinates and the tokens that it holds.
 #[derive(Debug, Default)]
 pub(crate) struct Quotas {
     coordinator: Mutex<QuotaCoordinator>,
     local_tokens: Mutex<HashMap<OrganisationId, QuotaStock>>,
     spare: Mutex<SpareTokens>,
-    /// Questions that wait for an answer, by their numbers.
+    /// Unanswered questions, by number.
     pending: Mutex<HashMap<u64, Sender<QuotaAnswer>>>,
     /// When other instances last sent a datagram.
     last_contact: Mutex<HashMap<SocketAddr, MonotonicTime>>,
-    /// Coordinators of other regions that had no token for an organisation, until when
-    /// they are not asked, and what they told.
+    /// Recent refusals by coordinators of other regions: until when they are reused, and the
+    /// retry delay.
     recent_refusals: Mutex<HashMap<(OrganisationId, SocketAddr), (MonotonicTime, Duration)>>,
-    /// When a line last told that an organisation's quota is used up.
+    /// When a used-up quota was last logged.
     last_logged: Mutex<HashMap<OrganisationId, MonotonicTime>>,
 }
 
 impl Quotas {
-    /// Notes that another instance sent a datagram.
+    /// Records a datagram from another instance.
     pub(crate) fn note_contact(&self, from: SocketAddr, now: MonotonicTime) {
         self.last_contact.lock().insert(from, now);
     }
 
-    /// Hands an answer to the question that waits for it, if it still does.
+    /// Delivers an answer to the question that waits for it, if any.
     pub(crate) fn deliver(&self, number: u64, answer: QuotaAnswer) {
         if let Some(waiting) = self.pending.lock().get(&number)
             && waiting.try_send(answer).is_err()
         {
-            log::debug!("answer {number} came after its question had ended");
+            log::debug!("dropped quota answer {number}: its question has ended");
         }
     }
 
-    /// Forgets what is not needed any more.
+    /// Drops expired entries.
     pub(crate) fn prune(&self, now: MonotonicTime) {
         self.coordinator.lock().prune(now);
         self.spare.lock().prune(now);
@@ -119,7 +118,7 @@
             .retain(|_, logged_at| now - *logged_at < LOG_PERIOD);
     }
 
-    /// Notes a refusal; writes a line where none did of late.
+    /// Counts a refusal, and logs it unless one was logged recently.
     pub(crate) fn note_refusal(
         &self,
         terms: &OrganisationTerms,
@@ -136,7 +135,7 @@
         }
     }
 
-    /// Returns what a coordinator told that had no token a moment ago.
+    /// Returns the retry delay of a recent refusal by a coordinator.
     fn recent_refusal(
         &self,
         organisation: &OrganisationId,
@@ -148,8 +147,8 @@
         (now < *until).then_some(*retry_after)
     }
 
-    /// Tells whether more than half of the region's instances, this one among them, were
-    /// heard of late.
+    /// Tells whether more than half of the region's instances, including this one, are
+    /// reachable.
     fn reaches_region_majority(&self, neighbours: &[SocketAddr], now: MonotonicTime) -> bool {
         let last_contact = self.last_contact.lock();
         let is_reachable = |address: &&SocketAddr| {
@@ -161,8 +160,8 @@
     }
 }
 
-/// Returns the parts into which a quota is cut: one for each region that the settings
-/// name, also while its instances are out of sight. They may still hand out theirs.
+/// Returns the parts of a quota: one for each configured region, including regions out of
+/// contact, whose instances may still hand out theirs.
 fn parts<D: Dialect>(shared: &Shared<D>, state: &State, quota: Quota) -> QuotaParts {
     let regions = shared.options.place.regions_count();
     QuotaParts::new(quota, state.bounds().quota, regions)
