--- a/crates/foxtide-gateway/src/dialect.rs
+++ b/crates/foxtide-gateway/src/dialect.rs
@@ -1,4 +1,4 @@
-//! How callers, upstreams and the gateway tell each other of a request.
+//! Translates between header lines and the values that the gateway uses.
 
 use foxtide_core::ids::{
     RegionId,
@@ -18,35 +18,34 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Translates between header lines and what they mean.
+/// Reads and writes the header lines of a platform.
 ///
 /// # Contract
 ///
-/// An implementer decides nothing: it reads and writes lines. The gateway calls
-/// it with whole heads, and passes on what it leaves in them.
+/// An implementation reads and writes lines and makes no decisions. The gateway calls it with
+/// whole heads, and forwards the lines that it leaves in them.
 pub trait Dialect: Send + Sync + 'static {
-    /// Reads what a caller says of its request.
+    /// Reads the headers of a caller's request.
     fn read_caller_headers(&self, lines: &Lines) -> CallerHeaders;
 
-    /// Writes for whom a request is, whose it is and how much time is left for it. What
-    /// the caller proves itself with is taken out wherever callers need a key.
+    /// Writes the headers of a forwarded request, and removes the caller's credentials wherever
+    /// callers need a key.
     fn write_forward_headers(&self, lines: &mut Lines, values: &ForwardHeaders<'_>);
 
-    /// Reads what an upstream says of its response.
+    /// Reads the headers of an upstream's response.
     fn read_upstream_headers(&self, head: &ForwardedResponse) -> UpstreamHeaders;
 
-    /// Reads a caller's question which instances to use; nothing where the
-    /// request is none.
+    /// Reads a look-up of instances; `None` if the request is not one.
     fn lookup(&self, request: &ForwardedRequest) -> Option<Lookup>;
 
     /// Encodes the answer to a look-up as a JSON body.
     fn lookup_answer(&self, addresses: &[SocketAddr], ttl: Duration) -> Vec<u8>;
 
-    /// Tells whether a request asks if the instance is ready.
+    /// Tells whether a request is a readiness check.
     fn is_readiness_check(&self, request: &ForwardedRequest) -> bool;
 }
 
-/// What a caller says of its request.
+/// The values of the headers of a caller's request.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct CallerHeaders {
     /// The identity of the request.
@@ -55,35 +54,35 @@
     pub time_left: Option<Duration>,
     /// The name of the object that the request concerns.
     pub object: Option<Vec<u8>>,
-    /// What it proves its organisation with.
+    /// The caller's credentials.
     pub credentials: Credentials,
 }
 
-/// What a caller proves its organisation with.
+/// The credentials of a caller.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub enum Credentials {
-    /// Nothing.
+    /// The request carries none.
     #[default]
     Missing,
-    /// A key.
+    /// An API key.
     Key(ApiKey),
-    /// Something else than one key, in another form.
+    /// Credentials other than one well-formed key.
     Malformed,
 }
 
-/// Whose request it is.
+/// The identity of a caller.
 #[derive(Clone, Debug, PartialEq)]
 pub enum CallerIdentity {
-    /// The configuration has no organisations: nobody is asked.
+    /// The configuration has no organisations, so callers are not identified.
     NotRequired,
-    /// Nobody's: the route is public, and the caller shows no key that is known.
+    /// The route is public, and the caller presents no known key.
     Anonymous,
-    /// An organisation's.
+    /// The caller belongs to an organisation.
     Organisation(Arc<OrganisationTerms>),
 }
 
 impl CallerIdentity {
-    /// Returns the organisation, if it is one's.
+    /// Returns the organisation of the caller, if any.
     pub fn organisation(&self) -> Option<&OrganisationTerms> {
         match self {
             Self::NotRequired | Self::Anonymous => None,
@@ -92,36 +91,35 @@
     }
 }
 
-/// For whom a request is and whose it is.
+/// The values of the headers that are written to a forwarded request.
 #[derive(Clone, Copy, Debug)]
 pub struct ForwardHeaders<'a> {
-    /// The upstream.
+    /// The upstream that gets the request.
     pub upstream: &'a UpstreamId,
-    /// The time that is left.
+    /// The time that is left for the request.
     pub time_left: Duration,
-    /// Whose request it is.
+    /// The identity of the caller.
     pub caller: &'a CallerIdentity,
 }
 
-/// What an upstream says of its response.
+/// The values of the headers of an upstream's response.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct UpstreamHeaders {
     /// The identity of the request to which it responds.
     pub request_id: Option<String>,
-    /// Whether the request did not run there and never will.
+    /// Whether the request did not run and will not run at the upstream.
     pub is_not_run: bool,
-    /// Whether another incarnation than the one addressed has the address.
+    /// Whether an incarnation other than the addressed one answered.
     pub is_other_incarnation: bool,
     /// Whether the response carries the upstream's signature.
     pub is_signed: bool,
-    /// Whether the body was encoded on its way, so that it is not the
-    /// upstream's.
+    /// Whether an intermediary has encoded the body.
     pub is_encoded: bool,
     /// The upstream's load.
     pub load: Option<LoadReport>,
 }
 
-/// A caller's question which instances to use.
+/// A look-up of instances.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Lookup {
     /// The region of the caller.
--- a/crates/foxtide-gateway/src/errors.rs
+++ b/crates/foxtide-gateway/src/errors.rs
@@ -1,4 +1,4 @@
-//! The error type of the gateway, with the step and the peer.
+//! The error type of the gateway.
 
 use std::fmt;
 use std::io;
@@ -22,17 +22,17 @@
     }
 }
 
-/// What went wrong while an instance was started.
+/// An error at the start of an instance.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// A socket failed.
+    /// A socket operation failed.
     #[error("{step} {peer}: {source}")]
     Io {
-        /// What was being done.
+        /// The step that failed.
         step: Step,
-        /// The other end, or the own address of a listener.
+        /// The address of the peer, or the own address of a listener.
         peer: SocketAddr,
-        /// The system's error.
+        /// The error of the operating system.
         source: io::Error,
     },
 }
--- a/crates/foxtide-gateway/src/listener.rs
+++ b/crates/foxtide-gateway/src/listener.rs
@@ -1,4 +1,4 @@
-//! Listening sockets.
+//! Binds listening sockets and accepts connections.
 
 use crate::dialect::Dialect;
 use crate::errors::{
@@ -37,7 +37,7 @@
     ///
     /// # Errors
     ///
-    /// Fails where the address is in use or not this machine's.
+    /// Fails if the address is in use or not local.
     pub(crate) fn bind(peer: SocketAddr) -> Result<Self> {
         let step = Step::Bind;
         let failed = |source| Error::Io { step, peer, source };
@@ -46,7 +46,7 @@
         Ok(Self { socket, address })
     }
 
-    /// Returns the address that is bound.
+    /// Returns the bound address.
     pub(crate) fn address(&self) -> SocketAddr {
         self.address
     }
@@ -62,7 +62,7 @@
     Ok((bound.socket.into(), bound.address))
 }
 
-/// Accepts connections and serves each in a task of its own.
+/// Accepts connections and spawns a task for each.
 pub(crate) async fn accept<D: Dialect>(shared: Arc<Shared<D>>, listener: Listener) {
     loop {
         match listener.socket.accept().await {
--- a/crates/foxtide-gateway/src/traffic.rs
+++ b/crates/foxtide-gateway/src/traffic.rs
@@ -1,7 +1,4 @@
-//! Counts the bytes that are sent to other instances, by what they are for.
-//!
-//! The links of the smallest machines carry a megabyte a second, and bytes between
-//! availability zones are paid for: what fills them has to be seen.
+//! Counts the bytes that are sent to other instances, by kind.
 
 use foxtide_events::{
     EventCode,
@@ -12,20 +9,20 @@
     Ordering, //
 };
 
-/// What is sent.
+/// The kinds of traffic between instances.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum TrafficKind {
-    /// What has changed in the store, to one that follows this instance.
+    /// Changes of the store, sent to a follower.
     Changes,
-    /// All that the store holds.
+    /// The whole contents of the store, sent to a follower.
     Everything,
-    /// A question to one that is followed.
+    /// A question to a followed instance.
     Question,
-    /// Questions for slots of upstreams, their answers and ends.
+    /// Questions for slots of upstreams, their answers and notices of ends.
     Slots,
     /// Questions for tokens of quotas and their answers.
     Quotas,
-    /// News of requests that end their upstreams.
+    /// Reports of requests that end their upstreams.
     Poison,
 }
 
@@ -54,7 +51,7 @@
 /// The bytes that an instance has sent to others.
 #[derive(Debug, Default)]
 pub(crate) struct Traffic {
-    /// Bytes that no line has told yet, in the order of [`TrafficKind::ALL`].
+    /// The bytes that were not logged yet, in the order of [`TrafficKind::ALL`].
     unreported: [AtomicU64; TrafficKind::ALL.len()],
 }
 
@@ -67,7 +64,7 @@
             .increment(size_bytes);
     }
 
-    /// Writes a line about what was sent since the last one, if anything was.
+    /// Logs the bytes that were sent since the last call, if any.
     pub(crate) fn report(&self) {
         let [changes, everything, question, slots, quotas, poison] =
             TrafficKind::ALL.map(|kind| self.unreported[kind as usize].swap(0, Ordering::Relaxed));
