--- a/crates/foxtide-gateway/tests/gateway/admission.rs
+++ b/crates/foxtide-gateway/tests/gateway/admission.rs
@@ -1,4 +1,4 @@
-//! Slots of upstreams, shared by instances.
+//! Admission to the slots of upstreams that instances share.
 
 use crate::support::{
     Behaviour,
@@ -12,11 +12,11 @@
 use foxtide_core::routing::Route;
 use std::time::Duration;
 
-/// What an upstream of the fleet has under way at most: its four slots, and one that
-/// waits for the next free one.
+/// The most requests in flight at an upstream of the fleet: four in slots, and one that waits
+/// there for the next.
 const ADMITTED: usize = 5;
 
-/// Requests of these tests are given up by their callers only.
+/// Returns the route with a timeout that no test reaches.
 fn with_long_timeout(route: Route) -> Route {
     Route {
         timeout: Duration::from_secs(60),
@@ -24,7 +24,7 @@
     }
 }
 
-/// Two instances that know each other, and an upstream that never responds.
+/// Returns two instances that know each other, and an upstream that never responds.
 fn fleet_with_a_silent_upstream() -> (Fleet, [Instance; 2], FakeUpstream) {
     let (fleet, instances, [upstream]) = fleet_with_silent_upstreams(["i-1"]);
     (fleet, instances, upstream)
@@ -80,7 +80,7 @@
     }
     assert_eq!(upstream.seen().len(), ADMITTED);
 
-    // One that waits gets the slot of one whose caller leaves.
+    // A waiting request gets the slot of a caller that disconnects.
     let _waiting = send(&instances[0], "/safe/", "next");
     drop(callers.pop());
     eventually("the freed slot is used", || {
@@ -89,18 +89,18 @@
 }
 
 #[test]
-fn verify_what_waits_is_not_sent_once_its_caller_has_left() {
+fn verify_a_waiting_request_is_not_sent_after_its_caller_disconnects() {
     for path in ["/safe/", "/once/"] {
         let (_fleet, instances, upstream) = fleet_with_a_silent_upstream();
         let mut callers = fill_slots(&instances, &upstream);
         let left = send(&instances[0], path, "left");
         let _stays = send(&instances[1], path, "stays");
         drop(left);
-        // What is asked after the close is answered after it was seen.
+        // Requests on new connections are served after the close has been seen.
         for _ in 0..2 {
             instances[0].get("/ready", "");
         }
-        // Each slot that is freed goes to one that waits; the last to a later one.
+        // The freed slots go to the waiting requests, the last one to a later request.
         drop(callers.pop());
         drop(callers.pop());
         let _later = send(&instances[0], "/safe/", "later");
@@ -119,7 +119,7 @@
     let first = fleet.impatient_instance("edge-1", "khomas-a");
     let second = fleet.instance("edge-2", "khomas-a");
     first.knows_members(2);
-    // Its lease goes on: the others still believe in it.
+    // Its lease is still valid, so it still counts as the coordinator.
     drop(second);
     for number in 0..16 {
         let lines = format!("request: r-{number}\r\nobject: {number}\r\n");
@@ -143,13 +143,13 @@
 #[test]
 fn verify_a_request_that_would_be_late_takes_a_free_slot_of_the_second_choice() {
     let (_fleet, instances, [one, two]) = fleet_with_silent_upstreams(["i-1", "i-2"]);
-    // So long that no grant lapses while the test runs on a busy machine.
+    // Long enough that no grant lapses while the test runs on a busy machine.
     let slow = Behaviour::Respond(200, "fine", Duration::from_secs(2));
     for upstream in [&one, &two] {
         upstream.next(slow.clone());
         upstream.next(slow.clone());
     }
-    // The first touch of the object, and a repeated one.
+    // The first request for the object, and a repeated one.
     for lines in [
         "request: r-0\r\nobject: o\r\n",
         "request: r-1\r\nobject: o\r\n",
--- a/crates/foxtide-gateway/tests/gateway/forwarding.rs
+++ b/crates/foxtide-gateway/tests/gateway/forwarding.rs
@@ -1,4 +1,4 @@
-//! Requests and responses on their way through an instance.
+//! Forwarding of requests and responses.
 
 use crate::support::{
     Behaviour,
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn verify_an_instance_that_knows_nothing_says_when_to_come_back() {
+fn verify_an_instance_without_a_configuration_sends_retry_after() {
     let fleet = Fleet::default();
     let instance = fleet.starting_instance("edge-1", "khomas-a");
     let response = instance.get("/safe/", "request: r-1\r\n");
@@ -87,7 +87,7 @@
         let instance = fleet.instance("edge-1", "khomas-a");
         one.always(Behaviour::Full);
         two.always(Behaviour::Full);
-        // Each attempt is refused: told as not run.
+        // Both attempts are refused as not run.
         let response = instance.get(path, "request: r-1\r\n");
         assert_eq!(response.head.status, 503);
         assert!(response.head.lines.get("retry-after").is_some());
@@ -100,13 +100,13 @@
     }
 }
 
-/// An upstream that refuses though it has a slot free turns away part of its requests;
-/// the object is known there, and nowhere else.
+/// An upstream that refuses in a granted slot is not full and already knows the object, so the
+/// retry goes there.
 #[test]
 fn verify_a_request_that_is_refused_in_a_granted_slot_goes_there_again() {
     let (fleet, one, two) = fleet_of_two();
     let instance = fleet.instance("edge-1", "khomas-a");
-    // One that knows another knows itself: it asks for slots.
+    // An instance that knows another one asks for slots.
     let _other = fleet.instance("edge-2", "khomas-a");
     instance.knows_members(2);
     for upstream in [&one, &two] {
@@ -281,7 +281,7 @@
 }
 
 #[test]
-fn verify_a_caller_is_told_to_come_back_when_the_upstream_may_have_room() {
+fn verify_retry_after_follows_the_latency_of_the_upstream() {
     let (fleet, upstream) = fleet_of_one();
     let instance = fleet.instance("edge-1", "khomas-a");
     let retry_after = |response: &foxtide_http::WholeResponse| -> f64 {
@@ -296,8 +296,8 @@
     assert_eq!(instance.get("/safe/", "request: r-2\r\n").head.status, 200);
     upstream.next(Behaviour::Full);
     let known = instance.get("/safe/", "request: r-3\r\n");
-    let told = retry_after(&known);
-    assert!((0.4..=1.0).contains(&told), "{told}");
+    let seconds = retry_after(&known);
+    assert!((0.4..=1.0).contains(&seconds), "{seconds}");
 }
 
 #[test]
@@ -346,14 +346,14 @@
     eventually("both upstreams get requests", is_spread);
 }
 
-/// More upstreams are out of reach than are looked at first for one request.
+/// More upstreams are unreachable than the first choices that are considered.
 #[test]
 fn verify_the_only_upstream_of_many_that_can_be_reached_is_found() {
     let (fleet, upstream) = fleet_of_one();
     for number in 0..20 {
         let dead = Registration {
             upstream: format!("i-dead-{number}").parse().unwrap(),
-            // Nothing listens on the port that is meant for discarding.
+            // Nothing listens on the discard port.
             address: "127.0.0.1:9".parse().unwrap(),
             ..upstream.registration()
         };
@@ -365,8 +365,8 @@
     eventually("the upstream is found", is_served);
 }
 
-/// A request on a connection that has fallen silent ends at its limit, and the other
-/// connections that were open then are not used again.
+/// A request on an unresponsive connection times out, and the idle connections to its upstream
+/// are not used again.
 #[test]
 fn verify_after_a_silent_connection_an_upstream_is_reached_over_a_new_one() {
     for path in ["/safe/", "/once/"] {
@@ -394,10 +394,10 @@
     }
 }
 
-/// Its address went to another upstream for a moment, and it started again there: idle
-/// connections and what was known of it are of before.
+/// The address served another upstream before the restart: idle connections and health data of
+/// the old incarnation must not be used.
 #[test]
-fn verify_one_that_starts_again_under_its_name_is_reached_anew() {
+fn verify_a_restarted_upstream_is_reached_over_new_connections() {
     let (fleet, upstream) = fleet_of_one();
     let born = |ms| Registration {
         born_at: Some(WallTime::from_ms(ms)),
@@ -416,15 +416,15 @@
     assert!(upstream.connections() >= 2);
 }
 
-/// Another writer's entry stands where a good one stood; the others hold.
+/// An unreadable entry must remove its upstream and no other.
 #[test]
-fn verify_an_entry_that_cannot_be_read_names_no_upstream() {
+fn verify_an_unreadable_entry_removes_its_upstream() {
     let (fleet, one, two) = fleet_of_two();
     let instance = fleet.instance("edge-1", "khomas-a");
     assert_eq!(instance.get("/safe/", "request: r-1\r\n").head.status, 200);
     let name = one.registration().upstream;
     fleet.store.put(&one.key(), Fact::UpstreamUnreadable(name));
-    let goes_on = || {
+    let is_avoided = || {
         let before = one.seen().len();
         for number in 0..5 {
             let response = instance.get("/safe/", &format!("request: r-{number}\r\n"));
@@ -432,6 +432,6 @@
         }
         one.seen().len() == before
     };
-    eventually("only the other gets requests", goes_on);
+    eventually("only the other gets requests", is_avoided);
     assert!(!two.seen().is_empty());
 }
--- a/crates/foxtide-gateway/tests/gateway/organisations.rs
+++ b/crates/foxtide-gateway/tests/gateway/organisations.rs
@@ -1,4 +1,4 @@
-//! Whose request it is: keys, homes and quotas.
+//! Keys, homes and quotas of organisations.
 
 use crate::support::{
     Behaviour,
@@ -128,7 +128,7 @@
 }
 
 #[test]
-fn verify_nobody_is_asked_where_no_organisation_is_configured() {
+fn verify_no_key_is_needed_without_organisations() {
     let fleet = Fleet::new();
     let upstream = fleet.upstream("i-1", "khomas-a");
     let instance = fleet.instance("edge-1", "khomas-a");
@@ -138,7 +138,7 @@
 }
 
 #[test]
-fn verify_a_key_that_two_hold_is_nobodys() {
+fn verify_a_key_of_two_organisations_is_refused() {
     let (_fleet, _upstream, instance) = fleet_of(vec![
         organisation("acme", &["shared", "own"]),
         organisation("other", &["shared"]),
@@ -154,10 +154,9 @@
     );
 }
 
-/// A version that takes a key away holds on open connections, also for requests that were
-/// sent before the answer to an earlier one came.
+/// A new version that revokes a key applies to open connections, also to pipelined requests.
 #[test]
-fn verify_a_key_that_goes_is_refused_on_open_connections() {
+fn verify_a_revoked_key_is_refused_on_open_connections() {
     let (fleet, upstream, instance) = fleet_of(vec![organisation("acme", &["k-1", "k-2"])]);
     let mut caller = Caller::connect(instance.address());
     assert_eq!(
@@ -189,9 +188,9 @@
     );
 }
 
-/// A request that waits for a slot when its key is taken away is not sent.
+/// A request that waits for a slot when its key is revoked is not sent.
 #[test]
-fn verify_a_key_that_goes_ends_requests_that_wait() {
+fn verify_a_revoked_key_ends_waiting_requests() {
     let fleet = Fleet::new();
     let patient = Route {
         timeout: Duration::from_secs(20),
@@ -215,7 +214,7 @@
         ));
         caller
     };
-    // Four slots, and one that waits at the upstream itself.
+    // Four requests in slots, and one that waits at the upstream itself.
     let running: Vec<Caller> = (0..5).map(|_| send("k-2")).collect();
     eventually("the slots are taken", || upstream.seen().len() == 5);
     let mut waiting = send("k-1");
@@ -266,9 +265,9 @@
     assert_eq!((here.seen().len(), there.seen().len()), (2, 20));
 }
 
-/// Neither a failure nor a refusal lets a homed request leave its homes.
+/// Retries after failures and refusals must not leave the home regions.
 #[test]
-fn verify_repeats_keep_to_homes() {
+fn verify_retries_keep_to_homes() {
     let fleet = Fleet::new();
     let organisations = vec![homed("there", "k-there", "erongo")];
     fleet.configure_for(2, routes(), Some(organisations));
@@ -317,21 +316,21 @@
     let is_small = |seen: &&crate::support::Seen| seen.organisation == "small";
     let served = upstream.seen().iter().filter(is_small).count();
     assert_eq!(served + refused, 60);
-    // What the platform allows in a window, and a few seconds more at the rate.
+    // The allowance of a window, and a few seconds more at the rate.
     assert!((1..=45).contains(&served), "{served}");
     assert!(refused > 10, "{refused}");
 }
 
-/// A caller without a configuration to be judged by is told to come back.
+/// Without a configuration no key can be judged, so the caller is told to retry.
 #[test]
-fn verify_an_instance_that_knows_no_configuration_refuses_no_key() {
+fn verify_an_instance_without_a_configuration_refuses_no_key() {
     let fleet = Fleet::default();
     let instance = fleet.starting_instance("edge-1", "khomas-a");
     let response = instance.get("/safe/", "request: r\r\nkey: k-1\r\n");
     assert_eq!(status(&response), 503);
 }
 
-/// Guards against one organisation's request that keeps another's out.
+/// One organisation's quarantined request must not block another's.
 #[test]
 fn verify_a_request_is_quarantined_for_its_organisation_alone() {
     let (fleet, first, instance) = fleet_of(vec![
