--- a/crates/foxtide-gateway/tests/gateway/many.rs
+++ b/crates/foxtide-gateway/tests/gateway/many.rs
@@ -1,4 +1,4 @@
-//! A fleet so large that a few instances follow the store for the others.
+//! Fleets so large that a few watchers follow the store for the other instances.
 
 use std::collections::BTreeMap;
 
@@ -8,14 +8,14 @@
     eventually, //
 };
 
-/// More than may all follow the store by themselves, also without one watcher and those
-/// whose records it keeps; in two regions.
+/// More instances than may all follow the store themselves, also without one watcher and the
+/// instances whose records it keeps; in two regions.
 const INSTANCES: usize = 24;
 
-/// Three for each of the two regions.
+/// Three watchers for each of the two regions.
 const WATCHERS: usize = 6;
 
-/// How often the store is followed until it is seen who does so: two periods.
+/// The number of waits on the store after which an instance counts as a watcher.
 const WAITS_MIN: usize = 2;
 
 struct LargeFleet {
@@ -24,7 +24,7 @@
 }
 
 impl LargeFleet {
-    /// Starts the fleet and waits until all know each other.
+    /// Starts the fleet and waits until all instances know each other.
     fn start() -> Self {
         let fleet = Fleet::new();
         let zone = |number: usize| ["khomas-a", "erongo-a"][number % 2];
@@ -43,8 +43,8 @@
         waits.collect()
     }
 
-    /// Waits until the watchers have followed the store for a while, and returns how
-    /// many others have asked it meanwhile.
+    /// Waits until the watchers have followed the store for a while, and returns how many other
+    /// instances have asked it meanwhile.
     fn followers_that_ask(&self) -> usize {
         let before = self.waits();
         let begun = || {
@@ -63,8 +63,8 @@
         self.fleet.store.registrars()
     }
 
-    /// Waits until watchers keep the records of all others, and returns one of these
-    /// with the watcher.
+    /// Waits until watchers keep the records of all other instances, and returns one of these
+    /// with its watcher.
     fn followed_record(&self) -> (String, String) {
         eventually("watchers keep the others' records", || {
             let registrars = self.registrars();
@@ -76,7 +76,6 @@
         kept.expect("a watcher keeps a record")
     }
 
-    /// Takes an instance out of the fleet.
     fn remove_instance(&mut self, name: &str) -> Instance {
         let own = name.parse().unwrap();
         let is_own = |instance: &Instance| *instance.gateway().name() == own;
@@ -91,22 +90,20 @@
     }
 }
 
-/// A store that drops its history cuts all waits at once, and answers at once when it
-/// is asked again. Each follower that then asked it itself for a few seconds would add
-/// some 10 calls, 3,000 in a fleet of 300.
+/// A store that drops its history ends all waits at once. Followers must not turn to the store
+/// themselves then, which would multiply its calls.
 #[test]
 fn verify_a_cut_of_all_waits_sends_no_follower_to_the_store() {
     let large = LargeFleet::start();
     large.wait_for_watchers();
-    // A machine that stands still for a moment sends a follower there as well.
+    // A pause of the machine sends a follower to the store as well.
     eventually("a cut sends no follower to the store", || {
         large.fleet.store.cut_waits();
         large.followers_that_ask() == 0
     });
 }
 
-/// The store turns all watchers away and serves the others. What leaves meanwhile is gone
-/// for these too, though their watchers say all the while that the store does not answer.
+/// While the store turns all watchers away, followers must still learn of removed upstreams.
 #[test]
 fn verify_followers_go_on_by_themselves_while_all_watchers_are_turned_away() {
     let large = LargeFleet::start();
@@ -129,7 +126,8 @@
     eventually("it gets nothing any more", || status() == 503);
 }
 
-/// A lease and a record of each instance are most of a large fleet's calls.
+/// Followers must not need leases and records of their own, which would be most of the calls of
+/// a large fleet.
 #[test]
 fn verify_watchers_keep_the_records_of_the_others() {
     let mut large = LargeFleet::start();
@@ -140,11 +138,11 @@
     eventually("its record is removed", || {
         !large.registrars().contains_key(&kept)
     });
-    // Others that live stay as they are.
+    // The records of the others stay.
     assert_eq!(large.registrars().len(), INSTANCES - 1);
 }
 
-/// It lost power: nothing tells of it but its silence.
+/// An instance that dies without notice must lose its record.
 #[test]
 fn verify_a_watcher_removes_the_record_of_one_that_died() {
     let mut large = LargeFleet::start();
@@ -156,10 +154,9 @@
     assert_eq!(large.registrars().len(), INSTANCES - 1);
 }
 
-/// The records under a watcher's lease lapse with it; their instances have found another
-/// watcher by then, or do so.
+/// The records under the lease of a watcher that died must move to another watcher.
 #[test]
-fn verify_the_neighbours_of_a_watcher_that_died_are_kept_by_another() {
+fn verify_another_watcher_keeps_the_records_of_one_that_died() {
     let mut large = LargeFleet::start();
     let (kept, watcher) = large.followed_record();
     drop(large.remove_instance(&watcher));
@@ -174,15 +171,15 @@
     assert!(!large.registrars().contains_key(&watcher));
 }
 
-/// A watcher that stops hands its neighbours on before its lease ends.
+/// A watcher that stops must hand over the records that it keeps before its lease ends.
 #[test]
-fn verify_a_watcher_that_stops_hands_its_neighbours_on() {
+fn verify_a_watcher_that_stops_hands_its_records_on() {
     let mut large = LargeFleet::start();
     let (kept, watcher) = large.followed_record();
     let mut leaving = large.remove_instance(&watcher);
     leaving.stop();
-    // Leases of this store never lapse: what the watcher kept is with others, or the
-    // instance keeps it in the watcher's place.
+    // Leases of this store never lapse: the records must have moved to other watchers or to
+    // their instances.
     eventually("others keep the records", || {
         let registrars = large.registrars();
         let is_elsewhere = registrars
@@ -192,8 +189,7 @@
     });
 }
 
-/// Leases lapse while the store is away, or are revoked: of a fleet of 295 each instance
-/// opened one again and announced itself, 590 calls in a second.
+/// After a lost lease not every instance may open one of its own, which would flood the store.
 #[test]
 fn verify_the_records_of_a_lost_lease_come_back_under_watchers() {
     let large = LargeFleet::start();
@@ -206,9 +202,9 @@
     large.followed_record();
 }
 
-/// The store turns one instance of a small fleet away, and its lease lapses.
+/// In a small fleet, an instance that the store turns away must have its record kept by a peer.
 #[test]
-fn verify_one_that_the_store_turns_away_is_kept_by_a_peer() {
+fn verify_a_peer_keeps_the_record_of_an_instance_that_the_store_turns_away() {
     let fleet = Fleet::new();
     let instances = ["edge-1", "edge-2"].map(|name| fleet.instance(name, "khomas-a"));
     for instance in &instances {
--- a/crates/foxtide-gateway/tests/gateway/small_region.rs
+++ b/crates/foxtide-gateway/tests/gateway/small_region.rs
@@ -1,19 +1,5 @@
-//! A region with few upstreams serves what it keeps with all of them.
-//!
-//! What was seen: in a region that keeps a third of its requests, one upstream refused
-//! ten requests a second after waits of up to 0.9 s, while its neighbours in the region
-//! waited for work. When callers stopped asking for anything new, those who had been
-//! refused came back, nearly all to that region: it served 0.31 of the requests that had
-//! come in the 2 s before, and 0.86 of those that came in the 2 s after.
-//!
-//! How it came about: by chance one upstream had 8 of the region's 19 objects of a
-//! service, more than its slots can serve. What is too much for one upstream goes to the
-//! object's second choice, but that was drawn from all regions, and one that stands
-//! elsewhere is not asked. In a region that keeps nearly all of its objects the second
-//! choice is a neighbour; in one that keeps a third it is one time out of three.
-//!
-//! What proved it: the lines of 153 refused requests tell what became of the second
-//! choice; 136 stood in another region, 11 were busy.
+//! Upstreams of a small region relieve each other: second choices that stand in other regions
+//! must not leave requests waiting while a neighbour has free slots.
 
 use crate::support::{
     Behaviour,
@@ -38,14 +24,14 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// What an upstream of the fleet has under way at most: its four slots, and one that
-/// waits for the next free one.
+/// The most requests in flight at an upstream of the fleet: four in slots, and one that waits
+/// there for the next.
 const ADMITTED: usize = 5;
 
-/// The regions in which requests arise.
+/// The number of regions in which requests arise.
 const REGIONS: usize = 2;
 
-/// An instance of a region with two upstreams of many.
+/// An instance in a region that has two of many upstreams.
 struct SmallRegion {
     _fleet: Fleet,
     instance: Instance,
@@ -57,8 +43,8 @@
         Self::with_neighbour(6, |registration| registration)
     }
 
-    /// Returns a region beside one with `far` upstreams; its second one is registered as
-    /// `change` says.
+    /// Returns a region beside one with `far` upstreams; `change` is applied to the
+    /// registration of its second upstream.
     fn with_neighbour(far: usize, change: impl Fn(Registration) -> Registration) -> Self {
         let fleet = Fleet::new();
         let patient = Route {
@@ -81,7 +67,7 @@
         }
     }
 
-    /// Returns the upstreams in the order of an object that arises in the small region.
+    /// Returns the upstreams in the order of an object that is requested in the small region.
     fn order(&self, object: &str) -> Vec<&FakeUpstream> {
         let mut slots: BTreeMap<RegionId, u32> = BTreeMap::new();
         let registrations = self.upstreams.iter().map(FakeUpstream::registration);
@@ -102,7 +88,7 @@
             .collect()
     }
 
-    /// Returns objects whose own upstream is near and whose next two are not.
+    /// Returns objects whose first choice is near and whose next two choices are far.
     fn objects_with_far_second_choices(&self) -> impl Iterator<Item = String> {
         let is_near = |upstream: &FakeUpstream| upstream.zone() == "erongo-a";
         (0..10_000)
@@ -113,7 +99,7 @@
             })
     }
 
-    /// Returns such an object of one upstream.
+    /// Returns such an object whose first choice is `upstream`.
     fn object_of(&self, upstream: &FakeUpstream) -> String {
         let mut objects = self.objects_with_far_second_choices();
         let is_own = |object: &String| self.order(object)[0].key() == upstream.key();
@@ -129,8 +115,8 @@
         caller
     }
 
-    /// Has an object's own upstream work for so long that what waits there is late, and
-    /// fills its slots.
+    /// Makes the first choice of an object so slow that waiting requests are late, and fills
+    /// its slots.
     fn fill_slots(&self, object: &str) -> Vec<Caller> {
         let own = self.order(object)[0];
         let before = own.seen().len();
@@ -168,7 +154,7 @@
     assert!(far.all(|one| one.seen().is_empty()));
 }
 
-/// What a cold upstream may get is left to the objects that are its own.
+/// The rate of a cold upstream is reserved for the objects whose first choice it is.
 #[test]
 fn verify_a_cold_neighbour_relieves_none_and_keeps_its_rate() {
     let region = SmallRegion::with_neighbour(6, |registration| Registration {
@@ -178,8 +164,7 @@
     let [own, neighbour] = [&region.upstreams[0], &region.upstreams[1]];
     let object = region.object_of(own);
     let _callers = region.fill_slots(&object);
-    // These wait until they are late, then look for a neighbour; as many would use up its
-    // rate.
+    // These wait until they are late, then try a neighbour; they would use up its rate.
     let late = (0..20).map(|number| {
         let mut caller = Caller::connect(region.instance.address());
         caller.send(&format!(
@@ -199,7 +184,7 @@
     assert_eq!(seen[0].request, "cold");
 }
 
-/// A region that is short as a whole: what it refuses would come back to it.
+/// A request that a region short of upstreams refuses would only come back to it.
 #[test]
 fn verify_what_a_short_region_has_no_slot_for_goes_elsewhere() {
     let region = SmallRegion::with_neighbour(16, |registration| Registration {
@@ -208,7 +193,7 @@
     });
     let own = &region.upstreams[0];
     let object = region.object_of(own);
-    // How long the work takes has to be known for a request to be refused at once.
+    // A request is refused at once only if the latency of the upstream is known.
     own.next(Behaviour::Respond(200, "fine", Duration::from_secs(2)));
     let lines = format!("request: earlier\r\nobject: {object}\r\n");
     assert_eq!(region.instance.get("/safe/", &lines).head.status, 200);
@@ -222,7 +207,7 @@
     let seen: Vec<_> = far.iter().flat_map(|one| one.seen()).collect();
     assert_eq!(seen.len(), 1);
     assert_eq!(seen[0].request, "elsewhere");
-    // Two that were saved and one in nine: the most that moves a region's traffic at once.
+    // Two saved ones and one in nine: the most that the overflow budget allows.
     let statuses = (0..20).map(|number| ask(&format!("after-{number}")).head.status);
     let served = statuses.filter(|status| *status == 200).count();
     assert!((1..=5).contains(&served), "{served}");
