--- a/crates/foxtide-gateway/src/forward/admit.rs
+++ b/crates/foxtide-gateway/src/forward/admit.rs
@@ -1,7 +1,7 @@
-//! The wait for a slot before a request is sent.
+//! Picks an upstream for a request and acquires a slot there.
 
-use super::placed::Placed;
-use super::run::Run;
+use super::attempt_loop::AttemptLoop;
+use super::target::Target;
 use crate::admission::{
     Admitted,
     Slot,
@@ -27,49 +27,46 @@
     Instant, //
 };
 
-/// When a caller is told to come back whose time passed while it waited.
+/// Retry-After of a request whose deadline passed while it waited for a slot.
 const RETRY_AFTER_WAIT: Duration = Duration::from_millis(200);
 
-impl<'a, D: Dialect> Run<'a, D> {
-    /// Picks an upstream and waits until the request may be sent to it.
+impl<'a, D: Dialect> AttemptLoop<'a, D> {
+    /// Picks an upstream and waits for one of its slots.
     ///
-    /// Where the object's own upstream would not serve it early, its second choice does
-    /// if it has a slot free: the object is known there from then on, so that two
-    /// upstreams share what is too much for one. That brings 0.01 to 0.04 of the worth
-    /// of days of high load; a third choice in vain brought nothing more.
+    /// If the first choice of the object is busy, its second choice or another region with a
+    /// free slot serves the request.
     ///
     /// # Errors
     ///
-    /// Fails with the reply where there is no upstream for it in its time.
-    pub(super) async fn place(&mut self) -> Result<Placed<'a>, Reply> {
+    /// Fails with the reply if no upstream can take the request before its deadline.
+    pub(super) async fn acquire_target(&mut self) -> Result<Target<'a>, Reply> {
         loop {
-            if Instant::now() >= self.ends_at {
+            if Instant::now() >= self.deadline {
                 return Err(self.out_of_time());
             }
             let own = self.pick().map_err(|reason| self.no_upstream(reason))?;
             let mut admitted = self.admit(&own, self.patience()).await;
             if matches!(admitted, Admitted::Busy) {
-                if let Some(placed) = self.second_choice(&own).await {
-                    return Ok(placed);
+                if let Some(target) = self.second_choice(&own).await {
+                    return Ok(target);
                 }
-                if let Some(placed) = self.elsewhere().await {
-                    return Ok(placed);
+                if let Some(target) = self.overflow().await {
+                    return Ok(target);
                 }
                 admitted = self.admit(&own, Patience::UntilDeadline).await;
             }
             match admitted {
-                Admitted::Granted(slot) => return Ok(Placed { pick: own, slot }),
+                Admitted::Granted(slot) => return Ok(Target { pick: own, slot }),
                 Admitted::Refused { retry_after } => {
-                    let elsewhere = self.elsewhere().await;
-                    return elsewhere.ok_or_else(|| self.no_slot(&own, retry_after));
+                    let overflow = self.overflow().await;
+                    return overflow.ok_or_else(|| self.no_slot(&own, retry_after));
                 }
-                Admitted::Elsewhere | Admitted::Busy => {}
+                Admitted::PickAgain | Admitted::Busy => {}
             }
         }
     }
 
-    /// The first attempt goes elsewhere rather than be late; a later one has been
-    /// elsewhere.
+    /// Only the first attempt leaves a busy upstream early; a retry waits until its deadline.
     fn patience(&self) -> Patience {
         if self.is_first_attempt() {
             Patience::WithinObjective
@@ -78,40 +75,33 @@
         }
     }
 
-    /// Takes a slot of the upstream that comes after the object's own in the region, if
-    /// one is free.
+    /// Takes a free slot of the next upstream of the own region in the object's order.
     ///
-    /// Upstreams of other regions don't count in that order: in a region that keeps a third
-    /// of its objects, two of three second choices would stand elsewhere, where no slot can
-    /// be asked for. There 136 of a region's 153 refusals in nine seconds had such a second
-    /// choice, while neighbours were idle; those who came back were then all of that region.
-    async fn second_choice(&mut self, own: &Pick) -> Option<Placed<'a>> {
-        let (end, placed) = self.try_second_choice(own).await;
-        self.inputs.second_choice = end;
+    /// Upstreams of other regions are skipped: no slot can be asked for there, and in a region
+    /// that keeps few of its objects they would be most of the second choices.
+    async fn second_choice(&mut self, own: &Pick) -> Option<Target<'a>> {
+        let (end, target) = self.try_second_choice(own).await;
+        self.trace.second_choice = end;
         metrics::counter!("foxtide_second_choices_total", "end" => end.as_str()).increment(1);
-        placed
+        target
     }
 
-    async fn try_second_choice(&mut self, own: &Pick) -> (SecondChoice, Option<Placed<'a>>) {
+    async fn try_second_choice(&mut self, own: &Pick) -> (SecondChoice, Option<Target<'a>>) {
         let Ok(pick) = self.pick_neighbour(&own.registration.upstream) else {
             return (SecondChoice::Missing, None);
         };
         match self.admit(&pick, Patience::NoWait).await {
-            Admitted::Granted(slot) => (SecondChoice::Granted, Some(Placed { pick, slot })),
-            Admitted::Busy | Admitted::Refused { .. } | Admitted::Elsewhere => {
+            Admitted::Granted(slot) => (SecondChoice::Granted, Some(Target { pick, slot })),
+            Admitted::Busy | Admitted::Refused { .. } | Admitted::PickAgain => {
                 (SecondChoice::Busy, None)
             }
         }
     }
 
-    /// Sends to another region what a region that is short of upstreams would serve late or
-    /// not at all, as far as the instance may.
-    ///
-    /// Once no new requests came, what waited at such a region and what it had refused were
-    /// nearly all served there: of its traffic 0.33 moved home within 2 s, on a whole day where
-    /// 0.15 may. `docs/design/shifted.md` has what is left of that, and what it costs.
-    async fn elsewhere(&mut self) -> Option<Placed<'a>> {
-        // What has waited for long would be late there as well.
+    /// Sends the request to another region if the own one is short of upstreams, within the
+    /// instance's overflow budget.
+    async fn overflow(&mut self) -> Option<Target<'a>> {
+        // Past its objective the request would be late in any region.
         if Instant::now() >= self.objective_at {
             return None;
         }
@@ -120,40 +110,40 @@
             object: self.object,
             regions: &self.home_regions,
             tried: &self.tried,
-            is_relief: true,
+            requires_warm: true,
         };
         let pick = {
             let mut state = self.shared.state.lock();
-            state.pick_elsewhere(&request)
+            state.pick_overflow(&request)
         };
         let pick = pick.ok()?;
         match self.admit(&pick, Patience::NoWait).await {
             Admitted::Granted(slot) => {
                 metrics::counter!("foxtide_overflows_total").increment(1);
-                Some(Placed { pick, slot })
+                Some(Target { pick, slot })
             }
-            Admitted::Busy | Admitted::Refused { .. } | Admitted::Elsewhere => None,
+            Admitted::Busy | Admitted::Refused { .. } | Admitted::PickAgain => None,
         }
     }
 
-    /// Waits until the request may be sent to the upstream that was picked.
+    /// Acquires a slot of the picked upstream and checks the pick again.
     async fn admit(&mut self, pick: &Pick, patience: Patience) -> Admitted<'a> {
         let Some((instance, coordinator)) = self.coordinator(pick) else {
             return Admitted::Granted(None);
         };
-        self.inputs.coordinator = instance.to_string();
+        self.trace.coordinator = instance.to_string();
         let began_at = Instant::now();
         let admitted = self.ask(pick, coordinator, patience).await;
         self.note_wait(&admitted, began_at.elapsed());
-        // Drains, evacuations and the bound on cold upstreams hold at the sending.
+        // The upstream may have been drained, evacuated or restarted during the wait.
         let is_granted = matches!(admitted, Admitted::Granted(_));
-        if is_granted && !self.shared.state.lock().is_still_picked(pick) {
-            return Admitted::Elsewhere;
+        if is_granted && !self.shared.state.lock().is_pick_valid(pick) {
+            return Admitted::PickAgain;
         }
         admitted
     }
 
-    /// Returns who coordinates the slots of the upstream.
+    /// Returns the instance that coordinates the upstream's slots, with its datagram address.
     fn coordinator(&self, pick: &Pick) -> Option<(InstanceId, SocketAddr)> {
         let registration = &pick.registration;
         let state = self.shared.state.lock();
@@ -162,31 +152,30 @@
         Some((member.instance.clone(), member.datagram_address))
     }
 
-    /// Asks a coordinator that is near, and tells one that is far away: a slot that is
-    /// kept for a request under way between regions is idle for 70 to 110 ms, which
-    /// costs 0.02 to 0.2 of the worth of days of high load.
+    /// Asks a coordinator of the own region, and only notifies one of another region: a slot
+    /// that is reserved for a request in transit would idle for a round trip.
     async fn ask(&self, pick: &Pick, coordinator: SocketAddr, patience: Patience) -> Admitted<'a> {
         let shared = self.shared;
         let admission = &shared.admission;
         let terms = SlotTerms {
             registration: &pick.registration,
             object: self.object,
-            priority: self.order.priority(),
+            priority: self.route_match.priority(),
             objective_at: self.objective_at,
-            ends_at: self.ends_at,
+            deadline: self.deadline,
             patience,
         };
-        // What a cold upstream may get was taken from its rate already.
+        // The pick has already spent a cold upstream's rate.
         if !self.is_near(pick) || pick.is_cold {
-            return Admitted::Granted(Some(admission.tell(coordinator, &terms)));
+            return Admitted::Granted(Some(admission.notify(coordinator, &terms)));
         }
-        let is_eligible = || shared.state.lock().is_still_picked(pick);
+        let is_eligible = || shared.state.lock().is_pick_valid(pick);
         let asked = admission.ask(coordinator, &terms, is_eligible);
         let in_vain = async {
             let late = async {
-                Timer::at(self.ends_at).await;
+                Timer::at(self.deadline).await;
             };
-            or(self.caller.left(), late).await;
+            or(self.caller.disconnected(), late).await;
             Admitted::Refused {
                 retry_after: RETRY_AFTER_WAIT,
             }
@@ -201,10 +190,10 @@
     fn note_wait(&mut self, admitted: &Admitted<'_>, wait: Duration) {
         let answer = match admitted {
             Admitted::Granted(slot) => slot.as_ref().map_or(SlotAnswer::NotAsked, Slot::answer),
-            Admitted::Busy | Admitted::Refused { .. } | Admitted::Elsewhere => SlotAnswer::Refused,
+            Admitted::Busy | Admitted::Refused { .. } | Admitted::PickAgain => SlotAnswer::Refused,
         };
-        self.inputs.slot = answer;
-        self.inputs.slot_wait += wait;
+        self.trace.slot = answer;
+        self.trace.slot_wait += wait;
         metrics::counter!("foxtide_slot_answers_total", "answer" => answer.as_str()).increment(1);
         if matches!(answer, SlotAnswer::Granted | SlotAnswer::Refused) {
             metrics::histogram!("foxtide_slot_wait_seconds").record(wait.as_secs_f64());
--- a/crates/foxtide-gateway/src/forward/attempt.rs
+++ b/crates/foxtide-gateway/src/forward/attempt.rs
@@ -1,11 +1,11 @@
-//! One sending of a request to one upstream.
+//! Sends a request to one upstream and evaluates the response.
 
 use super::request::CallerRequest;
 use crate::dialect::{
     CallerIdentity,
     Dialect,
-    RequestAddress,
-    UpstreamFacts, //
+    ForwardHeaders,
+    UpstreamHeaders, //
 };
 use crate::outcome::AttemptEnd;
 use crate::shared::Shared;
@@ -29,43 +29,40 @@
     Instant, //
 };
 
-/// The longest response that is held; responses are held whole so that a cut
-/// one is never passed on.
+/// The longest response that is buffered; only whole responses are passed on.
 const RESPONSE_MAX_BYTES: usize = 16 * 1_024 * 1_024;
 
-/// How long a connection within the region may take to be made. A round trip is
-/// 2 ms; a lost packet is sent again after a second only, which is too late.
-const CONNECT_TIME_NEAR: Duration = Duration::from_millis(120);
+/// Connection timeout within the region: shorter than the first retransmission of a lost packet
+/// after a second.
+const CONNECT_TIMEOUT_OWN_REGION: Duration = Duration::from_millis(120);
 
-/// How long a connection to another region may take: three of the longest round
-/// trips that deployments have (110 ms).
-const CONNECT_TIME_FAR: Duration = Duration::from_millis(350);
+/// Connection timeout to another region: three of the longest supported round trips (110 ms).
+const CONNECT_TIMEOUT_OTHER_REGION: Duration = Duration::from_millis(350);
 
-/// When it is looked once more: a process that ends closes what it has one after the other,
-/// and with many connections it does so for some milliseconds.
-const CHECK_AGAIN_AFTER: Duration = Duration::from_millis(20);
+/// Delay before an ended upstream is checked again: a process with many connections takes
+/// milliseconds to close them.
+const RECHECK_DELAY: Duration = Duration::from_millis(20);
 
 /// How long sent bytes may stay unacknowledged before the upstream counts as
 /// unreachable.
-const UNACKNOWLEDGED_TIME: Duration = Duration::from_millis(1_000);
+const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// How long a response is waited for beyond the limit that the upstream was
-/// given: its own word that time is up arrives then.
-const LIMIT_MARGIN: Duration = Duration::from_millis(100);
+/// How long a response is awaited past the deadline, when the upstream's own timeout response
+/// arrives.
+const DEADLINE_MARGIN: Duration = Duration::from_millis(100);
 
-/// The most responses to other requests that are passed over on a connection.
+/// The most responses to other requests that are skipped on a connection.
 const STRAY_RESPONSES_MAX: usize = 4;
 
-/// What the attempt tells besides its end.
+/// The outcome of an attempt.
 #[derive(Debug)]
 pub(super) struct AttemptReport {
-    /// How it ended.
     pub(super) end: AttemptEnd,
-    /// What it tells of the upstream's health.
+    /// The effect on the upstream's health.
     pub(super) result: AttemptResult,
-    /// The load that the upstream told.
+    /// The load that the upstream reported.
     pub(super) load: Option<LoadReport>,
-    /// Whether the upstream has ended while it worked on the request.
+    /// Whether the upstream process ended while it worked on the request.
     pub(super) has_ended: bool,
 }
 
@@ -89,10 +86,10 @@
     caller: &CallerIdentity,
     registration: &Registration,
     is_idempotent: bool,
-    ends_at: Instant,
+    deadline: Instant,
 ) -> AttemptReport {
     let started = Instant::now();
-    let opened = open(shared, registration, is_idempotent, ends_at).await;
+    let opened = open(shared, registration, is_idempotent, deadline).await;
     let mut stream = match opened {
         Ok(stream) => stream,
         Err(error) => {
@@ -100,40 +97,44 @@
             return AttemptReport::new(AttemptEnd::NotSent { cause }, AttemptResult::Unreachable);
         }
     };
-    let time_left = ends_at.saturating_duration_since(Instant::now());
+    let time_left = deadline.saturating_duration_since(Instant::now());
     let mut head = request.head.clone();
-    let address = RequestAddress {
+    let values = ForwardHeaders {
         upstream: &registration.upstream,
         time_left,
         caller,
     };
-    shared.dialect.address_request(&mut head.lines, &address);
+    shared
+        .dialect
+        .write_forward_headers(&mut head.lines, &values);
     let bytes = head.encode(&request.body);
     let sent_before = stream.sent_bytes();
-    let conversed = converse(shared, &mut stream, request, &registration.upstream, &bytes);
+    let exchanged = exchange(shared, &mut stream, request, &registration.upstream, &bytes);
     let timed = async {
-        Timer::at(ends_at + LIMIT_MARGIN).await;
+        Timer::at(deadline + DEADLINE_MARGIN).await;
         None
     };
-    let conversed = or(async { Some(conversed.await) }, timed).await;
+    let exchanged = or(async { Some(exchanged.await) }, timed).await;
     let is_sent = stream.sent_bytes() > sent_before;
-    match conversed {
-        Some(Ok((response, facts))) => {
+    match exchanged {
+        Some(Ok((response, headers))) => {
             let latency = started.elapsed();
-            judge(shared, registration, stream, response, &facts, latency)
+            evaluate_response(shared, registration, stream, response, &headers, latency)
         }
         Some(Err(error)) => {
-            if is_silence(&error) {
-                shared.pool.forget(&registration.upstream);
+            if is_unacknowledged(&error) {
+                shared.pool.close_idle(&registration.upstream);
             }
-            let has_ended = is_sent && is_closed(&error) && is_gone(shared, registration).await;
+            let has_ended = is_sent
+                && is_closed_by_upstream(&error)
+                && refuses_connections(shared, registration).await;
             AttemptReport {
                 has_ended,
-                ..broken(&error, is_sent)
+                ..failed_report(&error, is_sent)
             }
         }
         None => {
-            shared.pool.forget(&registration.upstream);
+            shared.pool.close_idle(&registration.upstream);
             AttemptReport::new(AttemptEnd::TimedOut, AttemptResult::Faulty)
         }
     }
@@ -143,47 +144,46 @@
     shared: &Shared<D>,
     registration: &Registration,
     is_idempotent: bool,
-    ends_at: Instant,
+    deadline: Instant,
 ) -> io::Result<BufferedStream> {
     let now = shared.clock.now();
     if let Some(stream) = shared.pool.take(registration, is_idempotent, now) {
         return Ok(stream);
     }
     metrics::counter!("foxtide_upstream_connections_total").increment(1);
-    let limit = ends_at.min(Instant::now() + connect_time(shared, registration));
+    let limit = deadline.min(Instant::now() + connect_timeout(shared, registration));
     let timed = async {
         Timer::at(limit).await;
         Err(io::ErrorKind::TimedOut.into())
     };
     let connected = or(BufferedStream::connect(registration.address, None), timed).await;
     let stream = connected?;
-    if let Err(error) = stream.limit_unacknowledged(UNACKNOWLEDGED_TIME) {
-        log::debug!("the system does not limit unacknowledged data: {error}");
+    if let Err(error) = stream.limit_unacknowledged(UNACKNOWLEDGED_TIMEOUT) {
+        log::debug!("cannot set the timeout of unacknowledged data: {error}");
     }
     Ok(stream)
 }
 
-/// Returns how long a connection to an upstream may take to be made, or to be refused.
-fn connect_time<D>(shared: &Shared<D>, registration: &Registration) -> Duration {
-    connect_time_within(registration.region == shared.options.place.region)
+fn connect_timeout<D>(shared: &Shared<D>, registration: &Registration) -> Duration {
+    connect_timeout_for(registration.region == shared.options.place.region)
 }
 
-fn connect_time_within(is_own_region: bool) -> Duration {
+fn connect_timeout_for(is_own_region: bool) -> Duration {
     if is_own_region {
-        CONNECT_TIME_NEAR
+        CONNECT_TIMEOUT_OWN_REGION
     } else {
-        CONNECT_TIME_FAR
+        CONNECT_TIMEOUT_OTHER_REGION
     }
 }
 
-/// Writes the request and reads until the response that names it.
-async fn converse<D: Dialect>(
+/// Writes the request and reads the response that carries its identity.
+async fn exchange<D: Dialect>(
     shared: &Shared<D>,
     stream: &mut BufferedStream,
     request: &CallerRequest,
     upstream: &UpstreamId,
     bytes: &[u8],
-) -> Result<(WholeResponse, UpstreamFacts), MessageError> {
+) -> Result<(WholeResponse, UpstreamHeaders), MessageError> {
     // An upstream may respond and close before it has read the whole request.
     let written = stream.write_all(bytes).await;
     for _ in 0..STRAY_RESPONSES_MAX {
@@ -193,25 +193,25 @@
             Ok(()) => error,
         })?;
         response.head.close |= written.is_err();
-        let facts = shared.dialect.upstream_facts(&response.head);
-        if facts.request_id.is_some() && facts.request_id == request.facts.request_id {
-            return Ok((response, facts));
+        let headers = shared.dialect.read_upstream_headers(&response.head);
+        if headers.request_id.is_some() && headers.request_id == request.headers.request_id {
+            return Ok((response, headers));
         }
-        if request.facts.request_id.is_none() && facts.is_not_run {
-            return Ok((response, facts));
+        if request.headers.request_id.is_none() && headers.is_not_run {
+            return Ok((response, headers));
         }
         shared.journal.stray_response(request.id(), upstream);
     }
     Err(MessageError::Surplus)
 }
 
-/// Tells whether a connection failed since what was sent stayed unacknowledged.
-fn is_silence(error: &MessageError) -> bool {
+/// Tells whether a connection failed because sent data stayed unacknowledged.
+fn is_unacknowledged(error: &MessageError) -> bool {
     matches!(error, MessageError::Io(error) if error.kind() == io::ErrorKind::TimedOut)
 }
 
-/// Tells whether the upstream has closed the connection in place of a whole response.
-fn is_closed(error: &MessageError) -> bool {
+/// Tells whether the upstream closed the connection before the end of its response.
+fn is_closed_by_upstream(error: &MessageError) -> bool {
     match error {
         MessageError::Truncated => true,
         MessageError::Io(error) => matches!(
@@ -225,12 +225,12 @@
     }
 }
 
-/// Tells whether nobody takes connections at an upstream's address any more. An upstream
-/// that lost one answer, or forgot an idle connection, does.
-async fn is_gone<D>(shared: &Shared<D>, registration: &Registration) -> bool {
+/// Tells whether the upstream's address refuses connections. An upstream that only closed one
+/// connection still accepts others.
+async fn refuses_connections<D>(shared: &Shared<D>, registration: &Registration) -> bool {
     let is_refused = || async {
         let late = async {
-            Timer::after(connect_time(shared, registration)).await;
+            Timer::after(connect_timeout(shared, registration)).await;
             Err(io::ErrorKind::TimedOut.into())
         };
         let connected = or(BufferedStream::connect(registration.address, None), late).await;
@@ -239,11 +239,11 @@
     if is_refused().await {
         return true;
     }
-    Timer::after(CHECK_AGAIN_AFTER).await;
+    Timer::after(RECHECK_DELAY).await;
     is_refused().await
 }
 
-fn broken(error: &MessageError, is_sent: bool) -> AttemptReport {
+fn failed_report(error: &MessageError, is_sent: bool) -> AttemptReport {
     let cause = error.to_string();
     if is_sent {
         AttemptReport::new(AttemptEnd::Unknown { cause }, AttemptResult::Faulty)
@@ -252,14 +252,13 @@
     }
 }
 
-/// Says what a whole response means, and keeps the connection where it can
-/// carry another request.
-fn judge<D: Dialect>(
+/// Classifies a whole response and returns a reusable connection to the pool.
+fn evaluate_response<D: Dialect>(
     shared: &Shared<D>,
     registration: &Registration,
     stream: BufferedStream,
     response: WholeResponse,
-    facts: &UpstreamFacts,
+    headers: &UpstreamHeaders,
     latency: Duration,
 ) -> AttemptReport {
     if response.keeps_connection() && stream.buffered().is_empty() {
@@ -273,30 +272,30 @@
             .pool
             .put(registration, stream, keep_alive, connections_max, now);
     }
-    let (end, result) = meaning(response, facts, latency);
+    let (end, result) = classify_response(response, headers, latency);
     AttemptReport {
         end,
         result,
-        load: facts.load,
+        load: headers.load,
         has_ended: false,
     }
 }
 
-fn meaning(
+fn classify_response(
     response: WholeResponse,
-    facts: &UpstreamFacts,
+    headers: &UpstreamHeaders,
     latency: Duration,
 ) -> (AttemptEnd, AttemptResult) {
-    if facts.is_not_run {
-        let is_other_incarnation = facts.is_other_incarnation;
+    if headers.is_not_run {
+        let is_other_incarnation = headers.is_other_incarnation;
         let end = AttemptEnd::NotRun {
             is_other_incarnation,
         };
         return (end, AttemptResult::Full);
     }
     let is_success = (200..300).contains(&response.head.status);
-    if facts.is_encoded || (is_success && !facts.is_signed) {
-        let cause = "the response is not the upstream's own".to_owned();
+    if headers.is_encoded || (is_success && !headers.is_signed) {
+        let cause = "the response is encoded or lacks the signature of the upstream".to_owned();
         return (AttemptEnd::Unknown { cause }, AttemptResult::Faulty);
     }
     let result = if response.head.status >= 500 {
@@ -311,11 +310,11 @@
 mod tests {
     use super::*;
 
-    /// Guards against ends of upstreams in other regions that are taken for broken
-    /// connections, since the refusal of a new one comes after the check has given up.
+    /// An ended upstream of another region must not pass for a broken connection because its
+    /// refusal arrives after the timeout.
     #[test]
     fn verify_the_refusal_of_a_far_upstream_is_waited_for() {
         let longest_round_trip = Duration::from_millis(110);
-        assert!(connect_time_within(false) >= 2 * longest_round_trip);
+        assert!(connect_timeout_for(false) >= 2 * longest_round_trip);
     }
 }
--- a/crates/foxtide-gateway/src/quotas/mod.rs
+++ b/crates/foxtide-gateway/src/quotas/mod.rs
@@ -1,6 +1,6 @@
-//! Asks the coordinators of an organisation's quota, and answers as one.
+//! Asks the coordinators of quotas for tokens, and answers as a coordinator.
 //!
-//! Locks: of those of [`Quotas`] none is taken while another is held. `heard` may be taken
+//! Locks: at most one of those of [`Quotas`] is held at a time. `last_contact` may be locked
 //! while the state is held, never the other way round.
 
 mod answer;
@@ -32,14 +32,14 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// How long ago an instance may have been heard that counts as in touch with this one.
-const HEARD_TIME: Duration = Duration::from_secs(2);
+/// How long after its last datagram another instance counts as reachable.
+const CONTACT_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// How long what an organisation needed is remembered.
-const STOCK_TIME: Duration = Duration::from_secs(30);
+/// How long the unused tokens and the demand of an organisation are kept.
+const LOCAL_TOKENS_TTL: Duration = Duration::from_secs(30);
 
-/// How often a line tells that an organisation's quota is used up.
-const LINE_PERIOD: Duration = Duration::from_secs(5);
+/// How often a used-up quota of an organisation is logged at most.
+const LOG_PERIOD: Duration = Duration::from_secs(5);
 
 /// Why a request is over its organisation's quota.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -51,7 +51,7 @@
 }
 
 impl QuotaCause {
-    /// Returns the cause as it stands in logs.
+    /// Returns the label for logs and metrics.
     pub(crate) fn as_str(self) -> &'static str {
         match self {
             Self::UsedUp => "used_up",
@@ -60,64 +60,65 @@
     }
 }
 
-/// The quota has no room for a request.
+/// The refusal of a request by a quota.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct QuotaRefusal {
-    /// When it has.
+    /// When a token is available.
     pub(crate) retry_after: Duration,
-    /// Why.
     pub(crate) cause: QuotaCause,
 }
 
-/// What an instance hands out of quotas and what it holds of them.
+/// The quotas that an instance coordinates and the tokens that it holds.
 #[derive(Debug, Default)]
 pub(crate) struct Quotas {
     coordinator: Mutex<QuotaCoordinator>,
-    stocks: Mutex<HashMap<OrganisationId, TokenCache>>,
+    local_tokens: Mutex<HashMap<OrganisationId, TokenCache>>,
     spare: Mutex<FallbackTokens>,
-    /// Questions that wait for an answer, by their numbers.
+    /// Unanswered questions, by number.
     pending: Mutex<HashMap<u64, Sender<QuotaAnswer>>>,
     /// When other instances last sent a datagram.
-    heard: Mutex<HashMap<SocketAddr, MonotonicTime>>,
-    /// Coordinators of other regions that had no token for an organisation, until when
-    /// they are not asked, and what they told.
-    refusing: Mutex<HashMap<(OrganisationId, SocketAddr), (MonotonicTime, Duration)>>,
-    /// When a line last told that an organisation's quota is used up.
-    told: Mutex<HashMap<OrganisationId, MonotonicTime>>,
+    last_contact: Mutex<HashMap<SocketAddr, MonotonicTime>>,
+    /// Recent refusals by coordinators of other regions: until when they are reused, and the
+    /// retry delay.
+    recent_refusals: Mutex<HashMap<(OrganisationId, SocketAddr), (MonotonicTime, Duration)>>,
+    /// When a used-up quota was last logged.
+    last_logged: Mutex<HashMap<OrganisationId, MonotonicTime>>,
 }
 
 impl Quotas {
-    /// Notes that another instance sent a datagram.
-    pub(crate) fn hear(&self, from: SocketAddr, now: MonotonicTime) {
-        self.heard.lock().insert(from, now);
+    /// Records a datagram from another instance.
+    pub(crate) fn note_contact(&self, from: SocketAddr, now: MonotonicTime) {
+        self.last_contact.lock().insert(from, now);
     }
 
-    /// Hands an answer to the question that waits for it, if it still does.
+    /// Delivers an answer to the question that waits for it, if any.
     pub(crate) fn deliver(&self, number: u64, answer: QuotaAnswer) {
         if let Some(waiting) = self.pending.lock().get(&number)
             && waiting.try_send(answer).is_err()
         {
-            log::debug!("answer {number} came after its question had ended");
+            log::debug!("dropped quota answer {number}: its question has ended");
         }
     }
 
-    /// Forgets what is not needed any more.
+    /// Drops expired entries.
     pub(crate) fn prune(&self, now: MonotonicTime) {
         self.coordinator.lock().prune(now);
         self.spare.lock().prune(now);
-        self.stocks
+        self.local_tokens
             .lock()
-            .retain(|_, stock| !stock.is_unused(STOCK_TIME, now));
-        self.heard
+            .retain(|_, tokens| !tokens.is_unused(LOCAL_TOKENS_TTL, now));
+        self.last_contact
             .lock()
-            .retain(|_, heard_at| now - *heard_at < HEARD_TIME);
-        self.refusing.lock().retain(|_, (until, _)| now < *until);
-        self.told
+            .retain(|_, contact_at| now - *contact_at < CONTACT_TIMEOUT);
+        self.recent_refusals
             .lock()
-            .retain(|_, told_at| now - *told_at < LINE_PERIOD);
+            .retain(|_, (until, _)| now < *until);
+        self.last_logged
+            .lock()
+            .retain(|_, logged_at| now - *logged_at < LOG_PERIOD);
     }
 
-    /// Notes a refusal; writes a line where none did of late.
+    /// Counts a refusal, and logs it unless one was logged recently.
     pub(crate) fn note_refusal(
         &self,
         terms: &OrganisationTerms,
@@ -126,41 +127,41 @@
     ) {
         metrics::counter!("foxtide_quota_refusals_total", "cause" => refusal.cause.as_str())
             .increment(1);
-        let mut told = self.told.lock();
-        let told_at = told.get(&terms.organisation);
-        if told_at.is_none_or(|&told_at| now - told_at >= LINE_PERIOD) {
-            told.insert(terms.organisation.clone(), now);
+        let mut last_logged = self.last_logged.lock();
+        let logged_at = last_logged.get(&terms.organisation);
+        if logged_at.is_none_or(|&logged_at| now - logged_at >= LOG_PERIOD) {
+            last_logged.insert(terms.organisation.clone(), now);
             beliefs::quota_reached(terms, refusal);
         }
     }
 
-    /// Returns what a coordinator told that had no token a moment ago.
-    fn refusal_of(
+    /// Returns the retry delay of a recent refusal by a coordinator.
+    fn recent_refusal(
         &self,
         organisation: &OrganisationId,
         coordinator: SocketAddr,
         now: MonotonicTime,
     ) -> Option<Duration> {
-        let refusing = self.refusing.lock();
-        let (until, retry_after) = refusing.get(&(organisation.clone(), coordinator))?;
+        let recent_refusals = self.recent_refusals.lock();
+        let (until, retry_after) = recent_refusals.get(&(organisation.clone(), coordinator))?;
         (now < *until).then_some(*retry_after)
     }
 
-    /// Tells whether more than half of the region's instances, this one among them, were
-    /// heard of late.
-    fn hears_region(&self, neighbours: &[SocketAddr], now: MonotonicTime) -> bool {
-        let heard = self.heard.lock();
-        let is_heard = |address: &&SocketAddr| {
-            let heard_at = heard.get(*address);
-            heard_at.is_some_and(|&heard_at| now - heard_at < HEARD_TIME)
+    /// Tells whether more than half of the region's instances, including this one, are
+    /// reachable.
+    fn reaches_region_majority(&self, neighbours: &[SocketAddr], now: MonotonicTime) -> bool {
+        let last_contact = self.last_contact.lock();
+        let is_reachable = |address: &&SocketAddr| {
+            let contact_at = last_contact.get(*address);
+            contact_at.is_some_and(|&contact_at| now - contact_at < CONTACT_TIMEOUT)
         };
-        let heard = neighbours.iter().filter(is_heard).count();
-        (heard + 1) * 2 > neighbours.len() + 1
+        let reachable = neighbours.iter().filter(is_reachable).count();
+        (reachable + 1) * 2 > neighbours.len() + 1
     }
 }
 
-/// Returns the parts into which a quota is cut: one for each region that the settings
-/// name, also while its instances are out of sight. They may still hand out theirs.
+/// Returns the parts of a quota: one for each configured region, including regions out of
+/// contact, whose instances may still hand out theirs.
 fn parts<D: Dialect>(shared: &Shared<D>, state: &State, quota: Quota) -> QuotaParts {
     let regions = shared.options.place.regions_count();
     QuotaParts::new(quota, state.bounds().quota, regions)
