--- a/crates/foxtide-gateway/src/forward/run.rs
+++ b/crates/foxtide-gateway/src/forward/attempt_loop.rs
@@ -1,14 +1,14 @@
-//! The attempts of one request, until it has a reply.
+//! Makes attempts at a request until it has a reply.
 
 use super::attempt::{
     AttemptReport,
     attempt, //
 };
-use super::begun::Begun;
+use super::attempt_guard::AttemptGuard;
 use super::caller::CallerWatch;
-use super::order::Order;
-use super::placed::Placed;
 use super::request::CallerRequest;
+use super::route_match::RouteMatch;
+use super::target::Target;
 use crate::admission::{
     Slot,
     SlotAnswer, //
@@ -16,9 +16,9 @@
 use crate::dialect::Dialect;
 use crate::outcome::{
     AttemptEnd,
-    Inputs,
     Refusal,
-    Reply, //
+    Reply,
+    RequestTrace, //
 };
 use crate::poison::{
     self,
@@ -48,64 +48,62 @@
     Instant, //
 };
 
-/// The most upstreams that are tried in vain, where nothing was sent to them.
-const UNSENT_MAX: u32 = 4;
+/// The most failed attempts of which no byte was sent.
+const UNSENT_ATTEMPTS_MAX: u32 = 4;
 
-/// When a caller is told to come back where the request has not run and nothing
-/// is known of how long the upstream works on one.
+/// Retry-After of a request that did not run, if the latency of the upstream is unknown.
 pub(super) const RETRY_AFTER: Duration = Duration::from_millis(200);
 
-/// The bounds of when a caller is told to come back to an upstream that was
-/// full: a slot of it is free after about the time that a request takes.
+/// The bounds of Retry-After for a full upstream, whose next slot is free after about the
+/// latency of one request.
 const RETRY_AFTER_MIN: Duration = Duration::from_millis(100);
 const RETRY_AFTER_MAX: Duration = Duration::from_millis(1_000);
 
-/// Where the attempts of a request stand.
-pub(super) struct Run<'a, D> {
+/// The state of a request between its attempts.
+pub(super) struct AttemptLoop<'a, D> {
     pub(super) shared: &'a Arc<Shared<D>>,
     pub(super) request: &'a CallerRequest,
-    pub(super) order: &'a Order,
+    pub(super) route_match: &'a RouteMatch,
     pub(super) route: &'a Route,
-    /// The only regions that may serve it; empty: all.
+    /// The regions that may serve it; empty for all.
     pub(super) home_regions: Vec<RegionId>,
-    /// The identity of its content.
     pub(super) fingerprint: Fingerprint,
     /// How often it may be sent.
     pub(super) sending: Sending,
     pub(super) caller: &'a CallerWatch,
     pub(super) service: &'a ServiceId,
-    /// What decides the order of the upstreams; nothing where any will do.
+    /// The object that determines the order of upstreams; `None` if it has none.
     pub(super) object: Option<ObjectKey>,
     /// When the latency objective passes.
     pub(super) objective_at: Instant,
-    /// When the caller's or the route's limit passes.
-    pub(super) ends_at: Instant,
+    /// The earlier of the caller's and the route's time limit.
+    pub(super) deadline: Instant,
     pub(super) tried: Vec<UpstreamId>,
     /// Attempts of which some byte was sent.
-    pub(super) sent: u32,
+    pub(super) sent_attempts: u32,
     /// Attempts of which no byte was sent.
-    pub(super) unsent: u32,
-    /// The failure to report where no later attempt does better.
+    pub(super) unsent_attempts: u32,
+    /// The failure to report if no later attempt succeeds.
     pub(super) failure: Option<Reply>,
-    pub(super) inputs: Inputs,
+    pub(super) trace: RequestTrace,
 }
 
-/// Whether another attempt follows.
+/// What follows an attempt.
 enum Next {
     Reply(Reply),
-    Again,
+    Retry,
 }
 
-impl<'a, D: Dialect> Run<'a, D> {
-    /// Goes from attempt to attempt until there is a reply.
-    pub(super) async fn finish(&mut self) -> Reply {
+impl<'a, D: Dialect> AttemptLoop<'a, D> {
+    /// Makes attempts until there is a reply.
+    pub(super) async fn run(&mut self) -> Reply {
         loop {
-            let Placed { pick, slot } = match self.place().await {
-                Ok(placed) => placed,
+            let Target { pick, slot } = match self.acquire_target().await {
+                Ok(target) => target,
                 Err(reply) => return reply,
             };
             self.shared.catch_up().await;
-            if let Some(reply) = self.refused_meanwhile() {
+            if let Some(reply) = self.recheck() {
                 return reply;
             }
             let began_at = Instant::now();
@@ -127,12 +125,11 @@
             object: self.object,
             regions: &self.home_regions,
             tried: &self.tried,
-            is_relief: false,
+            requires_warm: false,
         })
     }
 
-    /// Picks the object's next upstream of the own region besides `own`, which stands there
-    /// as well. What a cold one may get is left to the objects that are its own.
+    /// Picks the object's next warm upstream of the own region besides `own`.
     pub(super) fn pick_neighbour(&self, own: &UpstreamId) -> Result<Pick, NoUpstream> {
         let tried: Vec<UpstreamId> = self.tried.iter().chain([own]).cloned().collect();
         self.shared.state.lock().pick(&PickRequest {
@@ -140,42 +137,41 @@
             object: self.object,
             regions: std::slice::from_ref(&self.shared.options.place.region),
             tried: &tried,
-            is_relief: true,
+            requires_warm: true,
         })
     }
 
-    /// Tells whether nothing was tried yet.
     pub(super) fn is_first_attempt(&self) -> bool {
         self.tried.is_empty()
     }
 
-    /// The reply where the upstream's slots are taken for longer than there is time.
+    /// Returns the reply if no slot becomes free before the deadline.
     pub(super) fn no_slot(&mut self, pick: &Pick, retry_after: Duration) -> Reply {
-        self.inputs.note(pick);
+        self.trace.record_attempt(pick);
         if self.failure.is_none() {
-            self.inputs.reason = "no_slot_in_time";
+            self.trace.reason = "no_slot_in_time";
         }
         let refused = Refusal::NotRun { retry_after };
         self.failure.clone().unwrap_or_else(|| refused.into())
     }
 
     async fn send(&self, pick: &Pick, mut slot: Option<Slot<'_>>) -> AttemptReport {
-        let begun = Begun::new(self.shared, &pick.registration);
+        let guard = AttemptGuard::new(self.shared, &pick.registration);
         let report = attempt(
             self.shared,
             self.request,
-            &self.order.caller,
+            &self.route_match.caller,
             &pick.registration,
             self.route.is_idempotent,
-            self.ends_at,
+            self.deadline,
         )
         .await;
         if report.has_ended {
             let upstream = &pick.registration.upstream;
-            let under_way = self.shared.state.lock().under_way(upstream);
-            poison::upstream_ended(self.shared, self.fingerprint, &pick.registration, under_way);
+            let in_flight = self.shared.state.lock().in_flight(upstream);
+            poison::upstream_ended(self.shared, self.fingerprint, &pick.registration, in_flight);
         }
-        begun.end(&report);
+        guard.end(&report);
         if let (Some(slot), AttemptResult::Answered { .. }) = (&mut slot, report.result) {
             slot.served();
         }
@@ -188,9 +184,9 @@
     fn conclude(&mut self, pick: &Pick, report: AttemptReport, took: Duration) -> Next {
         let upstream = pick.registration.upstream.clone();
         let journal = &self.shared.journal;
-        journal.attempt_failed(&self.inputs, pick, &report.end, took);
-        self.inputs.note(pick);
-        if !self.may_stay(&report.end) {
+        journal.attempt_failed(&self.trace, pick, &report.end, took);
+        self.trace.record_attempt(pick);
+        if !self.may_retry_same_upstream(&report.end) {
             self.tried.push(upstream);
         }
         match report.end {
@@ -198,87 +194,84 @@
             AttemptEnd::NotRun {
                 is_other_incarnation,
             } => {
-                self.sent += 1;
+                self.sent_attempts += 1;
                 if is_other_incarnation {
                     let mut state = self.shared.state.lock();
-                    state.address_taken(&pick.registration);
+                    state.note_address_reused(&pick.registration);
                 }
                 if self.failure.is_none() {
-                    self.inputs.reason = "upstream_refused";
+                    self.trace.reason = "upstream_refused";
                 }
-                self.again_or(self.not_run())
+                self.retry_or(self.not_run())
             }
             AttemptEnd::NotSent { .. } => {
-                self.unsent += 1;
-                self.inputs.reason = "upstreams_unreachable";
-                if self.unsent >= UNSENT_MAX {
+                self.unsent_attempts += 1;
+                self.trace.reason = "upstreams_unreachable";
+                if self.unsent_attempts >= UNSENT_ATTEMPTS_MAX {
                     return Next::Reply(self.not_run());
                 }
-                Next::Again
+                Next::Retry
             }
             AttemptEnd::Unknown { .. } => self.unknown(Refusal::Failed),
             AttemptEnd::TimedOut => {
-                self.sent += 1;
-                self.inputs.reason = "time_up_at_upstream";
+                self.sent_attempts += 1;
+                self.trace.reason = "time_up_at_upstream";
                 Next::Reply(Refusal::TimedOut.into())
             }
         }
     }
 
-    /// Tells whether the next attempt may go to the same upstream: it refused though
-    /// its coordinator had granted a slot, so that it is not full but turns away part
-    /// of its requests. There the object is known; at another one it takes three times
-    /// the work. That brings 0.007 of the worth of a day on which a service does so.
-    fn may_stay(&self, end: &AttemptEnd) -> bool {
+    /// Tells whether a retry may go to the same upstream: it refused although a slot was
+    /// granted, so it is not full, and it knows the object.
+    fn may_retry_same_upstream(&self, end: &AttemptEnd) -> bool {
         let is_refused = matches!(
             end,
             AttemptEnd::NotRun {
                 is_other_incarnation: false
             }
         );
-        is_refused && self.inputs.slot == SlotAnswer::Granted
+        is_refused && self.trace.slot == SlotAnswer::Granted
     }
 
-    /// A response is the reply, except a server error where another upstream
-    /// may do better.
+    /// Replies with the response, unless it is a server error and another attempt follows.
     fn responded(&mut self, response: Box<WholeResponse>) -> Next {
-        self.sent += 1;
+        self.sent_attempts += 1;
         let is_error = response.head.status >= 500;
         if is_error {
-            self.inputs.reason = "upstream_error";
+            self.trace.reason = "upstream_error";
         }
         let reply = Reply::Response(response);
         if !is_error || !self.route.is_idempotent {
             return Next::Reply(reply);
         }
         self.failure = Some(reply.clone());
-        self.again_or(reply)
+        self.retry_or(reply)
     }
 
-    /// The request may have run: only an idempotent one is sent again.
+    /// Handles a lost response: only an idempotent request is retried.
     fn unknown(&mut self, refusal: Refusal) -> Next {
-        self.sent += 1;
-        self.inputs.reason = "response_lost";
+        self.sent_attempts += 1;
+        self.trace.reason = "response_lost";
         let reply = Reply::from(refusal);
         if !self.route.is_idempotent {
             return Next::Reply(reply);
         }
         self.failure = Some(reply.clone());
-        self.again_or(reply)
+        self.retry_or(reply)
     }
 
-    /// Goes on where the route and the budget of repeats allow it.
-    fn again_or(&mut self, reply: Reply) -> Next {
-        let may_repeat = self.sent < self.route.attempts_max
-            && self.shared.state.lock().take_repeat(self.service);
-        if may_repeat {
-            Next::Again
+    /// Retries if the route and the retry budget allow it.
+    fn retry_or(&mut self, reply: Reply) -> Next {
+        let may_retry = self.sent_attempts < self.route.attempts_max
+            && self.shared.state.lock().take_retry(self.service);
+        if may_retry {
+            Next::Retry
         } else {
             Next::Reply(reply)
         }
     }
 
-    /// The reply where all attempts so far did not run.
+    /// Returns the reply if no attempt ran the request.
     fn not_run(&self) -> Reply {
         let not_run = Refusal::NotRun {
             retry_after: self.retry_after(),
@@ -286,7 +279,7 @@
         self.failure.clone().unwrap_or_else(|| not_run.into())
     }
 
-    /// Returns when the object's own upstream will have room again.
+    /// Estimates when the first upstream that was tried has a free slot.
     fn retry_after(&self) -> Duration {
         let own = self.tried.first();
         let state = self.shared.state.lock();
@@ -297,20 +290,20 @@
     }
 
     pub(super) fn no_upstream(&mut self, reason: NoUpstream) -> Reply {
-        // Where all were tried, why they did not serve it is the reason.
-        if reason != NoUpstream::AllTried || self.inputs.reason.is_empty() {
+        // If all upstreams were tried, the reason of the last failure stays.
+        if reason != NoUpstream::AllTried || self.trace.reason.is_empty() {
             let journal = &self.shared.journal;
             journal.no_upstream(self.request.id(), self.service, reason);
-            self.inputs.reason = reason.as_str();
+            self.trace.reason = reason.as_str();
         }
         self.not_run()
     }
 
-    /// The reply where time is up between attempts.
+    /// Returns the reply if the deadline passes between attempts.
     pub(super) fn out_of_time(&mut self) -> Reply {
-        // What failed before is the reply, and its reason stays.
+        // An earlier failure is the reply, and its reason stays.
         if self.failure.is_none() {
-            self.inputs.reason = "time_up_before_sending";
+            self.trace.reason = "time_up_before_sending";
         }
         self.not_run()
     }
--- a/crates/foxtide-gateway/src/quotas/ask.rs
+++ b/crates/foxtide-gateway/src/quotas/ask.rs
@@ -1,6 +1,6 @@
 //! Asks the coordinators of a quota for tokens.
 
-use super::answer::coordinate;
+use super::answer::answer_locally;
 use super::{
     QuotaCause,
     QuotaRefusal,
@@ -25,33 +25,32 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// How long a coordinator of another region may take to answer: a round trip between the
-/// regions that are furthest apart is 110 ms.
-const ANSWER_TIME_FAR: Duration = Duration::from_millis(250);
+/// Answer timeout of a coordinator in another region; the longest round trip is 110 ms.
+const ANSWER_TIMEOUT_OTHER_REGION: Duration = Duration::from_millis(250);
 
-/// How often a coordinator of the own region is asked before it counts as silent: single
-/// datagrams are lost, and a silent one is not asked again for half a second.
-const QUESTIONS_NEAR: u32 = 2;
+/// How often a coordinator of the own region is asked before it counts as unresponsive: single
+/// datagrams are lost.
+const QUESTIONS_OWN_REGION: u32 = 2;
 
-/// For how long a coordinator of another region is not asked again that had no token: its
-/// part fills up slowly, and each question in vain delays the refusal by a round trip.
-const REFUSAL_TIME: Duration = Duration::from_millis(150);
+/// How long a refusal by a coordinator of another region is reused: each further question would
+/// delay the refusal by a round trip.
+const REFUSAL_TTL: Duration = Duration::from_millis(150);
 
-/// When a caller is told to come back where no coordinator tells.
+/// Retry-After if no coordinator states one.
 const RETRY_AFTER: Duration = Duration::from_millis(500);
 
 /// An instance that hands out a quota.
 #[derive(Clone, Copy, Debug)]
 struct Source {
     address: SocketAddr,
-    is_near: bool,
+    is_own_region: bool,
 }
 
 /// Takes a token of an organisation's quota for one request.
 ///
 /// # Errors
 ///
-/// Fails where the quota has no room for it, or nobody who could tell answers.
+/// Fails if the quota is used up, or if coordinators do not answer and no spare token is left.
 pub(crate) async fn take_token<D: Dialect>(
     shared: &Shared<D>,
     organisation: &OrganisationId,
@@ -60,9 +59,9 @@
 ) -> Result<(), QuotaRefusal> {
     let now = shared.clock.now();
     let (has_token, wanted) = {
-        let mut stocks = shared.quotas.stocks.lock();
-        let stock = stocks.entry(organisation.clone()).or_default();
-        (stock.take(now), stock.wanted())
+        let mut local_tokens = shared.quotas.local_tokens.lock();
+        let local = local_tokens.entry(organisation.clone()).or_default();
+        (local.take(now), local.wanted())
     };
     if has_token {
         return Ok(());
@@ -72,47 +71,47 @@
         priority,
         wanted,
     };
-    // One after the other: a token of each, of which one is used, would leave small
-    // quotas short.
-    let mut tally = Tally::default();
+    // Sequential: asking all at once would take several tokens for one request from small
+    // quotas.
+    let mut answers = CoordinatorAnswers::default();
     for source in sources(shared, organisation) {
         let answer = ask(shared, source, &question).await;
         if let QuotaAnswer::Granted { tokens } = answer {
-            let mut stocks = shared.quotas.stocks.lock();
-            let stock = stocks.entry(organisation.clone()).or_default();
-            stock.put(tokens - 1, now);
+            let mut local_tokens = shared.quotas.local_tokens.lock();
+            let local = local_tokens.entry(organisation.clone()).or_default();
+            local.put(tokens - 1, now);
             return Ok(());
         }
-        tally.take_in(answer);
+        answers.add(answer);
     }
-    if tally.is_silent && take_spare(shared, organisation, quota) {
+    if answers.has_unanswered && take_spare(shared, organisation, quota) {
         return Ok(());
     }
-    Err(tally.refusal())
+    Err(answers.refusal())
 }
 
-/// What the coordinators of a quota have said that granted nothing.
+/// The answers of coordinators that granted no token.
 #[derive(Debug, Default)]
-struct Tally {
+struct CoordinatorAnswers {
     retry_after: Option<Duration>,
-    is_silent: bool,
+    has_unanswered: bool,
 }
 
-impl Tally {
-    fn take_in(&mut self, answer: QuotaAnswer) {
+impl CoordinatorAnswers {
+    fn add(&mut self, answer: QuotaAnswer) {
         match answer {
             QuotaAnswer::Refused { retry_after } => {
                 let earliest = self.retry_after.unwrap_or(retry_after);
                 self.retry_after = Some(earliest.min(retry_after));
             }
-            QuotaAnswer::NotCoordinator | QuotaAnswer::Granted { .. } => self.is_silent = true,
+            QuotaAnswer::NotCoordinator | QuotaAnswer::Granted { .. } => self.has_unanswered = true,
         }
     }
 
     fn refusal(&self) -> QuotaRefusal {
         QuotaRefusal {
             retry_after: self.retry_after.unwrap_or(RETRY_AFTER),
-            cause: if self.is_silent {
+            cause: if self.has_unanswered {
                 QuotaCause::CoordinatorSilent
             } else {
                 QuotaCause::UsedUp
@@ -127,25 +126,28 @@
     let coordinators = state.members().quota_coordinators(organisation, own);
     let source = |member: &&Member| Source {
         address: member.datagram_address,
-        is_near: member.region == *own,
+        is_own_region: member.region == *own,
     };
     coordinators.iter().map(source).collect()
 }
 
-/// Asks one coordinator; one that does not answer hands out nothing.
+/// Asks one coordinator and counts its answer.
 async fn ask<D: Dialect>(
     shared: &Shared<D>,
     source: Source,
     question: &QuotaRequest,
 ) -> QuotaAnswer {
     let answer = ask_source(shared, source, question).await;
-    let (kind, place) = (kind(answer), if source.is_near { "near" } else { "far" });
-    metrics::counter!("foxtide_quota_answers_total", "answer" => kind, "place" => place)
+    let (answer_label, place) = (
+        answer_label(answer),
+        if source.is_own_region { "near" } else { "far" },
+    );
+    metrics::counter!("foxtide_quota_answers_total", "answer" => answer_label, "place" => place)
         .increment(1);
     answer.unwrap_or(QuotaAnswer::NotCoordinator)
 }
 
-fn kind(answer: Option<QuotaAnswer>) -> &'static str {
+fn answer_label(answer: Option<QuotaAnswer>) -> &'static str {
     match answer {
         Some(QuotaAnswer::Granted { .. }) => "granted",
         Some(QuotaAnswer::Refused { .. }) => "refused",
@@ -162,34 +164,37 @@
     let quotas = &shared.quotas;
     let admission = &shared.admission;
     if source.address == admission.address() {
-        return Some(coordinate(shared, question));
+        return Some(answer_locally(shared, question));
     }
-    if admission.is_silent(source.address) {
+    if admission.is_unresponsive(source.address) {
         return None;
     }
     let now = shared.clock.now();
-    if let Some(retry_after) = quotas.refusal_of(&question.organisation, source.address, now) {
+    if let Some(retry_after) = quotas.recent_refusal(&question.organisation, source.address, now) {
         return Some(QuotaAnswer::Refused { retry_after });
     }
-    let (times, time) = if source.is_near {
-        (QUESTIONS_NEAR, admission.answer_time())
+    let (times, time) = if source.is_own_region {
+        (QUESTIONS_OWN_REGION, admission.answer_time())
     } else {
-        (1, ANSWER_TIME_FAR)
+        (1, ANSWER_TIMEOUT_OTHER_REGION)
     };
     let answer = exchange(shared, source.address, question, times, time).await;
     match answer {
-        None => admission.note_silent(source.address),
-        Some(QuotaAnswer::Refused { retry_after }) if !source.is_near => {
-            let until = shared.clock.now() + REFUSAL_TIME;
+        None => admission.mark_unresponsive(source.address),
+        Some(QuotaAnswer::Refused { retry_after }) if !source.is_own_region => {
+            let until = shared.clock.now() + REFUSAL_TTL;
             let key = (question.organisation.clone(), source.address);
-            quotas.refusing.lock().insert(key, (until, retry_after));
+            quotas
+                .recent_refusals
+                .lock()
+                .insert(key, (until, retry_after));
         }
         Some(_) => {}
     }
     answer
 }
 
-/// Sends a question until it is answered, but no more than `times`.
+/// Sends a question until it is answered, at most `times` times.
 async fn exchange<D: Dialect>(
     shared: &Shared<D>,
     coordinator: SocketAddr,
@@ -197,7 +202,7 @@
     times: u32,
     time: Duration,
 ) -> Option<QuotaAnswer> {
-    let number = shared.admission.number();
+    let number = shared.admission.next_question_number();
     let (answered, answers) = bounded(1);
     let _pending = Pending::new(shared, number, answered);
     let datagram = Datagram::quota_question(number, question);
@@ -215,7 +220,7 @@
     None
 }
 
-/// A question that waits for its answer until this is dropped.
+/// An unanswered question; dropping it stops the wait for the answer.
 struct Pending<'a, D> {
     shared: &'a Shared<D>,
     number: u64,
