--- a/crates/foxtide-events/src/recorder.rs
+++ b/crates/foxtide-events/src/recorder.rs
@@ -154,7 +154,7 @@
         self.shared.state.lock().ring.select(filter)
     }
 
-    /// Returns the oldest `limit` events above [`Level::Debug`] recorded after
+    /// Returns the oldest `limit` events above debug level recorded after
     /// `sequence`, for copying to peers.
     pub fn notable_after(&self, sequence: u64, limit: usize) -> Vec<RingEntry> {
         let state = self.shared.state.lock();
--- a/crates/foxtide-events/tests/log_lines.rs
+++ b/crates/foxtide-events/tests/log_lines.rs
@@ -2,7 +2,7 @@
 
 use foxtide_core::time::MonotonicTime;
 use foxtide_events::{
-    LineKind, //
+    LineKind,
     LogRateLimiter,
     SuppressedLines, //
 };
--- a/crates/foxtide-mesh/src/wire/load/read.rs
+++ b/crates/foxtide-mesh/src/wire/load/read.rs
@@ -3,8 +3,8 @@
 use super::{
     Load,
     Record,
-    SHARE_SCALE, //
-    Service,     //
+    SHARE_SCALE,
+    Service, //
 };
 use crate::wire::invalid_message::InvalidMessage;
 use foxtide_core::ids::{
--- a/crates/foxtide-mesh/src/wire/load/write.rs
+++ b/crates/foxtide-mesh/src/wire/load/write.rs
@@ -4,8 +4,8 @@
     Foreign,
     Load,
     Record,
-    SHARE_SCALE, //
-    Service,     //
+    SHARE_SCALE,
+    Service, //
 };
 use foxtide_core::ids::{
     RegionId,
