--- a/crates/foxtide-events/src/lib.rs
+++ b/crates/foxtide-events/src/lib.rs
@@ -1,27 +1,27 @@
-//! The recorder of events that all parts of a process share.
+//! Event recording, structured logging and the explain log of a process.
 //!
-//! The parts in `foxtide_core::events` are pure; this crate adds the clock,
-//! the lock and the log, which the core must not have.
+//! `foxtide_core::events` is free of I/O; this crate adds clocks, locks and
+//! log output.
 //!
-//! Public: [`Recorder`], [`RecorderOptions`], [`WallClock`], [`Explainer`],
-//! [`TimeLine`], [`TimeLineOptions`]; for structured lines [`log_event!`],
-//! [`LineBudget`], [`LineKind`], [`LeftOut`].
+//! Public items: [`Recorder`], [`RecorderOptions`], [`WallClock`], [`Explainer`],
+//! [`TimeLine`], [`TimeLineOptions`]; for structured log lines [`log_event!`],
+//! [`LogRateLimiter`], [`LineKind`], [`SuppressedLines`].
 
 mod explainer;
-mod lines;
+mod log_lines;
 mod recorder;
 mod time_line;
-mod wall;
+mod wall_clock;
 
 pub use explainer::Explainer;
 pub use foxtide_core::events::EventCode;
-pub use lines::{
-    LeftOut,
-    LineBudget,
+pub use log_lines::{
     LineKind,
+    LogRateLimiter,
+    SuppressedLines,
     log_level, //
 };
-// `log_event!` expands to it in other packages.
+// Used by the expansion of `log_event!` in other crates.
 #[doc(hidden)]
 pub use log;
 pub use recorder::{
@@ -32,4 +32,4 @@
     TimeLine,
     TimeLineOptions, //
 };
-pub use wall::WallClock;
+pub use wall_clock::WallClock;
--- a/crates/foxtide-mesh/src/datagrams.rs
+++ b/crates/foxtide-mesh/src/datagrams.rs
@@ -1,14 +1,14 @@
-//! Receiving datagrams and stepping the protocol.
+//! Receives datagrams and advances the protocol timers.
 
 use crate::shared::{
     Shared,
-    carry_out, //
+    apply_outputs, //
 };
 use crate::traffic::Rejection;
 use crate::wire::datagram::Body;
 use crate::wire::{
     Datagram,
-    Unreadable,
+    InvalidMessage,
     read_datagram,
     read_load, //
 };
@@ -25,78 +25,77 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Room for a datagram; of a larger one than ours the rest is cut off, so that
-/// it cannot be read.
-const BUFFER_BYTES: usize = 2_048;
+/// Larger than any valid datagram; a longer one is truncated and fails to decode.
+const RECEIVE_BUFFER_BYTES: usize = 2_048;
 
-/// Wait after a failed read, so that a broken socket does not spin.
-const FAILURE_PAUSE: Duration = Duration::from_millis(20);
+/// Delay after a failed read, to avoid a busy loop on a broken socket.
+const ERROR_BACKOFF: Duration = Duration::from_millis(20);
 
-/// Receives datagrams for as long as the task lives.
+/// Receives datagrams until the task is cancelled.
 pub(crate) async fn receive(shared: Arc<Shared>) {
-    let mut buffer = vec![0; BUFFER_BYTES];
+    let mut buffer = vec![0; RECEIVE_BUFFER_BYTES];
     loop {
         match shared.socket.recv_from(&mut buffer).await {
             Ok((size_bytes, from)) => {
                 shared.traffic.received_datagram(size_bytes);
-                take_in(&shared, from, &buffer[..size_bytes]);
+                handle_datagram(&shared, from, &buffer[..size_bytes]);
             }
             Err(error) => {
-                log::debug!("receive at {}: {error}", shared.address);
-                smol::Timer::after(FAILURE_PAUSE).await;
+                log::debug!("receive failed on {}: {error}", shared.address);
+                smol::Timer::after(ERROR_BACKOFF).await;
             }
         }
     }
 }
 
-fn take_in(shared: &Arc<Shared>, from: SocketAddr, bytes: &[u8]) {
-    match admit(shared, bytes) {
+fn handle_datagram(shared: &Arc<Shared>, from: SocketAddr, bytes: &[u8]) {
+    match decode_datagram(shared, bytes) {
         Ok((sender, Content::Load(message))) => load::receive(shared, &sender, message),
         Ok((sender, Content::Packet(packet))) => {
             let now = shared.now();
             let mut state = shared.state.lock();
             let outputs = state.membership.receive(&sender, from, packet, now);
             drop(state);
-            carry_out(shared, outputs);
+            apply_outputs(shared, outputs);
         }
         Err(rejection) => shared.reject(from, rejection),
     }
 }
 
-/// What a datagram holds.
+/// The decoded body of a datagram.
 enum Content {
     Packet(Packet),
     Load(LoadMessage),
 }
 
-/// Reads a datagram and checks that it is to be taken in.
-fn admit(shared: &Shared, bytes: &[u8]) -> Result<(InstanceId, Content), Rejection> {
+/// Decodes a datagram and validates its header.
+fn decode_datagram(shared: &Shared, bytes: &[u8]) -> Result<(InstanceId, Content), Rejection> {
     let datagram = Datagram::decode(bytes).map_err(|_| Rejection::Malformed)?;
     let header = datagram.header.clone().ok_or(Rejection::Malformed)?;
-    shared.state.lock().guard.check(&header)?;
+    shared.state.lock().validator.check(&header)?;
     let sender = header.sender.parse().map_err(|_| Rejection::Malformed)?;
     let content = read(datagram).map_err(|_| Rejection::Malformed)?;
-    shared.state.lock().guard.check_once(&header)?;
+    shared.state.lock().validator.check_once(&header)?;
     shared.observe_clock(&header);
     Ok((sender, content))
 }
 
-fn read(datagram: Datagram) -> Result<Content, Unreadable> {
+fn read(datagram: Datagram) -> Result<Content, InvalidMessage> {
     if let Some(Body::Load(load)) = &datagram.body {
         return read_load(load).map(Content::Load);
     }
     read_datagram(datagram).map(Content::Packet)
 }
 
-/// Steps the protocol for as long as the task lives.
+/// Advances the protocols once per tick until the task is cancelled.
 pub(crate) async fn tick(shared: Arc<Shared>) {
     loop {
         smol::Timer::after(shared.options.tick_interval).await;
         let now = shared.now();
         let outputs = shared.state.lock().membership.tick(now);
-        carry_out(&shared, outputs);
+        apply_outputs(&shared, outputs);
         documents::start_fetches(&shared);
         load::tick(&shared);
-        join::tidy(&shared);
+        join::prune(&shared);
     }
 }
--- a/crates/foxtide-mesh/src/documents.rs
+++ b/crates/foxtide-mesh/src/documents.rs
@@ -1,4 +1,4 @@
-//! Publishing documents and fetching those that peers announce.
+//! Publishes configuration documents and fetches those that peers announce.
 
 use crate::errors::{
     Error,
@@ -6,7 +6,7 @@
 };
 use crate::shared::{
     Shared,
-    carry_out, //
+    apply_outputs, //
 };
 use crate::streams;
 use crate::wire::{
@@ -26,9 +26,9 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// Takes a document in where it is newer than the one held, and tells peers
-/// and the program; returns whether it was newer.
-pub(crate) fn accept(shared: &Arc<Shared>, document: &Document) -> bool {
+/// Stores a document if it is newer than the stored one, then announces it to
+/// peers and subscribers; returns whether it was newer.
+pub(crate) fn apply_document(shared: &Arc<Shared>, document: &Document) -> bool {
     let announcement = document.announcement();
     let now = shared.now();
     let mut state = shared.state.lock();
@@ -40,17 +40,17 @@
     state.membership.set_configuration_hash(hash);
     let rumour = Rumour::Configuration(announcement);
     let outputs = state.membership.spread(rumour, now);
-    // Under the state's lock, so that subscribers see revisions in order.
+    // Under the state lock, so that subscribers see revisions in order.
     let mut subscribers = shared.subscribers.lock();
     subscribers.retain(|subscriber| subscriber.try_send(document.clone()).is_ok());
     drop(subscribers);
     drop(state);
-    carry_out(shared, outputs);
+    apply_outputs(shared, outputs);
     true
 }
 
-/// Notes that a peer holds a revision, and fetches it where it is newer.
-pub(crate) fn announced(shared: &Arc<Shared>, announcement: &Announcement, by: SocketAddr) {
+/// Schedules a fetch of a revision that a peer announced, if it is newer.
+pub(crate) fn fetch_if_newer(shared: &Arc<Shared>, announcement: &Announcement, by: SocketAddr) {
     let mut state = shared.state.lock();
     if !state.configurations.wants(announcement) {
         return;
@@ -66,24 +66,27 @@
     let due = shared.state.lock().fetches.due(now);
     for fetch in due {
         let shared = shared.clone();
-        smol::spawn(async move { carry_through(&shared, &fetch).await }).detach();
+        smol::spawn(async move { run_fetch(&shared, &fetch).await }).detach();
     }
 }
 
-async fn carry_through(shared: &Arc<Shared>, fetch: &Fetch) {
-    match ask(shared, fetch).await {
+async fn run_fetch(shared: &Arc<Shared>, fetch: &Fetch) {
+    match fetch_document(shared, fetch).await {
         Ok(document) => {
-            accept(shared, &document);
+            apply_document(shared, &document);
         }
         Err(error) => {
-            log::debug!("fetch {}: {error}", fetch.announcement.organisation);
+            log::debug!(
+                "fetching the configuration of {} failed: {error}",
+                fetch.announcement.organisation
+            );
             let now = shared.now();
             shared.state.lock().fetches.failed(fetch, now);
         }
     }
 }
 
-async fn ask(shared: &Shared, fetch: &Fetch) -> Result<Document> {
+async fn fetch_document(shared: &Shared, fetch: &Fetch) -> Result<Document> {
     let Announcement {
         organisation,
         revision,
@@ -91,21 +94,21 @@
     let request = request::Body::Fetch(FetchRequest {
         organisation: organisation.to_string(),
     });
-    let limit = shared.options.exchange_timeout;
-    let answer = streams::ask(shared, fetch.from, request, limit).await?;
-    let response::Body::Document(document) = answer else {
-        return Err(Error::answer(fetch.from, "not a document"));
+    let timeout = shared.options.exchange_timeout;
+    let response = streams::send_request(shared, fetch.from, request, timeout).await?;
+    let response::Body::Document(document) = response else {
+        return Err(Error::invalid(fetch.from, "not a document"));
     };
     let document = read_document(document);
-    let document = document.map_err(|_| Error::answer(fetch.from, "unreadable document"))?;
+    let document = document.map_err(|_| Error::invalid(fetch.from, "malformed document"))?;
     if document.organisation != *organisation || document.revision < *revision {
-        return Err(Error::answer(fetch.from, "another document than announced"));
+        return Err(Error::invalid(fetch.from, "not the announced document"));
     }
     Ok(document)
 }
 
-/// Answers a peer that fetches a document.
-pub(crate) fn answer(shared: &Shared, fetch: &FetchRequest) -> Option<response::Body> {
+/// Returns the document that a peer requests.
+pub(crate) fn handle_fetch(shared: &Shared, fetch: &FetchRequest) -> Option<response::Body> {
     let organisation = fetch.organisation.parse().ok()?;
     let state = shared.state.lock();
     let document = state.configurations.get(&organisation)?.clone();
--- a/crates/foxtide-mesh/src/join.rs
+++ b/crates/foxtide-mesh/src/join.rs
@@ -1,4 +1,4 @@
-//! Joining the fleet, and exchanging all that is known with one peer.
+//! Joins the fleet and synchronises full state with single peers.
 
 use crate::errors::{
     Error,
@@ -7,7 +7,7 @@
 use crate::shared::{
     Shared,
     State,
-    carry_out, //
+    apply_outputs, //
 };
 use crate::wire::{
     Snapshot,
@@ -30,67 +30,69 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Shortest time between two exchanges with the same peer.
+/// Minimum time between two exchanges with the same peer.
 const EXCHANGE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Wait between two attempts to find the fleet.
-const ALONE_INTERVAL: Duration = Duration::from_secs(1);
+/// Delay between attempts to join while no peer responds.
+const JOIN_RETRY_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Wait between two attempts to reach a seed that is no member.
-const HINT_INTERVAL: Duration = Duration::from_secs(5);
+/// Interval between attempts to reach a seed that is no known member.
+const UNKNOWN_SEED_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Wait between two looks at whether all documents have arrived.
-const ARRIVAL_INTERVAL: Duration = Duration::from_millis(20);
+/// Polling interval while fetches are in progress.
+const FETCH_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Senders that are no members of which packet numbers are kept.
-const SENDERS_SPARE: usize = 64;
+/// Allowance for replay windows of senders that are no members.
+const NON_MEMBER_SENDERS_MAX: usize = 64;
 
-/// Seeds tried at once.
-const SEEDS_AT_ONCE: usize = 8;
+/// Number of seeds contacted concurrently.
+const SEED_BATCH_SIZE: usize = 8;
 
-/// How far an instance has come in taking over what its peers know.
+/// Progress of synchronising with peers after the start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Synchronisation {
-    /// It is still asking.
+    /// The first exchange with peers is in progress.
     Joining,
-    /// No peer answered; only the store can tell the configuration.
-    Alone,
-    /// It holds the newest that so many peers know.
+    /// No peer responded; the configuration can only come from the store.
+    NoPeers,
+    /// The state of this many peers has been merged.
     WithPeers(usize),
 }
 
-/// Joins the fleet, and keeps looking for parts of it that are not known.
+/// Joins the fleet, then keeps contacting seeds that are no known members, so
+/// that separated parts of the fleet merge.
 pub(crate) async fn run(shared: Arc<Shared>) {
     loop {
-        let peers = ask_seeds(&shared).await;
+        let peers = exchange_with_seeds(&shared).await;
         if peers > 0 || has_peers(&shared) {
-            arrive(&shared, peers).await;
+            wait_for_fetches(&shared, peers).await;
             break;
         }
-        shared.state.lock().synchronisation = Synchronisation::Alone;
-        smol::Timer::after(ALONE_INTERVAL).await;
+        shared.state.lock().synchronisation = Synchronisation::NoPeers;
+        smol::Timer::after(JOIN_RETRY_INTERVAL).await;
     }
     loop {
-        smol::Timer::after(HINT_INTERVAL).await;
+        smol::Timer::after(UNKNOWN_SEED_INTERVAL).await;
         if let Some(seed) = unknown_seed(&shared) {
-            exchange_soon(&shared, seed);
+            start_exchange(&shared, seed);
         }
     }
 }
 
-/// Exchanges with as many seeds as are wanted; returns how many answered.
-async fn ask_seeds(shared: &Arc<Shared>) -> usize {
+/// Exchanges state with seeds until `join_peers` of them have responded; returns
+/// how many did.
+async fn exchange_with_seeds(shared: &Arc<Shared>) -> usize {
     let seeds = shuffled_seeds(shared);
-    let mut answered = 0;
-    for batch in seeds.chunks(SEEDS_AT_ONCE) {
+    let mut responses = 0;
+    for batch in seeds.chunks(SEED_BATCH_SIZE) {
         let exchanges = batch.iter().map(|seed| exchange(shared, *seed));
         let results = join_all(exchanges).await;
-        answered += results.iter().filter(|result| result.is_ok()).count();
-        if answered >= shared.options.join_peers {
+        responses += results.iter().filter(|result| result.is_ok()).count();
+        if responses >= shared.options.join_peers {
             break;
         }
     }
-    answered
+    responses
 }
 
 fn shuffled_seeds(shared: &Shared) -> Vec<SocketAddr> {
@@ -105,15 +107,15 @@
     shared.state.lock().membership.members().count() > 1
 }
 
-/// Waits until every document that peers announced is held.
-async fn arrive(shared: &Arc<Shared>, peers: usize) {
+/// Waits until every announced document has been fetched.
+async fn wait_for_fetches(shared: &Arc<Shared>, peers: usize) {
     while !shared.state.lock().fetches.is_empty() {
-        smol::Timer::after(ARRIVAL_INTERVAL).await;
+        smol::Timer::after(FETCH_POLL_INTERVAL).await;
     }
     shared.state.lock().synchronisation = Synchronisation::WithPeers(peers.max(1));
 }
 
-/// Returns a seed that is the address of no member.
+/// Returns a random seed that is not the address of a known member.
 fn unknown_seed(shared: &Shared) -> Option<SocketAddr> {
     let mut state = shared.state.lock();
     let State {
@@ -130,8 +132,8 @@
     unknown.choose(rng)
 }
 
-/// Starts an exchange with a peer, unless there was one just now.
-pub(crate) fn exchange_soon(shared: &Arc<Shared>, peer: SocketAddr) {
+/// Starts an exchange with a peer, unless one started within [`EXCHANGE_INTERVAL`].
+pub(crate) fn start_exchange(shared: &Arc<Shared>, peer: SocketAddr) {
     let now = shared.now();
     let mut state = shared.state.lock();
     let last = state.exchanged_at.get(&peer);
@@ -143,38 +145,38 @@
     let shared = shared.clone();
     smol::spawn(async move {
         if let Err(error) = exchange(&shared, peer).await {
-            log::debug!("{error}");
+            log::debug!("state exchange failed: {error}");
         }
     })
     .detach();
 }
 
-/// Exchanges all that is known with a peer.
+/// Exchanges full state with a peer.
 async fn exchange(shared: &Arc<Shared>, peer: SocketAddr) -> Result<()> {
-    let ours = snapshot(shared);
-    let limit = shared.options.exchange_timeout;
-    let request = request::Body::Synchronise(ours);
-    match streams::ask(shared, peer, request, limit).await? {
-        response::Body::Synchronise(theirs) => {
-            merge(shared, &theirs, Some(peer));
+    let local = snapshot(shared);
+    let timeout = shared.options.exchange_timeout;
+    let request = request::Body::Synchronise(local);
+    match streams::send_request(shared, peer, request, timeout).await? {
+        response::Body::Synchronise(remote) => {
+            merge(shared, &remote, Some(peer));
             Ok(())
         }
-        _ => Err(Error::answer(peer, "not a snapshot")),
+        _ => Err(Error::invalid(peer, "not a snapshot")),
     }
 }
 
-/// Answers a peer that wants to exchange all that is known.
-pub(crate) fn answer(
+/// Merges a peer's snapshot and returns that of this instance.
+pub(crate) fn handle_synchronise(
     shared: &Arc<Shared>,
     sender: &str,
-    theirs: &Snapshot,
+    remote: &Snapshot,
 ) -> Option<response::Body> {
-    let ours = snapshot(shared);
-    merge(shared, theirs, address_in(theirs, sender));
-    Some(response::Body::Synchronise(ours))
+    let local = snapshot(shared);
+    merge(shared, remote, address_in(remote, sender));
+    Some(response::Body::Synchronise(local))
 }
 
-/// Returns where the sender of a snapshot says that it listens.
+/// Returns the peer address that the sender of a snapshot lists for itself.
 fn address_in(snapshot: &Snapshot, sender: &str) -> Option<SocketAddr> {
     let mut members = snapshot.members.iter();
     let own = members.find(|member| member.instance == sender)?;
@@ -192,42 +194,43 @@
     }
 }
 
-/// Takes in what a peer knows; its documents only where it can be asked for
-/// them at a known address.
-fn merge(shared: &Arc<Shared>, theirs: &Snapshot, peer: Option<SocketAddr>) {
-    // A member that cannot be read does not spoil the rest.
-    let members = theirs.members.iter();
+/// Merges a peer's snapshot; documents are fetched only if its address is known.
+fn merge(shared: &Arc<Shared>, remote: &Snapshot, peer: Option<SocketAddr>) {
+    // A member that cannot be decoded does not invalidate the snapshot.
+    let members = remote.members.iter();
     let members: Vec<_> = members
         .filter_map(|member| read_member(member).ok())
         .collect();
     let now = shared.now();
     let outputs = shared.state.lock().membership.merge(members, now);
-    carry_out(shared, outputs);
-    if let Some(theirs) = &theirs.load {
-        load::merge(shared, theirs);
+    apply_outputs(shared, outputs);
+    if let Some(remote) = &remote.load {
+        load::merge(shared, remote);
     }
     let Some(peer) = peer else {
         return;
     };
-    for announcement in &theirs.announcements {
+    for announcement in &remote.announcements {
         if let Ok(announcement) = Announcement::try_from(announcement) {
-            documents::announced(shared, &announcement, peer);
+            documents::fetch_if_newer(shared, &announcement, peer);
         }
     }
 }
 
-/// Forgets what is kept of peers that are gone.
-pub(crate) fn tidy(shared: &Shared) {
+/// Removes expired exchange times and the replay windows of non-members.
+pub(crate) fn prune(shared: &Shared) {
     let now = shared.now();
     let mut state = shared.state.lock();
     state
         .exchanged_at
         .retain(|_, last| now - *last < EXCHANGE_INTERVAL);
     let State {
-        membership, guard, ..
+        membership,
+        validator,
+        ..
     } = &mut *state;
-    if guard.senders() > SENDERS_SPARE + 2 * membership.members().count() {
-        guard.retain(|sender| {
+    if validator.sender_count() > NON_MEMBER_SENDERS_MAX + 2 * membership.members().count() {
+        validator.retain(|sender| {
             let sender = sender.parse().ok();
             sender.is_some_and(|sender| membership.member(&sender).is_some())
         });
--- a/crates/foxtide-mesh/src/shared.rs
+++ b/crates/foxtide-mesh/src/shared.rs
@@ -1,12 +1,12 @@
-//! What the tasks of one instance share.
+//! State shared by the tasks of one instance.
 //!
-//! Lock order: `state`, `subscribers`, then the recorder's own; none is held over an await
-//! or while a socket is used.
+//! Lock order: `state`, `subscribers`, then the recorder's own. No lock is held
+//! across an await or during socket I/O.
 
 use crate::calls::IncomingCall;
 use crate::documents;
-use crate::guard::{
-    Guard,
+use crate::header_validator::{
+    HeaderValidator,
     MINIMUM_VERSION,
     VERSION,
     cluster_id, //
@@ -75,22 +75,22 @@
     Ordering, //
 };
 
-/// What one instance knows.
+/// Protocol state of one instance.
 #[derive(Debug)]
 pub(crate) struct State {
     pub(crate) membership: Membership,
     pub(crate) configurations: ConfigurationTable,
     pub(crate) fetches: FetchQueue,
     pub(crate) load: LoadSpreader,
-    pub(crate) guard: Guard,
+    pub(crate) validator: HeaderValidator,
     pub(crate) rng: StdRng,
     pub(crate) seeds: BTreeSet<SocketAddr>,
     pub(crate) synchronisation: Synchronisation,
-    /// When each peer was last asked for all it knows.
+    /// Start of the last full exchange with each peer.
     pub(crate) exchanged_at: HashMap<SocketAddr, MonotonicTime>,
 }
 
-/// What the tasks of one instance share.
+/// State shared by the tasks of one instance.
 #[derive(Debug)]
 pub(crate) struct Shared {
     pub(crate) options: MeshOptions,
@@ -105,15 +105,13 @@
     sequence: AtomicU64,
 }
 
-/// Returns a seed that differs between instances.
 fn random_seed() -> u64 {
-    // Without the system's randomness all instances make the same choices,
-    // which costs speed alone.
+    // A constant seed makes instances choose alike, which is slower but correct.
     SysRng.try_next_u64().unwrap_or_default()
 }
 
-/// Calls that wait to be taken by the program that uses the mesh.
-const CALLS_MAX: usize = 1_024;
+/// Incoming calls queued for the application.
+const CALL_QUEUE_CAPACITY: usize = 1_024;
 
 impl Shared {
     pub(crate) fn new(
@@ -133,7 +131,7 @@
             configurations: ConfigurationTable::default(),
             fetches: FetchQueue::default(),
             load,
-            guard: Guard::new(cluster_id(&options.cluster)),
+            validator: HeaderValidator::new(cluster_id(&options.cluster)),
             rng: StdRng::seed_from_u64(seed),
             seeds: seeds.iter().copied().collect(),
             synchronisation: Synchronisation::Joining,
@@ -146,14 +144,13 @@
             socket,
             state: Mutex::new(state),
             subscribers: Mutex::default(),
-            calls: smol::channel::bounded(CALLS_MAX),
+            calls: smol::channel::bounded(CALL_QUEUE_CAPACITY),
             traffic: Traffic::default(),
             epoch_us,
             sequence: AtomicU64::new(0),
         }
     }
 
-    /// Returns the present time.
     pub(crate) fn now(&self) -> MonotonicTime {
         self.options.clock.now()
     }
@@ -174,7 +171,7 @@
         }
     }
 
-    /// Moves the hybrid clock past the sending of a message.
+    /// Advances the hybrid clock past a message's send time.
     pub(crate) fn observe_clock(&self, header: &Header) {
         let Some(recorder) = &self.options.recorder else {
             return;
@@ -186,7 +183,7 @@
         recorder.observe_from(&header.sender, clock);
     }
 
-    /// Counts and logs a message that is dropped.
+    /// Counts and logs a rejected message.
     pub(crate) fn reject(&self, from: SocketAddr, rejection: Rejection) {
         self.traffic.rejected(rejection);
         let code = EventCode::PeerMessageRejected.number();
@@ -194,16 +191,16 @@
     }
 }
 
-/// Does what a state machine decided.
-pub(crate) fn carry_out(shared: &Arc<Shared>, outputs: Vec<Output>) {
+/// Executes the outputs of the membership state machine.
+pub(crate) fn apply_outputs(shared: &Arc<Shared>, outputs: Vec<Output>) {
     for output in outputs {
         match output {
             Output::Send { to, packet } => {
                 shared.send(to, &to_datagram(shared.header(), packet));
             }
-            Output::Synchronise { with } => join::exchange_soon(shared, with),
+            Output::Synchronise { with } => join::start_exchange(shared, with),
             Output::Announced { announcement, by } => {
-                documents::announced(shared, &announcement, by);
+                documents::fetch_if_newer(shared, &announcement, by);
             }
             Output::Changed(member) => log_change(&member),
         }
@@ -211,10 +208,10 @@
 }
 
 impl Shared {
-    /// Sends a datagram; one that the system does not take is lost.
+    /// Sends a datagram; send errors are counted, not returned.
     pub(crate) fn send(&self, to: SocketAddr, datagram: &Datagram) {
         let bytes = datagram.encode_to_vec();
-        if !self.options.faults.datagram_passes(self.address, to) {
+        if !self.options.faults.delivers_datagram(self.address, to) {
             self.traffic.sent_datagram(bytes.len());
             return;
         }
@@ -222,7 +219,7 @@
             Ok(size_bytes) => self.traffic.sent_datagram(size_bytes),
             Err(error) => {
                 self.traffic.unsent_datagram();
-                log::debug!("send to {to}: {error}");
+                log::debug!("sending a datagram to {to} failed: {error}");
             }
         }
     }
--- a/crates/foxtide-mesh/tests/mesh/load.rs
+++ b/crates/foxtide-mesh/tests/mesh/load.rs
@@ -1,4 +1,4 @@
-//! Load that every instance comes to know of all.
+//! Distribution of load reports to all instances.
 
 use crate::fleet::{
     start_fleet,
@@ -95,7 +95,7 @@
 #[test]
 fn verify_all_know_the_load_of_all_regions() {
     let fleet = start_fleet(12, &Faults::default());
-    wait_until("all heard all", || {
+    wait_until("all reports have reached all instances", || {
         publish(&fleet);
         fleet.iter().all(|handle| sharers(handle) == [4, 4, 4])
     });
@@ -116,7 +116,7 @@
 #[test]
 fn verify_the_claims_of_a_killed_instance_stay_counted() {
     let fleet = start_fleet(12, &Faults::default());
-    wait_until("all heard all", || {
+    wait_until("all reports have reached all instances", || {
         publish(&fleet);
         fleet.iter().all(|handle| live(handle) == [4, 4, 4])
     });
@@ -126,14 +126,14 @@
         .filter(|handle| handle.peer_address() != fleet[6].peer_address())
         .cloned()
         .collect();
-    wait_until("it is no longer heard", || {
+    wait_until("the stopped instance no longer counts as live", || {
         publish(&rest);
         let dead = state_of(&fleet[1], &fleet[6]) == Some(MemberState::Dead);
         let khomas = &fleet[1].fleet_view(&organisation()).regions[&region()];
         let at_least = khomas.counted_instances >= 4;
         assert!(
             at_least || khomas.counted_instances == 0,
-            "claims were forgotten"
+            "the claims of the stopped instance were dropped"
         );
         dead && khomas.live_instances == 3 && khomas.known_instances == 4
     });
