--- a/crates/foxtide-entry/src/admin.rs
+++ b/crates/foxtide-entry/src/admin.rs
@@ -5,9 +5,9 @@
     Refusal, //
 };
 use crate::callers::record_rejected;
-use crate::parts::{
+use crate::dependencies::{
     Admin,
-    Parts, //
+    Dependencies, //
 };
 use crate::request_id::new_request_id;
 use crate::serve::{
@@ -29,12 +29,12 @@
 #[derive(Debug)]
 pub(crate) struct AdminHandler<P> {
     /// What the request path works with.
-    pub(crate) parts: Arc<P>,
+    pub(crate) dependencies: Arc<P>,
     /// The state of the caller listener.
     pub(crate) callers: Arc<ServeState>,
 }
 
-impl<P: Parts> AdminHandler<P> {
+impl<P: Dependencies> AdminHandler<P> {
     fn page(&self, request: &Received) -> Answer {
         if !matches!(request.head.method, Method::Get | Method::Head) {
             return refused(StatusCode::MethodNotAllowed, "method-not-allowed");
@@ -43,7 +43,7 @@
         match url.path() {
             "/healthz" => plain(StatusCode::Ok, "ok\n"),
             "/readyz" => self.readiness(),
-            path => match self.parts.admin().page(path, url.query()) {
+            path => match self.dependencies.admin().page(path, url.query()) {
                 Some(page) => Answer::new(StatusCode::Ok, page.content_type, page.body),
                 None => refused(StatusCode::NotFound, "unknown-page"),
             },
@@ -53,7 +53,7 @@
     fn readiness(&self) -> Answer {
         if self.callers.is_leaving() {
             plain(StatusCode::ServiceUnavailable, "draining\n")
-        } else if !self.parts.admin().is_ready() {
+        } else if !self.dependencies.admin().is_ready() {
             plain(StatusCode::ServiceUnavailable, "no configuration\n")
         } else {
             plain(StatusCode::Ok, "ready\n")
@@ -69,7 +69,7 @@
     Refusal::not_run(status, reason).answer(new_request_id().as_str())
 }
 
-impl<P: Parts> Handler for AdminHandler<P> {
+impl<P: Dependencies> Handler for AdminHandler<P> {
     async fn handle(&self, request: Received) -> Answer {
         self.page(&request)
     }
@@ -77,6 +77,6 @@
     fn caller_gone(&self, _caller: SocketAddr) {}
 
     fn bad_request(&self, caller: SocketAddr, refusal: &Refusal) -> RequestId {
-        record_rejected(&*self.parts, caller, refusal)
+        record_rejected(&*self.dependencies, caller, refusal)
     }
 }
--- a/crates/foxtide-entry/src/callers.rs
+++ b/crates/foxtide-entry/src/callers.rs
@@ -4,10 +4,10 @@
     Answer,
     Refusal, //
 };
+use crate::dependencies::Dependencies;
 use crate::facts::Target;
 use crate::lookup::lookup;
 use crate::options::EntryOptions;
-use crate::parts::Parts;
 use crate::proxy::Proxy;
 use crate::request_id::{
     new_request_id,
@@ -35,7 +35,7 @@
 #[derive(Debug)]
 pub(crate) struct CallerHandler<P> {
     /// What the request path works with.
-    pub(crate) parts: Arc<P>,
+    pub(crate) dependencies: Arc<P>,
     /// The settings.
     pub(crate) options: Arc<EntryOptions>,
     /// What sends requests to upstreams.
@@ -44,7 +44,7 @@
     pub(crate) owner: String,
 }
 
-impl<P: Parts> CallerHandler<P> {
+impl<P: Dependencies> CallerHandler<P> {
     async fn answer(&self, request: Received, id: RequestId) -> Result<Answer, Refusal> {
         match Route::parse(request.head.url.path()) {
             Route::Lookup if request.head.method != Method::Get => Err(Refusal::not_run(
@@ -53,7 +53,7 @@
             )),
             Route::Lookup => {
                 let url = &request.head.url;
-                lookup(&*self.parts, &self.options, url, request.peer, id)
+                lookup(&*self.dependencies, &self.options, url, request.peer, id)
             }
             Route::Service {
                 organisation,
@@ -72,7 +72,7 @@
     }
 }
 
-impl<P: Parts> Handler for CallerHandler<P> {
+impl<P: Dependencies> Handler for CallerHandler<P> {
     async fn handle(&self, request: Received) -> Answer {
         let id = request_id(&request.head.head.headers);
         let answer = self.answer(request, id.clone()).await;
@@ -84,18 +84,18 @@
 
     fn caller_gone(&self, caller: SocketAddr) {
         let fields = EventFields::detail(format!("caller={caller}"));
-        let recorder = self.parts.recorder();
+        let recorder = self.dependencies.recorder();
         recorder.record(EventCode::RequestCancelled, fields);
     }
 
     fn bad_request(&self, caller: SocketAddr, refusal: &Refusal) -> RequestId {
-        record_rejected(&*self.parts, caller, refusal)
+        record_rejected(&*self.dependencies, caller, refusal)
     }
 }
 
 /// Records a request that foxtide does not take and returns its identity.
-pub(crate) fn record_rejected<P: Parts>(
-    parts: &P,
+pub(crate) fn record_rejected<P: Dependencies>(
+    dependencies: &P,
     caller: SocketAddr,
     refusal: &Refusal,
 ) -> RequestId {
@@ -105,6 +105,8 @@
         detail: format!("caller={caller} reason={}", refusal.reason),
         ..EventFields::default()
     };
-    parts.recorder().record(EventCode::RequestRejected, fields);
+    dependencies
+        .recorder()
+        .record(EventCode::RequestRejected, fields);
     request
 }
--- a/crates/foxtide-entry/src/parts.rs
+++ b/crates/foxtide-entry/src/dependencies.rs
@@ -23,8 +23,8 @@
 };
 use std::sync::Arc;
 
-/// The parts that an [`Entry`](crate::Entry) works with.
-pub trait Parts: Send + Sync + 'static {
+/// The dependencies that an [`Entry`](crate::Entry) works with.
+pub trait Dependencies: Send + Sync + 'static {
     /// Where instances are read.
     type Directory: Directory;
     /// The clocks.
--- a/crates/foxtide-entry/src/entry.rs
+++ b/crates/foxtide-entry/src/entry.rs
@@ -4,16 +4,16 @@
 use crate::bounded::Bounded;
 use crate::callers::CallerHandler;
 use crate::clock::Clock;
+use crate::dependencies::{
+    Dependencies,
+    Directory, //
+};
 use crate::errors::Result;
 use crate::housekeeping::{
     Housekeeping,
     keep_house, //
 };
 use crate::options::EntryOptions;
-use crate::parts::{
-    Directory,
-    Parts, //
-};
 use crate::proxy::Proxy;
 use crate::serve::{
     Handler,
@@ -46,8 +46,8 @@
 /// Dropping it stops both listeners; [`Entry::drain`] comes first where
 /// nothing is to be cut.
 #[derive(Debug)]
-pub struct Entry<P: Parts> {
-    parts: Arc<P>,
+pub struct Entry<P: Dependencies> {
+    dependencies: Arc<P>,
     options: Arc<EntryOptions>,
     callers: Arc<ServeState>,
     operators: Arc<ServeState>,
@@ -89,7 +89,7 @@
     }
 }
 
-impl<P: Parts> Entry<P> {
+impl<P: Dependencies> Entry<P> {
     /// Binds both listeners and starts to serve.
     ///
     /// # Errors
@@ -97,18 +97,18 @@
     /// Fails where an address cannot be bound.
     pub fn start(
         options: EntryOptions,
-        parts: Arc<P>,
+        dependencies: Arc<P>,
         executor: &Arc<Executor<'static>>,
     ) -> Result<Self> {
         let listeners = Listeners::bind(options.caller_address, options.admin_address)?;
-        Ok(Self::start_on(listeners, options, parts, executor))
+        Ok(Self::start_on(listeners, options, dependencies, executor))
     }
 
     /// Starts to serve on listeners that are bound already.
     pub fn start_on(
         listeners: Listeners,
         options: EntryOptions,
-        parts: Arc<P>,
+        dependencies: Arc<P>,
         executor: &Arc<Executor<'static>>,
     ) -> Self {
         let options = Arc::new(options);
@@ -117,7 +117,7 @@
             admin_address: listeners.admin_address,
             callers: ServeState::new(&options.limits),
             operators: ServeState::new(&options.limits),
-            parts,
+            dependencies,
             options,
             tasks: Vec::new(),
         };
@@ -131,9 +131,9 @@
 
     fn proxy(&self, executor: &Arc<Executor<'static>>) -> Proxy<P> {
         let options = &self.options;
-        let keys = Table::new(self.parts.owner().clone(), options.keys);
+        let keys = Table::new(self.dependencies.owner().clone(), options.keys);
         Proxy {
-            parts: Arc::clone(&self.parts),
+            dependencies: Arc::clone(&self.dependencies),
             options: Arc::clone(options),
             pools: Arc::new(Pools::new(options.pool.clone())),
             keys: Arc::new(Mutex::new(keys)),
@@ -151,10 +151,10 @@
         proxy: Proxy<P>,
     ) {
         let handler = CallerHandler {
-            parts: Arc::clone(&self.parts),
+            dependencies: Arc::clone(&self.dependencies),
             options: Arc::clone(&self.options),
             proxy: Arc::new(proxy),
-            owner: self.parts.owner().to_string(),
+            owner: self.dependencies.owner().to_string(),
         };
         let state = Arc::clone(&self.callers);
         self.serve(executor, listener, handler, state);
@@ -162,7 +162,7 @@
 
     fn serve_operators(&mut self, executor: &Arc<Executor<'static>>, listener: Async<TcpListener>) {
         let handler = AdminHandler {
-            parts: Arc::clone(&self.parts),
+            dependencies: Arc::clone(&self.dependencies),
             callers: Arc::clone(&self.callers),
         };
         let state = Arc::clone(&self.operators);
@@ -172,8 +172,8 @@
     /// Moves the decisions on once, so that what is configured already can be
     /// served from the first caller on.
     fn begin_decisions(&self) {
-        let clock = self.parts.clock();
-        self.parts.traffic().tick(clock.now(), clock.wall());
+        let clock = self.dependencies.clock();
+        self.dependencies.traffic().tick(clock.now(), clock.wall());
     }
 
     fn serve(
@@ -183,11 +183,13 @@
         handler: impl Handler,
         state: Arc<ServeState>,
     ) {
-        let parts = Arc::clone(&self.parts);
+        let dependencies = Arc::clone(&self.dependencies);
         let limits = Arc::new(self.options.limits.clone());
         let on_error = move |error: &std::io::Error| {
             let fields = EventFields::detail(format!("cause={error}"));
-            parts.recorder().record(EventCode::ListenerFailed, fields);
+            dependencies
+                .recorder()
+                .record(EventCode::ListenerFailed, fields);
         };
         let serving = serve_listener(
             listener,
@@ -201,10 +203,10 @@
     }
 
     fn keep_house(&mut self, executor: &Arc<Executor<'static>>, proxy: &Proxy<P>) {
-        let (parts, options) = (Arc::clone(&self.parts), Arc::clone(&self.options));
+        let (dependencies, options) = (Arc::clone(&self.dependencies), Arc::clone(&self.options));
         let (pools, keys) = (Arc::clone(&proxy.pools), Arc::clone(&proxy.keys));
         let callers = Arc::clone(&self.callers);
-        let housekeeping = Housekeeping::new(parts, options, pools, keys, callers);
+        let housekeeping = Housekeeping::new(dependencies, options, pools, keys, callers);
         let keeping = keep_house(housekeeping, Arc::clone(executor));
         self.tasks.push(executor.spawn(keeping));
     }
@@ -236,7 +238,7 @@
     /// The admin listener serves on.
     pub async fn drain(&self) {
         self.record(EventCode::ProcessStopping, String::new());
-        self.parts.directory().leave();
+        self.dependencies.directory().leave();
         self.callers.leave();
         Timer::after(self.options.lookup_ttl + self.options.drain.margin).await;
         self.callers.close();
@@ -251,12 +253,12 @@
     }
 
     fn record(&self, code: EventCode, detail: String) {
-        let recorder = self.parts.recorder();
+        let recorder = self.dependencies.recorder();
         recorder.record(code, EventFields::detail(detail));
     }
 }
 
-impl<P: Parts> Drop for Entry<P> {
+impl<P: Dependencies> Drop for Entry<P> {
     fn drop(&mut self) {
         self.callers.close();
         self.operators.close();
--- a/crates/foxtide-entry/src/facts.rs
+++ b/crates/foxtide-entry/src/facts.rs
@@ -2,15 +2,15 @@
 
 use crate::answer::Refusal;
 use crate::clock::Clock;
+use crate::dependencies::{
+    Dependencies,
+    Directory, //
+};
 use crate::lookup::{
     unknown_organisation,
     unknown_service, //
 };
 use crate::options::EntryOptions;
-use crate::parts::{
-    Directory,
-    Parts, //
-};
 use crate::serve::Received;
 use crate::traffic::{
     OrganisationTraffic,
@@ -76,8 +76,8 @@
     ///
     /// Fails where the organisation or the service does not exist, or the
     /// deadline is malformed.
-    pub(crate) fn of<P: Parts>(
-        parts: &P,
+    pub(crate) fn of<P: Dependencies>(
+        dependencies: &P,
         options: &EntryOptions,
         received: &Received,
         target: &Target,
@@ -86,7 +86,7 @@
         if !options.serves(&target.organisation) {
             return Err(unknown_organisation());
         }
-        let traffic = parts.traffic().get(&target.organisation);
+        let traffic = dependencies.traffic().get(&target.organisation);
         let traffic = traffic.ok_or_else(unknown_organisation)?;
         let service = traffic.service(&target.service);
         let service = service.ok_or_else(unknown_service)?;
@@ -95,10 +95,10 @@
         let method = received.head.method;
         let asked = asked_deadline(&received.head.head.headers)?;
         let time = asked.unwrap_or_else(|| contract.deadline());
-        let deadline = parts.clock().now() + time.min(options.deadline_max);
+        let deadline = dependencies.clock().now() + time.min(options.deadline_max);
         let idempotent = contract.is_idempotent(method.as_ref(), &target.path);
         Ok(Self {
-            origin: parts.directory().client_origin(received.peer.ip()),
+            origin: dependencies.directory().client_origin(received.peer.ip()),
             request,
             organisation: target.organisation.clone(),
             terms: service.terms(contract, idempotent, deadline),
--- a/crates/foxtide-entry/src/housekeeping.rs
+++ b/crates/foxtide-entry/src/housekeeping.rs
@@ -2,8 +2,8 @@
 //! their load, old connections are closed.
 
 use crate::clock::Clock;
+use crate::dependencies::Dependencies;
 use crate::options::EntryOptions;
-use crate::parts::Parts;
 use crate::proxy::KeyTable;
 use crate::serve::ServeState;
 use crate::traffic::{
@@ -37,29 +37,29 @@
 /// What the background work needs.
 #[derive(Debug)]
 pub(crate) struct Housekeeping<P> {
-    parts: Arc<P>,
+    dependencies: Arc<P>,
     pools: Arc<Pools>,
     poller: Arc<Poller<P>>,
     keys: KeyTable,
     callers: Arc<ServeState>,
 }
 
-impl<P: Parts> Housekeeping<P> {
+impl<P: Dependencies> Housekeeping<P> {
     /// Returns the background work of an entry.
     pub(crate) fn new(
-        parts: Arc<P>,
+        dependencies: Arc<P>,
         options: Arc<EntryOptions>,
         pools: Arc<Pools>,
         keys: KeyTable,
         callers: Arc<ServeState>,
     ) -> Self {
         let poller = Poller {
-            parts: Arc::clone(&parts),
+            dependencies: Arc::clone(&dependencies),
             pools: Arc::clone(&pools),
             options,
         };
         Self {
-            parts,
+            dependencies,
             pools,
             poller: Arc::new(poller),
             keys,
@@ -68,10 +68,13 @@
     }
 
     fn tick(&self, executor: &Executor<'static>) {
-        let (now, wall) = (self.parts.clock().now(), self.parts.clock().wall());
-        let traffic = self.parts.traffic();
+        let (now, wall) = (
+            self.dependencies.clock().now(),
+            self.dependencies.clock().wall(),
+        );
+        let traffic = self.dependencies.traffic();
         traffic.tick(now, wall);
-        traffic.publish_views(self.parts.explainer(), now, wall);
+        traffic.publish_views(self.dependencies.explainer(), now, wall);
         for change in traffic.changes(now) {
             self.record(change);
         }
@@ -79,8 +82,8 @@
     }
 
     fn prune(&self) {
-        let traffic = self.parts.traffic();
-        self.pools.prune(self.parts.clock().now());
+        let traffic = self.dependencies.traffic();
+        self.pools.prune(self.dependencies.clock().now());
         self.pools.keep_only(&traffic.addresses());
         self.tick_keys();
         gauge!(CONNECTIONS).set(self.callers.connections() as f64);
@@ -88,7 +91,7 @@
     }
 
     fn tick_keys(&self) {
-        let wall = self.parts.clock().wall();
+        let wall = self.dependencies.clock().wall();
         let usage = {
             let mut keys = self.keys.lock();
             keys.tick(wall);
@@ -111,12 +114,12 @@
             detail: format!("from={} to={}", change.change.from, change.change.to),
             ..EventFields::default()
         };
-        self.parts.recorder().record(code, fields);
+        self.dependencies.recorder().record(code, fields);
     }
 }
 
 /// Does the background work until it is dropped.
-pub(crate) async fn keep_house<P: Parts>(
+pub(crate) async fn keep_house<P: Dependencies>(
     housekeeping: Housekeeping<P>,
     executor: Arc<Executor<'static>>,
 ) {
--- a/crates/foxtide-entry/src/lib.rs
+++ b/crates/foxtide-entry/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! An instance has two listeners. Callers look up which instances to use and
 //! send requests, which go to an upstream; operators read pages. What the
-//! request path needs from the rest of the instance stands in [`Parts`]: one
+//! request path needs from the rest of the instance stands in [`Dependencies`]: one
 //! type that holds the tables of all organisations ([`TrafficTables`]), the
 //! directory of instances, clocks, the recorder of events and the operators'
 //! pages.
@@ -14,15 +14,15 @@
 //! time, polls upstreams and closes idle connections.
 //!
 //! ```no_run
-//! # use foxtide_entry::{Entry, EntryOptions, Parts, Workers};
+//! # use foxtide_entry::{Entry, EntryOptions, Dependencies, Workers};
 //! # use std::sync::Arc;
-//! # async fn run<P: Parts>(parts: P) -> foxtide_entry::Result<()> {
+//! # async fn run<P: Dependencies>(dependencies: P) -> foxtide_entry::Result<()> {
 //! let workers = Workers::start(2)?;
 //! let options = EntryOptions {
 //!     caller_address: ([127, 0, 0, 1], 8080).into(),
 //!     ..EntryOptions::default()
 //! };
-//! let entry = Entry::start(options, Arc::new(parts), &workers.executor())?;
+//! let entry = Entry::start(options, Arc::new(dependencies), &workers.executor())?;
 //! entry.drain().await;
 //! # Ok(())
 //! # }
@@ -33,13 +33,13 @@
 mod bounded;
 mod callers;
 mod clock;
+mod dependencies;
 mod entry;
 mod errors;
 mod facts;
 mod housekeeping;
 mod lookup;
 mod options;
-mod parts;
 mod proxy;
 mod request_id;
 mod route;
@@ -53,6 +53,13 @@
     Clock,
     SystemClock, //
 };
+pub use dependencies::{
+    Admin,
+    AdminPage,
+    Dependencies,
+    Directory,
+    ServingInstance, //
+};
 pub use entry::{
     Entry,
     Listeners, //
@@ -69,13 +76,6 @@
     PollOptions,
     PoolOptions, //
 };
-pub use parts::{
-    Admin,
-    AdminPage,
-    Directory,
-    Parts,
-    ServingInstance, //
-};
 pub use traffic::{
     SentCount,
     TrafficOptions,
--- a/crates/foxtide-entry/src/lookup.rs
+++ b/crates/foxtide-entry/src/lookup.rs
@@ -5,12 +5,12 @@
     Refusal, //
 };
 use crate::clock::Clock;
-use crate::options::EntryOptions;
-use crate::parts::{
+use crate::dependencies::{
+    Dependencies,
     Directory,
-    Parts,
     ServingInstance, //
 };
+use crate::options::EntryOptions;
 use foxtide_core::events::RequestId;
 use foxtide_core::explain::{
     Decision,
@@ -60,8 +60,8 @@
 /// # Errors
 ///
 /// Fails where the question is malformed, or names what does not exist.
-pub(crate) fn lookup<P: Parts>(
-    parts: &P,
+pub(crate) fn lookup<P: Dependencies>(
+    dependencies: &P,
     options: &EntryOptions,
     url: &Url,
     peer: SocketAddr,
@@ -71,14 +71,14 @@
     if !options.serves(&question.organisation) {
         return Err(unknown_organisation());
     }
-    let traffic = parts.traffic().get(&question.organisation);
+    let traffic = dependencies.traffic().get(&question.organisation);
     let traffic = traffic.ok_or_else(unknown_organisation)?;
     let service = traffic.service(&question.service);
     let service = service.ok_or_else(unknown_service)?;
     let organisation = traffic.organisation();
-    let (directory, wall) = (parts.directory(), parts.clock().wall());
+    let (directory, wall) = (dependencies.directory(), dependencies.clock().wall());
     let known = directory.client_region(&question.organisation, question.client);
-    let origin = &parts.traffic().options().origin;
+    let origin = &dependencies.traffic().options().origin;
     let region = known.as_ref().unwrap_or(origin);
     let instances = directory.instances();
     let nearest = nearest(&instances, &organisation, region, wall);
@@ -86,7 +86,7 @@
     let rule = rule(&chosen, known.as_ref(), region);
     let region = Some(region.clone());
     let decision = Decision::new(DecisionKind::Lookup, rule, service.view(), region, wall);
-    parts.explainer().record(decision.with_request(&id));
+    dependencies.explainer().record(decision.with_request(&id));
     let answer = LookupAnswer {
         instances: chosen,
         ttl_s: options.lookup_ttl.as_secs(),
--- a/crates/foxtide-entry/src/proxy/hedged.rs
+++ b/crates/foxtide-entry/src/proxy/hedged.rs
@@ -10,7 +10,7 @@
 };
 use crate::answer::Answer;
 use crate::clock::Clock;
-use crate::parts::Parts;
+use crate::dependencies::Dependencies;
 use crate::time_limit::within;
 use crate::traffic::{
     Choice,
@@ -43,7 +43,7 @@
     place: Place,
 }
 
-impl<P: Parts> Proxy<P> {
+impl<P: Dependencies> Proxy<P> {
     /// Runs an attempt to its end and decides what follows.
     pub(super) async fn attempt(
         &self,
@@ -79,7 +79,7 @@
         at: MonotonicTime,
     ) -> (Ended, Step) {
         let mut first_result = pin!(self.send(run, &first));
-        let delay = at - self.parts.clock().now();
+        let delay = at - self.dependencies.clock().now();
         if let Ok(result) = within(delay, first_result.as_mut()).await {
             return self.end(run, first, result);
         }
@@ -101,7 +101,7 @@
         if !facts.service.region(first_region)?.has_spare_capacity() {
             return None;
         }
-        let now = self.parts.clock().now();
+        let now = self.dependencies.clock().now();
         if facts.service.hedge(&mut run.attempts, now) != Step::Hedge {
             return None;
         }
@@ -143,7 +143,7 @@
             claim.written();
         }
         Attempt {
-            id: run.attempts.begin(self.parts.clock().now()),
+            id: run.attempts.begin(self.dependencies.clock().now()),
             admitted,
             place,
         }
--- a/crates/foxtide-entry/src/proxy/journal.rs
+++ b/crates/foxtide-entry/src/proxy/journal.rs
@@ -9,9 +9,9 @@
     Refusal, //
 };
 use crate::clock::Clock;
+use crate::dependencies::Dependencies;
 use crate::errors::Step;
 use crate::facts::Facts;
-use crate::parts::Parts;
 use crate::upstream::{
     Failure,
     FailureKind, //
@@ -28,11 +28,11 @@
 use foxtide_core::organisation::Upstream;
 use foxtide_core::outcome::Outcome;
 
-impl<P: Parts> Proxy<P> {
+impl<P: Dependencies> Proxy<P> {
     /// Returns the decision on a request, before it is taken.
     pub(super) fn undecided(&self, facts: &Facts) -> Decision {
         let view = facts.service.view();
-        let wall = self.parts.clock().wall();
+        let wall = self.dependencies.clock().wall();
         let decision = Decision::new(DecisionKind::Request, Rule::NoUpstream, view, None, wall);
         decision.with_request(&facts.request)
     }
@@ -57,7 +57,9 @@
             detail: failure.to_string(),
             ..facts.event_fields()
         };
-        self.parts.recorder().record(failure_code(failure), fields);
+        self.dependencies
+            .recorder()
+            .record(failure_code(failure), fields);
     }
 
     /// Tells what a request with a key gets without a run.
@@ -72,11 +74,11 @@
     ) -> Result<Answer, Refusal> {
         let mut decision = self.undecided(facts);
         decision.redirect(settled.rule, None);
-        self.parts.explainer().record(decision);
+        self.dependencies.explainer().record(decision);
         if let Err(refusal) = &settled.answer {
             facts.service.metrics().refused(refusal.outcome);
         }
-        let recorder = self.parts.recorder();
+        let recorder = self.dependencies.recorder();
         recorder.record(settled.code, facts.event_fields());
         settled.answer
     }
@@ -92,7 +94,7 @@
             detail: format!("reason={}", refusal.reason),
             ..facts.event_fields()
         };
-        self.parts.recorder().record(code, fields);
+        self.dependencies.recorder().record(code, fields);
     }
 }
 
--- a/crates/foxtide-entry/src/proxy/keyed.rs
+++ b/crates/foxtide-entry/src/proxy/keyed.rs
@@ -7,8 +7,8 @@
     Answer,
     Refusal, //
 };
+use crate::dependencies::Dependencies;
 use crate::facts::Facts;
-use crate::parts::Parts;
 use crate::serve::ServeState;
 use smol::{
     Executor,
@@ -53,7 +53,7 @@
     }
 }
 
-impl<P: Parts> Proxy<P> {
+impl<P: Dependencies> Proxy<P> {
     /// Runs a request whose key was given out.
     ///
     /// # Errors
--- a/crates/foxtide-entry/src/proxy/keys.rs
+++ b/crates/foxtide-entry/src/proxy/keys.rs
@@ -8,11 +8,11 @@
     Refusal, //
 };
 use crate::clock::Clock;
-use crate::facts::Target;
-use crate::parts::{
-    Directory,
-    Parts, //
+use crate::dependencies::{
+    Dependencies,
+    Directory, //
 };
+use crate::facts::Target;
 use crate::serve::Received;
 use foxtide_core::events::{
     EventCode,
@@ -180,8 +180,8 @@
 
 /// Decides about a request with a key: gives out the right to run it, or what
 /// it gets without a run.
-pub(super) fn begin<P: Parts>(
-    parts: &P,
+pub(super) fn begin<P: Dependencies>(
+    dependencies: &P,
     table: &KeyTable,
     request: KeyedRequest<'_>,
 ) -> Result<HeldClaim, Settled> {
@@ -190,7 +190,7 @@
         .parse()
         .map_err(|error| Settled::malformed(&error))?;
     let fingerprint = request.fingerprint();
-    let wall: WallTime = parts.clock().wall();
+    let wall: WallTime = dependencies.clock().wall();
     let begun = table.lock().begin(&key, fingerprint, wall);
     match begun {
         Begin::Run(claim) => Ok(HeldClaim {
@@ -201,7 +201,7 @@
         Begin::Replay(kept) => Err(Settled::replayed(&kept)),
         Begin::InProgress { retry_after } => Err(Settled::in_progress(retry_after)),
         Begin::Refuse(refusal) => Err(Settled::refused(refusal.reason, refusal.retry_after)),
-        Begin::Elsewhere => Err(elsewhere(parts, request, &key)),
+        Begin::Elsewhere => Err(elsewhere(dependencies, request, &key)),
     }
 }
 
@@ -292,8 +292,12 @@
 }
 
 /// Sends the caller to the instance that owns its key.
-fn elsewhere<P: Parts>(parts: &P, request: KeyedRequest<'_>, key: &IdempotencyKey) -> Settled {
-    let Some(address) = parts.directory().address_of(&key.owner().instance) else {
+fn elsewhere<P: Dependencies>(
+    dependencies: &P,
+    request: KeyedRequest<'_>,
+    key: &IdempotencyKey,
+) -> Settled {
+    let Some(address) = dependencies.directory().address_of(&key.owner().instance) else {
         return Settled::refused(RefusalReason::OwnerGone, None);
     };
     let refusal = Refusal {
--- a/crates/foxtide-entry/src/proxy/place.rs
+++ b/crates/foxtide-entry/src/proxy/place.rs
@@ -8,8 +8,8 @@
 use crate::answer::Refusal;
 use crate::bounded::Entered;
 use crate::clock::Clock;
+use crate::dependencies::Dependencies;
 use crate::facts::Facts;
-use crate::parts::Parts;
 use crate::traffic::{
     Choice,
     Place,
@@ -28,11 +28,11 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-impl<P: Parts> Proxy<P> {
+impl<P: Dependencies> Proxy<P> {
     /// Waits until the request may be sent to a region.
     pub(super) async fn admit(&self, facts: &Facts) -> Result<Admitted, Unplaced> {
         let draw = fastrand::f64();
-        let asked_at = self.parts.clock().now();
+        let asked_at = self.dependencies.clock().now();
         let mut now = asked_at;
         let mut waiting = None;
         loop {
@@ -49,7 +49,7 @@
                     check_time(facts, now + retry_in, "no-room")?;
                     self.enter_queue(&mut waiting)?;
                     Timer::after(retry_in).await;
-                    now = self.parts.clock().now();
+                    now = self.dependencies.clock().now();
                 }
                 Admission::Refuse {
                     reason,
@@ -89,7 +89,7 @@
             return Err(Unplaced::no_upstream());
         };
         // Most requests find a place at once and need no listener.
-        if let Choice::Taken(place) = region.take(tried, self.parts.clock().now()) {
+        if let Choice::Taken(place) = region.take(tried, self.dependencies.clock().now()) {
             return Ok(place);
         }
         self.wait_for_place(facts, &region, tried).await
@@ -105,7 +105,7 @@
         loop {
             // Listens first, so that no place that becomes free is missed.
             let freed = region.freed();
-            let now = self.parts.clock().now();
+            let now = self.dependencies.clock().now();
             match region.take(tried, now) {
                 Choice::Taken(place) => return Ok(place),
                 Choice::Empty => return Err(Unplaced::no_upstream()),
@@ -123,7 +123,7 @@
     }
 }
 
-impl<P: Parts> Proxy<P> {
+impl<P: Dependencies> Proxy<P> {
     /// Counts a request among those that wait, unless there are too many.
     fn enter_queue(&self, waiting: &mut Option<Entered>) -> Result<(), Unplaced> {
         if waiting.is_none() {
--- a/crates/foxtide-entry/src/proxy/run.rs
+++ b/crates/foxtide-entry/src/proxy/run.rs
@@ -21,12 +21,12 @@
 };
 use crate::bounded::Bounded;
 use crate::clock::Clock;
+use crate::dependencies::Dependencies;
 use crate::facts::{
     Facts,
     Target, //
 };
 use crate::options::EntryOptions;
-use crate::parts::Parts;
 use crate::serve::{
     Received,
     ServeState, //
@@ -67,7 +67,7 @@
 #[derive(Debug)]
 pub(crate) struct Proxy<P> {
     /// What the request path works with.
-    pub(crate) parts: Arc<P>,
+    pub(crate) dependencies: Arc<P>,
     /// The settings.
     pub(crate) options: Arc<EntryOptions>,
     /// The connections to upstreams.
@@ -127,7 +127,7 @@
     pub(super) end: AttemptEnd,
 }
 
-impl<P: Parts> Proxy<P> {
+impl<P: Dependencies> Proxy<P> {
     /// Answers a request with an upstream's answer.
     ///
     /// # Errors
@@ -139,7 +139,7 @@
         target: Target,
         id: RequestId,
     ) -> Result<Answer, Refusal> {
-        let facts = Facts::of(&*self.parts, &self.options, &received, &target, id);
+        let facts = Facts::of(&*self.dependencies, &self.options, &received, &target, id);
         let facts = facts.map_err(|refusal| refusal.with_outcome(earlier_outcome(&received)))?;
         let claim = match self.claim(&facts, &received, &target) {
             Ok(claim) => claim,
@@ -178,7 +178,7 @@
             id: &facts.request,
             key: key.as_str(),
         };
-        begin(&*self.parts, &self.keys, request).map(Some)
+        begin(&*self.dependencies, &self.keys, request).map(Some)
     }
 
     pub(super) async fn run(
@@ -191,7 +191,7 @@
             let status = StatusCode::ServiceUnavailable;
             return Err(Refusal::not_run(status, "too-many-requests"));
         };
-        let retry = self.parts.traffic().options().retry.clone();
+        let retry = self.dependencies.traffic().options().retry.clone();
         let mut run = Run {
             facts,
             prepared,
@@ -200,11 +200,11 @@
             tried: Vec::new(),
             decision: self.undecided(facts),
         };
-        let received_at = self.parts.clock().now();
+        let received_at = self.dependencies.clock().now();
         let answered = self.run_attempts(&mut run).await;
-        let took = self.parts.clock().now() - received_at;
+        let took = self.dependencies.clock().now() - received_at;
         facts.service.metrics().seconds.record(took.as_secs_f64());
-        self.parts.explainer().record(run.decision);
+        self.dependencies.explainer().record(run.decision);
         answered
     }
 
@@ -248,7 +248,7 @@
         destination: Destination,
     ) -> Result<Answer, Failure> {
         let address = destination.address;
-        let now = self.parts.clock().now();
+        let now = self.dependencies.clock().now();
         let time_left = facts.terms.deadline - now;
         let bytes = prepared.with_deadline(time_left);
         let request = UpstreamRequest {
@@ -262,7 +262,7 @@
         };
         let got = exchange(&self.pools, &self.options.limits, &request, now).await?;
         if let Some(connection) = got.connection {
-            let now = self.parts.clock().now();
+            let now = self.dependencies.clock().now();
             let limit = destination.connection_limit;
             self.pools.put(address, connection, limit, now);
         }
@@ -282,7 +282,7 @@
         self.record_attempt(run.facts, admitted, &upstream, end);
         let held = place.held();
         end.give_back(place, held);
-        let now = self.parts.clock().now();
+        let now = self.dependencies.clock().now();
         if let AttemptEnd::Answered(_) = end {
             run.facts.service.answered(held);
         }
--- a/crates/foxtide-entry/src/traffic/poller.rs
+++ b/crates/foxtide-entry/src/traffic/poller.rs
@@ -7,9 +7,9 @@
     AnswerBody, //
 };
 use crate::clock::Clock;
+use crate::dependencies::Dependencies;
 use crate::errors::Step;
 use crate::options::EntryOptions;
-use crate::parts::Parts;
 use crate::request_id::new_request_id;
 use crate::upstream::{
     Failure,
@@ -39,7 +39,7 @@
 #[derive(Debug)]
 pub(crate) struct Poller<P> {
     /// What the request path works with.
-    pub(crate) parts: Arc<P>,
+    pub(crate) dependencies: Arc<P>,
     /// The connections to upstreams.
     pub(crate) pools: Arc<Pools>,
     /// The settings.
@@ -52,11 +52,11 @@
     poll: Poll,
 }
 
-impl<P: Parts> Poller<P> {
+impl<P: Dependencies> Poller<P> {
     /// Starts all polls that are due.
     pub(crate) fn start_due(self: &Arc<Self>, executor: &Executor<'static>) {
-        let now = self.parts.clock().now();
-        for due in self.parts.traffic().due_polls(now) {
+        let now = self.dependencies.clock().now();
+        for due in self.dependencies.traffic().due_polls(now) {
             let poller = Arc::clone(self);
             let polling = async move { poller.poll(due).await };
             executor.spawn(polling).detach();
@@ -70,7 +70,7 @@
             Err(failure) if failure.step == Step::Connect => PollResult::Unreachable,
             Err(_) => PollResult::TimedOut,
         };
-        let now = self.parts.clock().now();
+        let now = self.dependencies.clock().now();
         due.region
             .with_balancer(|balancer| balancer.finish_poll(due.poll, result, now));
     }
@@ -92,10 +92,10 @@
             freshness: Freshness::Any,
             time_left: self.options.poll.time,
         };
-        let now = self.parts.clock().now();
+        let now = self.dependencies.clock().now();
         let mut answered = exchange(&self.pools, &self.options.limits, &request, now).await?;
         if let Some(connection) = answered.connection.take() {
-            let now = self.parts.clock().now();
+            let now = self.dependencies.clock().now();
             self.pools.put(address, connection, POLLED_CONNECTIONS, now);
         }
         Ok(answered.answer)
--- a/crates/foxtide-entry/tests/keys.rs
+++ b/crates/foxtide-entry/tests/keys.rs
@@ -126,7 +126,7 @@
         "{answer}"
     );
     // An instance that leaves still answers for its keys.
-    world.parts.left.store(true, Ordering::SeqCst);
+    world.dependencies.left.store(true, Ordering::SeqCst);
     let leaving = world.caller().ask(&post("/notes", &elsewhere, "x"));
     assert_refused(&leaving, 307, "unknown");
     let gone = key("entry-9.00000000000000aa");
--- a/crates/foxtide-entry/tests/path.rs
+++ b/crates/foxtide-entry/tests/path.rs
@@ -218,7 +218,9 @@
     wait_asked.recv().unwrap();
     let entry = Arc::clone(&world.entry);
     let drained = world.workers.spawn(async move { entry.drain().await });
-    support::wait_until("the end of look-ups", || world.parts.left.load(SeqCst));
+    support::wait_until("the end of look-ups", || {
+        world.dependencies.left.load(SeqCst)
+    });
     assert!(!drained.is_finished());
     drop(release);
     let answer = caller.answer().expect("the answer is not cut");
@@ -235,7 +237,7 @@
     let world = World::start_as(&[near.address, far.address], with_second_region);
     let answer = world.caller().ask(&get("/hamutenya/viewer/1"));
     assert!(answer.ends_with("near"), "{answer}");
-    *world.parts.origin.lock().unwrap() = Some("erongo".parse().unwrap());
+    *world.dependencies.origin.lock().unwrap() = Some("erongo".parse().unwrap());
     wait_until("the other region's row is known", || {
         let answer = world.caller().ask(&get("/hamutenya/viewer/2"));
         assert!(!answer.ends_with("near"), "{answer}");
--- a/crates/foxtide-entry/tests/support/mod.rs
+++ b/crates/foxtide-entry/tests/support/mod.rs
@@ -25,10 +25,10 @@
     Admin,
     AdminPage,
     Clock,
+    Dependencies,
     Directory,
     Entry,
     EntryOptions,
-    Parts,
     ServingInstance,
     SystemClock,
     TrafficOptions,
@@ -137,8 +137,8 @@
     }
 }
 
-/// The parts of a test's entry.
-pub(crate) struct TestParts {
+/// The dependencies of a test's entry.
+pub(crate) struct TestDependencies {
     traffic: TrafficTables,
     clock: SystemClock,
     recorder: Recorder,
@@ -150,7 +150,7 @@
     pub(crate) origin: Mutex<Option<RegionId>>,
 }
 
-impl Parts for TestParts {
+impl Dependencies for TestDependencies {
     type Directory = Self;
     type Clock = SystemClock;
     type Admin = Self;
@@ -184,7 +184,7 @@
     }
 }
 
-impl Directory for TestParts {
+impl Directory for TestDependencies {
     fn instances(&self) -> Arc<[ServingInstance]> {
         if self.left.load(Ordering::SeqCst) {
             return Arc::new([]);
@@ -211,7 +211,7 @@
     }
 }
 
-impl Admin for TestParts {
+impl Admin for TestDependencies {
     fn page(&self, path: &str, _query: Option<&str>) -> Option<AdminPage> {
         (path == "/metrics").then(|| AdminPage {
             content_type: "text/plain",
@@ -224,7 +224,7 @@
     }
 }
 
-impl TestParts {
+impl TestDependencies {
     fn new() -> Self {
         let instance: ServingInstance = ServingInstance {
             instance: "entry-1".parse().unwrap(),
@@ -283,10 +283,10 @@
     organisation.links.push(link);
 }
 
-/// A running entry with its parts.
+/// A running entry with its dependencies.
 pub(crate) struct World {
-    pub(crate) entry: Arc<Entry<TestParts>>,
-    pub(crate) parts: Arc<TestParts>,
+    pub(crate) entry: Arc<Entry<TestDependencies>>,
+    pub(crate) dependencies: Arc<TestDependencies>,
     pub(crate) workers: Workers,
 }
 
@@ -315,14 +315,14 @@
             admin_address: ANY_PORT,
             ..options
         };
-        let parts = Arc::new(TestParts::new());
-        let now = parts.clock.now();
-        parts.traffic.configure(&Arc::new(organisation), now);
+        let dependencies = Arc::new(TestDependencies::new());
+        let now = dependencies.clock.now();
+        dependencies.traffic.configure(&Arc::new(organisation), now);
         let workers = Workers::start(2).unwrap();
-        let entry = Entry::start(options, Arc::clone(&parts), &workers.executor()).unwrap();
+        let entry = Entry::start(options, Arc::clone(&dependencies), &workers.executor()).unwrap();
         Self {
             entry: Arc::new(entry),
-            parts,
+            dependencies,
             workers,
         }
     }
@@ -339,7 +339,7 @@
 
     /// Returns the recorded events of this code.
     pub(crate) fn recorded(&self, code: EventCode) -> Vec<Event> {
-        let mut events = self.parts.recorder.select(&EventFilter::default());
+        let mut events = self.dependencies.recorder.select(&EventFilter::default());
         events.retain(|event| event.code == code);
         events
     }
--- a/crates/foxtide/examples/measure/proxy/instance.rs
+++ b/crates/foxtide/examples/measure/proxy/instance.rs
@@ -15,11 +15,11 @@
     Admin,
     AdminPage,
     Clock,
+    Dependencies,
     Directory,
     DrainOptions,
     Entry,
     EntryOptions,
-    Parts,
     ServingInstance,
     SystemClock,
     TrafficOptions,
@@ -139,7 +139,7 @@
     }
 }
 
-impl Parts for InstanceParts {
+impl Dependencies for InstanceParts {
     type Directory = Self;
     type Clock = SystemClock;
     type Admin = Self;
--- a/crates/foxtide/src/node/parts.rs
+++ b/crates/foxtide/src/node/parts.rs
@@ -12,8 +12,8 @@
 };
 use foxtide_entry::{
     Clock,
+    Dependencies,
     Directory,
-    Parts,
     ServingInstance,
     SystemClock,
     TrafficTables, //
@@ -61,7 +61,7 @@
     }
 }
 
-impl Parts for NodeParts {
+impl Dependencies for NodeParts {
     type Directory = NodeDirectory;
     type Clock = SystemClock;
     type Admin = Pages;
