--- a/crates/foxtide-entry/src/serve/connection.rs
+++ b/crates/foxtide-entry/src/serve/connection.rs
@@ -16,7 +16,7 @@
 use foxtide_core::events::RequestId;
 use foxtide_http::{
     BufferedStream,
-    Quiet, //
+    IdleState, //
 };
 use http_types::Method;
 use smol::future::or;
@@ -93,7 +93,7 @@
         match waited {
             Ok(Next::Request) => Next::Request,
             // A request that came at this very moment is still served.
-            _ if self.stream.quiet() == Quiet::No => self.last_fill().await,
+            _ if self.stream.idle_state() == IdleState::Readable => self.last_fill().await,
             _ => Next::Close,
         }
     }
--- a/crates/foxtide-entry/src/upstream/exchange.rs
+++ b/crates/foxtide-entry/src/upstream/exchange.rs
@@ -24,9 +24,9 @@
     BodyLength,
     BodyReader,
     BufferedStream,
+    IdleState,
     MessageError,
     Progress,
-    Quiet,
     ResponseHead,
     name,
     read_head, //
@@ -176,10 +176,10 @@
         kind,
     };
     let stream = connect(pools, request).await.map_err(unsent)?;
-    match stream.quiet() {
-        Quiet::Yes => Ok(stream),
+    match stream.idle_state() {
+        IdleState::Idle => Ok(stream),
         // An answer before the request: whose it is nobody knows.
-        Quiet::No => Err(unsent(FailureKind::OtherRequest)),
+        IdleState::Readable => Err(unsent(FailureKind::OtherRequest)),
     }
 }
 
--- a/crates/foxtide-entry/src/upstream/pool.rs
+++ b/crates/foxtide-entry/src/upstream/pool.rs
@@ -7,7 +7,7 @@
 use foxtide_core::time::MonotonicTime;
 use foxtide_http::{
     BufferedStream,
-    Quiet, //
+    IdleState, //
 };
 use parking_lot::{
     Mutex,
@@ -85,7 +85,7 @@
         };
         let mut idle = pool.idle.lock();
         while let Some(connection) = idle.pop_if(|last| now - last.since <= idle_time) {
-            if connection.stream.quiet() == Quiet::Yes {
+            if connection.stream.idle_state() == IdleState::Idle {
                 return Some(connection.stream);
             }
         }
@@ -144,7 +144,7 @@
         for pool in pools {
             pool.idle.lock().retain(|connection| {
                 let recent = now - connection.since <= self.options.idle_time;
-                recent && connection.stream.quiet() == Quiet::Yes
+                recent && connection.stream.idle_state() == IdleState::Idle
             });
         }
     }
--- a/crates/foxtide-gateway/src/front/connection.rs
+++ b/crates/foxtide-gateway/src/front/connection.rs
@@ -26,7 +26,7 @@
 use foxtide_core::time::MonotonicTime;
 use foxtide_http::{
     BufferedStream,
-    Quiet, //
+    IdleState, //
 };
 use futures_lite::future::or;
 use smol::Timer;
@@ -138,9 +138,9 @@
     /// Nothing more is read: a request that crosses the close on its way is then
     /// reset unread, and its caller knows that it did not run.
     async fn close_idle(&mut self) -> Next {
-        match self.stream.quiet() {
-            Quiet::No => fill(&mut self.stream).await,
-            Quiet::Yes => Next::Close,
+        match self.stream.idle_state() {
+            IdleState::Readable => fill(&mut self.stream).await,
+            IdleState::Idle => Next::Close,
         }
     }
 
--- a/crates/foxtide-gateway/src/pool.rs
+++ b/crates/foxtide-gateway/src/pool.rs
@@ -9,7 +9,7 @@
 };
 use foxtide_http::{
     BufferedStream,
-    Quiet, //
+    IdleState, //
 };
 use parking_lot::Mutex;
 use std::collections::HashMap;
@@ -69,7 +69,7 @@
                 connections.push(connection);
                 return None;
             }
-            if connection.stream.quiet() == Quiet::Yes {
+            if connection.stream.idle_state() == IdleState::Idle {
                 return Some(connection.stream);
             }
         }
@@ -119,7 +119,7 @@
             connections.retain(|connection| {
                 let is_fresh = now - connection.since <= connection.limit;
                 is_fresh
-                    && connection.stream.quiet() == Quiet::Yes
+                    && connection.stream.idle_state() == IdleState::Idle
                     && is_known(upstream, connection.born_at)
             });
             !connections.is_empty()
--- a/crates/foxtide-http/src/lib.rs
+++ b/crates/foxtide-http/src/lib.rs
@@ -39,5 +39,5 @@
 };
 pub use stream::{
     BufferedStream,
-    Quiet, //
+    IdleState, //
 };
--- a/crates/foxtide-http/src/stream.rs
+++ b/crates/foxtide-http/src/stream.rs
@@ -29,11 +29,11 @@
 
 /// What a look at an idle socket found, without taking anything off it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Quiet {
+pub enum IdleState {
     /// Nothing waits and the peer has not closed.
-    Yes,
+    Idle,
     /// Bytes wait that nobody asked for, or the peer has closed.
-    No,
+    Readable,
 }
 
 /// A TCP connection that counts what it sends and keeps what it read ahead.
@@ -160,13 +160,13 @@
     }
 
     /// Looks whether the connection is open with nothing waiting on it.
-    pub fn quiet(&self) -> Quiet {
+    pub fn idle_state(&self) -> IdleState {
         if !self.buffer.is_empty() {
-            return Quiet::No;
+            return IdleState::Readable;
         }
         match self.socket.get_ref().peek(&mut [0]) {
-            Err(error) if error.kind() == io::ErrorKind::WouldBlock => Quiet::Yes,
-            _ => Quiet::No,
+            Err(error) if error.kind() == io::ErrorKind::WouldBlock => IdleState::Idle,
+            _ => IdleState::Readable,
         }
     }
 
