--- a/crates/foxtide-gateway/src/dialect.rs
+++ b/crates/foxtide-gateway/src/dialect.rs
@@ -12,7 +12,7 @@
 use foxtide_http::{
     ForwardedRequest,
     ForwardedResponse,
-    Lines, //
+    HeaderLines, //
 };
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -26,11 +26,11 @@
 /// it with whole heads, and passes on what it leaves in them.
 pub trait Dialect: Send + Sync + 'static {
     /// Reads what a caller says of its request.
-    fn caller_facts(&self, lines: &Lines) -> CallerFacts;
+    fn caller_facts(&self, lines: &HeaderLines) -> CallerFacts;
 
     /// Writes for whom a request is, whose it is and how much time is left for it. What
     /// the caller proves itself with is taken out wherever callers need a key.
-    fn address_request(&self, lines: &mut Lines, address: &RequestAddress<'_>);
+    fn address_request(&self, lines: &mut HeaderLines, address: &RequestAddress<'_>);
 
     /// Reads what an upstream says of its response.
     fn upstream_facts(&self, head: &ForwardedResponse) -> UpstreamFacts;
--- a/crates/foxtide-gateway/tests/gateway/support/dialect.rs
+++ b/crates/foxtide-gateway/tests/gateway/support/dialect.rs
@@ -13,7 +13,7 @@
 use foxtide_http::{
     ForwardedRequest,
     ForwardedResponse,
-    Lines, //
+    HeaderLines, //
 };
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -23,7 +23,7 @@
 pub(crate) struct PlainDialect;
 
 impl Dialect for PlainDialect {
-    fn caller_facts(&self, lines: &Lines) -> CallerFacts {
+    fn caller_facts(&self, lines: &HeaderLines) -> CallerFacts {
         let time_left_ms = lines
             .text("time-left-ms")
             .and_then(|text| text.parse().ok());
@@ -35,7 +35,7 @@
         }
     }
 
-    fn address_request(&self, lines: &mut Lines, address: &RequestAddress<'_>) {
+    fn address_request(&self, lines: &mut HeaderLines, address: &RequestAddress<'_>) {
         lines.set("time-left-ms", &address.time_left.as_millis().to_string());
         lines.set("incarnation", address.upstream.as_str());
         if *address.caller == CallerIdentity::Unasked {
@@ -79,7 +79,7 @@
     }
 }
 
-fn credentials(lines: &Lines) -> Credentials {
+fn credentials(lines: &HeaderLines) -> Credentials {
     match lines.text("key") {
         None => Credentials::Missing,
         Some(key) => key
--- a/crates/foxtide-http/src/forwarded.rs
+++ b/crates/foxtide-http/src/forwarded.rs
@@ -29,22 +29,22 @@
 
 /// Header lines in their order; names compare without regard to case.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Lines(Vec<Line>);
+pub struct HeaderLines(Vec<HeaderLine>);
 
 #[derive(Clone, PartialEq, Eq)]
-struct Line {
+struct HeaderLine {
     name: String,
     value: Vec<u8>,
 }
 
-impl fmt::Debug for Line {
+impl fmt::Debug for HeaderLine {
     /// Writes the name and the size: values may be secrets.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}: ({} bytes)", self.name, self.value.len())
     }
 }
 
-impl Lines {
+impl HeaderLines {
     /// Returns the first value under `name`.
     pub fn get(&self, name: &str) -> Option<&[u8]> {
         let mut lines = self.0.iter();
@@ -92,7 +92,7 @@
     }
 
     fn push(&mut self, name: &str, value: &[u8]) {
-        self.0.push(Line {
+        self.0.push(HeaderLine {
             name: name.to_owned(),
             value: value.to_vec(),
         });
@@ -118,7 +118,7 @@
     /// The host, in lower case and without its port.
     pub host: String,
     /// The lines to be passed on.
-    pub lines: Lines,
+    pub lines: HeaderLines,
     /// The body's length.
     pub length: BodyLength,
     /// Whether the caller closes the connection after this exchange.
@@ -133,7 +133,7 @@
     /// The status code.
     pub status: u16,
     /// The lines to be passed on.
-    pub lines: Lines,
+    pub lines: HeaderLines,
     /// The body's length as the lines state it.
     pub length: BodyLength,
     /// Whether the upstream closes the connection after this exchange.
@@ -235,8 +235,8 @@
 fn take_lines(
     parsed: &[httparse::Header<'_>],
     unframed: BodyLength,
-) -> Result<(Lines, Framing), HeadError> {
-    let mut lines = Lines::default();
+) -> Result<(HeaderLines, Framing), HeadError> {
+    let mut lines = HeaderLines::default();
     let mut length = None;
     let mut framing = Framing {
         length: unframed,
--- a/crates/foxtide-http/src/lib.rs
+++ b/crates/foxtide-http/src/lib.rs
@@ -18,7 +18,7 @@
 pub use forwarded::{
     ForwardedRequest,
     ForwardedResponse,
-    Lines, //
+    HeaderLines, //
 };
 pub use head::{
     BodyLength,
