--- a/crates/foxtide-entry/src/serve/connection.rs
+++ b/crates/foxtide-entry/src/serve/connection.rs
@@ -182,7 +182,7 @@
         let mut answer = refusal.answer(request.as_str());
         answer.close();
         if self.send(answer, Method::Get).await == Next::Request {
-            self.stream.finish_sending();
+            self.stream.shutdown_write();
             let discarded = self.stream.discard(DISCARD_MAX_BYTES);
             let _ = within(DISCARD_TIME, discarded).await;
         }
--- a/crates/foxtide-gateway/src/forward/attempt.rs
+++ b/crates/foxtide-gateway/src/forward/attempt.rs
@@ -157,7 +157,7 @@
     };
     let connected = or(BufferedStream::connect(registration.address, None), timed).await;
     let stream = connected?;
-    if let Err(error) = stream.limit_unacknowledged(UNACKNOWLEDGED_TIME) {
+    if let Err(error) = stream.set_user_timeout(UNACKNOWLEDGED_TIME) {
         log::debug!("the system does not limit unacknowledged data: {error}");
     }
     Ok(stream)
--- a/crates/foxtide-gateway/src/front/connection.rs
+++ b/crates/foxtide-gateway/src/front/connection.rs
@@ -318,7 +318,7 @@
     /// Ends the sending half and drops what still comes, so that the reply is
     /// read before the connection is reset.
     async fn linger(&mut self) {
-        self.stream.finish_sending();
+        self.stream.shutdown_write();
         let late = async {
             Timer::after(DISCARD_TIME).await;
         };
--- a/crates/foxtide-http/src/stream.rs
+++ b/crates/foxtide-http/src/stream.rs
@@ -78,7 +78,7 @@
     /// # Errors
     ///
     /// Fails where the system does not know the option.
-    pub fn limit_unacknowledged(&self, limit: Duration) -> io::Result<()> {
+    pub fn set_user_timeout(&self, limit: Duration) -> io::Result<()> {
         SockRef::from(self.socket.get_ref()).set_tcp_user_timeout(Some(limit))
     }
 
@@ -181,7 +181,7 @@
     }
 
     /// Ends the sending half: the peer reads the end after all that was sent.
-    pub fn finish_sending(&self) {
+    pub fn shutdown_write(&self) {
         let _ = self.socket.get_ref().shutdown(Shutdown::Write);
     }
 
@@ -208,7 +208,7 @@
     socket.bind(&SocketAddr::new(source, 0).into())?;
     match socket.connect(&address.into()) {
         Ok(()) => {}
-        Err(error) if is_under_way(&error) => {}
+        Err(error) if is_in_progress(&error) => {}
         Err(error) => return Err(error),
     }
     let stream = Async::new(TcpStream::from(socket))?;
@@ -222,7 +222,7 @@
 }
 
 /// Tells whether a connection is being made, which is no failure.
-fn is_under_way(error: &io::Error) -> bool {
+fn is_in_progress(error: &io::Error) -> bool {
     const EINPROGRESS: i32 = 115;
     error.kind() == io::ErrorKind::WouldBlock || error.raw_os_error() == Some(EINPROGRESS)
 }
--- a/crates/foxtide/src/platform/metrics.rs
+++ b/crates/foxtide/src/platform/metrics.rs
@@ -111,6 +111,6 @@
     );
     stream.write_all(head.as_bytes()).await?;
     stream.write_all(body.as_bytes()).await?;
-    stream.finish_sending();
+    stream.shutdown_write();
     Ok(())
 }
