--- a/crates/foxtide-entry/src/serve/request.rs
+++ b/crates/foxtide-entry/src/serve/request.rs
@@ -118,9 +118,9 @@
         }
         MessageError::BodyTooLong => (StatusCode::PayloadTooLarge, "body-too-long"),
         // What follows a request is taken for the next one.
-        MessageError::Surplus => (StatusCode::BadRequest, "malformed-head"),
+        MessageError::TrailingBytes => (StatusCode::BadRequest, "malformed-head"),
         MessageError::BadChunk => (StatusCode::BadRequest, "malformed-chunk"),
-        MessageError::NoStatedEnd => (StatusCode::LengthRequired, "length-required"),
+        MessageError::UnknownLength => (StatusCode::LengthRequired, "length-required"),
         MessageError::Head(error) => match error {
             HeadError::Malformed => (StatusCode::BadRequest, "malformed-head"),
             HeadError::AmbiguousLength => (StatusCode::BadRequest, "ambiguous-length"),
--- a/crates/foxtide-entry/src/upstream/exchange.rs
+++ b/crates/foxtide-entry/src/upstream/exchange.rs
@@ -240,15 +240,15 @@
             return Ok(ReadBody::Begun(reader, body));
         }
     }
-    if has_surplus(stream.buffered()) {
-        return Err(MessageError::Surplus);
+    if has_trailing_bytes(stream.buffered()) {
+        return Err(MessageError::TrailingBytes);
     }
     Ok(ReadBody::Whole(body))
 }
 
 /// Tells whether what follows an answer is not the beginning of another one:
 /// the stated length was too short then, and the answer is not whole.
-fn has_surplus(rest: &[u8]) -> bool {
+fn has_trailing_bytes(rest: &[u8]) -> bool {
     let compared = rest.len().min(ANSWER_START.len());
     rest[..compared] != ANSWER_START[..compared]
 }
--- a/crates/foxtide-gateway/src/forward/attempt.rs
+++ b/crates/foxtide-gateway/src/forward/attempt.rs
@@ -202,7 +202,7 @@
         }
         shared.journal.stray_response(request.id(), upstream);
     }
-    Err(MessageError::Surplus)
+    Err(MessageError::TrailingBytes)
 }
 
 /// Tells whether a connection failed since what was sent stayed unacknowledged.
--- a/crates/foxtide-gateway/src/front/receive.rs
+++ b/crates/foxtide-gateway/src/front/receive.rs
@@ -119,8 +119,8 @@
         MessageError::HeadTooLong => NoRequest::Refused(Refusal::HeadTooLong),
         MessageError::BodyTooLong => NoRequest::Refused(Refusal::BodyTooLong),
         MessageError::BadChunk
-        | MessageError::Surplus
-        | MessageError::NoStatedEnd
+        | MessageError::TrailingBytes
+        | MessageError::UnknownLength
         | MessageError::Head(_) => NoRequest::Refused(Refusal::BadRequest),
     }
 }
--- a/crates/foxtide-http/src/message.rs
+++ b/crates/foxtide-http/src/message.rs
@@ -33,10 +33,10 @@
     BadChunk,
     /// More follows the body than its head states.
     #[error("more follows the body than its head states")]
-    Surplus,
+    TrailingBytes,
     /// The end of the body cannot be told from a cut.
     #[error("the body has no stated end")]
-    NoStatedEnd,
+    UnknownLength,
     /// The head was refused.
     #[error(transparent)]
     Head(#[from] HeadError),
@@ -142,7 +142,7 @@
                 left_bytes: size_bytes,
             }),
             BodyLength::Chunked => Ok(Self::Chunked(ChunkDecoder::new())),
-            BodyLength::UntilClose => Err(MessageError::NoStatedEnd),
+            BodyLength::UntilClose => Err(MessageError::UnknownLength),
         }
     }
 
