--- a/crates/foxtide-entry/src/answer.rs
+++ b/crates/foxtide-entry/src/answer.rs
@@ -5,8 +5,8 @@
 use foxtide_core::outcome::Outcome;
 use foxtide_http::{
     BodyLength,
-    name,
-    no_headers, //
+    empty_headers,
+    name, //
 };
 use http_types::headers::{
     HeaderName,
@@ -122,7 +122,7 @@
     pub(crate) fn new(status: StatusCode, content_type: &str, body: Vec<u8>) -> Self {
         let mut answer = Self {
             status,
-            headers: no_headers(),
+            headers: empty_headers(),
             body: AnswerBody::Whole(body),
         };
         answer.insert(name::CONTENT_TYPE, content_type);
--- a/crates/foxtide-http/src/head.rs
+++ b/crates/foxtide-http/src/head.rs
@@ -1,9 +1,9 @@
 //! The head of a message and what it says about the body's length.
 
 use crate::headers::{
+    empty_headers,
     is_hop_by_hop,
-    name,
-    no_headers, //
+    name, //
 };
 use http_types::headers::{
     HeaderName,
@@ -149,7 +149,7 @@
 impl Head {
     fn from_lines(lines: &[httparse::Header<'_>], unframed: BodyLength) -> Result<Self, HeadError> {
         let mut head = Self {
-            headers: no_headers(),
+            headers: empty_headers(),
             length: unframed,
             close: false,
             expects_continue: false,
--- a/crates/foxtide-http/src/headers.rs
+++ b/crates/foxtide-http/src/headers.rs
@@ -56,7 +56,7 @@
 ];
 
 /// Returns an empty set of headers.
-pub fn no_headers() -> Headers {
+pub fn empty_headers() -> Headers {
     // http-types makes headers together with a message only.
     static EMPTY: LazyLock<Headers> =
         LazyLock::new(|| AsRef::<Headers>::as_ref(&Response::new(StatusCode::Ok)).clone());
--- a/crates/foxtide-http/src/lib.rs
+++ b/crates/foxtide-http/src/lib.rs
@@ -27,8 +27,8 @@
     ResponseHead, //
 };
 pub use headers::{
-    name,
-    no_headers, //
+    empty_headers,
+    name, //
 };
 pub use message::{
     BodyReader,
