--- a/crates/foxtide-entry/src/callers.rs
+++ b/crates/foxtide-entry/src/callers.rs
@@ -5,10 +5,10 @@
     Refusal, //
 };
 use crate::dependencies::Dependencies;
-use crate::facts::Target;
 use crate::lookup::lookup;
 use crate::options::EntryOptions;
 use crate::proxy::Proxy;
+use crate::request_context::Target;
 use crate::request_id::{
     new_request_id,
     request_id, //
--- a/crates/foxtide-entry/src/proxy/hedged.rs
+++ b/crates/foxtide-entry/src/proxy/hedged.rs
@@ -67,7 +67,7 @@
         attempt: &Attempt,
     ) -> impl Future<Output = Result<Answer, Failure>> + use<'a, P> {
         let destination = Destination::of(&attempt.place);
-        self.exchange(run.facts, run.prepared, destination)
+        self.exchange(run.context, run.prepared, destination)
     }
 
     /// Runs an attempt and, where it is slow, a second beside it; the first
@@ -97,19 +97,19 @@
     /// Begins a second attempt, where the upstreams of the first one's region
     /// are idle enough, and the budget and the limits allow it now.
     fn begin_hedge(&self, run: &mut Run<'_>, first_region: &RegionId) -> Option<Attempt> {
-        let facts = run.facts;
-        if !facts.service.region(first_region)?.has_spare_capacity() {
+        let context = run.context;
+        if !context.service.region(first_region)?.has_spare_capacity() {
             return None;
         }
         let now = self.dependencies.clock().now();
-        if facts.service.hedge(&mut run.attempts, now) != Step::Hedge {
+        if context.service.hedge(&mut run.attempts, now) != Step::Hedge {
             return None;
         }
-        let admission = self.try_admit(facts, fastrand::f64(), Duration::ZERO, now);
+        let admission = self.try_admit(context, fastrand::f64(), Duration::ZERO, now);
         let Admission::Send { region, .. } = admission else {
             return None;
         };
-        let of_region = facts.service.region(&region)?;
+        let of_region = context.service.region(&region)?;
         let Choice::Taken(place) = of_region.take(&run.tried, now) else {
             return None;
         };
--- a/crates/foxtide-entry/src/proxy/journal.rs
+++ b/crates/foxtide-entry/src/proxy/journal.rs
@@ -11,7 +11,7 @@
 use crate::clock::Clock;
 use crate::dependencies::Dependencies;
 use crate::errors::Step;
-use crate::facts::Facts;
+use crate::request_context::RequestContext;
 use crate::upstream::{
     Failure,
     FailureKind, //
@@ -30,22 +30,22 @@
 
 impl<P: Dependencies> Proxy<P> {
     /// Returns the decision on a request, before it is taken.
-    pub(super) fn undecided(&self, facts: &Facts) -> Decision {
-        let view = facts.service.view();
+    pub(super) fn undecided(&self, context: &RequestContext) -> Decision {
+        let view = context.service.view();
         let wall = self.dependencies.clock().wall();
         let decision = Decision::new(DecisionKind::Request, Rule::NoUpstream, view, None, wall);
-        decision.with_request(&facts.request)
+        decision.with_request(&context.request)
     }
 
     /// Records what failed in an attempt.
     pub(super) fn record_attempt(
         &self,
-        facts: &Facts,
+        context: &RequestContext,
         admitted: &Admitted,
         upstream: &Upstream,
         end: &AttemptEnd,
     ) {
-        let metrics = facts.service.metrics();
+        let metrics = context.service.metrics();
         metrics.attempts.increment(1);
         let AttemptEnd::Failed(failure) = end else {
             return;
@@ -55,7 +55,7 @@
             region: Some(admitted.region.clone()),
             upstream: Some(upstream.upstream.clone()),
             detail: failure.to_string(),
-            ..facts.event_fields()
+            ..context.event_fields()
         };
         self.dependencies
             .recorder()
@@ -69,30 +69,30 @@
     /// Fails where that is a refusal.
     pub(super) fn answer_without_run(
         &self,
-        facts: &Facts,
+        context: &RequestContext,
         settled: Settled,
     ) -> Result<Answer, Refusal> {
-        let mut decision = self.undecided(facts);
+        let mut decision = self.undecided(context);
         decision.redirect(settled.rule, None);
         self.dependencies.explainer().record(decision);
         if let Err(refusal) = &settled.answer {
-            facts.service.metrics().refused(refusal.outcome);
+            context.service.metrics().refused(refusal.outcome);
         }
         let recorder = self.dependencies.recorder();
-        recorder.record(settled.code, facts.event_fields());
+        recorder.record(settled.code, context.event_fields());
         settled.answer
     }
 
     /// Records that a request was given up.
-    pub(super) fn record_refusal(&self, facts: &Facts, refusal: &Refusal) {
-        facts.service.metrics().refused(refusal.outcome);
+    pub(super) fn record_refusal(&self, context: &RequestContext, refusal: &Refusal) {
+        context.service.metrics().refused(refusal.outcome);
         let code = match refusal.outcome {
             Outcome::NotRun => EventCode::RequestNotRun,
             Outcome::Unknown | Outcome::Done => EventCode::RequestUnknown,
         };
         let fields = EventFields {
             detail: format!("reason={}", refusal.reason),
-            ..facts.event_fields()
+            ..context.event_fields()
         };
         self.dependencies.recorder().record(code, fields);
     }
--- a/crates/foxtide-entry/src/proxy/keyed.rs
+++ b/crates/foxtide-entry/src/proxy/keyed.rs
@@ -8,7 +8,7 @@
     Refusal, //
 };
 use crate::dependencies::Dependencies;
-use crate::facts::Facts;
+use crate::request_context::RequestContext;
 use crate::serve::ServeState;
 use smol::{
     Executor,
@@ -61,16 +61,17 @@
     /// Fails where no upstream gave an answer.
     pub(super) async fn run_keyed(
         self: &Arc<Self>,
-        facts: Facts,
+        context: RequestContext,
         prepared: Prepared,
         claim: HeldClaim,
     ) -> Result<Answer, Refusal> {
         let Some(executor) = self.executor.upgrade() else {
-            return self.run_claimed(&facts, &prepared, claim).await;
+            return self.run_claimed(&context, &prepared, claim).await;
         };
         let written = claim.written_mark();
         let proxy = Arc::clone(self);
-        let task = executor.spawn(async move { proxy.run_claimed(&facts, &prepared, claim).await });
+        let task =
+            executor.spawn(async move { proxy.run_claimed(&context, &prepared, claim).await });
         let mut run = OwnRun {
             task: None,
             written,
@@ -85,14 +86,14 @@
 
     async fn run_claimed(
         &self,
-        facts: &Facts,
+        context: &RequestContext,
         prepared: &Prepared,
         claim: HeldClaim,
     ) -> Result<Answer, Refusal> {
-        let answered = self.run(facts, prepared, Some(&claim)).await;
+        let answered = self.run(context, prepared, Some(&claim)).await;
         match &answered {
             Ok(answer) => claim.finish(answer),
-            Err(refusal) => self.record_refusal(facts, refusal),
+            Err(refusal) => self.record_refusal(context, refusal),
         }
         answered
     }
--- a/crates/foxtide-entry/src/proxy/keys.rs
+++ b/crates/foxtide-entry/src/proxy/keys.rs
@@ -12,7 +12,7 @@
     Dependencies,
     Directory, //
 };
-use crate::facts::Target;
+use crate::request_context::Target;
 use crate::serve::Received;
 use foxtide_core::events::{
     EventCode,
--- a/crates/foxtide-entry/src/proxy/place.rs
+++ b/crates/foxtide-entry/src/proxy/place.rs
@@ -9,7 +9,7 @@
 use crate::bounded::Entered;
 use crate::clock::Clock;
 use crate::dependencies::Dependencies;
-use crate::facts::Facts;
+use crate::request_context::RequestContext;
 use crate::traffic::{
     Choice,
     Place,
@@ -30,13 +30,13 @@
 
 impl<P: Dependencies> Proxy<P> {
     /// Waits until the request may be sent to a region.
-    pub(super) async fn admit(&self, facts: &Facts) -> Result<Admitted, Unplaced> {
+    pub(super) async fn admit(&self, context: &RequestContext) -> Result<Admitted, Unplaced> {
         let draw = fastrand::f64();
         let asked_at = self.dependencies.clock().now();
         let mut now = asked_at;
         let mut waiting = None;
         loop {
-            match self.try_admit(facts, draw, now - asked_at, now) {
+            match self.try_admit(context, draw, now - asked_at, now) {
                 Admission::Send { region, spilled } => {
                     let rule = if spilled {
                         Rule::Spilled
@@ -46,7 +46,7 @@
                     return Ok(Admitted { region, rule });
                 }
                 Admission::Wait { retry_in } => {
-                    check_time(facts, now + retry_in, "no-room")?;
+                    check_time(context, now + retry_in, "no-room")?;
                     self.enter_queue(&mut waiting)?;
                     Timer::after(retry_in).await;
                     now = self.dependencies.clock().now();
@@ -62,16 +62,16 @@
     /// Asks once whether the request may be sent.
     pub(super) fn try_admit(
         &self,
-        facts: &Facts,
+        context: &RequestContext,
         draw: f64,
         waited: Duration,
         now: MonotonicTime,
     ) -> Admission {
-        let origin = facts.origin.as_ref();
-        let service = facts.service.id();
-        let admission = facts.traffic.admit(service, origin, draw, waited, now);
+        let origin = context.origin.as_ref();
+        let service = context.service.id();
+        let admission = context.traffic.admit(service, origin, draw, waited, now);
         if let Admission::Send { region, spilled } = &admission
-            && let Some(traffic) = facts.service.region(region)
+            && let Some(traffic) = context.service.region(region)
         {
             traffic.count_sent(*spilled);
         }
@@ -81,23 +81,23 @@
     /// Waits until an upstream of the region has a place.
     pub(super) async fn place(
         &self,
-        facts: &Facts,
+        context: &RequestContext,
         region: &RegionId,
         tried: &[UpstreamId],
     ) -> Result<Place, Unplaced> {
-        let Some(region) = facts.service.region(region) else {
+        let Some(region) = context.service.region(region) else {
             return Err(Unplaced::no_upstream());
         };
         // Most requests find a place at once and need no listener.
         if let Choice::Taken(place) = region.take(tried, self.dependencies.clock().now()) {
             return Ok(place);
         }
-        self.wait_for_place(facts, &region, tried).await
+        self.wait_for_place(context, &region, tried).await
     }
 
     async fn wait_for_place(
         &self,
-        facts: &Facts,
+        context: &RequestContext,
         region: &Arc<RegionTraffic>,
         tried: &[UpstreamId],
     ) -> Result<Place, Unplaced> {
@@ -110,9 +110,9 @@
                 Choice::Taken(place) => return Ok(place),
                 Choice::Empty => return Err(Unplaced::no_upstream()),
                 Choice::Wait(retry_in) => {
-                    check_time(facts, now, "no-slot")?;
+                    check_time(context, now, "no-slot")?;
                     self.enter_queue(&mut waiting)?;
-                    let again = retry_in.min(facts.terms.deadline - now);
+                    let again = retry_in.min(context.terms.deadline - now);
                     let timer = async {
                         Timer::after(again).await;
                     };
@@ -134,8 +134,12 @@
 }
 
 /// Gives a request up at once that cannot be answered in time.
-fn check_time(facts: &Facts, next: MonotonicTime, reason: &'static str) -> Result<(), Unplaced> {
-    if next < facts.terms.deadline {
+fn check_time(
+    context: &RequestContext,
+    next: MonotonicTime,
+    reason: &'static str,
+) -> Result<(), Unplaced> {
+    if next < context.terms.deadline {
         return Ok(());
     }
     Err(Unplaced {
--- a/crates/foxtide-entry/src/proxy/prepare.rs
+++ b/crates/foxtide-entry/src/proxy/prepare.rs
@@ -1,6 +1,6 @@
 //! Makes what is sent to an upstream out of what a caller sent.
 
-use crate::facts::Target;
+use crate::request_context::Target;
 use crate::serve::Received;
 use async_h1::client::Encoder;
 use foxtide_core::events::RequestId;
--- a/crates/foxtide-entry/src/proxy/run.rs
+++ b/crates/foxtide-entry/src/proxy/run.rs
@@ -22,11 +22,11 @@
 use crate::bounded::Bounded;
 use crate::clock::Clock;
 use crate::dependencies::Dependencies;
-use crate::facts::{
-    Facts,
+use crate::options::EntryOptions;
+use crate::request_context::{
+    RequestContext,
     Target, //
 };
-use crate::options::EntryOptions;
 use crate::serve::{
     Received,
     ServeState, //
@@ -87,7 +87,7 @@
 /// A request on its way.
 pub(super) struct Run<'a> {
     /// What is known of it.
-    pub(super) facts: &'a Facts,
+    pub(super) context: &'a RequestContext,
     /// What is sent.
     pub(super) prepared: &'a Prepared,
     /// The right to run its key, where it has one.
@@ -139,20 +139,22 @@
         target: Target,
         id: RequestId,
     ) -> Result<Answer, Refusal> {
-        let facts = Facts::of(&*self.dependencies, &self.options, &received, &target, id);
-        let facts = facts.map_err(|refusal| refusal.with_outcome(earlier_outcome(&received)))?;
-        let claim = match self.claim(&facts, &received, &target) {
+        let context =
+            RequestContext::of(&*self.dependencies, &self.options, &received, &target, id);
+        let context =
+            context.map_err(|refusal| refusal.with_outcome(earlier_outcome(&received)))?;
+        let claim = match self.claim(&context, &received, &target) {
             Ok(claim) => claim,
-            Err(settled) => return self.answer_without_run(&facts, settled),
+            Err(settled) => return self.answer_without_run(&context, settled),
         };
-        let prepared = Prepared::new(received, &target, &facts.request).await;
+        let prepared = Prepared::new(received, &target, &context.request).await;
         let prepared = prepared.map_err(|_| unencodable())?;
         if let Some(claim) = claim {
-            return self.run_keyed(facts, prepared, claim).await;
+            return self.run_keyed(context, prepared, claim).await;
         }
-        let answered = self.run(&facts, &prepared, None).await;
+        let answered = self.run(&context, &prepared, None).await;
         if let Err(refusal) = &answered {
-            self.record_refusal(&facts, refusal);
+            self.record_refusal(&context, refusal);
         }
         answered
     }
@@ -164,18 +166,18 @@
     /// Fails with what the request gets where it is not run.
     fn claim(
         &self,
-        facts: &Facts,
+        context: &RequestContext,
         received: &Received,
         target: &Target,
     ) -> Result<Option<HeldClaim>, Settled> {
         let key = received.head.head.headers.get(name::IDEMPOTENCY_KEY);
-        let Some(key) = key.filter(|_| !facts.terms.idempotent) else {
+        let Some(key) = key.filter(|_| !context.terms.idempotent) else {
             return Ok(None);
         };
         let request = KeyedRequest {
             received,
             target,
-            id: &facts.request,
+            id: &context.request,
             key: key.as_str(),
         };
         begin(&*self.dependencies, &self.keys, request).map(Some)
@@ -183,7 +185,7 @@
 
     pub(super) async fn run(
         &self,
-        facts: &Facts,
+        context: &RequestContext,
         prepared: &Prepared,
         claim: Option<&HeldClaim>,
     ) -> Result<Answer, Refusal> {
@@ -193,17 +195,17 @@
         };
         let retry = self.dependencies.traffic().options().retry.clone();
         let mut run = Run {
-            facts,
+            context,
             prepared,
             claim,
-            attempts: Attempts::new(facts.terms, retry),
+            attempts: Attempts::new(context.terms, retry),
             tried: Vec::new(),
-            decision: self.undecided(facts),
+            decision: self.undecided(context),
         };
         let received_at = self.dependencies.clock().now();
         let answered = self.run_attempts(&mut run).await;
         let took = self.dependencies.clock().now() - received_at;
-        facts.service.metrics().seconds.record(took.as_secs_f64());
+        context.service.metrics().seconds.record(took.as_secs_f64());
         self.dependencies.explainer().record(run.decision);
         answered
     }
@@ -233,31 +235,33 @@
     }
 
     async fn admit_and_place(&self, run: &mut Run<'_>) -> Result<(Admitted, Place), Unplaced> {
-        let admitted = self.admit(run.facts).await?;
+        let admitted = self.admit(run.context).await?;
         let region = Some(admitted.region.clone());
         run.decision.redirect(admitted.rule, region);
-        let place = self.place(run.facts, &admitted.region, &run.tried).await?;
+        let place = self
+            .place(run.context, &admitted.region, &run.tried)
+            .await?;
         Ok((admitted, place))
     }
 
     /// Sends one attempt and reads its answer.
     pub(super) async fn exchange(
         &self,
-        facts: &Facts,
+        context: &RequestContext,
         prepared: &Prepared,
         destination: Destination,
     ) -> Result<Answer, Failure> {
         let address = destination.address;
         let now = self.dependencies.clock().now();
-        let time_left = facts.terms.deadline - now;
+        let time_left = context.terms.deadline - now;
         let bytes = prepared.with_deadline(time_left);
         let request = UpstreamRequest {
             address,
-            method: facts.method,
-            request: facts.request.as_str(),
+            method: context.method,
+            request: context.request.as_str(),
             naming: Naming::AsBefore,
             bytes: &bytes,
-            freshness: freshness(facts),
+            freshness: freshness(context),
             time_left,
         };
         let got = exchange(&self.pools, &self.options.limits, &request, now).await?;
@@ -279,25 +283,25 @@
     ) -> Step {
         let end = &mut ended.end;
         let upstream = place.upstream().clone();
-        self.record_attempt(run.facts, admitted, &upstream, end);
+        self.record_attempt(run.context, admitted, &upstream, end);
         let held = place.held();
         end.give_back(place, held);
         let now = self.dependencies.clock().now();
         if let AttemptEnd::Answered(_) = end {
-            run.facts.service.answered(held);
+            run.context.service.answered(held);
         }
         let result = end.result();
         if let Some(claim) = run.claim.filter(|_| result.is_not_run()) {
             claim.proved_not_run();
         }
         run.decision.add_attempt(upstream.upstream, end.explained());
-        let service = &run.facts.service;
+        let service = &run.context.service;
         let step = service.ended(&mut run.attempts, ended.id, result, now);
         let refused = matches!(result, AttemptResult::Refused { .. });
         // One upstream that refuses says nothing of its region; a request for
         // which nothing else could be found there does.
         if refused && matches!(step, Step::GiveUp(_)) {
-            run.facts.traffic.refused_by(&admitted.region, now);
+            run.context.traffic.refused_by(&admitted.region, now);
         }
         step
     }
@@ -340,8 +344,8 @@
 
 /// A request that must not run twice is not sent over a connection that the
 /// upstream may be closing.
-fn freshness(facts: &Facts) -> Freshness {
-    if facts.terms.idempotent {
+fn freshness(context: &RequestContext) -> Freshness {
+    if context.terms.idempotent {
         Freshness::Any
     } else {
         Freshness::Recent
--- a/crates/foxtide-entry/src/facts.rs
+++ b/crates/foxtide-entry/src/request_context.rs
@@ -52,7 +52,7 @@
 
 /// What is known of a request before it is sent.
 #[derive(Clone, Debug)]
-pub(crate) struct Facts {
+pub(crate) struct RequestContext {
     /// The identity of the request.
     pub(crate) request: RequestId,
     /// The organisation's name.
@@ -69,7 +69,7 @@
     pub(crate) terms: RequestTerms,
 }
 
-impl Facts {
+impl RequestContext {
     /// Collects what is known of a request.
     ///
     /// # Errors
@@ -93,8 +93,8 @@
         let organisation = traffic.organisation();
         let contract = contract(&organisation, &target.service)?;
         let method = received.head.method;
-        let asked = asked_deadline(&received.head.head.headers)?;
-        let time = asked.unwrap_or_else(|| contract.deadline());
+        let requested = requested_deadline(&received.head.head.headers)?;
+        let time = requested.unwrap_or_else(|| contract.deadline());
         let deadline = dependencies.clock().now() + time.min(options.deadline_max);
         let idempotent = contract.is_idempotent(method.as_ref(), &target.path);
         Ok(Self {
@@ -127,13 +127,13 @@
     Ok(&service.ok_or_else(unknown_service)?.contract)
 }
 
-fn asked_deadline(headers: &Headers) -> Result<Option<Duration>, Refusal> {
+fn requested_deadline(headers: &Headers) -> Result<Option<Duration>, Refusal> {
     let Some(values) = headers.get(name::DEADLINE_MS) else {
         return Ok(None);
     };
-    let asked_ms = values.as_str().parse();
+    let requested_ms = values.as_str().parse();
     let malformed = |_| Refusal::not_run(StatusCode::BadRequest, "malformed-deadline");
-    asked_ms
-        .map(|asked_ms| Some(Duration::from_millis(asked_ms)))
+    requested_ms
+        .map(|requested_ms| Some(Duration::from_millis(requested_ms)))
         .map_err(malformed)
 }
