--- a/crates/foxtide-entry/src/entry.rs
+++ b/crates/foxtide-entry/src/entry.rs
@@ -1,7 +1,6 @@
 //! The request path of an instance: both listeners, from start to drain.
 
 use crate::admin::AdminHandler;
-use crate::bounded::Bounded;
 use crate::callers::CallerHandler;
 use crate::clock::Clock;
 use crate::dependencies::{
@@ -13,6 +12,7 @@
     Housekeeping,
     keep_house, //
 };
+use crate::limiter::Limiter;
 use crate::options::EntryOptions;
 use crate::proxy::Proxy;
 use crate::serve::{
@@ -139,8 +139,8 @@
             keys: Arc::new(Mutex::new(keys)),
             executor: Arc::downgrade(executor),
             callers: Arc::clone(&self.callers),
-            in_flight: Bounded::new(options.limits.in_flight),
-            waiting: Bounded::new(options.limits.waiting),
+            in_flight: Limiter::new(options.limits.in_flight),
+            waiting: Limiter::new(options.limits.waiting),
         }
     }
 
--- a/crates/foxtide-entry/src/lib.rs
+++ b/crates/foxtide-entry/src/lib.rs
@@ -30,13 +30,13 @@
 
 mod admin;
 mod answer;
-mod bounded;
 mod callers;
 mod clock;
 mod dependencies;
 mod entry;
 mod errors;
 mod housekeeping;
+mod limiter;
 mod lookup;
 mod options;
 mod proxy;
--- a/crates/foxtide-entry/src/bounded.rs
+++ b/crates/foxtide-entry/src/limiter.rs
@@ -8,19 +8,19 @@
 
 /// A count with a limit. Clones count together.
 #[derive(Clone, Debug)]
-pub(crate) struct Bounded {
+pub(crate) struct Limiter {
     count: Arc<AtomicUsize>,
     limit: usize,
 }
 
 /// A part of the count, given back when it is dropped.
 #[derive(Debug)]
-pub(crate) struct Entered {
+pub(crate) struct Permit {
     count: Arc<AtomicUsize>,
     amount: usize,
 }
 
-impl Bounded {
+impl Limiter {
     /// Returns an empty count.
     pub(crate) fn new(limit: usize) -> Self {
         Self {
@@ -30,17 +30,17 @@
     }
 
     /// Takes `amount` of what is free; nothing where that is less.
-    pub(crate) fn enter(&self, amount: usize) -> Option<Entered> {
-        let entered = Entered {
+    pub(crate) fn try_acquire(&self, amount: usize) -> Option<Permit> {
+        let permit = Permit {
             count: Arc::clone(&self.count),
             amount,
         };
         let before = self.count.fetch_add(amount, Ordering::AcqRel);
-        (before.saturating_add(amount) <= self.limit).then_some(entered)
+        (before.saturating_add(amount) <= self.limit).then_some(permit)
     }
 }
 
-impl Drop for Entered {
+impl Drop for Permit {
     fn drop(&mut self) {
         self.count.fetch_sub(self.amount, Ordering::AcqRel);
     }
@@ -52,12 +52,12 @@
 
     #[test]
     fn verify_the_limit_is_kept_and_given_back() {
-        let bounded = Bounded::new(3);
-        let two = bounded.enter(2).unwrap();
-        assert!(bounded.enter(2).is_none());
-        let one = bounded.enter(1);
+        let limiter = Limiter::new(3);
+        let two = limiter.try_acquire(2).unwrap();
+        assert!(limiter.try_acquire(2).is_none());
+        let one = limiter.try_acquire(1);
         assert!(one.is_some());
         drop(two);
-        assert!(bounded.enter(2).is_some());
+        assert!(limiter.try_acquire(2).is_some());
     }
 }
--- a/crates/foxtide-entry/src/proxy/place.rs
+++ b/crates/foxtide-entry/src/proxy/place.rs
@@ -6,9 +6,9 @@
 };
 use super::run::Proxy;
 use crate::answer::Refusal;
-use crate::bounded::Entered;
 use crate::clock::Clock;
 use crate::dependencies::Dependencies;
+use crate::limiter::Permit;
 use crate::request_context::RequestContext;
 use crate::traffic::{
     Choice,
@@ -125,9 +125,13 @@
 
 impl<P: Dependencies> Proxy<P> {
     /// Counts a request among those that wait, unless there are too many.
-    fn enter_queue(&self, waiting: &mut Option<Entered>) -> Result<(), Unplaced> {
+    fn enter_queue(&self, waiting: &mut Option<Permit>) -> Result<(), Unplaced> {
         if waiting.is_none() {
-            *waiting = Some(self.waiting.enter(1).ok_or_else(Unplaced::queue_full)?);
+            *waiting = Some(
+                self.waiting
+                    .try_acquire(1)
+                    .ok_or_else(Unplaced::queue_full)?,
+            );
         }
         Ok(())
     }
--- a/crates/foxtide-entry/src/proxy/run.rs
+++ b/crates/foxtide-entry/src/proxy/run.rs
@@ -19,9 +19,9 @@
     AnswerBody,
     Refusal, //
 };
-use crate::bounded::Bounded;
 use crate::clock::Clock;
 use crate::dependencies::Dependencies;
+use crate::limiter::Limiter;
 use crate::options::EntryOptions;
 use crate::request_context::{
     RequestContext,
@@ -79,9 +79,9 @@
     /// What a planned stop waits for.
     pub(crate) callers: Arc<ServeState>,
     /// The requests under way.
-    pub(crate) in_flight: Bounded,
+    pub(crate) in_flight: Limiter,
     /// Those of them that wait for room.
-    pub(crate) waiting: Bounded,
+    pub(crate) waiting: Limiter,
 }
 
 /// A request on its way.
@@ -189,7 +189,7 @@
         prepared: &Prepared,
         claim: Option<&HeldClaim>,
     ) -> Result<Answer, Refusal> {
-        let Some(_in_flight) = self.in_flight.enter(1) else {
+        let Some(_in_flight) = self.in_flight.try_acquire(1) else {
             let status = StatusCode::ServiceUnavailable;
             return Err(Refusal::not_run(status, "too-many-requests"));
         };
--- a/crates/foxtide-entry/src/serve/connection.rs
+++ b/crates/foxtide-entry/src/serve/connection.rs
@@ -117,7 +117,7 @@
                 return Next::Close;
             }
         };
-        let _room = request.room.take();
+        let _body_permit = request.body_permit.take();
         let method = request.head.method;
         let close = request.head.head.close;
         let answered = async { Some(handler.handle(request).await) };
--- a/crates/foxtide-entry/src/serve/request.rs
+++ b/crates/foxtide-entry/src/serve/request.rs
@@ -2,7 +2,7 @@
 
 use super::state::ServeState;
 use crate::answer::Refusal;
-use crate::bounded::Entered;
+use crate::limiter::Permit;
 use crate::options::{
     Limits,
     size, //
@@ -35,7 +35,7 @@
     /// Who sent it.
     pub(crate) peer: SocketAddr,
     /// The room that its body takes, for as long as it is under way.
-    pub(crate) room: Option<Entered>,
+    pub(crate) body_permit: Option<Permit>,
 }
 
 /// Why a connection brought no request.
@@ -64,7 +64,7 @@
     let bytes = within(limits.head_time, read_head(stream, size(limits.head))).await;
     let bytes = or_too_slow(bytes)?.ok_or(NoRequest::Gone)?;
     let head = RequestHead::parse(&bytes).map_err(|error| refused(&error.into()))?;
-    let room = body_room(&head, limits, state)?;
+    let body_permit = reserve_body(&head, limits, state)?;
     if head.head.expects_continue && stream.buffered().is_empty() {
         let asked = within(limits.head_time, stream.write_all(CONTINUE_ANSWER)).await;
         or_too_slow(asked.map(|written| written.map_err(MessageError::from)))?;
@@ -75,16 +75,16 @@
         head,
         body,
         peer,
-        room: Some(room),
+        body_permit: Some(body_permit),
     })
 }
 
 /// Takes room for a body, before any of it is read.
-fn body_room(
+fn reserve_body(
     head: &RequestHead,
     limits: &Limits,
     state: &ServeState,
-) -> Result<Entered, NoRequest> {
+) -> Result<Permit, NoRequest> {
     let longest = size(limits.request_body);
     let size_bytes = match head.head.length {
         BodyLength::None => 0,
@@ -94,8 +94,8 @@
         BodyLength::Chunked | BodyLength::UntilClose => longest,
     };
     let full = || Refusal::not_run(StatusCode::ServiceUnavailable, "too-many-bodies");
-    let room = state.body_room(size_bytes);
-    room.ok_or_else(|| NoRequest::Refused(full()))
+    let body_permit = state.reserve_body(size_bytes);
+    body_permit.ok_or_else(|| NoRequest::Refused(full()))
 }
 
 fn or_too_slow<T>(read: Result<Result<T, MessageError>, Elapsed>) -> Result<T, NoRequest> {
--- a/crates/foxtide-entry/src/serve/state.rs
+++ b/crates/foxtide-entry/src/serve/state.rs
@@ -1,9 +1,9 @@
 //! What all connections of a listener share: how many there are, and whether
 //! the instance leaves.
 
-use crate::bounded::{
-    Bounded,
-    Entered, //
+use crate::limiter::{
+    Limiter,
+    Permit, //
 };
 use crate::options::{
     Limits,
@@ -32,7 +32,7 @@
     leaving: AtomicBool,
     closing: Closing,
     /// What the bodies of requests take, in bytes.
-    bodies: Bounded,
+    bodies: Limiter,
 }
 
 /// A signal to all connections; it is given by closing a channel.
@@ -64,7 +64,7 @@
             requests: AtomicUsize::new(0),
             leaving: AtomicBool::new(false),
             closing: Closing { sender, receiver },
-            bodies: Bounded::new(size(limits.request_bodies)),
+            bodies: Limiter::new(size(limits.request_bodies)),
         })
     }
 
@@ -76,8 +76,8 @@
     }
 
     /// Takes room for a request's body, if there is.
-    pub(crate) fn body_room(&self, size_bytes: usize) -> Option<Entered> {
-        self.bodies.enter(size_bytes)
+    pub(crate) fn reserve_body(&self, size_bytes: usize) -> Option<Permit> {
+        self.bodies.try_acquire(size_bytes)
     }
 
     /// Counts a request until its answer was sent, or until it ended without
