--- a/crates/foxtide-entry/src/admin.rs
+++ b/crates/foxtide-entry/src/admin.rs
@@ -12,8 +12,8 @@
 use crate::request_id::new_request_id;
 use crate::serve::{
     Handler,
-    Received,
-    ServeState, //
+    ListenerState,
+    Received, //
 };
 use foxtide_core::events::RequestId;
 use http_types::{
@@ -31,7 +31,7 @@
     /// What the request path works with.
     pub(crate) dependencies: Arc<P>,
     /// The state of the caller listener.
-    pub(crate) callers: Arc<ServeState>,
+    pub(crate) callers: Arc<ListenerState>,
 }
 
 impl<P: Dependencies> AdminHandler<P> {
@@ -51,7 +51,7 @@
     }
 
     fn readiness(&self) -> Answer {
-        if self.callers.is_leaving() {
+        if self.callers.is_draining() {
             plain(StatusCode::ServiceUnavailable, "draining\n")
         } else if !self.dependencies.admin().is_ready() {
             plain(StatusCode::ServiceUnavailable, "no configuration\n")
--- a/crates/foxtide-entry/src/entry.rs
+++ b/crates/foxtide-entry/src/entry.rs
@@ -17,7 +17,7 @@
 use crate::proxy::Proxy;
 use crate::serve::{
     Handler,
-    ServeState,
+    ListenerState,
     bind,
     serve_listener, //
 };
@@ -49,8 +49,8 @@
 pub struct Entry<P: Dependencies> {
     dependencies: Arc<P>,
     options: Arc<EntryOptions>,
-    callers: Arc<ServeState>,
-    operators: Arc<ServeState>,
+    callers: Arc<ListenerState>,
+    operators: Arc<ListenerState>,
     caller_address: SocketAddr,
     admin_address: SocketAddr,
     tasks: Vec<Task<()>>,
@@ -115,8 +115,8 @@
         let mut entry = Self {
             caller_address: listeners.caller_address,
             admin_address: listeners.admin_address,
-            callers: ServeState::new(&options.limits),
-            operators: ServeState::new(&options.limits),
+            callers: ListenerState::new(&options.limits),
+            operators: ListenerState::new(&options.limits),
             dependencies,
             options,
             tasks: Vec::new(),
@@ -181,7 +181,7 @@
         executor: &Arc<Executor<'static>>,
         listener: Async<TcpListener>,
         handler: impl Handler,
-        state: Arc<ServeState>,
+        state: Arc<ListenerState>,
     ) {
         let dependencies = Arc::clone(&self.dependencies);
         let limits = Arc::new(self.options.limits.clone());
@@ -239,7 +239,7 @@
     pub async fn drain(&self) {
         self.record(EventCode::ProcessStopping, String::new());
         self.dependencies.directory().leave();
-        self.callers.leave();
+        self.callers.start_draining();
         Timer::after(self.options.lookup_ttl + self.options.drain.margin).await;
         self.callers.close();
         let finished = self.callers.finished();
--- a/crates/foxtide-entry/src/housekeeping.rs
+++ b/crates/foxtide-entry/src/housekeeping.rs
@@ -5,7 +5,7 @@
 use crate::dependencies::Dependencies;
 use crate::options::EntryOptions;
 use crate::proxy::KeyTable;
-use crate::serve::ServeState;
+use crate::serve::ListenerState;
 use crate::traffic::{
     Poller,
     UpstreamChange, //
@@ -41,7 +41,7 @@
     pools: Arc<Pools>,
     poller: Arc<Poller<P>>,
     keys: KeyTable,
-    callers: Arc<ServeState>,
+    callers: Arc<ListenerState>,
 }
 
 impl<P: Dependencies> Housekeeping<P> {
@@ -51,7 +51,7 @@
         options: Arc<EntryOptions>,
         pools: Arc<Pools>,
         keys: KeyTable,
-        callers: Arc<ServeState>,
+        callers: Arc<ListenerState>,
     ) -> Self {
         let poller = Poller {
             dependencies: Arc::clone(&dependencies),
--- a/crates/foxtide-entry/src/proxy/keyed.rs
+++ b/crates/foxtide-entry/src/proxy/keyed.rs
@@ -9,7 +9,7 @@
 };
 use crate::dependencies::Dependencies;
 use crate::request_context::RequestContext;
-use crate::serve::ServeState;
+use crate::serve::ListenerState;
 use smol::{
     Executor,
     Task, //
@@ -32,7 +32,7 @@
     task: Option<Task<Result<Answer, Refusal>>>,
     written: Arc<AtomicBool>,
     executor: Weak<Executor<'static>>,
-    callers: Arc<ServeState>,
+    callers: Arc<ListenerState>,
 }
 
 impl Drop for OwnRun {
@@ -44,10 +44,10 @@
         if !written {
             return;
         }
-        let counted = self.callers.begin_request();
+        let guard = self.callers.begin_request();
         let rest = async move {
             let _ = task.await;
-            drop(counted);
+            drop(guard);
         };
         executor.spawn(rest).detach();
     }
--- a/crates/foxtide-entry/src/proxy/run.rs
+++ b/crates/foxtide-entry/src/proxy/run.rs
@@ -28,8 +28,8 @@
     Target, //
 };
 use crate::serve::{
-    Received,
-    ServeState, //
+    ListenerState,
+    Received, //
 };
 use crate::traffic::Place;
 use crate::upstream::{
@@ -77,7 +77,7 @@
     /// What runs tasks. Weak, for tasks hold the proxy.
     pub(crate) executor: Weak<Executor<'static>>,
     /// What a planned stop waits for.
-    pub(crate) callers: Arc<ServeState>,
+    pub(crate) callers: Arc<ListenerState>,
     /// The requests under way.
     pub(crate) in_flight: Limiter,
     /// Those of them that wait for room.
--- a/crates/foxtide-entry/src/serve/connection.rs
+++ b/crates/foxtide-entry/src/serve/connection.rs
@@ -5,7 +5,7 @@
     Received,
     receive, //
 };
-use super::state::ServeState;
+use super::state::ListenerState;
 use crate::answer::{
     Answer,
     Refusal, //
@@ -52,7 +52,7 @@
     /// What it may use up.
     pub(crate) limits: Arc<Limits>,
     /// What all connections share.
-    pub(crate) state: Arc<ServeState>,
+    pub(crate) state: Arc<ListenerState>,
 }
 
 /// Whether a connection stays open.
@@ -107,7 +107,7 @@
 
     async fn serve_one(&mut self, handler: &impl Handler) -> Next {
         let state = Arc::clone(&self.state);
-        let _counted = state.begin_request();
+        let _guard = state.begin_request();
         let received = receive(&mut self.stream, &self.limits, &state, self.peer);
         let mut request = match received.await {
             Ok(request) => request,
@@ -130,7 +130,7 @@
             handler.caller_gone(self.peer);
             return Next::Close;
         };
-        let close = close || self.state.is_leaving();
+        let close = close || self.state.is_draining();
         if close {
             answer.close();
         }
--- a/crates/foxtide-entry/src/serve/listener.rs
+++ b/crates/foxtide-entry/src/serve/listener.rs
@@ -5,7 +5,7 @@
     Wire,
     serve_connection, //
 };
-use super::state::ServeState;
+use super::state::ListenerState;
 use crate::errors::{
     Error,
     Result,
@@ -48,7 +48,7 @@
     executor: Arc<Executor<'static>>,
     handler: Arc<H>,
     limits: Arc<Limits>,
-    state: Arc<ServeState>,
+    state: Arc<ListenerState>,
     on_error: impl Fn(&io::Error) + Send,
 ) {
     loop {
@@ -78,11 +78,11 @@
 
 fn spawn_connection<H: Handler>(executor: &Executor<'static>, wire: Wire, handler: Arc<H>) {
     // Beyond the limit the connection is closed before anything is read.
-    let Some(counted) = wire.state.open_connection(wire.limits.connections) else {
+    let Some(guard) = wire.state.open_connection(wire.limits.connections) else {
         return;
     };
     let serve = async move {
-        let _counted = counted;
+        let _guard = guard;
         let serving = AssertUnwindSafe(serve_connection(wire, &*handler));
         // A fault in one connection must not end the worker that runs others.
         if serving.catch_unwind().await.is_err() {
--- a/crates/foxtide-entry/src/serve/mod.rs
+++ b/crates/foxtide-entry/src/serve/mod.rs
@@ -11,4 +11,4 @@
     serve_listener, //
 };
 pub(crate) use request::Received;
-pub(crate) use state::ServeState;
+pub(crate) use state::ListenerState;
--- a/crates/foxtide-entry/src/serve/request.rs
+++ b/crates/foxtide-entry/src/serve/request.rs
@@ -1,6 +1,6 @@
 //! A whole request as it was received.
 
-use super::state::ServeState;
+use super::state::ListenerState;
 use crate::answer::Refusal;
 use crate::limiter::Permit;
 use crate::options::{
@@ -58,7 +58,7 @@
 pub(crate) async fn receive(
     stream: &mut BufferedStream,
     limits: &Limits,
-    state: &ServeState,
+    state: &ListenerState,
     peer: SocketAddr,
 ) -> Result<Received, NoRequest> {
     let bytes = within(limits.head_time, read_head(stream, size(limits.head))).await;
@@ -83,7 +83,7 @@
 fn reserve_body(
     head: &RequestHead,
     limits: &Limits,
-    state: &ServeState,
+    state: &ListenerState,
 ) -> Result<Permit, NoRequest> {
     let longest = size(limits.request_body);
     let size_bytes = match head.head.length {
--- a/crates/foxtide-entry/src/serve/state.rs
+++ b/crates/foxtide-entry/src/serve/state.rs
@@ -26,53 +26,53 @@
 
 /// The shared state of a listener's connections.
 #[derive(Debug)]
-pub(crate) struct ServeState {
+pub(crate) struct ListenerState {
     connections: AtomicUsize,
     requests: AtomicUsize,
-    leaving: AtomicBool,
-    closing: Closing,
+    draining: AtomicBool,
+    closing: CloseSignal,
     /// What the bodies of requests take, in bytes.
     bodies: Limiter,
 }
 
 /// A signal to all connections; it is given by closing a channel.
 #[derive(Debug)]
-struct Closing {
+struct CloseSignal {
     sender: Sender<()>,
     receiver: Receiver<()>,
 }
 
-/// One thing under way; it is counted until this is dropped.
+/// One thing under way; it is guard until this is dropped.
 #[derive(Debug)]
-pub(crate) struct Counted {
-    state: Arc<ServeState>,
-    counter: fn(&ServeState) -> &AtomicUsize,
+pub(crate) struct CountGuard {
+    state: Arc<ListenerState>,
+    counter: fn(&ListenerState) -> &AtomicUsize,
 }
 
-impl Drop for Counted {
+impl Drop for CountGuard {
     fn drop(&mut self) {
         (self.counter)(&self.state).fetch_sub(1, Ordering::AcqRel);
     }
 }
 
-impl ServeState {
+impl ListenerState {
     /// Returns the state of a listener that serves.
     pub(crate) fn new(limits: &Limits) -> Arc<Self> {
         let (sender, receiver) = bounded(1);
         Arc::new(Self {
             connections: AtomicUsize::new(0),
             requests: AtomicUsize::new(0),
-            leaving: AtomicBool::new(false),
-            closing: Closing { sender, receiver },
+            draining: AtomicBool::new(false),
+            closing: CloseSignal { sender, receiver },
             bodies: Limiter::new(size(limits.request_bodies)),
         })
     }
 
     /// Counts a further connection, unless there are `limit` already.
-    pub(crate) fn open_connection(self: &Arc<Self>, limit: usize) -> Option<Counted> {
-        let counted = self.count(|state| &state.connections);
+    pub(crate) fn open_connection(self: &Arc<Self>, limit: usize) -> Option<CountGuard> {
+        let guard = self.count(|state| &state.connections);
         let within = self.connections.load(Ordering::Acquire) <= limit;
-        within.then_some(counted)
+        within.then_some(guard)
     }
 
     /// Takes room for a request's body, if there is.
@@ -82,13 +82,13 @@
 
     /// Counts a request until its answer was sent, or until it ended without
     /// its caller.
-    pub(crate) fn begin_request(self: &Arc<Self>) -> Counted {
+    pub(crate) fn begin_request(self: &Arc<Self>) -> CountGuard {
         self.count(|state| &state.requests)
     }
 
-    fn count(self: &Arc<Self>, counter: fn(&Self) -> &AtomicUsize) -> Counted {
+    fn count(self: &Arc<Self>, counter: fn(&Self) -> &AtomicUsize) -> CountGuard {
         counter(self).fetch_add(1, Ordering::AcqRel);
-        Counted {
+        CountGuard {
             state: Arc::clone(self),
             counter,
         }
@@ -105,13 +105,13 @@
     }
 
     /// Makes every further answer tell its caller to close the connection.
-    pub(crate) fn leave(&self) {
-        self.leaving.store(true, Ordering::Release);
+    pub(crate) fn start_draining(&self) {
+        self.draining.store(true, Ordering::Release);
     }
 
     /// Tells whether the instance leaves.
-    pub(crate) fn is_leaving(&self) -> bool {
-        self.leaving.load(Ordering::Acquire)
+    pub(crate) fn is_draining(&self) -> bool {
+        self.draining.load(Ordering::Acquire)
     }
 
     /// Makes connections close as soon as no request is under way on them.
--- a/crates/foxtide-entry/src/traffic/metrics.rs
+++ b/crates/foxtide-entry/src/traffic/metrics.rs
@@ -1,4 +1,4 @@
-//! What is counted of a service's requests.
+//! What is guard of a service's requests.
 
 use foxtide_core::ids::{
     OrganisationId,
--- a/crates/foxtide-entry/src/traffic/service.rs
+++ b/crates/foxtide-entry/src/traffic/service.rs
@@ -80,7 +80,7 @@
         &self.service
     }
 
-    /// Returns what is counted of the service's requests.
+    /// Returns what is guard of the service's requests.
     pub(crate) fn metrics(&self) -> &ServiceMetrics {
         &self.metrics
     }
