--- a/crates/foxtide-entry/src/admin.rs
+++ b/crates/foxtide-entry/src/admin.rs
@@ -13,7 +13,7 @@
 use crate::serve::{
     Handler,
     ListenerState,
-    Received, //
+    ReceivedRequest, //
 };
 use foxtide_core::events::RequestId;
 use http_types::{
@@ -35,7 +35,7 @@
 }
 
 impl<P: Dependencies> AdminHandler<P> {
-    fn page(&self, request: &Received) -> Answer {
+    fn page(&self, request: &ReceivedRequest) -> Answer {
         if !matches!(request.head.method, Method::Get | Method::Head) {
             return refused(StatusCode::MethodNotAllowed, "method-not-allowed");
         }
@@ -70,7 +70,7 @@
 }
 
 impl<P: Dependencies> Handler for AdminHandler<P> {
-    async fn handle(&self, request: Received) -> Answer {
+    async fn handle(&self, request: ReceivedRequest) -> Answer {
         self.page(&request)
     }
 
--- a/crates/foxtide-entry/src/callers.rs
+++ b/crates/foxtide-entry/src/callers.rs
@@ -16,7 +16,7 @@
 use crate::route::Route;
 use crate::serve::{
     Handler,
-    Received, //
+    ReceivedRequest, //
 };
 use foxtide_core::events::{
     EventCode,
@@ -45,7 +45,7 @@
 }
 
 impl<P: Dependencies> CallerHandler<P> {
-    async fn answer(&self, request: Received, id: RequestId) -> Result<Answer, Refusal> {
+    async fn answer(&self, request: ReceivedRequest, id: RequestId) -> Result<Answer, Refusal> {
         match Route::parse(request.head.url.path()) {
             Route::Lookup if request.head.method != Method::Get => Err(Refusal::not_run(
                 StatusCode::MethodNotAllowed,
@@ -73,7 +73,7 @@
 }
 
 impl<P: Dependencies> Handler for CallerHandler<P> {
-    async fn handle(&self, request: Received) -> Answer {
+    async fn handle(&self, request: ReceivedRequest) -> Answer {
         let id = request_id(&request.head.head.headers);
         let answer = self.answer(request, id.clone()).await;
         let mut answer = answer.unwrap_or_else(|refusal| refusal.answer(id.as_str()));
--- a/crates/foxtide-entry/src/proxy/keys.rs
+++ b/crates/foxtide-entry/src/proxy/keys.rs
@@ -13,7 +13,7 @@
     Directory, //
 };
 use crate::request_context::Target;
-use crate::serve::Received;
+use crate::serve::ReceivedRequest;
 use foxtide_core::events::{
     EventCode,
     RequestId, //
@@ -169,7 +169,7 @@
 #[derive(Clone, Copy, Debug)]
 pub(super) struct KeyedRequest<'a> {
     /// The request.
-    pub(super) received: &'a Received,
+    pub(super) received: &'a ReceivedRequest,
     /// What it is for.
     pub(super) target: &'a Target,
     /// Its identity.
--- a/crates/foxtide-entry/src/proxy/prepare.rs
+++ b/crates/foxtide-entry/src/proxy/prepare.rs
@@ -1,7 +1,7 @@
 //! Makes what is sent to an upstream out of what a caller sent.
 
 use crate::request_context::Target;
-use crate::serve::Received;
+use crate::serve::ReceivedRequest;
 use async_h1::client::Encoder;
 use foxtide_core::events::RequestId;
 use foxtide_http::name;
@@ -37,7 +37,7 @@
     ///
     /// Fails where the encoder does.
     pub(crate) async fn new(
-        received: Received,
+        received: ReceivedRequest,
         target: &Target,
         id: &RequestId,
     ) -> io::Result<Self> {
--- a/crates/foxtide-entry/src/proxy/run.rs
+++ b/crates/foxtide-entry/src/proxy/run.rs
@@ -29,7 +29,7 @@
 };
 use crate::serve::{
     ListenerState,
-    Received, //
+    ReceivedRequest, //
 };
 use crate::traffic::Place;
 use crate::upstream::{
@@ -135,7 +135,7 @@
     /// Fails where no upstream gave one.
     pub(crate) async fn answer(
         self: &Arc<Self>,
-        received: Received,
+        received: ReceivedRequest,
         target: Target,
         id: RequestId,
     ) -> Result<Answer, Refusal> {
@@ -167,7 +167,7 @@
     fn claim(
         &self,
         context: &RequestContext,
-        received: &Received,
+        received: &ReceivedRequest,
         target: &Target,
     ) -> Result<Option<HeldClaim>, Settled> {
         let key = received.head.head.headers.get(name::IDEMPOTENCY_KEY);
@@ -333,7 +333,7 @@
 
 /// Returns what is known of earlier copies of a request that is refused before
 /// its key is looked at: one of them may have run.
-fn earlier_outcome(received: &Received) -> Outcome {
+fn earlier_outcome(received: &ReceivedRequest) -> Outcome {
     let key = received.head.head.headers.get(name::IDEMPOTENCY_KEY);
     key.map_or(Outcome::NotRun, |_| Outcome::Unknown)
 }
--- a/crates/foxtide-entry/src/request_context.rs
+++ b/crates/foxtide-entry/src/request_context.rs
@@ -11,7 +11,7 @@
     unknown_service, //
 };
 use crate::options::EntryOptions;
-use crate::serve::Received;
+use crate::serve::ReceivedRequest;
 use crate::traffic::{
     OrganisationTraffic,
     ServiceTraffic, //
@@ -79,7 +79,7 @@
     pub(crate) fn of<P: Dependencies>(
         dependencies: &P,
         options: &EntryOptions,
-        received: &Received,
+        received: &ReceivedRequest,
         target: &Target,
         request: RequestId,
     ) -> Result<Self, Refusal> {
--- a/crates/foxtide-entry/src/serve/connection.rs
+++ b/crates/foxtide-entry/src/serve/connection.rs
@@ -1,8 +1,8 @@
 //! The life of one connection: request after request, answer after answer.
 
 use super::request::{
-    NoRequest,
-    Received,
+    ReceiveError,
+    ReceivedRequest,
     receive, //
 };
 use super::state::ListenerState;
@@ -33,7 +33,7 @@
 /// Answers whole requests.
 pub(crate) trait Handler: Send + Sync + 'static {
     /// Answers a request.
-    fn handle(&self, request: Received) -> impl Future<Output = Answer> + Send;
+    fn handle(&self, request: ReceivedRequest) -> impl Future<Output = Answer> + Send;
 
     /// Records that a caller went away before its answer came.
     fn caller_gone(&self, caller: SocketAddr);
@@ -44,7 +44,7 @@
 
 /// A connection with what it shares with the others of its listener.
 #[derive(Debug)]
-pub(crate) struct Wire {
+pub(crate) struct Connection {
     /// The socket.
     pub(crate) stream: BufferedStream,
     /// The other end.
@@ -63,17 +63,17 @@
 }
 
 /// Serves a connection until it closes.
-pub(crate) async fn serve_connection(mut wire: Wire, handler: &impl Handler) {
-    while wire.await_request().await == Next::Request {
+pub(crate) async fn serve_connection(mut connection: Connection, handler: &impl Handler) {
+    while connection.await_request().await == Next::Request {
         // Boxed, so that a connection takes the memory of a request only while
         // there is one.
-        if Box::pin(wire.serve_one(handler)).await == Next::Close {
+        if Box::pin(connection.serve_one(handler)).await == Next::Close {
             return;
         }
     }
 }
 
-impl Wire {
+impl Connection {
     /// Waits for the first byte of a request.
     async fn await_request(&mut self) -> Next {
         if !self.stream.buffered().is_empty() {
@@ -111,8 +111,8 @@
         let received = receive(&mut self.stream, &self.limits, &state, self.peer);
         let mut request = match received.await {
             Ok(request) => request,
-            Err(NoRequest::Gone) => return Next::Close,
-            Err(NoRequest::Refused(refusal)) => {
+            Err(ReceiveError::Disconnected) => return Next::Close,
+            Err(ReceiveError::Rejected(refusal)) => {
                 self.refuse(handler, &refusal).await;
                 return Next::Close;
             }
--- a/crates/foxtide-entry/src/serve/listener.rs
+++ b/crates/foxtide-entry/src/serve/listener.rs
@@ -1,8 +1,8 @@
 //! Accepts connections and keeps on when the system is short of something.
 
 use super::connection::{
+    Connection,
     Handler,
-    Wire,
     serve_connection, //
 };
 use super::state::ListenerState;
@@ -60,13 +60,13 @@
         match or(accepted, closing).await {
             None => return,
             Some(Ok((socket, peer))) => {
-                let wire = Wire {
+                let connection = Connection {
                     stream: BufferedStream::new(socket),
                     peer,
                     limits: Arc::clone(&limits),
                     state: Arc::clone(&state),
                 };
-                spawn_connection(&executor, wire, Arc::clone(&handler));
+                spawn_connection(&executor, connection, Arc::clone(&handler));
             }
             Some(Err(error)) => {
                 on_error(&error);
@@ -76,14 +76,21 @@
     }
 }
 
-fn spawn_connection<H: Handler>(executor: &Executor<'static>, wire: Wire, handler: Arc<H>) {
+fn spawn_connection<H: Handler>(
+    executor: &Executor<'static>,
+    connection: Connection,
+    handler: Arc<H>,
+) {
     // Beyond the limit the connection is closed before anything is read.
-    let Some(guard) = wire.state.open_connection(wire.limits.connections) else {
+    let Some(guard) = connection
+        .state
+        .open_connection(connection.limits.connections)
+    else {
         return;
     };
     let serve = async move {
         let _guard = guard;
-        let serving = AssertUnwindSafe(serve_connection(wire, &*handler));
+        let serving = AssertUnwindSafe(serve_connection(connection, &*handler));
         // A fault in one connection must not end the worker that runs others.
         if serving.catch_unwind().await.is_err() {
             log::error!("a connection's task panicked; the connection is closed");
--- a/crates/foxtide-entry/src/serve/mod.rs
+++ b/crates/foxtide-entry/src/serve/mod.rs
@@ -10,5 +10,5 @@
     bind,
     serve_listener, //
 };
-pub(crate) use request::Received;
+pub(crate) use request::ReceivedRequest;
 pub(crate) use state::ListenerState;
--- a/crates/foxtide-entry/src/serve/request.rs
+++ b/crates/foxtide-entry/src/serve/request.rs
@@ -27,7 +27,7 @@
 
 /// A whole request.
 #[derive(Debug)]
-pub(crate) struct Received {
+pub(crate) struct ReceivedRequest {
     /// Its head.
     pub(crate) head: RequestHead,
     /// Its body.
@@ -40,11 +40,11 @@
 
 /// Why a connection brought no request.
 #[derive(Debug)]
-pub(crate) enum NoRequest {
+pub(crate) enum ReceiveError {
     /// The peer is gone; nothing can be answered.
-    Gone,
+    Disconnected,
     /// What came is answered with a refusal.
-    Refused(Refusal),
+    Rejected(Refusal),
 }
 
 /// Reads one whole request.
@@ -60,18 +60,18 @@
     limits: &Limits,
     state: &ListenerState,
     peer: SocketAddr,
-) -> Result<Received, NoRequest> {
+) -> Result<ReceivedRequest, ReceiveError> {
     let bytes = within(limits.head_time, read_head(stream, size(limits.head))).await;
-    let bytes = or_too_slow(bytes)?.ok_or(NoRequest::Gone)?;
+    let bytes = flatten_timeout(bytes)?.ok_or(ReceiveError::Disconnected)?;
     let head = RequestHead::parse(&bytes).map_err(|error| refused(&error.into()))?;
     let body_permit = reserve_body(&head, limits, state)?;
     if head.head.expects_continue && stream.buffered().is_empty() {
         let asked = within(limits.head_time, stream.write_all(CONTINUE_ANSWER)).await;
-        or_too_slow(asked.map(|written| written.map_err(MessageError::from)))?;
+        flatten_timeout(asked.map(|written| written.map_err(MessageError::from)))?;
     }
     let body = read_body(stream, head.head.length, size(limits.request_body));
-    let body = or_too_slow(within(limits.body_time, body).await)?;
-    Ok(Received {
+    let body = flatten_timeout(within(limits.body_time, body).await)?;
+    Ok(ReceivedRequest {
         head,
         body,
         peer,
@@ -84,7 +84,7 @@
     head: &RequestHead,
     limits: &Limits,
     state: &ListenerState,
-) -> Result<Permit, NoRequest> {
+) -> Result<Permit, ReceiveError> {
     let longest = size(limits.request_body);
     let size_bytes = match head.head.length {
         BodyLength::None => 0,
@@ -95,22 +95,22 @@
     };
     let full = || Refusal::not_run(StatusCode::ServiceUnavailable, "too-many-bodies");
     let body_permit = state.reserve_body(size_bytes);
-    body_permit.ok_or_else(|| NoRequest::Refused(full()))
+    body_permit.ok_or_else(|| ReceiveError::Rejected(full()))
 }
 
-fn or_too_slow<T>(read: Result<Result<T, MessageError>, Elapsed>) -> Result<T, NoRequest> {
+fn flatten_timeout<T>(read: Result<Result<T, MessageError>, Elapsed>) -> Result<T, ReceiveError> {
     match read {
         Ok(read) => read.map_err(|error| refused(&error)),
-        Err(Elapsed) => Err(NoRequest::Refused(Refusal::not_run(
+        Err(Elapsed) => Err(ReceiveError::Rejected(Refusal::not_run(
             StatusCode::RequestTimeout,
             "request-too-slow",
         ))),
     }
 }
 
-fn refused(error: &MessageError) -> NoRequest {
+fn refused(error: &MessageError) -> ReceiveError {
     let (status, reason) = match error {
-        MessageError::Io(_) => return NoRequest::Gone,
+        MessageError::Io(_) => return ReceiveError::Disconnected,
         MessageError::Truncated => (StatusCode::BadRequest, "request-cut"),
         MessageError::HeadTooLong => {
             let status = StatusCode::RequestHeaderFieldsTooLarge;
@@ -132,5 +132,5 @@
             HeadError::TransferCoding => (StatusCode::NotImplemented, "transfer-coding-not-known"),
         },
     };
-    NoRequest::Refused(Refusal::not_run(status, reason))
+    ReceiveError::Rejected(Refusal::not_run(status, reason))
 }
