--- a/crates/foxtide-entry/src/entry.rs
+++ b/crates/foxtide-entry/src/entry.rs
@@ -21,7 +21,7 @@
     bind,
     serve_listener, //
 };
-use crate::time_limit::within;
+use crate::timeout::timeout;
 use crate::upstream::Pools;
 use foxtide_core::events::{
     EventCode,
@@ -243,7 +243,7 @@
         Timer::after(self.options.lookup_ttl + self.options.drain.margin).await;
         self.callers.close();
         let finished = self.callers.finished();
-        match within(self.options.drain.in_flight_time, finished).await {
+        match timeout(self.options.drain.in_flight_time, finished).await {
             Ok(()) => self.record(EventCode::ProcessDrained, String::new()),
             Err(_) => {
                 let in_flight = format!("requests={}", self.requests());
--- a/crates/foxtide-entry/src/lib.rs
+++ b/crates/foxtide-entry/src/lib.rs
@@ -44,7 +44,7 @@
 mod request_id;
 mod route;
 mod serve;
-mod time_limit;
+mod timeout;
 mod traffic;
 mod upstream;
 mod workers;
--- a/crates/foxtide-entry/src/proxy/hedged.rs
+++ b/crates/foxtide-entry/src/proxy/hedged.rs
@@ -11,7 +11,7 @@
 use crate::answer::Answer;
 use crate::clock::Clock;
 use crate::dependencies::Dependencies;
-use crate::time_limit::within;
+use crate::timeout::timeout;
 use crate::traffic::{
     Choice,
     Place, //
@@ -80,7 +80,7 @@
     ) -> (Ended, Step) {
         let mut first_result = pin!(self.send(run, &first));
         let delay = at - self.dependencies.clock().now();
-        if let Ok(result) = within(delay, first_result.as_mut()).await {
+        if let Ok(result) = timeout(delay, first_result.as_mut()).await {
             return self.end(run, first, result);
         }
         let Some(second) = self.begin_hedge(run, &first.admitted.region) else {
--- a/crates/foxtide-entry/src/serve/connection.rs
+++ b/crates/foxtide-entry/src/serve/connection.rs
@@ -11,7 +11,7 @@
     Refusal, //
 };
 use crate::options::Limits;
-use crate::time_limit::within;
+use crate::timeout::timeout;
 use crate::upstream::LongBody;
 use foxtide_core::events::RequestId;
 use foxtide_http::{
@@ -89,7 +89,7 @@
             self.state.closing().await;
             Next::Close
         };
-        let waited = within(self.limits.idle_time, or(arrived, closing)).await;
+        let waited = timeout(self.limits.idle_time, or(arrived, closing)).await;
         match waited {
             Ok(Next::Request) => Next::Request,
             // A request that came at this very moment is still served.
@@ -150,7 +150,7 @@
     }
 
     async fn send_bytes(&mut self, bytes: &[u8]) -> Next {
-        let written = within(self.limits.answer_time, self.stream.write_all(bytes)).await;
+        let written = timeout(self.limits.answer_time, self.stream.write_all(bytes)).await;
         match written {
             Ok(Ok(())) => Next::Request,
             _ => Next::Close,
@@ -184,7 +184,7 @@
         if self.send(answer, Method::Get).await == Next::Request {
             self.stream.shutdown_write();
             let discarded = self.stream.discard(DISCARD_MAX_BYTES);
-            let _ = within(DISCARD_TIME, discarded).await;
+            let _ = timeout(DISCARD_TIME, discarded).await;
         }
     }
 }
--- a/crates/foxtide-entry/src/serve/request.rs
+++ b/crates/foxtide-entry/src/serve/request.rs
@@ -7,9 +7,9 @@
     Limits,
     size, //
 };
-use crate::time_limit::{
+use crate::timeout::{
     Elapsed,
-    within, //
+    timeout, //
 };
 use foxtide_http::{
     BodyLength,
@@ -61,16 +61,16 @@
     state: &ListenerState,
     peer: SocketAddr,
 ) -> Result<ReceivedRequest, ReceiveError> {
-    let bytes = within(limits.head_time, read_head(stream, size(limits.head))).await;
+    let bytes = timeout(limits.head_time, read_head(stream, size(limits.head))).await;
     let bytes = flatten_timeout(bytes)?.ok_or(ReceiveError::Disconnected)?;
     let head = RequestHead::parse(&bytes).map_err(|error| refused(&error.into()))?;
     let body_permit = reserve_body(&head, limits, state)?;
     if head.head.expects_continue && stream.buffered().is_empty() {
-        let asked = within(limits.head_time, stream.write_all(CONTINUE_ANSWER)).await;
+        let asked = timeout(limits.head_time, stream.write_all(CONTINUE_ANSWER)).await;
         flatten_timeout(asked.map(|written| written.map_err(MessageError::from)))?;
     }
     let body = read_body(stream, head.head.length, size(limits.request_body));
-    let body = flatten_timeout(within(limits.body_time, body).await)?;
+    let body = flatten_timeout(timeout(limits.body_time, body).await)?;
     Ok(ReceivedRequest {
         head,
         body,
--- a/crates/foxtide-entry/src/time_limit.rs
+++ b/crates/foxtide-entry/src/timeout.rs
@@ -14,7 +14,7 @@
 /// # Errors
 ///
 /// Fails where `limit` passes first.
-pub(crate) async fn within<T>(
+pub(crate) async fn timeout<T>(
     limit: Duration,
     future: impl Future<Output = T>,
 ) -> Result<T, Elapsed> {
--- a/crates/foxtide-entry/src/upstream/exchange.rs
+++ b/crates/foxtide-entry/src/upstream/exchange.rs
@@ -18,7 +18,7 @@
     Limits,
     size, //
 };
-use crate::time_limit::within;
+use crate::timeout::timeout;
 use foxtide_core::time::MonotonicTime;
 use foxtide_http::{
     BodyLength,
@@ -97,7 +97,7 @@
     let mut stream = open(pools, request, now).await?;
     let before_bytes = stream.sent_bytes();
     let conversation = converse(&mut stream, pools, limits, request);
-    let conversed = within(request.time_left, conversation).await;
+    let conversed = timeout(request.time_left, conversation).await;
     let conversed = conversed.unwrap_or(Err(FailureKind::TimedOut));
     let sent_bytes = stream.sent_bytes() - before_bytes;
     let conversed = conversed.map_err(|kind| request.failure(sent_bytes, kind))?;
@@ -189,7 +189,7 @@
 ) -> Result<BufferedStream, FailureKind> {
     let limit = pools.options().connect_time.min(request.time_left);
     let source = pools.options().source;
-    let connected = within(limit, BufferedStream::connect(request.address, source)).await;
+    let connected = timeout(limit, BufferedStream::connect(request.address, source)).await;
     match connected {
         Ok(connected) => Ok(connected?),
         Err(_) => Err(FailureKind::TimedOut),
--- a/crates/foxtide-entry/src/upstream/long_body.rs
+++ b/crates/foxtide-entry/src/upstream/long_body.rs
@@ -1,6 +1,6 @@
 //! The rest of an answer that is too long to be held.
 
-use crate::time_limit::within;
+use crate::timeout::timeout;
 use crate::traffic::Place;
 use foxtide_core::choice::{
     Completion,
@@ -85,7 +85,7 @@
             return Ok(None);
         }
         let read = self.reader.read_some(&mut self.stream, &mut self.piece);
-        let read = within(self.piece_time, read).await;
+        let read = timeout(self.piece_time, read).await;
         match read.unwrap_or(Err(MessageError::Truncated)) {
             Ok(progress) => self.progress = progress,
             Err(error) => {
