--- a/crates/foxtide-entry/src/proxy/hedged.rs
+++ b/crates/foxtide-entry/src/proxy/hedged.rs
@@ -13,8 +13,8 @@
 use crate::dependencies::Dependencies;
 use crate::timeout::timeout;
 use crate::traffic::{
-    Choice,
-    Place, //
+    Slot,
+    SlotChoice, //
 };
 use crate::upstream::Failure;
 use foxtide_core::explain::{
@@ -36,11 +36,11 @@
 use std::pin::pin;
 use std::time::Duration;
 
-/// An attempt that holds its place.
+/// An attempt that holds its slot.
 struct Attempt {
     id: AttemptId,
     admitted: Admitted,
-    place: Place,
+    slot: Slot,
 }
 
 impl<P: Dependencies> Proxy<P> {
@@ -49,9 +49,9 @@
         &self,
         run: &mut Run<'_>,
         admitted: &Admitted,
-        place: Place,
+        slot: Slot,
     ) -> (Ended, Step) {
-        let first = self.begin(run, admitted.clone(), place);
+        let first = self.begin(run, admitted.clone(), slot);
         match run.attempts.hedge_at() {
             None => {
                 let result = self.send(run, &first).await;
@@ -66,7 +66,7 @@
         run: &Run<'a>,
         attempt: &Attempt,
     ) -> impl Future<Output = Result<Answer, Failure>> + use<'a, P> {
-        let destination = Destination::of(&attempt.place);
+        let destination = Destination::of(&attempt.slot);
         self.exchange(run.context, run.prepared, destination)
     }
 
@@ -110,11 +110,11 @@
             return None;
         };
         let of_region = context.service.region(&region)?;
-        let Choice::Taken(place) = of_region.take(&run.tried, now) else {
+        let SlotChoice::Taken(slot) = of_region.take(&run.tried, now) else {
             return None;
         };
         let rule = Rule::Weighted;
-        Some(self.begin(run, Admitted { region, rule }, place))
+        Some(self.begin(run, Admitted { region, rule }, slot))
     }
 
     /// Notes the end of one of two attempts; waits for the other where its
@@ -132,20 +132,20 @@
             let result = other_result.await;
             return self.end(run, other, result);
         }
-        let upstream = other.place.upstream().upstream.clone();
+        let upstream = other.slot.upstream().upstream.clone();
         run.decision.add_attempt(upstream, AttemptResult::Cancelled);
         (ended, step)
     }
 
-    fn begin(&self, run: &mut Run<'_>, admitted: Admitted, place: Place) -> Attempt {
-        run.tried.push(place.upstream().upstream.clone());
+    fn begin(&self, run: &mut Run<'_>, admitted: Admitted, slot: Slot) -> Attempt {
+        run.tried.push(slot.upstream().upstream.clone());
         if let Some(claim) = run.claim {
             claim.written();
         }
         Attempt {
             id: run.attempts.begin(self.dependencies.clock().now()),
             admitted,
-            place,
+            slot,
         }
     }
 
@@ -159,7 +159,7 @@
             id: attempt.id,
             end: AttemptEnd::of(result),
         };
-        let step = self.note_end(run, &attempt.admitted, attempt.place, &mut ended);
+        let step = self.note_end(run, &attempt.admitted, attempt.slot, &mut ended);
         (ended, step)
     }
 }
--- a/crates/foxtide-entry/src/proxy/mod.rs
+++ b/crates/foxtide-entry/src/proxy/mod.rs
@@ -7,8 +7,8 @@
 mod journal;
 mod keyed;
 mod keys;
-mod place;
 mod prepare;
+mod queue;
 mod run;
 
 pub(crate) use keys::KeyTable;
--- a/crates/foxtide-entry/src/proxy/place.rs
+++ b/crates/foxtide-entry/src/proxy/queue.rs
@@ -1,4 +1,4 @@
-//! Waits until a request may be sent and has a place at an upstream.
+//! Waits until a request may be sent and has a slot at an upstream.
 
 use super::admission::{
     Admitted,
@@ -11,9 +11,9 @@
 use crate::limiter::Permit;
 use crate::request_context::RequestContext;
 use crate::traffic::{
-    Choice,
-    Place,
-    RegionTraffic, //
+    RegionTraffic,
+    Slot,
+    SlotChoice, //
 };
 use foxtide_core::explain::Rule;
 use foxtide_core::ids::{
@@ -78,38 +78,38 @@
         admission
     }
 
-    /// Waits until an upstream of the region has a place.
-    pub(super) async fn place(
+    /// Waits until an upstream of the region has a slot.
+    pub(super) async fn take_slot(
         &self,
         context: &RequestContext,
         region: &RegionId,
         tried: &[UpstreamId],
-    ) -> Result<Place, Unplaced> {
+    ) -> Result<Slot, Unplaced> {
         let Some(region) = context.service.region(region) else {
             return Err(Unplaced::no_upstream());
         };
-        // Most requests find a place at once and need no listener.
-        if let Choice::Taken(place) = region.take(tried, self.dependencies.clock().now()) {
-            return Ok(place);
+        // Most requests find a slot at once and need no listener.
+        if let SlotChoice::Taken(slot) = region.take(tried, self.dependencies.clock().now()) {
+            return Ok(slot);
         }
-        self.wait_for_place(context, &region, tried).await
+        self.wait_for_slot(context, &region, tried).await
     }
 
-    async fn wait_for_place(
+    async fn wait_for_slot(
         &self,
         context: &RequestContext,
         region: &Arc<RegionTraffic>,
         tried: &[UpstreamId],
-    ) -> Result<Place, Unplaced> {
+    ) -> Result<Slot, Unplaced> {
         let mut waiting = None;
         loop {
-            // Listens first, so that no place that becomes free is missed.
-            let freed = region.freed();
+            // Listens first, so that no slot that becomes free is missed.
+            let freed = region.slot_freed();
             let now = self.dependencies.clock().now();
             match region.take(tried, now) {
-                Choice::Taken(place) => return Ok(place),
-                Choice::Empty => return Err(Unplaced::no_upstream()),
-                Choice::Wait(retry_in) => {
+                SlotChoice::Taken(slot) => return Ok(slot),
+                SlotChoice::NoUpstream => return Err(Unplaced::no_upstream()),
+                SlotChoice::Wait(retry_in) => {
                     check_time(context, now, "no-slot")?;
                     self.enter_queue(&mut waiting)?;
                     let again = retry_in.min(context.terms.deadline - now);
--- a/crates/foxtide-entry/src/proxy/run.rs
+++ b/crates/foxtide-entry/src/proxy/run.rs
@@ -31,7 +31,7 @@
     ListenerState,
     ReceivedRequest, //
 };
-use crate::traffic::Place;
+use crate::traffic::Slot;
 use crate::upstream::{
     Failure,
     Freshness,
@@ -110,11 +110,11 @@
 }
 
 impl Destination {
-    /// Returns the destination of a place.
-    pub(super) fn of(place: &Place) -> Self {
+    /// Returns the destination of a slot.
+    pub(super) fn of(slot: &Slot) -> Self {
         Self {
-            address: place.upstream().address,
-            connection_limit: place.connection_limit(),
+            address: slot.upstream().address,
+            connection_limit: slot.connection_limit(),
         }
     }
 }
@@ -212,14 +212,14 @@
 
     async fn run_attempts(&self, run: &mut Run<'_>) -> Result<Answer, Refusal> {
         loop {
-            let (admitted, place) = match self.admit_and_place(run).await {
+            let (admitted, slot) = match self.admit_and_take_slot(run).await {
                 Ok(placed) => placed,
                 Err(unplaced) => {
                     run.decision.redirect(unplaced.rule, None);
                     return Err(unplaced.refusal.with_outcome(run.attempts.outcome()));
                 }
             };
-            let (ended, step) = self.attempt(run, &admitted, place).await;
+            let (ended, step) = self.attempt(run, &admitted, slot).await;
             match step {
                 Step::Retry { after } => {
                     Timer::after(after).await;
@@ -234,14 +234,14 @@
         }
     }
 
-    async fn admit_and_place(&self, run: &mut Run<'_>) -> Result<(Admitted, Place), Unplaced> {
+    async fn admit_and_take_slot(&self, run: &mut Run<'_>) -> Result<(Admitted, Slot), Unplaced> {
         let admitted = self.admit(run.context).await?;
         let region = Some(admitted.region.clone());
         run.decision.redirect(admitted.rule, region);
-        let place = self
-            .place(run.context, &admitted.region, &run.tried)
+        let slot = self
+            .take_slot(run.context, &admitted.region, &run.tried)
             .await?;
-        Ok((admitted, place))
+        Ok((admitted, slot))
     }
 
     /// Sends one attempt and reads its answer.
@@ -278,14 +278,14 @@
         &self,
         run: &mut Run<'_>,
         admitted: &Admitted,
-        place: Place,
+        slot: Slot,
         ended: &mut Ended,
     ) -> Step {
         let end = &mut ended.end;
-        let upstream = place.upstream().clone();
+        let upstream = slot.upstream().clone();
         self.record_attempt(run.context, admitted, &upstream, end);
-        let held = place.held();
-        end.give_back(place, held);
+        let held = slot.held();
+        end.release_slot(slot, held);
         let now = self.dependencies.clock().now();
         if let AttemptEnd::Answered(_) = end {
             run.context.service.answered(held);
@@ -308,15 +308,15 @@
 }
 
 impl AttemptEnd {
-    /// Gives the place back, at the end of the body where that is still to come.
-    fn give_back(&mut self, place: Place, held: Duration) {
+    /// Gives the slot back, at the end of the body where that is still to come.
+    fn release_slot(&mut self, slot: Slot, held: Duration) {
         let completion = self.completion(held);
         match self {
             Self::Answered(Answer {
                 body: AnswerBody::Long(body),
                 ..
-            }) => body.hold(place, completion),
-            _ => place.finish(completion),
+            }) => body.hold(slot, completion),
+            _ => slot.finish(completion),
         }
     }
 
--- a/crates/foxtide-entry/src/serve/request.rs
+++ b/crates/foxtide-entry/src/serve/request.rs
@@ -50,7 +50,7 @@
 /// Reads one whole request.
 ///
 /// Bodies are read whole before anything is sent on, so that a slow caller
-/// never holds a place at an upstream.
+/// never holds a slot at an upstream.
 ///
 /// # Errors
 ///
--- a/crates/foxtide-entry/src/traffic/mod.rs
+++ b/crates/foxtide-entry/src/traffic/mod.rs
@@ -13,22 +13,22 @@
 mod metrics;
 mod options;
 mod organisation;
-mod place;
 mod poller;
 mod region;
 mod service;
+mod slot;
 mod tables;
 mod view;
 
 pub use options::TrafficOptions;
 pub(crate) use organisation::OrganisationTraffic;
-pub(crate) use place::{
-    Choice,
-    Place, //
-};
 pub(crate) use poller::Poller;
 pub(crate) use region::RegionTraffic;
 pub(crate) use service::ServiceTraffic;
+pub(crate) use slot::{
+    Slot,
+    SlotChoice, //
+};
 pub(crate) use tables::UpstreamChange;
 pub use tables::{
     SentCount,
--- a/crates/foxtide-entry/src/traffic/region.rs
+++ b/crates/foxtide-entry/src/traffic/region.rs
@@ -26,8 +26,8 @@
 #[derive(Debug)]
 pub(crate) struct RegionTraffic {
     balancer: Mutex<Balancer>,
-    /// Told when a place became free.
-    freed: Event,
+    /// Told when a slot became free.
+    slot_freed: Event,
     sent_planned: AtomicU64,
     sent_spilled: AtomicU64,
 }
@@ -37,7 +37,7 @@
     pub(super) fn new(options: BalancerOptions, seed: u64) -> Arc<Self> {
         Arc::new(Self {
             balancer: Mutex::new(Balancer::new(options, seed)),
-            freed: Event::new(),
+            slot_freed: Event::new(),
             sent_planned: AtomicU64::new(0),
             sent_spilled: AtomicU64::new(0),
         })
@@ -65,9 +65,9 @@
         (planned, self.sent_spilled.load(Ordering::Relaxed))
     }
 
-    /// Returns what completes when a place becomes free from now on.
-    pub(crate) fn freed(&self) -> EventListener {
-        self.freed.listen()
+    /// Returns what completes when a slot becomes free from now on.
+    pub(crate) fn slot_freed(&self) -> EventListener {
+        self.slot_freed.listen()
     }
 
     /// Tells whether there is room for second attempts beside slow ones.
@@ -78,7 +78,7 @@
     /// Takes a ticket back.
     pub(super) fn finish(&self, ticket: Ticket, completion: Completion, now: MonotonicTime) {
         self.balancer.lock().finish(ticket, completion, now);
-        self.freed.notify(1);
+        self.slot_freed.notify(1);
     }
 
     /// Puts a list of upstreams in force.
@@ -87,7 +87,7 @@
         balancer.configure(upstreams, sharing.instances, now);
         balancer.set_rank(sharing.rank, now);
         drop(balancer);
-        self.freed.notify(usize::MAX);
+        self.slot_freed.notify(usize::MAX);
     }
 
     /// Runs `inspect` on the balancer.
--- a/crates/foxtide-entry/src/traffic/service.rs
+++ b/crates/foxtide-entry/src/traffic/service.rs
@@ -96,7 +96,7 @@
     }
 
     /// Puts the service's upstreams in force. Slots are shared within a region,
-    /// so this instance has a place in its own alone.
+    /// so this instance has a slot in its own alone.
     pub(super) fn configure(
         &self,
         service: &Service,
--- a/crates/foxtide-entry/src/traffic/place.rs
+++ b/crates/foxtide-entry/src/traffic/slot.rs
@@ -1,4 +1,4 @@
-//! The place that an attempt holds at an upstream.
+//! The slot that an attempt holds at an upstream.
 
 use super::region::RegionTraffic;
 use foxtide_core::choice::{
@@ -16,32 +16,32 @@
     Instant, //
 };
 
-/// What a try to take a place brought.
-pub(crate) enum Choice {
-    /// A place.
-    Taken(Place),
+/// What a try to take a slot brought.
+pub(crate) enum SlotChoice {
+    /// A slot.
+    Taken(Slot),
     /// All are taken; the next may be free after this time.
     Wait(Duration),
     /// No upstream serves.
-    Empty,
+    NoUpstream,
 }
 
 impl RegionTraffic {
-    /// Takes a place at the best upstream, preferably none of `tried`.
-    pub(crate) fn take(self: &Arc<Self>, tried: &[UpstreamId], now: MonotonicTime) -> Choice {
+    /// Takes a slot at the best upstream, preferably none of `tried`.
+    pub(crate) fn take(self: &Arc<Self>, tried: &[UpstreamId], now: MonotonicTime) -> SlotChoice {
         match self.pick(tried, now) {
-            Pick::Take(ticket) => Choice::Taken(Place::new(Arc::clone(self), ticket, now)),
-            Pick::Wait { retry_in } => Choice::Wait(retry_in),
-            Pick::Empty => Choice::Empty,
+            Pick::Take(ticket) => SlotChoice::Taken(Slot::new(Arc::clone(self), ticket, now)),
+            Pick::Wait { retry_in } => SlotChoice::Wait(retry_in),
+            Pick::Empty => SlotChoice::NoUpstream,
         }
     }
 }
 
-/// A place at an upstream, given back when it is dropped.
+/// A slot at an upstream, given back when it is dropped.
 ///
 /// An attempt may be dropped at any point, because its caller went away or
-/// another attempt was faster; the place must not stay taken then.
-pub(crate) struct Place {
+/// another attempt was faster; the slot must not stay taken then.
+pub(crate) struct Slot {
     region: Arc<RegionTraffic>,
     ticket: Option<Ticket>,
     upstream: Upstream,
@@ -49,8 +49,8 @@
     taken: Instant,
 }
 
-impl Place {
-    /// Holds a place.
+impl Slot {
+    /// Holds a slot.
     fn new(region: Arc<RegionTraffic>, ticket: Ticket, now: MonotonicTime) -> Self {
         Self {
             region,
@@ -72,17 +72,17 @@
         usize::try_from(limit).unwrap_or(usize::MAX)
     }
 
-    /// Gives the place back and tells how the attempt ended.
+    /// Gives the slot back and tells how the attempt ended.
     pub(crate) fn finish(mut self, completion: Completion) {
-        self.give_back(completion);
+        self.release(completion);
     }
 
-    /// Returns how long the place has been held.
+    /// Returns how long the slot has been held.
     pub(crate) fn held(&self) -> Duration {
         self.taken.elapsed()
     }
 
-    fn give_back(&mut self, completion: Completion) {
+    fn release(&mut self, completion: Completion) {
         if let Some(ticket) = self.ticket.take() {
             let now = self.taken_at + self.held();
             self.region.finish(ticket, completion, now);
@@ -90,9 +90,9 @@
     }
 }
 
-impl Drop for Place {
+impl Drop for Slot {
     fn drop(&mut self) {
         let held = self.held();
-        self.give_back(Completion::new(CompletionKind::Cancelled, held));
+        self.release(Completion::new(CompletionKind::Cancelled, held));
     }
 }
--- a/crates/foxtide-entry/src/upstream/long_body.rs
+++ b/crates/foxtide-entry/src/upstream/long_body.rs
@@ -1,7 +1,7 @@
 //! The rest of an answer that is too long to be held.
 
 use crate::timeout::timeout;
-use crate::traffic::Place;
+use crate::traffic::Slot;
 use foxtide_core::choice::{
     Completion,
     CompletionKind, //
@@ -20,7 +20,7 @@
 
 /// A body of which the first part was read.
 ///
-/// It keeps its place at the upstream until the end. Its connection is not
+/// It keeps its slot at the upstream until the end. Its connection is not
 /// used again.
 pub(crate) struct LongBody {
     stream: BufferedStream,
@@ -30,12 +30,12 @@
     piece: Vec<u8>,
     progress: Progress,
     piece_time: Duration,
-    held: Option<HeldPlace>,
+    held: Option<HeldSlot>,
 }
 
-/// The place, and how the attempt is told to have ended if the body is whole.
-struct HeldPlace {
-    place: Place,
+/// The slot, and how the attempt is told to have ended if the body is whole.
+struct HeldSlot {
+    slot: Slot,
     completion: Completion,
 }
 
@@ -65,9 +65,9 @@
         self.length
     }
 
-    /// Keeps a place until the end.
-    pub(crate) fn hold(&mut self, place: Place, completion: Completion) {
-        self.held = Some(HeldPlace { place, completion });
+    /// Keeps a slot until the end.
+    pub(crate) fn hold(&mut self, slot: Slot, completion: Completion) {
+        self.held = Some(HeldSlot { slot, completion });
     }
 
     /// Returns the next bytes to send, framed as the head says; none at the end.
@@ -100,7 +100,7 @@
     fn finish(&mut self, broken: Option<CompletionKind>) {
         if let Some(mut held) = self.held.take() {
             held.completion.kind = broken.unwrap_or(held.completion.kind);
-            held.place.finish(held.completion);
+            held.slot.finish(held.completion);
         }
     }
 
