--- a/crates/foxtide-entry/src/proxy/admission.rs
+++ b/crates/foxtide-entry/src/proxy/admission.rs
@@ -18,14 +18,14 @@
 
 /// Why a request was not sent.
 #[derive(Clone, Debug)]
-pub(super) struct Unplaced {
+pub(super) struct AdmissionError {
     /// What the caller is told.
     pub(super) refusal: Refusal,
     /// The rule that decided.
     pub(super) rule: Rule,
 }
 
-impl Unplaced {
+impl AdmissionError {
     /// Too many requests wait.
     pub(super) fn queue_full() -> Self {
         Self {
--- a/crates/foxtide-entry/src/proxy/queue.rs
+++ b/crates/foxtide-entry/src/proxy/queue.rs
@@ -1,8 +1,8 @@
 //! Waits until a request may be sent and has a slot at an upstream.
 
 use super::admission::{
-    Admitted,
-    Unplaced, //
+    AdmissionError,
+    Admitted, //
 };
 use super::run::Proxy;
 use crate::answer::Refusal;
@@ -30,7 +30,7 @@
 
 impl<P: Dependencies> Proxy<P> {
     /// Waits until the request may be sent to a region.
-    pub(super) async fn admit(&self, context: &RequestContext) -> Result<Admitted, Unplaced> {
+    pub(super) async fn admit(&self, context: &RequestContext) -> Result<Admitted, AdmissionError> {
         let draw = fastrand::f64();
         let asked_at = self.dependencies.clock().now();
         let mut now = asked_at;
@@ -46,7 +46,7 @@
                     return Ok(Admitted { region, rule });
                 }
                 Admission::Wait { retry_in } => {
-                    check_time(context, now + retry_in, "no-room")?;
+                    check_deadline(context, now + retry_in, "no-room")?;
                     self.enter_queue(&mut waiting)?;
                     Timer::after(retry_in).await;
                     now = self.dependencies.clock().now();
@@ -54,7 +54,7 @@
                 Admission::Refuse {
                     reason,
                     retry_after,
-                } => return Err(Unplaced::not_admitted(reason, retry_after)),
+                } => return Err(AdmissionError::not_admitted(reason, retry_after)),
             }
         }
     }
@@ -84,9 +84,9 @@
         context: &RequestContext,
         region: &RegionId,
         tried: &[UpstreamId],
-    ) -> Result<Slot, Unplaced> {
+    ) -> Result<Slot, AdmissionError> {
         let Some(region) = context.service.region(region) else {
-            return Err(Unplaced::no_upstream());
+            return Err(AdmissionError::no_upstream());
         };
         // Most requests find a slot at once and need no listener.
         if let SlotChoice::Taken(slot) = region.take(tried, self.dependencies.clock().now()) {
@@ -100,7 +100,7 @@
         context: &RequestContext,
         region: &Arc<RegionTraffic>,
         tried: &[UpstreamId],
-    ) -> Result<Slot, Unplaced> {
+    ) -> Result<Slot, AdmissionError> {
         let mut waiting = None;
         loop {
             // Listens first, so that no slot that becomes free is missed.
@@ -108,9 +108,9 @@
             let now = self.dependencies.clock().now();
             match region.take(tried, now) {
                 SlotChoice::Taken(slot) => return Ok(slot),
-                SlotChoice::NoUpstream => return Err(Unplaced::no_upstream()),
+                SlotChoice::NoUpstream => return Err(AdmissionError::no_upstream()),
                 SlotChoice::Wait(retry_in) => {
-                    check_time(context, now, "no-slot")?;
+                    check_deadline(context, now, "no-slot")?;
                     self.enter_queue(&mut waiting)?;
                     let again = retry_in.min(context.terms.deadline - now);
                     let timer = async {
@@ -125,12 +125,12 @@
 
 impl<P: Dependencies> Proxy<P> {
     /// Counts a request among those that wait, unless there are too many.
-    fn enter_queue(&self, waiting: &mut Option<Permit>) -> Result<(), Unplaced> {
+    fn enter_queue(&self, waiting: &mut Option<Permit>) -> Result<(), AdmissionError> {
         if waiting.is_none() {
             *waiting = Some(
                 self.waiting
                     .try_acquire(1)
-                    .ok_or_else(Unplaced::queue_full)?,
+                    .ok_or_else(AdmissionError::queue_full)?,
             );
         }
         Ok(())
@@ -138,15 +138,15 @@
 }
 
 /// Gives a request up at once that cannot be answered in time.
-fn check_time(
+fn check_deadline(
     context: &RequestContext,
     next: MonotonicTime,
     reason: &'static str,
-) -> Result<(), Unplaced> {
+) -> Result<(), AdmissionError> {
     if next < context.terms.deadline {
         return Ok(());
     }
-    Err(Unplaced {
+    Err(AdmissionError {
         refusal: Refusal::not_run(StatusCode::ServiceUnavailable, reason),
         rule: Rule::Deadline,
     })
--- a/crates/foxtide-entry/src/proxy/run.rs
+++ b/crates/foxtide-entry/src/proxy/run.rs
@@ -1,8 +1,8 @@
 //! Runs a request over its attempts.
 
 use super::admission::{
-    Admitted,
-    Unplaced, //
+    AdmissionError,
+    Admitted, //
 };
 use super::attempt::AttemptEnd;
 use super::given_up::given_up;
@@ -213,10 +213,10 @@
     async fn run_attempts(&self, run: &mut Run<'_>) -> Result<Answer, Refusal> {
         loop {
             let (admitted, slot) = match self.admit_and_take_slot(run).await {
-                Ok(placed) => placed,
-                Err(unplaced) => {
-                    run.decision.redirect(unplaced.rule, None);
-                    return Err(unplaced.refusal.with_outcome(run.attempts.outcome()));
+                Ok(admitted) => admitted,
+                Err(error) => {
+                    run.decision.redirect(error.rule, None);
+                    return Err(error.refusal.with_outcome(run.attempts.outcome()));
                 }
             };
             let (ended, step) = self.attempt(run, &admitted, slot).await;
@@ -234,7 +234,10 @@
         }
     }
 
-    async fn admit_and_take_slot(&self, run: &mut Run<'_>) -> Result<(Admitted, Slot), Unplaced> {
+    async fn admit_and_take_slot(
+        &self,
+        run: &mut Run<'_>,
+    ) -> Result<(Admitted, Slot), AdmissionError> {
         let admitted = self.admit(run.context).await?;
         let region = Some(admitted.region.clone());
         run.decision.redirect(admitted.rule, region);
