--- a/crates/foxtide-entry/src/housekeeping.rs
+++ b/crates/foxtide-entry/src/housekeeping.rs
@@ -32,7 +32,7 @@
 const CONNECTIONS: &str = "foxtide_connections";
 const REQUESTS: &str = "foxtide_requests_under_way";
 const KEYS: &str = "foxtide_idempotency_keys";
-const KEPT_ANSWERS_BYTES: &str = "foxtide_idempotency_answers_bytes";
+const STORED_ANSWERS_BYTES: &str = "foxtide_idempotency_answers_bytes";
 
 /// What the background work needs.
 #[derive(Debug)]
@@ -99,7 +99,7 @@
         };
         gauge!(KEYS, "state" => "running").set(usage.running as f64);
         gauge!(KEYS, "state" => "ended").set(usage.ended as f64);
-        gauge!(KEPT_ANSWERS_BYTES).set(usage.answers_size.get() as f64);
+        gauge!(STORED_ANSWERS_BYTES).set(usage.answers_size.get() as f64);
     }
 
     fn record(&self, change: UpstreamChange) {
--- a/crates/foxtide-entry/src/proxy/hedged.rs
+++ b/crates/foxtide-entry/src/proxy/hedged.rs
@@ -140,7 +140,7 @@
     fn begin(&self, run: &mut Run<'_>, admitted: Admitted, slot: Slot) -> Attempt {
         run.tried.push(slot.upstream().upstream.clone());
         if let Some(claim) = run.claim {
-            claim.written();
+            claim.mark_written();
         }
         Attempt {
             id: run.attempts.begin(self.dependencies.clock().now()),
--- a/crates/foxtide-entry/src/proxy/journal.rs
+++ b/crates/foxtide-entry/src/proxy/journal.rs
@@ -2,7 +2,7 @@
 
 use super::admission::Admitted;
 use super::attempt::AttemptEnd;
-use super::keys::Settled;
+use super::keys::ImmediateAnswer;
 use super::run::Proxy;
 use crate::answer::{
     Answer,
@@ -70,17 +70,17 @@
     pub(super) fn answer_without_run(
         &self,
         context: &RequestContext,
-        settled: Settled,
+        immediate: ImmediateAnswer,
     ) -> Result<Answer, Refusal> {
         let mut decision = self.undecided(context);
-        decision.redirect(settled.rule, None);
+        decision.redirect(immediate.rule, None);
         self.dependencies.explainer().record(decision);
-        if let Err(refusal) = &settled.answer {
+        if let Err(refusal) = &immediate.answer {
             context.service.metrics().refused(refusal.outcome);
         }
         let recorder = self.dependencies.recorder();
-        recorder.record(settled.code, context.event_fields());
-        settled.answer
+        recorder.record(immediate.code, context.event_fields());
+        immediate.answer
     }
 
     /// Records that a request was given up.
--- a/crates/foxtide-entry/src/proxy/keyed.rs
+++ b/crates/foxtide-entry/src/proxy/keyed.rs
@@ -1,6 +1,6 @@
 //! Runs of requests with a key, which may outlive their callers.
 
-use super::keys::HeldClaim;
+use super::keys::ClaimGuard;
 use super::prepare::Prepared;
 use super::run::Proxy;
 use crate::answer::{
@@ -28,14 +28,14 @@
 /// Dropped, because its caller went away, it ends the run only where no byte
 /// has gone out yet. Else the run goes on: its answer is kept for the caller,
 /// who would otherwise never learn whether it ran. A planned stop waits for it.
-struct OwnRun {
+struct DetachableRun {
     task: Option<Task<Result<Answer, Refusal>>>,
     written: Arc<AtomicBool>,
     executor: Weak<Executor<'static>>,
     callers: Arc<ListenerState>,
 }
 
-impl Drop for OwnRun {
+impl Drop for DetachableRun {
     fn drop(&mut self) {
         let written = self.written.load(Ordering::Acquire);
         let (Some(task), Some(executor)) = (self.task.take(), self.executor.upgrade()) else {
@@ -63,16 +63,16 @@
         self: &Arc<Self>,
         context: RequestContext,
         prepared: Prepared,
-        claim: HeldClaim,
+        claim: ClaimGuard,
     ) -> Result<Answer, Refusal> {
         let Some(executor) = self.executor.upgrade() else {
             return self.run_claimed(&context, &prepared, claim).await;
         };
-        let written = claim.written_mark();
+        let written = claim.written_flag();
         let proxy = Arc::clone(self);
         let task =
             executor.spawn(async move { proxy.run_claimed(&context, &prepared, claim).await });
-        let mut run = OwnRun {
+        let mut run = DetachableRun {
             task: None,
             written,
             executor: Weak::clone(&self.executor),
@@ -88,7 +88,7 @@
         &self,
         context: &RequestContext,
         prepared: &Prepared,
-        claim: HeldClaim,
+        claim: ClaimGuard,
     ) -> Result<Answer, Refusal> {
         let answered = self.run(context, prepared, Some(&claim)).await;
         match &answered {
--- a/crates/foxtide-entry/src/proxy/keys.rs
+++ b/crates/foxtide-entry/src/proxy/keys.rs
@@ -44,18 +44,18 @@
 };
 use std::time::Duration;
 
-/// About what the headers of a kept answer take.
-const KEPT_HEADERS_BYTES: u64 = 512;
+/// About what the headers of a stored answer take.
+const STORED_HEADERS_BYTES: u64 = 512;
 
 /// The keys of this process.
-pub(crate) type KeyTable = Arc<Mutex<Table<Kept>>>;
+pub(crate) type KeyTable = Arc<Mutex<Table<StoredAnswer>>>;
 
-/// An upstream's answer, kept to be given again.
+/// An upstream's answer, stored to be given again.
 #[derive(Clone, Debug)]
-pub(crate) struct Kept(Arc<KeptParts>);
+pub(crate) struct StoredAnswer(Arc<StoredAnswerParts>);
 
 #[derive(Debug)]
-struct KeptParts {
+struct StoredAnswerParts {
     status: StatusCode,
     headers: Headers,
     body: Vec<u8>,
@@ -63,7 +63,7 @@
 
 /// What a request with a key gets without a run.
 #[derive(Debug)]
-pub(super) struct Settled {
+pub(super) struct ImmediateAnswer {
     /// Its answer.
     pub(super) answer: Result<Answer, Refusal>,
     /// What happened.
@@ -73,35 +73,35 @@
 }
 
 /// The right to run a key; given back when it is dropped.
-pub(super) struct HeldClaim {
+pub(super) struct ClaimGuard {
     table: KeyTable,
     claim: Option<Claim>,
     written: Arc<AtomicBool>,
 }
 
-impl ReplayableAnswer for Kept {
+impl ReplayableAnswer for StoredAnswer {
     fn size(&self) -> ByteSize {
-        ByteSize::from_bytes(self.0.body.len() as u64 + KEPT_HEADERS_BYTES)
+        ByteSize::from_bytes(self.0.body.len() as u64 + STORED_HEADERS_BYTES)
     }
 }
 
-impl Kept {
+impl StoredAnswer {
     fn size_of(answer: &Answer) -> ByteSize {
         let body_bytes = match &answer.body {
             AnswerBody::Whole(bytes) => bytes.len() as u64,
             AnswerBody::Absent { .. } => 0,
             AnswerBody::Long(_) => return ByteSize::from_bytes(u64::MAX),
         };
-        ByteSize::from_bytes(body_bytes + KEPT_HEADERS_BYTES)
+        ByteSize::from_bytes(body_bytes + STORED_HEADERS_BYTES)
     }
 
     fn of(answer: &Answer) -> Self {
         let body = match &answer.body {
             AnswerBody::Whole(bytes) => bytes.clone(),
-            // A long body is too large to be kept.
+            // A long body is too large to be stored.
             AnswerBody::Absent { .. } | AnswerBody::Long(_) => Vec::new(),
         };
-        Self(Arc::new(KeptParts {
+        Self(Arc::new(StoredAnswerParts {
             status: answer.status,
             headers: answer.headers.clone(),
             body,
@@ -119,9 +119,9 @@
     }
 }
 
-impl HeldClaim {
+impl ClaimGuard {
     /// Notes that the first byte is about to go out.
-    pub(super) fn written(&self) {
+    pub(super) fn mark_written(&self) {
         if let Some(claim) = &self.claim {
             self.table.lock().mark_written(claim);
         }
@@ -129,12 +129,12 @@
     }
 
     /// Returns what tells whether a byte may have gone out.
-    pub(super) fn written_mark(&self) -> Arc<AtomicBool> {
+    pub(super) fn written_flag(&self) -> Arc<AtomicBool> {
         Arc::clone(&self.written)
     }
 
     /// Notes that the upstream provably ran nothing.
-    pub(super) fn proved_not_run(&self) {
+    pub(super) fn mark_not_run(&self) {
         if let Some(claim) = &self.claim {
             self.table.lock().mark_not_run(claim);
         }
@@ -147,17 +147,17 @@
             return;
         };
         // Copied outside of the lock, and not at all where it is too large.
-        let keeps = self.table.lock().can_store(Kept::size_of(answer));
-        let kept = keeps.then(|| Kept::of(answer));
+        let storable = self.table.lock().can_store(StoredAnswer::size_of(answer));
+        let stored = storable.then(|| StoredAnswer::of(answer));
         let mut table = self.table.lock();
-        match kept {
-            Some(kept) => table.finish(claim, kept),
+        match stored {
+            Some(stored) => table.finish(claim, stored),
             None => table.finish_without_answer(claim),
         }
     }
 }
 
-impl Drop for HeldClaim {
+impl Drop for ClaimGuard {
     fn drop(&mut self) {
         if let Some(claim) = self.claim.take() {
             self.table.lock().abandon(claim);
@@ -184,31 +184,34 @@
     dependencies: &P,
     table: &KeyTable,
     request: KeyedRequest<'_>,
-) -> Result<HeldClaim, Settled> {
+) -> Result<ClaimGuard, ImmediateAnswer> {
     let key: IdempotencyKey = request
         .key
         .parse()
-        .map_err(|error| Settled::malformed(&error))?;
+        .map_err(|error| ImmediateAnswer::malformed(&error))?;
     let fingerprint = request.fingerprint();
     let wall: WallTime = dependencies.clock().wall();
     let begun = table.lock().begin(&key, fingerprint, wall);
     match begun {
-        Begin::Run(claim) => Ok(HeldClaim {
+        Begin::Run(claim) => Ok(ClaimGuard {
             table: Arc::clone(table),
             claim: Some(claim),
             written: Arc::default(),
         }),
-        Begin::Replay(kept) => Err(Settled::replayed(&kept)),
-        Begin::InProgress { retry_after } => Err(Settled::in_progress(retry_after)),
-        Begin::Refuse(refusal) => Err(Settled::refused(refusal.reason, refusal.retry_after)),
-        Begin::Elsewhere => Err(elsewhere(dependencies, request, &key)),
+        Begin::Replay(stored) => Err(ImmediateAnswer::replayed(&stored)),
+        Begin::InProgress { retry_after } => Err(ImmediateAnswer::in_progress(retry_after)),
+        Begin::Refuse(refusal) => Err(ImmediateAnswer::refused(
+            refusal.reason,
+            refusal.retry_after,
+        )),
+        Begin::Elsewhere => Err(redirect_to_owner(dependencies, request, &key)),
     }
 }
 
-impl Settled {
-    fn replayed(kept: &Kept) -> Self {
+impl ImmediateAnswer {
+    fn replayed(stored: &StoredAnswer) -> Self {
         Self {
-            answer: Ok(kept.answer()),
+            answer: Ok(stored.answer()),
             code: EventCode::KeyReplayed,
             rule: Rule::KeyReplayed,
         }
@@ -292,13 +295,13 @@
 }
 
 /// Sends the caller to the instance that owns its key.
-fn elsewhere<P: Dependencies>(
+fn redirect_to_owner<P: Dependencies>(
     dependencies: &P,
     request: KeyedRequest<'_>,
     key: &IdempotencyKey,
-) -> Settled {
+) -> ImmediateAnswer {
     let Some(address) = dependencies.directory().address_of(&key.owner().instance) else {
-        return Settled::refused(RefusalReason::OwnerGone, None);
+        return ImmediateAnswer::refused(RefusalReason::OwnerGone, None);
     };
     let refusal = Refusal {
         status: StatusCode::TemporaryRedirect,
@@ -309,7 +312,7 @@
     };
     let mut answer = refusal.answer(request.id.as_str());
     answer.insert(name::LOCATION, &request.location(address));
-    Settled {
+    ImmediateAnswer {
         answer: Ok(answer),
         code: EventCode::KeyRedirected,
         rule: Rule::KeyOwner,
--- a/crates/foxtide-entry/src/proxy/run.rs
+++ b/crates/foxtide-entry/src/proxy/run.rs
@@ -7,10 +7,10 @@
 use super::attempt::AttemptEnd;
 use super::given_up::given_up;
 use super::keys::{
-    HeldClaim,
+    ClaimGuard,
+    ImmediateAnswer,
     KeyTable,
     KeyedRequest,
-    Settled,
     begin, //
 };
 use super::prepare::Prepared;
@@ -91,7 +91,7 @@
     /// What is sent.
     pub(super) prepared: &'a Prepared,
     /// The right to run its key, where it has one.
-    pub(super) claim: Option<&'a HeldClaim>,
+    pub(super) claim: Option<&'a ClaimGuard>,
     /// Its attempts.
     pub(super) attempts: Attempts,
     /// The upstreams that it was sent to.
@@ -145,7 +145,7 @@
             context.map_err(|refusal| refusal.with_outcome(earlier_outcome(&received)))?;
         let claim = match self.claim(&context, &received, &target) {
             Ok(claim) => claim,
-            Err(settled) => return self.answer_without_run(&context, settled),
+            Err(immediate) => return self.answer_without_run(&context, immediate),
         };
         let prepared = Prepared::new(received, &target, &context.request).await;
         let prepared = prepared.map_err(|_| unencodable())?;
@@ -169,7 +169,7 @@
         context: &RequestContext,
         received: &ReceivedRequest,
         target: &Target,
-    ) -> Result<Option<HeldClaim>, Settled> {
+    ) -> Result<Option<ClaimGuard>, ImmediateAnswer> {
         let key = received.head.head.headers.get(name::IDEMPOTENCY_KEY);
         let Some(key) = key.filter(|_| !context.terms.idempotent) else {
             return Ok(None);
@@ -187,7 +187,7 @@
         &self,
         context: &RequestContext,
         prepared: &Prepared,
-        claim: Option<&HeldClaim>,
+        claim: Option<&ClaimGuard>,
     ) -> Result<Answer, Refusal> {
         let Some(_in_flight) = self.in_flight.try_acquire(1) else {
             let status = StatusCode::ServiceUnavailable;
@@ -295,7 +295,7 @@
         }
         let result = end.result();
         if let Some(claim) = run.claim.filter(|_| result.is_not_run()) {
-            claim.proved_not_run();
+            claim.mark_not_run();
         }
         run.decision.add_attempt(upstream.upstream, end.explained());
         let service = &run.context.service;
