--- a/crates/foxtide-entry/src/proxy/attempt.rs
+++ b/crates/foxtide-entry/src/proxy/attempt.rs
@@ -24,7 +24,7 @@
 pub(crate) enum AttemptEnd {
     /// A whole answer came that is the caller's.
     Answered(Answer),
-    /// The upstream said that it did not run the request.
+    /// The upstream outcome that it did not run the request.
     Refused(Answer),
     /// No whole answer came.
     Failed(Failure),
@@ -34,7 +34,7 @@
     /// Sorts the result of an exchange.
     pub(crate) fn of(result: Result<Answer, Failure>) -> Self {
         match result {
-            Ok(answer) if says_not_run(&answer) => Self::Refused(answer),
+            Ok(answer) if reports_not_run(&answer) => Self::Refused(answer),
             Ok(answer) => Self::Answered(answer),
             Err(failure) => Self::Failed(failure),
         }
@@ -102,10 +102,10 @@
 }
 
 /// Tells whether an upstream says itself that it did not run the request.
-fn says_not_run(answer: &Answer) -> bool {
-    let said = answer.headers.get(name::OUTCOME);
+fn reports_not_run(answer: &Answer) -> bool {
+    let outcome = answer.headers.get(name::OUTCOME);
     answer.status == StatusCode::ServiceUnavailable
-        && said.is_some_and(|said| said.as_str() == Outcome::NotRun.as_str())
+        && outcome.is_some_and(|outcome| outcome.as_str() == Outcome::NotRun.as_str())
 }
 
 fn retry_after(headers: &Headers) -> Option<Duration> {
--- a/crates/foxtide-entry/src/proxy/given_up.rs
+++ b/crates/foxtide-entry/src/proxy/give_up.rs
@@ -11,7 +11,7 @@
 
 /// Returns what the caller is told of a request that is given up after an
 /// attempt with this result.
-pub(super) fn given_up(give_up: GiveUp, last: AttemptResult) -> Refusal {
+pub(super) fn give_up_refusal(give_up: GiveUp, last: AttemptResult) -> Refusal {
     let late = last == AttemptResult::TimedOut || give_up.reason == GiveUpReason::Deadline;
     let (status, reason) = match (give_up.outcome, give_up.reason) {
         (Outcome::NotRun, GiveUpReason::Deadline) => (StatusCode::ServiceUnavailable, "deadline"),
--- a/crates/foxtide-entry/src/proxy/hedged.rs
+++ b/crates/foxtide-entry/src/proxy/hedging.rs
@@ -4,7 +4,7 @@
 use super::attempt::AttemptEnd;
 use super::run::{
     Destination,
-    Ended,
+    EndedAttempt,
     Proxy,
     Run, //
 };
@@ -50,7 +50,7 @@
         run: &mut Run<'_>,
         admitted: &Admitted,
         slot: Slot,
-    ) -> (Ended, Step) {
+    ) -> (EndedAttempt, Step) {
         let first = self.begin(run, admitted.clone(), slot);
         match run.attempts.hedge_at() {
             None => {
@@ -77,7 +77,7 @@
         run: &mut Run<'_>,
         first: Attempt,
         at: MonotonicTime,
-    ) -> (Ended, Step) {
+    ) -> (EndedAttempt, Step) {
         let mut first_result = pin!(self.send(run, &first));
         let delay = at - self.dependencies.clock().now();
         if let Ok(result) = timeout(delay, first_result.as_mut()).await {
@@ -89,8 +89,12 @@
         };
         let second_result = pin!(self.send(run, &second));
         match select(first_result, second_result).await {
-            Either::Left((result, rest)) => self.settle(run, first, result, second, rest).await,
-            Either::Right((result, rest)) => self.settle(run, second, result, first, rest).await,
+            Either::Left((result, rest)) => {
+                self.finish_hedged(run, first, result, second, rest).await
+            }
+            Either::Right((result, rest)) => {
+                self.finish_hedged(run, second, result, first, rest).await
+            }
         }
     }
 
@@ -119,14 +123,14 @@
 
     /// Notes the end of one of two attempts; waits for the other where its
     /// answer is still wanted, else drops it.
-    async fn settle(
+    async fn finish_hedged(
         &self,
         run: &mut Run<'_>,
         ended: Attempt,
         result: Result<Answer, Failure>,
         other: Attempt,
         other_result: impl Future<Output = Result<Answer, Failure>>,
-    ) -> (Ended, Step) {
+    ) -> (EndedAttempt, Step) {
         let (ended, step) = self.end(run, ended, result);
         if step == Step::Await {
             let result = other_result.await;
@@ -154,12 +158,12 @@
         run: &mut Run<'_>,
         attempt: Attempt,
         result: Result<Answer, Failure>,
-    ) -> (Ended, Step) {
-        let mut ended = Ended {
+    ) -> (EndedAttempt, Step) {
+        let mut ended = EndedAttempt {
             id: attempt.id,
             end: AttemptEnd::of(result),
         };
-        let step = self.note_end(run, &attempt.admitted, attempt.slot, &mut ended);
+        let step = self.finish_attempt(run, &attempt.admitted, attempt.slot, &mut ended);
         (ended, step)
     }
 }
--- a/crates/foxtide-entry/src/proxy/keyed.rs
+++ b/crates/foxtide-entry/src/proxy/keyed.rs
@@ -1,7 +1,7 @@
 //! Runs of requests with a key, which may outlive their callers.
 
 use super::keys::ClaimGuard;
-use super::prepare::Prepared;
+use super::prepare::PreparedRequest;
 use super::run::Proxy;
 use crate::answer::{
     Answer,
@@ -62,7 +62,7 @@
     pub(super) async fn run_keyed(
         self: &Arc<Self>,
         context: RequestContext,
-        prepared: Prepared,
+        prepared: PreparedRequest,
         claim: ClaimGuard,
     ) -> Result<Answer, Refusal> {
         let Some(executor) = self.executor.upgrade() else {
@@ -87,7 +87,7 @@
     async fn run_claimed(
         &self,
         context: &RequestContext,
-        prepared: &Prepared,
+        prepared: &PreparedRequest,
         claim: ClaimGuard,
     ) -> Result<Answer, Refusal> {
         let answered = self.run(context, prepared, Some(&claim)).await;
--- a/crates/foxtide-entry/src/proxy/mod.rs
+++ b/crates/foxtide-entry/src/proxy/mod.rs
@@ -2,13 +2,13 @@
 
 mod admission;
 mod attempt;
-mod given_up;
-mod hedged;
-mod journal;
+mod give_up;
+mod hedging;
 mod keyed;
 mod keys;
 mod prepare;
 mod queue;
+mod recording;
 mod run;
 
 pub(crate) use keys::KeyTable;
--- a/crates/foxtide-entry/src/proxy/prepare.rs
+++ b/crates/foxtide-entry/src/proxy/prepare.rs
@@ -23,14 +23,14 @@
 
 /// A request that can be sent as often as needed.
 #[derive(Debug)]
-pub(crate) struct Prepared {
+pub(crate) struct PreparedRequest {
     /// The whole request without its deadline.
     bytes: Vec<u8>,
     /// Where the lines of the head end.
-    lines_end: usize,
+    headers_end: usize,
 }
 
-impl Prepared {
+impl PreparedRequest {
     /// Prepares a request to be sent.
     ///
     /// # Errors
@@ -58,13 +58,13 @@
         }
         let mut bytes = Vec::with_capacity(HEAD_ROOM_BYTES + body_bytes);
         Encoder::new(request).read_to_end(&mut bytes).await?;
-        let lines_end = bytes.len() - body_bytes - LINE_END.len();
-        Ok(Self { bytes, lines_end })
+        let headers_end = bytes.len() - body_bytes - LINE_END.len();
+        Ok(Self { bytes, headers_end })
     }
 
     /// Returns the bytes to send where `time_left` remains for the answer.
     pub(crate) fn with_deadline(&self, time_left: Duration) -> Vec<u8> {
-        let (lines, rest) = self.bytes.split_at(self.lines_end);
+        let (lines, rest) = self.bytes.split_at(self.headers_end);
         let deadline = format!("{}: {}\r\n", name::DEADLINE_MS, time_left.as_millis());
         [lines, deadline.as_bytes(), rest].concat()
     }
--- a/crates/foxtide-entry/src/proxy/journal.rs
+++ b/crates/foxtide-entry/src/proxy/recording.rs
@@ -30,7 +30,7 @@
 
 impl<P: Dependencies> Proxy<P> {
     /// Returns the decision on a request, before it is taken.
-    pub(super) fn undecided(&self, context: &RequestContext) -> Decision {
+    pub(super) fn new_decision(&self, context: &RequestContext) -> Decision {
         let view = context.service.view();
         let wall = self.dependencies.clock().wall();
         let decision = Decision::new(DecisionKind::Request, Rule::NoUpstream, view, None, wall);
@@ -72,7 +72,7 @@
         context: &RequestContext,
         immediate: ImmediateAnswer,
     ) -> Result<Answer, Refusal> {
-        let mut decision = self.undecided(context);
+        let mut decision = self.new_decision(context);
         decision.redirect(immediate.rule, None);
         self.dependencies.explainer().record(decision);
         if let Err(refusal) = &immediate.answer {
--- a/crates/foxtide-entry/src/proxy/run.rs
+++ b/crates/foxtide-entry/src/proxy/run.rs
@@ -5,7 +5,7 @@
     Admitted, //
 };
 use super::attempt::AttemptEnd;
-use super::given_up::given_up;
+use super::give_up::give_up_refusal;
 use super::keys::{
     ClaimGuard,
     ImmediateAnswer,
@@ -13,7 +13,7 @@
     KeyedRequest,
     begin, //
 };
-use super::prepare::Prepared;
+use super::prepare::PreparedRequest;
 use crate::answer::{
     Answer,
     AnswerBody,
@@ -89,7 +89,7 @@
     /// What is known of it.
     pub(super) context: &'a RequestContext,
     /// What is sent.
-    pub(super) prepared: &'a Prepared,
+    pub(super) prepared: &'a PreparedRequest,
     /// The right to run its key, where it has one.
     pub(super) claim: Option<&'a ClaimGuard>,
     /// Its attempts.
@@ -120,7 +120,7 @@
 }
 
 /// An attempt that has ended.
-pub(super) struct Ended {
+pub(super) struct EndedAttempt {
     /// Which.
     pub(super) id: AttemptId,
     /// How.
@@ -142,13 +142,13 @@
         let context =
             RequestContext::of(&*self.dependencies, &self.options, &received, &target, id);
         let context =
-            context.map_err(|refusal| refusal.with_outcome(earlier_outcome(&received)))?;
+            context.map_err(|refusal| refusal.with_outcome(outcome_before_key_check(&received)))?;
         let claim = match self.claim(&context, &received, &target) {
             Ok(claim) => claim,
             Err(immediate) => return self.answer_without_run(&context, immediate),
         };
-        let prepared = Prepared::new(received, &target, &context.request).await;
-        let prepared = prepared.map_err(|_| unencodable())?;
+        let prepared = PreparedRequest::new(received, &target, &context.request).await;
+        let prepared = prepared.map_err(|_| not_encodable())?;
         if let Some(claim) = claim {
             return self.run_keyed(context, prepared, claim).await;
         }
@@ -186,7 +186,7 @@
     pub(super) async fn run(
         &self,
         context: &RequestContext,
-        prepared: &Prepared,
+        prepared: &PreparedRequest,
         claim: Option<&ClaimGuard>,
     ) -> Result<Answer, Refusal> {
         let Some(_in_flight) = self.in_flight.try_acquire(1) else {
@@ -200,7 +200,7 @@
             claim,
             attempts: Attempts::new(context.terms, retry),
             tried: Vec::new(),
-            decision: self.undecided(context),
+            decision: self.new_decision(context),
         };
         let received_at = self.dependencies.clock().now();
         let answered = self.run_attempts(&mut run).await;
@@ -225,7 +225,7 @@
                     Timer::after(after).await;
                 }
                 Step::GiveUp(give_up) => {
-                    return Err(given_up(give_up, ended.end.result()));
+                    return Err(give_up_refusal(give_up, ended.end.result()));
                 }
                 Step::Answer(_) | Step::Await | Step::Hedge => {
                     return ended.end.into_answer(run.attempts.outcome());
@@ -251,7 +251,7 @@
     pub(super) async fn exchange(
         &self,
         context: &RequestContext,
-        prepared: &Prepared,
+        prepared: &PreparedRequest,
         destination: Destination,
     ) -> Result<Answer, Failure> {
         let address = destination.address;
@@ -277,12 +277,12 @@
     }
 
     /// Notes how an attempt ended and decides what follows.
-    pub(super) fn note_end(
+    pub(super) fn finish_attempt(
         &self,
         run: &mut Run<'_>,
         admitted: &Admitted,
         slot: Slot,
-        ended: &mut Ended,
+        ended: &mut EndedAttempt,
     ) -> Step {
         let end = &mut ended.end;
         let upstream = slot.upstream().clone();
@@ -336,12 +336,12 @@
 
 /// Returns what is known of earlier copies of a request that is refused before
 /// its key is looked at: one of them may have run.
-fn earlier_outcome(received: &ReceivedRequest) -> Outcome {
+fn outcome_before_key_check(received: &ReceivedRequest) -> Outcome {
     let key = received.head.head.headers.get(name::IDEMPOTENCY_KEY);
     key.map_or(Outcome::NotRun, |_| Outcome::Unknown)
 }
 
-fn unencodable() -> Refusal {
+fn not_encodable() -> Refusal {
     Refusal::not_run(StatusCode::BadRequest, "request-not-encodable")
 }
 
