--- a/crates/foxtide-entry/src/options.rs
+++ b/crates/foxtide-entry/src/options.rs
@@ -133,7 +133,7 @@
     /// not only once the upstream has done so. Only then can no early or second
     /// answer ever pass for another's; upstreams that never name requests
     /// cannot be used then. Default: no.
-    pub request_names_required: bool,
+    pub request_id_echo_required: bool,
 }
 
 impl Default for PoolOptions {
@@ -144,7 +144,7 @@
             idle_time_non_idempotent: Duration::from_secs(1),
             connect_time: Duration::from_secs(1),
             source: None,
-            request_names_required: false,
+            request_id_echo_required: false,
         }
     }
 }
--- a/crates/foxtide-entry/src/proxy/run.rs
+++ b/crates/foxtide-entry/src/proxy/run.rs
@@ -35,8 +35,8 @@
 use crate::upstream::{
     Failure,
     Freshness,
-    Naming,
     Pools,
+    RequestIdEcho,
     UpstreamRequest,
     exchange, //
 };
@@ -262,7 +262,7 @@
             address,
             method: context.method,
             request: context.request.as_str(),
-            naming: Naming::AsBefore,
+            request_id_echo: RequestIdEcho::RequiredIfSeen,
             bytes: &bytes,
             freshness: freshness(context),
             time_left,
--- a/crates/foxtide-entry/src/traffic/poller.rs
+++ b/crates/foxtide-entry/src/traffic/poller.rs
@@ -14,8 +14,8 @@
 use crate::upstream::{
     Failure,
     Freshness,
-    Naming,
     Pools,
+    RequestIdEcho,
     UpstreamRequest,
     exchange,
     says_draining, //
@@ -87,7 +87,7 @@
             address,
             method: Method::Get,
             request: id.as_str(),
-            naming: Naming::Optional,
+            request_id_echo: RequestIdEcho::Optional,
             bytes: bytes.as_bytes(),
             freshness: Freshness::Any,
             time_left: self.options.poll.time,
--- a/crates/foxtide-entry/src/upstream/exchange.rs
+++ b/crates/foxtide-entry/src/upstream/exchange.rs
@@ -45,9 +45,9 @@
 
 /// Whether an answer must name the request that it belongs to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Naming {
+pub(crate) enum RequestIdEcho {
     /// Always where the upstream has done so before.
-    AsBefore,
+    RequiredIfSeen,
     /// Never; for what harms nobody when it is taken for another's answer.
     Optional,
 }
@@ -62,7 +62,7 @@
     /// The identity of the request.
     pub(crate) request: &'a str,
     /// Whether the answer must name the request.
-    pub(crate) naming: Naming,
+    pub(crate) request_id_echo: RequestIdEcho,
     /// The bytes to send.
     pub(crate) bytes: &'a [u8],
     /// Which idle connections may carry it.
@@ -213,7 +213,7 @@
     request: &UpstreamRequest<'_>,
 ) -> Result<Conversed, FailureKind> {
     let head = read_final_head(stream, limits).await?;
-    check_request_name(&head, pools, request)?;
+    check_request_id(&head, pools, request)?;
     let length = head.body_length(request.method);
     if length == BodyLength::None {
         let body = ReadBody::Absent;
@@ -275,20 +275,21 @@
 ///
 /// Fails where it names another request, or none although the upstream names
 /// requests: it came late, early or twice.
-fn check_request_name(
+fn check_request_id(
     head: &ResponseHead,
     pools: &Pools,
     request: &UpstreamRequest<'_>,
 ) -> Result<(), FailureKind> {
-    let named = head.head.headers.get(name::REQUEST_ID);
-    let expected = request.naming == Naming::AsBefore && pools.names_requests(request.address);
-    match named.map(|named| named.as_str() == request.request) {
+    let echoed = head.head.headers.get(name::REQUEST_ID);
+    let expected = request.request_id_echo == RequestIdEcho::RequiredIfSeen
+        && pools.echoes_request_id(request.address);
+    match echoed.map(|echoed| echoed.as_str() == request.request) {
         Some(false) => Err(FailureKind::OtherRequest),
         None if expected => Err(FailureKind::OtherRequest),
         None => Ok(()),
         Some(true) => {
             if !expected {
-                pools.note_names_requests(request.address);
+                pools.mark_echoes_request_id(request.address);
             }
             Ok(())
         }
--- a/crates/foxtide-entry/src/upstream/mod.rs
+++ b/crates/foxtide-entry/src/upstream/mod.rs
@@ -6,7 +6,7 @@
 mod pool;
 
 pub(crate) use exchange::{
-    Naming,
+    RequestIdEcho,
     UpstreamRequest,
     exchange,
     says_draining, //
--- a/crates/foxtide-entry/src/upstream/pool.rs
+++ b/crates/foxtide-entry/src/upstream/pool.rs
@@ -44,7 +44,7 @@
 struct Pool {
     idle: Mutex<Vec<IdleConnection>>,
     /// Whether the upstream has named the request in an answer.
-    names_requests: AtomicBool,
+    echoes_request_id: AtomicBool,
 }
 
 /// The idle connections to all upstreams, by address.
@@ -114,19 +114,19 @@
     ///
     /// From then on an answer without a name is not taken for the answer to
     /// the request at hand: it may have come early or twice.
-    pub(crate) fn note_names_requests(&self, address: SocketAddr) {
+    pub(crate) fn mark_echoes_request_id(&self, address: SocketAddr) {
         let pool = self.pool(address);
-        pool.names_requests.store(true, Ordering::Relaxed);
+        pool.echoes_request_id.store(true, Ordering::Relaxed);
     }
 
     /// Tells whether an upstream is to name the request in its answers.
-    pub(crate) fn names_requests(&self, address: SocketAddr) -> bool {
-        if self.options.request_names_required {
+    pub(crate) fn echoes_request_id(&self, address: SocketAddr) -> bool {
+        if self.options.request_id_echo_required {
             return true;
         }
         let by_address = self.by_address.read();
         let pool = by_address.get(&address);
-        pool.is_some_and(|pool| pool.names_requests.load(Ordering::Relaxed))
+        pool.is_some_and(|pool| pool.echoes_request_id.load(Ordering::Relaxed))
     }
 
     fn pool(&self, address: SocketAddr) -> Arc<Pool> {
--- a/crates/foxtide-entry/tests/own_answers.rs
+++ b/crates/foxtide-entry/tests/own_answers.rs
@@ -90,7 +90,7 @@
     let addresses: Vec<_> = upstreams.iter().map(UpstreamServer::address).collect();
     let options = EntryOptions {
         pool: PoolOptions {
-            request_names_required: true,
+            request_id_echo_required: true,
             ..PoolOptions::default()
         },
         ..EntryOptions::default()
