--- a/crates/foxtide-entry/src/housekeeping.rs
+++ b/crates/foxtide-entry/src/housekeeping.rs
@@ -84,7 +84,7 @@
     fn prune(&self) {
         let traffic = self.dependencies.traffic();
         self.pools.prune(self.dependencies.clock().now());
-        self.pools.keep_only(&traffic.addresses());
+        self.pools.retain(&traffic.addresses());
         self.tick_keys();
         gauge!(CONNECTIONS).set(self.callers.connections() as f64);
         gauge!(REQUESTS).set(self.callers.requests() as f64);
--- a/crates/foxtide-entry/src/proxy/attempt.rs
+++ b/crates/foxtide-entry/src/proxy/attempt.rs
@@ -5,7 +5,7 @@
 use crate::upstream::{
     Failure,
     FailureKind,
-    says_draining, //
+    announces_drain, //
 };
 use foxtide_core::choice::{
     Completion,
@@ -64,7 +64,7 @@
             kind: self.completion_kind(),
             latency,
             load: load.and_then(|values| values.as_str().parse().ok()),
-            draining: headers.is_some_and(says_draining),
+            draining: headers.is_some_and(announces_drain),
         }
     }
 
--- a/crates/foxtide-entry/src/traffic/poller.rs
+++ b/crates/foxtide-entry/src/traffic/poller.rs
@@ -17,8 +17,8 @@
     Pools,
     RequestIdEcho,
     UpstreamRequest,
-    exchange,
-    says_draining, //
+    announces_drain,
+    exchange, //
 };
 use foxtide_core::choice::{
     LoadReport,
@@ -111,7 +111,7 @@
     };
     PollResult::Answered {
         load: header.or_else(|| body.parse().ok()),
-        draining: says_draining(&answer.headers),
+        draining: announces_drain(&answer.headers),
     }
 }
 
--- a/crates/foxtide-entry/src/upstream/exchange.rs
+++ b/crates/foxtide-entry/src/upstream/exchange.rs
@@ -96,16 +96,16 @@
 ) -> Result<UpstreamAnswer, Failure> {
     let mut stream = open(pools, request, now).await?;
     let before_bytes = stream.sent_bytes();
-    let conversation = converse(&mut stream, pools, limits, request);
-    let conversed = timeout(request.time_left, conversation).await;
-    let conversed = conversed.unwrap_or(Err(FailureKind::TimedOut));
+    let exchange = send_and_read(&mut stream, pools, limits, request);
+    let answer = timeout(request.time_left, exchange).await;
+    let answer = answer.unwrap_or(Err(FailureKind::TimedOut));
     let sent_bytes = stream.sent_bytes() - before_bytes;
-    let conversed = conversed.map_err(|kind| request.failure(sent_bytes, kind))?;
-    Ok(conversed.into_answer(stream, limits))
+    let answer = answer.map_err(|kind| request.failure(sent_bytes, kind))?;
+    Ok(answer.into_answer(stream, limits))
 }
 
 /// A head and what was read of its body.
-struct Conversed {
+struct RawAnswer {
     head: ResponseHead,
     body: ReadBody,
 }
@@ -116,10 +116,10 @@
     /// There is none.
     Absent,
     /// The first part; the reader goes on.
-    Begun(BodyReader, Vec<u8>),
+    Partial(BodyReader, Vec<u8>),
 }
 
-impl Conversed {
+impl RawAnswer {
     fn into_answer(self, stream: BufferedStream, limits: &Limits) -> UpstreamAnswer {
         let length = self.head.head.length;
         // Whether more comes is looked at when the connection is used again.
@@ -130,7 +130,7 @@
                 let body = AnswerBody::Absent { stated: length };
                 (body, reusable.then_some(stream))
             }
-            ReadBody::Begun(reader, piece) => {
+            ReadBody::Partial(reader, piece) => {
                 let body = LongBody::new(stream, reader, length, piece, limits.body_time);
                 (AnswerBody::Long(Box::new(body)), None)
             }
@@ -196,12 +196,12 @@
     }
 }
 
-async fn converse(
+async fn send_and_read(
     stream: &mut BufferedStream,
     pools: &Pools,
     limits: &Limits,
     request: &UpstreamRequest<'_>,
-) -> Result<Conversed, FailureKind> {
+) -> Result<RawAnswer, FailureKind> {
     stream.write_all(request.bytes).await?;
     read_answer(stream, pools, limits, request).await
 }
@@ -211,16 +211,16 @@
     pools: &Pools,
     limits: &Limits,
     request: &UpstreamRequest<'_>,
-) -> Result<Conversed, FailureKind> {
+) -> Result<RawAnswer, FailureKind> {
     let head = read_final_head(stream, limits).await?;
     check_request_id(&head, pools, request)?;
     let length = head.body_length(request.method);
     if length == BodyLength::None {
         let body = ReadBody::Absent;
-        return Ok(Conversed { head, body });
+        return Ok(RawAnswer { head, body });
     }
     let body = read_answer_body(stream, length, limits).await?;
-    Ok(Conversed { head, body })
+    Ok(RawAnswer { head, body })
 }
 
 /// Reads a whole body, or the first part of one too long to be held.
@@ -229,15 +229,15 @@
     length: BodyLength,
     limits: &Limits,
 ) -> Result<ReadBody, MessageError> {
-    let hold_bytes = size(limits.answer_buffer);
+    let buffer_bytes = size(limits.answer_buffer);
     let mut reader = BodyReader::new(length)?;
     let mut body = Vec::new();
-    if matches!(length, BodyLength::Fixed { size_bytes } if size_bytes > hold_bytes as u64) {
-        return Ok(ReadBody::Begun(reader, body));
+    if matches!(length, BodyLength::Fixed { size_bytes } if size_bytes > buffer_bytes as u64) {
+        return Ok(ReadBody::Partial(reader, body));
     }
     while reader.read_some(stream, &mut body).await? == Progress::More {
-        if body.len() > hold_bytes {
-            return Ok(ReadBody::Begun(reader, body));
+        if body.len() > buffer_bytes {
+            return Ok(ReadBody::Partial(reader, body));
         }
     }
     if has_trailing_bytes(stream.buffered()) {
@@ -297,7 +297,7 @@
 }
 
 /// Tells whether an upstream says in its answer that it is leaving.
-pub(crate) fn says_draining(headers: &Headers) -> bool {
+pub(crate) fn announces_drain(headers: &Headers) -> bool {
     let state = headers.get(name::UPSTREAM_STATE);
     state.is_some_and(|state| state.as_str() == DRAINING)
 }
--- a/crates/foxtide-entry/src/upstream/mod.rs
+++ b/crates/foxtide-entry/src/upstream/mod.rs
@@ -8,8 +8,8 @@
 pub(crate) use exchange::{
     RequestIdEcho,
     UpstreamRequest,
-    exchange,
-    says_draining, //
+    announces_drain,
+    exchange, //
 };
 pub(crate) use failure::{
     Failure,
--- a/crates/foxtide-entry/src/upstream/pool.rs
+++ b/crates/foxtide-entry/src/upstream/pool.rs
@@ -150,7 +150,7 @@
     }
 
     /// Forgets all upstreams but these.
-    pub(crate) fn keep_only(&self, addresses: &HashSet<SocketAddr>) {
+    pub(crate) fn retain(&self, addresses: &HashSet<SocketAddr>) {
         let mut by_address = self.by_address.write();
         by_address.retain(|address, _| addresses.contains(address));
     }
