--- a/crates/foxtide-entry/src/answer.rs
+++ b/crates/foxtide-entry/src/answer.rs
@@ -28,7 +28,7 @@
 pub(crate) const JSON: &str = "application/json";
 
 /// What most heads need no more than.
-const HEAD_ROOM_BYTES: usize = 1_024;
+const HEAD_CAPACITY_BYTES: usize = 1_024;
 
 const CLOSE: &str = "close";
 
@@ -193,7 +193,7 @@
 ) -> io::Result<Vec<u8>> {
     let size_bytes = body.len();
     let response = response(status, headers, Body::from_bytes(body));
-    let mut bytes = Vec::with_capacity(HEAD_ROOM_BYTES + size_bytes);
+    let mut bytes = Vec::with_capacity(HEAD_CAPACITY_BYTES + size_bytes);
     Encoder::new(response, method)
         .read_to_end(&mut bytes)
         .await?;
@@ -215,7 +215,7 @@
         BodyLength::Chunked => (Body::from_reader(nothing, None), true),
         BodyLength::None | BodyLength::UntilClose => (Body::empty(), false),
     };
-    let mut bytes = Vec::with_capacity(HEAD_ROOM_BYTES);
+    let mut bytes = Vec::with_capacity(HEAD_CAPACITY_BYTES);
     // For `HEAD` the encoder writes the head alone.
     Encoder::new(response(status, headers, body), Method::Head)
         .read_to_end(&mut bytes)
--- a/crates/foxtide-entry/src/entry.rs
+++ b/crates/foxtide-entry/src/entry.rs
@@ -10,7 +10,7 @@
 use crate::errors::Result;
 use crate::housekeeping::{
     Housekeeping,
-    keep_house, //
+    run_housekeeping, //
 };
 use crate::limiter::Limiter;
 use crate::options::EntryOptions;
@@ -50,7 +50,7 @@
     dependencies: Arc<P>,
     options: Arc<EntryOptions>,
     callers: Arc<ListenerState>,
-    operators: Arc<ListenerState>,
+    admin: Arc<ListenerState>,
     caller_address: SocketAddr,
     admin_address: SocketAddr,
     tasks: Vec<Task<()>>,
@@ -116,16 +116,16 @@
             caller_address: listeners.caller_address,
             admin_address: listeners.admin_address,
             callers: ListenerState::new(&options.limits),
-            operators: ListenerState::new(&options.limits),
+            admin: ListenerState::new(&options.limits),
             dependencies,
             options,
             tasks: Vec::new(),
         };
-        entry.begin_decisions();
+        entry.first_tick();
         let proxy = entry.proxy(executor);
-        entry.keep_house(executor, &proxy);
+        entry.start_housekeeping(executor, &proxy);
         entry.serve_callers(executor, listeners.caller, proxy);
-        entry.serve_operators(executor, listeners.admin);
+        entry.serve_admin(executor, listeners.admin);
         entry
     }
 
@@ -160,18 +160,18 @@
         self.serve(executor, listener, handler, state);
     }
 
-    fn serve_operators(&mut self, executor: &Arc<Executor<'static>>, listener: Async<TcpListener>) {
+    fn serve_admin(&mut self, executor: &Arc<Executor<'static>>, listener: Async<TcpListener>) {
         let handler = AdminHandler {
             dependencies: Arc::clone(&self.dependencies),
             callers: Arc::clone(&self.callers),
         };
-        let state = Arc::clone(&self.operators);
+        let state = Arc::clone(&self.admin);
         self.serve(executor, listener, handler, state);
     }
 
     /// Moves the decisions on once, so that what is configured already can be
     /// served from the first caller on.
-    fn begin_decisions(&self) {
+    fn first_tick(&self) {
         let clock = self.dependencies.clock();
         self.dependencies.traffic().tick(clock.now(), clock.wall());
     }
@@ -202,13 +202,13 @@
         self.tasks.push(executor.spawn(serving));
     }
 
-    fn keep_house(&mut self, executor: &Arc<Executor<'static>>, proxy: &Proxy<P>) {
+    fn start_housekeeping(&mut self, executor: &Arc<Executor<'static>>, proxy: &Proxy<P>) {
         let (dependencies, options) = (Arc::clone(&self.dependencies), Arc::clone(&self.options));
         let (pools, keys) = (Arc::clone(&proxy.pools), Arc::clone(&proxy.keys));
         let callers = Arc::clone(&self.callers);
         let housekeeping = Housekeeping::new(dependencies, options, pools, keys, callers);
-        let keeping = keep_house(housekeeping, Arc::clone(executor));
-        self.tasks.push(executor.spawn(keeping));
+        let housekeeping = run_housekeeping(housekeeping, Arc::clone(executor));
+        self.tasks.push(executor.spawn(housekeeping));
     }
 
     /// Returns where callers connect.
@@ -261,7 +261,7 @@
 impl<P: Dependencies> Drop for Entry<P> {
     fn drop(&mut self) {
         self.callers.close();
-        self.operators.close();
+        self.admin.close();
     }
 }
 
--- a/crates/foxtide-entry/src/housekeeping.rs
+++ b/crates/foxtide-entry/src/housekeeping.rs
@@ -85,12 +85,12 @@
         let traffic = self.dependencies.traffic();
         self.pools.prune(self.dependencies.clock().now());
         self.pools.retain(&traffic.addresses());
-        self.tick_keys();
+        self.expire_keys();
         gauge!(CONNECTIONS).set(self.callers.connections() as f64);
         gauge!(REQUESTS).set(self.callers.requests() as f64);
     }
 
-    fn tick_keys(&self) {
+    fn expire_keys(&self) {
         let wall = self.dependencies.clock().wall();
         let usage = {
             let mut keys = self.keys.lock();
@@ -103,7 +103,7 @@
     }
 
     fn record(&self, change: UpstreamChange) {
-        let Some(code) = code_of(change.change.from, change.change.to) else {
+        let Some(code) = event_code(change.change.from, change.change.to) else {
             return;
         };
         let fields = EventFields {
@@ -119,7 +119,7 @@
 }
 
 /// Does the background work until it is dropped.
-pub(crate) async fn keep_house<P: Dependencies>(
+pub(crate) async fn run_housekeeping<P: Dependencies>(
     housekeeping: Housekeeping<P>,
     executor: Arc<Executor<'static>>,
 ) {
@@ -134,7 +134,7 @@
     }
 }
 
-fn code_of(from: UpstreamStatus, to: UpstreamStatus) -> Option<EventCode> {
+fn event_code(from: UpstreamStatus, to: UpstreamStatus) -> Option<EventCode> {
     match (from, to) {
         (_, UpstreamStatus::Leaving) => Some(EventCode::UpstreamDraining),
         (_, UpstreamStatus::Dead) => Some(EventCode::UpstreamUnreachable),
--- a/crates/foxtide-entry/src/lookup.rs
+++ b/crates/foxtide-entry/src/lookup.rs
@@ -41,7 +41,7 @@
 
 /// What a caller asks for.
 #[derive(Debug)]
-struct Question {
+struct LookupQuery {
     organisation: OrganisationId,
     service: ServiceId,
     client: IpAddr,
@@ -59,7 +59,7 @@
 ///
 /// # Errors
 ///
-/// Fails where the question is malformed, or names what does not exist.
+/// Fails where the query is malformed, or names what does not exist.
 pub(crate) fn lookup<P: Dependencies>(
     dependencies: &P,
     options: &EntryOptions,
@@ -67,17 +67,17 @@
     peer: SocketAddr,
     id: RequestId,
 ) -> Result<Answer, Refusal> {
-    let question = Question::parse(url, peer)?;
-    if !options.serves(&question.organisation) {
+    let query = LookupQuery::parse(url, peer)?;
+    if !options.serves(&query.organisation) {
         return Err(unknown_organisation());
     }
-    let traffic = dependencies.traffic().get(&question.organisation);
+    let traffic = dependencies.traffic().get(&query.organisation);
     let traffic = traffic.ok_or_else(unknown_organisation)?;
-    let service = traffic.service(&question.service);
+    let service = traffic.service(&query.service);
     let service = service.ok_or_else(unknown_service)?;
     let organisation = traffic.organisation();
     let (directory, wall) = (dependencies.directory(), dependencies.clock().wall());
-    let known = directory.client_region(&question.organisation, question.client);
+    let known = directory.client_region(&query.organisation, query.client);
     let origin = &dependencies.traffic().options().origin;
     let region = known.as_ref().unwrap_or(origin);
     let instances = directory.instances();
@@ -112,16 +112,21 @@
 ) -> Vec<(Distance, &'a ServingInstance)> {
     let started = |drain: &&Drain| drain.start_us <= wall;
     let drains: Vec<&Drain> = organisation.drains.iter().filter(started).collect();
-    let stays = |instance: &&ServingInstance| !drains.iter().any(|drain| takes(drain, instance));
+    let is_offered =
+        |instance: &&ServingInstance| !drains.iter().any(|drain| excludes(drain, instance));
     let with_distance = |instance: &'a ServingInstance| {
         let distance = distance(organisation, region, &instance.region);
         (distance, instance)
     };
-    instances.iter().filter(stays).map(with_distance).collect()
+    instances
+        .iter()
+        .filter(is_offered)
+        .map(with_distance)
+        .collect()
 }
 
-/// Tells whether a drain takes an instance out of look-ups.
-fn takes(drain: &Drain, instance: &ServingInstance) -> bool {
+/// Tells whether a drain excludes an instance out of look-ups.
+fn excludes(drain: &Drain, instance: &ServingInstance) -> bool {
     match &drain.target {
         DrainTarget::Instance(id) => *id == instance.instance,
         DrainTarget::AvailabilityZone(zone) => *zone == instance.availability_zone,
@@ -159,7 +164,7 @@
     Refusal::not_run(StatusCode::NotFound, "unknown-service")
 }
 
-impl Question {
+impl LookupQuery {
     fn parse(url: &Url, peer: SocketAddr) -> Result<Self, Refusal> {
         let (mut organisation, mut service, mut client) = (None, None, None);
         for (key, value) in url.query_pairs() {
--- a/crates/foxtide-entry/src/proxy/hedging.rs
+++ b/crates/foxtide-entry/src/proxy/hedging.rs
@@ -113,8 +113,8 @@
         let Admission::Send { region, .. } = admission else {
             return None;
         };
-        let of_region = context.service.region(&region)?;
-        let SlotChoice::Taken(slot) = of_region.take(&run.tried, now) else {
+        let region_traffic = context.service.region(&region)?;
+        let SlotChoice::Taken(slot) = region_traffic.take(&run.tried, now) else {
             return None;
         };
         let rule = Rule::Weighted;
--- a/crates/foxtide-entry/src/proxy/prepare.rs
+++ b/crates/foxtide-entry/src/proxy/prepare.rs
@@ -16,7 +16,7 @@
 const LINE_END: &[u8] = b"\r\n";
 
 /// What most heads need no more than.
-const HEAD_ROOM_BYTES: usize = 1_024;
+const HEAD_CAPACITY_BYTES: usize = 1_024;
 
 const VIA: &str = "via";
 const VIA_FOXTIDE: &str = "1.1 foxtide";
@@ -56,7 +56,7 @@
             // `set_body` invents a type where the caller gave none.
             request.remove_header(name::CONTENT_TYPE);
         }
-        let mut bytes = Vec::with_capacity(HEAD_ROOM_BYTES + body_bytes);
+        let mut bytes = Vec::with_capacity(HEAD_CAPACITY_BYTES + body_bytes);
         Encoder::new(request).read_to_end(&mut bytes).await?;
         let headers_end = bytes.len() - body_bytes - LINE_END.len();
         Ok(Self { bytes, headers_end })
--- a/crates/foxtide-entry/src/proxy/run.rs
+++ b/crates/foxtide-entry/src/proxy/run.rs
@@ -291,7 +291,7 @@
         end.release_slot(slot, held);
         let now = self.dependencies.clock().now();
         if let AttemptEnd::Answered(_) = end {
-            run.context.service.answered(held);
+            run.context.service.record_latency(held);
         }
         let result = end.result();
         if let Some(claim) = run.claim.filter(|_| result.is_not_run()) {
--- a/crates/foxtide-entry/src/traffic/organisation.rs
+++ b/crates/foxtide-entry/src/traffic/organisation.rs
@@ -118,7 +118,12 @@
     }
 
     /// Shares the connections out anew.
-    pub(super) fn share_out(&self, options: &TrafficOptions, sharing: Sharing, now: MonotonicTime) {
+    pub(super) fn apply_sharing(
+        &self,
+        options: &TrafficOptions,
+        sharing: Sharing,
+        now: MonotonicTime,
+    ) {
         let organisation = self.organisation();
         self.configure_services(&organisation, options, sharing, now);
     }
--- a/crates/foxtide-entry/src/traffic/service.rs
+++ b/crates/foxtide-entry/src/traffic/service.rs
@@ -175,7 +175,7 @@
     }
 
     /// Notes the latency of an answer.
-    pub(crate) fn answered(&self, latency: Duration) {
+    pub(crate) fn record_latency(&self, latency: Duration) {
         self.retries.lock().hedge_delay.record(latency);
     }
 
--- a/crates/foxtide-entry/src/traffic/tables.rs
+++ b/crates/foxtide-entry/src/traffic/tables.rs
@@ -147,7 +147,7 @@
         let before = std::mem::replace(&mut *self.sharing.lock(), sharing);
         if before != sharing {
             for traffic in self.all() {
-                traffic.share_out(&self.options, sharing, now);
+                traffic.apply_sharing(&self.options, sharing, now);
             }
         }
     }
@@ -207,8 +207,8 @@
         };
         let mut counts = Vec::new();
         for service in traffic.services().values() {
-            for (region, of_region) in service.regions().iter() {
-                let (planned, spilled) = of_region.sent();
+            for (region, region_traffic) in service.regions().iter() {
+                let (planned, spilled) = region_traffic.sent();
                 counts.push(SentCount {
                     service: service.id().clone(),
                     region: region.clone(),
@@ -233,8 +233,8 @@
         for traffic in self.all() {
             let organisation = traffic.organisation().organisation.clone();
             for service in traffic.services().values() {
-                for (region, of_region) in service.regions().iter() {
-                    let changes = of_region.with_balancer(|b| b.status_changes(now));
+                for (region, region_traffic) in service.regions().iter() {
+                    let changes = region_traffic.with_balancer(|b| b.status_changes(now));
                     all.extend(changes.into_iter().map(|change| UpstreamChange {
                         organisation: organisation.clone(),
                         service: service.id().clone(),
--- a/crates/foxtide-entry/src/workers.rs
+++ b/crates/foxtide-entry/src/workers.rs
@@ -22,7 +22,7 @@
 use std::thread::JoinHandle;
 
 /// The most tasks that are run after the last worker has ended.
-const LAST_TICKS_MAX: usize = 100_000;
+const FINAL_TICKS_MAX: usize = 100_000;
 
 /// A pool of worker threads over one queue of tasks.
 ///
@@ -110,7 +110,7 @@
         // A cancelled task is dropped only when it is run once more. One that
         // holds this queue would otherwise keep all tasks, and so their
         // connections, alive for good.
-        for _ in 0..LAST_TICKS_MAX {
+        for _ in 0..FINAL_TICKS_MAX {
             if !self.executor.try_tick() {
                 return;
             }
