--- a/crates/foxtide-entry/tests/own_answers.rs
+++ b/crates/foxtide-entry/tests/answer_faults.rs
@@ -23,7 +23,7 @@
 use std::time::Duration;
 use support::{
     Caller,
-    World, //
+    Harness, //
 };
 
 const CALLERS: usize = 8;
@@ -41,7 +41,7 @@
 ];
 
 /// Asks once; returns whether an upstream's answer came.
-fn ask_once(caller: &mut Caller, number: usize) -> bool {
+fn request_once(caller: &mut Caller, number: usize) -> bool {
     let id = format!("request-{number}");
     let method = if number.is_multiple_of(2) {
         "GET"
@@ -52,7 +52,7 @@
         "{method} /hamutenya/viewer/{number} HTTP/1.1\r\nhost: x\r\ncontent-length: 0\r\n\
          foxtide-request-id: {id}\r\nfoxtide-deadline-ms: 60\r\n\r\n"
     );
-    let answer = caller.ask(&request);
+    let answer = caller.request(&request);
     assert!(answer.contains(&format!("foxtide-request-id: {id}\r\n")));
     let (head, body) = answer.split_once("\r\n\r\n").unwrap();
     let body: Value = serde_json::from_str(body).unwrap_or_else(|_| panic!("not whole: {answer}"));
@@ -67,12 +67,12 @@
     true
 }
 
-fn start_caller(world: &World, first: usize) -> JoinHandle<usize> {
-    let mut caller = world.caller();
+fn start_caller(harness: &Harness, first: usize) -> JoinHandle<usize> {
+    let mut caller = harness.caller();
     std::thread::spawn(move || {
         let numbers = first..first + REQUESTS;
         numbers
-            .filter(|number| ask_once(&mut caller, *number))
+            .filter(|number| request_once(&mut caller, *number))
             .count()
     })
 }
@@ -95,7 +95,7 @@
         },
         ..EntryOptions::default()
     };
-    let world = World::start_with(&addresses, options);
+    let harness = Harness::start_with(&addresses, options);
     let done = Arc::new(AtomicBool::new(false));
     let ended = Arc::clone(&done);
     let faults = std::thread::spawn(move || {
@@ -110,7 +110,7 @@
         }
     });
     let callers: Vec<_> = (0..CALLERS)
-        .map(|caller| start_caller(&world, caller * REQUESTS))
+        .map(|caller| start_caller(&harness, caller * REQUESTS))
         .collect();
     let answered: usize = callers
         .into_iter()
--- a/crates/foxtide-entry/tests/failures.rs
+++ b/crates/foxtide-entry/tests/failures.rs
@@ -25,8 +25,8 @@
 use std::time::Duration;
 use support::{
     ANY_PORT,
+    Harness,
     RawUpstream,
-    World,
     assert_refused,
     get,
     post,
@@ -63,8 +63,8 @@
             read_message(&mut stream);
             stream.write_all(cut).unwrap();
         });
-        let world = World::start(&[upstream.address]);
-        let answer = world.caller().ask(&post("/notes", "x"));
+        let harness = Harness::start(&[upstream.address]);
+        let answer = harness.caller().request(&post("/notes", "x"));
         assert_refused(&answer, 502, "unknown");
         assert_eq!(upstream.connections.load(Ordering::SeqCst), 1, "sent twice");
     }
@@ -78,8 +78,8 @@
             stream.write_all(HELLO).unwrap();
         }
     });
-    let world = World::start(&[upstream.address]);
-    assert!(world.caller().ask(&get("/")).ends_with("hello"));
+    let harness = Harness::start(&[upstream.address]);
+    assert!(harness.caller().request(&get("/")).ends_with("hello"));
 }
 
 #[test]
@@ -91,10 +91,10 @@
             stream.write_all(answer.repeat(2).as_bytes()).unwrap();
         }
     });
-    let world = World::start(&[upstream.address]);
-    let mut caller = world.caller();
+    let harness = Harness::start(&[upstream.address]);
+    let mut caller = harness.caller();
     for number in 1..=5 {
-        let answer = caller.ask(&get("/"));
+        let answer = caller.request(&get("/"));
         assert!(answer.ends_with(&format!("from-{number}")), "{answer}");
     }
 }
@@ -113,11 +113,11 @@
         }
         let _ = stream.read(&mut [0]);
     });
-    let world = World::start(&[upstream.address]);
-    let mut caller = world.caller();
-    assert!(caller.ask(&get("/")).ends_with("hello"));
+    let harness = Harness::start(&[upstream.address]);
+    let mut caller = harness.caller();
+    assert!(caller.request(&get("/")).ends_with("hello"));
     wait_sent.recv().unwrap();
-    assert!(caller.ask(&get("/")).ends_with("hello"));
+    assert!(caller.request(&get("/")).ends_with("hello"));
 }
 
 #[test]
@@ -125,8 +125,8 @@
     let upstream = RawUpstream::answering(
         b"HTTP/1.1 200 OK\r\nfoxtide-request-id: other\r\ncontent-length: 5\r\n\r\nhello",
     );
-    let world = World::start(&[upstream.address]);
-    assert_refused(&world.caller().ask(&post("/", "x")), 502, "unknown");
+    let harness = Harness::start(&[upstream.address]);
+    assert_refused(&harness.caller().request(&post("/", "x")), 502, "unknown");
 }
 
 #[test]
@@ -138,9 +138,9 @@
         let _ = released.lock().recv();
         let _ = stream.write_all(HELLO);
     });
-    let world = World::start(&[upstream.address]);
-    let mut caller = world.caller();
-    let answer = caller.ask(
+    let harness = Harness::start(&[upstream.address]);
+    let mut caller = harness.caller();
+    let answer = caller.request(
         "POST /hamutenya/viewer/ HTTP/1.1\r\nhost: x\r\nfoxtide-deadline-ms: 300\r\n\
          content-length: 1\r\n\r\nx",
     );
@@ -151,8 +151,8 @@
 #[test]
 fn verify_not_run_is_said_where_no_byte_went_out() {
     let closed = TcpListener::bind(ANY_PORT).unwrap().local_addr().unwrap();
-    let world = World::start(&[closed]);
-    assert_refused(&world.caller().ask(&post("/", "x")), 503, "not-run");
+    let harness = Harness::start(&[closed]);
+    assert_refused(&harness.caller().request(&post("/", "x")), 503, "not-run");
 }
 
 #[test]
@@ -160,8 +160,8 @@
     let upstream = RawUpstream::answering(
         b"HTTP/1.1 503 Service Unavailable\r\nfoxtide-outcome: not-run\r\ncontent-length: 0\r\n\r\n",
     );
-    let world = World::start(&[upstream.address]);
-    assert_refused(&world.caller().ask(&post("/", "x")), 503, "not-run");
+    let harness = Harness::start(&[upstream.address]);
+    assert_refused(&harness.caller().request(&post("/", "x")), 503, "not-run");
 }
 
 #[test]
@@ -173,8 +173,8 @@
         let end = stream.read(&mut [0]);
         cancelled.send(matches!(end, Ok(0) | Err(_))).unwrap();
     });
-    let world = World::start(&[upstream.address]);
-    let mut caller = world.caller();
+    let harness = Harness::start(&[upstream.address]);
+    let mut caller = harness.caller();
     caller.send(&post("/", "x"));
     wait_until("the request", || {
         upstream.connections.load(Ordering::SeqCst) == 1
@@ -186,7 +186,7 @@
             .unwrap()
     );
     wait_until("the event", || {
-        !world.recorded(EventCode::RequestCancelled).is_empty()
+        !harness.recorded(EventCode::RequestCancelled).is_empty()
     });
 }
 
@@ -218,13 +218,13 @@
         ("BREW / HTTP/1.1\r\nhost: x\r\n\r\n".to_owned(), 501),
     ];
     let upstream = RawUpstream::answering(HELLO);
-    let world = World::start(&[upstream.address]);
-    let mut other = world.caller();
+    let harness = Harness::start(&[upstream.address]);
+    let mut other = harness.caller();
     for (request, status) in cases {
-        let mut caller = world.caller();
-        assert_refused(&caller.ask(&request), status, "not-run");
+        let mut caller = harness.caller();
+        assert_refused(&caller.request(&request), status, "not-run");
         assert!(caller.is_closed(), "{request}");
-        assert!(other.ask(&get("/")).ends_with("hello"));
+        assert!(other.request(&get("/")).ends_with("hello"));
     }
 }
 
@@ -246,11 +246,11 @@
     let seen = std::sync::Arc::new(AtomicBool::new(false));
     let upstream_seen = std::sync::Arc::clone(&seen);
     let upstream = RawUpstream::start(move |_, _| upstream_seen.store(true, Ordering::SeqCst));
-    let world = World::start(&[upstream.address]);
+    let harness = Harness::start(&[upstream.address]);
     for (lines, status) in cases {
         let request =
             format!("POST /hamutenya/viewer/ HTTP/1.1\r\nhost: x\r\n{lines}\r\n\r\n0\r\n\r\n");
-        assert_refused(&world.caller().ask(&request), status, "not-run");
+        assert_refused(&harness.caller().request(&request), status, "not-run");
     }
     assert!(!seen.load(Ordering::SeqCst), "an upstream was reached");
 }
@@ -258,13 +258,13 @@
 #[test]
 fn verify_a_body_shorter_or_longer_than_declared_reaches_no_upstream_whole() {
     let upstream = RawUpstream::answering(HELLO);
-    let world = World::start(&[upstream.address]);
-    let mut short = world.caller();
+    let harness = Harness::start(&[upstream.address]);
+    let mut short = harness.caller();
     short.send("POST /hamutenya/viewer/ HTTP/1.1\r\nhost: x\r\ncontent-length: 9\r\n\r\nabc");
     short.stream.shutdown(Shutdown::Write).unwrap();
     assert_refused(&short.answer().unwrap(), 400, "not-run");
     assert_eq!(upstream.connections.load(Ordering::SeqCst), 0);
-    let mut long = world.caller();
+    let mut long = harness.caller();
     long.send(
         "POST /hamutenya/viewer/ HTTP/1.1\r\nhost: x\r\ncontent-length: 1\r\n\r\nabc\r\n\r\n",
     );
@@ -276,13 +276,13 @@
 
 #[test]
 fn verify_slow_callers_are_given_up() {
-    let world = World::start_with(&[], short_limits());
-    let mut slow_head = world.caller();
-    assert_refused(&slow_head.ask("GET / HT"), 408, "not-run");
-    let mut slow_body = world.caller();
+    let harness = Harness::start_with(&[], short_limits());
+    let mut slow_head = harness.caller();
+    assert_refused(&slow_head.request("GET / HT"), 408, "not-run");
+    let mut slow_body = harness.caller();
     let head = "POST /hamutenya/viewer/ HTTP/1.1\r\nhost: x\r\ncontent-length: 9\r\n\r\n";
-    assert_refused(&slow_body.ask(head), 408, "not-run");
-    let mut idle = world.caller();
+    assert_refused(&slow_body.request(head), 408, "not-run");
+    let mut idle = harness.caller();
     assert!(idle.is_closed());
 }
 
@@ -296,25 +296,25 @@
         ..EntryOptions::default()
     };
     let upstream = RawUpstream::answering(HELLO);
-    let world = World::start_with(&[upstream.address], options);
-    let mut first = world.caller();
-    assert!(first.ask(&get("/")).ends_with("hello"));
-    let _second = world.caller();
-    wait_until("two connections", || world.entry.connections() == 2);
-    let mut third = TcpStream::connect(world.entry.caller_address()).unwrap();
+    let harness = Harness::start_with(&[upstream.address], options);
+    let mut first = harness.caller();
+    assert!(first.request(&get("/")).ends_with("hello"));
+    let _second = harness.caller();
+    wait_until("two connections", || harness.entry.connections() == 2);
+    let mut third = TcpStream::connect(harness.entry.caller_address()).unwrap();
     assert_eq!(third.read(&mut [0]).unwrap_or(0), 0);
-    assert!(first.ask(&get("/")).ends_with("hello"));
+    assert!(first.request(&get("/")).ends_with("hello"));
 }
 
 #[test]
 fn verify_a_continue_is_sent_to_who_waits_for_it() {
     let upstream = RawUpstream::answering(HELLO);
-    let world = World::start(&[upstream.address]);
-    let mut caller = world.caller();
+    let harness = Harness::start(&[upstream.address]);
+    let mut caller = harness.caller();
     let head = "POST /hamutenya/viewer/ HTTP/1.1\r\nhost: x\r\nexpect: 100-continue\r\n\
                 content-length: 1\r\n\r\n";
-    assert!(caller.ask(head).starts_with("HTTP/1.1 100 "));
-    assert!(caller.ask("x").ends_with("hello"));
+    assert!(caller.request(head).starts_with("HTTP/1.1 100 "));
+    assert!(caller.request("x").ends_with("hello"));
 }
 
 #[test]
@@ -335,8 +335,8 @@
             limits,
             ..EntryOptions::default()
         };
-        let world = World::start_with(&[upstream.address], options);
-        assert_refused(&world.caller().ask(&post("/", "xx")), 503, "not-run");
+        let harness = Harness::start_with(&[upstream.address], options);
+        assert_refused(&harness.caller().request(&post("/", "xx")), 503, "not-run");
     }
     assert_eq!(upstream.connections.load(Ordering::SeqCst), 0);
 }
@@ -347,10 +347,10 @@
         b"HTTP/1.1 200 OK\r\nfoxtide-upstream-state: draining\r\ncontent-length: 4\r\n\r\nlast",
     );
     let staying = RawUpstream::answering(HELLO);
-    let world = World::start(&[leaving.address, staying.address]);
-    let mut caller = world.caller();
+    let harness = Harness::start(&[leaving.address, staying.address]);
+    let mut caller = harness.caller();
     let last = |answers: &[String]| answers.iter().filter(|a| a.ends_with("last")).count();
-    let answers: Vec<String> = (0..20).map(|_| caller.ask(&get("/"))).collect();
+    let answers: Vec<String> = (0..20).map(|_| caller.request(&get("/"))).collect();
     assert!(last(&answers) <= 1, "{}", last(&answers));
     assert!(answers[19].ends_with("hello"));
 }
--- a/crates/foxtide-entry/tests/hedging.rs
+++ b/crates/foxtide-entry/tests/hedging.rs
@@ -17,9 +17,9 @@
 };
 use std::time::Duration;
 use support::{
+    Harness,
     RawUpstream,
-    World,
-    latency_first,
+    prioritise_latency,
     read_message, //
 };
 
@@ -46,8 +46,8 @@
     let other = Arc::clone(&drive);
     let first = RawUpstream::start(move |stream, number| drive(stream, number));
     let second = RawUpstream::start(move |stream, number| other(stream, number));
-    let world = World::start_as(&[first.address, second.address], latency_first);
-    let answer = world.caller().ask(&support::get("/slots"));
+    let harness = Harness::start_changed(&[first.address, second.address], prioritise_latency);
+    let answer = harness.caller().request(&support::get("/slots"));
     assert!(answer.ends_with("hello"), "{answer}");
     assert!(
         wait_cancelled
--- a/crates/foxtide-entry/tests/keys.rs
+++ b/crates/foxtide-entry/tests/keys.rs
@@ -25,8 +25,8 @@
     UNIX_EPOCH, //
 };
 use support::{
+    Harness,
     RawUpstream,
-    World,
     assert_refused,
     get,
     read_message,
@@ -49,8 +49,10 @@
     )
 }
 
-fn own_key(world: &World) -> String {
-    let answer = world.caller().ask("GET /none HTTP/1.1\r\nhost: x\r\n\r\n");
+fn own_key(harness: &Harness) -> String {
+    let answer = harness
+        .caller()
+        .request("GET /none HTTP/1.1\r\nhost: x\r\n\r\n");
     let owner = answer
         .lines()
         .find_map(|line| line.strip_prefix("foxtide-owner: "));
@@ -66,16 +68,20 @@
             stream.write_all(DONE).unwrap();
         }
     });
-    let world = World::start(&[upstream.address]);
-    let key = own_key(&world);
-    let mut caller = world.caller();
-    let first = caller.ask(&post("/notes", &key, "lintel"));
+    let harness = Harness::start(&[upstream.address]);
+    let key = own_key(&harness);
+    let mut caller = harness.caller();
+    let first = caller.request(&post("/notes", &key, "lintel"));
     assert!(first.ends_with("filed!"), "{first}");
-    let again = world.caller().ask(&post("/notes", &key, "lintel"));
+    let again = harness.caller().request(&post("/notes", &key, "lintel"));
     assert!(again.starts_with("HTTP/1.1 201 "), "{again}");
     assert!(again.contains("foxtide-outcome: done\r\n"), "{again}");
     assert!(again.ends_with("filed!"), "{again}");
-    assert_refused(&caller.ask(&post("/notes", &key, "other")), 422, "unknown");
+    assert_refused(
+        &caller.request(&post("/notes", &key, "other")),
+        422,
+        "unknown",
+    );
     assert_eq!(runs.try_iter().count(), 1);
 }
 
@@ -84,10 +90,10 @@
     let upstream = RawUpstream::start(|mut stream, _| {
         read_message(&mut stream);
     });
-    let world = World::start(&[upstream.address]);
-    let key = own_key(&world);
+    let harness = Harness::start(&[upstream.address]);
+    let key = own_key(&harness);
     for status in [502, 409] {
-        let answer = world.caller().ask(&post("/notes", &key, "x"));
+        let answer = harness.caller().request(&post("/notes", &key, "x"));
         assert_refused(&answer, status, "unknown");
     }
     assert_eq!(upstream.connections.load(Ordering::SeqCst), 1);
@@ -105,40 +111,42 @@
             stream.write_all(answer).unwrap();
         }
     });
-    let world = World::start(&[upstream.address]);
-    let key = own_key(&world);
-    let refused = world.caller().ask(&post("/notes", &key, "x"));
+    let harness = Harness::start(&[upstream.address]);
+    let key = own_key(&harness);
+    let refused = harness.caller().request(&post("/notes", &key, "x"));
     assert_refused(&refused, 503, "not-run");
     has_room.store(true, Ordering::SeqCst);
-    let answer = world.caller().ask(&post("/notes", &key, "x"));
+    let answer = harness.caller().request(&post("/notes", &key, "x"));
     assert!(answer.ends_with("filed!"), "{answer}");
 }
 
 #[test]
 fn verify_keys_of_other_owners_never_run_here() {
     let upstream = RawUpstream::answering(DONE);
-    let world = World::start(&[upstream.address]);
+    let harness = Harness::start(&[upstream.address]);
     let elsewhere = key("entry-2.00000000000000aa");
-    let answer = world.caller().ask(&post("/notes?x=1", &elsewhere, "x"));
+    let answer = harness
+        .caller()
+        .request(&post("/notes?x=1", &elsewhere, "x"));
     assert_refused(&answer, 307, "unknown");
     assert!(
         answer.contains("/hamutenya/viewer/notes?x=1\r\n"),
         "{answer}"
     );
     // An instance that leaves still answers for its keys.
-    world.dependencies.left.store(true, Ordering::SeqCst);
-    let leaving = world.caller().ask(&post("/notes", &elsewhere, "x"));
+    harness.dependencies.has_left.store(true, Ordering::SeqCst);
+    let leaving = harness.caller().request(&post("/notes", &elsewhere, "x"));
     assert_refused(&leaving, 307, "unknown");
     let gone = key("entry-9.00000000000000aa");
     let earlier_process = key("entry-1.00000000000000aa");
     for key in [gone, earlier_process] {
-        let answer = world.caller().ask(&post("/notes", &key, "x"));
+        let answer = harness.caller().request(&post("/notes", &key, "x"));
         assert_refused(&answer, 409, "unknown");
     }
     let plain = "0196f0c1-0000-7000-8000-000000000001";
-    let answer = world.caller().ask(&post("/notes", plain, "x"));
+    let answer = harness.caller().request(&post("/notes", plain, "x"));
     assert_refused(&answer, 400, "not-run");
-    let recorded = |code| world.recorded(code).len();
+    let recorded = |code| harness.recorded(code).len();
     assert_eq!(recorded(EventCode::KeyRedirected), 2);
     assert_eq!(recorded(EventCode::KeyOwnerGone), 2);
     assert_eq!(recorded(EventCode::KeyMalformed), 1);
@@ -157,20 +165,20 @@
             stream.write_all(DONE).unwrap();
         }
     });
-    let world = World::start(&[upstream.address]);
-    let key = own_key(&world);
-    let mut lost = world.caller();
+    let harness = Harness::start(&[upstream.address]);
+    let key = own_key(&harness);
+    let mut lost = harness.caller();
     lost.send(&post("/notes", &key, "lintel"));
     runs.recv().unwrap();
     drop(lost);
     wait_until("the caller to be missed", || {
-        !world.recorded(EventCode::RequestCancelled).is_empty()
+        !harness.recorded(EventCode::RequestCancelled).is_empty()
     });
-    let meanwhile = world.caller().ask(&post("/notes", &key, "lintel"));
+    let meanwhile = harness.caller().request(&post("/notes", &key, "lintel"));
     assert_refused(&meanwhile, 409, "unknown");
     release.send(()).unwrap();
     wait_until("the kept answer", || {
-        let again = world.caller().ask(&post("/notes", &key, "lintel"));
+        let again = harness.caller().request(&post("/notes", &key, "lintel"));
         again.contains("foxtide-outcome: done\r\n") && again.ends_with("filed!")
     });
     assert_eq!(runs.try_iter().count(), 0, "it ran once");
@@ -197,21 +205,21 @@
         },
         ..EntryOptions::default()
     };
-    let world = World::start_with(&[upstream.address], options);
-    let mut lost = world.caller();
-    lost.send(&post("/notes", &own_key(&world), "lintel"));
+    let harness = Harness::start_with(&[upstream.address], options);
+    let mut lost = harness.caller();
+    lost.send(&post("/notes", &own_key(&harness), "lintel"));
     assert_eq!(notes.recv(), Ok("came"));
     drop(lost);
     wait_until("the caller to be missed", || {
-        !world.recorded(EventCode::RequestCancelled).is_empty()
+        !harness.recorded(EventCode::RequestCancelled).is_empty()
     });
-    let entry = Arc::clone(&world.entry);
-    let drained = world.workers.spawn(async move {
+    let entry = Arc::clone(&harness.entry);
+    let drained = harness.workers.spawn(async move {
         entry.drain().await;
         note.send("drained").unwrap();
     });
     wait_until("the last connection to close", || {
-        world.entry.connections() == 0
+        harness.entry.connections() == 0
     });
     // Long enough for a stop that does not wait.
     std::thread::sleep(Duration::from_millis(50));
@@ -233,27 +241,27 @@
             stream.write_all(DONE).unwrap();
         }
     });
-    let world = World::start(&[upstream.address]);
-    let key = own_key(&world);
-    let mut readers: Vec<_> = (0..SLOTS).map(|_| world.caller()).collect();
+    let harness = Harness::start(&[upstream.address]);
+    let key = own_key(&harness);
+    let mut readers: Vec<_> = (0..SLOTS).map(|_| harness.caller()).collect();
     for reader in &mut readers {
         reader.send(&get("/cracks"));
         assert!(!arrivals.recv().unwrap());
     }
-    let mut lost = world.caller();
+    let mut lost = harness.caller();
     lost.send(&post("/notes", &key, "lintel"));
     drop(lost);
     wait_until("the caller to be missed", || {
-        !world.recorded(EventCode::RequestCancelled).is_empty()
+        !harness.recorded(EventCode::RequestCancelled).is_empty()
     });
     for reader in &mut readers {
         release.send(()).unwrap();
         assert!(reader.answer().unwrap().ends_with("filed!"));
     }
     release.send(()).unwrap();
-    let mut ask_again = || world.caller().ask(&post("/notes", &key, "lintel"));
+    let mut request_again = || harness.caller().request(&post("/notes", &key, "lintel"));
     // The run that was dropped may take a moment to end.
-    let answers = std::iter::repeat_with(&mut ask_again);
+    let answers = std::iter::repeat_with(&mut request_again);
     let answer = { answers }.find(|answer| !answer.contains("in-progress"));
     let answer = answer.unwrap();
     assert!(answer.ends_with("filed!"), "{answer}");
@@ -264,13 +272,13 @@
 #[test]
 fn verify_a_copy_that_is_refused_for_its_form_says_nothing_of_earlier_ones() {
     let upstream = RawUpstream::answering(DONE);
-    let world = World::start(&[upstream.address]);
-    let key = own_key(&world);
-    let first = world.caller().ask(&post("/notes", &key, "lintel"));
+    let harness = Harness::start(&[upstream.address]);
+    let key = own_key(&harness);
+    let first = harness.caller().request(&post("/notes", &key, "lintel"));
     assert!(first.ends_with("filed!"), "{first}");
     let copy = post("/notes", &key, "lintel");
     let malformed = copy.replace("host: x", "host: x\r\nfoxtide-deadline-ms: soon");
-    assert_refused(&world.caller().ask(&malformed), 400, "unknown");
+    assert_refused(&harness.caller().request(&malformed), 400, "unknown");
     let elsewhere = copy.replace("/viewer/", "/removed/");
-    assert_refused(&world.caller().ask(&elsewhere), 404, "unknown");
+    assert_refused(&harness.caller().request(&elsewhere), 404, "unknown");
 }
--- a/crates/foxtide-entry/tests/long_answers.rs
+++ b/crates/foxtide-entry/tests/long_answers.rs
@@ -12,15 +12,15 @@
     Write, //
 };
 use support::{
+    Harness,
     RawUpstream,
-    World,
     get,
     read_message, //
 };
 
 const BODY_BYTES: usize = 300_000;
 
-fn holding_little() -> EntryOptions {
+fn small_buffer_options() -> EntryOptions {
     EntryOptions {
         limits: Limits {
             answer_buffer: ByteSize::from_kib(64),
@@ -30,20 +30,20 @@
     }
 }
 
-/// Starts a world whose upstream sends `head`, this part of the body, and
+/// Starts a harness whose upstream sends `head`, this part of the body, and
 /// `end`, then closes.
-fn world(head: &'static str, sent_bytes: usize, end: &'static str) -> World {
+fn harness(head: &'static str, sent_bytes: usize, end: &'static str) -> Harness {
     let upstream = RawUpstream::start(move |mut stream, _| {
         read_message(&mut stream);
         let body = "x".repeat(sent_bytes);
         let _ = stream.write_all(format!("{head}{body}{end}").as_bytes());
     });
-    World::start_with(&[upstream.address], holding_little())
+    Harness::start_with(&[upstream.address], small_buffer_options())
 }
 
 /// Returns all that a caller gets until the connection closes.
-fn ask_all(world: &World) -> String {
-    let mut caller = world.caller();
+fn read_until_close(harness: &Harness) -> String {
+    let mut caller = harness.caller();
     caller.send(&get("/photo").replace("host: x", "host: x\r\nconnection: close"));
     let mut answer = String::new();
     let _ = caller.stream.read_to_string(&mut answer);
@@ -53,7 +53,7 @@
 #[test]
 fn verify_a_long_answer_comes_whole() {
     let head = "HTTP/1.1 200 OK\r\ncontent-length: 300000\r\n\r\n";
-    let answer = ask_all(&world(head, BODY_BYTES, ""));
+    let answer = read_until_close(&harness(head, BODY_BYTES, ""));
     let (head, body) = answer.split_once("\r\n\r\n").unwrap();
     assert!(head.contains("content-length: 300000"), "{head}");
     assert_eq!(body.len(), BODY_BYTES);
@@ -62,7 +62,7 @@
 #[test]
 fn verify_a_long_answer_in_chunks_comes_whole() {
     let head = "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n493e0\r\n";
-    let answer = ask_all(&world(head, BODY_BYTES, "\r\n0\r\n\r\n"));
+    let answer = read_until_close(&harness(head, BODY_BYTES, "\r\n0\r\n\r\n"));
     let (head, body) = answer.split_once("\r\n\r\n").unwrap();
     assert!(head.contains("transfer-encoding: chunked"), "{head}");
     assert!(body.ends_with("\r\n0\r\n\r\n"), "the last chunk is missing");
@@ -72,11 +72,11 @@
 #[test]
 fn verify_a_cut_long_answer_is_never_shown_as_whole() {
     let head = "HTTP/1.1 200 OK\r\ncontent-length: 300000\r\n\r\n";
-    let answer = ask_all(&world(head, BODY_BYTES / 2, ""));
+    let answer = read_until_close(&harness(head, BODY_BYTES / 2, ""));
     let (_, body) = answer.split_once("\r\n\r\n").unwrap();
     assert!(body.len() < BODY_BYTES);
     let head = "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n493e0\r\n";
-    let answer = ask_all(&world(head, BODY_BYTES, "\r\n"));
+    let answer = read_until_close(&harness(head, BODY_BYTES, "\r\n"));
     assert!(
         !answer.ends_with("\r\n0\r\n\r\n"),
         "the cut looks like an end"
--- a/crates/foxtide-entry/tests/path.rs
+++ b/crates/foxtide-entry/tests/path.rs
@@ -17,8 +17,8 @@
 };
 use std::time::Duration;
 use support::{
+    Harness,
     RawUpstream,
-    World,
     assert_refused,
     get,
     post,
@@ -31,10 +31,11 @@
 
 #[test]
 fn verify_lookup_names_instances_ttl_and_revision() {
-    let world = World::start(&[]);
-    let mut caller = world.caller();
-    let answer = caller
-        .ask("GET /v1/lookup?organisation=hamutenya&service=viewer HTTP/1.1\r\nhost: x\r\n\r\n");
+    let harness = Harness::start(&[]);
+    let mut caller = harness.caller();
+    let answer = caller.request(
+        "GET /v1/lookup?organisation=hamutenya&service=viewer HTTP/1.1\r\nhost: x\r\n\r\n",
+    );
     assert!(answer.starts_with("HTTP/1.1 200 "), "{answer}");
     assert!(answer.contains(r#""instance":"entry-1""#), "{answer}");
     for owner in ["entry-1.0000000000000007", "entry-2.00000000000000aa"] {
@@ -53,9 +54,9 @@
             stream.write_all(HELLO).unwrap();
         }
     });
-    let world = World::start(&[upstream.address]);
-    let mut caller = world.caller();
-    let answer = caller.ask(
+    let harness = Harness::start(&[upstream.address]);
+    let mut caller = harness.caller();
+    let answer = caller.request(
         "GET /hamutenya/viewer/maps/7?x=1 HTTP/1.1\r\nhost: x\r\nconnection: x-hop\r\n\
          x-hop: 1\r\nte: trailers\r\nx-kept: 1\r\nfoxtide-request-id: r-1\r\n\r\n",
     );
@@ -77,16 +78,16 @@
 #[test]
 fn verify_connections_are_reused_on_both_sides() {
     let upstream = RawUpstream::answering(HELLO);
-    let world = World::start(&[upstream.address]);
-    let mut caller = world.caller();
+    let harness = Harness::start(&[upstream.address]);
+    let mut caller = harness.caller();
     for _ in 0..10 {
-        caller.ask(&post("/notes", "text"));
+        caller.request(&post("/notes", "text"));
     }
     let connections = upstream
         .connections
         .load(std::sync::atomic::Ordering::SeqCst);
     assert_eq!(connections, 1);
-    assert_eq!(world.entry.connections(), 1);
+    assert_eq!(harness.entry.connections(), 1);
 }
 
 #[test]
@@ -98,8 +99,8 @@
             stream.write_all((head + &path).as_bytes()).unwrap();
         }
     });
-    let world = World::start(&[upstream.address]);
-    let mut caller = world.caller();
+    let harness = Harness::start(&[upstream.address]);
+    let mut caller = harness.caller();
     caller.send(&(post("/a", "body-of-a") + &get("/b")));
     let mut answers = caller.answer().unwrap();
     if !answers.contains("/b") {
@@ -120,31 +121,31 @@
             }
         }
     });
-    let world = World::start(&[upstream.address]);
-    let mut caller = world.caller();
+    let harness = Harness::start(&[upstream.address]);
+    let mut caller = harness.caller();
     for _ in 0..2 {
-        assert!(caller.ask(&get("/")).ends_with("\r\n\r\nfoxtide"));
+        assert!(caller.request(&get("/")).ends_with("\r\n\r\nfoxtide"));
     }
 }
 
 #[test]
 fn verify_head_requests_keep_the_stated_length() {
     let upstream = RawUpstream::answering(b"HTTP/1.1 200 OK\r\ncontent-length: 0\r\n\r\n");
-    let world = World::start(&[upstream.address]);
-    let answer = world
+    let harness = Harness::start(&[upstream.address]);
+    let answer = harness
         .caller()
-        .ask("HEAD /hamutenya/viewer/x HTTP/1.1\r\nhost: x\r\n\r\n");
+        .request("HEAD /hamutenya/viewer/x HTTP/1.1\r\nhost: x\r\n\r\n");
     assert!(answer.contains("content-length: 0\r\n"), "{answer}");
 }
 
 #[test]
 fn verify_operators_pages_are_out_of_callers_reach() {
-    let world = World::start(&[]);
+    let harness = Harness::start(&[]);
     for path in ["/healthz", "/readyz", "/metrics"] {
         let request = format!("GET {path} HTTP/1.1\r\nhost: x\r\n\r\n");
-        let answer = world.operator().ask(&request);
+        let answer = harness.operator().request(&request);
         assert!(answer.starts_with("HTTP/1.1 200 "), "{answer}");
-        assert_refused(&world.caller().ask(&request), 404, "not-run");
+        assert_refused(&harness.caller().request(&request), 404, "not-run");
     }
 }
 
@@ -155,11 +156,11 @@
         organisations: vec!["kluisdepot".parse().unwrap()],
         ..EntryOptions::default()
     };
-    let world = World::start_with(&[upstream.address], options);
-    let mut caller = world.caller();
-    assert_refused(&caller.ask(&get("/")), 404, "not-run");
+    let harness = Harness::start_with(&[upstream.address], options);
+    let mut caller = harness.caller();
+    assert_refused(&caller.request(&get("/")), 404, "not-run");
     let lookup = "GET /v1/lookup?organisation=hamutenya&service=viewer HTTP/1.1\r\nhost: x\r\n\r\n";
-    assert_refused(&caller.ask(lookup), 404, "not-run");
+    assert_refused(&caller.request(lookup), 404, "not-run");
 }
 
 #[test]
@@ -173,24 +174,24 @@
         },
         ..EntryOptions::default()
     };
-    let world = World::start_with(&[upstream.address], options);
-    let mut idle = world.caller();
-    assert!(idle.ask(&get("/")).contains("hello"));
-    let entry = Arc::clone(&world.entry);
-    let drained = world.workers.spawn(async move { entry.drain().await });
+    let harness = Harness::start_with(&[upstream.address], options);
+    let mut idle = harness.caller();
+    assert!(idle.request(&get("/")).contains("hello"));
+    let entry = Arc::clone(&harness.entry);
+    let drained = harness.workers.spawn(async move { entry.drain().await });
     support::wait_until("the drain", || {
-        !world.recorded(EventCode::ProcessStopping).is_empty()
+        !harness.recorded(EventCode::ProcessStopping).is_empty()
     });
-    let ready = world
+    let ready = harness
         .operator()
-        .ask("GET /readyz HTTP/1.1\r\nhost: x\r\n\r\n");
+        .request("GET /readyz HTTP/1.1\r\nhost: x\r\n\r\n");
     assert!(ready.starts_with("HTTP/1.1 503 "), "{ready}");
     // A caller that still holds an old look-up is served and told to close.
-    let late = world.caller().ask(&get("/"));
+    let late = harness.caller().request(&get("/"));
     assert!(late.contains("connection: close\r\n"), "{late}");
     smol::block_on(drained);
     assert!(idle.is_closed());
-    assert_eq!(world.entry.connections(), 0);
+    assert_eq!(harness.entry.connections(), 0);
 }
 
 #[test]
@@ -212,14 +213,14 @@
         },
         ..EntryOptions::default()
     };
-    let world = World::start_with(&[upstream.address], options);
-    let mut caller = world.caller();
+    let harness = Harness::start_with(&[upstream.address], options);
+    let mut caller = harness.caller();
     caller.send(&post("/notices", "x"));
     wait_asked.recv().unwrap();
-    let entry = Arc::clone(&world.entry);
-    let drained = world.workers.spawn(async move { entry.drain().await });
+    let entry = Arc::clone(&harness.entry);
+    let drained = harness.workers.spawn(async move { entry.drain().await });
     support::wait_until("the end of look-ups", || {
-        world.dependencies.left.load(SeqCst)
+        harness.dependencies.has_left.load(SeqCst)
     });
     assert!(!drained.is_finished());
     drop(release);
@@ -234,12 +235,12 @@
     const NEAR: &[u8] = b"HTTP/1.1 200 OK\r\ncontent-length: 4\r\n\r\nnear";
     const FAR: &[u8] = b"HTTP/1.1 200 OK\r\ncontent-length: 3\r\n\r\nfar";
     let (near, far) = (RawUpstream::answering(NEAR), RawUpstream::answering(FAR));
-    let world = World::start_as(&[near.address, far.address], with_second_region);
-    let answer = world.caller().ask(&get("/hamutenya/viewer/1"));
+    let harness = Harness::start_changed(&[near.address, far.address], with_second_region);
+    let answer = harness.caller().request(&get("/hamutenya/viewer/1"));
     assert!(answer.ends_with("near"), "{answer}");
-    *world.dependencies.origin.lock().unwrap() = Some("erongo".parse().unwrap());
+    *harness.dependencies.origin.lock().unwrap() = Some("erongo".parse().unwrap());
     wait_until("the other region's row is known", || {
-        let answer = world.caller().ask(&get("/hamutenya/viewer/2"));
+        let answer = harness.caller().request(&get("/hamutenya/viewer/2"));
         assert!(!answer.ends_with("near"), "{answer}");
         answer.ends_with("far")
     });
@@ -262,8 +263,8 @@
         },
         ..EntryOptions::default()
     };
-    let world = World::start_with(&[upstream.address], options);
-    let answer = world.caller().ask(&get("/hamutenya/viewer/1"));
+    let harness = Harness::start_with(&[upstream.address], options);
+    let answer = harness.caller().request(&get("/hamutenya/viewer/1"));
     assert!(answer.ends_with("hello"), "{answer}");
     assert_eq!(seen.recv().unwrap(), source);
 }
--- a/crates/foxtide-entry/tests/support/mod.rs
+++ b/crates/foxtide-entry/tests/support/mod.rs
@@ -66,13 +66,16 @@
 
 pub(crate) const ANY_PORT: SocketAddr =
     SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::LOCALHOST), 0);
-const PATIENCE: Duration = Duration::from_secs(10);
+const WAIT_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Waits for a condition; panics where it never comes.
 pub(crate) fn wait_until(what: &str, condition: impl Fn() -> bool) {
     let started = Instant::now();
     while !condition() {
-        assert!(started.elapsed() < PATIENCE, "waited in vain for {what}");
+        assert!(
+            started.elapsed() < WAIT_TIMEOUT,
+            "waited in vain for {what}"
+        );
         std::thread::sleep(Duration::from_millis(1));
     }
 }
@@ -144,7 +147,7 @@
     recorder: Recorder,
     explainer: Explainer,
     owner: OwnerId,
-    pub(crate) left: AtomicBool,
+    pub(crate) has_left: AtomicBool,
     instances: Arc<[ServingInstance]>,
     /// The region that all callers belong to.
     pub(crate) origin: Mutex<Option<RegionId>>,
@@ -186,7 +189,7 @@
 
 impl Directory for TestDependencies {
     fn instances(&self) -> Arc<[ServingInstance]> {
-        if self.left.load(Ordering::SeqCst) {
+        if self.has_left.load(Ordering::SeqCst) {
             return Arc::new([]);
         }
         Arc::clone(&self.instances)
@@ -207,7 +210,7 @@
     }
 
     fn leave(&self) {
-        self.left.store(true, Ordering::SeqCst);
+        self.has_left.store(true, Ordering::SeqCst);
     }
 }
 
@@ -252,7 +255,7 @@
             recorder: Recorder::new(instance.instance.clone(), RecorderOptions::default()),
             explainer: Explainer::default(),
             owner: instance.owner.clone(),
-            left: AtomicBool::new(false),
+            has_left: AtomicBool::new(false),
             instances: Arc::new([other, instance]),
             origin: Mutex::default(),
         }
@@ -284,13 +287,13 @@
 }
 
 /// A running entry with its dependencies.
-pub(crate) struct World {
+pub(crate) struct Harness {
     pub(crate) entry: Arc<Entry<TestDependencies>>,
     pub(crate) dependencies: Arc<TestDependencies>,
     pub(crate) workers: Workers,
 }
 
-impl World {
+impl Harness {
     /// Starts an entry before these upstreams.
     pub(crate) fn start(upstreams: &[SocketAddr]) -> Self {
         Self::start_with(upstreams, EntryOptions::default())
@@ -303,7 +306,7 @@
     }
 
     /// Starts an entry before these upstreams, the organisation changed.
-    pub(crate) fn start_as(upstreams: &[SocketAddr], change: fn(&mut Organisation)) -> Self {
+    pub(crate) fn start_changed(upstreams: &[SocketAddr], change: fn(&mut Organisation)) -> Self {
         let mut organisation = organisation(upstreams);
         change(&mut organisation);
         Self::start_organisation(organisation, EntryOptions::default())
@@ -353,7 +356,7 @@
 impl Caller {
     pub(crate) fn connect(address: SocketAddr) -> Self {
         let stream = TcpStream::connect(address).unwrap();
-        stream.set_read_timeout(Some(PATIENCE)).unwrap();
+        stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
         Self { stream }
     }
 
@@ -368,7 +371,7 @@
     }
 
     /// Sends a request and reads its answer.
-    pub(crate) fn ask(&mut self, text: &str) -> String {
+    pub(crate) fn request(&mut self, text: &str) -> String {
         self.send(text);
         self.answer().expect("an answer")
     }
@@ -407,7 +410,7 @@
 }
 
 /// Makes the services weigh latency most, so that their reads are hedged.
-pub(crate) fn latency_first(organisation: &mut Organisation) {
+pub(crate) fn prioritise_latency(organisation: &mut Organisation) {
     for service in &mut organisation.services {
         service.contract.priority = Priority::Latency;
     }
