--- a/crates/foxtide-entry/src/admin.rs
+++ b/crates/foxtide-entry/src/admin.rs
@@ -1,4 +1,4 @@
-//! The listener for operators.
+//! HTTP pages for operators: health, readiness and admin pages.
 
 use crate::answer::{
     Answer,
@@ -25,12 +25,11 @@
 
 const PLAIN: &str = "text/plain; charset=utf-8";
 
-/// Answers operators.
+/// Handles requests on the admin listener.
 #[derive(Debug)]
 pub(crate) struct AdminHandler<P> {
-    /// What the request path works with.
     pub(crate) dependencies: Arc<P>,
-    /// The state of the caller listener.
+    /// State of the caller listener, on which readiness depends.
     pub(crate) callers: Arc<ListenerState>,
 }
 
--- a/crates/foxtide-entry/src/answer.rs
+++ b/crates/foxtide-entry/src/answer.rs
@@ -1,4 +1,4 @@
-//! Answers to callers.
+//! Answers to callers and their encoding.
 
 use crate::upstream::LongBody;
 use async_h1::server::Encoder;
@@ -24,58 +24,54 @@
 use std::io;
 use std::time::Duration;
 
-/// The type of JSON documents.
+/// Content type of JSON documents.
 pub(crate) const JSON: &str = "application/json";
 
-/// What most heads need no more than.
+/// Initial capacity for a head; most are shorter.
 const HEAD_CAPACITY_BYTES: usize = 1_024;
 
 const CLOSE: &str = "close";
 
-/// The body of an answer.
 #[derive(Debug)]
 pub(crate) enum AnswerBody {
-    /// A whole body.
+    /// Complete body, sent together with the head.
     Whole(Vec<u8>),
-    /// None is sent, as for `HEAD`; the head may state the length it would have.
+    /// No body, as for `HEAD`; the head may still state a length.
     Absent {
-        /// The length that the head states.
+        /// Length stated in the head.
         stated: BodyLength,
     },
-    /// The body is too long to be held and comes in pieces.
+    /// Body that exceeds the buffer and is streamed.
     Long(Box<LongBody>),
 }
 
-/// An answer ready to be sent.
+/// Encoded answer, ready to be sent.
 #[derive(Debug)]
 pub(crate) struct Encoded {
-    /// The head, and the body where it is whole.
+    /// Head, followed by the body if it is complete.
     pub(crate) bytes: Vec<u8>,
-    /// The body that follows.
+    /// Body to stream after `bytes`.
     pub(crate) long_body: Option<Box<LongBody>>,
 }
 
-/// An answer to a caller.
+/// Answer to a caller, from an upstream or from foxtide itself.
 #[derive(Debug)]
 pub(crate) struct Answer {
-    /// The status.
     pub(crate) status: StatusCode,
-    /// The headers, without those that frame the body.
+    /// Headers except those that frame the body.
     pub(crate) headers: Headers,
-    /// The body.
     pub(crate) body: AnswerBody,
 }
 
-/// Why foxtide itself answers a request, and what the caller may do.
+/// Answer that foxtide itself gives instead of an upstream.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Refusal {
-    /// The status.
     pub(crate) status: StatusCode,
-    /// What is known of the request.
+    /// What is known about the execution of the request.
     pub(crate) outcome: Outcome,
-    /// Why.
+    /// Machine-readable reason, sent in the body.
     pub(crate) reason: &'static str,
-    /// When the caller may try again.
+    /// Delay after which the caller may retry.
     pub(crate) retry_after: Duration,
 }
 
@@ -87,7 +83,7 @@
 }
 
 impl Refusal {
-    /// Returns the refusal of a request that did not run.
+    /// Returns the refusal of a request that was not executed.
     pub(crate) fn not_run(status: StatusCode, reason: &'static str) -> Self {
         Self {
             status,
@@ -97,12 +93,12 @@
         }
     }
 
-    /// Returns the refusal with what is known of earlier attempts.
+    /// Replaces the outcome, for example by that of earlier attempts.
     pub(crate) fn with_outcome(self, outcome: Outcome) -> Self {
         Self { outcome, ..self }
     }
 
-    /// Returns the answer that tells the caller.
+    /// Returns the answer that reports this refusal.
     pub(crate) fn answer(&self, request: &str) -> Answer {
         let body = RefusalBody {
             outcome: self.outcome.as_str(),
@@ -118,7 +114,7 @@
 }
 
 impl Answer {
-    /// Returns an answer with a body of this type.
+    /// Returns an answer with a complete body.
     pub(crate) fn new(status: StatusCode, content_type: &str, body: Vec<u8>) -> Self {
         let mut answer = Self {
             status,
@@ -129,30 +125,30 @@
         answer
     }
 
-    /// Returns an answer with a JSON document.
+    /// Returns an answer with a JSON body.
     pub(crate) fn json(status: StatusCode, document: &impl Serialize) -> Self {
-        // The documents are made of strings and numbers, which always serialise.
+        // Documents of strings and numbers always serialise.
         let body = serde_json::to_vec(document).unwrap_or_default();
         Self::new(status, JSON, body)
     }
 
-    /// Sets a header.
+    /// Sets a header; an invalid value is ignored.
     pub(crate) fn insert(&mut self, header: &str, value: &str) {
         if let Ok(value) = HeaderValue::from_bytes(value.as_bytes().to_vec()) {
             self.headers.insert(HeaderName::from(header), value);
         }
     }
 
-    /// Tells the caller that the connection closes after this answer.
+    /// Announces that the connection closes after this answer.
     pub(crate) fn close(&mut self) {
         self.insert(name::CONNECTION, CLOSE);
     }
 
-    /// Returns what is to be sent in answer to a request of `method`.
+    /// Encodes the answer to a request of `method`.
     ///
     /// # Errors
     ///
-    /// Fails where the encoder does.
+    /// Returns an error if the encoder fails.
     pub(crate) async fn encode(self, method: Method) -> io::Result<Encoded> {
         let Self {
             status,
@@ -200,7 +196,7 @@
     Ok(bytes)
 }
 
-/// Encodes a head that states `length`, and nothing after it.
+/// Encodes a head that states `length`, without a body.
 async fn encode_head(
     status: StatusCode,
     headers: Headers,
@@ -232,14 +228,14 @@
     *response.as_mut() = headers;
     response.set_body(body);
     if !typed {
-        // `set_body` invents a type where the upstream gave none.
+        // `set_body` adds a default content type.
         response.remove_header(name::CONTENT_TYPE);
     }
     response
 }
 
-/// Removes the length that the encoder states for every empty body; an answer
-/// that has none must not state it (RFC 9110, section 8.6).
+/// Removes the `content-length: 0` that the encoder adds to every empty body:
+/// an answer without a stated length must not have it (RFC 9110, section 8.6).
 fn remove_zero_length(bytes: &mut Vec<u8>) {
     const LINE: &[u8] = b"content-length: 0\r\n";
     let found = bytes.windows(LINE.len()).position(|window| window == LINE);
--- a/crates/foxtide-entry/src/callers.rs
+++ b/crates/foxtide-entry/src/callers.rs
@@ -1,4 +1,4 @@
-//! The listener for callers.
+//! Requests on the caller listener: look-ups and requests for services.
 
 use crate::answer::{
     Answer,
@@ -31,16 +31,13 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// Answers callers.
+/// Handles requests on the caller listener.
 #[derive(Debug)]
 pub(crate) struct CallerHandler<P> {
-    /// What the request path works with.
     pub(crate) dependencies: Arc<P>,
-    /// The settings.
     pub(crate) options: Arc<EntryOptions>,
-    /// What sends requests to upstreams.
     pub(crate) proxy: Arc<Proxy<P>>,
-    /// The name of this process in idempotency keys.
+    /// Owner id of this process in idempotency keys, sent in each answer.
     pub(crate) owner: String,
 }
 
@@ -93,7 +90,7 @@
     }
 }
 
-/// Records a request that foxtide does not take and returns its identity.
+/// Records a request that was rejected before routing and returns its new id.
 pub(crate) fn record_rejected<P: Dependencies>(
     dependencies: &P,
     caller: SocketAddr,
--- a/crates/foxtide-entry/src/clock.rs
+++ b/crates/foxtide-entry/src/clock.rs
@@ -1,4 +1,4 @@
-//! The clocks of the request path.
+//! Monotonic and wall clocks.
 
 use foxtide_clock::SteadyClock;
 use foxtide_core::time::{
@@ -11,11 +11,11 @@
     UNIX_EPOCH, //
 };
 
-/// Reads the time.
+/// Source of monotonic and wall-clock time.
 pub trait Clock: Send + Sync + 'static {
-    /// Returns the steady clock's reading.
+    /// Returns the monotonic time.
     fn now(&self) -> MonotonicTime;
-    /// Returns the wall clock's reading.
+    /// Returns the wall-clock time.
     fn wall(&self) -> WallTime;
 }
 
@@ -26,7 +26,7 @@
 }
 
 impl SystemClock {
-    /// Returns the steady clock, for parts that are to share its readings.
+    /// Returns the steady clock, for components that share its readings.
     pub fn steady(&self) -> SteadyClock {
         self.steady
     }
--- a/crates/foxtide-entry/src/dependencies.rs
+++ b/crates/foxtide-entry/src/dependencies.rs
@@ -1,7 +1,6 @@
-//! What the request path needs from the rest of an instance.
+//! Interfaces through which the entry uses the rest of the instance.
 //!
-//! Each trait is small, so that a test needs but a few lines to stand in for
-//! it. All calls come from many workers at once and must not block.
+//! The methods are called concurrently from all workers and must not block.
 
 use crate::clock::Clock;
 use crate::traffic::TrafficTables;
@@ -23,91 +22,92 @@
 };
 use std::sync::Arc;
 
-/// The dependencies that an [`Entry`](crate::Entry) works with.
+/// Components of the instance that an [`Entry`](crate::Entry) uses.
 pub trait Dependencies: Send + Sync + 'static {
-    /// Where instances are read.
+    /// Directory of serving instances.
     type Directory: Directory;
-    /// The clocks.
+    /// Clocks.
     type Clock: Clock;
-    /// What operators can read.
+    /// Admin pages.
     type Admin: Admin;
 
-    /// Returns where instances are read.
+    /// Returns the directory of serving instances.
     fn directory(&self) -> &Self::Directory;
     /// Returns the clocks.
     fn clock(&self) -> &Self::Clock;
-    /// Returns what operators can read.
+    /// Returns the admin pages.
     fn admin(&self) -> &Self::Admin;
-    /// Returns the organisations with every decision's state.
+    /// Returns the traffic state of all organisations.
     fn traffic(&self) -> &TrafficTables;
-    /// Returns where events are recorded.
+    /// Returns the event recorder.
     fn recorder(&self) -> &Recorder;
-    /// Returns where decisions are kept for explanations.
+    /// Returns the recorder of decisions for explanations.
     fn explainer(&self) -> &Explainer;
-    /// Returns the name of this process in idempotency keys.
+    /// Returns the owner id of this process in idempotency keys.
     fn owner(&self) -> &OwnerId;
 }
 
-/// The instances that serve callers.
+/// Directory of the instances that serve callers.
 pub trait Directory: Send + Sync + 'static {
-    /// Returns the instances that callers may use now.
+    /// Returns the instances that callers may use.
     ///
-    /// Leaving instances are not among them, this one neither once
-    /// [`Directory::leave`] was called.
+    /// Leaving instances are excluded, including this one after
+    /// [`Directory::leave`].
     fn instances(&self) -> Arc<[ServingInstance]>;
 
-    /// Returns where callers reach an instance while its process is thought to
-    /// run, also when it leaves and new callers are not sent there any more.
+    /// Returns the caller address of an instance whose process is believed to
+    /// run, even if it is leaving and excluded from look-ups.
     fn address_of(&self, instance: &InstanceId) -> Option<SocketAddr>;
 
-    /// Returns the region from which a caller with this address is to be
-    /// served, where that is known.
+    /// Returns the region that should serve a caller with this address, if
+    /// known.
     fn client_region(&self, organisation: &OrganisationId, client: IpAddr) -> Option<RegionId>;
 
-    /// Returns the region that a caller with this address belongs to, whether or
-    /// not it has live instances; `None` where that is not known.
+    /// Returns the region to which a caller with this address belongs, if
+    /// known, even if the region has no live instances.
     ///
-    /// Requests of another region's callers then go where that region sends
-    /// them, so that nothing shifts when its instances are gone.
+    /// Requests from callers of another region are routed by that region's
+    /// weights, so that traffic does not shift when its instances fail.
     fn client_origin(&self, _client: IpAddr) -> Option<RegionId> {
         None
     }
 
-    /// Takes this instance out of look-ups, here and at its peers.
+    /// Removes this instance from look-ups, locally and at its peers.
     fn leave(&self);
 }
 
 /// An instance that callers may use.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct ServingInstance {
-    /// Its name.
+    /// Instance id.
     pub instance: InstanceId,
-    /// Its process, as callers name it in idempotency keys.
+    /// Owner id of its process in idempotency keys.
     pub owner: OwnerId,
-    /// Where callers connect.
+    /// Address of its caller listener.
     pub address: SocketAddr,
-    /// Its region.
+    /// Region.
     pub region: RegionId,
-    /// Its availability zone.
+    /// Availability zone.
     pub availability_zone: AvailabilityZoneId,
 }
 
-/// A page for operators.
+/// Content of an admin page.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AdminPage {
-    /// The type of its content.
+    /// Content type.
     pub content_type: &'static str,
-    /// Its content.
+    /// Body.
     pub body: Vec<u8>,
 }
 
-/// The pages for operators that the entry does not answer itself.
+/// Admin pages that the entry does not serve itself.
 pub trait Admin: Send + Sync + 'static {
     /// Returns the page at `path`, such as `/metrics` or `/v1/events`.
     ///
-    /// `query` is the target's query as it was sent.
+    /// `query` is the raw query string.
     fn page(&self, path: &str, query: Option<&str>) -> Option<AdminPage>;
 
-    /// Tells whether a configuration is in force, so that callers can be served.
+    /// Returns whether a configuration is in force, so that callers can be
+    /// served.
     fn is_ready(&self) -> bool;
 }
--- a/crates/foxtide-entry/src/entry.rs
+++ b/crates/foxtide-entry/src/entry.rs
@@ -1,4 +1,4 @@
-//! The request path of an instance: both listeners, from start to drain.
+//! Starts, serves and drains the caller and admin listeners.
 
 use crate::admin::AdminHandler;
 use crate::callers::CallerHandler;
@@ -41,10 +41,10 @@
 };
 use std::sync::Arc;
 
-/// The running request path of an instance.
+/// Running caller and admin listeners of an instance.
 ///
-/// Dropping it stops both listeners; [`Entry::drain`] comes first where
-/// nothing is to be cut.
+/// Dropping it closes both listeners; [`Entry::drain`] first lets requests
+/// finish.
 #[derive(Debug)]
 pub struct Entry<P: Dependencies> {
     dependencies: Arc<P>,
@@ -56,8 +56,10 @@
     tasks: Vec<Task<()>>,
 }
 
-/// The sockets that an [`Entry`] serves, bound before anything else is
-/// started, so that peers can be told where callers connect.
+/// Bound sockets of an [`Entry`].
+///
+/// They are bound before anything else starts, so that peers learn the final
+/// caller address.
 #[derive(Debug)]
 pub struct Listeners {
     caller: Async<TcpListener>,
@@ -67,11 +69,11 @@
 }
 
 impl Listeners {
-    /// Binds the caller's and the operators' address.
+    /// Binds the caller and admin addresses.
     ///
     /// # Errors
     ///
-    /// Fails where an address cannot be bound.
+    /// Returns an error if an address cannot be bound.
     pub fn bind(caller_address: SocketAddr, admin_address: SocketAddr) -> Result<Self> {
         let caller = bind(caller_address)?;
         let admin = bind(admin_address)?;
@@ -83,7 +85,7 @@
         })
     }
 
-    /// Returns where callers connect.
+    /// Returns the address of the caller listener.
     pub fn caller_address(&self) -> SocketAddr {
         self.caller_address
     }
@@ -94,7 +96,7 @@
     ///
     /// # Errors
     ///
-    /// Fails where an address cannot be bound.
+    /// Returns an error if an address cannot be bound.
     pub fn start(
         options: EntryOptions,
         dependencies: Arc<P>,
@@ -104,7 +106,7 @@
         Ok(Self::start_on(listeners, options, dependencies, executor))
     }
 
-    /// Starts to serve on listeners that are bound already.
+    /// Starts to serve on bound listeners.
     pub fn start_on(
         listeners: Listeners,
         options: EntryOptions,
@@ -169,8 +171,7 @@
         self.serve(executor, listener, handler, state);
     }
 
-    /// Moves the decisions on once, so that what is configured already can be
-    /// served from the first caller on.
+    /// Runs the first tick, so that configured services can be served at once.
     fn first_tick(&self) {
         let clock = self.dependencies.clock();
         self.dependencies.traffic().tick(clock.now(), clock.wall());
@@ -211,31 +212,31 @@
         self.tasks.push(executor.spawn(housekeeping));
     }
 
-    /// Returns where callers connect.
+    /// Returns the address of the caller listener.
     pub fn caller_address(&self) -> SocketAddr {
         self.caller_address
     }
 
-    /// Returns where operators connect.
+    /// Returns the address of the admin listener.
     pub fn admin_address(&self) -> SocketAddr {
         self.admin_address
     }
 
-    /// Returns how many connections of callers are open.
+    /// Returns the number of open caller connections.
     pub fn connections(&self) -> usize {
         self.callers.connections()
     }
 
-    /// Returns how many requests of callers are under way.
+    /// Returns the number of caller requests in progress.
     pub fn requests(&self) -> usize {
         self.callers.requests()
     }
 
-    /// Leaves: takes the instance out of look-ups, serves until callers'
-    /// answers have expired, then closes connections between answers and
-    /// returns once nothing is in flight.
+    /// Drains the caller listener.
     ///
-    /// The admin listener serves on.
+    /// Removes the instance from look-ups, serves until cached look-ups have
+    /// expired, then closes idle connections and waits for requests in
+    /// progress, for a limited time. The admin listener stays open.
     pub async fn drain(&self) {
         self.record(EventCode::ProcessStopping, String::new());
         self.dependencies.directory().leave();
--- a/crates/foxtide-entry/src/errors.rs
+++ b/crates/foxtide-entry/src/errors.rs
@@ -1,4 +1,4 @@
-//! The error type of the request path, with the step and the peer.
+//! Errors of the entry, with the failed operation and the peer address.
 
 use std::fmt;
 use std::io;
@@ -7,7 +7,7 @@
 /// The result of a fallible operation of this crate.
 pub type Result<T> = std::result::Result<T, Error>;
 
-/// The step of the request path at which an error arose.
+/// Operation that failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Step {
     /// Binding a listener.
@@ -34,23 +34,23 @@
     }
 }
 
-/// What went wrong on the request path.
+/// Error of the entry.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// A socket failed.
+    /// A socket operation failed.
     #[error("{step} {peer}: {source}")]
     Io {
-        /// What was being done.
+        /// Failed operation.
         step: Step,
-        /// The other end, or the own address of a listener.
+        /// Remote address, or the local address of a listener.
         peer: SocketAddr,
-        /// The system's error.
+        /// Underlying I/O error.
         source: io::Error,
     },
     /// A worker thread could not be started.
     #[error("starting a worker thread: {source}")]
     Worker {
-        /// The system's error.
+        /// Underlying I/O error.
         source: io::Error,
     },
 }
--- a/crates/foxtide-entry/src/housekeeping.rs
+++ b/crates/foxtide-entry/src/housekeeping.rs
@@ -1,5 +1,5 @@
-//! What is done in the background: decisions move on, upstreams are asked for
-//! their load, old connections are closed.
+//! Periodic background work: ticks, load polls, expiry of keys and idle
+//! connections.
 
 use crate::clock::Clock;
 use crate::dependencies::Dependencies;
@@ -26,7 +26,6 @@
 
 const TICK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// How many ticks pass between two looks at idle connections.
 const TICKS_PER_PRUNE: u32 = 10;
 
 const CONNECTIONS: &str = "foxtide_connections";
@@ -34,7 +33,7 @@
 const KEYS: &str = "foxtide_idempotency_keys";
 const STORED_ANSWERS_BYTES: &str = "foxtide_idempotency_answers_bytes";
 
-/// What the background work needs.
+/// State used by the background work.
 #[derive(Debug)]
 pub(crate) struct Housekeeping<P> {
     dependencies: Arc<P>,
@@ -45,7 +44,6 @@
 }
 
 impl<P: Dependencies> Housekeeping<P> {
-    /// Returns the background work of an entry.
     pub(crate) fn new(
         dependencies: Arc<P>,
         options: Arc<EntryOptions>,
@@ -118,7 +116,7 @@
     }
 }
 
-/// Does the background work until it is dropped.
+/// Runs the background work until the future is dropped.
 pub(crate) async fn run_housekeeping<P: Dependencies>(
     housekeeping: Housekeeping<P>,
     executor: Arc<Executor<'static>>,
--- a/crates/foxtide-entry/src/lib.rs
+++ b/crates/foxtide-entry/src/lib.rs
@@ -1,17 +1,15 @@
-//! The request path of foxtide: look-ups, requests, operators' pages.
+//! HTTP entry of a foxtide instance: look-ups, proxied requests and admin pages.
 //!
-//! An instance has two listeners. Callers look up which instances to use and
-//! send requests, which go to an upstream; operators read pages. What the
-//! request path needs from the rest of the instance stands in [`Dependencies`]: one
-//! type that holds the tables of all organisations ([`TrafficTables`]), the
-//! directory of instances, clocks, the recorder of events and the operators'
-//! pages.
+//! An instance has two listeners. On the caller listener, callers look up which
+//! instances to use and send requests, which are forwarded to upstreams. On the
+//! admin listener, operators read pages. The entry uses the rest of the
+//! instance through [`Dependencies`].
 //!
-//! The rest of the instance calls [`TrafficTables::configure`] for each
-//! configuration that comes into force, [`TrafficTables::observe`] and
-//! [`TrafficTables::set_sharing`] for what the mesh knows, and sends
-//! [`TrafficTables::report`] to peers. The entry itself moves decisions on in
-//! time, polls upstreams and closes idle connections.
+//! The instance calls [`TrafficTables::configure`] for each new configuration
+//! and [`TrafficTables::observe`] and [`TrafficTables::set_sharing`] for
+//! updates from the mesh, and sends [`TrafficTables::report`] to its peers. The
+//! entry itself advances the traffic state, polls upstreams and closes idle
+//! connections.
 //!
 //! ```no_run
 //! # use foxtide_entry::{Entry, EntryOptions, Dependencies, Workers};
--- a/crates/foxtide-entry/src/limiter.rs
+++ b/crates/foxtide-entry/src/limiter.rs
@@ -1,4 +1,4 @@
-//! Counts what is under way and keeps it below a limit.
+//! Limits a count that is shared between tasks.
 
 use std::sync::Arc;
 use std::sync::atomic::{
@@ -6,14 +6,14 @@
     Ordering, //
 };
 
-/// A count with a limit. Clones count together.
+/// Shared count with an upper limit; clones share the count.
 #[derive(Clone, Debug)]
 pub(crate) struct Limiter {
     count: Arc<AtomicUsize>,
     limit: usize,
 }
 
-/// A part of the count, given back when it is dropped.
+/// Acquired part of the count, returned on drop.
 #[derive(Debug)]
 pub(crate) struct Permit {
     count: Arc<AtomicUsize>,
@@ -21,7 +21,6 @@
 }
 
 impl Limiter {
-    /// Returns an empty count.
     pub(crate) fn new(limit: usize) -> Self {
         Self {
             count: Arc::default(),
@@ -29,7 +28,7 @@
         }
     }
 
-    /// Takes `amount` of what is free; nothing where that is less.
+    /// Acquires `amount` if the limit allows it.
     pub(crate) fn try_acquire(&self, amount: usize) -> Option<Permit> {
         let permit = Permit {
             count: Arc::clone(&self.count),
@@ -51,7 +50,7 @@
     use super::*;
 
     #[test]
-    fn verify_the_limit_is_kept_and_given_back() {
+    fn verify_permits_are_limited_and_returned_on_drop() {
         let limiter = Limiter::new(3);
         let two = limiter.try_acquire(2).unwrap();
         assert!(limiter.try_acquire(2).is_none());
--- a/crates/foxtide-entry/src/lookup.rs
+++ b/crates/foxtide-entry/src/lookup.rs
@@ -1,4 +1,4 @@
-//! Look-ups: which instances a caller is to use.
+//! Look-ups: selects the instances that a caller should use.
 
 use crate::answer::{
     Answer,
@@ -39,7 +39,7 @@
     SocketAddr, //
 };
 
-/// What a caller asks for.
+/// Parameters of a look-up.
 #[derive(Debug)]
 struct LookupQuery {
     organisation: OrganisationId,
@@ -47,7 +47,7 @@
     client: IpAddr,
 }
 
-/// The answer to a look-up.
+/// Body of the answer to a look-up.
 #[derive(Debug, Serialize)]
 struct LookupAnswer<'a> {
     instances: Vec<&'a ServingInstance>,
@@ -59,7 +59,8 @@
 ///
 /// # Errors
 ///
-/// Fails where the query is malformed, or names what does not exist.
+/// Returns a refusal if the query is malformed or names an unknown organisation
+/// or service.
 pub(crate) fn lookup<P: Dependencies>(
     dependencies: &P,
     options: &EntryOptions,
@@ -103,7 +104,8 @@
     }
 }
 
-/// Returns the instances that may be named, the nearest to `region` first.
+/// Returns the instances that no drain excludes, with their distance from
+/// `region`.
 fn nearest<'a>(
     instances: &'a [ServingInstance],
     organisation: &Organisation,
@@ -125,7 +127,7 @@
         .collect()
 }
 
-/// Tells whether a drain excludes an instance out of look-ups.
+/// Returns whether a drain excludes an instance from look-ups.
 fn excludes(drain: &Drain, instance: &ServingInstance) -> bool {
     match &drain.target {
         DrainTarget::Instance(id) => *id == instance.instance,
@@ -134,7 +136,7 @@
     }
 }
 
-/// How far an instance stands from a caller, in microseconds one way.
+/// One-way delay between regions, in microseconds.
 type Distance = u64;
 
 fn distance(organisation: &Organisation, from: &RegionId, to: &RegionId) -> Distance {
@@ -145,8 +147,7 @@
     delay_ms.map_or(Distance::MAX, |delay_ms| (delay_ms * 1e3) as Distance)
 }
 
-/// Chooses the nearest instances; among equals at random, so that callers
-/// spread over all.
+/// Selects the nearest instances; ties are broken at random to spread callers.
 fn choose(mut nearest: Vec<(Distance, &ServingInstance)>, limit: usize) -> Vec<&ServingInstance> {
     fastrand::shuffle(&mut nearest);
     nearest.sort_by_key(|(distance, _)| *distance);
@@ -154,12 +155,12 @@
     nearest.into_iter().map(|(_, instance)| instance).collect()
 }
 
-/// Returns the refusal for an organisation that is not served here.
+/// Refuses a request for an organisation that is not served here.
 pub(crate) fn unknown_organisation() -> Refusal {
     Refusal::not_run(StatusCode::NotFound, "unknown-organisation")
 }
 
-/// Returns the refusal for a service that the organisation does not have.
+/// Refuses a request for a service that the organisation does not have.
 pub(crate) fn unknown_service() -> Refusal {
     Refusal::not_run(StatusCode::NotFound, "unknown-service")
 }
--- a/crates/foxtide-entry/src/options.rs
+++ b/crates/foxtide-entry/src/options.rs
@@ -1,4 +1,4 @@
-//! What can be set on the request path, with its defaults.
+//! Settings of the entry, with their defaults.
 
 use foxtide_core::idempotency::TableOptions;
 use foxtide_core::ids::OrganisationId;
@@ -10,31 +10,31 @@
 };
 use std::time::Duration;
 
-/// The settings of an [`Entry`](crate::Entry).
+/// Settings of an [`Entry`](crate::Entry).
 #[derive(Clone, Debug)]
 pub struct EntryOptions {
-    /// Where callers connect. Default: `127.0.0.1:8080`.
+    /// Address of the caller listener. Default: `127.0.0.1:8080`.
     pub caller_address: SocketAddr,
-    /// Where operators connect. Default: `127.0.0.1:8081`.
+    /// Address of the admin listener. Default: `127.0.0.1:8081`.
     pub admin_address: SocketAddr,
-    /// The only organisations that the caller listener serves; empty, the
-    /// default, stands for all.
+    /// Organisations that the caller listener serves. Default: empty, which
+    /// means all.
     pub organisations: Vec<OrganisationId>,
-    /// How long callers may keep the answer to a look-up. Default: 5 s.
+    /// Time for which callers may cache a look-up. Default: 5 s.
     pub lookup_ttl: Duration,
-    /// The most instances that a look-up names. Default: 8.
+    /// Maximum number of instances in a look-up. Default: 8.
     pub lookup_instances: usize,
-    /// The longest deadline that a caller may ask for. Default: 60 s.
+    /// Maximum deadline that a caller may request. Default: 60 s.
     pub deadline_max: Duration,
-    /// What callers may use up. See [`Limits`].
+    /// Limits on connections, requests and their sizes.
     pub limits: Limits,
-    /// How connections to upstreams are kept. See [`PoolOptions`].
+    /// Settings of the upstream connection pools.
     pub pool: PoolOptions,
-    /// How upstreams are asked for their load. See [`PollOptions`].
+    /// Settings of the load polls.
     pub poll: PollOptions,
-    /// How many idempotency keys are kept, and for how long.
+    /// Settings of the idempotency key table.
     pub keys: TableOptions,
-    /// How an instance leaves. See [`DrainOptions`].
+    /// Settings of draining.
     pub drain: DrainOptions,
 }
 
@@ -57,42 +57,43 @@
 }
 
 impl EntryOptions {
-    /// Tells whether the caller listener serves an organisation.
+    /// Returns whether the caller listener serves an organisation.
     pub(crate) fn serves(&self, organisation: &OrganisationId) -> bool {
         self.organisations.is_empty() || self.organisations.contains(organisation)
     }
 }
 
-/// What a caller, or all callers together, may use up.
+/// Limits on connections, requests and their sizes.
 #[derive(Clone, Debug)]
 pub struct Limits {
-    /// The longest head of a request or an answer. Default: 16 KiB.
+    /// Maximum size of the head of a request or an answer. Default: 16 KiB.
     pub head: ByteSize,
-    /// The longest body of a request. Default: 1 MiB.
+    /// Maximum size of a request body. Default: 1 MiB.
     pub request_body: ByteSize,
-    /// What the bodies of all requests under way may take together; one in
-    /// chunks counts as the longest. Default: 128 MiB.
+    /// Maximum total size of the bodies of all requests in progress; a chunked
+    /// body counts as the maximum. Default: 128 MiB.
     pub request_bodies: ByteSize,
-    /// The longest body of an answer that is read whole before the caller gets
-    /// its first byte, so that a broken one can be asked for again. Longer ones
-    /// are passed on as they come, and their connection is cut where they break.
-    /// Default: 1 MiB.
+    /// Maximum size of an answer body that is buffered, so that the request can
+    /// be retried if the body is truncated. Longer bodies are streamed, and the
+    /// caller's connection is closed if they are truncated. Default: 1 MiB.
     pub answer_buffer: ByteSize,
-    /// The most connections open on a listener. Default: 10,000.
+    /// Maximum number of open connections of a listener. Default: 10,000.
     pub connections: usize,
-    /// The most requests under way to upstreams, those that wait for room
-    /// included. Default: 2,000.
+    /// Maximum number of requests in progress, including waiting ones.
+    /// Default: 2,000.
     pub in_flight: usize,
-    /// The most requests that wait for room. Default: 1,000.
+    /// Maximum number of requests that wait for admission or a slot.
+    /// Default: 1,000.
     pub waiting: usize,
-    /// The time to send a head, from its first byte on. Default: 5 s.
+    /// Time limit for receiving a head, from its first byte. Default: 5 s.
     pub head_time: Duration,
-    /// The time to send a body, or each piece of a long answer's. Default: 30 s.
+    /// Time limit for receiving a request body, or each piece of a streamed
+    /// answer. Default: 30 s.
     pub body_time: Duration,
-    /// The time a caller may take to read an answer, or each piece of a long
-    /// one. Default: 60 s.
+    /// Time limit for sending an answer, or each piece of a streamed one.
+    /// Default: 60 s.
     pub answer_time: Duration,
-    /// The time a connection may stay open between requests. Default: 75 s.
+    /// Time limit for a connection without requests. Default: 75 s.
     pub idle_time: Duration,
 }
 
@@ -114,25 +115,25 @@
     }
 }
 
-/// How connections to upstreams are kept.
+/// Settings of the upstream connection pools.
 #[derive(Clone, Debug)]
 pub struct PoolOptions {
-    /// The most idle connections kept for an upstream. Default: 16.
+    /// Maximum number of idle connections per upstream. Default: 16.
     pub idle_connections: usize,
-    /// The longest time a connection is kept idle. Default: 30 s.
+    /// Maximum idle time of a connection. Default: 30 s.
     pub idle_time: Duration,
-    /// The longest time a connection may have been idle to carry a request
-    /// that must not run twice; the upstream may be about to close an older
-    /// one, and the outcome would be unknown. Default: 1 s.
+    /// Maximum idle time of a connection reused for a non-idempotent request.
+    /// The upstream may be about to close an older one, which would leave the
+    /// outcome unknown. Default: 1 s.
     pub idle_time_non_idempotent: Duration,
-    /// The time to connect. Default: 1 s.
+    /// Time limit for connecting. Default: 1 s.
     pub connect_time: Duration,
-    /// The address to connect from. Default: none, the system chooses.
+    /// Local address to connect from. Default: none, chosen by the system.
     pub source: Option<IpAddr>,
-    /// Whether each answer must name its request from the first one on, and
-    /// not only once the upstream has done so. Only then can no early or second
-    /// answer ever pass for another's; upstreams that never name requests
-    /// cannot be used then. Default: no.
+    /// Whether every answer must echo its request id, not only those of
+    /// upstreams that have echoed one before. This keeps early and duplicate
+    /// answers from being taken for another request's, but rules out upstreams
+    /// that do not echo request ids. Default: false.
     pub request_id_echo_required: bool,
 }
 
@@ -149,14 +150,14 @@
     }
 }
 
-/// How upstreams are asked for their load that were not heard of for a while.
+/// Settings of the load polls to upstreams without recent reports.
 #[derive(Clone, Debug)]
 pub struct PollOptions {
-    /// The path that is asked. Any whole answer shows that the upstream lives;
-    /// a load report may come in `endpoint-load-metrics` or as a JSON body.
+    /// Path of the poll. Any complete answer shows that the upstream is alive;
+    /// a load report is read from `endpoint-load-metrics` or a JSON body.
     /// Default: `/load`.
     pub load_path: String,
-    /// The time for connecting and answering. Default: 1 s.
+    /// Time limit for connecting and answering. Default: 1 s.
     pub time: Duration,
 }
 
@@ -169,13 +170,13 @@
     }
 }
 
-/// How an instance leaves.
+/// Settings of draining.
 #[derive(Clone, Debug)]
 pub struct DrainOptions {
-    /// The time beyond the look-ups' time to live in which callers may still
-    /// come. Default: 1 s.
+    /// Time after the look-up TTL in which callers are still served.
+    /// Default: 1 s.
     pub margin: Duration,
-    /// The longest wait for what is in flight after that. Default: 60 s.
+    /// Time limit for requests in progress after that. Default: 60 s.
     pub in_flight_time: Duration,
 }
 
@@ -188,7 +189,7 @@
     }
 }
 
-/// Returns a size as this machine counts memory.
+/// Converts a size to `usize`, saturating.
 pub(crate) fn size(size: ByteSize) -> usize {
     usize::try_from(size.get()).unwrap_or(usize::MAX)
 }
--- a/crates/foxtide-entry/src/request_context.rs
+++ b/crates/foxtide-entry/src/request_context.rs
@@ -1,4 +1,5 @@
-//! What is known of a request before it is sent.
+//! Context of a request: its service, the terms of its attempts and its
+//! caller's region.
 
 use crate::answer::Refusal;
 use crate::clock::Clock;
@@ -39,42 +40,38 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// What a request is for.
+/// Service and path that a request addresses.
 #[derive(Clone, Debug)]
 pub(crate) struct Target {
-    /// The organisation.
     pub(crate) organisation: OrganisationId,
-    /// The service.
     pub(crate) service: ServiceId,
-    /// The path at the upstream.
+    /// Path at the upstream.
     pub(crate) path: String,
 }
 
-/// What is known of a request before it is sent.
+/// Attributes of a request that are known before it is sent.
 #[derive(Clone, Debug)]
 pub(crate) struct RequestContext {
-    /// The identity of the request.
+    /// Request id.
     pub(crate) request: RequestId,
-    /// The organisation's name.
     pub(crate) organisation: OrganisationId,
-    /// The organisation's tables.
+    /// Traffic state of the organisation.
     pub(crate) traffic: Arc<OrganisationTraffic>,
-    /// The service's tables.
+    /// Traffic state of the service.
     pub(crate) service: Arc<ServiceTraffic>,
-    /// The region that its caller belongs to, where that is known.
+    /// Region of the caller, if known.
     pub(crate) origin: Option<RegionId>,
-    /// The method.
     pub(crate) method: Method,
-    /// What binds its attempts.
+    /// Terms that apply to all attempts.
     pub(crate) terms: RequestTerms,
 }
 
 impl RequestContext {
-    /// Collects what is known of a request.
+    /// Determines the context of a request.
     ///
     /// # Errors
     ///
-    /// Fails where the organisation or the service does not exist, or the
+    /// Returns a refusal if the organisation or service is unknown or the
     /// deadline is malformed.
     pub(crate) fn of<P: Dependencies>(
         dependencies: &P,
@@ -108,7 +105,7 @@
         })
     }
 
-    /// Returns the fields of an event about this request.
+    /// Returns the event fields that identify this request.
     pub(crate) fn event_fields(&self) -> EventFields {
         EventFields {
             organisation: Some(self.organisation.clone()),
--- a/crates/foxtide-entry/src/request_id.rs
+++ b/crates/foxtide-entry/src/request_id.rs
@@ -1,4 +1,4 @@
-//! The identity of a request.
+//! Request ids.
 
 use foxtide_core::events::RequestId;
 use foxtide_http::name;
@@ -9,20 +9,19 @@
 };
 use uuid::Builder;
 
-/// The random part of a UUID of version 7 (RFC 9562, section 5.7).
+/// Size of the random part of a version 7 UUID (RFC 9562, section 5.7).
 const RANDOM_BYTES: usize = 10;
 
-/// Returns the identity that the caller gave, or a new one.
+/// Returns the request id sent by the caller if it is valid, or a new one.
 pub(crate) fn request_id(headers: &Headers) -> RequestId {
     let given = headers.get(name::REQUEST_ID);
     let given = given.and_then(|values| values.as_str().parse().ok());
     given.unwrap_or_else(new_request_id)
 }
 
-/// Returns a new identity, unique in all instances.
+/// Generates a unique request id.
 ///
-/// It is no secret, so that its randomness need not come from the system,
-/// which would cost a call each.
+/// It is not secret, so a generator without system calls suffices.
 pub(crate) fn new_request_id() -> RequestId {
     let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH);
     let ms = since_epoch.unwrap_or_default().as_millis();
@@ -31,6 +30,5 @@
     random.fill_with(|| fastrand::u8(..));
     let uuid = Builder::from_unix_timestamp_millis(ms, &random).into_uuid();
     let text = uuid.simple().to_string();
-    // 32 hexadecimal digits are a valid identity.
     text.parse().expect("a UUID is a request id")
 }
--- a/crates/foxtide-entry/src/route.rs
+++ b/crates/foxtide-entry/src/route.rs
@@ -1,33 +1,29 @@
-//! Which request a target names.
+//! Parses request paths on the caller listener.
 
 use foxtide_core::ids::{
     OrganisationId,
     ServiceId, //
 };
 
-/// The path of look-ups.
 pub(crate) const LOOKUP_PATH: &str = "/v1/lookup";
 
-/// What a target on the caller listener names.
+/// Destination of a request on the caller listener.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum Route {
     /// A look-up.
     Lookup,
     /// A request for a service.
     Service {
-        /// The organisation.
         organisation: OrganisationId,
-        /// The service.
         service: ServiceId,
-        /// The path at the upstream.
+        /// Path at the upstream.
         path: String,
     },
-    /// Nothing that exists.
+    /// No such path.
     Unknown,
 }
 
 impl Route {
-    /// Parses a path.
     pub(crate) fn parse(path: &str) -> Self {
         if path == LOOKUP_PATH {
             return Self::Lookup;
--- a/crates/foxtide-entry/src/timeout.rs
+++ b/crates/foxtide-entry/src/timeout.rs
@@ -1,11 +1,11 @@
-//! Gives up on a future after a time.
+//! Timeouts of futures.
 
 use smol::Timer;
 use smol::future::or;
 use std::future::Future;
 use std::time::Duration;
 
-/// The time given to a step has passed.
+/// Error of a future that did not complete in time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Elapsed;
 
@@ -13,7 +13,7 @@
 ///
 /// # Errors
 ///
-/// Fails where `limit` passes first.
+/// Returns an error if `limit` passes first.
 pub(crate) async fn timeout<T>(
     limit: Duration,
     future: impl Future<Output = T>,
--- a/crates/foxtide-entry/src/workers.rs
+++ b/crates/foxtide-entry/src/workers.rs
@@ -1,4 +1,4 @@
-//! The pool of threads that runs every task of the process.
+//! Thread pool that runs the tasks of the process.
 
 use crate::errors::{
     Error,
@@ -21,12 +21,12 @@
 use std::sync::Arc;
 use std::thread::JoinHandle;
 
-/// The most tasks that are run after the last worker has ended.
+/// Maximum number of tasks run after the worker threads have ended.
 const FINAL_TICKS_MAX: usize = 100_000;
 
-/// A pool of worker threads over one queue of tasks.
+/// Thread pool with a shared task queue.
 ///
-/// The threads end when the pool is dropped.
+/// Dropping it stops the threads.
 #[derive(Debug)]
 pub struct Workers {
     executor: Arc<Executor<'static>>,
@@ -39,7 +39,7 @@
     ///
     /// # Errors
     ///
-    /// Fails where the system starts no more threads.
+    /// Returns an error if a thread cannot be started.
     pub fn start(threads: usize) -> Result<Self> {
         let executor = Arc::new(Executor::new());
         let (stop, stopped) = bounded(1);
@@ -64,12 +64,12 @@
             .map_err(Error::worker)
     }
 
-    /// Returns the queue of tasks.
+    /// Returns the executor that the threads run.
     pub fn executor(&self) -> Arc<Executor<'static>> {
         Arc::clone(&self.executor)
     }
 
-    /// Puts a task into the queue.
+    /// Spawns a task.
     pub fn spawn<T: Send + 'static>(
         &self,
         future: impl Future<Output = T> + Send + 'static,
@@ -78,7 +78,7 @@
     }
 }
 
-/// How a worker's work ended.
+/// Reason why a worker stopped running tasks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum WorkEnd {
     /// The pool was dropped.
@@ -87,15 +87,15 @@
     Panic,
 }
 
-/// Runs tasks until the pool is dropped or one of them panics, which must not
-/// end the worker: the others would have one less to run them.
+/// Runs tasks until the pool is dropped or a task panics. The worker thread
+/// then calls it again, so that a panic does not shrink the pool.
 fn work_until_panic(executor: &Executor<'static>, stopped: &Receiver<()>) -> WorkEnd {
     // Receiving fails once the pool is dropped.
     let run = || smol::block_on(executor.run(stopped.recv()));
     match catch_unwind(AssertUnwindSafe(run)) {
         Ok(_) => WorkEnd::Stop,
         Err(_) => {
-            log::error!("a task panicked; its worker goes on");
+            log::error!("a task panicked; its worker thread continues");
             WorkEnd::Panic
         }
     }
@@ -107,9 +107,8 @@
         for thread in self.threads.drain(..) {
             let _ = thread.join();
         }
-        // A cancelled task is dropped only when it is run once more. One that
-        // holds this queue would otherwise keep all tasks, and so their
-        // connections, alive for good.
+        // Cancelled tasks are dropped when they next run. One that holds the
+        // executor would otherwise keep all tasks and connections alive.
         for _ in 0..FINAL_TICKS_MAX {
             if !self.executor.try_tick() {
                 return;
