--- a/crates/foxtide-entry/src/proxy/admission.rs
+++ b/crates/foxtide-entry/src/proxy/admission.rs
@@ -1,4 +1,4 @@
-//! Whether a request may be sent, and why not.
+//! Admission of requests to regions.
 
 use crate::answer::Refusal;
 use foxtide_core::explain::Rule;
@@ -7,26 +7,25 @@
 use http_types::StatusCode;
 use std::time::Duration;
 
-/// Where a request may be sent.
+/// Admission of a request to a region.
 #[derive(Clone, Debug)]
 pub(super) struct Admitted {
-    /// The region.
     pub(super) region: RegionId,
-    /// The rule that decided.
+    /// Rule that decided.
     pub(super) rule: Rule,
 }
 
-/// Why a request was not sent.
+/// Reason why a request was not sent.
 #[derive(Clone, Debug)]
 pub(super) struct AdmissionError {
-    /// What the caller is told.
+    /// Refusal returned to the caller.
     pub(super) refusal: Refusal,
-    /// The rule that decided.
+    /// Rule that decided.
     pub(super) rule: Rule,
 }
 
 impl AdmissionError {
-    /// Too many requests wait.
+    /// Returns the error for a full queue.
     pub(super) fn queue_full() -> Self {
         Self {
             refusal: Refusal::not_run(StatusCode::ServiceUnavailable, "queue-full"),
@@ -34,7 +33,7 @@
         }
     }
 
-    /// Steering has refused the request.
+    /// Returns the error for a refusal by the steering.
     pub(super) fn not_admitted(reason: RefusalReason, retry_after: Duration) -> Self {
         let (rule, reason) = match reason {
             RefusalReason::NotReady => (Rule::NoUpstream, "not-ready"),
@@ -52,7 +51,7 @@
         Self { refusal, rule }
     }
 
-    /// No upstream serves.
+    /// Returns the error for a region without available upstreams.
     pub(super) fn no_upstream() -> Self {
         Self {
             refusal: Refusal::not_run(StatusCode::ServiceUnavailable, "no-upstream"),
--- a/crates/foxtide-entry/src/proxy/attempt.rs
+++ b/crates/foxtide-entry/src/proxy/attempt.rs
@@ -1,4 +1,4 @@
-//! How an attempt at an upstream ended.
+//! Results of attempts at upstreams.
 
 use crate::answer::Answer;
 use crate::errors::Step;
@@ -22,16 +22,16 @@
 /// How an attempt ended.
 #[derive(Debug)]
 pub(crate) enum AttemptEnd {
-    /// A whole answer came that is the caller's.
+    /// Complete answer for the caller.
     Answered(Answer),
-    /// The upstream outcome that it did not run the request.
+    /// The upstream reported that it did not execute the request.
     Refused(Answer),
-    /// No whole answer came.
+    /// No complete answer.
     Failed(Failure),
 }
 
 impl AttemptEnd {
-    /// Sorts the result of an exchange.
+    /// Classifies the result of an exchange.
     pub(crate) fn of(result: Result<Answer, Failure>) -> Self {
         match result {
             Ok(answer) if reports_not_run(&answer) => Self::Refused(answer),
@@ -40,7 +40,7 @@
         }
     }
 
-    /// Returns what the request's next step rests on.
+    /// Returns the result on which retries are decided.
     pub(crate) fn result(&self) -> AttemptResult {
         match self {
             Self::Answered(answer) if answer.status.is_server_error() => AttemptResult::ServerError,
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Returns what to tell about the upstream.
+    /// Returns the completion to report to the balancer.
     pub(crate) fn completion(&self, latency: Duration) -> Completion {
         let headers = self.headers();
         let load = headers.and_then(|headers| headers.get(name::LOAD_METRICS));
@@ -81,7 +81,7 @@
         }
     }
 
-    /// Returns how the attempt is explained.
+    /// Returns the result as recorded in explanations.
     pub(crate) fn explained(&self) -> explain::AttemptResult {
         match self.result() {
             AttemptResult::Answered | AttemptResult::ServerError => {
@@ -101,7 +101,7 @@
     }
 }
 
-/// Tells whether an upstream says itself that it did not run the request.
+/// Returns whether an upstream reports that it did not execute the request.
 fn reports_not_run(answer: &Answer) -> bool {
     let outcome = answer.headers.get(name::OUTCOME);
     answer.status == StatusCode::ServiceUnavailable
--- a/crates/foxtide-entry/src/proxy/give_up.rs
+++ b/crates/foxtide-entry/src/proxy/give_up.rs
@@ -1,4 +1,4 @@
-//! What the caller is told of a request that is given up.
+//! Refusals of requests that are given up after failed attempts.
 
 use crate::answer::Refusal;
 use foxtide_core::outcome::Outcome;
@@ -9,8 +9,8 @@
 };
 use http_types::StatusCode;
 
-/// Returns what the caller is told of a request that is given up after an
-/// attempt with this result.
+/// Returns the refusal of a request that is given up after an attempt with the
+/// result `last`.
 pub(super) fn give_up_refusal(give_up: GiveUp, last: AttemptResult) -> Refusal {
     let late = last == AttemptResult::TimedOut || give_up.reason == GiveUpReason::Deadline;
     let (status, reason) = match (give_up.outcome, give_up.reason) {
--- a/crates/foxtide-entry/src/proxy/hedging.rs
+++ b/crates/foxtide-entry/src/proxy/hedging.rs
@@ -1,4 +1,4 @@
-//! One attempt, and a second beside it where the first is slow.
+//! Runs attempts and hedges slow ones with a second attempt.
 
 use super::admission::Admitted;
 use super::attempt::AttemptEnd;
@@ -36,7 +36,7 @@
 use std::pin::pin;
 use std::time::Duration;
 
-/// An attempt that holds its slot.
+/// Attempt in progress, with its slot.
 struct Attempt {
     id: AttemptId,
     admitted: Admitted,
@@ -44,7 +44,7 @@
 }
 
 impl<P: Dependencies> Proxy<P> {
-    /// Runs an attempt to its end and decides what follows.
+    /// Runs an attempt, hedged if allowed, and decides on the next step.
     pub(super) async fn attempt(
         &self,
         run: &mut Run<'_>,
@@ -70,8 +70,8 @@
         self.exchange(run.context, run.prepared, destination)
     }
 
-    /// Runs an attempt and, where it is slow, a second beside it; the first
-    /// whole answer wins and the other attempt is cancelled.
+    /// Runs an attempt and, if it is slow, a second one in parallel. The first
+    /// complete answer wins and the other attempt is cancelled.
     async fn attempt_hedged(
         &self,
         run: &mut Run<'_>,
@@ -98,8 +98,8 @@
         }
     }
 
-    /// Begins a second attempt, where the upstreams of the first one's region
-    /// are idle enough, and the budget and the limits allow it now.
+    /// Begins a second attempt if the first region has spare capacity and the
+    /// retry budget and admission allow it.
     fn begin_hedge(&self, run: &mut Run<'_>, first_region: &RegionId) -> Option<Attempt> {
         let context = run.context;
         if !context.service.region(first_region)?.has_spare_capacity() {
@@ -121,8 +121,8 @@
         Some(self.begin(run, Admitted { region, rule }, slot))
     }
 
-    /// Notes the end of one of two attempts; waits for the other where its
-    /// answer is still wanted, else drops it.
+    /// Records the end of one of two attempts, then awaits the other or cancels
+    /// it.
     async fn finish_hedged(
         &self,
         run: &mut Run<'_>,
--- a/crates/foxtide-entry/src/proxy/keyed.rs
+++ b/crates/foxtide-entry/src/proxy/keyed.rs
@@ -1,4 +1,4 @@
-//! Runs of requests with a key, which may outlive their callers.
+//! Runs keyed requests, which may continue after their caller disconnects.
 
 use super::keys::ClaimGuard;
 use super::prepare::PreparedRequest;
@@ -23,11 +23,11 @@
     Weak, //
 };
 
-/// A run in a task of its own.
+/// Runs a keyed request in a task of its own.
 ///
-/// Dropped, because its caller went away, it ends the run only where no byte
-/// has gone out yet. Else the run goes on: its answer is kept for the caller,
-/// who would otherwise never learn whether it ran. A planned stop waits for it.
+/// If it is dropped because the caller disconnected, it is cancelled only if no
+/// byte has been sent. Otherwise it continues, so that its answer is stored for
+/// the caller's retry. Draining waits for it.
 struct DetachableRun {
     task: Option<Task<Result<Answer, Refusal>>>,
     written: Arc<AtomicBool>,
@@ -54,11 +54,11 @@
 }
 
 impl<P: Dependencies> Proxy<P> {
-    /// Runs a request whose key was given out.
+    /// Runs a request that has claimed its key.
     ///
     /// # Errors
     ///
-    /// Fails where no upstream gave an answer.
+    /// Returns a refusal if no upstream answered.
     pub(super) async fn run_keyed(
         self: &Arc<Self>,
         context: RequestContext,
@@ -79,7 +79,7 @@
             callers: Arc::clone(&self.callers),
         };
         let answered = run.task.insert(task).await;
-        // An ended task must not be waited for again.
+        // `drop` must not await the completed task again.
         run.task = None;
         answered
     }
--- a/crates/foxtide-entry/src/proxy/keys.rs
+++ b/crates/foxtide-entry/src/proxy/keys.rs
@@ -1,6 +1,6 @@
-//! Requests with an idempotency key: at most one run, whatever is retried.
+//! Idempotency keys: a request with a key is executed at most once.
 //!
-//! Locks: one, around the table, never held while a task waits.
+//! The only lock guards the key table and is never held across an await.
 
 use crate::answer::{
     Answer,
@@ -44,13 +44,13 @@
 };
 use std::time::Duration;
 
-/// About what the headers of a stored answer take.
+/// Approximate size of the headers of a stored answer.
 const STORED_HEADERS_BYTES: u64 = 512;
 
-/// The keys of this process.
+/// Idempotency keys that this process owns.
 pub(crate) type KeyTable = Arc<Mutex<Table<StoredAnswer>>>;
 
-/// An upstream's answer, stored to be given again.
+/// Answer of an upstream, stored for replay.
 #[derive(Clone, Debug)]
 pub(crate) struct StoredAnswer(Arc<StoredAnswerParts>);
 
@@ -61,18 +61,17 @@
     body: Vec<u8>,
 }
 
-/// What a request with a key gets without a run.
+/// Answer to a keyed request that is not executed.
 #[derive(Debug)]
 pub(super) struct ImmediateAnswer {
-    /// Its answer.
     pub(super) answer: Result<Answer, Refusal>,
-    /// What happened.
+    /// Event to record.
     pub(super) code: EventCode,
-    /// The rule that decided.
+    /// Rule that decided.
     pub(super) rule: Rule,
 }
 
-/// The right to run a key; given back when it is dropped.
+/// Claim to execute a keyed request, abandoned on drop.
 pub(super) struct ClaimGuard {
     table: KeyTable,
     claim: Option<Claim>,
@@ -120,7 +119,7 @@
 }
 
 impl ClaimGuard {
-    /// Notes that the first byte is about to go out.
+    /// Records that the first byte is about to be sent.
     pub(super) fn mark_written(&self) {
         if let Some(claim) = &self.claim {
             self.table.lock().mark_written(claim);
@@ -128,12 +127,12 @@
         self.written.store(true, Ordering::Release);
     }
 
-    /// Returns what tells whether a byte may have gone out.
+    /// Returns the flag that tells whether a byte may have been sent.
     pub(super) fn written_flag(&self) -> Arc<AtomicBool> {
         Arc::clone(&self.written)
     }
 
-    /// Notes that the upstream provably ran nothing.
+    /// Records that the upstream provably did not execute the request.
     pub(super) fn mark_not_run(&self) {
         if let Some(claim) = &self.claim {
             self.table.lock().mark_not_run(claim);
@@ -141,12 +140,12 @@
         self.written.store(false, Ordering::Release);
     }
 
-    /// Keeps the whole answer.
+    /// Completes the claim and stores the answer if it fits.
     pub(super) fn finish(mut self, answer: &Answer) {
         let Some(claim) = self.claim.take() else {
             return;
         };
-        // Copied outside of the lock, and not at all where it is too large.
+        // Copied without holding the lock, and only if it fits.
         let storable = self.table.lock().can_store(StoredAnswer::size_of(answer));
         let stored = storable.then(|| StoredAnswer::of(answer));
         let mut table = self.table.lock();
@@ -165,21 +164,19 @@
     }
 }
 
-/// A request with a key.
+/// Request with an idempotency key.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct KeyedRequest<'a> {
-    /// The request.
     pub(super) received: &'a ReceivedRequest,
-    /// What it is for.
     pub(super) target: &'a Target,
-    /// Its identity.
+    /// Request id.
     pub(super) id: &'a RequestId,
-    /// The key as it was sent.
+    /// Key as sent by the caller.
     pub(super) key: &'a str,
 }
 
-/// Decides about a request with a key: gives out the right to run it, or what
-/// it gets without a run.
+/// Claims the key of a request, or returns the answer to a request that must
+/// not be executed.
 pub(super) fn begin<P: Dependencies>(
     dependencies: &P,
     table: &KeyTable,
@@ -285,7 +282,7 @@
         ])
     }
 
-    /// Returns the request's URL at another instance.
+    /// Returns the URL of the request at another instance.
     fn location(&self, address: SocketAddr) -> String {
         let url = &self.received.head.url;
         let query = url.query().map(|query| format!("?{query}"));
@@ -294,7 +291,7 @@
     }
 }
 
-/// Sends the caller to the instance that owns its key.
+/// Redirects the caller to the instance that owns its key.
 fn redirect_to_owner<P: Dependencies>(
     dependencies: &P,
     request: KeyedRequest<'_>,
@@ -305,7 +302,7 @@
     };
     let refusal = Refusal {
         status: StatusCode::TemporaryRedirect,
-        // Only the owner knows whether the key was run before.
+        // Only the owner knows whether the request was executed.
         outcome: Outcome::Unknown,
         reason: "key-of-other-instance",
         retry_after: Duration::ZERO,
--- a/crates/foxtide-entry/src/proxy/mod.rs
+++ b/crates/foxtide-entry/src/proxy/mod.rs
@@ -1,4 +1,5 @@
-//! Sends requests to upstreams and decides what follows from each attempt.
+//! Forwards requests to upstreams, with admission, retries, hedging and
+//! idempotency keys.
 
 mod admission;
 mod attempt;
--- a/crates/foxtide-entry/src/proxy/prepare.rs
+++ b/crates/foxtide-entry/src/proxy/prepare.rs
@@ -1,4 +1,4 @@
-//! Makes what is sent to an upstream out of what a caller sent.
+//! Encodes requests for upstreams.
 
 use crate::request_context::Target;
 use crate::serve::ReceivedRequest;
@@ -15,27 +15,27 @@
 
 const LINE_END: &[u8] = b"\r\n";
 
-/// What most heads need no more than.
+/// Initial capacity for a head; most are shorter.
 const HEAD_CAPACITY_BYTES: usize = 1_024;
 
 const VIA: &str = "via";
 const VIA_FOXTIDE: &str = "1.1 foxtide";
 
-/// A request that can be sent as often as needed.
+/// Encoded request that can be sent repeatedly.
 #[derive(Debug)]
 pub(crate) struct PreparedRequest {
-    /// The whole request without its deadline.
+    /// Complete request without the deadline header.
     bytes: Vec<u8>,
-    /// Where the lines of the head end.
+    /// Offset of the end of the header lines.
     headers_end: usize,
 }
 
 impl PreparedRequest {
-    /// Prepares a request to be sent.
+    /// Encodes a request for an upstream.
     ///
     /// # Errors
     ///
-    /// Fails where the encoder does.
+    /// Returns an error if the encoder fails.
     pub(crate) async fn new(
         received: ReceivedRequest,
         target: &Target,
@@ -53,7 +53,7 @@
         let body_bytes = received.body.len();
         request.set_body(Body::from_bytes(received.body));
         if !typed {
-            // `set_body` invents a type where the caller gave none.
+            // `set_body` adds a default content type.
             request.remove_header(name::CONTENT_TYPE);
         }
         let mut bytes = Vec::with_capacity(HEAD_CAPACITY_BYTES + body_bytes);
@@ -62,7 +62,7 @@
         Ok(Self { bytes, headers_end })
     }
 
-    /// Returns the bytes to send where `time_left` remains for the answer.
+    /// Returns the request with a deadline header of `time_left`.
     pub(crate) fn with_deadline(&self, time_left: Duration) -> Vec<u8> {
         let (lines, rest) = self.bytes.split_at(self.headers_end);
         let deadline = format!("{}: {}\r\n", name::DEADLINE_MS, time_left.as_millis());
--- a/crates/foxtide-entry/src/proxy/queue.rs
+++ b/crates/foxtide-entry/src/proxy/queue.rs
@@ -1,4 +1,4 @@
-//! Waits until a request may be sent and has a slot at an upstream.
+//! Waits for admission to a region and for a free slot at an upstream.
 
 use super::admission::{
     AdmissionError,
@@ -29,7 +29,7 @@
 use std::time::Duration;
 
 impl<P: Dependencies> Proxy<P> {
-    /// Waits until the request may be sent to a region.
+    /// Waits until the request is admitted to a region.
     pub(super) async fn admit(&self, context: &RequestContext) -> Result<Admitted, AdmissionError> {
         let draw = fastrand::f64();
         let asked_at = self.dependencies.clock().now();
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Asks once whether the request may be sent.
+    /// Asks the steering once whether the request may be sent.
     pub(super) fn try_admit(
         &self,
         context: &RequestContext,
@@ -78,7 +78,7 @@
         admission
     }
 
-    /// Waits until an upstream of the region has a slot.
+    /// Waits for a free slot at an upstream of the region.
     pub(super) async fn take_slot(
         &self,
         context: &RequestContext,
@@ -88,7 +88,7 @@
         let Some(region) = context.service.region(region) else {
             return Err(AdmissionError::no_upstream());
         };
-        // Most requests find a slot at once and need no listener.
+        // Fast path without a listener.
         if let SlotChoice::Taken(slot) = region.take(tried, self.dependencies.clock().now()) {
             return Ok(slot);
         }
@@ -103,7 +103,7 @@
     ) -> Result<Slot, AdmissionError> {
         let mut waiting = None;
         loop {
-            // Listens first, so that no slot that becomes free is missed.
+            // Listens before the check, so that no released slot is missed.
             let freed = region.slot_freed();
             let now = self.dependencies.clock().now();
             match region.take(tried, now) {
@@ -124,7 +124,7 @@
 }
 
 impl<P: Dependencies> Proxy<P> {
-    /// Counts a request among those that wait, unless there are too many.
+    /// Counts the request as waiting, unless the queue is full.
     fn enter_queue(&self, waiting: &mut Option<Permit>) -> Result<(), AdmissionError> {
         if waiting.is_none() {
             *waiting = Some(
@@ -137,7 +137,7 @@
     }
 }
 
-/// Gives a request up at once that cannot be answered in time.
+/// Refuses a request whose next step would come after its deadline.
 fn check_deadline(
     context: &RequestContext,
     next: MonotonicTime,
--- a/crates/foxtide-entry/src/proxy/recording.rs
+++ b/crates/foxtide-entry/src/proxy/recording.rs
@@ -1,4 +1,4 @@
-//! Tells what became of requests: events and explanations.
+//! Records events and explained decisions of requests.
 
 use super::admission::Admitted;
 use super::attempt::AttemptEnd;
@@ -29,7 +29,7 @@
 use foxtide_core::outcome::Outcome;
 
 impl<P: Dependencies> Proxy<P> {
-    /// Returns the decision on a request, before it is taken.
+    /// Returns the initial decision record of a request.
     pub(super) fn new_decision(&self, context: &RequestContext) -> Decision {
         let view = context.service.view();
         let wall = self.dependencies.clock().wall();
@@ -37,7 +37,7 @@
         decision.with_request(&context.request)
     }
 
-    /// Records what failed in an attempt.
+    /// Counts an attempt and records an event if it failed.
     pub(super) fn record_attempt(
         &self,
         context: &RequestContext,
@@ -62,11 +62,11 @@
             .record(failure_code(failure), fields);
     }
 
-    /// Tells what a request with a key gets without a run.
+    /// Records and returns the answer to a keyed request that is not executed.
     ///
     /// # Errors
     ///
-    /// Fails where that is a refusal.
+    /// Returns the refusal if that is the answer.
     pub(super) fn answer_without_run(
         &self,
         context: &RequestContext,
--- a/crates/foxtide-entry/src/proxy/run.rs
+++ b/crates/foxtide-entry/src/proxy/run.rs
@@ -1,4 +1,4 @@
-//! Runs a request over its attempts.
+//! Runs a request through its attempts.
 
 use super::admission::{
     AdmissionError,
@@ -63,54 +63,47 @@
 };
 use std::time::Duration;
 
-/// Sends requests to upstreams.
+/// Forwards requests to upstreams.
 #[derive(Debug)]
 pub(crate) struct Proxy<P> {
-    /// What the request path works with.
     pub(crate) dependencies: Arc<P>,
-    /// The settings.
     pub(crate) options: Arc<EntryOptions>,
-    /// The connections to upstreams.
+    /// Idle connections to upstreams.
     pub(crate) pools: Arc<Pools>,
-    /// The idempotency keys of this process.
+    /// Idempotency keys that this process owns.
     pub(crate) keys: KeyTable,
-    /// What runs tasks. Weak, for tasks hold the proxy.
+    /// Executor of keyed runs; weak, because its tasks hold the proxy.
     pub(crate) executor: Weak<Executor<'static>>,
-    /// What a planned stop waits for.
+    /// State of the caller listener, for which draining waits.
     pub(crate) callers: Arc<ListenerState>,
-    /// The requests under way.
+    /// Limits the requests in progress.
     pub(crate) in_flight: Limiter,
-    /// Those of them that wait for room.
+    /// Limits the requests that wait for admission or a slot.
     pub(crate) waiting: Limiter,
 }
 
-/// A request on its way.
+/// Request in progress.
 pub(super) struct Run<'a> {
-    /// What is known of it.
     pub(super) context: &'a RequestContext,
-    /// What is sent.
     pub(super) prepared: &'a PreparedRequest,
-    /// The right to run its key, where it has one.
+    /// Claim of its key, if it has one.
     pub(super) claim: Option<&'a ClaimGuard>,
-    /// Its attempts.
     pub(super) attempts: Attempts,
-    /// The upstreams that it was sent to.
+    /// Upstreams that were tried.
     pub(super) tried: Vec<UpstreamId>,
-    /// Why it went where it did.
+    /// Decision record for explanations.
     pub(super) decision: Decision,
 }
 
-/// Where an attempt is sent.
+/// Upstream address of an attempt.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Destination {
-    /// The upstream's address.
     pub(super) address: SocketAddr,
-    /// How many connections may be open to it.
+    /// Maximum number of open connections to the upstream.
     pub(super) connection_limit: usize,
 }
 
 impl Destination {
-    /// Returns the destination of a slot.
     pub(super) fn of(slot: &Slot) -> Self {
         Self {
             address: slot.upstream().address,
@@ -119,11 +112,9 @@
     }
 }
 
-/// An attempt that has ended.
+/// Attempt that has ended.
 pub(super) struct EndedAttempt {
-    /// Which.
     pub(super) id: AttemptId,
-    /// How.
     pub(super) end: AttemptEnd,
 }
 
@@ -132,7 +123,7 @@
     ///
     /// # Errors
     ///
-    /// Fails where no upstream gave one.
+    /// Returns a refusal if no upstream answered.
     pub(crate) async fn answer(
         self: &Arc<Self>,
         received: ReceivedRequest,
@@ -159,11 +150,11 @@
         answered
     }
 
-    /// Decides about the key of a request that must not run twice.
+    /// Claims the key of a non-idempotent request, if it has one.
     ///
     /// # Errors
     ///
-    /// Fails with what the request gets where it is not run.
+    /// Returns the answer to a request that must not be executed.
     fn claim(
         &self,
         context: &RequestContext,
@@ -276,7 +267,7 @@
         Ok(got.answer)
     }
 
-    /// Notes how an attempt ended and decides what follows.
+    /// Records how an attempt ended and decides on the next step.
     pub(super) fn finish_attempt(
         &self,
         run: &mut Run<'_>,
@@ -301,8 +292,8 @@
         let service = &run.context.service;
         let step = service.ended(&mut run.attempts, ended.id, result, now);
         let refused = matches!(result, AttemptResult::Refused { .. });
-        // One upstream that refuses says nothing of its region; a request for
-        // which nothing else could be found there does.
+        // A refusal counts against the region only if no other upstream could
+        // take the request.
         if refused && matches!(step, Step::GiveUp(_)) {
             run.context.traffic.refused_by(&admitted.region, now);
         }
@@ -311,7 +302,7 @@
 }
 
 impl AttemptEnd {
-    /// Gives the slot back, at the end of the body where that is still to come.
+    /// Releases the slot, after the body if that is streamed.
     fn release_slot(&mut self, slot: Slot, held: Duration) {
         let completion = self.completion(held);
         match self {
@@ -334,8 +325,8 @@
     }
 }
 
-/// Returns what is known of earlier copies of a request that is refused before
-/// its key is looked at: one of them may have run.
+/// Returns the outcome of a request refused before its key is checked: an
+/// earlier copy of it may have been executed.
 fn outcome_before_key_check(received: &ReceivedRequest) -> Outcome {
     let key = received.head.head.headers.get(name::IDEMPOTENCY_KEY);
     key.map_or(Outcome::NotRun, |_| Outcome::Unknown)
@@ -345,8 +336,8 @@
     Refusal::not_run(StatusCode::BadRequest, "request-not-encodable")
 }
 
-/// A request that must not run twice is not sent over a connection that the
-/// upstream may be closing.
+/// Restricts non-idempotent requests to connections that the upstream is
+/// unlikely to be closing.
 fn freshness(context: &RequestContext) -> Freshness {
     if context.terms.idempotent {
         Freshness::Any
