--- a/crates/foxtide-entry/src/serve/connection.rs
+++ b/crates/foxtide-entry/src/serve/connection.rs
@@ -1,4 +1,4 @@
-//! The life of one connection: request after request, answer after answer.
+//! Serves the requests of one connection in sequence.
 
 use super::request::{
     ReceiveError,
@@ -25,33 +25,30 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// How much of a refused request is still read, so that its sender reads the
-/// answer before the connection is reset.
+/// Limit on the input that is discarded after a refusal; unread input would
+/// reset the connection before the peer reads the answer.
 const DISCARD_MAX_BYTES: usize = 256 * 1_024;
 const DISCARD_TIME: Duration = Duration::from_millis(500);
 
-/// Answers whole requests.
+/// Handles the requests of a listener.
 pub(crate) trait Handler: Send + Sync + 'static {
-    /// Answers a request.
     fn handle(&self, request: ReceivedRequest) -> impl Future<Output = Answer> + Send;
 
-    /// Records that a caller went away before its answer came.
+    /// Records that a caller disconnected before its answer.
     fn caller_gone(&self, caller: SocketAddr);
 
-    /// Records a request that foxtide does not take and returns its identity.
+    /// Records a request that was rejected and returns its new id.
     fn bad_request(&self, caller: SocketAddr, refusal: &Refusal) -> RequestId;
 }
 
-/// A connection with what it shares with the others of its listener.
+/// Accepted connection.
 #[derive(Debug)]
 pub(crate) struct Connection {
-    /// The socket.
     pub(crate) stream: BufferedStream,
-    /// The other end.
+    /// Remote address.
     pub(crate) peer: SocketAddr,
-    /// What it may use up.
     pub(crate) limits: Arc<Limits>,
-    /// What all connections share.
+    /// State shared by the connections of the listener.
     pub(crate) state: Arc<ListenerState>,
 }
 
@@ -65,8 +62,7 @@
 /// Serves a connection until it closes.
 pub(crate) async fn serve_connection(mut connection: Connection, handler: &impl Handler) {
     while connection.await_request().await == Next::Request {
-        // Boxed, so that a connection takes the memory of a request only while
-        // there is one.
+        // Boxed, so that idle connections do not hold memory for a request.
         if Box::pin(connection.serve_one(handler)).await == Next::Close {
             return;
         }
@@ -92,7 +88,7 @@
         let waited = timeout(self.limits.idle_time, or(arrived, closing)).await;
         match waited {
             Ok(Next::Request) => Next::Request,
-            // A request that came at this very moment is still served.
+            // Serves a request that arrived at the same moment.
             _ if self.stream.idle_state() == IdleState::Readable => self.last_fill().await,
             _ => Next::Close,
         }
@@ -125,7 +121,7 @@
             self.stream.closed_by_peer().await;
             None
         };
-        // Where the caller is gone the work for it is dropped.
+        // Drops the work if the caller disconnects.
         let Some(mut answer) = or(answered, gone).await else {
             handler.caller_gone(self.peer);
             return Next::Close;
@@ -157,9 +153,9 @@
         }
     }
 
-    /// Passes a long body on. Where it breaks the connection is closed short of
-    /// the length that the head states, or of the last chunk, so that the
-    /// caller knows (RFC 9112, section 8).
+    /// Streams a body. If it fails, the connection closes before the stated
+    /// length or the last chunk, so that the caller detects the truncation (RFC
+    /// 9112, section 8).
     async fn send_long(&mut self, mut body: LongBody) -> Next {
         loop {
             match body.next().await {
@@ -170,7 +166,7 @@
                     }
                 }
                 Err(error) => {
-                    log::debug!("a long answer to {} broke: {error}", self.peer);
+                    log::debug!("streaming an answer to {} failed: {error}", self.peer);
                     return Next::Close;
                 }
             }
--- a/crates/foxtide-entry/src/serve/listener.rs
+++ b/crates/foxtide-entry/src/serve/listener.rs
@@ -1,4 +1,4 @@
-//! Accepts connections and keeps on when the system is short of something.
+//! Accepts connections and continues after failed accepts.
 
 use super::connection::{
     Connection,
@@ -29,20 +29,20 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// How long to wait after a failed accept, such as for want of file
-/// descriptors (`EMFILE`), before the next one.
+/// Delay after a failed accept, for example for lack of file descriptors
+/// (`EMFILE`).
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
 /// Binds a listener.
 ///
 /// # Errors
 ///
-/// Fails where the address cannot be bound.
+/// Returns an error if the address cannot be bound.
 pub(crate) fn bind(address: SocketAddr) -> Result<Async<TcpListener>> {
     Async::<TcpListener>::bind(address).map_err(|error| Error::io(Step::Bind, address, error))
 }
 
-/// Serves all connections of a listener until the state says to close.
+/// Serves all connections of a listener until its state is closed.
 pub(crate) async fn serve_listener<H: Handler>(
     listener: Async<TcpListener>,
     executor: Arc<Executor<'static>>,
@@ -81,7 +81,7 @@
     connection: Connection,
     handler: Arc<H>,
 ) {
-    // Beyond the limit the connection is closed before anything is read.
+    // Above the limit the connection is closed without reading from it.
     let Some(guard) = connection
         .state
         .open_connection(connection.limits.connections)
@@ -91,9 +91,9 @@
     let serve = async move {
         let _guard = guard;
         let serving = AssertUnwindSafe(serve_connection(connection, &*handler));
-        // A fault in one connection must not end the worker that runs others.
+        // A panic must not end the worker, which runs other connections.
         if serving.catch_unwind().await.is_err() {
-            log::error!("a connection's task panicked; the connection is closed");
+            log::error!("connection task panicked; closing the connection");
         }
     };
     executor.spawn(serve).detach();
--- a/crates/foxtide-entry/src/serve/request.rs
+++ b/crates/foxtide-entry/src/serve/request.rs
@@ -1,4 +1,4 @@
-//! A whole request as it was received.
+//! Receives complete requests.
 
 use super::state::ListenerState;
 use crate::answer::Refusal;
@@ -25,36 +25,34 @@
 
 const CONTINUE_ANSWER: &[u8] = b"HTTP/1.1 100 Continue\r\n\r\n";
 
-/// A whole request.
+/// Complete request.
 #[derive(Debug)]
 pub(crate) struct ReceivedRequest {
-    /// Its head.
     pub(crate) head: RequestHead,
-    /// Its body.
     pub(crate) body: Vec<u8>,
-    /// Who sent it.
+    /// Remote address.
     pub(crate) peer: SocketAddr,
-    /// The room that its body takes, for as long as it is under way.
+    /// Memory reserved for the body while the request is in progress.
     pub(crate) body_permit: Option<Permit>,
 }
 
-/// Why a connection brought no request.
+/// Reason why no request was received.
 #[derive(Debug)]
 pub(crate) enum ReceiveError {
-    /// The peer is gone; nothing can be answered.
+    /// The peer disconnected and cannot be answered.
     Disconnected,
-    /// What came is answered with a refusal.
+    /// The request is answered with a refusal.
     Rejected(Refusal),
 }
 
-/// Reads one whole request.
+/// Receives a complete request.
 ///
-/// Bodies are read whole before anything is sent on, so that a slow caller
-/// never holds a slot at an upstream.
+/// The body is read completely before the request is forwarded, so that a slow
+/// caller does not hold a slot at an upstream.
 ///
 /// # Errors
 ///
-/// Fails where the peer sends none that foxtide takes, in the time it has.
+/// Returns an error if no acceptable request arrives in time.
 pub(crate) async fn receive(
     stream: &mut BufferedStream,
     limits: &Limits,
@@ -79,7 +77,7 @@
     })
 }
 
-/// Takes room for a body, before any of it is read.
+/// Reserves memory for a body before reading it.
 fn reserve_body(
     head: &RequestHead,
     limits: &Limits,
@@ -117,7 +115,7 @@
             (status, "head-too-long")
         }
         MessageError::BodyTooLong => (StatusCode::PayloadTooLarge, "body-too-long"),
-        // What follows a request is taken for the next one.
+        // Bytes after a request are read as the next one.
         MessageError::TrailingBytes => (StatusCode::BadRequest, "malformed-head"),
         MessageError::BadChunk => (StatusCode::BadRequest, "malformed-chunk"),
         MessageError::UnknownLength => (StatusCode::LengthRequired, "length-required"),
--- a/crates/foxtide-entry/src/serve/state.rs
+++ b/crates/foxtide-entry/src/serve/state.rs
@@ -1,5 +1,4 @@
-//! What all connections of a listener share: how many there are, and whether
-//! the instance leaves.
+//! State shared by the connections of a listener: counts, limits and draining.
 
 use crate::limiter::{
     Limiter,
@@ -24,25 +23,25 @@
 
 const FINISH_POLL: Duration = Duration::from_millis(5);
 
-/// The shared state of a listener's connections.
+/// State shared by the connections of a listener.
 #[derive(Debug)]
 pub(crate) struct ListenerState {
     connections: AtomicUsize,
     requests: AtomicUsize,
     draining: AtomicBool,
     closing: CloseSignal,
-    /// What the bodies of requests take, in bytes.
+    /// Limits the total size of request bodies, in bytes.
     bodies: Limiter,
 }
 
-/// A signal to all connections; it is given by closing a channel.
+/// Signal to all connections, given by closing the channel.
 #[derive(Debug)]
 struct CloseSignal {
     sender: Sender<()>,
     receiver: Receiver<()>,
 }
 
-/// One thing under way; it is guard until this is dropped.
+/// Counts a connection or request until it is dropped.
 #[derive(Debug)]
 pub(crate) struct CountGuard {
     state: Arc<ListenerState>,
@@ -56,7 +55,6 @@
 }
 
 impl ListenerState {
-    /// Returns the state of a listener that serves.
     pub(crate) fn new(limits: &Limits) -> Arc<Self> {
         let (sender, receiver) = bounded(1);
         Arc::new(Self {
@@ -68,20 +66,19 @@
         })
     }
 
-    /// Counts a further connection, unless there are `limit` already.
+    /// Counts a connection, unless `limit` are open already.
     pub(crate) fn open_connection(self: &Arc<Self>, limit: usize) -> Option<CountGuard> {
         let guard = self.count(|state| &state.connections);
         let within = self.connections.load(Ordering::Acquire) <= limit;
         within.then_some(guard)
     }
 
-    /// Takes room for a request's body, if there is.
+    /// Reserves memory for a request body.
     pub(crate) fn reserve_body(&self, size_bytes: usize) -> Option<Permit> {
         self.bodies.try_acquire(size_bytes)
     }
 
-    /// Counts a request until its answer was sent, or until it ended without
-    /// its caller.
+    /// Counts a request in progress until the guard is dropped.
     pub(crate) fn begin_request(self: &Arc<Self>) -> CountGuard {
         self.count(|state| &state.requests)
     }
@@ -94,39 +91,38 @@
         }
     }
 
-    /// Returns how many connections are open.
+    /// Returns the number of open connections.
     pub(crate) fn connections(&self) -> usize {
         self.connections.load(Ordering::Acquire)
     }
 
-    /// Returns how many requests are under way.
+    /// Returns the number of requests in progress.
     pub(crate) fn requests(&self) -> usize {
         self.requests.load(Ordering::Acquire)
     }
 
-    /// Makes every further answer tell its caller to close the connection.
+    /// Makes every further answer announce that the connection closes.
     pub(crate) fn start_draining(&self) {
         self.draining.store(true, Ordering::Release);
     }
 
-    /// Tells whether the instance leaves.
     pub(crate) fn is_draining(&self) -> bool {
         self.draining.load(Ordering::Acquire)
     }
 
-    /// Makes connections close as soon as no request is under way on them.
+    /// Closes connections once they have no request in progress.
     pub(crate) fn close(&self) {
         self.closing.sender.close();
     }
 
-    /// Waits until connections are to close.
+    /// Waits for [`Self::close`].
     pub(crate) async fn closing(&self) {
         // Nothing is ever sent; receiving fails once the channel is closed.
         let _ = self.closing.receiver.recv().await;
     }
 
-    /// Waits until no connection is open and no request is under way, such as
-    /// one that goes on without its caller.
+    /// Waits until no connection is open and no request is in progress,
+    /// including requests whose caller has disconnected.
     pub(crate) async fn finished(&self) {
         while self.connections() > 0 || self.requests() > 0 {
             smol::Timer::after(FINISH_POLL).await;
