--- a/crates/foxtide-entry/src/traffic/metrics.rs
+++ b/crates/foxtide-entry/src/traffic/metrics.rs
@@ -1,4 +1,4 @@
-//! What is guard of a service's requests.
+//! Metrics of a service's requests.
 
 use foxtide_core::ids::{
     OrganisationId,
@@ -18,21 +18,19 @@
 const FAILED_ATTEMPTS: &str = "foxtide_attempts_failed_total";
 const ATTEMPTS: &str = "foxtide_attempts_total";
 
-/// The metrics of one service; looked up once, for a look-up costs more than
-/// the counting.
+/// Metrics of one service, resolved once because a registry look-up costs more
+/// than an update.
 pub(crate) struct ServiceMetrics {
-    /// The time from a request's coming to its answer, in seconds.
+    /// Time from receiving a request to its answer, in seconds.
     pub(crate) seconds: Histogram,
-    /// The attempts at upstreams.
     pub(crate) attempts: Counter,
-    /// The attempts that brought no answer.
+    /// Attempts without a complete answer.
     pub(crate) failed_attempts: Counter,
     not_run: Counter,
     unknown: Counter,
 }
 
 impl ServiceMetrics {
-    /// Returns the metrics of a service.
     pub(super) fn new(organisation: &OrganisationId, service: &ServiceId) -> Self {
         let labels = [
             ("organisation", organisation.to_string()),
--- a/crates/foxtide-entry/src/traffic/mod.rs
+++ b/crates/foxtide-entry/src/traffic/mod.rs
@@ -1,4 +1,4 @@
-//! The tables on which every worker decides where requests go.
+//! Traffic state shared by all workers: steering, balancing and retries.
 //!
 //! ```text
 //! TrafficTables -> OrganisationTraffic (steering)
@@ -6,9 +6,9 @@
 //!                     -> RegionTraffic (balancer)
 //! ```
 //!
-//! Locks, in this order: the table of organisations, an organisation's
-//! steering, a region's balancer, a service's retries. No two of the same kind
-//! are held at a time, and none while a task waits.
+//! Lock order: the table of organisations, an organisation's steering, a
+//! region's balancer, a service's retries. Two locks of the same kind are never
+//! held together, and no lock is held across an await.
 
 mod metrics;
 mod options;
--- a/crates/foxtide-entry/src/traffic/options.rs
+++ b/crates/foxtide-entry/src/traffic/options.rs
@@ -1,4 +1,4 @@
-//! Settings of the traffic of an instance.
+//! Settings of steering, balancing and retries.
 
 use foxtide_core::choice::BalancerOptions;
 use foxtide_core::ids::RegionId;
@@ -8,21 +8,22 @@
 };
 use foxtide_core::steering::SteeringOptions;
 
-/// The settings of [`super::TrafficTables`].
+/// Settings of [`super::TrafficTables`].
 #[derive(Clone, Debug)]
 pub struct TrafficOptions {
-    /// The region of this instance.
+    /// Region of this instance.
     pub origin: RegionId,
-    /// What tells this instance's choices from those of others; best derived
-    /// from its name. Default: 0.
+    /// Seed of this instance's choices, best derived from its name, so that
+    /// instances choose differently. Default: 0.
     pub seed: u64,
-    /// Where requests go.
+    /// Settings of the choice of regions.
     pub steering: SteeringOptions,
-    /// Which upstream takes them. The availability zone is set here.
+    /// Settings of the choice of upstreams, including the availability zone of
+    /// this instance.
     pub balancer: BalancerOptions,
-    /// How often a request is tried.
+    /// Settings of the retries of a request.
     pub retry: RetryOptions,
-    /// How many retries and hedges a service may have.
+    /// Settings of the budget for retries and hedges of a service.
     pub retry_budget: RetryBudgetOptions,
 }
 
--- a/crates/foxtide-entry/src/traffic/organisation.rs
+++ b/crates/foxtide-entry/src/traffic/organisation.rs
@@ -1,4 +1,4 @@
-//! An organisation's steering and its services.
+//! Traffic state of an organisation: its steering and its services.
 
 use super::options::TrafficOptions;
 use super::service::ServiceTraffic;
@@ -29,7 +29,7 @@
 
 type Services = HashMap<ServiceId, Arc<ServiceTraffic>>;
 
-/// What all workers know of one organisation.
+/// Traffic state of an organisation.
 #[derive(Debug)]
 pub(crate) struct OrganisationTraffic {
     organisation: ArcSwap<Organisation>,
@@ -40,7 +40,6 @@
 }
 
 impl OrganisationTraffic {
-    /// Returns an organisation with its configuration in force.
     pub(super) fn new(
         organisation: Arc<Organisation>,
         options: &TrafficOptions,
@@ -67,17 +66,15 @@
         self.organisation.load_full()
     }
 
-    /// Returns a service.
     pub(crate) fn service(&self, service: &ServiceId) -> Option<Arc<ServiceTraffic>> {
         self.services.load().get(service).cloned()
     }
 
-    /// Returns all services.
     pub(super) fn services(&self) -> Arc<Services> {
         self.services.load_full()
     }
 
-    /// Puts a configuration in force; what is known of what stays is kept.
+    /// Applies a configuration; the state of services that remain is preserved.
     pub(super) fn configure(
         &self,
         organisation: &Arc<Organisation>,
@@ -117,7 +114,7 @@
         self.services.store(Arc::new(services));
     }
 
-    /// Shares the connections out anew.
+    /// Applies how the upstreams are shared between instances.
     pub(super) fn apply_sharing(
         &self,
         options: &TrafficOptions,
@@ -128,16 +125,16 @@
         self.configure_services(&organisation, options, sharing, now);
     }
 
-    /// Takes over what is known of all instances.
+    /// Updates the view of the fleet.
     pub(super) fn observe(&self, view: &FleetView, now: MonotonicTime) {
         self.steering.lock().observe(view, now);
     }
 
-    /// Moves all decisions on to `now`.
+    /// Advances all state to `now`.
     pub(super) fn tick(&self, now: MonotonicTime, wall: WallTime) {
         let organisation = self.organisation();
         let drains = !organisation.drains.is_empty();
-        // One tick more, so that what a drain took out comes back.
+        // Runs once more after the last drain, to restore drained upstreams.
         let drained = self.drained.swap(drains, Ordering::Relaxed);
         for (id, service) in self.services().iter() {
             if drains || drained {
@@ -151,8 +148,8 @@
         self.steering.lock().tick(now, wall);
     }
 
-    /// Decides on one attempt to send a request of a caller of `origin`, or of
-    /// one whose region is not known.
+    /// Decides whether to send one attempt of a request from a caller of the
+    /// region `origin`, if known.
     pub(crate) fn admit(
         &self,
         service: &ServiceId,
@@ -168,12 +165,12 @@
         }
     }
 
-    /// Notes that a region's side refused a request.
+    /// Records that upstreams of a region refused a request.
     pub(crate) fn refused_by(&self, region: &RegionId, now: MonotonicTime) {
         self.steering.lock().refused_by(region, now);
     }
 
-    /// Runs `inspect` on the steering.
+    /// Runs `inspect` on the locked steering.
     pub(super) fn with_steering<T>(&self, inspect: impl FnOnce(&mut Steering) -> T) -> T {
         inspect(&mut self.steering.lock())
     }
--- a/crates/foxtide-entry/src/traffic/poller.rs
+++ b/crates/foxtide-entry/src/traffic/poller.rs
@@ -1,4 +1,4 @@
-//! Asks upstreams for their load that were not heard of for a while.
+//! Polls the load of upstreams without recent reports.
 
 use super::region::RegionTraffic;
 use super::tables::TrafficTables;
@@ -32,21 +32,18 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// The most idle connections to an upstream among which a poll's is kept.
+/// A poll keeps its connection only if fewer than this many are idle.
 const POLLED_CONNECTIONS: usize = 1;
 
-/// What polls work with.
+/// Sends load polls to upstreams.
 #[derive(Debug)]
 pub(crate) struct Poller<P> {
-    /// What the request path works with.
     pub(crate) dependencies: Arc<P>,
-    /// The connections to upstreams.
     pub(crate) pools: Arc<Pools>,
-    /// The settings.
     pub(crate) options: Arc<EntryOptions>,
 }
 
-/// An upstream that is to be asked.
+/// Poll that is due, with the region of its upstream.
 struct DuePoll {
     region: Arc<RegionTraffic>,
     poll: Poll,
--- a/crates/foxtide-entry/src/traffic/region.rs
+++ b/crates/foxtide-entry/src/traffic/region.rs
@@ -1,4 +1,4 @@
-//! A service's upstreams in one region.
+//! Traffic state of a service in one region.
 
 use event_listener::{
     Event,
@@ -22,18 +22,17 @@
     Ordering, //
 };
 
-/// The upstreams of one service in one region.
+/// Balancer and counts of a service's upstreams in one region.
 #[derive(Debug)]
 pub(crate) struct RegionTraffic {
     balancer: Mutex<Balancer>,
-    /// Told when a slot became free.
+    /// Notified when a slot is released.
     slot_freed: Event,
     sent_planned: AtomicU64,
     sent_spilled: AtomicU64,
 }
 
 impl RegionTraffic {
-    /// Returns a region without upstreams.
     pub(super) fn new(options: BalancerOptions, seed: u64) -> Arc<Self> {
         Arc::new(Self {
             balancer: Mutex::new(Balancer::new(options, seed)),
@@ -43,13 +42,13 @@
         })
     }
 
-    /// Picks the best upstream, preferably none of `tried`.
+    /// Picks the best upstream, preferably one that is not in `tried`.
     pub(super) fn pick(&self, tried: &[UpstreamId], now: MonotonicTime) -> Pick {
         let draw = fastrand::u64(..);
         self.balancer.lock().pick_avoiding(now, draw, tried)
     }
 
-    /// Counts an attempt that is sent here.
+    /// Counts an attempt that is sent to this region.
     pub(crate) fn count_sent(&self, spilled: bool) {
         let count = if spilled {
             &self.sent_spilled
@@ -59,29 +58,29 @@
         count.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// Returns the attempts sent here as planned, and as spill.
+    /// Returns the numbers of planned and of spilled attempts.
     pub(super) fn sent(&self) -> (u64, u64) {
         let planned = self.sent_planned.load(Ordering::Relaxed);
         (planned, self.sent_spilled.load(Ordering::Relaxed))
     }
 
-    /// Returns what completes when a slot becomes free from now on.
+    /// Returns a listener for the next released slot.
     pub(crate) fn slot_freed(&self) -> EventListener {
         self.slot_freed.listen()
     }
 
-    /// Tells whether there is room for second attempts beside slow ones.
+    /// Returns whether the upstreams have capacity for hedged attempts.
     pub(crate) fn has_spare_capacity(&self) -> bool {
         self.balancer.lock().has_spare_capacity()
     }
 
-    /// Takes a ticket back.
+    /// Returns a ticket to the balancer and notifies a waiting request.
     pub(super) fn finish(&self, ticket: Ticket, completion: Completion, now: MonotonicTime) {
         self.balancer.lock().finish(ticket, completion, now);
         self.slot_freed.notify(1);
     }
 
-    /// Puts a list of upstreams in force.
+    /// Applies a list of upstreams.
     pub(super) fn configure(&self, upstreams: &[Upstream], sharing: Sharing, now: MonotonicTime) {
         let mut balancer = self.balancer.lock();
         balancer.configure(upstreams, sharing.instances, now);
@@ -90,7 +89,7 @@
         self.slot_freed.notify(usize::MAX);
     }
 
-    /// Runs `inspect` on the balancer.
+    /// Runs `inspect` on the locked balancer.
     pub(super) fn with_balancer<T>(&self, inspect: impl FnOnce(&mut Balancer) -> T) -> T {
         inspect(&mut self.balancer.lock())
     }
--- a/crates/foxtide-entry/src/traffic/service.rs
+++ b/crates/foxtide-entry/src/traffic/service.rs
@@ -1,4 +1,4 @@
-//! A service's regions and its retries.
+//! Traffic state of a service: its regions and retries.
 
 use super::metrics::ServiceMetrics;
 use super::options::TrafficOptions;
@@ -39,7 +39,7 @@
 
 type Regions = HashMap<RegionId, Arc<RegionTraffic>>;
 
-/// What all workers know of one service.
+/// Traffic state of a service.
 #[derive(Debug)]
 pub(crate) struct ServiceTraffic {
     service: ServiceId,
@@ -56,7 +56,6 @@
 }
 
 impl ServiceTraffic {
-    /// Returns a service without upstreams.
     pub(super) fn new(
         organisation: &OrganisationId,
         service: ServiceId,
@@ -75,28 +74,24 @@
         }
     }
 
-    /// Returns the service's name.
     pub(crate) fn id(&self) -> &ServiceId {
         &self.service
     }
 
-    /// Returns what is guard of the service's requests.
     pub(crate) fn metrics(&self) -> &ServiceMetrics {
         &self.metrics
     }
 
-    /// Returns the upstreams in a region.
     pub(crate) fn region(&self, region: &RegionId) -> Option<Arc<RegionTraffic>> {
         self.regions.load().get(region).cloned()
     }
 
-    /// Returns all regions that have upstreams.
     pub(super) fn regions(&self) -> Arc<Regions> {
         self.regions.load_full()
     }
 
-    /// Puts the service's upstreams in force. Slots are shared within a region,
-    /// so this instance has a slot in its own alone.
+    /// Applies the service's upstreams. Slots are shared within a region, so
+    /// the rank of this instance applies only to its own region.
     pub(super) fn configure(
         &self,
         service: &Service,
@@ -118,8 +113,8 @@
         self.regions.store(Arc::new(regions));
     }
 
-    /// Takes upstreams out of service whose announced drain has started, and
-    /// back into it those whose drain was called off.
+    /// Removes upstreams whose drain has started and restores those whose drain
+    /// was cancelled.
     pub(super) fn apply_drains(
         &self,
         organisation: &Organisation,
@@ -143,7 +138,7 @@
         }
     }
 
-    /// Returns what binds the attempts of a request.
+    /// Returns the terms that apply to all attempts of a request.
     pub(crate) fn terms(
         &self,
         contract: &Contract,
@@ -158,7 +153,7 @@
         }
     }
 
-    /// Notes how an attempt ended and decides what follows.
+    /// Records how an attempt ended and decides on the next step.
     pub(crate) fn ended(
         &self,
         attempts: &mut Attempts,
@@ -169,22 +164,22 @@
         attempts.ended(id, result, &mut self.retries.lock().budget, now)
     }
 
-    /// Decides whether a second attempt is sent beside the first.
+    /// Decides whether to send a second attempt in parallel.
     pub(crate) fn hedge(&self, attempts: &mut Attempts, now: MonotonicTime) -> Step {
         attempts.hedge(&mut self.retries.lock().budget, now)
     }
 
-    /// Notes the latency of an answer.
+    /// Records the latency of an answer for the hedge delay.
     pub(crate) fn record_latency(&self, latency: Duration) {
         self.retries.lock().hedge_delay.record(latency);
     }
 
-    /// Returns the figures on which decisions rest now.
+    /// Returns the view on which decisions are now based, for explanations.
     pub(crate) fn view(&self) -> ViewId {
         self.retries.lock().view
     }
 
-    /// Notes new figures on which decisions rest.
+    /// Sets the view on which decisions are based.
     pub(super) fn set_view(&self, view: ViewId) {
         self.retries.lock().view = view;
     }
--- a/crates/foxtide-entry/src/traffic/slot.rs
+++ b/crates/foxtide-entry/src/traffic/slot.rs
@@ -1,4 +1,4 @@
-//! The slot that an attempt holds at an upstream.
+//! Slots that attempts hold at upstreams.
 
 use super::region::RegionTraffic;
 use foxtide_core::choice::{
@@ -16,18 +16,18 @@
     Instant, //
 };
 
-/// What a try to take a slot brought.
+/// Result of trying to take a slot.
 pub(crate) enum SlotChoice {
-    /// A slot.
     Taken(Slot),
-    /// All are taken; the next may be free after this time.
+    /// All slots are taken; the next may be free after this time.
     Wait(Duration),
-    /// No upstream serves.
+    /// No upstream is available.
     NoUpstream,
 }
 
 impl RegionTraffic {
-    /// Takes a slot at the best upstream, preferably none of `tried`.
+    /// Takes a slot at the best upstream, preferably one that is not in
+    /// `tried`.
     pub(crate) fn take(self: &Arc<Self>, tried: &[UpstreamId], now: MonotonicTime) -> SlotChoice {
         match self.pick(tried, now) {
             Pick::Take(ticket) => SlotChoice::Taken(Slot::new(Arc::clone(self), ticket, now)),
@@ -37,10 +37,10 @@
     }
 }
 
-/// A slot at an upstream, given back when it is dropped.
+/// Slot at an upstream, released on drop.
 ///
-/// An attempt may be dropped at any point, because its caller went away or
-/// another attempt was faster; the slot must not stay taken then.
+/// An attempt may be dropped at any await, because its caller disconnected or
+/// another attempt was faster.
 pub(crate) struct Slot {
     region: Arc<RegionTraffic>,
     ticket: Option<Ticket>,
@@ -50,7 +50,6 @@
 }
 
 impl Slot {
-    /// Holds a slot.
     fn new(region: Arc<RegionTraffic>, ticket: Ticket, now: MonotonicTime) -> Self {
         Self {
             region,
@@ -61,18 +60,17 @@
         }
     }
 
-    /// Returns the upstream.
     pub(crate) fn upstream(&self) -> &Upstream {
         &self.upstream
     }
 
-    /// Returns how many connections may be open to the upstream.
+    /// Returns the maximum number of open connections to the upstream.
     pub(crate) fn connection_limit(&self) -> usize {
         let limit = self.ticket.as_ref().map_or(1, Ticket::connection_limit);
         usize::try_from(limit).unwrap_or(usize::MAX)
     }
 
-    /// Gives the slot back and tells how the attempt ended.
+    /// Releases the slot and reports how the attempt ended.
     pub(crate) fn finish(mut self, completion: Completion) {
         self.release(completion);
     }
--- a/crates/foxtide-entry/src/traffic/tables.rs
+++ b/crates/foxtide-entry/src/traffic/tables.rs
@@ -1,4 +1,4 @@
-//! All organisations of an instance.
+//! Traffic state of all organisations of an instance.
 
 use super::options::TrafficOptions;
 use super::organisation::OrganisationTraffic;
@@ -36,46 +36,42 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// An upstream with what this instance makes of it.
+/// Upstream with its status as seen by this instance.
 #[derive(Clone, Debug)]
 pub struct UpstreamState {
-    /// The service.
+    /// Service.
     pub service: ServiceId,
-    /// The upstream.
+    /// Upstream.
     pub upstream: Upstream,
-    /// Its state.
+    /// Status.
     pub status: UpstreamStatus,
 }
 
-/// How many attempts went to a region.
+/// Number of attempts sent to a region.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SentCount {
-    /// The service.
+    /// Service.
     pub service: ServiceId,
-    /// The region.
+    /// Region.
     pub region: RegionId,
-    /// Those that were planned to go there.
+    /// Attempts that were planned for the region.
     pub planned: u64,
-    /// Those that came for want of room elsewhere.
+    /// Attempts that spilled over from other regions.
     pub spilled: u64,
 }
 
-/// A change of what this instance makes of an upstream.
+/// Change of an upstream's status as seen by this instance.
 #[derive(Clone, Debug)]
 pub(crate) struct UpstreamChange {
-    /// The organisation.
     pub(crate) organisation: OrganisationId,
-    /// The service.
     pub(crate) service: ServiceId,
-    /// The region.
     pub(crate) region: RegionId,
-    /// The change.
     pub(crate) change: StatusChange,
 }
 
 type Organisations = HashMap<OrganisationId, Arc<OrganisationTraffic>>;
 
-/// The organisations that an instance serves, with every decision's state.
+/// Traffic state of all organisations of an instance.
 #[derive(Debug)]
 pub struct TrafficTables {
     options: TrafficOptions,
@@ -98,8 +94,8 @@
         &self.options
     }
 
-    /// Puts an organisation's configuration in force; an older one than that
-    /// in force is left aside. Tells whether it is in force now.
+    /// Applies an organisation's configuration if it is newer than the one in
+    /// force. Returns whether it was applied.
     pub fn configure(&self, organisation: &Arc<Organisation>, now: MonotonicTime) -> bool {
         let sharing = *self.sharing.lock();
         let mut organisations = self.organisations.write();
@@ -120,29 +116,29 @@
         }
     }
 
-    /// Takes an organisation out of service.
+    /// Removes an organisation.
     pub fn remove(&self, organisation: &OrganisationId) {
         self.organisations.write().remove(organisation);
     }
 
-    /// Returns an organisation's configuration that is in force.
+    /// Returns the configuration in force of an organisation.
     pub fn organisation(&self, organisation: &OrganisationId) -> Option<Arc<Organisation>> {
         Some(self.get(organisation)?.organisation())
     }
 
-    /// Returns the names of all organisations.
+    /// Returns the ids of all organisations.
     pub fn organisations(&self) -> Vec<OrganisationId> {
         self.organisations.read().keys().cloned().collect()
     }
 
-    /// Takes over what is known of all instances that serve an organisation.
+    /// Updates the view of the instances that serve an organisation.
     pub fn observe(&self, organisation: &OrganisationId, view: &FleetView, now: MonotonicTime) {
         if let Some(traffic) = self.get(organisation) {
             traffic.observe(view, now);
         }
     }
 
-    /// Notes how the upstreams are shared with other instances.
+    /// Sets how the upstreams are shared with other instances.
     pub fn set_sharing(&self, sharing: Sharing, now: MonotonicTime) {
         let before = std::mem::replace(&mut *self.sharing.lock(), sharing);
         if before != sharing {
@@ -152,8 +148,8 @@
         }
     }
 
-    /// Returns what to tell the peers of an organisation, and counts it as
-    /// told.
+    /// Returns the report for the peers of an organisation and marks it as
+    /// sent.
     pub fn report(
         &self,
         organisation: &OrganisationId,
@@ -163,7 +159,8 @@
         Some(traffic.with_steering(|steering| steering.report(now)))
     }
 
-    /// Runs `inspect` on an organisation's steering; requests wait meanwhile.
+    /// Runs `inspect` on an organisation's steering, which stays locked
+    /// meanwhile.
     pub fn inspect<T>(
         &self,
         organisation: &OrganisationId,
@@ -173,8 +170,8 @@
         Some(traffic.with_steering(|steering| inspect(steering)))
     }
 
-    /// Returns an organisation's upstreams with what this instance makes of
-    /// them.
+    /// Returns an organisation's upstreams with their status as seen by this
+    /// instance.
     pub fn upstreams(
         &self,
         organisation: &OrganisationId,
@@ -199,7 +196,7 @@
         states
     }
 
-    /// Returns how many attempts were sent to each region of an organisation's
+    /// Returns the numbers of attempts sent to each region of an organisation's
     /// services since the process started.
     pub fn sent(&self, organisation: &OrganisationId) -> Vec<SentCount> {
         let Some(traffic) = self.get(organisation) else {
@@ -220,14 +217,14 @@
         counts
     }
 
-    /// Moves all decisions on to `now`; the entry calls it ten times a second.
+    /// Advances all state to `now`.
     pub(crate) fn tick(&self, now: MonotonicTime, wall: WallTime) {
         for traffic in self.all() {
             traffic.tick(now, wall);
         }
     }
 
-    /// Returns what has changed of upstreams since the last call.
+    /// Returns the status changes of upstreams since the last call.
     pub(crate) fn changes(&self, now: MonotonicTime) -> Vec<UpstreamChange> {
         let mut all = Vec::new();
         for traffic in self.all() {
@@ -258,12 +255,10 @@
         addresses
     }
 
-    /// Returns an organisation's tables.
     pub(crate) fn get(&self, organisation: &OrganisationId) -> Option<Arc<OrganisationTraffic>> {
         self.organisations.read().get(organisation).cloned()
     }
 
-    /// Returns the tables of all organisations.
     pub(super) fn all(&self) -> Vec<Arc<OrganisationTraffic>> {
         self.organisations.read().values().cloned().collect()
     }
--- a/crates/foxtide-entry/src/traffic/view.rs
+++ b/crates/foxtide-entry/src/traffic/view.rs
@@ -1,4 +1,4 @@
-//! The figures on which a service's decisions rest, for explanations.
+//! Views of a service's traffic state for explanations.
 
 use super::organisation::OrganisationTraffic;
 use super::service::ServiceTraffic;
@@ -24,7 +24,7 @@
 use foxtide_events::Explainer;
 
 impl TrafficTables {
-    /// Publishes the figures of each service whose last are old.
+    /// Publishes a view of each service whose last one is outdated.
     pub(crate) fn publish_views(&self, explainer: &Explainer, now: MonotonicTime, wall: WallTime) {
         for traffic in self.all() {
             let organisation = traffic.organisation();
@@ -108,7 +108,7 @@
     }
 }
 
-/// Returns a figure that is as old as its view.
+/// Returns a figure of the same age as its view.
 fn figure(kind: FigureKind, value: f64) -> Figure {
     Figure {
         kind,
