--- a/crates/foxtide-entry/tests/answer_faults.rs
+++ b/crates/foxtide-entry/tests/answer_faults.rs
@@ -1,5 +1,5 @@
-//! Many callers at upstreams whose answers come late, early, twice, cut and
-//! with wrong lengths: each whole answer is its own request's.
+//! Each complete answer belongs to its own request, although upstreams answer
+//! late, early, twice, truncated and with wrong lengths.
 
 mod support;
 
@@ -40,7 +40,7 @@
     AnswerFault::None,
 ];
 
-/// Asks once; returns whether an upstream's answer came.
+/// Sends a request; returns whether an upstream answered it.
 fn request_once(caller: &mut Caller, number: usize) -> bool {
     let id = format!("request-{number}");
     let method = if number.is_multiple_of(2) {
--- a/crates/foxtide-entry/tests/failures.rs
+++ b/crates/foxtide-entry/tests/failures.rs
@@ -1,4 +1,4 @@
-//! Upstreams and callers that fail, each in one way.
+//! Failures of upstreams and callers.
 
 mod support;
 
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn verify_a_cut_answer_is_never_shown_as_whole() {
+fn verify_a_truncated_answer_is_never_shown_as_complete() {
     let cuts: [&[u8]; 5] = [
         // The stated length is too short: the end of the answer would be lost.
         b"HTTP/1.1 200 OK\r\ncontent-length: 3\r\n\r\nhello",
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn verify_an_idempotent_request_is_sent_again_after_a_cut() {
+fn verify_an_idempotent_request_is_retried_after_a_truncated_answer() {
     let upstream = RawUpstream::start(|mut stream, number| {
         read_message(&mut stream);
         if number > 1 {
@@ -149,7 +149,7 @@
 }
 
 #[test]
-fn verify_not_run_is_said_where_no_byte_went_out() {
+fn verify_not_run_is_reported_if_no_byte_was_sent() {
     let closed = TcpListener::bind(ANY_PORT).unwrap().local_addr().unwrap();
     let harness = Harness::start(&[closed]);
     assert_refused(&harness.caller().request(&post("/", "x")), 503, "not-run");
@@ -169,7 +169,7 @@
     let (cancelled, wait_cancelled) = channel();
     let upstream = RawUpstream::start(move |mut stream, _| {
         read_message(&mut stream);
-        // The end of the stream is how an upstream sees the cancellation.
+        // An upstream sees the cancellation as the end of the stream.
         let end = stream.read(&mut [0]);
         cancelled.send(matches!(end, Ok(0) | Err(_))).unwrap();
     });
@@ -275,7 +275,7 @@
 }
 
 #[test]
-fn verify_slow_callers_are_given_up() {
+fn verify_slow_callers_time_out() {
     let harness = Harness::start_with(&[], short_limits());
     let mut slow_head = harness.caller();
     assert_refused(&slow_head.request("GET / HT"), 408, "not-run");
@@ -307,7 +307,7 @@
 }
 
 #[test]
-fn verify_a_continue_is_sent_to_who_waits_for_it() {
+fn verify_100_continue_is_sent_if_expected() {
     let upstream = RawUpstream::answering(HELLO);
     let harness = Harness::start(&[upstream.address]);
     let mut caller = harness.caller();
--- a/crates/foxtide-entry/tests/hedging.rs
+++ b/crates/foxtide-entry/tests/hedging.rs
@@ -1,4 +1,4 @@
-//! A second attempt beside a slow one.
+//! Hedged attempts.
 
 mod support;
 
@@ -30,7 +30,7 @@
     let (cancelled, wait_cancelled) = channel();
     let cancelled = Mutex::new(cancelled);
     let hangs = Arc::new(AtomicBool::new(true));
-    // The first request to arrive anywhere gets no answer, the next one does.
+    // Only the first request to arrive at either upstream gets no answer.
     let drive = move |mut stream: std::net::TcpStream, _| {
         while read_message(&mut stream).is_some() {
             if hangs.swap(false, Ordering::SeqCst) {
--- a/crates/foxtide-entry/tests/keys.rs
+++ b/crates/foxtide-entry/tests/keys.rs
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn verify_a_key_runs_once_and_its_answer_is_given_again() {
+fn verify_a_key_runs_once_and_its_answer_is_replayed() {
     let (ran, runs) = channel();
     let upstream = RawUpstream::start(move |mut stream, _| {
         while read_message(&mut stream).is_some() {
@@ -133,7 +133,7 @@
         answer.contains("/hamutenya/viewer/notes?x=1\r\n"),
         "{answer}"
     );
-    // An instance that leaves still answers for its keys.
+    // A leaving instance still answers for its keys.
     harness.dependencies.has_left.store(true, Ordering::SeqCst);
     let leaving = harness.caller().request(&post("/notes", &elsewhere, "x"));
     assert_refused(&leaving, 307, "unknown");
@@ -154,7 +154,7 @@
 }
 
 #[test]
-fn verify_a_run_outlives_its_caller_and_its_answer_is_kept() {
+fn verify_a_run_continues_without_its_caller_and_its_answer_is_stored() {
     let (ran, runs) = channel();
     let (release, released) = channel::<()>();
     let released = Mutex::new(released);
@@ -171,13 +171,13 @@
     lost.send(&post("/notes", &key, "lintel"));
     runs.recv().unwrap();
     drop(lost);
-    wait_until("the caller to be missed", || {
+    wait_until("the disconnect to be recorded", || {
         !harness.recorded(EventCode::RequestCancelled).is_empty()
     });
     let meanwhile = harness.caller().request(&post("/notes", &key, "lintel"));
     assert_refused(&meanwhile, 409, "unknown");
     release.send(()).unwrap();
-    wait_until("the kept answer", || {
+    wait_until("the stored answer", || {
         let again = harness.caller().request(&post("/notes", &key, "lintel"));
         again.contains("foxtide-outcome: done\r\n") && again.ends_with("filed!")
     });
@@ -185,7 +185,7 @@
 }
 
 #[test]
-fn verify_a_planned_stop_waits_for_a_run_without_its_caller() {
+fn verify_drain_waits_for_a_run_without_its_caller() {
     let (note, notes) = channel();
     let (release, released) = channel::<()>();
     let released = Mutex::new(released);
@@ -210,7 +210,7 @@
     lost.send(&post("/notes", &own_key(&harness), "lintel"));
     assert_eq!(notes.recv(), Ok("came"));
     drop(lost);
-    wait_until("the caller to be missed", || {
+    wait_until("the disconnect to be recorded", || {
         !harness.recorded(EventCode::RequestCancelled).is_empty()
     });
     let entry = Arc::clone(&harness.entry);
@@ -221,7 +221,7 @@
     wait_until("the last connection to close", || {
         harness.entry.connections() == 0
     });
-    // Long enough for a stop that does not wait.
+    // Long enough to detect a drain that does not wait.
     std::thread::sleep(Duration::from_millis(50));
     release.send(()).unwrap();
     smol::block_on(drained);
@@ -229,7 +229,7 @@
 }
 
 #[test]
-fn verify_a_caller_that_goes_before_the_first_byte_leaves_nothing_to_run() {
+fn verify_a_disconnect_before_the_first_byte_cancels_the_run() {
     const SLOTS: usize = 4;
     let (came, arrivals) = channel();
     let (release, released) = channel::<()>();
@@ -251,7 +251,7 @@
     let mut lost = harness.caller();
     lost.send(&post("/notes", &key, "lintel"));
     drop(lost);
-    wait_until("the caller to be missed", || {
+    wait_until("the disconnect to be recorded", || {
         !harness.recorded(EventCode::RequestCancelled).is_empty()
     });
     for reader in &mut readers {
@@ -260,7 +260,7 @@
     }
     release.send(()).unwrap();
     let mut request_again = || harness.caller().request(&post("/notes", &key, "lintel"));
-    // The run that was dropped may take a moment to end.
+    // The cancelled run may take a moment to end.
     let answers = std::iter::repeat_with(&mut request_again);
     let answer = { answers }.find(|answer| !answer.contains("in-progress"));
     let answer = answer.unwrap();
@@ -270,7 +270,7 @@
 }
 
 #[test]
-fn verify_a_copy_that_is_refused_for_its_form_says_nothing_of_earlier_ones() {
+fn verify_a_rejected_retry_leaves_the_outcome_unknown() {
     let upstream = RawUpstream::answering(DONE);
     let harness = Harness::start(&[upstream.address]);
     let key = own_key(&harness);
--- a/crates/foxtide-entry/tests/long_answers.rs
+++ b/crates/foxtide-entry/tests/long_answers.rs
@@ -1,4 +1,4 @@
-//! Answers too long to be held whole.
+//! Streamed answers, which exceed the buffer.
 
 mod support;
 
@@ -30,8 +30,8 @@
     }
 }
 
-/// Starts a harness whose upstream sends `head`, this part of the body, and
-/// `end`, then closes.
+/// Starts a harness whose upstream sends `head`, `sent_bytes` of body and
+/// `end`, then closes the connection.
 fn harness(head: &'static str, sent_bytes: usize, end: &'static str) -> Harness {
     let upstream = RawUpstream::start(move |mut stream, _| {
         read_message(&mut stream);
@@ -41,7 +41,7 @@
     Harness::start_with(&[upstream.address], small_buffer_options())
 }
 
-/// Returns all that a caller gets until the connection closes.
+/// Sends a request and reads until the connection closes.
 fn read_until_close(harness: &Harness) -> String {
     let mut caller = harness.caller();
     caller.send(&get("/photo").replace("host: x", "host: x\r\nconnection: close"));
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn verify_a_long_answer_comes_whole() {
+fn verify_a_streamed_answer_arrives_complete() {
     let head = "HTTP/1.1 200 OK\r\ncontent-length: 300000\r\n\r\n";
     let answer = read_until_close(&harness(head, BODY_BYTES, ""));
     let (head, body) = answer.split_once("\r\n\r\n").unwrap();
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn verify_a_long_answer_in_chunks_comes_whole() {
+fn verify_a_chunked_streamed_answer_arrives_complete() {
     let head = "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n493e0\r\n";
     let answer = read_until_close(&harness(head, BODY_BYTES, "\r\n0\r\n\r\n"));
     let (head, body) = answer.split_once("\r\n\r\n").unwrap();
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn verify_a_cut_long_answer_is_never_shown_as_whole() {
+fn verify_a_truncated_streamed_answer_is_never_shown_as_complete() {
     let head = "HTTP/1.1 200 OK\r\ncontent-length: 300000\r\n\r\n";
     let answer = read_until_close(&harness(head, BODY_BYTES / 2, ""));
     let (_, body) = answer.split_once("\r\n\r\n").unwrap();
@@ -79,6 +79,6 @@
     let answer = read_until_close(&harness(head, BODY_BYTES, "\r\n"));
     assert!(
         !answer.ends_with("\r\n0\r\n\r\n"),
-        "the cut looks like an end"
+        "the truncated body looks complete"
     );
 }
--- a/crates/foxtide-entry/tests/path.rs
+++ b/crates/foxtide-entry/tests/path.rs
@@ -1,4 +1,4 @@
-//! Look-ups, requests and operators' pages when nothing fails.
+//! Look-ups, requests and admin pages without failures.
 
 mod support;
 
@@ -110,12 +110,12 @@
 }
 
 #[test]
-fn verify_answers_in_chunks_come_whole() {
+fn verify_chunked_answers_arrive_complete() {
     let upstream = RawUpstream::start(|mut stream, _| {
         while read_message(&mut stream).is_some() {
             let head = "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n4\r\nfoxt\r\n3\r";
             stream.write_all(head.as_bytes()).unwrap();
-            // The end comes byte by byte: no split may lose it.
+            // Sends the end byte by byte, so that it is split everywhere.
             for byte in b"\nide\r\n0\r\n\r\n" {
                 stream.write_all(&[*byte]).unwrap();
             }
@@ -139,7 +139,7 @@
 }
 
 #[test]
-fn verify_operators_pages_are_out_of_callers_reach() {
+fn verify_admin_pages_are_not_served_to_callers() {
     let harness = Harness::start(&[]);
     for path in ["/healthz", "/readyz", "/metrics"] {
         let request = format!("GET {path} HTTP/1.1\r\nhost: x\r\n\r\n");
@@ -186,7 +186,7 @@
         .operator()
         .request("GET /readyz HTTP/1.1\r\nhost: x\r\n\r\n");
     assert!(ready.starts_with("HTTP/1.1 503 "), "{ready}");
-    // A caller that still holds an old look-up is served and told to close.
+    // A caller with a cached look-up is served and told to close.
     let late = harness.caller().request(&get("/"));
     assert!(late.contains("connection: close\r\n"), "{late}");
     smol::block_on(drained);
--- a/crates/foxtide-entry/tests/support/mod.rs
+++ b/crates/foxtide-entry/tests/support/mod.rs
@@ -1,6 +1,6 @@
-//! An entry over raw sockets: fakes that answer byte for byte as a test says.
+//! Test harness: an entry with callers and fake upstreams on raw sockets.
 
-#![allow(dead_code)] // Each test file uses its part.
+#![allow(dead_code)] // Each test file uses a part of it.
 
 use foxtide_core::events::{
     Event,
@@ -68,13 +68,13 @@
     SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::LOCALHOST), 0);
 const WAIT_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Waits for a condition; panics where it never comes.
+/// Waits for a condition; panics after [`WAIT_TIMEOUT`].
 pub(crate) fn wait_until(what: &str, condition: impl Fn() -> bool) {
     let started = Instant::now();
     while !condition() {
         assert!(
             started.elapsed() < WAIT_TIMEOUT,
-            "waited in vain for {what}"
+            "timed out waiting for {what}"
         );
         std::thread::sleep(Duration::from_millis(1));
     }
@@ -103,14 +103,15 @@
     }
 }
 
-/// An upstream whose every connection a closure drives.
+/// Fake upstream whose connections are served by a closure.
 pub(crate) struct RawUpstream {
     pub(crate) address: SocketAddr,
     pub(crate) connections: Arc<AtomicUsize>,
 }
 
 impl RawUpstream {
-    /// Starts an upstream; `drive` gets each connection and its number from 1 on.
+    /// Starts an upstream; `serve` gets each connection and its number,
+    /// starting at 1.
     pub(crate) fn start(drive: impl Fn(TcpStream, usize) + Send + Sync + 'static) -> Self {
         let listener = TcpListener::bind(ANY_PORT).unwrap();
         let address = listener.local_addr().unwrap();
@@ -140,7 +141,7 @@
     }
 }
 
-/// The dependencies of a test's entry.
+/// Dependencies of a test entry.
 pub(crate) struct TestDependencies {
     traffic: TrafficTables,
     clock: SystemClock,
@@ -262,7 +263,7 @@
     }
 }
 
-/// Moves the second upstream into a region of its own, another home.
+/// Moves the second upstream to a second region, which becomes another home.
 pub(crate) fn with_second_region(organisation: &mut Organisation) {
     let mut region = organisation.regions[0].clone();
     region.region = "erongo".parse().unwrap();
@@ -286,7 +287,7 @@
     organisation.links.push(link);
 }
 
-/// A running entry with its dependencies.
+/// Running entry with its dependencies.
 pub(crate) struct Harness {
     pub(crate) entry: Arc<Entry<TestDependencies>>,
     pub(crate) dependencies: Arc<TestDependencies>,
@@ -294,18 +295,17 @@
 }
 
 impl Harness {
-    /// Starts an entry before these upstreams.
+    /// Starts an entry with these upstreams.
     pub(crate) fn start(upstreams: &[SocketAddr]) -> Self {
         Self::start_with(upstreams, EntryOptions::default())
     }
 
-    /// Starts an entry before these upstreams, with these options but for the
-    /// ports.
+    /// Starts an entry with these upstreams and options, on free ports.
     pub(crate) fn start_with(upstreams: &[SocketAddr], options: EntryOptions) -> Self {
         Self::start_organisation(organisation(upstreams), options)
     }
 
-    /// Starts an entry before these upstreams, the organisation changed.
+    /// Starts an entry with these upstreams and a changed organisation.
     pub(crate) fn start_changed(upstreams: &[SocketAddr], change: fn(&mut Organisation)) -> Self {
         let mut organisation = organisation(upstreams);
         change(&mut organisation);
@@ -361,11 +361,11 @@
     }
 
     pub(crate) fn send(&mut self, text: &str) {
-        // What is refused early may reset the connection under a long request.
+        // An early refusal may reset the connection during a long request.
         let _ = self.stream.write_all(text.as_bytes());
     }
 
-    /// Reads one answer; nothing where the connection closed first.
+    /// Reads one answer; `None` if the connection closed first.
     pub(crate) fn answer(&mut self) -> Option<String> {
         read_message(&mut self.stream)
     }
@@ -376,7 +376,7 @@
         self.answer().expect("an answer")
     }
 
-    /// Tells whether the entry has closed the connection.
+    /// Returns whether the entry has closed the connection.
     pub(crate) fn is_closed(&mut self) -> bool {
         matches!(self.stream.read(&mut [0]), Ok(0))
             || matches!(self.stream.take_error(), Ok(Some(_)))
@@ -388,7 +388,7 @@
     format!("GET /hamutenya/viewer{path} HTTP/1.1\r\nhost: x\r\n\r\n")
 }
 
-/// Returns a `POST` to the viewer service, which must not run twice.
+/// Returns a non-idempotent `POST` to the viewer service.
 pub(crate) fn post(path: &str, body: &str) -> String {
     format!(
         "POST /hamutenya/viewer{path} HTTP/1.1\r\nhost: x\r\ncontent-length: {}\r\n\r\n{body}",
@@ -396,7 +396,7 @@
     )
 }
 
-/// Asserts that an answer has this status and this outcome.
+/// Asserts that an answer is a refusal with this status and outcome.
 pub(crate) fn assert_refused(answer: &str, status: u16, outcome: &str) {
     assert!(
         answer.starts_with(&format!("HTTP/1.1 {status} ")),
@@ -409,7 +409,7 @@
     assert!(answer.contains("retry-after: "), "{answer}");
 }
 
-/// Makes the services weigh latency most, so that their reads are hedged.
+/// Gives latency priority, so that idempotent requests are hedged.
 pub(crate) fn prioritise_latency(organisation: &mut Organisation) {
     for service in &mut organisation.services {
         service.contract.priority = Priority::Latency;
--- a/crates/foxtide-entry/tests/workers.rs
+++ b/crates/foxtide-entry/tests/workers.rs
@@ -1,4 +1,4 @@
-//! The pool of workers.
+//! Worker pool.
 
 use foxtide_entry::Workers;
 
