--- a/crates/foxtide-http/src/chunked.rs
+++ b/crates/foxtide-http/src/chunked.rs
@@ -1,18 +1,18 @@
-//! Decodes a body that comes in chunks (RFC 9112, section 7.1).
+//! Decoder of chunked bodies (RFC 9112, section 7.1).
 
-/// The longest line that states a chunk's size, and the longest trailer line.
+/// Maximum length of a chunk-size line or a trailer line.
 const LINE_MAX_BYTES: usize = 256;
 
-/// What to do after a look at the bytes at hand.
+/// Result of decoding the available input.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Step {
-    /// More bytes are needed.
+    /// More input is needed.
     More,
-    /// The body has ended.
+    /// The body is complete.
     End,
 }
 
-/// The bytes are not a body in chunks.
+/// The input is not a valid chunked body.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BadChunk;
 
@@ -24,25 +24,25 @@
     Trailer,
 }
 
-/// Decodes chunks as their bytes come in.
+/// Incremental decoder of a chunked body.
 #[derive(Debug)]
 pub struct ChunkDecoder {
     state: State,
 }
 
 impl ChunkDecoder {
-    /// Returns a decoder at the beginning of a body.
+    /// Returns a decoder at the start of a body.
     pub fn new() -> Self {
         Self { state: State::Size }
     }
 
-    /// Decodes what it can of `input` and appends the data to `body`.
+    /// Decodes as much of `input` as possible and appends the data to `body`.
     ///
-    /// Returns how many bytes of `input` are used up, and what comes next.
+    /// Returns the number of bytes consumed and whether more input is needed.
     ///
     /// # Errors
     ///
-    /// Fails where the bytes do not have the form.
+    /// Returns an error if the input is malformed.
     pub fn decode(&mut self, input: &[u8], body: &mut Vec<u8>) -> Result<(usize, Step), BadChunk> {
         let mut used = 0;
         loop {
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Decodes one element; returns its size and whether the body ended.
+    /// Decodes one element; returns its size and whether the body is complete.
     fn decode_one(
         &mut self,
         input: &[u8],
@@ -113,7 +113,7 @@
     }
 }
 
-/// Returns the first line without its end, or nothing where it is not whole.
+/// Returns the first line without its CRLF, or `None` if it is incomplete.
 fn line(input: &[u8]) -> Result<Option<&[u8]>, BadChunk> {
     let Some(end) = input.iter().position(|&byte| byte == b'\n') else {
         if input.len() > LINE_MAX_BYTES {
--- a/crates/foxtide-http/src/exchange.rs
+++ b/crates/foxtide-http/src/exchange.rs
@@ -1,4 +1,4 @@
-//! One request for one response on one connection.
+//! Reads the complete response to a request.
 
 use crate::forwarded::ForwardedResponse;
 use crate::head::BodyLength;
@@ -9,37 +9,37 @@
 };
 use crate::stream::BufferedStream;
 
-/// The longest head of a response; upstreams send a few hundred bytes.
+/// Maximum size of a response head.
 const RESPONSE_HEAD_MAX_BYTES: usize = 64 * 1_024;
 
-/// The most interim responses (1xx) before the final one.
+/// Maximum number of interim responses (1xx) before the final one.
 const INTERIM_RESPONSES_MAX: usize = 8;
 
-/// A whole response.
+/// Complete response.
 #[derive(Clone, Debug)]
 pub struct WholeResponse {
-    /// The head.
+    /// Head.
     pub head: ForwardedResponse,
-    /// The body, without chunks.
+    /// Body, with the chunked coding removed.
     pub body: Vec<u8>,
 }
 
 impl WholeResponse {
-    /// Tells whether the connection can carry a further request after this
-    /// response.
+    /// Returns whether the connection can be reused after this response.
     pub fn keeps_connection(&self) -> bool {
         !self.head.close && self.head.length != BodyLength::UntilClose
     }
 }
 
-/// Reads the final response to a request of `method`, whole.
+/// Reads the complete final response to a request of `method`.
 ///
-/// A body without a stated length ends with the connection; one that is reset
-/// is an error.
+/// A body without a stated length ends when the connection closes; a reset is
+/// an error.
 ///
 /// # Errors
 ///
-/// Fails where no whole response with a body of at most `limit_bytes` came.
+/// Returns an error if the response is incomplete or malformed, or if its body
+/// exceeds `limit_bytes`.
 pub async fn read_response(
     stream: &mut BufferedStream,
     method: &str,
--- a/crates/foxtide-http/src/forwarded.rs
+++ b/crates/foxtide-http/src/forwarded.rs
@@ -1,5 +1,5 @@
-//! Heads that are passed on as they came: the target's bytes and the header
-//! lines stay unchanged, save those for one connection alone.
+//! Heads that are forwarded with their target and header lines unchanged,
+//! except for hop-by-hop headers.
 
 use crate::head::{
     BodyLength,
@@ -27,7 +27,7 @@
 const NO_CONTENT: u16 = 204;
 const NOT_MODIFIED: u16 = 304;
 
-/// Header lines in their order; names compare without regard to case.
+/// Header lines in their original order; names are case-insensitive.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct HeaderLines(Vec<HeaderLine>);
 
@@ -38,50 +38,50 @@
 }
 
 impl fmt::Debug for HeaderLine {
-    /// Writes the name and the size: values may be secrets.
+    /// Omits the value, which may be secret.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}: ({} bytes)", self.name, self.value.len())
     }
 }
 
 impl HeaderLines {
-    /// Returns the first value under `name`.
+    /// Returns the first value of `name`.
     pub fn get(&self, name: &str) -> Option<&[u8]> {
         let mut lines = self.0.iter();
         let line = lines.find(|line| line.name.eq_ignore_ascii_case(name))?;
         Some(&line.value)
     }
 
-    /// Returns the first value under `name` where it is UTF-8.
+    /// Returns the first value of `name` if it is UTF-8.
     pub fn text(&self, name: &str) -> Option<&str> {
         std::str::from_utf8(self.get(name)?).ok()
     }
 
-    /// Returns all values under `name`, in their order.
+    /// Returns all values of `name` in order.
     pub fn all<'a>(&'a self, name: &'a str) -> impl Iterator<Item = &'a [u8]> + 'a {
         let lines = self.0.iter();
         let of_name = lines.filter(|line| line.name.eq_ignore_ascii_case(name));
         of_name.map(|line| line.value.as_slice())
     }
 
-    /// Removes the lines under `name` whose values `is_unwanted` names.
+    /// Removes the lines of `name` whose value satisfies `is_unwanted`.
     pub fn remove_where(&mut self, name: &str, is_unwanted: impl Fn(&[u8]) -> bool) {
         self.0
             .retain(|line| !line.name.eq_ignore_ascii_case(name) || !is_unwanted(&line.value));
     }
 
-    /// Removes all lines under `name`.
+    /// Removes all lines of `name`.
     pub fn remove(&mut self, name: &str) {
         self.0.retain(|line| !line.name.eq_ignore_ascii_case(name));
     }
 
-    /// Replaces all lines under `name` by one.
+    /// Replaces all lines of `name` by one.
     pub fn set(&mut self, name: &str, value: &str) {
         self.remove(name);
         self.push(name, value.as_bytes());
     }
 
-    /// Appends the lines to a message under construction.
+    /// Appends the encoded lines to `message`.
     pub fn encode(&self, message: &mut Vec<u8>) {
         for line in &self.0 {
             message.extend_from_slice(line.name.as_bytes());
@@ -99,7 +99,7 @@
     }
 }
 
-/// What the lines say of the connection and of the body.
+/// Connection options and body framing of a message.
 #[derive(Debug)]
 struct Framing {
     length: BodyLength,
@@ -108,46 +108,46 @@
     keep_alive: Option<Duration>,
 }
 
-/// The head of a request to be passed on.
+/// Head of a request to forward.
 #[derive(Clone, Debug)]
 pub struct ForwardedRequest {
-    /// The method, as it came.
+    /// Method as received.
     pub method: String,
-    /// The target in origin form, as it came.
+    /// Target in origin form as received.
     pub target: String,
-    /// The host, in lower case and without its port.
+    /// Host in lower case, without the port.
     pub host: String,
-    /// The lines to be passed on.
+    /// Header lines to forward.
     pub lines: HeaderLines,
-    /// The body's length.
+    /// Length of the body.
     pub length: BodyLength,
-    /// Whether the caller closes the connection after this exchange.
+    /// Whether the client closes the connection after this exchange.
     pub close: bool,
-    /// Whether the caller waits for `100 Continue`.
+    /// Whether the client waits for `100 Continue`.
     pub expects_continue: bool,
 }
 
-/// The head of a response to be passed on.
+/// Head of a response to forward.
 #[derive(Clone, Debug)]
 pub struct ForwardedResponse {
-    /// The status code.
+    /// Status code.
     pub status: u16,
-    /// The lines to be passed on.
+    /// Header lines to forward.
     pub lines: HeaderLines,
-    /// The body's length as the lines state it.
+    /// Length of the body as stated in the head.
     pub length: BodyLength,
-    /// Whether the upstream closes the connection after this exchange.
+    /// Whether the server closes the connection after this exchange.
     pub close: bool,
-    /// How long the upstream keeps the connection open while it is idle.
+    /// How long the server keeps an idle connection open.
     pub keep_alive: Option<Duration>,
 }
 
 impl ForwardedRequest {
-    /// Parses a whole head, the empty line included.
+    /// Parses a complete head, including the empty line.
     ///
     /// # Errors
     ///
-    /// Fails where the head cannot be understood in just one way.
+    /// Returns an error if the head is malformed or ambiguous.
     pub fn parse(bytes: &[u8]) -> Result<Self, HeadError> {
         let mut lines = [httparse::EMPTY_HEADER; HEADER_LINES_MAX];
         let mut parsed = httparse::Request::new(&mut lines);
@@ -168,17 +168,17 @@
         })
     }
 
-    /// Returns the path without its query.
+    /// Returns the path without the query.
     pub fn path(&self) -> &str {
         self.target.split('?').next().unwrap_or_default()
     }
 
-    /// Returns the query, empty where there is none.
+    /// Returns the query, or an empty string.
     pub fn query(&self) -> &str {
         self.target.split_once('?').map_or("", |(_, query)| query)
     }
 
-    /// Encodes the head and the body that follows it.
+    /// Encodes the head, followed by `body`.
     pub fn encode(&self, body: &[u8]) -> Vec<u8> {
         let mut message = Vec::with_capacity(512 + body.len());
         message.extend_from_slice(self.method.as_bytes());
@@ -197,11 +197,11 @@
 }
 
 impl ForwardedResponse {
-    /// Parses a whole head, the empty line included.
+    /// Parses a complete head, including the empty line.
     ///
     /// # Errors
     ///
-    /// Fails where the head cannot be understood in just one way.
+    /// Returns an error if the head is malformed or ambiguous.
     pub fn parse(bytes: &[u8]) -> Result<Self, HeadError> {
         let mut lines = [httparse::EMPTY_HEADER; HEADER_LINES_MAX];
         let mut parsed = httparse::Response::new(&mut lines);
@@ -216,12 +216,12 @@
         })
     }
 
-    /// Tells whether the final response is still to come.
+    /// Returns whether this is an interim response (1xx).
     pub fn is_interim(&self) -> bool {
         (100..200).contains(&self.status)
     }
 
-    /// Returns the length of the body that follows in response to `method`.
+    /// Returns the length of the body in response to a request of `method`.
     pub fn body_length(&self, method: &str) -> BodyLength {
         let without = method == "HEAD" || matches!(self.status, NO_CONTENT | NOT_MODIFIED);
         if without {
@@ -272,14 +272,14 @@
     for token in tokens.split(',').map(str::trim) {
         match token {
             CLOSE => framing.close = true,
-            // Not a name of headers, and sent with most messages.
+            // A connection option, not a header name.
             KEEP_ALIVE | "" => {}
             _ => nominated.push(token.to_owned()),
         }
     }
 }
 
-/// Reads `timeout=SECONDS` among the parameters of `Keep-Alive`.
+/// Returns the `timeout` parameter of a `Keep-Alive` header.
 fn keep_alive_timeout(value: &[u8]) -> Option<Duration> {
     let text = std::str::from_utf8(value).ok()?;
     text.split(',')
@@ -289,7 +289,7 @@
         .map(Duration::from_secs)
 }
 
-/// Returns the host of a request without its port, in lower case.
+/// Returns the host of a request in lower case, without the port.
 fn request_host(lines: &[httparse::Header<'_>]) -> Result<String, HeadError> {
     let mut hosts = lines
         .iter()
--- a/crates/foxtide-http/src/head.rs
+++ b/crates/foxtide-http/src/head.rs
@@ -1,4 +1,4 @@
-//! The head of a message and what it says about the body's length.
+//! Heads of messages and the body framing that they state.
 
 use crate::headers::{
     empty_headers,
@@ -17,7 +17,7 @@
 };
 use std::str::FromStr;
 
-/// The most header lines of a message.
+/// Maximum number of header lines in a message.
 pub(crate) const HEADER_LINES_MAX: usize = 128;
 
 const CHUNKED: &str = "chunked";
@@ -25,83 +25,85 @@
 pub(crate) const CLOSE: &str = "close";
 const KEEP_ALIVE: &str = "keep-alive";
 
-/// How long a message's body is (RFC 9112, section 6.3).
+/// Length of a message body (RFC 9112, section 6.3).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BodyLength {
-    /// There is none.
+    /// No body.
     None,
-    /// The head states the length.
+    /// Length stated in the head.
     Fixed {
-        /// The length.
+        /// Length.
         size_bytes: u64,
     },
-    /// The body comes in chunks and ends with an empty one.
+    /// Chunked body.
     Chunked,
-    /// The body ends with the connection, so that a cut cannot be seen.
+    /// Body that ends when the connection closes, so that truncation is
+    /// undetectable.
     UntilClose,
 }
 
-/// Why a head is refused.
+/// Reason why a head is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum HeadError {
-    /// The bytes are not a head.
-    #[error("the head is malformed")]
+    /// The head is malformed.
+    #[error("malformed head")]
     Malformed,
-    /// Two parties may see different ends of this message (RFC 9112, 11.2).
-    #[error("the length of the body is ambiguous")]
+    /// Recipients may disagree on the end of the message (RFC 9112, section
+    /// 11.2).
+    #[error("ambiguous body length")]
     AmbiguousLength,
     /// The version is not HTTP/1.1.
-    #[error("the version is not HTTP/1.1")]
+    #[error("HTTP version is not 1.1")]
     Version,
-    /// The method or the status is not known.
-    #[error("the method or status is not known")]
+    /// The method or status is unknown.
+    #[error("unknown method or status")]
     Unknown,
     /// The transfer coding is not `chunked`.
-    #[error("the transfer coding is not known")]
+    #[error("unsupported transfer coding")]
     TransferCoding,
 }
 
-/// The parts common to the heads of requests and of answers.
+/// Parts common to the heads of requests and responses.
 #[derive(Debug)]
 pub struct Head {
-    /// The header lines that are to be passed on.
+    /// Headers to forward.
     pub headers: Headers,
-    /// The body's length.
+    /// Length of the body.
     pub length: BodyLength,
     /// Whether the peer closes the connection after this message.
     pub close: bool,
-    /// Whether the peer waits for `100 Continue` before it sends the body.
+    /// Whether the peer waits for `100 Continue` before sending the body.
     pub expects_continue: bool,
 }
 
-/// The head of a request.
+/// Head of a request.
 #[derive(Debug)]
 pub struct RequestHead {
-    /// The method.
+    /// Method.
     pub method: Method,
-    /// The target, with dot segments resolved (RFC 3986, section 6.2.2.3).
+    /// Target, with dot segments removed (RFC 3986, section 6.2.2.3).
     pub url: Url,
-    /// The rest.
+    /// Headers and framing.
     pub head: Head,
 }
 
-/// The head of an answer.
+/// Head of a response.
 #[derive(Debug)]
 pub struct ResponseHead {
-    /// The status.
+    /// Status.
     pub status: StatusCode,
-    /// The rest.
+    /// Headers and framing.
     pub head: Head,
 }
 
 impl RequestHead {
-    /// Parses a whole head, the empty line included.
+    /// Parses a complete head, including the empty line.
     ///
     /// # Errors
     ///
-    /// Fails where the head cannot be understood in just one way.
+    /// Returns an error if the head is malformed or ambiguous.
     pub fn parse(bytes: &[u8]) -> Result<Self, HeadError> {
-        // Headers of http-types hold ASCII alone.
+        // http-types accepts only ASCII headers.
         if !bytes.is_ascii() {
             return Err(HeadError::Malformed);
         }
@@ -116,11 +118,11 @@
 }
 
 impl ResponseHead {
-    /// Parses a whole head.
+    /// Parses a complete head, including the empty line.
     ///
     /// # Errors
     ///
-    /// Fails where the head cannot be understood in just one way.
+    /// Returns an error if the head is malformed or ambiguous.
     pub fn parse(bytes: &[u8]) -> Result<Self, HeadError> {
         let mut lines = [httparse::EMPTY_HEADER; HEADER_LINES_MAX];
         let mut parsed = httparse::Response::new(&mut lines);
@@ -130,8 +132,8 @@
         Ok(Self { status, head })
     }
 
-    /// Returns the length of the body that follows in answer to a request of
-    /// `method`; the head may state that of a body that is not sent.
+    /// Returns the length of the body in response to a request of `method`; the
+    /// head may state a length although no body is sent.
     pub fn body_length(&self, method: Method) -> BodyLength {
         if has_body(method, self.status) {
             self.head.length
@@ -140,7 +142,7 @@
         }
     }
 
-    /// Tells whether the final answer is still to come.
+    /// Returns whether this is an interim response (1xx).
     pub fn is_interim(&self) -> bool {
         self.status.is_informational()
     }
@@ -170,7 +172,8 @@
         Ok(head)
     }
 
-    /// Takes a line that tells of the connection and the headers meant for it.
+    /// Handles a `Connection` line; collects the hop-by-hop headers that it
+    /// names.
     fn take_connection(
         &mut self,
         line: &httparse::Header<'_>,
@@ -183,7 +186,7 @@
         for token in tokens.split(',').map(str::trim) {
             match token {
                 CLOSE => self.close = true,
-                // Not a name of headers, and sent with most messages.
+                // A connection option, not a header name.
                 KEEP_ALIVE | "" => {}
                 _ if token.is_ascii() => nominated.push(token.to_owned()),
                 _ => {}
@@ -192,7 +195,7 @@
         true
     }
 
-    /// Takes a line that says for what the peer waits.
+    /// Handles an `Expect` line.
     fn take_expect(&mut self, line: &httparse::Header<'_>) -> bool {
         if !line.name.eq_ignore_ascii_case(name::EXPECT) {
             return false;
@@ -201,7 +204,8 @@
         true
     }
 
-    /// Takes a line that frames the message; `framed` tells of an earlier one.
+    /// Handles a line that frames the body; `framed` tells whether one came
+    /// before.
     fn take_framing(
         &mut self,
         line: &httparse::Header<'_>,
@@ -219,7 +223,7 @@
 
     fn append(&mut self, line: &httparse::Header<'_>) -> Result<(), HeadError> {
         let header = HeaderName::from_str(line.name).map_err(|_| HeadError::Malformed)?;
-        // http-types holds ASCII alone; a line beyond it cannot be carried on.
+        // http-types accepts only ASCII; other lines are dropped.
         let Ok(value) = HeaderValue::from_bytes(line.value.to_vec()) else {
             return Ok(());
         };
@@ -280,7 +284,7 @@
     false
 }
 
-/// Returns the body's length where a line states it.
+/// Returns the length of the body if the line states it.
 pub(crate) fn stated_length(line: &httparse::Header<'_>) -> Result<Option<BodyLength>, HeadError> {
     if line.name.eq_ignore_ascii_case(name::CONTENT_LENGTH) {
         content_length(line.value).map(Some)
@@ -308,7 +312,7 @@
     }
 }
 
-/// Returns the URL of an origin-form target under the request's host.
+/// Returns the URL of an origin-form target on the request's host.
 fn request_url(target: &str, lines: &[httparse::Header<'_>]) -> Result<Url, HeadError> {
     let mut hosts = lines
         .iter()
@@ -323,8 +327,8 @@
     Url::parse(&format!("http://{host}{target}")).map_err(|_| HeadError::Malformed)
 }
 
-/// Tells whether a byte may stand in a host and port (RFC 3986, section 3.2.2),
-/// so that no part of a host can be read as part of the path.
+/// Returns whether a byte may occur in a host and port (RFC 3986, section
+/// 3.2.2), so that no part of the host is parsed as a path.
 pub(crate) fn is_host_byte(byte: u8) -> bool {
     byte.is_ascii_alphanumeric() || matches!(byte, b'.' | b'-' | b'_' | b':' | b'[' | b']')
 }
--- a/crates/foxtide-http/src/headers.rs
+++ b/crates/foxtide-http/src/headers.rs
@@ -1,4 +1,4 @@
-//! Names of headers, and those that end at each hop.
+//! Header names and hop-by-hop headers.
 
 use http_types::headers::Headers;
 use http_types::{
@@ -9,40 +9,41 @@
 
 /// Names of the headers that foxtide reads or writes.
 pub mod name {
-    /// Options of one connection.
+    /// Connection options.
     pub const CONNECTION: &str = "connection";
-    /// The size of a body.
+    /// Length of the body.
     pub const CONTENT_LENGTH: &str = "content-length";
-    /// The type of a body.
+    /// Type of the body.
     pub const CONTENT_TYPE: &str = "content-type";
-    /// For what a sender waits before it sends the body.
+    /// Expectation of the client, such as `100-continue`.
     pub const EXPECT: &str = "expect";
-    /// The host that is meant.
+    /// Host of the target.
     pub const HOST: &str = "host";
-    /// Where to go instead.
+    /// Target of a redirect.
     pub const LOCATION: &str = "location";
-    /// When to come back, in seconds.
+    /// Delay after which to retry, in seconds.
     pub const RETRY_AFTER: &str = "retry-after";
-    /// How a body without a stated size is sent.
+    /// Transfer coding of the body.
     pub const TRANSFER_ENCODING: &str = "transfer-encoding";
 
-    /// The time left for a request, in milliseconds.
+    /// Time left for a request, in milliseconds.
     pub const DEADLINE_MS: &str = "foxtide-deadline-ms";
-    /// The key under which a request runs at most once.
+    /// Key under which a request is executed at most once.
     pub const IDEMPOTENCY_KEY: &str = "idempotency-key";
-    /// The name of the answering process, for idempotency keys.
+    /// Owner id of the answering process, for idempotency keys.
     pub const OWNER: &str = "foxtide-owner";
-    /// What is known of a request that foxtide itself answers.
+    /// What is known about the execution of a request that foxtide itself
+    /// answers.
     pub const OUTCOME: &str = "foxtide-outcome";
-    /// The identity of a request.
+    /// Request id.
     pub const REQUEST_ID: &str = "foxtide-request-id";
-    /// What an upstream says of itself.
+    /// State that an upstream announces, such as draining.
     pub const UPSTREAM_STATE: &str = "foxtide-upstream-state";
-    /// What an upstream says of its load (Open Request Cost Aggregation).
+    /// Load report of an upstream (Open Request Cost Aggregation).
     pub const LOAD_METRICS: &str = "endpoint-load-metrics";
 }
 
-/// The headers that are for the next hop alone (RFC 9110, section 7.6.1).
+/// Headers for the next hop only (RFC 9110, section 7.6.1).
 const HOP_BY_HOP: [&str; 9] = [
     name::CONNECTION,
     "keep-alive",
@@ -57,13 +58,13 @@
 
 /// Returns an empty set of headers.
 pub fn empty_headers() -> Headers {
-    // http-types makes headers together with a message only.
+    // http-types creates headers only as part of a message.
     static EMPTY: LazyLock<Headers> =
         LazyLock::new(|| AsRef::<Headers>::as_ref(&Response::new(StatusCode::Ok)).clone());
     EMPTY.clone()
 }
 
-/// Tells whether a header is for the next hop alone.
+/// Returns whether a header is for the next hop only.
 pub(crate) fn is_hop_by_hop(header: &str) -> bool {
     HOP_BY_HOP
         .iter()
--- a/crates/foxtide-http/src/lib.rs
+++ b/crates/foxtide-http/src/lib.rs
@@ -1,7 +1,7 @@
-//! HTTP/1.1 messages on a socket (RFC 9112): where they begin and end.
+//! Reads and writes HTTP/1.1 messages on sockets (RFC 9112).
 //!
-//! A message is taken off a connection to its exact last byte, so that what
-//! follows belongs to the next message and to no other.
+//! A message is read exactly to its last byte, so that following bytes belong
+//! to the next message.
 
 mod chunked;
 mod exchange;
--- a/crates/foxtide-http/src/message.rs
+++ b/crates/foxtide-http/src/message.rs
@@ -1,4 +1,4 @@
-//! Reads heads and bodies off a connection, to their exact end.
+//! Reads message heads and bodies from a connection.
 
 use crate::chunked::{
     ChunkDecoder,
@@ -13,42 +13,42 @@
 
 const HEAD_END: &[u8] = b"\r\n\r\n";
 
-/// Why no whole message was read.
+/// Reason why a message could not be read.
 #[derive(Debug, thiserror::Error)]
 pub enum MessageError {
-    /// The socket failed.
-    #[error("the connection failed: {0}")]
+    /// A socket operation failed.
+    #[error("connection failed: {0}")]
     Io(#[from] io::Error),
-    /// The connection ended inside a message.
-    #[error("the connection ended inside a message")]
+    /// The connection ended within a message.
+    #[error("connection ended within a message")]
     Truncated,
-    /// The head is longer than allowed.
-    #[error("the head is too long")]
+    /// The head exceeds the limit.
+    #[error("head exceeds the size limit")]
     HeadTooLong,
-    /// The body is longer than allowed.
-    #[error("the body is too long")]
+    /// The body exceeds the limit.
+    #[error("body exceeds the size limit")]
     BodyTooLong,
-    /// The body is not in chunks as its head says.
-    #[error("the chunks are malformed")]
+    /// The chunked body is malformed.
+    #[error("malformed chunked body")]
     BadChunk,
-    /// More follows the body than its head states.
-    #[error("more follows the body than its head states")]
+    /// Bytes follow the stated end of the body.
+    #[error("bytes follow the stated end of the body")]
     TrailingBytes,
-    /// The end of the body cannot be told from a cut.
-    #[error("the body has no stated end")]
+    /// The body has no stated end, so that truncation is undetectable.
+    #[error("body has no stated length")]
     UnknownLength,
-    /// The head was refused.
+    /// The head is rejected.
     #[error(transparent)]
     Head(#[from] HeadError),
 }
 
-/// Reads the bytes of a head, the empty line included.
+/// Reads a head, including the empty line.
 ///
-/// Returns nothing where the connection ended before the first byte.
+/// Returns `None` if the connection ends before the first byte.
 ///
 /// # Errors
 ///
-/// Fails where no whole head of at most `limit_bytes` came.
+/// Returns an error if the head is incomplete or exceeds `limit_bytes`.
 pub async fn read_head(
     stream: &mut BufferedStream,
     limit_bytes: usize,
@@ -74,7 +74,7 @@
     }
 }
 
-/// Returns the size of the head that `bytes` begin with, if it is whole.
+/// Returns the size of the head at the start of `bytes`, if it is complete.
 fn head_size(bytes: &[u8], searched_bytes: usize) -> Option<usize> {
     let from = searched_bytes.saturating_sub(HEAD_END.len() - 1);
     let found = bytes[from..]
@@ -83,11 +83,13 @@
     Some(from + found + HEAD_END.len())
 }
 
-/// Reads a whole body of at most `limit_bytes`, decoded where it is in chunks.
+/// Reads a complete body of at most `limit_bytes`, with the chunked coding
+/// removed.
 ///
 /// # Errors
 ///
-/// Fails where the body is too long, is cut, or has no stated end.
+/// Returns an error if the body is too long, truncated or malformed, or has no
+/// stated end.
 pub async fn read_body(
     stream: &mut BufferedStream,
     length: BodyLength,
@@ -108,33 +110,33 @@
     Ok(body)
 }
 
-/// Whether more of a body is to come.
+/// Whether a body has been read completely.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Progress {
-    /// More is to come.
+    /// More of the body is to come.
     More,
-    /// The body was read to its exact end.
+    /// The body is complete.
     End,
 }
 
-/// Reads a body piece by piece, decoded where it is in chunks.
+/// Incremental reader of a body, with the chunked coding removed.
 #[derive(Debug)]
 pub enum BodyReader {
-    /// The head states the length.
+    /// Body with a stated length.
     Fixed {
-        /// What is still to be read.
+        /// Number of bytes still to be read.
         left_bytes: u64,
     },
-    /// The body is in chunks.
+    /// Chunked body.
     Chunked(ChunkDecoder),
 }
 
 impl BodyReader {
-    /// Returns a reader at the beginning of a body.
+    /// Returns a reader at the start of a body.
     ///
     /// # Errors
     ///
-    /// Fails where the body's end cannot be told from a cut.
+    /// Returns an error if the body has no stated end.
     pub fn new(length: BodyLength) -> Result<Self, MessageError> {
         match length {
             BodyLength::None => Ok(Self::Fixed { left_bytes: 0 }),
@@ -146,11 +148,11 @@
         }
     }
 
-    /// Reads some of the body and appends it to `body`.
+    /// Reads part of the body and appends it to `body`.
     ///
     /// # Errors
     ///
-    /// Fails where the body is cut or malformed.
+    /// Returns an error if the body is truncated or malformed.
     pub async fn read_some(
         &mut self,
         stream: &mut BufferedStream,
@@ -169,7 +171,7 @@
         self.take(stream, body)
     }
 
-    /// Takes what the connection has at hand.
+    /// Takes buffered bytes without reading from the socket.
     fn take(
         &mut self,
         stream: &mut BufferedStream,
@@ -200,7 +202,7 @@
     }
 }
 
-/// Appends without a copy where there was nothing before.
+/// Appends `piece`, without a copy if `body` is empty.
 fn append(body: &mut Vec<u8>, piece: Vec<u8>) {
     if body.is_empty() {
         *body = piece;
--- a/crates/foxtide-http/src/stream.rs
+++ b/crates/foxtide-http/src/stream.rs
@@ -1,4 +1,4 @@
-//! A socket with what was read from it beyond the last message.
+//! Buffered TCP connection.
 
 use smol::Async;
 use socket2::{
@@ -21,25 +21,24 @@
 };
 use std::time::Duration;
 
-/// Enough for most messages; it is cleared for each read.
+/// Size of a read; the buffer is zeroed each time.
 const READ_CHUNK_BYTES: usize = 4 * 1_024;
 
-/// What is read at a time of a long body.
+/// Size of a read from a long body.
 const READ_BULK_BYTES: usize = 64 * 1_024;
 
-/// What a look at an idle socket found, without taking anything off it.
+/// State of a socket, determined without consuming input.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum IdleState {
-    /// Nothing waits and the peer has not closed.
+    /// The connection is open and nothing is unread.
     Idle,
-    /// Bytes wait that nobody asked for, or the peer has closed.
+    /// Bytes are unread, or the peer has closed or reset the connection.
     Readable,
 }
 
-/// A TCP connection that counts what it sends and keeps what it read ahead.
+/// TCP connection that buffers input and counts sent bytes.
 ///
-/// It holds no memory for reading while it waits, so that an idle connection
-/// is cheap.
+/// It holds no read buffer while it waits, so that idle connections are cheap.
 #[derive(Debug)]
 pub struct BufferedStream {
     socket: Async<TcpStream>,
@@ -50,7 +49,7 @@
 impl BufferedStream {
     /// Wraps a connected socket.
     pub fn new(socket: Async<TcpStream>) -> Self {
-        // Answers are written whole, so waiting to fill packets only delays them.
+        // Messages are written whole; delaying packets has no benefit.
         let _ = socket.get_ref().set_nodelay(true);
         Self {
             socket,
@@ -59,11 +58,11 @@
         }
     }
 
-    /// Connects to `address`.
+    /// Connects to `address`, from the local address `source` if given.
     ///
     /// # Errors
     ///
-    /// Fails where the peer does not take the connection.
+    /// Returns an error if the connection fails.
     pub async fn connect(address: SocketAddr, source: Option<IpAddr>) -> io::Result<Self> {
         let socket = match source {
             Some(source) => connect_from(source, address).await?,
@@ -72,37 +71,37 @@
         Ok(Self::new(socket))
     }
 
-    /// Has the system fail the connection where what was sent stays
-    /// unacknowledged for `limit`: the peer has lost power or is cut off.
+    /// Makes the connection fail if sent data stays unacknowledged for `limit`
+    /// (`TCP_USER_TIMEOUT`).
     ///
     /// # Errors
     ///
-    /// Fails where the system does not know the option.
+    /// Returns an error if the system does not support the option.
     pub fn set_user_timeout(&self, limit: Duration) -> io::Result<()> {
         SockRef::from(self.socket.get_ref()).set_tcp_user_timeout(Some(limit))
     }
 
-    /// Returns what was read and not yet consumed.
+    /// Returns the bytes that were read but not consumed.
     pub fn buffered(&self) -> &[u8] {
         &self.buffer
     }
 
-    /// Removes and returns the first `size_bytes` of what was read.
+    /// Removes and returns the first `size_bytes` buffered bytes.
     pub fn consume(&mut self, size_bytes: usize) -> Vec<u8> {
         let rest = self.buffer.split_off(size_bytes);
         std::mem::replace(&mut self.buffer, rest)
     }
 
-    /// Returns how many bytes the system has taken for sending so far.
+    /// Returns the number of bytes passed to the system so far.
     pub fn sent_bytes(&self) -> u64 {
         self.sent_bytes
     }
 
-    /// Reads more and returns how many bytes came; 0 at the end of the stream.
+    /// Reads more and returns the number of bytes, 0 at the end of the stream.
     ///
     /// # Errors
     ///
-    /// Fails as the socket does.
+    /// Returns an error if the socket fails.
     pub async fn fill(&mut self) -> io::Result<usize> {
         let buffer = &mut self.buffer;
         let read = |mut socket: &TcpStream| {
@@ -111,21 +110,21 @@
             buffer.extend_from_slice(&chunk[..size_bytes]);
             Ok(size_bytes)
         };
-        // `Async` takes `FnMut(&T)`, and `Read` is there for `&TcpStream`.
+        // `Async` takes `FnMut(&T)`, and `&TcpStream` implements `Read`.
         self.socket.read_with(read).await
     }
 
-    /// Reads more of a body of which `left_bytes` are missing; returns how many
-    /// bytes came, 0 at the end of the stream.
+    /// Reads more of a body of which `left_bytes` are missing and returns the
+    /// number of bytes, 0 at the end of the stream.
     ///
     /// # Errors
     ///
-    /// Fails as the socket does.
+    /// Returns an error if the socket fails.
     pub async fn fill_body(&mut self, left_bytes: u64) -> io::Result<usize> {
         if left_bytes <= READ_CHUNK_BYTES as u64 {
             return self.fill().await;
         }
-        // Nothing is allocated until there is something to be read.
+        // Allocates only once the socket is readable.
         self.socket.readable().await?;
         let buffer = &mut self.buffer;
         let read = |mut socket: &TcpStream| {
@@ -142,7 +141,8 @@
     ///
     /// # Errors
     ///
-    /// Fails as the socket does; [`Self::sent_bytes`] then tells how far it came.
+    /// Returns an error if the socket fails; [`Self::sent_bytes`] then tells
+    /// how much was written.
     pub async fn write_all(&mut self, bytes: &[u8]) -> io::Result<()> {
         let mut rest = bytes;
         while !rest.is_empty() {
@@ -159,7 +159,7 @@
         Ok(())
     }
 
-    /// Looks whether the connection is open with nothing waiting on it.
+    /// Checks for unread bytes and for a closed connection.
     pub fn idle_state(&self) -> IdleState {
         if !self.buffer.is_empty() {
             return IdleState::Readable;
@@ -172,7 +172,7 @@
 
     /// Waits until the peer has closed or reset the connection.
     ///
-    /// Never returns where the peer sends more instead: it is still there.
+    /// Never completes if the peer sends more data.
     pub async fn closed_by_peer(&self) {
         let peeked = self.socket.read_with(|socket| socket.peek(&mut [0])).await;
         if matches!(peeked, Ok(size_bytes) if size_bytes > 0) {
@@ -180,15 +180,15 @@
         }
     }
 
-    /// Ends the sending half: the peer reads the end after all that was sent.
+    /// Shuts down the sending half.
     pub fn shutdown_write(&self) {
         let _ = self.socket.get_ref().shutdown(Shutdown::Write);
     }
 
-    /// Reads and drops what still comes, at most `limit_bytes`.
+    /// Reads and discards at most `limit_bytes`.
     ///
-    /// A socket closed with unread bytes resets the connection, and the peer
-    /// may then lose the answer that was sent before.
+    /// Closing a socket with unread bytes resets the connection, and the peer
+    /// may lose the answer sent before.
     pub async fn discard(&mut self, limit_bytes: usize) {
         let mut discarded = 0;
         while discarded < limit_bytes {
@@ -201,7 +201,7 @@
     }
 }
 
-/// Connects from an address of this machine's own.
+/// Connects from a local address.
 async fn connect_from(source: IpAddr, address: SocketAddr) -> io::Result<Async<TcpStream>> {
     let socket = Socket::new(Domain::for_address(address), Type::STREAM, None)?;
     socket.set_nonblocking(true)?;
@@ -212,8 +212,7 @@
         Err(error) => return Err(error),
     }
     let stream = Async::new(TcpStream::from(socket))?;
-    // The connection is made, or has failed, once it can be written to
-    // (connect(2), EINPROGRESS).
+    // Writable once connected or failed (connect(2), EINPROGRESS).
     stream.writable().await?;
     match stream.get_ref().take_error()? {
         Some(error) => Err(error),
@@ -221,7 +220,7 @@
     }
 }
 
-/// Tells whether a connection is being made, which is no failure.
+/// Returns whether an error means that the connection is being established.
 fn is_in_progress(error: &io::Error) -> bool {
     const EINPROGRESS: i32 = 115;
     error.kind() == io::ErrorKind::WouldBlock || error.raw_os_error() == Some(EINPROGRESS)
