--- a/crates/foxtide-entry/src/admin.rs
+++ b/crates/foxtide-entry/src/admin.rs
@@ -73,9 +73,9 @@
         self.page(&request)
     }
 
-    fn caller_gone(&self, _caller: SocketAddr) {}
+    fn record_disconnect(&self, _caller: SocketAddr) {}
 
-    fn bad_request(&self, caller: SocketAddr, refusal: &Refusal) -> RequestId {
+    fn record_rejection(&self, caller: SocketAddr, refusal: &Refusal) -> RequestId {
         record_rejected(&*self.dependencies, caller, refusal)
     }
 }
--- a/crates/foxtide-entry/src/callers.rs
+++ b/crates/foxtide-entry/src/callers.rs
@@ -79,13 +79,13 @@
         answer
     }
 
-    fn caller_gone(&self, caller: SocketAddr) {
+    fn record_disconnect(&self, caller: SocketAddr) {
         let fields = EventFields::detail(format!("caller={caller}"));
         let recorder = self.dependencies.recorder();
         recorder.record(EventCode::RequestCancelled, fields);
     }
 
-    fn bad_request(&self, caller: SocketAddr, refusal: &Refusal) -> RequestId {
+    fn record_rejection(&self, caller: SocketAddr, refusal: &Refusal) -> RequestId {
         record_rejected(&*self.dependencies, caller, refusal)
     }
 }
--- a/crates/foxtide-entry/src/entry.rs
+++ b/crates/foxtide-entry/src/entry.rs
@@ -266,6 +266,6 @@
     }
 }
 
-fn local_address(listener: &Async<TcpListener>, asked: SocketAddr) -> SocketAddr {
-    listener.get_ref().local_addr().unwrap_or(asked)
+fn local_address(listener: &Async<TcpListener>, requested: SocketAddr) -> SocketAddr {
+    listener.get_ref().local_addr().unwrap_or(requested)
 }
--- a/crates/foxtide-entry/src/housekeeping.rs
+++ b/crates/foxtide-entry/src/housekeeping.rs
@@ -73,7 +73,7 @@
         let traffic = self.dependencies.traffic();
         traffic.tick(now, wall);
         traffic.publish_views(self.dependencies.explainer(), now, wall);
-        for change in traffic.changes(now) {
+        for change in traffic.status_changes(now) {
             self.record(change);
         }
         self.poller.start_due(executor);
--- a/crates/foxtide-entry/src/proxy/queue.rs
+++ b/crates/foxtide-entry/src/proxy/queue.rs
@@ -32,11 +32,11 @@
     /// Waits until the request is admitted to a region.
     pub(super) async fn admit(&self, context: &RequestContext) -> Result<Admitted, AdmissionError> {
         let draw = fastrand::f64();
-        let asked_at = self.dependencies.clock().now();
-        let mut now = asked_at;
+        let started_at = self.dependencies.clock().now();
+        let mut now = started_at;
         let mut waiting = None;
         loop {
-            match self.try_admit(context, draw, now - asked_at, now) {
+            match self.try_admit(context, draw, now - started_at, now) {
                 Admission::Send { region, spilled } => {
                     let rule = if spilled {
                         Rule::Spilled
@@ -112,9 +112,9 @@
                 SlotChoice::Wait(retry_in) => {
                     check_deadline(context, now, "no-slot")?;
                     self.enter_queue(&mut waiting)?;
-                    let again = retry_in.min(context.terms.deadline - now);
+                    let wait = retry_in.min(context.terms.deadline - now);
                     let timer = async {
-                        Timer::after(again).await;
+                        Timer::after(wait).await;
                     };
                     or(freed, timer).await;
                 }
--- a/crates/foxtide-entry/src/proxy/run.rs
+++ b/crates/foxtide-entry/src/proxy/run.rs
@@ -131,7 +131,7 @@
         id: RequestId,
     ) -> Result<Answer, Refusal> {
         let context =
-            RequestContext::of(&*self.dependencies, &self.options, &received, &target, id);
+            RequestContext::resolve(&*self.dependencies, &self.options, &received, &target, id);
         let context =
             context.map_err(|refusal| refusal.with_outcome(outcome_before_key_check(&received)))?;
         let claim = match self.claim(&context, &received, &target) {
@@ -195,8 +195,12 @@
         };
         let received_at = self.dependencies.clock().now();
         let answered = self.run_attempts(&mut run).await;
-        let took = self.dependencies.clock().now() - received_at;
-        context.service.metrics().seconds.record(took.as_secs_f64());
+        let elapsed = self.dependencies.clock().now() - received_at;
+        context
+            .service
+            .metrics()
+            .seconds
+            .record(elapsed.as_secs_f64());
         self.dependencies.explainer().record(run.decision);
         answered
     }
@@ -258,13 +262,13 @@
             freshness: freshness(context),
             time_left,
         };
-        let got = exchange(&self.pools, &self.options.limits, &request, now).await?;
-        if let Some(connection) = got.connection {
+        let received = exchange(&self.pools, &self.options.limits, &request, now).await?;
+        if let Some(connection) = received.connection {
             let now = self.dependencies.clock().now();
             let limit = destination.connection_limit;
             self.pools.put(address, connection, limit, now);
         }
-        Ok(got.answer)
+        Ok(received.answer)
     }
 
     /// Records how an attempt ended and decides on the next step.
--- a/crates/foxtide-entry/src/request_context.rs
+++ b/crates/foxtide-entry/src/request_context.rs
@@ -73,7 +73,7 @@
     ///
     /// Returns a refusal if the organisation or service is unknown or the
     /// deadline is malformed.
-    pub(crate) fn of<P: Dependencies>(
+    pub(crate) fn resolve<P: Dependencies>(
         dependencies: &P,
         options: &EntryOptions,
         received: &ReceivedRequest,
--- a/crates/foxtide-entry/src/serve/connection.rs
+++ b/crates/foxtide-entry/src/serve/connection.rs
@@ -35,10 +35,10 @@
     fn handle(&self, request: ReceivedRequest) -> impl Future<Output = Answer> + Send;
 
     /// Records that a caller disconnected before its answer.
-    fn caller_gone(&self, caller: SocketAddr);
+    fn record_disconnect(&self, caller: SocketAddr);
 
     /// Records a request that was rejected and returns its new id.
-    fn bad_request(&self, caller: SocketAddr, refusal: &Refusal) -> RequestId;
+    fn record_rejection(&self, caller: SocketAddr, refusal: &Refusal) -> RequestId;
 }
 
 /// Accepted connection.
@@ -89,12 +89,12 @@
         match waited {
             Ok(Next::Request) => Next::Request,
             // Serves a request that arrived at the same moment.
-            _ if self.stream.idle_state() == IdleState::Readable => self.last_fill().await,
+            _ if self.stream.idle_state() == IdleState::Readable => self.read_pending().await,
             _ => Next::Close,
         }
     }
 
-    async fn last_fill(&mut self) -> Next {
+    async fn read_pending(&mut self) -> Next {
         match self.stream.fill().await {
             Ok(size_bytes) if size_bytes > 0 => Next::Request,
             _ => Next::Close,
@@ -117,13 +117,13 @@
         let method = request.head.method;
         let close = request.head.head.close;
         let answered = async { Some(handler.handle(request).await) };
-        let gone = async {
+        let disconnected = async {
             self.stream.closed_by_peer().await;
             None
         };
         // Drops the work if the caller disconnects.
-        let Some(mut answer) = or(answered, gone).await else {
-            handler.caller_gone(self.peer);
+        let Some(mut answer) = or(answered, disconnected).await else {
+            handler.record_disconnect(self.peer);
             return Next::Close;
         };
         let close = close || self.state.is_draining();
@@ -140,7 +140,7 @@
         };
         let sent = self.send_bytes(&encoded.bytes).await;
         match encoded.long_body {
-            Some(body) if sent == Next::Request => self.send_long(*body).await,
+            Some(body) if sent == Next::Request => self.send_streamed(*body).await,
             _ => sent,
         }
     }
@@ -156,7 +156,7 @@
     /// Streams a body. If it fails, the connection closes before the stated
     /// length or the last chunk, so that the caller detects the truncation (RFC
     /// 9112, section 8).
-    async fn send_long(&mut self, mut body: LongBody) -> Next {
+    async fn send_streamed(&mut self, mut body: LongBody) -> Next {
         loop {
             match body.next().await {
                 Ok(None) => return Next::Request,
@@ -174,7 +174,7 @@
     }
 
     async fn refuse(&mut self, handler: &impl Handler, refusal: &Refusal) {
-        let request = handler.bad_request(self.peer, refusal);
+        let request = handler.record_rejection(self.peer, refusal);
         let mut answer = refusal.answer(request.as_str());
         answer.close();
         if self.send(answer, Method::Get).await == Next::Request {
--- a/crates/foxtide-entry/src/traffic/poller.rs
+++ b/crates/foxtide-entry/src/traffic/poller.rs
@@ -62,7 +62,7 @@
 
     async fn poll(&self, due: DuePoll) {
         let address = due.poll.upstream().address;
-        let result = match self.ask(address).await {
+        let result = match self.request_load(address).await {
             Ok(answer) => read_report(answer),
             Err(failure) if failure.step == Step::Connect => PollResult::Unreachable,
             Err(_) => PollResult::TimedOut,
@@ -72,7 +72,7 @@
             .with_balancer(|balancer| balancer.finish_poll(due.poll, result, now));
     }
 
-    async fn ask(&self, address: SocketAddr) -> Result<Answer, Failure> {
+    async fn request_load(&self, address: SocketAddr) -> Result<Answer, Failure> {
         let id = new_request_id();
         let path = &self.options.poll.load_path;
         let bytes = format!(
--- a/crates/foxtide-entry/src/traffic/tables.rs
+++ b/crates/foxtide-entry/src/traffic/tables.rs
@@ -225,7 +225,7 @@
     }
 
     /// Returns the status changes of upstreams since the last call.
-    pub(crate) fn changes(&self, now: MonotonicTime) -> Vec<UpstreamChange> {
+    pub(crate) fn status_changes(&self, now: MonotonicTime) -> Vec<UpstreamChange> {
         let mut all = Vec::new();
         for traffic in self.all() {
             let organisation = traffic.organisation().organisation.clone();
--- a/crates/foxtide-http/src/message.rs
+++ b/crates/foxtide-http/src/message.rs
@@ -179,9 +179,9 @@
     ) -> Result<Progress, MessageError> {
         match self {
             Self::Fixed { left_bytes } => {
-                let at_hand = stream.buffered().len();
+                let available = stream.buffered().len();
                 let wanted = usize::try_from(*left_bytes).unwrap_or(usize::MAX);
-                let taken = stream.consume(at_hand.min(wanted));
+                let taken = stream.consume(available.min(wanted));
                 *left_bytes -= taken.len() as u64;
                 append(body, taken);
                 Ok(match left_bytes {
