--- a/crates/foxtide-entry/src/serve/request.rs
+++ b/crates/foxtide-entry/src/serve/request.rs
@@ -126,7 +126,7 @@
                 let status = StatusCode::HttpVersionNotSupported;
                 (status, "version-not-supported")
             }
-            HeadError::Unknown => (StatusCode::NotImplemented, "method-not-known"),
+            HeadError::UnknownMethodOrStatus => (StatusCode::NotImplemented, "method-not-known"),
             HeadError::TransferCoding => (StatusCode::NotImplemented, "transfer-coding-not-known"),
         },
     };
--- a/crates/foxtide-http/src/head.rs
+++ b/crates/foxtide-http/src/head.rs
@@ -57,7 +57,7 @@
     Version,
     /// The method or status is unknown.
     #[error("unknown method or status")]
-    Unknown,
+    UnknownMethodOrStatus,
     /// The transfer coding is not `chunked`.
     #[error("unsupported transfer coding")]
     TransferCoding,
@@ -110,7 +110,7 @@
         let mut lines = [httparse::EMPTY_HEADER; HEADER_LINES_MAX];
         let mut parsed = httparse::Request::new(&mut lines);
         let (method, target) = request_line(&mut parsed, bytes)?;
-        let method = Method::from_str(method).map_err(|_| HeadError::Unknown)?;
+        let method = Method::from_str(method).map_err(|_| HeadError::UnknownMethodOrStatus)?;
         let url = request_url(target, parsed.headers)?;
         let head = Head::from_lines(parsed.headers, BodyLength::None)?;
         Ok(Self { method, url, head })
@@ -127,7 +127,7 @@
         let mut lines = [httparse::EMPTY_HEADER; HEADER_LINES_MAX];
         let mut parsed = httparse::Response::new(&mut lines);
         let code = status_line(&mut parsed, bytes)?;
-        let status = StatusCode::try_from(code).map_err(|_| HeadError::Unknown)?;
+        let status = StatusCode::try_from(code).map_err(|_| HeadError::UnknownMethodOrStatus)?;
         let head = Head::from_lines(parsed.headers, BodyLength::UntilClose)?;
         Ok(Self { status, head })
     }
