--- a/crates/foxtide-entry/tests/hedging.rs
+++ b/crates/foxtide-entry/tests/hedging.rs
@@ -31,7 +31,7 @@
     let cancelled = Mutex::new(cancelled);
     let hangs = Arc::new(AtomicBool::new(true));
     // Only the first request to arrive at either upstream gets no answer.
-    let drive = move |mut stream: std::net::TcpStream, _| {
+    let serve = move |mut stream: std::net::TcpStream, _| {
         while read_message(&mut stream).is_some() {
             if hangs.swap(false, Ordering::SeqCst) {
                 let end = stream.read(&mut [0]);
@@ -42,10 +42,10 @@
             stream.write_all(HELLO).unwrap();
         }
     };
-    let drive = Arc::new(drive);
-    let other = Arc::clone(&drive);
-    let first = RawUpstream::start(move |stream, number| drive(stream, number));
-    let second = RawUpstream::start(move |stream, number| other(stream, number));
+    let serve = Arc::new(serve);
+    let serve_second = Arc::clone(&serve);
+    let first = RawUpstream::start(move |stream, number| serve(stream, number));
+    let second = RawUpstream::start(move |stream, number| serve_second(stream, number));
     let harness = Harness::start_changed(&[first.address, second.address], prioritise_latency);
     let answer = harness.caller().request(&support::get("/slots"));
     assert!(answer.ends_with("hello"), "{answer}");
--- a/crates/foxtide-entry/tests/keys.rs
+++ b/crates/foxtide-entry/tests/keys.rs
@@ -124,10 +124,10 @@
 fn verify_keys_of_other_owners_never_run_here() {
     let upstream = RawUpstream::answering(DONE);
     let harness = Harness::start(&[upstream.address]);
-    let elsewhere = key("entry-2.00000000000000aa");
+    let foreign_key = key("entry-2.00000000000000aa");
     let answer = harness
         .caller()
-        .request(&post("/notes?x=1", &elsewhere, "x"));
+        .request(&post("/notes?x=1", &foreign_key, "x"));
     assert_refused(&answer, 307, "unknown");
     assert!(
         answer.contains("/hamutenya/viewer/notes?x=1\r\n"),
@@ -135,7 +135,7 @@
     );
     // A leaving instance still answers for its keys.
     harness.dependencies.has_left.store(true, Ordering::SeqCst);
-    let leaving = harness.caller().request(&post("/notes", &elsewhere, "x"));
+    let leaving = harness.caller().request(&post("/notes", &foreign_key, "x"));
     assert_refused(&leaving, 307, "unknown");
     let gone = key("entry-9.00000000000000aa");
     let earlier_process = key("entry-1.00000000000000aa");
@@ -167,10 +167,10 @@
     });
     let harness = Harness::start(&[upstream.address]);
     let key = own_key(&harness);
-    let mut lost = harness.caller();
-    lost.send(&post("/notes", &key, "lintel"));
+    let mut disconnected = harness.caller();
+    disconnected.send(&post("/notes", &key, "lintel"));
     runs.recv().unwrap();
-    drop(lost);
+    drop(disconnected);
     wait_until("the disconnect to be recorded", || {
         !harness.recorded(EventCode::RequestCancelled).is_empty()
     });
@@ -206,10 +206,10 @@
         ..EntryOptions::default()
     };
     let harness = Harness::start_with(&[upstream.address], options);
-    let mut lost = harness.caller();
-    lost.send(&post("/notes", &own_key(&harness), "lintel"));
+    let mut disconnected = harness.caller();
+    disconnected.send(&post("/notes", &own_key(&harness), "lintel"));
     assert_eq!(notes.recv(), Ok("came"));
-    drop(lost);
+    drop(disconnected);
     wait_until("the disconnect to be recorded", || {
         !harness.recorded(EventCode::RequestCancelled).is_empty()
     });
@@ -231,12 +231,12 @@
 #[test]
 fn verify_a_disconnect_before_the_first_byte_cancels_the_run() {
     const SLOTS: usize = 4;
-    let (came, arrivals) = channel();
+    let (arrived, arrivals) = channel();
     let (release, released) = channel::<()>();
     let released = Mutex::new(released);
     let upstream = RawUpstream::start(move |mut stream, _| {
         while let Some(message) = read_message(&mut stream) {
-            came.send(message.starts_with("POST")).unwrap();
+            arrived.send(message.starts_with("POST")).unwrap();
             released.lock().unwrap().recv().unwrap();
             stream.write_all(DONE).unwrap();
         }
@@ -248,9 +248,9 @@
         reader.send(&get("/cracks"));
         assert!(!arrivals.recv().unwrap());
     }
-    let mut lost = harness.caller();
-    lost.send(&post("/notes", &key, "lintel"));
-    drop(lost);
+    let mut disconnected = harness.caller();
+    disconnected.send(&post("/notes", &key, "lintel"));
+    drop(disconnected);
     wait_until("the disconnect to be recorded", || {
         !harness.recorded(EventCode::RequestCancelled).is_empty()
     });
@@ -279,6 +279,6 @@
     let copy = post("/notes", &key, "lintel");
     let malformed = copy.replace("host: x", "host: x\r\nfoxtide-deadline-ms: soon");
     assert_refused(&harness.caller().request(&malformed), 400, "unknown");
-    let elsewhere = copy.replace("/viewer/", "/removed/");
-    assert_refused(&harness.caller().request(&elsewhere), 404, "unknown");
+    let unknown_service = copy.replace("/viewer/", "/removed/");
+    assert_refused(&harness.caller().request(&unknown_service), 404, "unknown");
 }
--- a/crates/foxtide-entry/tests/support/mod.rs
+++ b/crates/foxtide-entry/tests/support/mod.rs
@@ -112,17 +112,17 @@
 impl RawUpstream {
     /// Starts an upstream; `serve` gets each connection and its number,
     /// starting at 1.
-    pub(crate) fn start(drive: impl Fn(TcpStream, usize) + Send + Sync + 'static) -> Self {
+    pub(crate) fn start(serve: impl Fn(TcpStream, usize) + Send + Sync + 'static) -> Self {
         let listener = TcpListener::bind(ANY_PORT).unwrap();
         let address = listener.local_addr().unwrap();
         let connections = Arc::new(AtomicUsize::new(0));
         let count = Arc::clone(&connections);
-        let drive = Arc::new(drive);
+        let serve = Arc::new(serve);
         std::thread::spawn(move || {
             for stream in listener.incoming() {
                 let number = count.fetch_add(1, Ordering::SeqCst) + 1;
-                let drive = Arc::clone(&drive);
-                std::thread::spawn(move || drive(stream.unwrap(), number));
+                let serve = Arc::clone(&serve);
+                std::thread::spawn(move || serve(stream.unwrap(), number));
             }
         });
         Self {
