--- a/crates/foxtide-core/src/limits/limit.rs
+++ b/crates/foxtide-core/src/limits/limit.rs
@@ -1,103 +1,103 @@
 //! One instance's use of one limit: a region's or a link's sold rate.
 
 use super::TokenBucket;
-use super::attachment::Attachment;
 use super::claim::{
     Claim,
     ClaimWindow,
-    Hearing, //
+    Connectivity, //
 };
-use super::gate::Gate;
+use super::majority::MajorityContact;
+use super::rate_limiter::RateLimiter;
 use super::split::{
     Claims,
-    part, //
+    allocate, //
 };
 use crate::time::MonotonicTime;
 use crate::units::RequestRate;
 use std::time::Duration;
 
-/// The times by which instances give up and take over parts.
+/// The times after which instances release and take over allocations.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct LimitTimes {
-    /// How long a published claim must have been out before it counts.
+    /// The time for which a claim must have been published before it counts.
     pub(crate) growth_window: Duration,
-    /// How long an instance may go on without hearing the majority.
-    pub(crate) attachment_hold: Duration,
-    /// How long all others count a silent instance's claim, at most.
+    /// The time for which an instance keeps sharing without seeing a majority.
+    pub(crate) majority_hold: Duration,
+    /// The longest time for which peers count the claim of a silent instance.
     pub(crate) claim_hold: Duration,
 }
 
-/// What a limit's part is worked out from.
+/// The inputs from which an instance's allocation of a limit is computed.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct LimitInput {
-    /// What may be sent through the limit by all instances.
+    /// The rate that all instances together may send.
     pub(crate) sold: RequestRate,
-    /// The instance's own floor.
+    /// The floor of this instance.
     pub(crate) floor: RequestRate,
-    /// The floors of all instances that use theirs, or may.
+    /// The sum of the floors of all instances that may use theirs.
     pub(crate) reserved: RequestRate,
-    /// What all instances have claimed.
+    /// The claims of all instances.
     pub(crate) all: Claims,
-    /// Whether some of these claims are old.
+    /// Whether some of these claims are stale.
     pub(crate) stale: bool,
     /// Whether there is no other instance.
     pub(crate) alone: bool,
 }
 
-/// How an instance uses a limit.
+/// How an instance obtains its allocation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Mode {
-    /// It shares by claims with all others that do.
+    /// In proportion to its claim, among all instances in this mode.
     Shared,
-    /// It uses its floor, which those reserve for it.
+    /// From its floor, which the sharing instances reserve.
     Floor { since: MonotonicTime },
 }
 
-/// An instance's use of a limit.
+/// The state of one limit on one instance.
 #[derive(Clone, Debug)]
 pub(crate) struct Limit {
     claims: ClaimWindow,
-    heard: Attachment,
+    majority: MajorityContact,
     mode: Mode,
-    /// What it had when it fell back to its floor.
-    had: RequestRate,
-    gate: Gate,
+    /// The allocation at the time of the fallback to the floor.
+    fallback_max: RequestRate,
+    limiter: RateLimiter,
 }
 
 impl Limit {
-    /// Returns the use of an instance that has just started: nothing, until
-    /// its claim is known to all others.
+    /// Creates the state of an instance that has just started: its allocation
+    /// is zero until all peers know its claim.
     pub(crate) fn new(now: MonotonicTime) -> Self {
         Self {
             claims: ClaimWindow::default(),
-            heard: Attachment::default(),
+            majority: MajorityContact::default(),
             mode: Mode::Floor { since: now },
-            had: RequestRate::ZERO,
-            gate: Gate::new(now),
+            fallback_max: RequestRate::ZERO,
+            limiter: RateLimiter::new(now),
         }
     }
 
-    /// Notes how many of the instances that the limit hangs on were heard.
+    /// Records how many of the instances that share the limit are live.
     pub(crate) fn observe(&mut self, live: u32, known: u32, at: MonotonicTime) {
-        self.heard.observe(live, known, at);
+        self.majority.observe(live, known, at);
     }
 
-    /// Returns the claim to publish for this need, and remembers it.
+    /// Records and returns the claim to publish for a need.
     pub(crate) fn publish(&mut self, need: Claim, now: MonotonicTime) -> Claim {
         self.claims.publish(need, now)
     }
 
-    /// Tells whether the instance shares in the limit by claims.
+    /// Returns whether the instance shares the limit by claims.
     pub(crate) fn is_shared(&self) -> bool {
         self.mode == Mode::Shared
     }
 
-    /// Tells whether the instance has its part, by claims or as its floor.
+    /// Returns whether the instance has an allocation, by claims or as its floor.
     pub(crate) fn is_settled(&self) -> bool {
         self.is_shared() || self.usable() > RequestRate::ZERO
     }
 
-    /// Works out the part anew, `passed` after the last time.
+    /// Recomputes the allocation, `passed` after the last update.
     pub(crate) fn update(
         &mut self,
         input: LimitInput,
@@ -105,54 +105,55 @@
         passed: Duration,
         now: MonotonicTime,
     ) {
-        let attached = self.heard.holds(times.attachment_hold, now);
-        let hearing = match (attached, input.stale) {
-            (false, _) => Hearing::None,
-            (true, true) => Hearing::Some,
-            (true, false) => Hearing::All,
+        let sees_majority = self.majority.is_recent(times.majority_hold, now);
+        let connectivity = match (sees_majority, input.stale) {
+            (false, _) => Connectivity::Isolated,
+            (true, true) => Connectivity::Partial,
+            (true, false) => Connectivity::Full,
         };
-        self.claims.settle(times.growth_window, hearing, now);
-        self.change_mode(attached, now);
-        let part = match self.mode {
+        self.claims.settle(times.growth_window, connectivity, now);
+        self.change_mode(sees_majority, now);
+        let allocation = match self.mode {
             _ if input.alone => input.sold,
             Mode::Shared => {
                 let shared = input.sold.get() - input.reserved.get();
-                part(
+                allocate(
                     RequestRate::clamped(shared),
                     self.claims.usable(),
                     input.all,
                 )
             }
-            // The others reserve it by then at the latest.
+            // By then all sharing instances reserve the floor.
             Mode::Floor { since } if now.since(since) >= times.claim_hold => input.floor,
-            Mode::Floor { .. } => RequestRate::clamped(self.had.get().min(input.floor.get())),
+            Mode::Floor { .. } => {
+                RequestRate::clamped(self.fallback_max.get().min(input.floor.get()))
+            }
         };
-        self.gate.update(part, passed, now);
+        self.limiter.update(allocation, passed, now);
     }
 
-    fn change_mode(&mut self, attached: bool, now: MonotonicTime) {
+    fn change_mode(&mut self, sees_majority: bool, now: MonotonicTime) {
         match self.mode {
-            Mode::Shared if !attached => {
+            Mode::Shared if !sees_majority => {
                 self.mode = Mode::Floor { since: now };
-                self.had = self.gate.part();
+                self.fallback_max = self.limiter.allocation();
             }
             Mode::Floor { .. } if self.claims.is_known() => self.mode = Mode::Shared,
             _ => {}
         }
     }
 
-    /// Cuts the part at once because the receiving side refused a request.
+    /// Reduces the usable rate because the receiver refused a request.
     pub(crate) fn refused(&mut self, now: MonotonicTime) {
-        self.gate.refused(now);
+        self.limiter.refused(now);
     }
 
-    /// Returns the rate that the instance may send at.
+    /// Returns the rate at which the instance may send.
     pub(crate) fn usable(&self) -> RequestRate {
-        self.gate.usable()
+        self.limiter.usable()
     }
 
-    /// Returns the bucket that the part is spent from.
     pub(crate) fn bucket(&mut self) -> &mut TokenBucket {
-        self.gate.bucket()
+        self.limiter.bucket()
     }
 }
--- a/crates/foxtide-core/src/steering/engine.rs
+++ b/crates/foxtide-core/src/steering/engine.rs
@@ -1,14 +1,14 @@
-//! The steering decisions of one instance for one organisation.
+//! The steering state of one instance for one organisation.
 
+use super::destinations::Destinations;
 use super::flows::OriginFlows;
-use super::memory::Memory;
+use super::known_instances::KnownInstances;
+use super::name_index::{
+    NameIndex, //
+    NamedRow,  //
+};
 use super::options::SteeringOptions;
-use super::rooms::Rooms;
 use super::service::ServiceState;
-use super::tables::{
-    NamedRow,
-    Tables, //
-};
 use super::view::{
     FleetView,
     InstanceReport, //
@@ -31,33 +31,33 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Decides, for one organisation at one instance, where each request goes.
+/// Chooses the region of each request of one organisation on one instance.
 ///
-/// Pure: the caller passes both clocks and all randomness in, calls
+/// It does no I/O: the caller supplies both clocks and all randomness, calls
 /// [`Self::tick`] every 100 ms, [`Self::report`] about every second and
-/// [`Self::observe`] whenever its view of the fleet is renewed.
+/// [`Self::observe`] whenever its view of the fleet changes.
 #[derive(Clone, Debug)]
 pub struct Steering {
     pub(super) organisation: Arc<Organisation>,
     pub(super) options: SteeringOptions,
-    pub(super) tables: Tables,
-    /// The own region's callers first, then those of other regions.
+    pub(super) names: NameIndex,
+    /// The flows by origin, the own region first.
     pub(super) flows: Vec<OriginFlows>,
-    pub(super) rooms: Rooms,
+    pub(super) destinations: Destinations,
     pub(super) view: FleetView,
-    memory: Memory,
+    known_instances: KnownInstances,
     pub(super) last_rows: BTreeMap<RegionId, BTreeMap<ServiceId, NamedRow>>,
-    pub(super) adopt: Adopt,
+    pub(super) row_sync: RowSync,
     started_at: Option<MonotonicTime>,
     ticked_at: Option<MonotonicTime>,
 }
 
-/// Whether the positions of peers are to be taken over.
+/// The state of the synchronisation of rows with peers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Adopt {
-    /// The process has just started, or was paused: peers know better.
+pub(super) enum RowSync {
+    /// The process has started or was paused, and waits for its peers' rows.
     Waiting {
-        /// Since when.
+        /// The start of the wait.
         since: MonotonicTime,
     },
     /// The rows are up to date.
@@ -65,24 +65,24 @@
 }
 
 impl Steering {
-    /// Returns the decisions of an instance that stands in `origin`.
+    /// Creates the state of an instance in the region `origin`.
     pub fn new(
         organisation: Arc<Organisation>,
         origin: RegionId,
         options: SteeringOptions,
     ) -> Self {
-        let rooms = Rooms::new(&organisation, &origin, MonotonicTime::ZERO);
-        let flows = OriginFlows::new(&organisation, origin, &options, &rooms);
+        let destinations = Destinations::new(&organisation, &origin, MonotonicTime::ZERO);
+        let flows = OriginFlows::new(&organisation, origin, &options, &destinations);
         Self {
-            tables: Tables::new(&organisation),
+            names: NameIndex::new(&organisation),
             organisation,
             options,
             flows: vec![flows],
-            rooms,
+            destinations,
             view: FleetView::default(),
-            memory: Memory::default(),
+            known_instances: KnownInstances::default(),
             last_rows: BTreeMap::new(),
-            adopt: Adopt::Waiting {
+            row_sync: RowSync::Waiting {
                 since: MonotonicTime::ZERO,
             },
             started_at: None,
@@ -90,141 +90,143 @@
         }
     }
 
-    /// Takes over a new configuration. Rows stay where they are and follow the
-    /// new plan under the shift cap.
+    /// Applies a new configuration. Rows are kept and move to the new plan under
+    /// the shift cap.
     pub fn configure(&mut self, organisation: Arc<Organisation>, now: MonotonicTime) {
-        self.rooms.configure(&organisation, now);
-        let tables = Tables::new(&organisation);
+        self.destinations.configure(&organisation, now);
+        let names = NameIndex::new(&organisation);
         for flows in &mut self.flows {
             let origin = flows.origin.clone();
-            let mut new = OriginFlows::new(&organisation, origin, &self.options, &self.rooms);
-            new.keep(flows, &self.tables, &tables);
-            new.take_told_health(&self.view, &tables);
+            let mut new =
+                OriginFlows::new(&organisation, origin, &self.options, &self.destinations);
+            new.restore(flows, &self.names, &names);
+            new.update_reported_health(&self.view, &names);
             *flows = new;
         }
         self.organisation = organisation;
-        self.tables = tables;
+        self.names = names;
         self.adopt_rows();
     }
 
-    /// Returns the configuration in force.
+    /// Returns the current configuration.
     pub fn organisation(&self) -> &Arc<Organisation> {
         &self.organisation
     }
 
-    /// Takes over what is known of all instances.
+    /// Applies a new view of the fleet.
     pub fn observe(&mut self, view: &FleetView, now: MonotonicTime) {
         self.view = view.clone();
         let hold = self.options.lost_region_hold;
-        self.memory.fill(&mut self.view, hold, now);
-        self.rooms.observe(&self.view);
+        self.known_instances.apply_to(&mut self.view, hold, now);
+        self.destinations.observe(&self.view);
         for flows in &mut self.flows {
-            flows.take_told_health(&self.view, &self.tables);
+            flows.update_reported_health(&self.view, &self.names);
         }
         self.adopt_rows();
     }
 
-    /// Notes the healthy part of a service's upstreams in a region as this
-    /// instance itself sees it; that outranks what peers say.
+    /// Sets the healthy share of a service's upstreams in a region as observed by
+    /// this instance; it takes precedence over peers' reports.
     pub fn set_health(&mut self, service: &ServiceId, region: &RegionId, healthy: Option<Share>) {
-        let places = (self.tables.service(service), self.tables.region(region));
-        let (Some(service), Some(region)) = places else {
+        let indices = (self.names.service(service), self.names.region(region));
+        let (Some(service), Some(region)) = indices else {
             return;
         };
         for flows in &mut self.flows {
-            flows.services[service].seen_health[region] = healthy;
+            flows.services[service].observed_health[region] = healthy;
         }
     }
 
-    /// Moves all rows and parts on to `now`.
+    /// Advances all rows and allocations to `now`.
     pub fn tick(&mut self, now: MonotonicTime, wall: WallTime) {
         if self.ticked_at.is_none() || self.was_paused(now) {
-            self.adopt = Adopt::Waiting { since: now };
+            self.row_sync = RowSync::Waiting { since: now };
         }
         let since_last = self.ticked_at.map_or(Duration::ZERO, |at| now.since(at));
         self.ticked_at = Some(now);
         for flows in &mut self.flows {
-            flows.aim(wall, since_last);
+            flows.update_wanted(wall, since_last);
         }
-        self.aim_spill(now);
+        self.update_spill(now);
         self.start_rows(now);
         let passed = since_last.min(self.options.tick_max);
         for service in self.flows.iter_mut().flat_map(|flows| &mut flows.services) {
             service.step(passed);
         }
-        self.rooms.update(&self.view, &self.options, passed, now);
+        self.destinations
+            .update(&self.view, &self.options, passed, now);
     }
 
-    /// Tells whether the process stood still for so long that its rows are old.
+    /// Returns whether the process was paused for so long that its rows are stale.
     pub(super) fn was_paused(&self, now: MonotonicTime) -> bool {
         let ticked_at = self.ticked_at.unwrap_or(now);
         now.since(ticked_at) > self.options.view_age_max
     }
 
-    /// Tells whether the instance knows where its peers stand and has its part
-    /// of its region's limit; until then look-ups should not name it.
+    /// Returns whether the instance has synchronised its rows and has an
+    /// allocation; until then look-ups should not return it.
     pub fn is_ready(&self, now: MonotonicTime) -> bool {
-        self.knows_rows(now) && self.rooms.has_settled()
+        self.rows_are_current(now) && self.destinations.has_settled()
     }
 
-    /// Tells whether the rows are up to date.
-    pub(super) fn knows_rows(&self, now: MonotonicTime) -> bool {
-        self.adopt == Adopt::Done && !self.was_paused(now)
+    /// Returns whether the rows are synchronised and not stale.
+    pub(super) fn rows_are_current(&self, now: MonotonicTime) -> bool {
+        self.row_sync == RowSync::Done && !self.was_paused(now)
     }
 
-    /// Returns the report to publish, and counts it as published.
+    /// Returns the report to publish and records its claims as published.
     pub fn report(&mut self, now: MonotonicTime) -> InstanceReport {
-        let ready = self.knows_rows(now);
-        let report = |flows: &OriginFlows| flows.report(&self.tables, ready);
+        let ready = self.rows_are_current(now);
+        let report = |flows: &OriginFlows| flows.report(&self.names, ready);
         let foreign = self.flows.iter().skip(1);
         let foreign = foreign.map(|flows| (flows.origin.clone(), report(flows)));
         InstanceReport {
             services: report(&self.flows[0]),
             foreign: foreign.collect(),
-            limits: self.rooms.publish(now),
+            limits: self.destinations.publish(now),
         }
     }
 
-    /// Returns the share of a service's requests that goes to each region, as
-    /// it is now; what is missing to 1 is refused.
+    /// Returns the current share of a service's requests that goes to each
+    /// region; the remainder to 1 is refused.
     pub fn row(&self, service: &ServiceId) -> Option<BTreeMap<RegionId, Share>> {
         self.row_from(service, &self.flows[0].origin)
     }
 
-    /// Returns the same for the callers of any region, or `None` where they
-    /// do not use this instance.
+    /// Returns the current row of a service for the callers of any region, or
+    /// `None` if they do not use this instance.
     pub fn row_from(
         &self,
         service: &ServiceId,
         origin: &RegionId,
     ) -> Option<BTreeMap<RegionId, Share>> {
         let flows = self.flows.iter().find(|flows| flows.origin == *origin)?;
-        let state = &flows.services[self.tables.service(service)?];
-        Some(self.tables.named(state.row.as_ref()?))
+        let state = &flows.services[self.names.service(service)?];
+        Some(self.names.named(state.row.as_ref()?))
     }
 
-    /// Returns the share that the plan and the regions' health want to go to
-    /// each region.
+    /// Returns the row wanted by the plan, given the health of the regions.
     pub fn wanted_row(&self, service: &ServiceId) -> Option<BTreeMap<RegionId, Share>> {
-        let state = &self.flows[0].services[self.tables.service(service)?];
-        Some(self.tables.named(&state.wanted))
+        let state = &self.flows[0].services[self.names.service(service)?];
+        Some(self.names.named(&state.wanted))
     }
 
-    /// Returns the rate that this instance may send to a region now.
+    /// Returns the rate at which this instance may currently send to a region.
     pub fn usable_rate(&self, region: &RegionId) -> Option<RequestRate> {
-        let place = self.tables.region(region)?;
-        Some(RequestRate::clamped(self.rooms.usable_rps(place)))
+        let index = self.names.region(region)?;
+        Some(RequestRate::clamped(self.destinations.usable_rps(index)))
     }
 
-    /// Works out what spills, and what is claimed of each region.
-    fn aim_spill(&mut self, now: MonotonicTime) {
-        let places = 0..self.tables.regions.len();
-        let wanted_rps: Vec<f64> = places.map(|region| self.wanted_rps(region)).collect();
+    /// Updates the spill targets and the claims on each region.
+    fn update_spill(&mut self, now: MonotonicTime) {
+        let indices = 0..self.names.regions.len();
+        let wanted_rps: Vec<f64> = indices.map(|region| self.wanted_rps(region)).collect();
         for service in self.flows.iter_mut().flat_map(|flows| &mut flows.services) {
             let spill_at_share = service.priority.spill_at_share;
             let regions = wanted_rps.iter().enumerate();
-            let rooms = regions.map(|(r, rps)| self.rooms.room(r, *rps, spill_at_share));
-            service.aim_spill(&rooms.collect::<Vec<_>>());
+            let capacities =
+                regions.map(|(r, rps)| self.destinations.free_capacity(r, *rps, spill_at_share));
+            service.update_spill(&capacities.collect::<Vec<_>>());
         }
         let started_at = *self.started_at.get_or_insert(now);
         let joining = now.since(started_at) < self.options.joining;
@@ -233,17 +235,17 @@
         } else {
             self.options.idle_claim_share
         };
-        for region in 0..self.tables.regions.len() {
+        for region in 0..self.names.regions.len() {
             let claims = self
                 .services()
                 .map(|service| service.claim(region, least_share));
             let need = claims.fold(Claim::default(), Claim::plus);
-            let least = self.rooms.idle_claim(region, &self.options);
-            self.rooms.need(region, need.most(least));
+            let least = self.destinations.idle_claim(region, &self.options);
+            self.destinations.set_need(region, need.max(least));
         }
     }
 
-    /// Returns what is wanted to go to a region, in requests a second.
+    /// Returns the rate that is wanted to go to a region, before any spill-over.
     fn wanted_rps(&self, region: usize) -> f64 {
         let wanted = |service: &ServiceState| service.demand_rps * service.wanted[region];
         self.services().map(wanted).sum()
