--- a/crates/foxtide-entry/src/lookup.rs
+++ b/crates/foxtide-entry/src/lookup.rs
@@ -82,8 +82,8 @@
     let origin = &dependencies.traffic().options().origin;
     let region = known.as_ref().unwrap_or(origin);
     let instances = directory.instances();
-    let nearest = nearest(&instances, &organisation, region, wall);
-    let chosen = choose(nearest, options.lookup_instances);
+    let candidates = candidates(&instances, &organisation, region, wall);
+    let chosen = choose(candidates, options.lookup_instances);
     let rule = rule(&chosen, known.as_ref(), region);
     let region = Some(region.clone());
     let decision = Decision::new(DecisionKind::Lookup, rule, service.view(), region, wall);
@@ -106,7 +106,7 @@
 
 /// Returns the instances that no drain excludes, with their distance from
 /// `region`.
-fn nearest<'a>(
+fn candidates<'a>(
     instances: &'a [ServingInstance],
     organisation: &Organisation,
     region: &RegionId,
@@ -148,11 +148,17 @@
 }
 
 /// Selects the nearest instances; ties are broken at random to spread callers.
-fn choose(mut nearest: Vec<(Distance, &ServingInstance)>, limit: usize) -> Vec<&ServingInstance> {
-    fastrand::shuffle(&mut nearest);
-    nearest.sort_by_key(|(distance, _)| *distance);
-    nearest.truncate(limit);
-    nearest.into_iter().map(|(_, instance)| instance).collect()
+fn choose(
+    mut candidates: Vec<(Distance, &ServingInstance)>,
+    limit: usize,
+) -> Vec<&ServingInstance> {
+    fastrand::shuffle(&mut candidates);
+    candidates.sort_by_key(|(distance, _)| *distance);
+    candidates.truncate(limit);
+    candidates
+        .into_iter()
+        .map(|(_, instance)| instance)
+        .collect()
 }
 
 /// Refuses a request for an organisation that is not served here.
--- a/crates/foxtide-entry/src/serve/request.rs
+++ b/crates/foxtide-entry/src/serve/request.rs
@@ -61,11 +61,11 @@
 ) -> Result<ReceivedRequest, ReceiveError> {
     let bytes = timeout(limits.head_time, read_head(stream, size(limits.head))).await;
     let bytes = flatten_timeout(bytes)?.ok_or(ReceiveError::Disconnected)?;
-    let head = RequestHead::parse(&bytes).map_err(|error| refused(&error.into()))?;
+    let head = RequestHead::parse(&bytes).map_err(|error| rejection(&error.into()))?;
     let body_permit = reserve_body(&head, limits, state)?;
     if head.head.expects_continue && stream.buffered().is_empty() {
-        let asked = timeout(limits.head_time, stream.write_all(CONTINUE_ANSWER)).await;
-        flatten_timeout(asked.map(|written| written.map_err(MessageError::from)))?;
+        let sent = timeout(limits.head_time, stream.write_all(CONTINUE_ANSWER)).await;
+        flatten_timeout(sent.map(|written| written.map_err(MessageError::from)))?;
     }
     let body = read_body(stream, head.head.length, size(limits.request_body));
     let body = flatten_timeout(timeout(limits.body_time, body).await)?;
@@ -98,7 +98,7 @@
 
 fn flatten_timeout<T>(read: Result<Result<T, MessageError>, Elapsed>) -> Result<T, ReceiveError> {
     match read {
-        Ok(read) => read.map_err(|error| refused(&error)),
+        Ok(read) => read.map_err(|error| rejection(&error)),
         Err(Elapsed) => Err(ReceiveError::Rejected(Refusal::not_run(
             StatusCode::RequestTimeout,
             "request-too-slow",
@@ -106,7 +106,7 @@
     }
 }
 
-fn refused(error: &MessageError) -> ReceiveError {
+fn rejection(error: &MessageError) -> ReceiveError {
     let (status, reason) = match error {
         MessageError::Io(_) => return ReceiveError::Disconnected,
         MessageError::Truncated => (StatusCode::BadRequest, "request-cut"),
--- a/crates/foxtide-entry/src/serve/state.rs
+++ b/crates/foxtide-entry/src/serve/state.rs
@@ -21,7 +21,7 @@
 };
 use std::time::Duration;
 
-const FINISH_POLL: Duration = Duration::from_millis(5);
+const FINISH_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 /// State shared by the connections of a listener.
 #[derive(Debug)]
@@ -125,7 +125,7 @@
     /// including requests whose caller has disconnected.
     pub(crate) async fn finished(&self) {
         while self.connections() > 0 || self.requests() > 0 {
-            smol::Timer::after(FINISH_POLL).await;
+            smol::Timer::after(FINISH_POLL_INTERVAL).await;
         }
     }
 }
--- a/crates/foxtide-entry/src/traffic/service.rs
+++ b/crates/foxtide-entry/src/traffic/service.rs
@@ -129,9 +129,9 @@
             let Some(region) = regions.get(&upstream.region) else {
                 continue;
             };
-            let leaves = leaves_at_us(organisation, &self.service, upstream);
-            let left = leaves.is_some_and(|at| at <= wall);
-            region.with_balancer(|balancer| match left {
+            let drains_at = leaves_at_us(organisation, &self.service, upstream);
+            let drained = drains_at.is_some_and(|at| at <= wall);
+            region.with_balancer(|balancer| match drained {
                 true => balancer.leave(&upstream.upstream, now),
                 false => balancer.rejoin(&upstream.upstream, now),
             });
