--- a/crates/foxtide-gateway/src/admission/server.rs
+++ b/crates/foxtide-gateway/src/admission/server.rs
@@ -1,4 +1,4 @@
-//! Answers the questions of other instances.
+//! Receives and handles the datagrams of other instances.
 
 use super::Admission;
 use crate::datagram::{
@@ -26,26 +26,26 @@
 /// How long receiving pauses after a failure.
 const RECEIVE_PAUSE: Duration = Duration::from_millis(20);
 
-/// Takes in datagrams for as long as the future is run.
+/// Receives datagrams until the future is dropped.
 pub(crate) async fn serve_admission<D: Dialect>(shared: Arc<Shared<D>>) {
     let admission = &shared.admission;
     let mut bytes = [0; DATAGRAM_MAX_BYTES];
     loop {
         match admission.socket.recv_from(&mut bytes).await {
             Ok((size_bytes, from)) => match Datagram::decode(&bytes[..size_bytes]) {
-                Ok(datagram) => take_in(&shared, from, datagram),
-                Err(error) => log::debug!("a datagram of {from} cannot be read: {error}"),
+                Ok(datagram) => handle_datagram(&shared, from, datagram),
+                Err(error) => log::debug!("cannot decode a datagram from {from}: {error}"),
             },
             Err(error) => {
-                log::debug!("no datagram was received: {error}");
+                log::debug!("cannot receive a datagram: {error}");
                 Timer::after(RECEIVE_PAUSE).await;
             }
         }
     }
 }
 
-fn take_in<D: Dialect>(shared: &Arc<Shared<D>>, from: SocketAddr, datagram: Datagram) {
-    shared.quotas.hear(from, shared.clock.now());
+fn handle_datagram<D: Dialect>(shared: &Arc<Shared<D>>, from: SocketAddr, datagram: Datagram) {
+    shared.quotas.note_contact(from, shared.clock.now());
     let number = datagram.number;
     match datagram.body {
         Some(Body::QuotaQuestion(message)) => quotas::answer(shared, from, number, &message),
@@ -53,25 +53,25 @@
         Some(Body::EndReport(message)) => poison::take_in_end(shared, from, &message),
         Some(Body::Cleared(hash)) => poison::take_in_cleared(&shared.poison, hash),
         Some(Body::Quarantine(message)) => poison::take_in_quarantine(shared, from, &message),
-        body => shared.admission.take_in(from, number, body),
+        body => shared.admission.handle_slot_message(from, number, body),
     }
 }
 
 impl Admission {
-    fn take_in(&self, from: SocketAddr, number: u64, body: Option<Body>) {
+    fn handle_slot_message(&self, from: SocketAddr, number: u64, body: Option<Body>) {
         let request = |message: &RequestMessage| {
             let request = message.request(from, number);
             request
-                .inspect_err(|error| log::debug!("a question of {from} is wrong: {error}"))
+                .inspect_err(|error| log::debug!("invalid request for a slot from {from}: {error}"))
                 .ok()
         };
         match body {
             Some(Body::Ask(message)) => {
                 if let Some(request) = request(&message) {
-                    self.coordinate(|own, now| own.ask(&request, message.slots, now));
+                    self.with_coordinator(|own, now| own.ask(&request, message.slots, now));
                 }
             }
-            Some(Body::Tell(message)) => {
+            Some(Body::Notify(message)) => {
                 if let Some(request) = request(&message) {
                     self.coordinator.lock().record_ungranted(
                         &request,
@@ -90,11 +90,11 @@
                 } else {
                     Ending::NotServed
                 };
-                self.coordinate(|own, now| own.end(ticket, ending, now));
+                self.with_coordinator(|own, now| own.end(ticket, ending, now));
             }
             Some(Body::Answer(message)) => self.deliver(number, message.answer()),
             _ => {
-                log::debug!("a datagram of {from} says nothing of slots");
+                log::debug!("a datagram from {from} has no known body");
             }
         }
     }
--- a/crates/foxtide-gateway/src/forward/entry.rs
+++ b/crates/foxtide-gateway/src/forward/entry.rs
@@ -1,18 +1,18 @@
-//! What is decided of a request before its first attempt.
+//! Prepares a request for its first attempt: homes, quota, quarantine and service.
 
+use super::attempt_loop::{
+    AttemptLoop,
+    RETRY_AFTER, //
+};
 use super::caller::CallerWatch;
-use super::order::Order;
+use super::recheck::QUARANTINED_REASON;
 use super::request::CallerRequest;
-use super::review::QUARANTINED;
-use super::run::{
-    RETRY_AFTER,
-    Run, //
-};
+use super::route_match::RouteMatch;
 use crate::dialect::Dialect;
 use crate::outcome::{
-    Inputs,
     Refusal,
-    Reply, //
+    Reply,
+    RequestTrace, //
 };
 use crate::poison;
 use crate::quotas::{
@@ -25,53 +25,53 @@
 use std::sync::Arc;
 use std::time::Instant;
 
-/// Forwards a request and returns the reply with what decided it.
+/// Forwards a request and returns the reply with its trace.
 pub(crate) async fn forward<D: Dialect>(
     shared: &Arc<Shared<D>>,
     request: &CallerRequest,
-    order: &Order,
+    route_match: &RouteMatch,
     caller: &CallerWatch,
-) -> (Reply, Inputs) {
-    let route = &*order.route;
-    let mut inputs = Inputs::new(request.id(), "");
-    inputs.route.clone_from(&route.name);
-    inputs.is_idempotent = route.is_idempotent;
-    inputs.latency_objective = route.latency_objective;
-    if let Some(terms) = order.caller.organisation() {
-        inputs.organisation = terms.organisation.to_string();
+) -> (Reply, RequestTrace) {
+    let route = &*route_match.route;
+    let mut trace = RequestTrace::new(request.id(), "");
+    trace.route.clone_from(&route.name);
+    trace.is_idempotent = route.is_idempotent;
+    trace.latency_objective = route.latency_objective;
+    if let Some(terms) = route_match.caller.organisation() {
+        trace.organisation = terms.organisation.to_string();
     }
-    let fingerprint = request.fingerprint(&order.caller);
-    inputs.fingerprint = fingerprint.to_string();
-    let Some(home_regions) = order.home_regions() else {
-        inputs.reason = "no_common_home";
+    let fingerprint = request.fingerprint(&route_match.caller);
+    trace.fingerprint = fingerprint.to_string();
+    let Some(home_regions) = route_match.home_regions() else {
+        trace.reason = "no_common_home";
         let retry_after = RETRY_AFTER;
-        return (Refusal::NotRun { retry_after }.into(), inputs);
+        return (Refusal::NotRun { retry_after }.into(), trace);
     };
-    if let Err(refusal) = take_token(shared, order).await {
+    if let Err(refusal) = take_token(shared, route_match).await {
         let retry_after = refusal.retry_after;
         let refused = Refusal::OverQuota { retry_after };
-        inputs.reason = refused.reason();
-        return (refused.into(), inputs);
+        trace.reason = refused.reason();
+        return (refused.into(), trace);
     }
     shared.catch_up().await;
     let sending = match poison::admit(shared, fingerprint).await {
         Ok(sending) => sending,
         Err(retry_after) => {
-            inputs.reason = QUARANTINED;
-            return (Refusal::NotRun { retry_after }.into(), inputs);
+            trace.reason = QUARANTINED_REASON;
+            return (Refusal::NotRun { retry_after }.into(), trace);
         }
     };
-    let Some(service) = begin(shared, route, &mut inputs) else {
-        inputs.reason = "no_service_has_weight";
+    let Some(service) = begin(shared, route, &mut trace) else {
+        trace.reason = "no_service_has_weight";
         let retry_after = RETRY_AFTER;
-        return (Refusal::NotRun { retry_after }.into(), inputs);
+        return (Refusal::NotRun { retry_after }.into(), trace);
     };
     let object = request.object().filter(|_| route.has_affinity);
-    inputs.object = object.map_or_else(String::new, |object| object.to_string());
-    let mut run = Run {
+    trace.object = object.map_or_else(String::new, |object| object.to_string());
+    let mut attempt_loop = AttemptLoop {
         shared,
         request,
-        order,
+        route_match,
         route,
         home_regions,
         fingerprint,
@@ -82,28 +82,30 @@
         objective_at: shared
             .clock
             .instant(request.received_at + route.latency_objective),
-        ends_at: ends_at(shared, request, route),
+        deadline: deadline(shared, request, route),
         tried: Vec::new(),
-        sent: 0,
-        unsent: 0,
+        sent_attempts: 0,
+        unsent_attempts: 0,
         failure: None,
-        inputs,
+        trace,
     };
-    let reply = run.finish().await;
-    (reply, run.inputs)
+    let reply = attempt_loop.run().await;
+    (reply, attempt_loop.trace)
 }
 
-/// Takes a token of the organisation's quota, if it has one. Where it is used up the request
-/// takes no slot and waits nowhere.
-async fn take_token<D: Dialect>(shared: &Shared<D>, order: &Order) -> Result<(), QuotaRefusal> {
-    let Some(terms) = order.caller.organisation() else {
+/// Takes a token of the organisation's quota, if it has one, before a slot is asked for.
+async fn take_token<D: Dialect>(
+    shared: &Shared<D>,
+    route_match: &RouteMatch,
+) -> Result<(), QuotaRefusal> {
+    let Some(terms) = route_match.caller.organisation() else {
         return Ok(());
     };
     let Some(quota) = terms.quota else {
         return Ok(());
     };
-    // Among an organisation's own requests the routes' ranks tell them apart.
-    let priority = order.route.priority;
+    // Requests of one organisation are ranked by their routes' priorities.
+    let priority = route_match.route.priority;
     let taken = quotas::take_token(shared, &terms.organisation, quota, priority).await;
     taken.inspect_err(|refusal| {
         let now = shared.clock.now();
@@ -112,19 +114,19 @@
 }
 
 /// Picks the service and counts the request.
-fn begin<D>(shared: &Shared<D>, route: &Route, inputs: &mut Inputs) -> Option<ServiceId> {
+fn begin<D>(shared: &Shared<D>, route: &Route, trace: &mut RequestTrace) -> Option<ServiceId> {
     let mut state = shared.state.lock();
-    inputs.version = state.routes().map_or(0, |routes| routes.version());
-    inputs.knowledge_age_ms = state.knowledge_age().as_millis() as u64;
+    trace.version = state.routes().map_or(0, |routes| routes.version());
+    trace.knowledge_age_ms = state.knowledge_age().as_millis() as u64;
     let service = state.pick_service(route)?;
     state.count_request(&service);
-    inputs.service = service.to_string();
+    trace.service = service.to_string();
     Some(service)
 }
 
-/// Returns when the request's time is up: the caller's or the route's limit.
-fn ends_at<D: Dialect>(shared: &Shared<D>, request: &CallerRequest, route: &Route) -> Instant {
-    let limit = match request.facts.time_left {
+/// Returns the earlier of the caller's and the route's time limit.
+fn deadline<D: Dialect>(shared: &Shared<D>, request: &CallerRequest, route: &Route) -> Instant {
+    let limit = match request.headers.time_left {
         Some(time_left) => time_left.min(route.timeout),
         None => route.timeout,
     };
--- a/crates/foxtide-gateway/src/front/connection.rs
+++ b/crates/foxtide-gateway/src/front/connection.rs
@@ -1,8 +1,8 @@
-//! The life of one connection.
+//! Serves the connection of a caller.
 
-use super::own::own_answer;
+use super::local::answer_locally;
 use super::receive::{
-    NoRequest,
+    ReceiveError,
     receive_body,
     receive_head, //
 };
@@ -10,13 +10,13 @@
 use crate::forward::{
     CallerRequest,
     CallerWatch,
-    Order,
+    RouteMatch,
     forward, //
 };
 use crate::outcome::{
-    Inputs,
     Refusal,
-    Reply, //
+    Reply,
+    RequestTrace, //
 };
 use crate::shared::Shared;
 use foxtide_core::routing::{
@@ -41,36 +41,31 @@
 };
 
 /// How long a caller may take to read a reply.
-const REPLY_TIME: Duration = Duration::from_secs(20);
+const REPLY_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// How much of a refused request is still read, and for how long, so that its
-/// sender reads the reply before the connection is reset.
+/// Limits of reading the rest of a refused request, so that its sender reads the reply before
+/// the connection is reset.
 const DISCARD_MAX_BYTES: usize = 256 * 1_024;
-const DISCARD_TIME: Duration = Duration::from_millis(500);
+const DISCARD_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// How long a connection that is made late in a stop is kept open for its first
-/// request, which is on its way.
-const FIRST_REQUEST_TIME: Duration = Duration::from_millis(300);
+/// How long a new connection stays open for its first request while the instance stops.
+const FIRST_REQUEST_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// The least time after which a caller is told to come back to an instance that knows
-/// nothing yet.
-const START_RETRY_AFTER: Duration = Duration::from_millis(250);
+/// The shortest Retry-After of an instance without a configuration.
+const STARTUP_RETRY_AFTER: Duration = Duration::from_millis(250);
 
-/// How long after its start an instance lets requests wait for the configuration, and
-/// how long each waits at most; it waits for a third of its time at most, as long as
-/// callers wait for a request to be read. Of the callers that come back after all
-/// instances have lost power, 67 in half a second were refused for want of one.
-const START_TIME: Duration = Duration::from_millis(1_000);
-const START_WAIT: Duration = Duration::from_millis(400);
+/// How long after its start an instance lets requests wait for the configuration, and how long
+/// each waits at most.
+const STARTUP_PERIOD: Duration = Duration::from_millis(1_000);
+const STARTUP_WAIT_MAX: Duration = Duration::from_millis(400);
 
-/// What a reply may take beyond the route's timeout.
+/// The time for a reply beyond the route's timeout.
 const REPLY_MARGIN: Duration = Duration::from_millis(200);
 
-/// When a caller that an instance late in its stop refuses is told to come back:
-/// it connects to another one.
+/// Retry-After of an instance that is stopping: the caller connects to another one.
 const STOP_RETRY_AFTER: Duration = Duration::from_millis(20);
 
-/// Whether a connection stays open.
+/// What a connection does next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Next {
     Request,
@@ -95,7 +90,7 @@
 struct Connection<'a, D> {
     shared: &'a Arc<Shared<D>>,
     stream: BufferedStream,
-    /// Whether no request has come on it yet.
+    /// Whether no request has arrived on it yet.
     is_new: bool,
 }
 
@@ -117,7 +112,7 @@
         let stopping = async {
             lifecycle.closing_idle().await;
             if is_new {
-                Timer::after(FIRST_REQUEST_TIME).await;
+                Timer::after(FIRST_REQUEST_TIMEOUT).await;
             }
         };
         let closing = async {
@@ -133,10 +128,10 @@
         }
     }
 
-    /// Closes, unless a request has arrived at this very moment.
+    /// Closes the connection, unless request bytes have just arrived.
     ///
-    /// Nothing more is read: a request that crosses the close on its way is then
-    /// reset unread, and its caller knows that it did not run.
+    /// Nothing more is read: a request that crosses the close is reset unread, so that its
+    /// caller knows that it did not run.
     async fn close_idle(&mut self) -> Next {
         match self.stream.idle_state() {
             IdleState::Readable => fill(&mut self.stream).await,
@@ -150,24 +145,24 @@
         let received_at = self.shared.clock.now();
         let mut head = match received {
             Ok(head) => head,
-            Err(reason) => return self.no_request(reason).await,
+            Err(reason) => return self.reject(reason).await,
         };
-        if let Some(reply) = own_answer(self.shared, &head) {
+        if let Some(reply) = answer_locally(self.shared, &head) {
             return self.send(&reply, head.close).await;
         }
         let memory = &self.shared.body_memory;
         let (body, memory) = match receive_body(&mut self.stream, &head, &limits, memory).await {
             Ok(received) => received,
-            Err(reason) => return self.no_request(reason).await,
+            Err(reason) => return self.reject(reason).await,
         };
-        let facts = self.shared.dialect.caller_facts(&head.lines);
-        // The caller's wish to close is for its own connection alone.
+        let headers = self.shared.dialect.read_caller_headers(&head.lines);
+        // `connection: close` concerns the connection of the caller alone.
         let close = std::mem::replace(&mut head.close, false);
         let request = CallerRequest {
             head,
             body,
             _memory: memory,
-            facts,
+            headers,
             received_at,
         };
         self.answer(request, close).await
@@ -178,39 +173,39 @@
         let id = request.id().to_owned();
         let received_at = request.received_at;
         let journal = &self.shared.journal;
-        let Some((reply, inputs)) = self.reply(request).await else {
+        let Some((reply, trace)) = self.reply(request).await else {
             journal.caller_gone(&id);
             return Next::Close;
         };
         let latency = self.shared.clock.now() - received_at;
-        journal.request_ended(&inputs, &reply, latency);
+        journal.request_ended(&trace, &reply, latency);
         let close = close || self.shared.lifecycle.is_stopping();
         let bytes = reply.encode(&method, close);
         self.send(&bytes, close).await
     }
 
-    /// Returns the reply to a request; nothing where its caller is gone.
-    async fn reply(&self, request: CallerRequest) -> Option<(Reply, Inputs)> {
-        let Some(routes) = self.await_routes(request.facts.time_left).await else {
+    /// Returns the reply to a request; `None` if its caller has disconnected.
+    async fn reply(&self, request: CallerRequest) -> Option<(Reply, RequestTrace)> {
+        let Some(routes) = self.await_routes(request.headers.time_left).await else {
             let ready_after = self.shared.state.lock().ready_after();
-            let retry_after = ready_after.max(START_RETRY_AFTER);
-            let inputs = Inputs::new(request.id(), "no_configuration_yet");
-            return Some((Refusal::NotRun { retry_after }.into(), inputs));
+            let retry_after = ready_after.max(STARTUP_RETRY_AFTER);
+            let trace = RequestTrace::new(request.id(), "no_configuration_yet");
+            return Some((Refusal::NotRun { retry_after }.into(), trace));
         };
         let route = routes.find(&request.head.host, request.head.path());
         let Some(route) = route.cloned() else {
-            let inputs = refused(&request, &routes, "no_route");
-            return Some((Refusal::NotFound.into(), inputs));
+            let trace = refused(&request, &routes, "no_route");
+            return Some((Refusal::NotFound.into(), trace));
         };
         let caller = match request.identify(&routes, &route) {
             Ok(caller) => caller,
             Err(reason) => {
-                let mut inputs = refused(&request, &routes, reason);
-                inputs.route.clone_from(&route.name);
-                return Some((Refusal::Unauthorised.into(), inputs));
+                let mut trace = refused(&request, &routes, reason);
+                trace.route.clone_from(&route.name);
+                return Some((Refusal::Unauthorised.into(), trace));
             }
         };
-        let order = Order {
+        let route_match = RouteMatch {
             route,
             caller,
             version: routes.version(),
@@ -218,27 +213,26 @@
         if !self
             .shared
             .lifecycle
-            .has_time_for(order.route.timeout + REPLY_MARGIN)
+            .has_time_for(route_match.route.timeout + REPLY_MARGIN)
         {
             let retry_after = STOP_RETRY_AFTER;
-            let inputs = Inputs::new(request.id(), "stopping");
-            return Some((Refusal::NotRun { retry_after }.into(), inputs));
+            let trace = RequestTrace::new(request.id(), "stopping");
+            return Some((Refusal::NotRun { retry_after }.into(), trace));
         }
         let gone = async {
             self.stream.closed_by_peer().await;
             None
         };
-        if order.route.is_idempotent {
-            // Where the caller is gone its work is dropped.
+        if route_match.route.is_idempotent {
+            // A disconnect cancels the work.
             let reply = async {
-                Some(forward(self.shared, &request, &order, &CallerWatch::default()).await)
+                Some(forward(self.shared, &request, &route_match, &CallerWatch::default()).await)
             };
             return or(reply, gone).await;
         }
-        // Work that cannot be repeated is not broken off, but what has not been sent
-        // is not begun for a caller that has left.
+        // Non-idempotent work is not cancelled by a disconnect, but no new attempt is begun.
         let (present, open): (Sender<()>, _) = bounded(1);
-        let mut task = Some(self.spawn_forward(request, order, CallerWatch::new(open)));
+        let mut task = Some(self.spawn_forward(request, route_match, CallerWatch::new(open)));
         let reply = async {
             match task.as_mut() {
                 Some(task) => Some(task.await),
@@ -255,20 +249,23 @@
         reply
     }
 
-    /// Returns the routes; a request that comes right after a start waits for the
-    /// first reading of the store, which takes 0.1 to 0.25 s.
+    /// Returns the routes. A request right after the start waits for the first read of the
+    /// store.
     async fn await_routes(&self, time_left: Option<Duration>) -> Option<Arc<RouteTable>> {
-        let waits_until = self.shared.clock.instant(MonotonicTime::ZERO + START_TIME);
-        let patience = time_left.map_or(START_WAIT, |time| START_WAIT.min(time / 3));
-        let ends_at = waits_until.min(Instant::now() + patience);
+        let waits_until = self
+            .shared
+            .clock
+            .instant(MonotonicTime::ZERO + STARTUP_PERIOD);
+        let patience = time_left.map_or(STARTUP_WAIT_MAX, |time| STARTUP_WAIT_MAX.min(time / 3));
+        let deadline = waits_until.min(Instant::now() + patience);
         loop {
             let changed = self.shared.log_changed.listen();
             let routes = self.shared.state.lock().routes();
-            if routes.is_some() || Instant::now() >= ends_at {
+            if routes.is_some() || Instant::now() >= deadline {
                 return routes;
             }
             let late = async {
-                Timer::at(ends_at).await;
+                Timer::at(deadline).await;
             };
             or(changed, late).await;
         }
@@ -277,22 +274,22 @@
     fn spawn_forward(
         &self,
         request: CallerRequest,
-        order: Order,
+        route_match: RouteMatch,
         caller: CallerWatch,
-    ) -> smol::Task<(Reply, Inputs)> {
+    ) -> smol::Task<(Reply, RequestTrace)> {
         let shared = Arc::clone(self.shared);
-        let forwarding = async move { forward(&shared, &request, &order, &caller).await };
+        let forwarding = async move { forward(&shared, &request, &route_match, &caller).await };
         self.shared.executor.spawn(forwarding)
     }
 
-    async fn no_request(&mut self, reason: NoRequest) -> Next {
-        let NoRequest::Refused(refusal) = reason else {
+    async fn reject(&mut self, reason: ReceiveError) -> Next {
+        let ReceiveError::Refused(refusal) = reason else {
             return Next::Close;
         };
         let reply = Reply::from(refusal);
-        let inputs = Inputs::new("-", refusal.reason());
+        let trace = RequestTrace::new("-", refusal.reason());
         let journal = &self.shared.journal;
-        journal.request_ended(&inputs, &reply, Duration::ZERO);
+        journal.request_ended(&trace, &reply, Duration::ZERO);
         let bytes = reply.encode("GET", true);
         if self.send(&bytes, false).await == Next::Request {
             self.linger().await;
@@ -302,7 +299,7 @@
 
     async fn send(&mut self, bytes: &[u8], close: bool) -> Next {
         let late = async {
-            Timer::after(REPLY_TIME).await;
+            Timer::after(REPLY_TIMEOUT).await;
             Err(std::io::ErrorKind::TimedOut.into())
         };
         match or(self.stream.write_all(bytes), late).await {
@@ -315,22 +312,22 @@
         }
     }
 
-    /// Ends the sending half and drops what still comes, so that the reply is
-    /// read before the connection is reset.
+    /// Shuts down the sending half and discards received data, so that the reply is read before
+    /// the connection is reset.
     async fn linger(&mut self) {
         self.stream.shutdown_write();
         let late = async {
-            Timer::after(DISCARD_TIME).await;
+            Timer::after(DISCARD_TIMEOUT).await;
         };
         or(self.stream.discard(DISCARD_MAX_BYTES), late).await;
     }
 }
 
-/// Returns what is known of a request that is refused before it is placed.
-fn refused(request: &CallerRequest, routes: &RouteTable, reason: &'static str) -> Inputs {
-    let mut inputs = Inputs::new(request.id(), reason);
-    inputs.version = routes.version();
-    inputs
+/// Returns the trace of a request that is refused before it is forwarded.
+fn refused(request: &CallerRequest, routes: &RouteTable, reason: &'static str) -> RequestTrace {
+    let mut trace = RequestTrace::new(request.id(), reason);
+    trace.version = routes.version();
+    trace
 }
 
 async fn fill(stream: &mut BufferedStream) -> Next {
--- a/crates/foxtide-gateway/src/pool.rs
+++ b/crates/foxtide-gateway/src/pool.rs
@@ -1,5 +1,4 @@
-//! Idle connections to upstreams, by incarnation: one that has started again knows nothing
-//! of the connections that it had.
+//! Pools idle connections to upstreams, by incarnation.
 
 use foxtide_core::ids::UpstreamId;
 use foxtide_core::registry::Registration;
@@ -15,57 +14,53 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// How long an idle connection is used again where the upstream does not say
-/// how long it keeps it. Servers usually keep them for 5 s or more.
-const IDLE_TIME_DEFAULT: Duration = Duration::from_secs(4);
+/// Idle timeout where the upstream does not state one; servers usually allow 5 s or more.
+const IDLE_TIMEOUT_DEFAULT: Duration = Duration::from_secs(4);
 
-/// What is left of the upstream's own time when a connection is given up: a
-/// request must not cross the upstream's close.
-const IDLE_TIME_MARGIN: Duration = Duration::from_millis(1_200);
+/// How long before the end of the upstream's own timeout a connection is closed, so that no
+/// request crosses the upstream's close.
+const IDLE_TIMEOUT_MARGIN: Duration = Duration::from_millis(1_200);
 
-/// The part of that time for which a connection carries a request that must
-/// not run twice.
-const NON_IDEMPOTENT_PART: f64 = 0.6;
+/// The share of the timeout in which a connection may carry a non-idempotent request.
+const NON_IDEMPOTENT_SHARE: f64 = 0.6;
 
 #[derive(Debug)]
-struct Idle {
+struct IdleConnection {
     stream: BufferedStream,
-    /// When the upstream started that it leads to.
+    /// When the incarnation of the upstream started.
     born_at: Option<WallTime>,
     since: MonotonicTime,
-    limit: Duration,
+    timeout: Duration,
 }
 
 /// The idle connections to all upstreams.
 #[derive(Debug, Default)]
 pub(crate) struct Pool {
-    idle: Mutex<HashMap<UpstreamId, Vec<Idle>>>,
+    idle: Mutex<HashMap<UpstreamId, Vec<IdleConnection>>>,
 }
 
 impl Pool {
-    /// Takes the connection used last that is open and quiet.
+    /// Takes the most recently used connection that is open and has no unread data.
     ///
-    /// One on which bytes wait may hold a response to an earlier request; it
-    /// is closed.
+    /// Unread data may be a response to an earlier request; such a connection is closed.
     pub(crate) fn take(
         &self,
         registration: &Registration,
         is_idempotent: bool,
         now: MonotonicTime,
     ) -> Option<BufferedStream> {
-        let part = if is_idempotent {
+        let share = if is_idempotent {
             1.0
         } else {
-            NON_IDEMPOTENT_PART
+            NON_IDEMPOTENT_SHARE
         };
         let mut idle = self.idle.lock();
         let connections = idle.get_mut(&registration.upstream)?;
         connections.retain(|connection| connection.born_at == registration.born_at);
         while let Some(connection) = connections.pop() {
-            let is_fresh = now - connection.since <= connection.limit.mul_f64(part);
+            let is_fresh = now - connection.since <= connection.timeout.mul_f64(share);
             if !is_fresh {
-                // Those below it are older still, but may carry requests that
-                // may run twice.
+                // Older connections may still carry idempotent requests.
                 connections.push(connection);
                 return None;
             }
@@ -76,8 +71,8 @@
         None
     }
 
-    /// Keeps a connection whose last response was read to its exact end; at most
-    /// `connections_max` to one upstream.
+    /// Adds a connection whose last response was read to its end, up to `connections_max` per
+    /// upstream.
     pub(crate) fn put(
         &self,
         registration: &Registration,
@@ -86,29 +81,28 @@
         connections_max: usize,
         now: MonotonicTime,
     ) {
-        let limit = keep_alive.map_or(IDLE_TIME_DEFAULT, |time| {
-            time.saturating_sub(IDLE_TIME_MARGIN)
+        let timeout = keep_alive.map_or(IDLE_TIMEOUT_DEFAULT, |time| {
+            time.saturating_sub(IDLE_TIMEOUT_MARGIN)
         });
         let mut idle = self.idle.lock();
         let connections = idle.entry(registration.upstream.clone()).or_default();
         if connections.len() < connections_max {
-            connections.push(Idle {
+            connections.push(IdleConnection {
                 stream,
                 born_at: registration.born_at,
                 since: now,
-                limit,
+                timeout,
             });
         }
     }
 
-    /// Closes the idle connections to an upstream: one beside them has fallen silent,
-    /// and so may they, while new ones work.
-    pub(crate) fn forget(&self, upstream: &UpstreamId) {
+    /// Closes the idle connections to an upstream of which another connection has failed.
+    pub(crate) fn close_idle(&self, upstream: &UpstreamId) {
         self.idle.lock().remove(upstream);
     }
 
-    /// Closes connections that were idle for too long or that their upstream
-    /// has closed, and those to incarnations that `is_known` does not know.
+    /// Closes connections whose timeout has passed, that their upstream has closed, or whose
+    /// incarnation `is_known` does not know.
     pub(crate) fn prune(
         &self,
         now: MonotonicTime,
@@ -117,7 +111,7 @@
         let mut idle = self.idle.lock();
         idle.retain(|upstream, connections| {
             connections.retain(|connection| {
-                let is_fresh = now - connection.since <= connection.limit;
+                let is_fresh = now - connection.since <= connection.timeout;
                 is_fresh
                     && connection.stream.idle_state() == IdleState::Idle
                     && is_known(upstream, connection.born_at)
--- a/crates/foxtide-gateway/src/traffic.rs
+++ b/crates/foxtide-gateway/src/traffic.rs
@@ -1,7 +1,4 @@
-//! Counts the bytes that are sent to other instances, by what they are for.
-//!
-//! The links of the smallest machines carry a megabyte a second, and bytes between
-//! availability zones are paid for: what fills them has to be seen.
+//! Counts the bytes that are sent to other instances, by kind.
 
 use foxtide_events::{
     EventCode,
@@ -12,24 +9,24 @@
     Ordering, //
 };
 
-/// What is sent.
+/// The kinds of traffic between instances.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Sent {
-    /// What has changed in the store, to one that follows this instance.
+pub(crate) enum TrafficKind {
+    /// Changes of the store, sent to a follower.
     Changes,
-    /// All that the store holds.
+    /// The whole contents of the store, sent to a follower.
     Everything,
-    /// A question to one that is followed.
+    /// A question to a followed instance.
     Question,
-    /// Questions for slots of upstreams, their answers and ends.
+    /// Questions for slots of upstreams, their answers and notices of ends.
     Slots,
     /// Questions for tokens of quotas and their answers.
     Quotas,
-    /// News of requests that end their upstreams.
+    /// Reports of requests that end their upstreams.
     Poison,
 }
 
-impl Sent {
+impl TrafficKind {
     const ALL: [Self; 6] = [
         Self::Changes,
         Self::Everything,
@@ -54,23 +51,23 @@
 /// The bytes that an instance has sent to others.
 #[derive(Debug, Default)]
 pub(crate) struct Traffic {
-    /// Bytes that no line has told yet, in the order of [`Sent::ALL`].
-    untold: [AtomicU64; Sent::ALL.len()],
+    /// The bytes that were not logged yet, in the order of [`TrafficKind::ALL`].
+    unreported: [AtomicU64; TrafficKind::ALL.len()],
 }
 
 impl Traffic {
     /// Counts a message.
-    pub(crate) fn count(&self, sent: Sent, size_bytes: usize) {
+    pub(crate) fn count(&self, kind: TrafficKind, size_bytes: usize) {
         let size_bytes = size_bytes as u64;
-        self.untold[sent as usize].fetch_add(size_bytes, Ordering::Relaxed);
-        metrics::counter!("foxtide_instance_bytes_total", "sent" => sent.as_str())
+        self.unreported[kind as usize].fetch_add(size_bytes, Ordering::Relaxed);
+        metrics::counter!("foxtide_instance_bytes_total", "sent" => kind.as_str())
             .increment(size_bytes);
     }
 
-    /// Writes a line about what was sent since the last one, if anything was.
-    pub(crate) fn tell(&self) {
+    /// Logs the bytes that were sent since the last call, if any.
+    pub(crate) fn report(&self) {
         let [changes, everything, question, slots, quotas, poison] =
-            Sent::ALL.map(|sent| self.untold[sent as usize].swap(0, Ordering::Relaxed));
+            TrafficKind::ALL.map(|kind| self.unreported[kind as usize].swap(0, Ordering::Relaxed));
         if changes + everything + question + slots + quotas + poison == 0 {
             return;
         }
