--- a/crates/foxtide-entry/src/admin.rs
+++ b/crates/foxtide-entry/src/admin.rs
@@ -28,7 +28,7 @@
 /// Handles requests on the admin listener.
 #[derive(Debug)]
 pub(crate) struct AdminHandler<P> {
-    pub(crate) dependencies: Arc<P>,
+    pub(crate) deps: Arc<P>,
     /// State of the caller listener, on which readiness depends.
     pub(crate) callers: Arc<ListenerState>,
 }
@@ -42,7 +42,7 @@
         match url.path() {
             "/healthz" => plain(StatusCode::Ok, "ok\n"),
             "/readyz" => self.readiness(),
-            path => match self.dependencies.admin().page(path, url.query()) {
+            path => match self.deps.admin().page(path, url.query()) {
                 Some(page) => Answer::new(StatusCode::Ok, page.content_type, page.body),
                 None => refused(StatusCode::NotFound, "unknown-page"),
             },
@@ -52,7 +52,7 @@
     fn readiness(&self) -> Answer {
         if self.callers.is_draining() {
             plain(StatusCode::ServiceUnavailable, "draining\n")
-        } else if !self.dependencies.admin().is_ready() {
+        } else if !self.deps.admin().is_ready() {
             plain(StatusCode::ServiceUnavailable, "no configuration\n")
         } else {
             plain(StatusCode::Ok, "ready\n")
@@ -76,6 +76,6 @@
     fn record_disconnect(&self, _caller: SocketAddr) {}
 
     fn record_rejection(&self, caller: SocketAddr, refusal: &Refusal) -> RequestId {
-        record_rejected(&*self.dependencies, caller, refusal)
+        record_rejected(&*self.deps, caller, refusal)
     }
 }
--- a/crates/foxtide-entry/src/callers.rs
+++ b/crates/foxtide-entry/src/callers.rs
@@ -34,7 +34,7 @@
 /// Handles requests on the caller listener.
 #[derive(Debug)]
 pub(crate) struct CallerHandler<P> {
-    pub(crate) dependencies: Arc<P>,
+    pub(crate) deps: Arc<P>,
     pub(crate) options: Arc<EntryOptions>,
     pub(crate) proxy: Arc<Proxy<P>>,
     /// Owner id of this process in idempotency keys, sent in each answer.
@@ -50,7 +50,7 @@
             )),
             Route::Lookup => {
                 let url = &request.head.url;
-                lookup(&*self.dependencies, &self.options, url, request.peer, id)
+                lookup(&*self.deps, &self.options, url, request.peer, id)
             }
             Route::Service {
                 organisation,
@@ -81,18 +81,18 @@
 
     fn record_disconnect(&self, caller: SocketAddr) {
         let fields = EventFields::detail(format!("caller={caller}"));
-        let recorder = self.dependencies.recorder();
+        let recorder = self.deps.recorder();
         recorder.record(EventCode::RequestCancelled, fields);
     }
 
     fn record_rejection(&self, caller: SocketAddr, refusal: &Refusal) -> RequestId {
-        record_rejected(&*self.dependencies, caller, refusal)
+        record_rejected(&*self.deps, caller, refusal)
     }
 }
 
 /// Records a request that was rejected before routing and returns its new id.
 pub(crate) fn record_rejected<P: Dependencies>(
-    dependencies: &P,
+    deps: &P,
     caller: SocketAddr,
     refusal: &Refusal,
 ) -> RequestId {
@@ -102,8 +102,6 @@
         detail: format!("caller={caller} reason={}", refusal.reason),
         ..EventFields::default()
     };
-    dependencies
-        .recorder()
-        .record(EventCode::RequestRejected, fields);
+    deps.recorder().record(EventCode::RequestRejected, fields);
     request
 }
--- a/crates/foxtide-entry/src/entry.rs
+++ b/crates/foxtide-entry/src/entry.rs
@@ -47,7 +47,7 @@
 /// finish.
 #[derive(Debug)]
 pub struct Entry<P: Dependencies> {
-    dependencies: Arc<P>,
+    deps: Arc<P>,
     options: Arc<EntryOptions>,
     callers: Arc<ListenerState>,
     admin: Arc<ListenerState>,
@@ -99,18 +99,18 @@
     /// Returns an error if an address cannot be bound.
     pub fn start(
         options: EntryOptions,
-        dependencies: Arc<P>,
+        deps: Arc<P>,
         executor: &Arc<Executor<'static>>,
     ) -> Result<Self> {
         let listeners = Listeners::bind(options.caller_address, options.admin_address)?;
-        Ok(Self::start_on(listeners, options, dependencies, executor))
+        Ok(Self::start_on(listeners, options, deps, executor))
     }
 
     /// Starts to serve on bound listeners.
     pub fn start_on(
         listeners: Listeners,
         options: EntryOptions,
-        dependencies: Arc<P>,
+        deps: Arc<P>,
         executor: &Arc<Executor<'static>>,
     ) -> Self {
         let options = Arc::new(options);
@@ -119,7 +119,7 @@
             admin_address: listeners.admin_address,
             callers: ListenerState::new(&options.limits),
             admin: ListenerState::new(&options.limits),
-            dependencies,
+            deps,
             options,
             tasks: Vec::new(),
         };
@@ -133,9 +133,9 @@
 
     fn proxy(&self, executor: &Arc<Executor<'static>>) -> Proxy<P> {
         let options = &self.options;
-        let keys = Table::new(self.dependencies.owner().clone(), options.keys);
+        let keys = Table::new(self.deps.owner().clone(), options.keys);
         Proxy {
-            dependencies: Arc::clone(&self.dependencies),
+            deps: Arc::clone(&self.deps),
             options: Arc::clone(options),
             pools: Arc::new(Pools::new(options.pool.clone())),
             keys: Arc::new(Mutex::new(keys)),
@@ -153,10 +153,10 @@
         proxy: Proxy<P>,
     ) {
         let handler = CallerHandler {
-            dependencies: Arc::clone(&self.dependencies),
+            deps: Arc::clone(&self.deps),
             options: Arc::clone(&self.options),
             proxy: Arc::new(proxy),
-            owner: self.dependencies.owner().to_string(),
+            owner: self.deps.owner().to_string(),
         };
         let state = Arc::clone(&self.callers);
         self.serve(executor, listener, handler, state);
@@ -164,7 +164,7 @@
 
     fn serve_admin(&mut self, executor: &Arc<Executor<'static>>, listener: Async<TcpListener>) {
         let handler = AdminHandler {
-            dependencies: Arc::clone(&self.dependencies),
+            deps: Arc::clone(&self.deps),
             callers: Arc::clone(&self.callers),
         };
         let state = Arc::clone(&self.admin);
@@ -173,8 +173,8 @@
 
     /// Runs the first tick, so that configured services can be served at once.
     fn first_tick(&self) {
-        let clock = self.dependencies.clock();
-        self.dependencies.traffic().tick(clock.now(), clock.wall());
+        let clock = self.deps.clock();
+        self.deps.traffic().tick(clock.now(), clock.wall());
     }
 
     fn serve(
@@ -184,13 +184,11 @@
         handler: impl Handler,
         state: Arc<ListenerState>,
     ) {
-        let dependencies = Arc::clone(&self.dependencies);
+        let deps = Arc::clone(&self.deps);
         let limits = Arc::new(self.options.limits.clone());
         let on_error = move |error: &std::io::Error| {
             let fields = EventFields::detail(format!("cause={error}"));
-            dependencies
-                .recorder()
-                .record(EventCode::ListenerFailed, fields);
+            deps.recorder().record(EventCode::ListenerFailed, fields);
         };
         let serving = serve_listener(
             listener,
@@ -204,10 +202,10 @@
     }
 
     fn start_housekeeping(&mut self, executor: &Arc<Executor<'static>>, proxy: &Proxy<P>) {
-        let (dependencies, options) = (Arc::clone(&self.dependencies), Arc::clone(&self.options));
+        let (deps, options) = (Arc::clone(&self.deps), Arc::clone(&self.options));
         let (pools, keys) = (Arc::clone(&proxy.pools), Arc::clone(&proxy.keys));
         let callers = Arc::clone(&self.callers);
-        let housekeeping = Housekeeping::new(dependencies, options, pools, keys, callers);
+        let housekeeping = Housekeeping::new(deps, options, pools, keys, callers);
         let housekeeping = run_housekeeping(housekeeping, Arc::clone(executor));
         self.tasks.push(executor.spawn(housekeeping));
     }
@@ -239,7 +237,7 @@
     /// progress, for a limited time. The admin listener stays open.
     pub async fn drain(&self) {
         self.record(EventCode::ProcessStopping, String::new());
-        self.dependencies.directory().leave();
+        self.deps.directory().leave();
         self.callers.start_draining();
         Timer::after(self.options.lookup_ttl + self.options.drain.margin).await;
         self.callers.close();
@@ -254,7 +252,7 @@
     }
 
     fn record(&self, code: EventCode, detail: String) {
-        let recorder = self.dependencies.recorder();
+        let recorder = self.deps.recorder();
         recorder.record(code, EventFields::detail(detail));
     }
 }
--- a/crates/foxtide-entry/src/housekeeping.rs
+++ b/crates/foxtide-entry/src/housekeeping.rs
@@ -36,7 +36,7 @@
 /// State used by the background work.
 #[derive(Debug)]
 pub(crate) struct Housekeeping<P> {
-    dependencies: Arc<P>,
+    deps: Arc<P>,
     pools: Arc<Pools>,
     poller: Arc<Poller<P>>,
     keys: KeyTable,
@@ -45,19 +45,19 @@
 
 impl<P: Dependencies> Housekeeping<P> {
     pub(crate) fn new(
-        dependencies: Arc<P>,
+        deps: Arc<P>,
         options: Arc<EntryOptions>,
         pools: Arc<Pools>,
         keys: KeyTable,
         callers: Arc<ListenerState>,
     ) -> Self {
         let poller = Poller {
-            dependencies: Arc::clone(&dependencies),
+            deps: Arc::clone(&deps),
             pools: Arc::clone(&pools),
             options,
         };
         Self {
-            dependencies,
+            deps,
             pools,
             poller: Arc::new(poller),
             keys,
@@ -66,13 +66,10 @@
     }
 
     fn tick(&self, executor: &Executor<'static>) {
-        let (now, wall) = (
-            self.dependencies.clock().now(),
-            self.dependencies.clock().wall(),
-        );
-        let traffic = self.dependencies.traffic();
+        let (now, wall) = (self.deps.clock().now(), self.deps.clock().wall());
+        let traffic = self.deps.traffic();
         traffic.tick(now, wall);
-        traffic.publish_views(self.dependencies.explainer(), now, wall);
+        traffic.publish_views(self.deps.explainer(), now, wall);
         for change in traffic.status_changes(now) {
             self.record(change);
         }
@@ -80,8 +77,8 @@
     }
 
     fn prune(&self) {
-        let traffic = self.dependencies.traffic();
-        self.pools.prune(self.dependencies.clock().now());
+        let traffic = self.deps.traffic();
+        self.pools.prune(self.deps.clock().now());
         self.pools.retain(&traffic.addresses());
         self.expire_keys();
         gauge!(CONNECTIONS).set(self.callers.connections() as f64);
@@ -89,7 +86,7 @@
     }
 
     fn expire_keys(&self) {
-        let wall = self.dependencies.clock().wall();
+        let wall = self.deps.clock().wall();
         let usage = {
             let mut keys = self.keys.lock();
             keys.tick(wall);
@@ -112,7 +109,7 @@
             detail: format!("from={} to={}", change.change.from, change.change.to),
             ..EventFields::default()
         };
-        self.dependencies.recorder().record(code, fields);
+        self.deps.recorder().record(code, fields);
     }
 }
 
--- a/crates/foxtide-entry/src/lib.rs
+++ b/crates/foxtide-entry/src/lib.rs
@@ -14,13 +14,13 @@
 //! ```no_run
 //! # use foxtide_entry::{Entry, EntryOptions, Dependencies, Workers};
 //! # use std::sync::Arc;
-//! # async fn run<P: Dependencies>(dependencies: P) -> foxtide_entry::Result<()> {
+//! # async fn run<P: Dependencies>(deps: P) -> foxtide_entry::Result<()> {
 //! let workers = Workers::start(2)?;
 //! let options = EntryOptions {
 //!     caller_address: ([127, 0, 0, 1], 8080).into(),
 //!     ..EntryOptions::default()
 //! };
-//! let entry = Entry::start(options, Arc::new(dependencies), &workers.executor())?;
+//! let entry = Entry::start(options, Arc::new(deps), &workers.executor())?;
 //! entry.drain().await;
 //! # Ok(())
 //! # }
--- a/crates/foxtide-entry/src/lookup.rs
+++ b/crates/foxtide-entry/src/lookup.rs
@@ -62,7 +62,7 @@
 /// Returns a refusal if the query is malformed or names an unknown organisation
 /// or service.
 pub(crate) fn lookup<P: Dependencies>(
-    dependencies: &P,
+    deps: &P,
     options: &EntryOptions,
     url: &Url,
     peer: SocketAddr,
@@ -72,14 +72,14 @@
     if !options.serves(&query.organisation) {
         return Err(unknown_organisation());
     }
-    let traffic = dependencies.traffic().get(&query.organisation);
+    let traffic = deps.traffic().get(&query.organisation);
     let traffic = traffic.ok_or_else(unknown_organisation)?;
     let service = traffic.service(&query.service);
     let service = service.ok_or_else(unknown_service)?;
     let organisation = traffic.organisation();
-    let (directory, wall) = (dependencies.directory(), dependencies.clock().wall());
+    let (directory, wall) = (deps.directory(), deps.clock().wall());
     let known = directory.client_region(&query.organisation, query.client);
-    let origin = &dependencies.traffic().options().origin;
+    let origin = &deps.traffic().options().origin;
     let region = known.as_ref().unwrap_or(origin);
     let instances = directory.instances();
     let candidates = candidates(&instances, &organisation, region, wall);
@@ -87,7 +87,7 @@
     let rule = rule(&chosen, known.as_ref(), region);
     let region = Some(region.clone());
     let decision = Decision::new(DecisionKind::Lookup, rule, service.view(), region, wall);
-    dependencies.explainer().record(decision.with_request(&id));
+    deps.explainer().record(decision.with_request(&id));
     let answer = LookupAnswer {
         instances: chosen,
         ttl_s: options.lookup_ttl.as_secs(),
--- a/crates/foxtide-entry/src/proxy/hedging.rs
+++ b/crates/foxtide-entry/src/proxy/hedging.rs
@@ -79,7 +79,7 @@
         at: MonotonicTime,
     ) -> (EndedAttempt, Step) {
         let mut first_result = pin!(self.send(run, &first));
-        let delay = at - self.dependencies.clock().now();
+        let delay = at - self.deps.clock().now();
         if let Ok(result) = timeout(delay, first_result.as_mut()).await {
             return self.end(run, first, result);
         }
@@ -105,7 +105,7 @@
         if !context.service.region(first_region)?.has_spare_capacity() {
             return None;
         }
-        let now = self.dependencies.clock().now();
+        let now = self.deps.clock().now();
         if context.service.hedge(&mut run.attempts, now) != Step::Hedge {
             return None;
         }
@@ -147,7 +147,7 @@
             claim.mark_written();
         }
         Attempt {
-            id: run.attempts.begin(self.dependencies.clock().now()),
+            id: run.attempts.begin(self.deps.clock().now()),
             admitted,
             slot,
         }
--- a/crates/foxtide-entry/src/proxy/keys.rs
+++ b/crates/foxtide-entry/src/proxy/keys.rs
@@ -178,7 +178,7 @@
 /// Claims the key of a request, or returns the answer to a request that must
 /// not be executed.
 pub(super) fn begin<P: Dependencies>(
-    dependencies: &P,
+    deps: &P,
     table: &KeyTable,
     request: KeyedRequest<'_>,
 ) -> Result<ClaimGuard, ImmediateAnswer> {
@@ -187,7 +187,7 @@
         .parse()
         .map_err(|error| ImmediateAnswer::malformed(&error))?;
     let fingerprint = request.fingerprint();
-    let wall: WallTime = dependencies.clock().wall();
+    let wall: WallTime = deps.clock().wall();
     let begun = table.lock().begin(&key, fingerprint, wall);
     match begun {
         Begin::Run(claim) => Ok(ClaimGuard {
@@ -201,7 +201,7 @@
             refusal.reason,
             refusal.retry_after,
         )),
-        Begin::Elsewhere => Err(redirect_to_owner(dependencies, request, &key)),
+        Begin::Elsewhere => Err(redirect_to_owner(deps, request, &key)),
     }
 }
 
@@ -293,11 +293,11 @@
 
 /// Redirects the caller to the instance that owns its key.
 fn redirect_to_owner<P: Dependencies>(
-    dependencies: &P,
+    deps: &P,
     request: KeyedRequest<'_>,
     key: &IdempotencyKey,
 ) -> ImmediateAnswer {
-    let Some(address) = dependencies.directory().address_of(&key.owner().instance) else {
+    let Some(address) = deps.directory().address_of(&key.owner().instance) else {
         return ImmediateAnswer::refused(RefusalReason::OwnerGone, None);
     };
     let refusal = Refusal {
--- a/crates/foxtide-entry/src/proxy/queue.rs
+++ b/crates/foxtide-entry/src/proxy/queue.rs
@@ -32,7 +32,7 @@
     /// Waits until the request is admitted to a region.
     pub(super) async fn admit(&self, context: &RequestContext) -> Result<Admitted, AdmissionError> {
         let draw = fastrand::f64();
-        let started_at = self.dependencies.clock().now();
+        let started_at = self.deps.clock().now();
         let mut now = started_at;
         let mut waiting = None;
         loop {
@@ -49,7 +49,7 @@
                     check_deadline(context, now + retry_in, "no-room")?;
                     self.enter_queue(&mut waiting)?;
                     Timer::after(retry_in).await;
-                    now = self.dependencies.clock().now();
+                    now = self.deps.clock().now();
                 }
                 Admission::Refuse {
                     reason,
@@ -89,7 +89,7 @@
             return Err(AdmissionError::no_upstream());
         };
         // Fast path without a listener.
-        if let SlotChoice::Taken(slot) = region.take(tried, self.dependencies.clock().now()) {
+        if let SlotChoice::Taken(slot) = region.take(tried, self.deps.clock().now()) {
             return Ok(slot);
         }
         self.wait_for_slot(context, &region, tried).await
@@ -105,7 +105,7 @@
         loop {
             // Listens before the check, so that no released slot is missed.
             let freed = region.slot_freed();
-            let now = self.dependencies.clock().now();
+            let now = self.deps.clock().now();
             match region.take(tried, now) {
                 SlotChoice::Taken(slot) => return Ok(slot),
                 SlotChoice::NoUpstream => return Err(AdmissionError::no_upstream()),
--- a/crates/foxtide-entry/src/proxy/recording.rs
+++ b/crates/foxtide-entry/src/proxy/recording.rs
@@ -32,7 +32,7 @@
     /// Returns the initial decision record of a request.
     pub(super) fn new_decision(&self, context: &RequestContext) -> Decision {
         let view = context.service.view();
-        let wall = self.dependencies.clock().wall();
+        let wall = self.deps.clock().wall();
         let decision = Decision::new(DecisionKind::Request, Rule::NoUpstream, view, None, wall);
         decision.with_request(&context.request)
     }
@@ -57,9 +57,7 @@
             detail: failure.to_string(),
             ..context.event_fields()
         };
-        self.dependencies
-            .recorder()
-            .record(failure_code(failure), fields);
+        self.deps.recorder().record(failure_code(failure), fields);
     }
 
     /// Records and returns the answer to a keyed request that is not executed.
@@ -74,11 +72,11 @@
     ) -> Result<Answer, Refusal> {
         let mut decision = self.new_decision(context);
         decision.redirect(immediate.rule, None);
-        self.dependencies.explainer().record(decision);
+        self.deps.explainer().record(decision);
         if let Err(refusal) = &immediate.answer {
             context.service.metrics().refused(refusal.outcome);
         }
-        let recorder = self.dependencies.recorder();
+        let recorder = self.deps.recorder();
         recorder.record(immediate.code, context.event_fields());
         immediate.answer
     }
@@ -94,7 +92,7 @@
             detail: format!("reason={}", refusal.reason),
             ..context.event_fields()
         };
-        self.dependencies.recorder().record(code, fields);
+        self.deps.recorder().record(code, fields);
     }
 }
 
--- a/crates/foxtide-entry/src/proxy/run.rs
+++ b/crates/foxtide-entry/src/proxy/run.rs
@@ -66,7 +66,7 @@
 /// Forwards requests to upstreams.
 #[derive(Debug)]
 pub(crate) struct Proxy<P> {
-    pub(crate) dependencies: Arc<P>,
+    pub(crate) deps: Arc<P>,
     pub(crate) options: Arc<EntryOptions>,
     /// Idle connections to upstreams.
     pub(crate) pools: Arc<Pools>,
@@ -130,8 +130,7 @@
         target: Target,
         id: RequestId,
     ) -> Result<Answer, Refusal> {
-        let context =
-            RequestContext::resolve(&*self.dependencies, &self.options, &received, &target, id);
+        let context = RequestContext::resolve(&*self.deps, &self.options, &received, &target, id);
         let context =
             context.map_err(|refusal| refusal.with_outcome(outcome_before_key_check(&received)))?;
         let claim = match self.claim(&context, &received, &target) {
@@ -171,7 +170,7 @@
             id: &context.request,
             key: key.as_str(),
         };
-        begin(&*self.dependencies, &self.keys, request).map(Some)
+        begin(&*self.deps, &self.keys, request).map(Some)
     }
 
     pub(super) async fn run(
@@ -184,7 +183,7 @@
             let status = StatusCode::ServiceUnavailable;
             return Err(Refusal::not_run(status, "too-many-requests"));
         };
-        let retry = self.dependencies.traffic().options().retry.clone();
+        let retry = self.deps.traffic().options().retry.clone();
         let mut run = Run {
             context,
             prepared,
@@ -193,15 +192,15 @@
             tried: Vec::new(),
             decision: self.new_decision(context),
         };
-        let received_at = self.dependencies.clock().now();
+        let received_at = self.deps.clock().now();
         let answered = self.run_attempts(&mut run).await;
-        let elapsed = self.dependencies.clock().now() - received_at;
+        let elapsed = self.deps.clock().now() - received_at;
         context
             .service
             .metrics()
             .seconds
             .record(elapsed.as_secs_f64());
-        self.dependencies.explainer().record(run.decision);
+        self.deps.explainer().record(run.decision);
         answered
     }
 
@@ -250,7 +249,7 @@
         destination: Destination,
     ) -> Result<Answer, Failure> {
         let address = destination.address;
-        let now = self.dependencies.clock().now();
+        let now = self.deps.clock().now();
         let time_left = context.terms.deadline - now;
         let bytes = prepared.with_deadline(time_left);
         let request = UpstreamRequest {
@@ -264,7 +263,7 @@
         };
         let received = exchange(&self.pools, &self.options.limits, &request, now).await?;
         if let Some(connection) = received.connection {
-            let now = self.dependencies.clock().now();
+            let now = self.deps.clock().now();
             let limit = destination.connection_limit;
             self.pools.put(address, connection, limit, now);
         }
@@ -284,7 +283,7 @@
         self.record_attempt(run.context, admitted, &upstream, end);
         let held = slot.held();
         end.release_slot(slot, held);
-        let now = self.dependencies.clock().now();
+        let now = self.deps.clock().now();
         if let AttemptEnd::Answered(_) = end {
             run.context.service.record_latency(held);
         }
--- a/crates/foxtide-entry/src/request_context.rs
+++ b/crates/foxtide-entry/src/request_context.rs
@@ -74,7 +74,7 @@
     /// Returns a refusal if the organisation or service is unknown or the
     /// deadline is malformed.
     pub(crate) fn resolve<P: Dependencies>(
-        dependencies: &P,
+        deps: &P,
         options: &EntryOptions,
         received: &ReceivedRequest,
         target: &Target,
@@ -83,7 +83,7 @@
         if !options.serves(&target.organisation) {
             return Err(unknown_organisation());
         }
-        let traffic = dependencies.traffic().get(&target.organisation);
+        let traffic = deps.traffic().get(&target.organisation);
         let traffic = traffic.ok_or_else(unknown_organisation)?;
         let service = traffic.service(&target.service);
         let service = service.ok_or_else(unknown_service)?;
@@ -92,10 +92,10 @@
         let method = received.head.method;
         let requested = requested_deadline(&received.head.head.headers)?;
         let time = requested.unwrap_or_else(|| contract.deadline());
-        let deadline = dependencies.clock().now() + time.min(options.deadline_max);
+        let deadline = deps.clock().now() + time.min(options.deadline_max);
         let idempotent = contract.is_idempotent(method.as_ref(), &target.path);
         Ok(Self {
-            origin: dependencies.directory().client_origin(received.peer.ip()),
+            origin: deps.directory().client_origin(received.peer.ip()),
             request,
             organisation: target.organisation.clone(),
             terms: service.terms(contract, idempotent, deadline),
--- a/crates/foxtide-entry/src/traffic/poller.rs
+++ b/crates/foxtide-entry/src/traffic/poller.rs
@@ -38,7 +38,7 @@
 /// Sends load polls to upstreams.
 #[derive(Debug)]
 pub(crate) struct Poller<P> {
-    pub(crate) dependencies: Arc<P>,
+    pub(crate) deps: Arc<P>,
     pub(crate) pools: Arc<Pools>,
     pub(crate) options: Arc<EntryOptions>,
 }
@@ -52,8 +52,8 @@
 impl<P: Dependencies> Poller<P> {
     /// Starts all polls that are due.
     pub(crate) fn start_due(self: &Arc<Self>, executor: &Executor<'static>) {
-        let now = self.dependencies.clock().now();
-        for due in self.dependencies.traffic().due_polls(now) {
+        let now = self.deps.clock().now();
+        for due in self.deps.traffic().due_polls(now) {
             let poller = Arc::clone(self);
             let polling = async move { poller.poll(due).await };
             executor.spawn(polling).detach();
@@ -67,7 +67,7 @@
             Err(failure) if failure.step == Step::Connect => PollResult::Unreachable,
             Err(_) => PollResult::TimedOut,
         };
-        let now = self.dependencies.clock().now();
+        let now = self.deps.clock().now();
         due.region
             .with_balancer(|balancer| balancer.finish_poll(due.poll, result, now));
     }
@@ -89,10 +89,10 @@
             freshness: Freshness::Any,
             time_left: self.options.poll.time,
         };
-        let now = self.dependencies.clock().now();
+        let now = self.deps.clock().now();
         let mut answered = exchange(&self.pools, &self.options.limits, &request, now).await?;
         if let Some(connection) = answered.connection.take() {
-            let now = self.dependencies.clock().now();
+            let now = self.deps.clock().now();
             self.pools.put(address, connection, POLLED_CONNECTIONS, now);
         }
         Ok(answered.answer)
--- a/crates/foxtide-entry/tests/keys.rs
+++ b/crates/foxtide-entry/tests/keys.rs
@@ -134,7 +134,7 @@
         "{answer}"
     );
     // A leaving instance still answers for its keys.
-    harness.dependencies.has_left.store(true, Ordering::SeqCst);
+    harness.deps.has_left.store(true, Ordering::SeqCst);
     let leaving = harness.caller().request(&post("/notes", &foreign_key, "x"));
     assert_refused(&leaving, 307, "unknown");
     let gone = key("entry-9.00000000000000aa");
--- a/crates/foxtide-entry/tests/path.rs
+++ b/crates/foxtide-entry/tests/path.rs
@@ -219,9 +219,7 @@
     wait_asked.recv().unwrap();
     let entry = Arc::clone(&harness.entry);
     let drained = harness.workers.spawn(async move { entry.drain().await });
-    support::wait_until("the end of look-ups", || {
-        harness.dependencies.has_left.load(SeqCst)
-    });
+    support::wait_until("the end of look-ups", || harness.deps.has_left.load(SeqCst));
     assert!(!drained.is_finished());
     drop(release);
     let answer = caller.answer().expect("the answer is not cut");
@@ -238,7 +236,7 @@
     let harness = Harness::start_changed(&[near.address, far.address], with_second_region);
     let answer = harness.caller().request(&get("/hamutenya/viewer/1"));
     assert!(answer.ends_with("near"), "{answer}");
-    *harness.dependencies.origin.lock().unwrap() = Some("erongo".parse().unwrap());
+    *harness.deps.origin.lock().unwrap() = Some("erongo".parse().unwrap());
     wait_until("the other region's row is known", || {
         let answer = harness.caller().request(&get("/hamutenya/viewer/2"));
         assert!(!answer.ends_with("near"), "{answer}");
--- a/crates/foxtide-entry/tests/support/mod.rs
+++ b/crates/foxtide-entry/tests/support/mod.rs
@@ -290,7 +290,7 @@
 /// Running entry with its dependencies.
 pub(crate) struct Harness {
     pub(crate) entry: Arc<Entry<TestDependencies>>,
-    pub(crate) dependencies: Arc<TestDependencies>,
+    pub(crate) deps: Arc<TestDependencies>,
     pub(crate) workers: Workers,
 }
 
@@ -318,14 +318,14 @@
             admin_address: ANY_PORT,
             ..options
         };
-        let dependencies = Arc::new(TestDependencies::new());
-        let now = dependencies.clock.now();
-        dependencies.traffic.configure(&Arc::new(organisation), now);
+        let deps = Arc::new(TestDependencies::new());
+        let now = deps.clock.now();
+        deps.traffic.configure(&Arc::new(organisation), now);
         let workers = Workers::start(2).unwrap();
-        let entry = Entry::start(options, Arc::clone(&dependencies), &workers.executor()).unwrap();
+        let entry = Entry::start(options, Arc::clone(&deps), &workers.executor()).unwrap();
         Self {
             entry: Arc::new(entry),
-            dependencies,
+            deps,
             workers,
         }
     }
@@ -342,7 +342,7 @@
 
     /// Returns the recorded events of this code.
     pub(crate) fn recorded(&self, code: EventCode) -> Vec<Event> {
-        let mut events = self.dependencies.recorder.select(&EventFilter::default());
+        let mut events = self.deps.recorder.select(&EventFilter::default());
         events.retain(|event| event.code == code);
         events
     }
