--- a/crates/foxtide-entry/src/bounded.rs
+++ b/crates/foxtide-entry/src/limiter.rs
@@ -1,4 +1,4 @@
-//! Counts what is under way and keeps it below a limit.
+//! Limits a count that is shared between tasks.
 
 use std::sync::Arc;
 use std::sync::atomic::{
@@ -6,22 +6,21 @@
     Ordering, //
 };
 
-/// A count with a limit. Clones count together.
+/// Shared count with an upper limit; clones share the count.
 #[derive(Clone, Debug)]
-pub(crate) struct Bounded {
+pub(crate) struct Limiter {
     count: Arc<AtomicUsize>,
     limit: usize,
 }
 
-/// A part of the count, given back when it is dropped.
+/// Acquired part of the count, returned on drop.
 #[derive(Debug)]
-pub(crate) struct Entered {
+pub(crate) struct Permit {
     count: Arc<AtomicUsize>,
     amount: usize,
 }
 
-impl Bounded {
-    /// Returns an empty count.
+impl Limiter {
     pub(crate) fn new(limit: usize) -> Self {
         Self {
             count: Arc::default(),
@@ -29,18 +28,18 @@
         }
     }
 
-    /// Takes `amount` of what is free; nothing where that is less.
-    pub(crate) fn enter(&self, amount: usize) -> Option<Entered> {
-        let entered = Entered {
+    /// Acquires `amount` if the limit allows it.
+    pub(crate) fn try_acquire(&self, amount: usize) -> Option<Permit> {
+        let permit = Permit {
             count: Arc::clone(&self.count),
             amount,
         };
         let before = self.count.fetch_add(amount, Ordering::AcqRel);
-        (before.saturating_add(amount) <= self.limit).then_some(entered)
+        (before.saturating_add(amount) <= self.limit).then_some(permit)
     }
 }
 
-impl Drop for Entered {
+impl Drop for Permit {
     fn drop(&mut self) {
         self.count.fetch_sub(self.amount, Ordering::AcqRel);
     }
@@ -51,13 +50,13 @@
     use super::*;
 
     #[test]
-    fn verify_the_limit_is_kept_and_given_back() {
-        let bounded = Bounded::new(3);
-        let two = bounded.enter(2).unwrap();
-        assert!(bounded.enter(2).is_none());
-        let one = bounded.enter(1);
+    fn verify_permits_are_limited_and_returned_on_drop() {
+        let limiter = Limiter::new(3);
+        let two = limiter.try_acquire(2).unwrap();
+        assert!(limiter.try_acquire(2).is_none());
+        let one = limiter.try_acquire(1);
         assert!(one.is_some());
         drop(two);
-        assert!(bounded.enter(2).is_some());
+        assert!(limiter.try_acquire(2).is_some());
     }
 }
--- a/crates/foxtide-entry/src/lookup.rs
+++ b/crates/foxtide-entry/src/lookup.rs
@@ -1,16 +1,16 @@
-//! Look-ups: which instances a caller is to use.
+//! Look-ups: selects the instances that a caller should use.
 
 use crate::answer::{
     Answer,
     Refusal, //
 };
 use crate::clock::Clock;
-use crate::options::EntryOptions;
-use crate::parts::{
+use crate::dependencies::{
+    Dependencies,
     Directory,
-    Parts,
     ServingInstance, //
 };
+use crate::options::EntryOptions;
 use foxtide_core::events::RequestId;
 use foxtide_core::explain::{
     Decision,
@@ -39,15 +39,15 @@
     SocketAddr, //
 };
 
-/// What a caller asks for.
+/// Parameters of a look-up.
 #[derive(Debug)]
-struct Question {
+struct LookupQuery {
     organisation: OrganisationId,
     service: ServiceId,
     client: IpAddr,
 }
 
-/// The answer to a look-up.
+/// Body of the answer to a look-up.
 #[derive(Debug, Serialize)]
 struct LookupAnswer<'a> {
     instances: Vec<&'a ServingInstance>,
@@ -59,34 +59,35 @@
 ///
 /// # Errors
 ///
-/// Fails where the question is malformed, or names what does not exist.
-pub(crate) fn lookup<P: Parts>(
-    parts: &P,
+/// Returns a refusal if the query is malformed or names an unknown organisation
+/// or service.
+pub(crate) fn lookup<P: Dependencies>(
+    deps: &P,
     options: &EntryOptions,
     url: &Url,
     peer: SocketAddr,
     id: RequestId,
 ) -> Result<Answer, Refusal> {
-    let question = Question::parse(url, peer)?;
-    if !options.serves(&question.organisation) {
+    let query = LookupQuery::parse(url, peer)?;
+    if !options.serves(&query.organisation) {
         return Err(unknown_organisation());
     }
-    let traffic = parts.traffic().get(&question.organisation);
+    let traffic = deps.traffic().get(&query.organisation);
     let traffic = traffic.ok_or_else(unknown_organisation)?;
-    let service = traffic.service(&question.service);
+    let service = traffic.service(&query.service);
     let service = service.ok_or_else(unknown_service)?;
     let organisation = traffic.organisation();
-    let (directory, wall) = (parts.directory(), parts.clock().wall());
-    let known = directory.client_region(&question.organisation, question.client);
-    let origin = &parts.traffic().options().origin;
+    let (directory, wall) = (deps.directory(), deps.clock().wall());
+    let known = directory.client_region(&query.organisation, query.client);
+    let origin = &deps.traffic().options().origin;
     let region = known.as_ref().unwrap_or(origin);
     let instances = directory.instances();
-    let nearest = nearest(&instances, &organisation, region, wall);
-    let chosen = choose(nearest, options.lookup_instances);
+    let candidates = candidates(&instances, &organisation, region, wall);
+    let chosen = choose(candidates, options.lookup_instances);
     let rule = rule(&chosen, known.as_ref(), region);
     let region = Some(region.clone());
     let decision = Decision::new(DecisionKind::Lookup, rule, service.view(), region, wall);
-    parts.explainer().record(decision.with_request(&id));
+    deps.explainer().record(decision.with_request(&id));
     let answer = LookupAnswer {
         instances: chosen,
         ttl_s: options.lookup_ttl.as_secs(),
@@ -103,8 +104,9 @@
     }
 }
 
-/// Returns the instances that may be named, the nearest to `region` first.
-fn nearest<'a>(
+/// Returns the instances that no drain excludes, with their distance from
+/// `region`.
+fn candidates<'a>(
     instances: &'a [ServingInstance],
     organisation: &Organisation,
     region: &RegionId,
@@ -112,16 +114,21 @@
 ) -> Vec<(Distance, &'a ServingInstance)> {
     let started = |drain: &&Drain| drain.start_us <= wall;
     let drains: Vec<&Drain> = organisation.drains.iter().filter(started).collect();
-    let stays = |instance: &&ServingInstance| !drains.iter().any(|drain| takes(drain, instance));
+    let is_offered =
+        |instance: &&ServingInstance| !drains.iter().any(|drain| excludes(drain, instance));
     let with_distance = |instance: &'a ServingInstance| {
         let distance = distance(organisation, region, &instance.region);
         (distance, instance)
     };
-    instances.iter().filter(stays).map(with_distance).collect()
+    instances
+        .iter()
+        .filter(is_offered)
+        .map(with_distance)
+        .collect()
 }
 
-/// Tells whether a drain takes an instance out of look-ups.
-fn takes(drain: &Drain, instance: &ServingInstance) -> bool {
+/// Returns whether a drain excludes an instance from look-ups.
+fn excludes(drain: &Drain, instance: &ServingInstance) -> bool {
     match &drain.target {
         DrainTarget::Instance(id) => *id == instance.instance,
         DrainTarget::AvailabilityZone(zone) => *zone == instance.availability_zone,
@@ -129,7 +136,7 @@
     }
 }
 
-/// How far an instance stands from a caller, in microseconds one way.
+/// One-way delay between regions, in microseconds.
 type Distance = u64;
 
 fn distance(organisation: &Organisation, from: &RegionId, to: &RegionId) -> Distance {
@@ -140,26 +147,31 @@
     delay_ms.map_or(Distance::MAX, |delay_ms| (delay_ms * 1e3) as Distance)
 }
 
-/// Chooses the nearest instances; among equals at random, so that callers
-/// spread over all.
-fn choose(mut nearest: Vec<(Distance, &ServingInstance)>, limit: usize) -> Vec<&ServingInstance> {
-    fastrand::shuffle(&mut nearest);
-    nearest.sort_by_key(|(distance, _)| *distance);
-    nearest.truncate(limit);
-    nearest.into_iter().map(|(_, instance)| instance).collect()
+/// Selects the nearest instances; ties are broken at random to spread callers.
+fn choose(
+    mut candidates: Vec<(Distance, &ServingInstance)>,
+    limit: usize,
+) -> Vec<&ServingInstance> {
+    fastrand::shuffle(&mut candidates);
+    candidates.sort_by_key(|(distance, _)| *distance);
+    candidates.truncate(limit);
+    candidates
+        .into_iter()
+        .map(|(_, instance)| instance)
+        .collect()
 }
 
-/// Returns the refusal for an organisation that is not served here.
+/// Refuses a request for an organisation that is not served here.
 pub(crate) fn unknown_organisation() -> Refusal {
     Refusal::not_run(StatusCode::NotFound, "unknown-organisation")
 }
 
-/// Returns the refusal for a service that the organisation does not have.
+/// Refuses a request for a service that the organisation does not have.
 pub(crate) fn unknown_service() -> Refusal {
     Refusal::not_run(StatusCode::NotFound, "unknown-service")
 }
 
-impl Question {
+impl LookupQuery {
     fn parse(url: &Url, peer: SocketAddr) -> Result<Self, Refusal> {
         let (mut organisation, mut service, mut client) = (None, None, None);
         for (key, value) in url.query_pairs() {
--- a/crates/foxtide-entry/src/serve/listener.rs
+++ b/crates/foxtide-entry/src/serve/listener.rs
@@ -1,11 +1,11 @@
-//! Accepts connections and keeps on when the system is short of something.
+//! Accepts connections and continues after failed accepts.
 
 use super::connection::{
+    Connection,
     Handler,
-    Wire,
     serve_connection, //
 };
-use super::state::ServeState;
+use super::state::ListenerState;
 use crate::errors::{
     Error,
     Result,
@@ -29,26 +29,26 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// How long to wait after a failed accept, such as for want of file
-/// descriptors (`EMFILE`), before the next one.
+/// Delay after a failed accept, for example for lack of file descriptors
+/// (`EMFILE`).
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
 /// Binds a listener.
 ///
 /// # Errors
 ///
-/// Fails where the address cannot be bound.
+/// Returns an error if the address cannot be bound.
 pub(crate) fn bind(address: SocketAddr) -> Result<Async<TcpListener>> {
     Async::<TcpListener>::bind(address).map_err(|error| Error::io(Step::Bind, address, error))
 }
 
-/// Serves all connections of a listener until the state says to close.
+/// Serves all connections of a listener until its state is closed.
 pub(crate) async fn serve_listener<H: Handler>(
     listener: Async<TcpListener>,
     executor: Arc<Executor<'static>>,
     handler: Arc<H>,
     limits: Arc<Limits>,
-    state: Arc<ServeState>,
+    state: Arc<ListenerState>,
     on_error: impl Fn(&io::Error) + Send,
 ) {
     loop {
@@ -60,13 +60,13 @@
         match or(accepted, closing).await {
             None => return,
             Some(Ok((socket, peer))) => {
-                let wire = Wire {
+                let connection = Connection {
                     stream: BufferedStream::new(socket),
                     peer,
                     limits: Arc::clone(&limits),
                     state: Arc::clone(&state),
                 };
-                spawn_connection(&executor, wire, Arc::clone(&handler));
+                spawn_connection(&executor, connection, Arc::clone(&handler));
             }
             Some(Err(error)) => {
                 on_error(&error);
@@ -76,17 +76,24 @@
     }
 }
 
-fn spawn_connection<H: Handler>(executor: &Executor<'static>, wire: Wire, handler: Arc<H>) {
-    // Beyond the limit the connection is closed before anything is read.
-    let Some(counted) = wire.state.open_connection(wire.limits.connections) else {
+fn spawn_connection<H: Handler>(
+    executor: &Executor<'static>,
+    connection: Connection,
+    handler: Arc<H>,
+) {
+    // Above the limit the connection is closed without reading from it.
+    let Some(guard) = connection
+        .state
+        .open_connection(connection.limits.connections)
+    else {
         return;
     };
     let serve = async move {
-        let _counted = counted;
-        let serving = AssertUnwindSafe(serve_connection(wire, &*handler));
-        // A fault in one connection must not end the worker that runs others.
+        let _guard = guard;
+        let serving = AssertUnwindSafe(serve_connection(connection, &*handler));
+        // A panic must not end the worker, which runs other connections.
         if serving.catch_unwind().await.is_err() {
-            log::error!("a connection's task panicked; the connection is closed");
+            log::error!("connection task panicked; closing the connection");
         }
     };
     executor.spawn(serve).detach();
--- a/crates/foxtide-entry/src/upstream/exchange.rs
+++ b/crates/foxtide-entry/src/upstream/exchange.rs
@@ -1,4 +1,4 @@
-//! One request for one answer on one connection.
+//! Sends a request to an upstream and reads the answer.
 
 use super::failure::{
     Failure,
@@ -18,15 +18,15 @@
     Limits,
     size, //
 };
-use crate::time_limit::within;
+use crate::timeout::timeout;
 use foxtide_core::time::MonotonicTime;
 use foxtide_http::{
     BodyLength,
     BodyReader,
     BufferedStream,
+    IdleState,
     MessageError,
     Progress,
-    Quiet,
     ResponseHead,
     name,
     read_head, //
@@ -40,54 +40,51 @@
 
 const ANSWER_START: &[u8] = b"HTTP/1.";
 
-/// The most interim answers (1xx) before the final one.
+/// Maximum number of interim answers (1xx) before the final one.
 const INTERIM_ANSWERS_MAX: usize = 8;
 
-/// Whether an answer must name the request that it belongs to.
+/// Whether an answer must echo the id of its request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Naming {
-    /// Always where the upstream has done so before.
-    AsBefore,
-    /// Never; for what harms nobody when it is taken for another's answer.
+pub(crate) enum RequestIdEcho {
+    /// Required if the upstream has echoed a request id before.
+    RequiredIfSeen,
+    /// Not required, for requests whose answers are interchangeable.
     Optional,
 }
 
-/// A request ready to be sent to an upstream.
+/// Encoded request to an upstream.
 #[derive(Debug)]
 pub(crate) struct UpstreamRequest<'a> {
-    /// The upstream's address.
     pub(crate) address: SocketAddr,
-    /// The method.
     pub(crate) method: Method,
-    /// The identity of the request.
+    /// Request id.
     pub(crate) request: &'a str,
-    /// Whether the answer must name the request.
-    pub(crate) naming: Naming,
-    /// The bytes to send.
+    /// Whether the answer must echo the request id.
+    pub(crate) request_id_echo: RequestIdEcho,
+    /// Encoded request.
     pub(crate) bytes: &'a [u8],
-    /// Which idle connections may carry it.
+    /// Which idle connections may be used.
     pub(crate) freshness: Freshness,
-    /// The time left.
+    /// Time limit for connecting and answering.
     pub(crate) time_left: Duration,
 }
 
-/// An upstream's whole answer.
+/// Answer of an upstream.
 #[derive(Debug)]
 pub(crate) struct UpstreamAnswer {
-    /// The answer, ready for the caller.
     pub(crate) answer: Answer,
-    /// The connection, where it can carry a further request.
+    /// Connection, if it can be reused.
     pub(crate) connection: Option<BufferedStream>,
 }
 
-/// Sends a request and reads the whole answer.
+/// Sends a request and reads the answer.
 ///
-/// Where the returned future is dropped, the connection is closed and the
-/// upstream can see that its answer is not wanted any more.
+/// Dropping the future closes the connection, which cancels the request at the
+/// upstream.
 ///
 /// # Errors
 ///
-/// Fails where no whole answer to this very request came in time.
+/// Returns an error if no complete answer to this request arrives in time.
 pub(crate) async fn exchange(
     pools: &Pools,
     limits: &Limits,
@@ -96,33 +93,33 @@
 ) -> Result<UpstreamAnswer, Failure> {
     let mut stream = open(pools, request, now).await?;
     let before_bytes = stream.sent_bytes();
-    let conversation = converse(&mut stream, pools, limits, request);
-    let conversed = within(request.time_left, conversation).await;
-    let conversed = conversed.unwrap_or(Err(FailureKind::TimedOut));
+    let exchange = send_and_read(&mut stream, pools, limits, request);
+    let answer = timeout(request.time_left, exchange).await;
+    let answer = answer.unwrap_or(Err(FailureKind::TimedOut));
     let sent_bytes = stream.sent_bytes() - before_bytes;
-    let conversed = conversed.map_err(|kind| request.failure(sent_bytes, kind))?;
-    Ok(conversed.into_answer(stream, limits))
+    let answer = answer.map_err(|kind| request.failure(sent_bytes, kind))?;
+    Ok(answer.into_answer(stream, limits))
 }
 
-/// A head and what was read of its body.
-struct Conversed {
+/// Head of an answer and what was read of its body.
+struct RawAnswer {
     head: ResponseHead,
     body: ReadBody,
 }
 
 enum ReadBody {
-    /// All of it.
+    /// Complete body.
     Whole(Vec<u8>),
-    /// There is none.
+    /// No body.
     Absent,
-    /// The first part; the reader goes on.
-    Begun(BodyReader, Vec<u8>),
+    /// First part of the body; the reader continues.
+    Partial(BodyReader, Vec<u8>),
 }
 
-impl Conversed {
+impl RawAnswer {
     fn into_answer(self, stream: BufferedStream, limits: &Limits) -> UpstreamAnswer {
         let length = self.head.head.length;
-        // Whether more comes is looked at when the connection is used again.
+        // Bytes that arrive later are detected when the connection is reused.
         let reusable = !self.head.head.close && stream.buffered().is_empty();
         let (body, connection) = match self.body {
             ReadBody::Whole(bytes) => (AnswerBody::Whole(bytes), reusable.then_some(stream)),
@@ -130,7 +127,7 @@
                 let body = AnswerBody::Absent { stated: length };
                 (body, reusable.then_some(stream))
             }
-            ReadBody::Begun(reader, piece) => {
+            ReadBody::Partial(reader, piece) => {
                 let body = LongBody::new(stream, reader, length, piece, limits.body_time);
                 (AnswerBody::Long(Box::new(body)), None)
             }
@@ -160,7 +157,7 @@
     }
 }
 
-/// Returns an idle connection or a new one.
+/// Takes an idle connection or opens a new one.
 async fn open(
     pools: &Pools,
     request: &UpstreamRequest<'_>,
@@ -176,10 +173,10 @@
         kind,
     };
     let stream = connect(pools, request).await.map_err(unsent)?;
-    match stream.quiet() {
-        Quiet::Yes => Ok(stream),
-        // An answer before the request: whose it is nobody knows.
-        Quiet::No => Err(unsent(FailureKind::OtherRequest)),
+    match stream.idle_state() {
+        IdleState::Idle => Ok(stream),
+        // Bytes before the request cannot belong to its answer.
+        IdleState::Readable => Err(unsent(FailureKind::OtherRequest)),
     }
 }
 
@@ -189,19 +186,19 @@
 ) -> Result<BufferedStream, FailureKind> {
     let limit = pools.options().connect_time.min(request.time_left);
     let source = pools.options().source;
-    let connected = within(limit, BufferedStream::connect(request.address, source)).await;
+    let connected = timeout(limit, BufferedStream::connect(request.address, source)).await;
     match connected {
         Ok(connected) => Ok(connected?),
         Err(_) => Err(FailureKind::TimedOut),
     }
 }
 
-async fn converse(
+async fn send_and_read(
     stream: &mut BufferedStream,
     pools: &Pools,
     limits: &Limits,
     request: &UpstreamRequest<'_>,
-) -> Result<Conversed, FailureKind> {
+) -> Result<RawAnswer, FailureKind> {
     stream.write_all(request.bytes).await?;
     read_answer(stream, pools, limits, request).await
 }
@@ -211,44 +208,44 @@
     pools: &Pools,
     limits: &Limits,
     request: &UpstreamRequest<'_>,
-) -> Result<Conversed, FailureKind> {
+) -> Result<RawAnswer, FailureKind> {
     let head = read_final_head(stream, limits).await?;
-    check_request_name(&head, pools, request)?;
+    check_request_id(&head, pools, request)?;
     let length = head.body_length(request.method);
     if length == BodyLength::None {
         let body = ReadBody::Absent;
-        return Ok(Conversed { head, body });
+        return Ok(RawAnswer { head, body });
     }
     let body = read_answer_body(stream, length, limits).await?;
-    Ok(Conversed { head, body })
+    Ok(RawAnswer { head, body })
 }
 
-/// Reads a whole body, or the first part of one too long to be held.
+/// Reads a complete body, or the first part of one that exceeds the buffer.
 async fn read_answer_body(
     stream: &mut BufferedStream,
     length: BodyLength,
     limits: &Limits,
 ) -> Result<ReadBody, MessageError> {
-    let hold_bytes = size(limits.answer_buffer);
+    let buffer_bytes = size(limits.answer_buffer);
     let mut reader = BodyReader::new(length)?;
     let mut body = Vec::new();
-    if matches!(length, BodyLength::Fixed { size_bytes } if size_bytes > hold_bytes as u64) {
-        return Ok(ReadBody::Begun(reader, body));
+    if matches!(length, BodyLength::Fixed { size_bytes } if size_bytes > buffer_bytes as u64) {
+        return Ok(ReadBody::Partial(reader, body));
     }
     while reader.read_some(stream, &mut body).await? == Progress::More {
-        if body.len() > hold_bytes {
-            return Ok(ReadBody::Begun(reader, body));
+        if body.len() > buffer_bytes {
+            return Ok(ReadBody::Partial(reader, body));
         }
     }
-    if has_surplus(stream.buffered()) {
-        return Err(MessageError::Surplus);
+    if has_trailing_bytes(stream.buffered()) {
+        return Err(MessageError::TrailingBytes);
     }
     Ok(ReadBody::Whole(body))
 }
 
-/// Tells whether what follows an answer is not the beginning of another one:
-/// the stated length was too short then, and the answer is not whole.
-fn has_surplus(rest: &[u8]) -> bool {
+/// Returns whether the bytes after an answer do not start another one: the
+/// stated length was too short, so the answer is truncated.
+fn has_trailing_bytes(rest: &[u8]) -> bool {
     let compared = rest.len().min(ANSWER_START.len());
     rest[..compared] != ANSWER_START[..compared]
 }
@@ -269,34 +266,37 @@
     Err(FailureKind::Closed)
 }
 
-/// Checks that an answer belongs to the request, by the name that it carries.
+/// Checks that an answer belongs to the request, by the request id that it
+/// echoes.
 ///
 /// # Errors
 ///
-/// Fails where it names another request, or none although the upstream names
-/// requests: it came late, early or twice.
-fn check_request_name(
+/// Returns an error if the answer echoes another id, or none although required:
+/// it is late, early or a duplicate.
+fn check_request_id(
     head: &ResponseHead,
     pools: &Pools,
     request: &UpstreamRequest<'_>,
 ) -> Result<(), FailureKind> {
-    let named = head.head.headers.get(name::REQUEST_ID);
-    let expected = request.naming == Naming::AsBefore && pools.names_requests(request.address);
-    match named.map(|named| named.as_str() == request.request) {
+    let echoed = head.head.headers.get(name::REQUEST_ID);
+    let expected = request.request_id_echo == RequestIdEcho::RequiredIfSeen
+        && pools.echoes_request_id(request.address);
+    match echoed.map(|echoed| echoed.as_str() == request.request) {
         Some(false) => Err(FailureKind::OtherRequest),
         None if expected => Err(FailureKind::OtherRequest),
         None => Ok(()),
         Some(true) => {
             if !expected {
-                pools.note_names_requests(request.address);
+                pools.mark_echoes_request_id(request.address);
             }
             Ok(())
         }
     }
 }
 
-/// Tells whether an upstream says in its answer that it is leaving.
-pub(crate) fn says_draining(headers: &Headers) -> bool {
+/// Returns whether the headers of an answer announce that the upstream is
+/// draining.
+pub(crate) fn announces_drain(headers: &Headers) -> bool {
     let state = headers.get(name::UPSTREAM_STATE);
     state.is_some_and(|state| state.as_str() == DRAINING)
 }
--- a/crates/foxtide-entry/src/upstream/mod.rs
+++ b/crates/foxtide-entry/src/upstream/mod.rs
@@ -1,4 +1,4 @@
-//! Connections to upstreams and the exchange of one request for one answer.
+//! Connections to upstreams and the exchange of requests and answers.
 
 mod exchange;
 mod failure;
@@ -6,10 +6,10 @@
 mod pool;
 
 pub(crate) use exchange::{
-    Naming,
+    RequestIdEcho,
     UpstreamRequest,
-    exchange,
-    says_draining, //
+    announces_drain,
+    exchange, //
 };
 pub(crate) use failure::{
     Failure,
