--- a/crates/foxtide-config/src/change/accept.rs
+++ b/crates/foxtide-config/src/change/accept.rs
@@ -2,13 +2,13 @@
 
 use super::codec::{
     ORGANISATION_PREFIX,
-    decode_form,
+    decode_unchecked,
     encode,
     key_of, //
 };
 use super::diff::{
     Difference,
-    contested,
+    conflicting_paths,
     diff, //
 };
 use super::error::{
@@ -41,14 +41,14 @@
 };
 
 /// How often an unknown write is read back and tried again.
-const SETTLE_TRIES: u32 = 5;
+const SETTLE_ATTEMPTS_MAX: u32 = 5;
 
 /// The wait before the first of these; each further one is twice as long.
-const SETTLE_WAIT: Duration = Duration::from_millis(100);
+const SETTLE_WAIT_INITIAL: Duration = Duration::from_millis(100);
 
 /// A document as it was read, the base of a change.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Stored {
+pub struct StoredDocument {
     /// The document.
     pub document: Organisation,
     /// The index to compare with when it is written.
@@ -59,7 +59,7 @@
 #[derive(Clone, Debug)]
 pub struct ChangeRequest {
     /// What the change started from; nothing for a new organisation.
-    pub base: Option<Stored>,
+    pub base: Option<StoredDocument>,
     /// The whole document after the change.
     pub document: Organisation,
     /// Who makes it.
@@ -70,7 +70,7 @@
 
 /// An accepted change.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Accepted {
+pub struct AcceptedChange {
     /// The document as it is stored now, or was when the change was accepted.
     pub document: Organisation,
     /// Whether the answer was lost and the change was found by reading.
@@ -85,7 +85,7 @@
 pub async fn load<S: Store>(
     store: &S,
     organisation: &OrganisationId,
-) -> Result<Option<Stored>, ChangeError> {
+) -> Result<Option<StoredDocument>, ChangeError> {
     let key = key_of(organisation);
     let entry = store.read(&key).await.map_err(ChangeError::Store)?;
     entry.map(|entry| stored(&entry)).transpose()
@@ -96,15 +96,15 @@
 /// # Errors
 ///
 /// Fails where the store does, or where a stored value is invalid.
-pub async fn load_all<S: Store>(store: &S) -> Result<Vec<Stored>, ChangeError> {
+pub async fn load_all<S: Store>(store: &S) -> Result<Vec<StoredDocument>, ChangeError> {
     let listing = store.list(ORGANISATION_PREFIX).await;
     let entries = listing.map_err(ChangeError::Store)?.entries;
     entries.iter().map(stored).collect()
 }
 
-fn stored(entry: &StoreEntry) -> Result<Stored, ChangeError> {
-    Ok(Stored {
-        document: decode_form(&entry.key, &entry.value)?,
+fn stored(entry: &StoreEntry) -> Result<StoredDocument, ChangeError> {
+    Ok(StoredDocument {
+        document: decode_unchecked(&entry.key, &entry.value)?,
         index: entry.index,
     })
 }
@@ -116,11 +116,14 @@
 /// Fails with [`ChangeError::Conflict`] where another change came first, and
 /// with [`ChangeError::Unsettled`] where the outcome stayed unknown; after all
 /// other errors nothing was written.
-pub async fn accept<S: Store>(store: &S, request: ChangeRequest) -> Result<Accepted, ChangeError> {
+pub async fn accept<S: Store>(
+    store: &S,
+    request: ChangeRequest,
+) -> Result<AcceptedChange, ChangeError> {
     let attempt = Attempt::new(request)?;
     match attempt.write(store).await {
         Ok(true) => Ok(attempt.accepted(false)),
-        Ok(false) => attempt.superseded(store).await,
+        Ok(false) => attempt.resolve_mismatch(store).await,
         Err(error @ StoreError::Unknown { .. }) => attempt.settle(store, error).await,
         Err(error) => Err(ChangeError::Store(error)),
     }
@@ -128,7 +131,7 @@
 
 /// One change on its way into the store.
 struct Attempt {
-    base: Option<Stored>,
+    base: Option<StoredDocument>,
     document: Organisation,
     key: String,
     value: Vec<u8>,
@@ -136,7 +139,7 @@
 
 impl Attempt {
     fn new(request: ChangeRequest) -> Result<Self, ChangeError> {
-        let document = stamped(&request)?;
+        let document = with_new_revision(&request)?;
         crate::validate::check(&document)?;
         let value = encode(&document)?;
         Ok(Self {
@@ -158,8 +161,8 @@
         base.map_or(StoreIndex::ABSENT, |base| base.index)
     }
 
-    fn accepted(&self, settled: bool) -> Accepted {
-        Accepted {
+    fn accepted(&self, settled: bool) -> AcceptedChange {
+        AcceptedChange {
             document: self.document.clone(),
             settled,
         }
@@ -177,10 +180,10 @@
         &self,
         store: &S,
         lost_answer: StoreError,
-    ) -> Result<Accepted, ChangeError> {
-        let mut wait = SETTLE_WAIT;
+    ) -> Result<AcceptedChange, ChangeError> {
+        let mut wait = SETTLE_WAIT_INITIAL;
         let mut latest = self.unsettled(lost_answer);
-        for _ in 0..SETTLE_TRIES {
+        for _ in 0..SETTLE_ATTEMPTS_MAX {
             Timer::after(wait).await;
             wait *= 2;
             match self.settle_once(store).await {
@@ -197,7 +200,7 @@
     /// That is safe: both writes compare with the same index, so at most one
     /// of them takes effect. Once one is answered, the other can no longer
     /// change anything.
-    async fn settle_once<S: Store>(&self, store: &S) -> Result<Accepted, ChangeError> {
+    async fn settle_once<S: Store>(&self, store: &S) -> Result<AcceptedChange, ChangeError> {
         let entry = store.read(&self.key).await;
         let entry = entry.map_err(|error| self.unsettled(error))?;
         let index = entry.map_or(StoreIndex::ABSENT, |entry| entry.index);
@@ -208,18 +211,18 @@
                 Err(error) => return Err(self.unsettled(error)),
             }
         }
-        let found = self.superseded(store).await;
-        found.map_err(|error| self.doubt(error))
+        let found = self.resolve_mismatch(store).await;
+        found.map_err(|error| self.to_unsettled(error))
     }
 
     /// Finds out why the key's index is not the base's: because this change
     /// took effect earlier, or because of somebody else's.
-    async fn superseded<S: Store>(&self, store: &S) -> Result<Accepted, ChangeError> {
+    async fn resolve_mismatch<S: Store>(&self, store: &S) -> Result<AcceptedChange, ChangeError> {
         let current = load(store, &self.document.organisation).await?;
         let Some(current) = current else {
-            return Err(ChangeError::Absent(self.document.organisation.clone()));
+            return Err(ChangeError::NotFound(self.document.organisation.clone()));
         };
-        if holds(&current.document, &self.document.change_id) {
+        if contains_change(&current.document, &self.document.change_id) {
             return Ok(self.accepted(true));
         }
         let conflict = self.conflict(&current.document);
@@ -228,12 +231,12 @@
 
     /// Takes back the claim that nothing was written, which an error of the
     /// reading makes, where a write of this change may have taken effect.
-    fn doubt(&self, error: ChangeError) -> ChangeError {
+    fn to_unsettled(&self, error: ChangeError) -> ChangeError {
         match error {
             ChangeError::Unsettled { .. } => error,
-            ChangeError::Conflict(ref conflict) if conflict.successor_known => error,
+            ChangeError::Conflict(ref conflict) if conflict.is_successor_known => error,
             ChangeError::Store(cause) => self.unsettled(cause),
-            ChangeError::Conflict(_) | ChangeError::Invalid(_) | ChangeError::Absent(_) => self
+            ChangeError::Conflict(_) | ChangeError::Invalid(_) | ChangeError::NotFound(_) => self
                 .unsettled(StoreError::Unknown {
                     step: "settle",
                     peer: self.key.clone(),
@@ -244,7 +247,7 @@
 
     fn conflict(&self, current: &Organisation) -> Conflict {
         let base = self.base.as_ref().map(|base| &base.document);
-        let base_value = base.map_or_else(empty, value_of);
+        let base_value = base.map_or_else(empty_document, value_of);
         let theirs = diff(&base_value, &value_of(current));
         let ours = diff(&base_value, &value_of(&self.document));
         let latest = current.history.last();
@@ -254,8 +257,8 @@
             accepted_by: latest.map_or_else(String::new, |change| {
                 format!("{}: {}", change.author, change.summary)
             }),
-            successor_known: knows(current, base),
-            contested: contested(&ours, &theirs),
+            is_successor_known: contains_successor(current, base),
+            conflicting_paths: conflicting_paths(&ours, &theirs),
             theirs,
             ours,
         }
@@ -263,13 +266,13 @@
 }
 
 /// Returns what a document changes, bookkeeping left out.
-pub fn differences(base: Option<&Stored>, document: &Organisation) -> Vec<Difference> {
-    let before = base.map_or_else(empty, |base| value_of(&base.document));
+pub fn differences(base: Option<&StoredDocument>, document: &Organisation) -> Vec<Difference> {
+    let before = base.map_or_else(empty_document, |base| value_of(&base.document));
     diff(&before, &value_of(document))
 }
 
 /// Returns what a new organisation's document is compared with.
-fn empty() -> Value {
+fn empty_document() -> Value {
     Value::Object(serde_json::Map::new())
 }
 
@@ -279,20 +282,20 @@
 }
 
 /// Tells whether a change took effect, be it the latest or an earlier one.
-fn holds(document: &Organisation, change: &ChangeId) -> bool {
-    let remembered = |past: &ChangeSummary| past.change_id == *change;
-    document.change_id == *change || document.history.iter().any(remembered)
+fn contains_change(document: &Organisation, change: &ChangeId) -> bool {
+    let is_change = |past: &ChangeSummary| past.change_id == *change;
+    document.change_id == *change || document.history.iter().any(is_change)
 }
 
 /// Tells whether a document remembers the change that followed the base.
-fn knows(document: &Organisation, base: Option<&Organisation>) -> bool {
+fn contains_successor(document: &Organisation, base: Option<&Organisation>) -> bool {
     let successor = base.map_or(Revision::ZERO, |base| base.revision).next();
     let mut history = document.history.iter();
     history.any(|past| past.revision == successor)
 }
 
 /// Returns the document with its revision, change id and history set.
-fn stamped(request: &ChangeRequest) -> Result<Organisation, ChangeError> {
+fn with_new_revision(request: &ChangeRequest) -> Result<Organisation, ChangeError> {
     let base = request.base.as_ref().map(|base| &base.document);
     let revision = base.map_or(Revision::ZERO, |base| base.revision).next();
     let change_id = new_change_id()?;
--- a/crates/foxtide-config/src/change/codec.rs
+++ b/crates/foxtide-config/src/change/codec.rs
@@ -28,7 +28,7 @@
 /// Fails where the value is no document of the organisation that its key
 /// names, or breaks a rule: a value that was not written by this crate may.
 pub fn decode(key: &str, value: &[u8]) -> Result<Organisation> {
-    let organisation = decode_form(key, value)?;
+    let organisation = decode_unchecked(key, value)?;
     validate::check(&organisation)?;
     Ok(organisation)
 }
@@ -40,7 +40,7 @@
 ///
 /// Fails where the value is no such document: not UTF-8, not JSON, a
 /// duplicate or unknown field, a newer form, or another organisation's.
-pub(super) fn decode_form(key: &str, value: &[u8]) -> Result<Organisation> {
+pub(super) fn decode_unchecked(key: &str, value: &[u8]) -> Result<Organisation> {
     let text = document::text_of(key, value.to_vec())?;
     let organisation: Organisation = document::parse(key, &text)?;
     if organisation.schema_version != SCHEMA_VERSION {
--- a/crates/foxtide-config/src/change/diff.rs
+++ b/crates/foxtide-config/src/change/diff.rs
@@ -36,30 +36,30 @@
     pub after: Option<Value>,
     /// The path's parts.
     #[serde(skip)]
-    steps: Vec<Step>,
+    segments: Vec<PathSegment>,
 }
 
 impl fmt::Display for Difference {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match (&self.before, &self.after) {
             (Some(before), Some(after)) => {
-                let (before, after) = (shortened(before), shortened(after));
+                let (before, after) = (truncated(before), truncated(after));
                 write!(f, "~ {}: {before} -> {after}", self.path)
             }
-            (None, Some(after)) => write!(f, "+ {}: {}", self.path, shortened(after)),
-            (Some(before), None) => write!(f, "- {}: {}", self.path, shortened(before)),
+            (None, Some(after)) => write!(f, "+ {}: {}", self.path, truncated(after)),
+            (Some(before), None) => write!(f, "- {}: {}", self.path, truncated(before)),
             (None, None) => write!(f, "  {}", self.path),
         }
     }
 }
 
 /// The most characters of a value that a line shows.
-const SHOWN_MAX_CHARS: usize = 120;
+const DISPLAYED_VALUE_MAX_CHARS: usize = 120;
 
 /// Returns a value's text, or the beginning of it.
-fn shortened(value: &Value) -> String {
+fn truncated(value: &Value) -> String {
     let text = value.to_string();
-    match text.char_indices().nth(SHOWN_MAX_CHARS) {
+    match text.char_indices().nth(DISPLAYED_VALUE_MAX_CHARS) {
         Some((end, _)) => format!("{}… ({} bytes)", &text[..end], text.len()),
         None => text,
     }
@@ -67,7 +67,7 @@
 
 /// One part of a path.
 #[derive(Clone, Debug, PartialEq, Eq)]
-enum Step {
+enum PathSegment {
     /// A field of an object.
     Field(String),
     /// The entry of a list that has this name.
@@ -77,30 +77,32 @@
 /// Returns the fields in which two documents differ, bookkeeping left out.
 pub(crate) fn diff(before: &Value, after: &Value) -> Vec<Difference> {
     let mut found = Vec::new();
-    let mut steps = Vec::new();
-    compare(Some(before), Some(after), &mut steps, &mut found);
+    let mut segments = Vec::new();
+    compare(Some(before), Some(after), &mut segments, &mut found);
     found
 }
 
 fn compare(
     before: Option<&Value>,
     after: Option<&Value>,
-    steps: &mut Vec<Step>,
+    segments: &mut Vec<PathSegment>,
     found: &mut Vec<Difference>,
 ) {
     match (before, after) {
         (one, other) if one == other => {}
         (Some(Value::Object(one)), Some(Value::Object(other))) => {
-            compare_objects(one, other, steps, found);
+            compare_objects(one, other, segments, found);
         }
-        (Some(Value::Array(one)), Some(Value::Array(other))) if named(one) && named(other) => {
-            compare_lists(one, other, steps, found);
+        (Some(Value::Array(one)), Some(Value::Array(other)))
+            if has_unique_names(one) && has_unique_names(other) =>
+        {
+            compare_lists(one, other, segments, found);
         }
         _ => found.push(Difference {
-            path: path_text(steps),
+            path: path_text(segments),
             before: before.cloned(),
             after: after.cloned(),
-            steps: steps.clone(),
+            segments: segments.clone(),
         }),
     }
 }
@@ -108,24 +110,24 @@
 fn compare_objects(
     before: &Map<String, Value>,
     after: &Map<String, Value>,
-    steps: &mut Vec<Step>,
+    segments: &mut Vec<PathSegment>,
     found: &mut Vec<Difference>,
 ) {
     let keys: BTreeSet<&String> = before.keys().chain(after.keys()).collect();
     for key in keys {
-        if steps.is_empty() && BOOKKEEPING_FIELDS.contains(&key.as_str()) {
+        if segments.is_empty() && BOOKKEEPING_FIELDS.contains(&key.as_str()) {
             continue;
         }
-        steps.push(Step::Field(key.clone()));
-        compare(before.get(key), after.get(key), steps, found);
-        steps.pop();
+        segments.push(PathSegment::Field(key.clone()));
+        compare(before.get(key), after.get(key), segments, found);
+        segments.pop();
     }
 }
 
 fn compare_lists(
     before: &[Value],
     after: &[Value],
-    steps: &mut Vec<Step>,
+    segments: &mut Vec<PathSegment>,
     found: &mut Vec<Difference>,
 ) {
     let names = before.iter().chain(after).filter_map(name_of);
@@ -133,9 +135,9 @@
     for name in names {
         let one = find(before, &name);
         let other = find(after, &name);
-        steps.push(Step::Entry(name));
-        compare(one, other, steps, found);
-        steps.pop();
+        segments.push(PathSegment::Entry(name));
+        compare(one, other, segments, found);
+        segments.pop();
     }
 }
 
@@ -150,7 +152,7 @@
     }
 }
 
-fn named(list: &[Value]) -> bool {
+fn has_unique_names(list: &[Value]) -> bool {
     let names: BTreeSet<String> = list.iter().filter_map(name_of).collect();
     names.len() == list.len()
 }
@@ -160,13 +162,13 @@
         .find(|entry| name_of(entry).as_deref() == Some(name))
 }
 
-fn path_text(steps: &[Step]) -> String {
+fn path_text(segments: &[PathSegment]) -> String {
     let mut text = String::new();
-    for step in steps {
-        match step {
-            Step::Field(name) if text.is_empty() => text.push_str(name),
-            Step::Field(name) => text.push_str(&format!(".{name}")),
-            Step::Entry(name) => text.push_str(&format!("[{name}]")),
+    for segment in segments {
+        match segment {
+            PathSegment::Field(name) if text.is_empty() => text.push_str(name),
+            PathSegment::Field(name) => text.push_str(&format!(".{name}")),
+            PathSegment::Entry(name) => text.push_str(&format!("[{name}]")),
         }
     }
     text
@@ -174,19 +176,19 @@
 
 /// Returns the paths that both changes touch: the same field, or one a part of
 /// the other.
-pub(crate) fn contested(ours: &[Difference], theirs: &[Difference]) -> Vec<String> {
+pub(crate) fn conflicting_paths(ours: &[Difference], theirs: &[Difference]) -> Vec<String> {
     let mut paths = Vec::new();
     for our in ours {
-        let touches = |their: &Difference| overlaps(&our.steps, &their.steps);
+        let overlaps_with = |their: &Difference| overlaps(&our.segments, &their.segments);
         let agreed = theirs.contains(our);
-        if !agreed && theirs.iter().any(touches) {
+        if !agreed && theirs.iter().any(overlaps_with) {
             paths.push(our.path.clone());
         }
     }
     paths
 }
 
-fn overlaps(one: &[Step], other: &[Step]) -> bool {
+fn overlaps(one: &[PathSegment], other: &[PathSegment]) -> bool {
     let common = one.len().min(other.len());
     one[..common] == other[..common]
 }
@@ -198,29 +200,29 @@
     theirs: &[Difference],
     accepted: &Value,
 ) -> Option<Value> {
-    if !contested(ours, theirs).is_empty() {
+    if !conflicting_paths(ours, theirs).is_empty() {
         return None;
     }
     let mut merged = accepted.clone();
     for difference in ours {
-        apply(&mut merged, &difference.steps, difference.after.as_ref())?;
+        apply(&mut merged, &difference.segments, difference.after.as_ref())?;
     }
     Some(merged)
 }
 
 /// Sets or removes what stands at a path.
-fn apply(target: &mut Value, steps: &[Step], after: Option<&Value>) -> Option<()> {
-    let (step, rest) = steps.split_first()?;
-    match step {
-        Step::Field(name) => apply_field(target.as_object_mut()?, name, rest, after),
-        Step::Entry(name) => apply_entry(target.as_array_mut()?, name, rest, after),
+fn apply(target: &mut Value, segments: &[PathSegment], after: Option<&Value>) -> Option<()> {
+    let (segment, rest) = segments.split_first()?;
+    match segment {
+        PathSegment::Field(name) => apply_field(target.as_object_mut()?, name, rest, after),
+        PathSegment::Entry(name) => apply_entry(target.as_array_mut()?, name, rest, after),
     }
 }
 
 fn apply_field(
     object: &mut Map<String, Value>,
     name: &str,
-    rest: &[Step],
+    rest: &[PathSegment],
     after: Option<&Value>,
 ) -> Option<()> {
     if !rest.is_empty() {
@@ -236,7 +238,7 @@
 fn apply_entry(
     list: &mut Vec<Value>,
     name: &str,
-    rest: &[Step],
+    rest: &[PathSegment],
     after: Option<&Value>,
 ) -> Option<()> {
     let position = list
--- a/crates/foxtide-config/src/change/error.rs
+++ b/crates/foxtide-config/src/change/error.rs
@@ -19,9 +19,9 @@
     Store(StoreError),
     /// There is no such organisation.
     #[error("there is no organisation `{0}`")]
-    Absent(OrganisationId),
+    NotFound(OrganisationId),
     /// Somebody else's change came first: nothing was written.
-    #[error("not accepted: {}", .0.in_words())]
+    #[error("not accepted: {}", .0.summary())]
     Conflict(Box<Conflict>),
     /// The write may or may not have taken effect, and reading it back failed.
     ///
@@ -51,17 +51,17 @@
     pub ours: Vec<Difference>,
     /// Whether the change that follows the base is known by name, which shows
     /// that this one was never written.
-    pub successor_known: bool,
+    pub is_successor_known: bool,
     /// The paths that both change.
-    pub contested: Vec<String>,
+    pub conflicting_paths: Vec<String>,
 }
 
 impl Conflict {
     /// Tells the conflict in one line.
-    pub fn in_words(&self) -> String {
-        let paths = match self.contested.is_empty() {
+    pub fn summary(&self) -> String {
+        let paths = match self.conflicting_paths.is_empty() {
             true => "no field is changed by both".to_owned(),
-            false => format!("both change {}", self.contested.join(", ")),
+            false => format!("both change {}", self.conflicting_paths.join(", ")),
         };
         format!(
             "{} was made meanwhile ({}) while this change started from {}; {paths}",
--- a/crates/foxtide-config/src/change/mod.rs
+++ b/crates/foxtide-config/src/change/mod.rs
@@ -10,9 +10,9 @@
 mod rebase;
 
 pub use accept::{
-    Accepted,
+    AcceptedChange,
     ChangeRequest,
-    Stored,
+    StoredDocument,
     accept,
     differences,
     load,
--- a/crates/foxtide-config/src/change/rebase.rs
+++ b/crates/foxtide-config/src/change/rebase.rs
@@ -1,7 +1,7 @@
 //! Applying a change on top of one that came first.
 
 use super::accept::{
-    Accepted,
+    AcceptedChange,
     ChangeRequest,
     accept,
     load,
@@ -18,7 +18,7 @@
 use foxtide_core::store::Store;
 
 /// How often a change is applied anew before its conflict is reported.
-const TRIES: u32 = 5;
+const REBASE_ATTEMPTS_MAX: u32 = 5;
 
 /// Has a change accepted, applying it on top of changes that came first as
 /// long as no field is changed by both.
@@ -31,9 +31,9 @@
 pub async fn accept_rebased<S: Store>(
     store: &S,
     request: ChangeRequest,
-) -> Result<Accepted, ChangeError> {
+) -> Result<AcceptedChange, ChangeError> {
     let mut request = request;
-    for _ in 1..TRIES {
+    for _ in 1..REBASE_ATTEMPTS_MAX {
         let conflict = match accept(store, request.clone()).await {
             Err(ChangeError::Conflict(conflict)) => conflict,
             other => return other,
--- a/crates/foxtide-config/tests/change.rs
+++ b/crates/foxtide-config/tests/change.rs
@@ -58,7 +58,7 @@
             panic!("{error}");
         };
         let path = "services[viewer].contract.deadline_ms";
-        assert_eq!(conflict.contested, [path]);
+        assert_eq!(conflict.conflicting_paths, [path]);
         assert_eq!(conflict.theirs[0].after, Some(1_111.into()));
         assert_eq!(conflict.ours[0].after, Some(2_222.into()));
         assert_eq!(
--- a/crates/foxtide-config/tests/support/mod.rs
+++ b/crates/foxtide-config/tests/support/mod.rs
@@ -2,10 +2,10 @@
 
 use foxtide_config::change::{
     self,
-    Accepted,
+    AcceptedChange,
     ChangeError,
     ChangeRequest,
-    Stored, //
+    StoredDocument, //
 };
 use foxtide_config::template::Parameters;
 use foxtide_config::{
@@ -90,7 +90,7 @@
     })
 }
 
-pub(crate) fn request(base: Option<Stored>, document: Organisation) -> ChangeRequest {
+pub(crate) fn request(base: Option<StoredDocument>, document: Organisation) -> ChangeRequest {
     ChangeRequest {
         base,
         document,
@@ -100,19 +100,23 @@
 }
 
 /// Puts the example into the store and returns it as stored.
-pub(crate) async fn create(store: &HttpStore) -> Stored {
+pub(crate) async fn create(store: &HttpStore) -> StoredDocument {
     let request = request(None, document());
     change::accept(store, request).await.expect("accepted");
     load(store).await
 }
 
-pub(crate) async fn load(store: &HttpStore) -> Stored {
+pub(crate) async fn load(store: &HttpStore) -> StoredDocument {
     let stored = change::load(store, &organisation_id()).await;
     stored.expect("readable").expect("there")
 }
 
 /// Returns the document with another deadline for a service.
-pub(crate) fn with_deadline(stored: &Stored, service: usize, deadline_ms: u32) -> Organisation {
+pub(crate) fn with_deadline(
+    stored: &StoredDocument,
+    service: usize,
+    deadline_ms: u32,
+) -> Organisation {
     let mut document = stored.document.clone();
     document.services[service].contract.deadline_ms = deadline_ms;
     document
@@ -120,10 +124,10 @@
 
 pub(crate) async fn set_deadline(
     store: &HttpStore,
-    base: &Stored,
+    base: &StoredDocument,
     service: usize,
     deadline_ms: u32,
-) -> Result<Accepted, ChangeError> {
+) -> Result<AcceptedChange, ChangeError> {
     let document = with_deadline(base, service, deadline_ms);
     change::accept(store, request(Some(base.clone()), document)).await
 }
--- a/crates/foxtide-testing/src/scenario/operators.rs
+++ b/crates/foxtide-testing/src/scenario/operators.rs
@@ -6,10 +6,10 @@
 use super::record::AcceptedRevision;
 use super::store::StoreFault;
 use foxtide_config::change::{
-    Accepted,
+    AcceptedChange,
     ChangeError,
     ChangeRequest,
-    Stored,
+    StoredDocument,
     accept,
     load, //
 };
@@ -105,12 +105,12 @@
     /// # Errors
     ///
     /// Fails where the store does.
-    pub(super) fn read_document(&self) -> Result<Option<Stored>, ChangeError> {
+    pub(super) fn read_document(&self) -> Result<Option<StoredDocument>, ChangeError> {
         smol::block_on(load(&self.store, &self.contract.organisation))
     }
 
     /// Lets an operator change what they have read. Returns what they are told.
-    pub(super) fn change(&mut self, operator: &str, base: Stored, edit: &Edit) -> String {
+    pub(super) fn change(&mut self, operator: &str, base: StoredDocument, edit: &Edit) -> String {
         let mut document = base.document.clone();
         let number = document.revision.next();
         if let Err(error) = edit.apply(&mut document, true_wall(self.now), number.get()) {
@@ -128,7 +128,7 @@
         }
     }
 
-    fn told_accepted(&mut self, accepted: Accepted) -> String {
+    fn told_accepted(&mut self, accepted: AcceptedChange) -> String {
         let revision = accepted.document.revision;
         self.accepted(accepted.document);
         if accepted.settled {
@@ -175,10 +175,10 @@
 pub(super) fn told_not_accepted(error: &ChangeError) -> String {
     match error {
         ChangeError::Invalid(_) => "refused: invalid".to_owned(),
-        ChangeError::Absent(_) => "refused: no such organisation".to_owned(),
+        ChangeError::NotFound(_) => "refused: no such organisation".to_owned(),
         ChangeError::Store(_) => "refused: the store was not reached".to_owned(),
         ChangeError::Conflict(conflict) => {
-            let (accepted, contested) = (conflict.accepted, &conflict.contested);
+            let (accepted, contested) = (conflict.accepted, &conflict.conflicting_paths);
             format!("conflict with {accepted}: {}", contested.join(", "))
         }
         ChangeError::Unsettled { .. } => {
--- a/crates/foxtide-testing/src/scenario/runner.rs
+++ b/crates/foxtide-testing/src/scenario/runner.rs
@@ -20,7 +20,7 @@
 use super::statement::Selection;
 use super::trace::RecordedCommand;
 use crate::duration::Span;
-use foxtide_config::change::Stored;
+use foxtide_config::change::StoredDocument;
 use foxtide_core::ids::InstanceId;
 use foxtide_core::organisation::Priority;
 use foxtide_core::units::{
@@ -51,7 +51,7 @@
     pub(super) setting: Setting,
     pub(super) fleet: Option<Box<Fleet>>,
     pub(super) commands: Vec<RecordedCommand>,
-    reads: BTreeMap<String, Stored>,
+    reads: BTreeMap<String, StoredDocument>,
 }
 
 /// A command with the text that it was parsed from.
--- a/crates/foxtidectl/src/commands/organisation/create.rs
+++ b/crates/foxtidectl/src/commands/organisation/create.rs
@@ -58,7 +58,7 @@
 /// make; else refuses.
 fn refuse_existing(
     _session: &Session,
-    stored: &change::Stored,
+    stored: &change::StoredDocument,
     document: &foxtide_core::organisation::Organisation,
 ) -> Result<Report, Failure> {
     let differences = change::differences(Some(stored), document);
--- a/crates/foxtidectl/src/commands/organisation/edit.rs
+++ b/crates/foxtidectl/src/commands/organisation/edit.rs
@@ -7,7 +7,7 @@
 use crate::write;
 use argh::FromArgs;
 use foxtide_config::Template;
-use foxtide_config::change::Stored;
+use foxtide_config::change::StoredDocument;
 use foxtide_config::template::Parameters;
 use foxtide_core::organisation::Organisation;
 use std::path::Path;
@@ -102,7 +102,7 @@
 
 /// Returns the new document with the moves and drains of the current one,
 /// which no template holds.
-fn kept(base: &Stored, fresh: Organisation) -> Organisation {
+fn kept(base: &StoredDocument, fresh: Organisation) -> Organisation {
     Organisation {
         moves: base.document.moves.clone(),
         drains: base.document.drains.clone(),
--- a/crates/foxtidectl/src/commands/organisation/list.rs
+++ b/crates/foxtidectl/src/commands/organisation/list.rs
@@ -9,7 +9,7 @@
 use argh::FromArgs;
 use foxtide_config::change::{
     self,
-    Stored, //
+    StoredDocument, //
 };
 use serde_json::{
     Value,
@@ -42,7 +42,7 @@
     }
 }
 
-fn cells(stored: &Stored) -> [String; 6] {
+fn cells(stored: &StoredDocument) -> [String; 6] {
     let document = &stored.document;
     let template = document.template.as_ref();
     [
@@ -57,7 +57,7 @@
     ]
 }
 
-fn summary(stored: &Stored) -> Value {
+fn summary(stored: &StoredDocument) -> Value {
     let document = &stored.document;
     json!({
         "organisation": document.organisation,
--- a/crates/foxtidectl/src/failure.rs
+++ b/crates/foxtidectl/src/failure.rs
@@ -77,7 +77,7 @@
     fn from(error: ChangeError) -> Self {
         match error {
             ChangeError::Invalid(error) => error.into(),
-            ChangeError::Absent(_) => Self::refused(error, "see `foxtidectl organisation list`"),
+            ChangeError::NotFound(_) => Self::refused(error, "see `foxtidectl organisation list`"),
             ChangeError::Conflict(conflict) => conflicting(&conflict),
             ChangeError::Unsettled { .. } => Self::new(
                 ExitStatus::Unsettled,
@@ -125,10 +125,10 @@
 }
 
 fn conflicting(conflict: &Conflict) -> Failure {
-    let mut problem = format!("not accepted: {}\n", conflict.in_words());
+    let mut problem = format!("not accepted: {}\n", conflict.summary());
     append(&mut problem, "the accepted change:", &conflict.theirs);
     append(&mut problem, "this change:", &conflict.ours);
-    let advice = if conflict.contested.is_empty() {
+    let advice = if conflict.conflicting_paths.is_empty() {
         "add --rebase to apply this change on top of the accepted one"
     } else {
         "agree with the other operator, then run the command again"
--- a/crates/foxtidectl/src/session.rs
+++ b/crates/foxtidectl/src/session.rs
@@ -5,7 +5,7 @@
 use foxtide_config::change::{
     self,
     ChangeError,
-    Stored, //
+    StoredDocument, //
 };
 use foxtide_config::{
     HttpStore,
@@ -54,10 +54,10 @@
     }
 
     /// Reads an organisation's document, which must be there.
-    pub(crate) async fn load(&self, name: &str) -> Result<Stored, Failure> {
+    pub(crate) async fn load(&self, name: &str) -> Result<StoredDocument, Failure> {
         let organisation: OrganisationId = name.parse()?;
         let stored = change::load(&self.store, &organisation).await?;
-        stored.ok_or_else(|| ChangeError::Absent(organisation).into())
+        stored.ok_or_else(|| ChangeError::NotFound(organisation).into())
     }
 
     /// Returns the wall clock's time.
--- a/crates/foxtidectl/src/write.rs
+++ b/crates/foxtidectl/src/write.rs
@@ -7,7 +7,7 @@
     self,
     ChangeRequest,
     Difference,
-    Stored, //
+    StoredDocument, //
 };
 use foxtide_core::organisation::Organisation;
 use foxtide_core::units::Revision;
@@ -18,7 +18,7 @@
 #[derive(Debug)]
 pub(crate) struct Edit {
     /// What it started from.
-    pub(crate) base: Option<Stored>,
+    pub(crate) base: Option<StoredDocument>,
     /// The document after it.
     pub(crate) document: Organisation,
     /// What it does, in one line.
@@ -50,7 +50,7 @@
 }
 
 /// Refuses a change by an operator who has seen another revision.
-fn refuse_stale(session: &Session, base: Option<&Stored>) -> Result<(), Failure> {
+fn refuse_stale(session: &Session, base: Option<&StoredDocument>) -> Result<(), Failure> {
     let Some(seen) = session.options().revision else {
         return Ok(());
     };
@@ -90,7 +90,7 @@
     Report::new(text, json!({"written": false, "differences": differences}))
 }
 
-fn written(accepted: &change::Accepted, differences: &[Difference]) -> Report {
+fn written(accepted: &change::AcceptedChange, differences: &[Difference]) -> Report {
     let document = &accepted.document;
     let (organisation, revision) = (&document.organisation, document.revision);
     let how = match accepted.settled {
