--- a/crates/foxtide-config/src/template/mod.rs
+++ b/crates/foxtide-config/src/template/mod.rs
@@ -5,8 +5,8 @@
 //! A newer version of the template changes no organisation; an operator takes
 //! it over with `organisation edit --upgrade`, which shows what changes.
 
-mod fill;
 mod parameter;
+mod substitute;
 
 pub use parameter::{
     Parameter,
@@ -82,7 +82,7 @@
         for (parameter, definition) in &template.parameters {
             definition.check_default(name, parameter)?;
         }
-        fill::check_holes(name, &template)?;
+        substitute::check_placeholders(name, &template)?;
         Ok(template)
     }
 
@@ -96,8 +96,8 @@
     /// where the filled document is none.
     pub fn instantiate(&self, name: &OrganisationId, given: &Parameters) -> Result<Organisation> {
         let source = format!("template {} v{}", self.template, self.version);
-        let values = self.values(&source, given)?;
-        let mut document = fill::filled(&self.document, &values);
+        let values = self.resolve_values(&source, given)?;
+        let mut document = substitute::substitute(&self.document, &values);
         let used = TemplateUse {
             name: self.template.clone(),
             version: self.version,
@@ -112,7 +112,7 @@
     }
 
     /// Returns the value of every parameter.
-    fn values(&self, source: &str, given: &Parameters) -> Result<Parameters> {
+    fn resolve_values(&self, source: &str, given: &Parameters) -> Result<Parameters> {
         for name in given.keys() {
             if !self.parameters.contains_key(name) {
                 let known: Vec<&str> = self.parameters.keys().map(String::as_str).collect();
--- a/crates/foxtide-config/src/template/fill.rs
+++ b/crates/foxtide-config/src/template/substitute.rs
@@ -14,39 +14,39 @@
 };
 
 /// The one field of the object that stands for a parameter's value.
-const HOLE_FIELD: &str = "$parameter";
+const PLACEHOLDER_KEY: &str = "$parameter";
 
 /// Returns the name of the parameter that an object stands for.
-fn hole(object: &Map<String, Value>) -> Option<&str> {
-    object.get(HOLE_FIELD).and_then(Value::as_str)
+fn placeholder(object: &Map<String, Value>) -> Option<&str> {
+    object.get(PLACEHOLDER_KEY).and_then(Value::as_str)
 }
 
 /// Returns the document with every hole filled.
-pub(super) fn filled(document: &Map<String, Value>, values: &Parameters) -> Map<String, Value> {
+pub(super) fn substitute(document: &Map<String, Value>, values: &Parameters) -> Map<String, Value> {
     let fields = document
         .iter()
-        .map(|(key, value)| (key.clone(), filled_value(value, values)));
+        .map(|(key, value)| (key.clone(), substitute_value(value, values)));
     fields.collect()
 }
 
-fn filled_value(value: &Value, values: &Parameters) -> Value {
+fn substitute_value(value: &Value, values: &Parameters) -> Value {
     match value {
-        Value::Object(object) => match hole(object).and_then(|name| values.get(name)) {
+        Value::Object(object) => match placeholder(object).and_then(|name| values.get(name)) {
             Some(value) => value.clone(),
-            None => Value::Object(filled(object, values)),
+            None => Value::Object(substitute(object, values)),
         },
         Value::Array(list) => list
             .iter()
-            .map(|entry| filled_value(entry, values))
+            .map(|entry| substitute_value(entry, values))
             .collect(),
         plain => plain.clone(),
     }
 }
 
 /// Checks that every hole names a parameter and every parameter fills a hole.
-pub(super) fn check_holes(file: &str, template: &Template) -> Result<()> {
+pub(super) fn check_placeholders(file: &str, template: &Template) -> Result<()> {
     let mut used = Vec::new();
-    collect(&Value::Object(template.document.clone()), &mut used);
+    collect_names(&Value::Object(template.document.clone()), &mut used);
     let known: Vec<&str> = template.parameters.keys().map(String::as_str).collect();
     for name in &used {
         if !template.parameters.contains_key(name) {
@@ -62,19 +62,19 @@
             file,
             format!("parameters.{name}"),
             "stands nowhere in the document",
-            format!("{{\"{HOLE_FIELD}\": \"{name}\"}} in the document, or no such parameter"),
+            format!("{{\"{PLACEHOLDER_KEY}\": \"{name}\"}} in the document, or no such parameter"),
         )),
         None => Ok(()),
     }
 }
 
-fn collect(value: &Value, used: &mut Vec<String>) {
+fn collect_names(value: &Value, used: &mut Vec<String>) {
     match value {
-        Value::Object(object) => match hole(object) {
+        Value::Object(object) => match placeholder(object) {
             Some(name) => used.push(name.to_owned()),
-            None => object.values().for_each(|value| collect(value, used)),
+            None => object.values().for_each(|value| collect_names(value, used)),
         },
-        Value::Array(list) => list.iter().for_each(|value| collect(value, used)),
+        Value::Array(list) => list.iter().for_each(|value| collect_names(value, used)),
         _ => {}
     }
 }
