--- a/crates/foxtide-config/src/settings/check.rs
+++ b/crates/foxtide-config/src/settings/check.rs
@@ -26,26 +26,26 @@
     ///
     /// Fails with the first field that cannot be meant.
     pub(super) fn check(&self, name: &str) -> Result<()> {
-        let check = Check { name };
-        check.cluster(&self.cluster)?;
-        check.listener("caller", &self.caller)?;
-        check.listener("admin", &self.admin)?;
-        check.listener("peer", &self.peer)?;
-        check.apart("admin.listen", &self.admin, "caller", &self.caller)?;
-        check.apart("peer.listen", &self.peer, "caller", &self.caller)?;
-        check.apart("peer.listen", &self.peer, "admin", &self.admin)?;
-        check.peers(self)?;
-        check.range("workers", self.workers, 1, WORKERS_MAX)?;
-        check.limits(&self.limits)
+        let validator = Validator { name };
+        validator.cluster(&self.cluster)?;
+        validator.listener("caller", &self.caller)?;
+        validator.listener("admin", &self.admin)?;
+        validator.listener("peer", &self.peer)?;
+        validator.require_distinct("admin.listen", &self.admin, "caller", &self.caller)?;
+        validator.require_distinct("peer.listen", &self.peer, "caller", &self.caller)?;
+        validator.require_distinct("peer.listen", &self.peer, "admin", &self.admin)?;
+        validator.peers(self)?;
+        validator.check_range("workers", self.workers, 1, WORKERS_MAX)?;
+        validator.limits(&self.limits)
     }
 }
 
 /// The checks, all of the same file.
-struct Check<'a> {
+struct Validator<'a> {
     name: &'a str,
 }
 
-impl Check<'_> {
+impl Validator<'_> {
     fn fail<T>(
         &self,
         field: impl Display,
@@ -79,7 +79,13 @@
         Ok(())
     }
 
-    fn apart(&self, field: &str, one: &Listener, other_name: &str, other: &Listener) -> Result<()> {
+    fn require_distinct(
+        &self,
+        field: &str,
+        one: &Listener,
+        other_name: &str,
+        other: &Listener,
+    ) -> Result<()> {
         let same_port = one.listen.port() == other.listen.port() && one.listen.port() != 0;
         let any = one.listen.ip().is_unspecified() || other.listen.ip().is_unspecified();
         if same_port && (any || one.listen.ip() == other.listen.ip()) {
@@ -103,7 +109,7 @@
         Ok(())
     }
 
-    fn range<T: PartialOrd + Display>(
+    fn check_range<T: PartialOrd + Display>(
         &self,
         field: &str,
         value: T,
@@ -119,71 +125,71 @@
     fn limits(&self, limits: &Limits) -> Result<()> {
         self.requests(limits)?;
         let lookups = &limits.lookups;
-        self.range("limits.lookups.ttl_s", lookups.ttl_s, 1, 300)?;
-        self.range("limits.lookups.instances_max", lookups.instances_max, 1, 16)?;
+        self.check_range("limits.lookups.ttl_s", lookups.ttl_s, 1, 300)?;
+        self.check_range("limits.lookups.instances_max", lookups.instances_max, 1, 16)?;
         let upstreams = &limits.upstreams;
         let connect = upstreams.connect_timeout_ms;
-        self.range("limits.upstreams.connect_timeout_ms", connect, 1, 60_000)?;
+        self.check_range("limits.upstreams.connect_timeout_ms", connect, 1, 60_000)?;
         let least = upstreams.connections_min;
-        self.range("limits.upstreams.connections_min", least, 1, 1_000)?;
+        self.check_range("limits.upstreams.connections_min", least, 1, 1_000)?;
         self.store(limits)?;
         self.keys(limits)?;
-        self.range("limits.events.kept_max", limits.events.kept_max, 16, 65_536)
+        self.check_range("limits.events.kept_max", limits.events.kept_max, 16, 65_536)
     }
 
     fn requests(&self, limits: &Limits) -> Result<()> {
         let requests = &limits.requests;
         let most = u32::MAX;
         let connections = requests.connections_max;
-        self.range("limits.requests.connections_max", connections, 1, most)?;
-        self.range(
+        self.check_range("limits.requests.connections_max", connections, 1, most)?;
+        self.check_range(
             "limits.requests.in_flight_max",
             requests.in_flight_max,
             1,
             most,
         )?;
         let in_flight = requests.in_flight_max;
-        self.range(
+        self.check_range(
             "limits.requests.waiting_max",
             requests.waiting_max,
             0,
             in_flight,
         )?;
         let deadline = requests.deadline_max_ms;
-        self.range("limits.requests.deadline_max_ms", deadline, 1, 600_000)?;
+        self.check_range("limits.requests.deadline_max_ms", deadline, 1, 600_000)?;
         let head = requests.head_timeout_ms;
-        self.range("limits.requests.head_timeout_ms", head, 1, 600_000)?;
+        self.check_range("limits.requests.head_timeout_ms", head, 1, 600_000)?;
         let head_size = requests.head_max_bytes;
-        self.range("limits.requests.head_max_bytes", head_size, 256, 1_048_576)?;
+        self.check_range("limits.requests.head_max_bytes", head_size, 256, 1_048_576)?;
         let body = requests.body_timeout_ms;
-        self.range("limits.requests.body_timeout_ms", body, 1, 3_600_000)?;
+        self.check_range("limits.requests.body_timeout_ms", body, 1, 3_600_000)?;
         let idle = requests.idle_timeout_ms;
-        self.range("limits.requests.idle_timeout_ms", idle, 1, 3_600_000)?;
+        self.check_range("limits.requests.idle_timeout_ms", idle, 1, 3_600_000)?;
         let drain = limits.shutdown.drain_max_ms;
-        self.range("limits.shutdown.drain_max_ms", drain, deadline, 3_600_000)
+        self.check_range("limits.shutdown.drain_max_ms", drain, deadline, 3_600_000)
     }
 
     /// A key is retried for longer than any request may take.
     fn keys(&self, limits: &Limits) -> Result<()> {
         let keys = &limits.keys;
         let least = limits.requests.deadline_max_ms.div_ceil(1_000);
-        self.range("limits.keys.validity_s", keys.validity_s, least, 86_400)?;
-        self.range("limits.keys.kept_max", keys.kept_max, 16, 16_777_216)?;
+        self.check_range("limits.keys.validity_s", keys.validity_s, least, 86_400)?;
+        self.check_range("limits.keys.kept_max", keys.kept_max, 16, 16_777_216)?;
         let (most, answers) = (1 << 32, keys.answers_max_bytes);
-        self.range("limits.keys.answers_max_bytes", answers, 0, most)?;
+        self.check_range("limits.keys.answers_max_bytes", answers, 0, most)?;
         let answer = keys.answer_max_bytes;
-        self.range("limits.keys.answer_max_bytes", answer, 0, answers)
+        self.check_range("limits.keys.answer_max_bytes", answer, 0, answers)
     }
 
     fn store(&self, limits: &Limits) -> Result<()> {
         let store = &limits.store;
         let timeout = store.call_timeout_ms;
-        self.range("limits.store.call_timeout_ms", timeout, 10, 60_000)?;
+        self.check_range("limits.store.call_timeout_ms", timeout, 10, 60_000)?;
         let wait = store.watch_wait_s;
-        self.range("limits.store.watch_wait_s", wait, 1, WATCH_WAIT_MAX_S)?;
+        self.check_range("limits.store.watch_wait_s", wait, 1, WATCH_WAIT_MAX_S)?;
         let reads = store.fleet_reads_per_s;
-        self.range("limits.store.fleet_reads_per_s", reads, 1.0, 100_000.0)?;
+        self.check_range("limits.store.fleet_reads_per_s", reads, 1.0, 100_000.0)?;
         let writes = store.fleet_writes_per_s;
-        self.range("limits.store.fleet_writes_per_s", writes, 1.0, 100_000.0)
+        self.check_range("limits.store.fleet_writes_per_s", writes, 1.0, 100_000.0)
     }
 }
--- a/crates/foxtide-config/src/validate/contracts.rs
+++ b/crates/foxtide-config/src/validate/contracts.rs
@@ -1,6 +1,6 @@
 //! Rules on services and what was promised for them.
 
-use super::Check;
+use super::Validator;
 use crate::Result;
 use foxtide_core::organisation::{
     Home,
@@ -19,11 +19,11 @@
 /// The methods that are idempotent by definition (RFC 9110, section 9.2.2).
 const IDEMPOTENT_METHODS: &[&str] = &["GET", "HEAD", "OPTIONS", "TRACE", "PUT", "DELETE"];
 
-impl Check<'_> {
+impl Validator<'_> {
     /// Checks the services and their contracts.
     pub(super) fn services(&self) -> Result<()> {
         let services = &self.document.services;
-        self.unique("services", services.iter().map(|one| &one.service))?;
+        self.check_unique("services", services.iter().map(|one| &one.service))?;
         services.iter().try_for_each(|one| self.contract(one))
     }
 
@@ -32,9 +32,9 @@
         let contract = &service.contract;
         self.homes(&path, service)?;
         let field = format!("{path}.drain_window_s");
-        self.range(field, contract.drain_window_s, 1, DRAIN_WINDOW_MAX_S)?;
+        self.check_range(field, contract.drain_window_s, 1, DRAIN_WINDOW_MAX_S)?;
         let field = format!("{path}.deadline_ms");
-        self.range(field, contract.deadline_ms, 1, DEADLINE_MAX_MS)?;
+        self.check_range(field, contract.deadline_ms, 1, DEADLINE_MAX_MS)?;
         self.idempotent_methods(&path, service)?;
         self.idempotent_paths(&path, service)
     }
@@ -42,20 +42,20 @@
     fn homes(&self, path: &str, service: &Service) -> Result<()> {
         let homes = &service.contract.homes;
         let field = format!("{path}.homes");
-        self.unique(&field, homes.iter().map(|home| &home.region))?;
+        self.check_unique(&field, homes.iter().map(|home| &home.region))?;
         for home in homes {
-            self.known_region(&field, &home.region)?;
-            self.served(&field, service, home)?;
+            self.require_region(&field, &home.region)?;
+            self.require_upstream_in(&field, service, home)?;
         }
         let sum: f64 = homes.iter().map(|home| home.share.get()).sum();
         if (sum - 1.0).abs() > SUM_TOLERANCE {
             let problem = format!("the shares sum to {sum:.6}");
             return self.fail(field, problem, "shares that sum to 1");
         }
-        self.homes_joined(&field, homes)
+        self.require_links_between(&field, homes)
     }
 
-    fn served(&self, field: &str, service: &Service, home: &Home) -> Result<()> {
+    fn require_upstream_in(&self, field: &str, service: &Service, home: &Home) -> Result<()> {
         let mut upstreams = service.upstreams.iter();
         if upstreams.any(|upstream| upstream.region == home.region) {
             return Ok(());
@@ -65,11 +65,11 @@
     }
 
     /// Every home must reach every other: spill-over and drains go there.
-    fn homes_joined(&self, field: &str, homes: &[Home]) -> Result<()> {
+    fn require_links_between(&self, field: &str, homes: &[Home]) -> Result<()> {
         for from in homes {
             let others = homes.iter().filter(|to| to.region != from.region);
             for to in others {
-                self.joined(field, &from.region, &to.region)?;
+                self.require_link(field, &from.region, &to.region)?;
             }
         }
         Ok(())
--- a/crates/foxtide-config/src/validate/drains.rs
+++ b/crates/foxtide-config/src/validate/drains.rs
@@ -1,6 +1,6 @@
 //! Rules on announced drains.
 
-use super::Check;
+use super::Validator;
 use crate::Result;
 use foxtide_core::organisation::{
     Drain,
@@ -9,22 +9,24 @@
     Upstream, //
 };
 
-impl Check<'_> {
+impl Validator<'_> {
     /// Checks the drains, and that together they leave something to serve.
     pub(super) fn drains(&self) -> Result<()> {
         let drains = &self.document.drains;
-        self.unique("drains", drains.iter().map(|one| &one.id))?;
+        self.check_unique("drains", drains.iter().map(|one| &one.id))?;
         for drain in drains {
-            self.target(drain)?;
+            self.check_target(drain)?;
         }
         let services = &self.document.services;
-        services.iter().try_for_each(|one| self.remaining(one))
+        services
+            .iter()
+            .try_for_each(|one| self.require_remaining_upstream(one))
     }
 
-    fn target(&self, drain: &Drain) -> Result<()> {
+    fn check_target(&self, drain: &Drain) -> Result<()> {
         let field = format!("drains[{}].target", drain.id);
         match &drain.target {
-            DrainTarget::Region(region) => self.known_region(field, region),
+            DrainTarget::Region(region) => self.require_region(field, region),
             DrainTarget::AvailabilityZone(zone) => {
                 let mut regions = self.document.regions.iter();
                 if regions.any(|region| region.availability_zones.contains(zone)) {
@@ -47,10 +49,10 @@
         }
     }
 
-    fn remaining(&self, service: &Service) -> Result<()> {
+    fn require_remaining_upstream(&self, service: &Service) -> Result<()> {
         let drains = &self.document.drains;
-        let leaving = |upstream: &Upstream| drains.iter().any(|one| leaves(one, service, upstream));
-        if service.upstreams.iter().all(leaving) {
+        let drained = |upstream: &Upstream| drains.iter().any(|one| covers(one, service, upstream));
+        if service.upstreams.iter().all(drained) {
             let problem = format!("no upstream of `{}` is left", service.service);
             let expected = "drains that leave each service an upstream";
             return self.fail("drains", problem, expected);
@@ -60,7 +62,7 @@
 }
 
 /// Tells whether a drain takes an upstream out of service.
-fn leaves(drain: &Drain, service: &Service, candidate: &Upstream) -> bool {
+fn covers(drain: &Drain, service: &Service, candidate: &Upstream) -> bool {
     match &drain.target {
         DrainTarget::Upstream {
             service: of,
--- a/crates/foxtide-config/src/validate/mod.rs
+++ b/crates/foxtide-config/src/validate/mod.rs
@@ -7,7 +7,7 @@
 mod contracts;
 mod drains;
 mod moves;
-mod places;
+mod topology;
 mod upstreams;
 
 use crate::blocks::RESERVED_PREFIX;
@@ -30,26 +30,26 @@
 /// Fails with the path of the first field that breaks a rule, and with what
 /// would be valid.
 pub fn check(document: &Organisation) -> Result<()> {
-    let check = Check {
+    let validator = Validator {
         document,
         file: key_of(&document.organisation),
     };
-    check.schema()?;
-    check.name()?;
-    check.places()?;
-    check.services()?;
-    check.upstreams()?;
-    check.moves()?;
-    check.drains()
+    validator.schema()?;
+    validator.name()?;
+    validator.topology()?;
+    validator.services()?;
+    validator.upstreams()?;
+    validator.moves()?;
+    validator.drains()
 }
 
 /// The checks of one document.
-struct Check<'a> {
+struct Validator<'a> {
     document: &'a Organisation,
     file: String,
 }
 
-impl Check<'_> {
+impl Validator<'_> {
     fn schema(&self) -> Result<()> {
         let version = self.document.schema_version;
         if version != SCHEMA_VERSION {
@@ -79,7 +79,7 @@
     }
 
     /// Fails at the first name that stands twice.
-    fn unique<T: Ord + Display>(
+    fn check_unique<T: Ord + Display>(
         &self,
         field: impl Display,
         names: impl IntoIterator<Item = T>,
@@ -96,7 +96,7 @@
     }
 
     /// Fails where a value is outside of its range.
-    fn range<T: PartialOrd + Display>(
+    fn check_range<T: PartialOrd + Display>(
         &self,
         field: impl Display,
         value: T,
--- a/crates/foxtide-config/src/validate/moves.rs
+++ b/crates/foxtide-config/src/validate/moves.rs
@@ -1,6 +1,6 @@
 //! Rules on planned moves.
 
-use super::Check;
+use super::Validator;
 use crate::Result;
 use foxtide_core::ids::RegionId;
 use foxtide_core::organisation::{
@@ -13,36 +13,36 @@
 /// How far a sum of paces may exceed the cap by rounding.
 const PACE_TOLERANCE: f64 = 1e-9;
 
-impl Check<'_> {
+impl Validator<'_> {
     /// Checks the moves.
     pub(super) fn moves(&self) -> Result<()> {
         let moves = &self.document.moves;
-        self.unique("moves", moves.iter().map(|one| &one.id))?;
-        moves.iter().try_for_each(|one| self.planned_move(one))
+        self.check_unique("moves", moves.iter().map(|one| &one.id))?;
+        moves.iter().try_for_each(|one| self.check_move(one))
     }
 
-    fn planned_move(&self, movement: &PlannedMove) -> Result<()> {
+    fn check_move(&self, movement: &PlannedMove) -> Result<()> {
         let path = format!("moves[{}]", movement.id);
         let Some(service) = self.document.service(&movement.service) else {
             let problem = format!("there is no service `{}`", movement.service);
             let field = format!("{path}.service");
             return self.fail(field, problem, "a service of the organisation");
         };
-        self.ends(&path, movement, service)?;
+        self.check_endpoints(&path, movement, service)?;
         if movement.share.get() <= 0.0 {
             let expected = "a share above 0, at most 1";
             return self.fail(format!("{path}.share"), movement.share, expected);
         }
-        self.pace(&path, movement, service)?;
-        self.moved_share(&path, movement)
+        self.check_pace(&path, movement, service)?;
+        self.check_moved_share(&path, movement)
     }
 
     /// Both ends must be homes: nowhere else was the service promised.
-    fn ends(&self, path: &str, movement: &PlannedMove, service: &Service) -> Result<()> {
+    fn check_endpoints(&self, path: &str, movement: &PlannedMove, service: &Service) -> Result<()> {
         let homes = &service.contract.homes;
         for (end, region) in [("from", &movement.from), ("to", &movement.to)] {
             let field = format!("{path}.{end}");
-            self.known_region(&field, region)?;
+            self.require_region(&field, region)?;
             if !homes.iter().any(|home| home.region == *region) {
                 let known: Vec<&str> = homes.iter().map(|home| home.region.as_str()).collect();
                 let problem = format!("`{region}` is no home of `{}`", service.service);
@@ -53,16 +53,16 @@
             let problem = "gives and takes in the same region";
             return self.fail(format!("{path}.to"), problem, "another home");
         }
-        self.joined(format!("{path}.to"), &movement.from, &movement.to)
+        self.require_link(format!("{path}.to"), &movement.from, &movement.to)
     }
 
     /// All moves that change a region's share at the same time must keep the
     /// cap together.
-    fn pace(&self, path: &str, movement: &PlannedMove, service: &Service) -> Result<()> {
+    fn check_pace(&self, path: &str, movement: &PlannedMove, service: &Service) -> Result<()> {
         let cap = service.contract.shift_cap_share_per_s;
         let moves = self.document.moves.iter();
         let together =
-            moves.filter(|other| same_region(movement, other) && overlap(movement, other));
+            moves.filter(|other| share_region(movement, other) && overlap(movement, other));
         let paces: Vec<f64> = together.map(|one| one.pace_share_per_s.get()).collect();
         let sum: f64 = paces.iter().sum();
         if sum <= cap.get() + PACE_TOLERANCE {
@@ -77,7 +77,7 @@
     }
 
     /// A region cannot give more than it has.
-    fn moved_share(&self, path: &str, movement: &PlannedMove) -> Result<()> {
+    fn check_moved_share(&self, path: &str, movement: &PlannedMove) -> Result<()> {
         let moves = self.document.moves.iter();
         let given =
             moves.filter(|one| one.service == movement.service && one.from == movement.from);
@@ -91,18 +91,18 @@
 }
 
 /// Tells whether two moves change the share of the same region.
-fn same_region(one: &PlannedMove, other: &PlannedMove) -> bool {
+fn share_region(one: &PlannedMove, other: &PlannedMove) -> bool {
     let touches = |region: &RegionId| other.from == *region || other.to == *region;
     one.service == other.service && (touches(&one.from) || touches(&one.to))
 }
 
 /// Tells whether two moves are under way at the same time.
 fn overlap(one: &PlannedMove, other: &PlannedMove) -> bool {
-    one.id == other.id || (one.start_us < end(other) && other.start_us < end(one))
+    one.id == other.id || (one.start_us < end_time(other) && other.start_us < end_time(one))
 }
 
 /// Returns when a move stands still: at its pause, or when all has moved.
-fn end(movement: &PlannedMove) -> WallTime {
+fn end_time(movement: &PlannedMove) -> WallTime {
     let length_s = movement.share.get() / movement.pace_share_per_s.get();
     let length = Duration::try_from_secs_f64(length_s).unwrap_or(Duration::MAX);
     let whole = movement.start_us + length;
--- a/crates/foxtide-config/src/validate/topology.rs
+++ b/crates/foxtide-config/src/validate/topology.rs
@@ -1,6 +1,6 @@
 //! Rules on regions and the links between them.
 
-use super::Check;
+use super::Validator;
 use crate::Result;
 use foxtide_core::ids::RegionId;
 use foxtide_core::organisation::Link;
@@ -9,9 +9,9 @@
 /// The longest delay of a link that is taken to be meant, in milliseconds.
 const DELAY_MAX_MS: f64 = 10_000.0;
 
-impl Check<'_> {
+impl Validator<'_> {
     /// Checks regions and links.
-    pub(super) fn places(&self) -> Result<()> {
+    pub(super) fn topology(&self) -> Result<()> {
         self.regions()?;
         self.links()
     }
@@ -21,9 +21,9 @@
         if regions.is_empty() {
             return self.fail("regions", "there is none", "one or more");
         }
-        self.unique("regions", regions.iter().map(|region| &region.region))?;
+        self.check_unique("regions", regions.iter().map(|region| &region.region))?;
         let zones = regions.iter().flat_map(|region| &region.availability_zones);
-        self.unique("regions[].availability_zones", zones)?;
+        self.check_unique("regions[].availability_zones", zones)?;
         for region in regions {
             let path = format!("regions[{}]", region.region);
             if region.availability_zones.is_empty() {
@@ -40,14 +40,14 @@
 
     fn links(&self) -> Result<()> {
         let links = &self.document.links;
-        self.unique("links", links.iter().map(Link::id))?;
+        self.check_unique("links", links.iter().map(Link::id))?;
         links.iter().try_for_each(|link| self.link(link))
     }
 
     fn link(&self, link: &Link) -> Result<()> {
         let path = format!("links[{}]", link.id());
-        self.known_region(format!("{path}.from"), &link.from)?;
-        self.known_region(format!("{path}.to"), &link.to)?;
+        self.require_region(format!("{path}.from"), &link.from)?;
+        self.require_region(format!("{path}.to"), &link.to)?;
         if link.from == link.to {
             return self.fail(path, "both ends are the same", "two regions");
         }
@@ -65,7 +65,7 @@
     }
 
     /// Fails where the document has no such region.
-    pub(super) fn known_region(&self, field: impl Display, region: &RegionId) -> Result<()> {
+    pub(super) fn require_region(&self, field: impl Display, region: &RegionId) -> Result<()> {
         if self.document.region(region).is_none() {
             let problem = format!("there is no region `{region}`");
             return self.fail(field, problem, self.known_regions());
@@ -74,7 +74,12 @@
     }
 
     /// Fails where no link leads from one region to another.
-    pub(super) fn joined(&self, field: impl Display, from: &RegionId, to: &RegionId) -> Result<()> {
+    pub(super) fn require_link(
+        &self,
+        field: impl Display,
+        from: &RegionId,
+        to: &RegionId,
+    ) -> Result<()> {
         if self.document.link(from, to).is_none() {
             let problem = format!("no link {from}->{to}");
             return self.fail(field, problem, "a link in `links` for each direction");
--- a/crates/foxtide-config/src/validate/upstreams.rs
+++ b/crates/foxtide-config/src/validate/upstreams.rs
@@ -1,6 +1,6 @@
 //! Rules on the targets of services.
 
-use super::Check;
+use super::Validator;
 use crate::Result;
 use foxtide_core::organisation::{
     Service,
@@ -13,32 +13,32 @@
 /// The most connections of an upstream that are taken to be meant.
 const CONNECTIONS_MAX: u32 = 1_000_000;
 
-impl Check<'_> {
+impl Validator<'_> {
     /// Checks the upstreams of all services.
     pub(super) fn upstreams(&self) -> Result<()> {
         let services = &self.document.services;
         let all = services.iter().flat_map(|one| &one.upstreams);
-        self.unique("services[].upstreams[].address", all.map(|one| one.address))?;
+        self.check_unique("services[].upstreams[].address", all.map(|one| one.address))?;
         services.iter().try_for_each(|one| self.upstreams_of(one))
     }
 
     fn upstreams_of(&self, service: &Service) -> Result<()> {
         let path = format!("services[{}].upstreams", service.service);
-        self.unique(&path, service.upstreams.iter().map(|one| &one.upstream))?;
+        self.check_unique(&path, service.upstreams.iter().map(|one| &one.upstream))?;
         let mut upstreams = service.upstreams.iter();
         upstreams.try_for_each(|one| self.upstream(&format!("{path}[{}]", one.upstream), one))
     }
 
     fn upstream(&self, path: &str, upstream: &Upstream) -> Result<()> {
-        self.known_region(format!("{path}.region"), &upstream.region)?;
+        self.require_region(format!("{path}.region"), &upstream.region)?;
         self.zone(path, upstream)?;
         if upstream.address.port() == 0 || upstream.address.ip().is_unspecified() {
             let expected = "an address that can be connected to, with its port";
             return self.fail(format!("{path}.address"), upstream.address, expected);
         }
-        self.range(format!("{path}.slots"), upstream.slots, 1, SLOTS_MAX)?;
+        self.check_range(format!("{path}.slots"), upstream.slots, 1, SLOTS_MAX)?;
         let field = format!("{path}.connections");
-        self.range(field, upstream.connections, upstream.slots, CONNECTIONS_MAX)
+        self.check_range(field, upstream.connections, upstream.slots, CONNECTIONS_MAX)
     }
 
     fn zone(&self, path: &str, upstream: &Upstream) -> Result<()> {
