--- a/crates/foxtide-config/src/watch/calls.rs
+++ b/crates/foxtide-config/src/watch/calls.rs
@@ -27,21 +27,21 @@
     /// The names of all organisations' documents.
     Names,
     /// All organisations' documents.
-    All,
+    AllDocuments,
     /// The document at this key.
-    One(String),
+    Document(String),
 }
 
 /// What a call found.
 #[derive(Debug)]
-pub(super) enum Found {
+pub(super) enum Response {
     /// The names.
     Names(StoreNames),
     /// The documents.
     Documents(StoreListing),
 }
 
-impl Found {
+impl Response {
     /// Returns the index to wait on next.
     fn index(&self) -> StoreIndex {
         match self {
@@ -51,33 +51,33 @@
     }
 }
 
-/// A call that has ended.
+/// A call that has finished.
 #[derive(Debug)]
-pub(super) struct Ended {
+pub(super) struct Finished {
     /// What it waited on.
     pub(super) target: Target,
     /// The index that it waited on.
     after: StoreIndex,
     /// What it found.
-    pub(super) result: StoreResult<Found>,
+    pub(super) result: StoreResult<Response>,
 }
 
 /// The calls that wait at the same time, at most one a target.
-pub(super) struct Calls<S> {
+pub(super) struct PendingCalls<S> {
     store: Arc<S>,
     options: WatchOptions,
-    waiting: FuturesUnordered<BoxFuture<'static, Ended>>,
+    pending: FuturesUnordered<BoxFuture<'static, Finished>>,
     backoffs: BTreeMap<Target, Backoff>,
     jitter: fastrand::Rng,
 }
 
-impl<S: Store> Calls<S> {
+impl<S: Store> PendingCalls<S> {
     /// Returns no calls.
     pub(super) fn new(store: Arc<S>, options: WatchOptions) -> Self {
         Self {
             store,
             options,
-            waiting: FuturesUnordered::new(),
+            pending: FuturesUnordered::new(),
             backoffs: BTreeMap::new(),
             jitter: fastrand::Rng::with_seed(options.seed),
         }
@@ -85,12 +85,12 @@
 
     /// Ends all calls.
     pub(super) fn clear(&mut self) {
-        self.waiting.clear();
+        self.pending.clear();
         self.backoffs.clear();
     }
 
     /// Tells whether a target is waited on.
-    pub(super) fn has(&self, target: &Target) -> bool {
+    pub(super) fn contains(&self, target: &Target) -> bool {
         self.backoffs.contains_key(target)
     }
 
@@ -101,50 +101,52 @@
         self.start(target, after, Duration::ZERO);
     }
 
-    /// Stops to wait on a target whose call has ended.
+    /// Stops to wait on a target whose call has finished.
     pub(super) fn remove(&mut self, target: &Target) {
         self.backoffs.remove(target);
     }
 
     /// Returns the next call to end.
-    pub(super) async fn next(&mut self) -> Option<Ended> {
-        self.waiting.next().await
+    pub(super) async fn next(&mut self) -> Option<Finished> {
+        self.pending.next().await
     }
 
-    /// Makes the call of an ended one anew. Returns how long it waits before
+    /// Makes the call of a finished one anew. Returns how long it waits before
     /// it does.
-    pub(super) fn again(&mut self, ended: &Ended) -> Duration {
-        let pause = self.pause(ended);
-        let after = match &ended.result {
-            Ok(found) => next_index(ended.after, found.index()),
-            Err(_) => ended.after,
+    pub(super) fn restart(&mut self, finished: &Finished) -> Duration {
+        let pause = self.pause(finished);
+        let after = match &finished.result {
+            Ok(response) => next_index(finished.after, response.index()),
+            Err(_) => finished.after,
         };
-        self.start(ended.target.clone(), after, pause);
+        self.start(finished.target.clone(), after, pause);
         pause
     }
 
-    fn pause(&mut self, ended: &Ended) -> Duration {
-        let Some(backoff) = self.backoffs.get_mut(&ended.target) else {
-            return self.options.gap_min;
+    fn pause(&mut self, finished: &Finished) -> Duration {
+        let Some(backoff) = self.backoffs.get_mut(&finished.target) else {
+            return self.options.call_interval_min;
         };
-        match &ended.result {
+        match &finished.result {
             Ok(_) => {
                 backoff.succeeded();
-                self.options.gap_min
+                self.options.call_interval_min
             }
             // The store is not to blame: it was not asked.
-            Err(StoreError::OverBudget { .. }) => self.options.role_check,
-            Err(_) => backoff.failed(self.jitter.f64()).max(self.options.gap_min),
+            Err(StoreError::OverBudget { .. }) => self.options.role_check_interval,
+            Err(_) => backoff
+                .failed(self.jitter.f64())
+                .max(self.options.call_interval_min),
         }
     }
 
     fn start(&mut self, target: Target, after: StoreIndex, pause: Duration) {
         let store = Arc::clone(&self.store);
         let wait = self.options.wait;
-        self.waiting.push(Box::pin(async move {
+        self.pending.push(Box::pin(async move {
             Timer::after(pause).await;
             let result = call(store.as_ref(), &target, after, wait).await;
-            Ended {
+            Finished {
                 target,
                 after,
                 result,
@@ -158,19 +160,19 @@
     target: &Target,
     after: StoreIndex,
     wait: Duration,
-) -> StoreResult<Found> {
+) -> StoreResult<Response> {
     match target {
         Target::Names => {
             let names = store.watch_names(ORGANISATION_PREFIX, after, wait);
-            names.await.map(Found::Names)
+            names.await.map(Response::Names)
         }
-        Target::All => {
+        Target::AllDocuments => {
             let documents = store.watch(ORGANISATION_PREFIX, after, wait);
-            documents.await.map(Found::Documents)
+            documents.await.map(Response::Documents)
         }
-        Target::One(key) => {
+        Target::Document(key) => {
             let document = store.watch_key(key, after, wait);
-            document.await.map(Found::Documents)
+            document.await.map(Response::Documents)
         }
     }
 }
@@ -178,9 +180,9 @@
 /// Returns the index to wait on. One that went back means that the store was
 /// set up anew, so that the next call must not wait; and it is at least 1,
 /// because a call with index 0 never waits (Consul's blocking queries).
-fn next_index(waited_on: StoreIndex, found: StoreIndex) -> StoreIndex {
-    if found < waited_on {
+fn next_index(waited_on: StoreIndex, returned: StoreIndex) -> StoreIndex {
+    if returned < waited_on {
         return StoreIndex::ABSENT;
     }
-    found.max(StoreIndex::new(1))
+    returned.max(StoreIndex::new(1))
 }
--- a/crates/foxtide-config/src/watch/seen.rs
+++ b/crates/foxtide-config/src/watch/delivered.rs
@@ -14,20 +14,20 @@
 
 /// What has been told already.
 #[derive(Debug, Default)]
-pub(super) struct Seen {
+pub(super) struct DeliveredVersions {
     indices: BTreeMap<String, StoreIndex>,
     revisions: BTreeMap<OrganisationId, Revision>,
 }
 
-impl Seen {
+impl DeliveredVersions {
     /// Takes an entry. Returns what is new in it.
-    pub(super) fn take(&mut self, entry: &StoreEntry) -> Option<WatchReport> {
+    pub(super) fn update(&mut self, entry: &StoreEntry) -> Option<WatchReport> {
         let previous = self.indices.insert(entry.key.clone(), entry.index);
         if previous == Some(entry.index) {
             return None;
         }
         match change::decode(&entry.key, &entry.value) {
-            Ok(document) => self.newer(document),
+            Ok(document) => self.report_if_newer(document),
             Err(error) => Some(WatchReport::Invalid {
                 key: entry.key.clone(),
                 cause: error.to_string(),
@@ -35,7 +35,7 @@
         }
     }
 
-    fn newer(&mut self, document: Organisation) -> Option<WatchReport> {
+    fn report_if_newer(&mut self, document: Organisation) -> Option<WatchReport> {
         let known = self.revisions.get(&document.organisation);
         if known.is_some_and(|known| *known >= document.revision) {
             return None;
--- a/crates/foxtide-config/src/watch/mod.rs
+++ b/crates/foxtide-config/src/watch/mod.rs
@@ -5,20 +5,21 @@
 //!
 //! A watching instance waits on each organisation's document by itself and on
 //! the names of all, so that a change brings it one document and not all of
-//! them. Where there are more organisations than [`WatchOptions::single_max`]
+//! them. Where there are more organisations than [`WatchOptions::individual_watches_max`]
 //! it waits on all at once instead, which costs fewer calls and more bytes.
 
 mod calls;
-mod seen;
+mod delivered;
 
 use crate::backoff::BackoffOptions;
 use crate::change::ORGANISATION_PREFIX;
 use calls::{
-    Calls,
-    Ended,
-    Found,
+    Finished,
+    PendingCalls,
+    Response,
     Target, //
 };
+use delivered::DeliveredVersions;
 use foxtide_core::organisation::Organisation;
 use foxtide_core::store::{
     Store,
@@ -29,7 +30,6 @@
     StoreResult, //
 };
 use futures_lite::FutureExt;
-use seen::Seen;
 use smol::Timer;
 use smol::channel::{
     SendError,
@@ -45,11 +45,11 @@
     pub wait: Duration,
     /// The least time from one answer to the next call, which bounds the calls
     /// where changes come in a burst.
-    pub gap_min: Duration,
+    pub call_interval_min: Duration,
     /// How often an instance that holds no watch asks whether it should.
-    pub role_check: Duration,
+    pub role_check_interval: Duration,
     /// The most organisations whose documents are waited on one by one.
-    pub single_max: usize,
+    pub individual_watches_max: usize,
     /// The waits after failures.
     pub backoff: BackoffOptions,
     /// The seed of the waits' jitter; must differ between instances.
@@ -60,9 +60,9 @@
     fn default() -> Self {
         Self {
             wait: Duration::from_secs(55),
-            gap_min: Duration::from_millis(200),
-            role_check: Duration::from_secs(1),
-            single_max: 64,
+            call_interval_min: Duration::from_millis(200),
+            role_check_interval: Duration::from_secs(1),
+            individual_watches_max: 64,
             backoff: BackoffOptions::default(),
             seed: 0,
         }
@@ -100,7 +100,7 @@
     store: Arc<S>,
     is_watcher: R,
     options: WatchOptions,
-    seen: Seen,
+    delivered: DeliveredVersions,
     outage: bool,
 }
 
@@ -111,7 +111,7 @@
             store,
             is_watcher,
             options,
-            seen: Seen::default(),
+            delivered: DeliveredVersions::default(),
             outage: false,
         }
     }
@@ -121,34 +121,34 @@
     /// # Errors
     ///
     /// Fails where the store does.
-    pub async fn read_now(&mut self) -> StoreResult<Vec<WatchReport>> {
+    pub async fn read_all(&mut self) -> StoreResult<Vec<WatchReport>> {
         let listing = self.store.list(ORGANISATION_PREFIX).await?;
-        Ok(self.take(&listing))
+        Ok(self.new_reports(&listing))
     }
 
     /// Watches until the channel is closed.
     pub async fn run(mut self, reports: Sender<WatchReport>) {
         while !reports.is_closed() {
-            if (self.is_watcher)() && self.hold(&reports).await.is_err() {
+            if (self.is_watcher)() && self.watch(&reports).await.is_err() {
                 return;
             }
-            Timer::after(self.options.role_check).await;
+            Timer::after(self.options.role_check_interval).await;
         }
     }
 
     /// Holds the watches for as long as the role lasts.
-    async fn hold(&mut self, reports: &Sender<WatchReport>) -> Result<(), SendError<WatchReport>> {
-        let mut calls = Calls::new(Arc::clone(&self.store), self.options);
-        calls.add(Target::All, StoreIndex::ABSENT);
+    async fn watch(&mut self, reports: &Sender<WatchReport>) -> Result<(), SendError<WatchReport>> {
+        let mut calls = PendingCalls::new(Arc::clone(&self.store), self.options);
+        calls.add(Target::AllDocuments, StoreIndex::ABSENT);
         while (self.is_watcher)() && !reports.is_closed() {
             let role_check = async {
-                Timer::after(self.options.role_check).await;
+                Timer::after(self.options.role_check_interval).await;
                 None
             };
-            let Some(ended) = calls.next().or(role_check).await else {
+            let Some(finished) = calls.next().or(role_check).await else {
                 continue;
             };
-            for report in self.step(&mut calls, ended) {
+            for report in self.handle(&mut calls, finished) {
                 reports.send(report).await?;
             }
         }
@@ -156,81 +156,93 @@
     }
 
     /// Takes in what a call found and makes the next one of its target.
-    fn step(&mut self, calls: &mut Calls<S>, ended: Ended) -> Vec<WatchReport> {
-        match &ended.result {
-            Ok(found) => {
-                let mut reports = self.recovered();
-                if let Found::Documents(listing) = found {
-                    reports.extend(self.take(listing));
+    fn handle(&mut self, calls: &mut PendingCalls<S>, finished: Finished) -> Vec<WatchReport> {
+        match &finished.result {
+            Ok(response) => {
+                let mut reports = self.report_recovery();
+                if let Response::Documents(listing) = response {
+                    reports.extend(self.new_reports(listing));
                 }
-                self.follow(calls, &ended, found);
+                self.schedule_next(calls, &finished, response);
                 reports
             }
             Err(error) => {
-                let retry_in = calls.again(&ended);
-                self.failed(error, retry_in)
+                let retry_in = calls.restart(&finished);
+                self.report_failure(error, retry_in)
             }
         }
     }
 
     /// Waits on what a successful call showed to be there.
-    fn follow(&self, calls: &mut Calls<S>, ended: &Ended, found: &Found) {
-        match found {
-            Found::Documents(listing) if ended.target == Target::All => {
-                self.follow_all(calls, ended, listing);
+    fn schedule_next(&self, calls: &mut PendingCalls<S>, finished: &Finished, response: &Response) {
+        match response {
+            Response::Documents(listing) if finished.target == Target::AllDocuments => {
+                self.schedule_after_documents(calls, finished, listing);
             }
-            Found::Documents(listing) if listing.entries.is_empty() => {
-                calls.remove(&ended.target);
+            Response::Documents(listing) if listing.entries.is_empty() => {
+                calls.remove(&finished.target);
             }
-            Found::Documents(_) => drop(calls.again(ended)),
-            Found::Names(names) => self.follow_names(calls, ended, names),
+            Response::Documents(_) => drop(calls.restart(finished)),
+            Response::Names(names) => self.schedule_after_names(calls, finished, names),
         }
     }
 
     /// Goes on to single documents, if there are few enough.
-    fn follow_all(&self, calls: &mut Calls<S>, ended: &Ended, listing: &StoreListing) {
-        if listing.entries.len() > self.options.single_max {
-            calls.again(ended);
+    fn schedule_after_documents(
+        &self,
+        calls: &mut PendingCalls<S>,
+        finished: &Finished,
+        listing: &StoreListing,
+    ) {
+        if listing.entries.len() > self.options.individual_watches_max {
+            calls.restart(finished);
             return;
         }
         calls.clear();
         calls.add(Target::Names, listing.index.max(StoreIndex::new(1)));
         for entry in &listing.entries {
-            calls.add(Target::One(entry.key.clone()), entry.index);
+            calls.add(Target::Document(entry.key.clone()), entry.index);
         }
     }
 
     /// Waits on documents that are new; on all at once where there are many.
-    fn follow_names(&self, calls: &mut Calls<S>, ended: &Ended, names: &StoreNames) {
-        if names.keys.len() > self.options.single_max {
+    fn schedule_after_names(
+        &self,
+        calls: &mut PendingCalls<S>,
+        finished: &Finished,
+        names: &StoreNames,
+    ) {
+        if names.keys.len() > self.options.individual_watches_max {
             calls.clear();
-            calls.add(Target::All, StoreIndex::ABSENT);
+            calls.add(Target::AllDocuments, StoreIndex::ABSENT);
             return;
         }
-        calls.again(ended);
+        calls.restart(finished);
         for key in &names.keys {
-            let target = Target::One(key.clone());
-            if !calls.has(&target) {
+            let target = Target::Document(key.clone());
+            if !calls.contains(&target) {
                 calls.add(target, StoreIndex::ABSENT);
             }
         }
     }
 
     /// Takes a listing in. Returns what is new in it.
-    fn take(&mut self, listing: &StoreListing) -> Vec<WatchReport> {
+    fn new_reports(&mut self, listing: &StoreListing) -> Vec<WatchReport> {
         let entries = listing.entries.iter();
-        entries.filter_map(|entry| self.seen.take(entry)).collect()
+        entries
+            .filter_map(|entry| self.delivered.update(entry))
+            .collect()
     }
 
-    fn recovered(&mut self) -> Vec<WatchReport> {
-        let ended = std::mem::take(&mut self.outage);
-        ended
+    fn report_recovery(&mut self) -> Vec<WatchReport> {
+        let had_outage = std::mem::take(&mut self.outage);
+        had_outage
             .then_some(WatchReport::Recovered)
             .into_iter()
             .collect()
     }
 
-    fn failed(&mut self, error: &StoreError, retry_in: Duration) -> Vec<WatchReport> {
+    fn report_failure(&mut self, error: &StoreError, retry_in: Duration) -> Vec<WatchReport> {
         let held_back = matches!(error, StoreError::OverBudget { .. });
         if held_back || std::mem::replace(&mut self.outage, true) {
             return Vec::new();
--- a/crates/foxtide-config/tests/watch.rs
+++ b/crates/foxtide-config/tests/watch.rs
@@ -37,8 +37,8 @@
 
 fn options() -> WatchOptions {
     WatchOptions {
-        gap_min: Duration::from_millis(1),
-        role_check: Duration::from_millis(1),
+        call_interval_min: Duration::from_millis(1),
+        role_check_interval: Duration::from_millis(1),
         wait: PATIENT,
         ..WatchOptions::default()
     }
@@ -119,7 +119,7 @@
         let server = server().await;
         put_as(&server, "kunene");
         let few = WatchOptions {
-            single_max: 1,
+            individual_watches_max: 1,
             ..options()
         };
         let reports = start_with(&server, Arc::new(AtomicBool::new(true)), few);
--- a/crates/foxtide/examples/measure/store.rs
+++ b/crates/foxtide/examples/measure/store.rs
@@ -229,14 +229,14 @@
 }
 
 /// Returns the bytes of answers that a change brings a watching instance.
-async fn bytes_a_change(handle: &PrometheusHandle, single_max: usize) -> f64 {
+async fn bytes_a_change(handle: &PrometheusHandle, individual_watches_max: usize) -> f64 {
     let server = start_server().await;
     for number in 0..ORGANISATIONS {
         set_document(&server, number, 0);
     }
     let options = WatchOptions {
-        single_max,
-        gap_min: Duration::from_millis(1),
+        individual_watches_max,
+        call_interval_min: Duration::from_millis(1),
         ..WatchOptions::default()
     };
     let watch = ConfigurationWatch::new(Arc::new(store(&server)), || true, options);
--- a/crates/foxtide/src/configuration.rs
+++ b/crates/foxtide/src/configuration.rs
@@ -113,7 +113,7 @@
         &self,
         watch: &mut ConfigurationWatch<NodeStore, R>,
     ) -> bool {
-        match watch.read_now().await {
+        match watch.read_all().await {
             Ok(reports) => {
                 reports.into_iter().for_each(|report| self.take(report));
                 true
