--- a/crates/foxtide-config/src/store/bucket.rs
+++ b/crates/foxtide-config/src/store/bucket.rs
@@ -49,7 +49,7 @@
     }
 
     /// Keeps at most this many tokens.
-    pub(super) fn limit(&mut self, tokens: f64, now: MonotonicTime) {
+    pub(super) fn cap_tokens(&mut self, tokens: f64, now: MonotonicTime) {
         self.refill(now);
         self.tokens = self.tokens.min(tokens);
     }
--- a/crates/foxtide-config/src/store/budget.rs
+++ b/crates/foxtide-config/src/store/budget.rs
@@ -7,7 +7,7 @@
 use foxtide_core::time::MonotonicTime;
 
 /// The tokens that calls which can wait leave to those which cannot.
-const URGENT_RESERVE: f64 = 2.0;
+const URGENT_RESERVE_TOKENS: f64 = 2.0;
 
 /// The time in which the number of instances counted on may halve.
 ///
@@ -43,7 +43,7 @@
     /// The instances that hold watches.
     pub watchers: u32,
     /// Whether this instance is one of them.
-    pub watches: bool,
+    pub is_watcher: bool,
 }
 
 impl Default for Fleet {
@@ -52,7 +52,7 @@
         Self {
             live_instances: 1,
             watchers: 1,
-            watches: true,
+            is_watcher: true,
         }
     }
 }
@@ -69,7 +69,7 @@
 }
 
 /// The part of the reads that is kept for the instances that hold watches.
-const WATCHERS_SHARE: f64 = 0.5;
+const WATCHERS_READ_SHARE: f64 = 0.5;
 
 /// One instance's part of the fleet's rates.
 #[derive(Clone, Debug)]
@@ -81,7 +81,7 @@
     counted_at: MonotonicTime,
     reads: TokenBucket,
     writes: TokenBucket,
-    failed: bool,
+    last_call_failed: bool,
 }
 
 impl StoreBudget {
@@ -94,7 +94,7 @@
             counted_at: now,
             reads: TokenBucket::new(now),
             writes: TokenBucket::new(now),
-            failed: false,
+            last_call_failed: false,
         };
         budget.set_fleet(fleet, now);
         budget
@@ -103,21 +103,21 @@
     /// Takes in who shares the fleet's rates. More count at once, fewer slowly.
     pub fn set_fleet(&mut self, fleet: Fleet, now: MonotonicTime) {
         let elapsed_s = now.since(self.counted_at).as_secs_f64();
-        let kept = 0.5_f64.powf(elapsed_s / COUNT_HALF_LIFE_S);
+        let decay = 0.5_f64.powf(elapsed_s / COUNT_HALF_LIFE_S);
         self.counted_at = now;
-        self.instances = (self.instances * kept).max(fleet.live_instances.max(1).into());
-        self.watchers = (self.watchers * kept).max(fleet.watchers.max(1).into());
-        self.reads.resize(self.reads_per_s(fleet.watches), now);
+        self.instances = (self.instances * decay).max(fleet.live_instances.max(1).into());
+        self.watchers = (self.watchers * decay).max(fleet.watchers.max(1).into());
+        self.reads.resize(self.reads_per_s(fleet.is_watcher), now);
         let writes_per_s = self.options.fleet_writes_per_s / self.instances;
         self.writes.resize(writes_per_s, now);
     }
 
-    fn reads_per_s(&self, watches: bool) -> f64 {
-        let of_watchers = self.options.fleet_reads_per_s * WATCHERS_SHARE;
-        let of_all = self.options.fleet_reads_per_s - of_watchers;
-        let own = of_all / self.instances;
-        if watches {
-            own + of_watchers / self.watchers
+    fn reads_per_s(&self, is_watcher: bool) -> f64 {
+        let for_watchers = self.options.fleet_reads_per_s * WATCHERS_READ_SHARE;
+        let for_all = self.options.fleet_reads_per_s - for_watchers;
+        let own = for_all / self.instances;
+        if is_watcher {
+            own + for_watchers / self.watchers
         } else {
             own
         }
@@ -127,7 +127,7 @@
     pub fn take(&mut self, class: CallClass, now: MonotonicTime) -> bool {
         match class {
             CallClass::Read => self.reads.take(0.0, now),
-            CallClass::Write => self.writes.take(URGENT_RESERVE, now),
+            CallClass::Write => self.writes.take(URGENT_RESERVE_TOKENS, now),
             CallClass::Urgent => self.writes.take(0.0, now),
         }
     }
@@ -135,11 +135,11 @@
     /// Records whether a call was answered. The first answer after failures
     /// leaves one call of a burst at once, so that a returning store does not
     /// meet everyone's saved-up calls.
-    pub fn answered(&mut self, answered: bool, now: MonotonicTime) {
-        if answered && self.failed {
-            self.reads.limit(1.0, now);
-            self.writes.limit(1.0 + URGENT_RESERVE, now);
+    pub fn record_call(&mut self, answered: bool, now: MonotonicTime) {
+        if answered && self.last_call_failed {
+            self.reads.cap_tokens(1.0, now);
+            self.writes.cap_tokens(1.0 + URGENT_RESERVE_TOKENS, now);
         }
-        self.failed = !answered;
+        self.last_call_failed = !answered;
     }
 }
--- a/crates/foxtide-config/src/store/budgeted.rs
+++ b/crates/foxtide-config/src/store/budgeted.rs
@@ -59,7 +59,7 @@
     }
 
     /// Makes a call if the budget has room for it.
-    async fn within<T>(
+    async fn budgeted<T>(
         &self,
         step: &'static str,
         class: CallClass,
@@ -73,25 +73,25 @@
         }
         let result = call.await;
         let now = self.now();
-        self.budget.lock().answered(answered(&result), now);
+        self.budget.lock().record_call(is_answered(&result), now);
         result
     }
 }
 
 /// Tells whether the store is there: also a refusal is an answer.
-fn answered<T>(result: &StoreResult<T>) -> bool {
+fn is_answered<T>(result: &StoreResult<T>) -> bool {
     matches!(result, Ok(_) | Err(StoreError::Refused { .. }))
 }
 
 impl<S: Store> Store for BudgetedStore<S> {
     async fn read(&self, key: &str) -> StoreResult<Option<StoreEntry>> {
         let call = self.store.read(key);
-        self.within("read", CallClass::Read, call).await
+        self.budgeted("read", CallClass::Read, call).await
     }
 
     async fn list(&self, prefix: &str) -> StoreResult<StoreListing> {
         let call = self.store.list(prefix);
-        self.within("list", CallClass::Read, call).await
+        self.budgeted("list", CallClass::Read, call).await
     }
 
     async fn watch(
@@ -101,7 +101,7 @@
         wait: Duration,
     ) -> StoreResult<StoreListing> {
         let call = self.store.watch(prefix, after, wait);
-        self.within("watch", CallClass::Read, call).await
+        self.budgeted("watch", CallClass::Read, call).await
     }
 
     async fn watch_key(
@@ -111,7 +111,7 @@
         wait: Duration,
     ) -> StoreResult<StoreListing> {
         let call = self.store.watch_key(key, after, wait);
-        self.within("watch_key", CallClass::Read, call).await
+        self.budgeted("watch_key", CallClass::Read, call).await
     }
 
     async fn watch_names(
@@ -121,41 +121,43 @@
         wait: Duration,
     ) -> StoreResult<StoreNames> {
         let call = self.store.watch_names(prefix, after, wait);
-        self.within("watch_names", CallClass::Read, call).await
+        self.budgeted("watch_names", CallClass::Read, call).await
     }
 
     async fn write(&self, key: &str, value: Vec<u8>, expected: StoreIndex) -> StoreResult<bool> {
         let call = self.store.write(key, value, expected);
-        self.within("write", CallClass::Write, call).await
+        self.budgeted("write", CallClass::Write, call).await
     }
 
     async fn delete(&self, key: &str, expected: StoreIndex) -> StoreResult<bool> {
         let call = self.store.delete(key, expected);
-        self.within("delete", CallClass::Write, call).await
+        self.budgeted("delete", CallClass::Write, call).await
     }
 
     async fn open_session(&self, name: &str, ttl: Duration) -> StoreResult<SessionId> {
         let call = self.store.open_session(name, ttl);
-        self.within("open_session", CallClass::Write, call).await
+        self.budgeted("open_session", CallClass::Write, call).await
     }
 
     async fn renew_session(&self, session: &SessionId) -> StoreResult<bool> {
         let call = self.store.renew_session(session);
-        self.within("renew_session", CallClass::Urgent, call).await
+        self.budgeted("renew_session", CallClass::Urgent, call)
+            .await
     }
 
     async fn close_session(&self, session: &SessionId) -> StoreResult<()> {
         let call = self.store.close_session(session);
-        self.within("close_session", CallClass::Urgent, call).await
+        self.budgeted("close_session", CallClass::Urgent, call)
+            .await
     }
 
     async fn acquire(&self, key: &str, value: Vec<u8>, session: &SessionId) -> StoreResult<bool> {
         let call = self.store.acquire(key, value, session);
-        self.within("acquire", CallClass::Write, call).await
+        self.budgeted("acquire", CallClass::Write, call).await
     }
 
     async fn release(&self, key: &str, value: Vec<u8>, session: &SessionId) -> StoreResult<bool> {
         let call = self.store.release(key, value, session);
-        self.within("release", CallClass::Urgent, call).await
+        self.budgeted("release", CallClass::Urgent, call).await
     }
 }
--- a/crates/foxtide-config/src/store/exchange.rs
+++ b/crates/foxtide-config/src/store/exchange.rs
@@ -89,7 +89,7 @@
     ///
     /// As long as no byte was handed to the kernel, the store cannot have run
     /// the call. From the first byte on it may have.
-    fn failed(&self, cause: impl Display) -> StoreError {
+    fn unanswered(&self, cause: impl Display) -> StoreError {
         let peer = self.peer.to_string();
         let cause = cause.to_string();
         let step = self.step;
@@ -137,7 +137,7 @@
     let timeout = call.timeout;
     let expired = async {
         Timer::after(timeout).await;
-        Err(progress.failed(format!("no answer within {} ms", timeout.as_millis())))
+        Err(progress.unanswered(format!("no answer within {} ms", timeout.as_millis())))
     };
     let result = exchange(call, &progress).or(expired).await;
     (progress, result)
@@ -147,20 +147,20 @@
     let request = request(call, progress)?;
     let stream = TcpStream::connect(progress.peer)
         .await
-        .map_err(|error| progress.failed(format!("connect: {error}")))?;
+        .map_err(|error| progress.unanswered(format!("connect: {error}")))?;
     let stream = CountingStream {
         stream,
         written_bytes: Arc::clone(&progress.written_bytes),
     };
     let response = client::connect(stream, request)
         .await
-        .map_err(|error| progress.failed(error))?;
+        .map_err(|error| progress.unanswered(error))?;
     read_whole(response, progress).await
 }
 
 fn request(call: Call, progress: &Progress) -> StoreResult<Request> {
     let url = Url::parse(&format!("http://{}{}", progress.peer, call.target))
-        .map_err(|error| progress.failed(format!("{}: {error}", call.target)))?;
+        .map_err(|error| progress.unanswered(format!("{}: {error}", call.target)))?;
     let mut request = Request::new(call.method, url);
     request.insert_header("connection", "close");
     request.set_body(Body::from_bytes(call.body));
@@ -179,10 +179,10 @@
     let body = response
         .body_bytes()
         .await
-        .map_err(|error| progress.failed(format!("read answer: {error}")))?;
+        .map_err(|error| progress.unanswered(format!("read answer: {error}")))?;
     if stated_bytes.is_some_and(|stated| stated != body.len()) {
         let cause = format!("answer cut off after {} bytes", body.len());
-        return Err(progress.failed(cause));
+        return Err(progress.unanswered(cause));
     }
     Ok(Answer {
         status: response.status().into(),
--- a/crates/foxtide-config/src/store/http.rs
+++ b/crates/foxtide-config/src/store/http.rs
@@ -11,7 +11,7 @@
     KeyForm,
     SessionForm,
     SessionRequest,
-    duration_text,
+    format_duration,
     key_path, //
 };
 use foxtide_core::store::{
@@ -38,7 +38,7 @@
 
 /// A watch may be answered this part of its wait late: the store spreads the
 /// ends of waits over a sixteenth.
-const WATCH_SPREAD_DIVISOR: u32 = 16;
+const WAIT_JITTER_DIVISOR: u32 = 16;
 
 /// How the store is reached.
 #[derive(Clone, Copy, Debug)]
@@ -97,31 +97,31 @@
         let step = call.step;
         let started = Instant::now();
         let (progress, result) = exchange::run(self.options.address, call).await;
-        count(step, started.elapsed(), &result);
+        record_metrics(step, started.elapsed(), &result);
         (progress, result)
     }
 
     /// Makes a call that waits for a change.
-    async fn wait(&self, call: WaitingCall) -> (Progress, StoreResult<Answer>) {
+    async fn blocking_query(&self, call: BlockingQuery) -> (Progress, StoreResult<Answer>) {
         let wait = call.wait;
         let selection = call.selection;
         let query = format!(
             "{selection}index={}&wait={}",
             call.after,
-            duration_text(wait)
+            format_duration(wait)
         );
         let call = Call {
             step: call.step,
             method: Method::Get,
             target: format!("{}?{query}", call.path),
             body: Vec::new(),
-            timeout: wait + wait / WATCH_SPREAD_DIVISOR + self.options.call_timeout,
+            timeout: wait + wait / WAIT_JITTER_DIVISOR + self.options.call_timeout,
         };
         self.run(call).await
     }
 
     /// Makes a call that answers `true` or `false`.
-    async fn decide(
+    async fn call_bool(
         &self,
         step: &'static str,
         method: Method,
@@ -145,7 +145,7 @@
 }
 
 /// A call that waits for a change.
-struct WaitingCall {
+struct BlockingQuery {
     step: &'static str,
     /// The path of the key or of the prefix.
     path: String,
@@ -158,7 +158,7 @@
 }
 
 /// Counts a call for the metrics.
-fn count(step: &'static str, took: Duration, result: &StoreResult<Answer>) {
+fn record_metrics(step: &'static str, elapsed: Duration, result: &StoreResult<Answer>) {
     let outcome = match result {
         Ok(_) => "answered",
         Err(StoreError::NotSent { .. }) => "not_sent",
@@ -171,7 +171,7 @@
         .increment(answer_bytes as u64);
     metrics::counter!("foxtide_store_calls_total", "kind" => step, "outcome" => outcome)
         .increment(1);
-    metrics::histogram!("foxtide_store_call_seconds", "kind" => step).record(took.as_secs_f64());
+    metrics::histogram!("foxtide_store_call_seconds", "kind" => step).record(elapsed.as_secs_f64());
 }
 
 /// Takes the body of a successful answer apart.
@@ -222,14 +222,14 @@
         after: StoreIndex,
         wait: Duration,
     ) -> StoreResult<StoreListing> {
-        let call = WaitingCall {
+        let call = BlockingQuery {
             step: "watch",
             path: key_path(prefix),
             selection: "recurse&",
             after,
             wait,
         };
-        let (progress, result) = self.wait(call).await;
+        let (progress, result) = self.blocking_query(call).await;
         decode_listing(&progress, result?)
     }
 
@@ -239,14 +239,14 @@
         after: StoreIndex,
         wait: Duration,
     ) -> StoreResult<StoreListing> {
-        let call = WaitingCall {
+        let call = BlockingQuery {
             step: "watch_key",
             path: key_path(key),
             selection: "",
             after,
             wait,
         };
-        let (progress, result) = self.wait(call).await;
+        let (progress, result) = self.blocking_query(call).await;
         decode_listing(&progress, result?)
     }
 
@@ -256,14 +256,14 @@
         after: StoreIndex,
         wait: Duration,
     ) -> StoreResult<StoreNames> {
-        let call = WaitingCall {
+        let call = BlockingQuery {
             step: "watch_names",
             path: key_path(prefix),
             selection: "keys&",
             after,
             wait,
         };
-        let (progress, result) = self.wait(call).await;
+        let (progress, result) = self.blocking_query(call).await;
         let answer = result?;
         let index = StoreIndex::new(answer.index.unwrap_or_default());
         let keys = match answer.status {
@@ -275,19 +275,19 @@
 
     async fn write(&self, key: &str, value: Vec<u8>, expected: StoreIndex) -> StoreResult<bool> {
         let target = format!("{}?cas={expected}", key_path(key));
-        self.decide("write", Method::Put, target, value).await
+        self.call_bool("write", Method::Put, target, value).await
     }
 
     async fn delete(&self, key: &str, expected: StoreIndex) -> StoreResult<bool> {
         let target = format!("{}?cas={expected}", key_path(key));
-        self.decide("delete", Method::Delete, target, Vec::new())
+        self.call_bool("delete", Method::Delete, target, Vec::new())
             .await
     }
 
     async fn open_session(&self, name: &str, ttl: Duration) -> StoreResult<SessionId> {
         let request = SessionRequest {
             name: name.to_owned(),
-            ttl: duration_text(ttl),
+            ttl: format_duration(ttl),
             behavior: "release",
             lock_delay: "0s",
         };
@@ -313,18 +313,18 @@
 
     async fn close_session(&self, session: &SessionId) -> StoreResult<()> {
         let target = format!("/v1/session/destroy/{session}");
-        self.decide("close_session", Method::Put, target, Vec::new())
+        self.call_bool("close_session", Method::Put, target, Vec::new())
             .await
             .map(drop)
     }
 
     async fn acquire(&self, key: &str, value: Vec<u8>, session: &SessionId) -> StoreResult<bool> {
         let target = format!("{}?acquire={session}", key_path(key));
-        self.decide("acquire", Method::Put, target, value).await
+        self.call_bool("acquire", Method::Put, target, value).await
     }
 
     async fn release(&self, key: &str, value: Vec<u8>, session: &SessionId) -> StoreResult<bool> {
         let target = format!("{}?release={session}", key_path(key));
-        self.decide("release", Method::Put, target, value).await
+        self.call_bool("release", Method::Put, target, value).await
     }
 }
--- a/crates/foxtide-config/src/store/wire.rs
+++ b/crates/foxtide-config/src/store/wire.rs
@@ -20,7 +20,7 @@
 
 /// What a key is encoded in: all but the unreserved characters of RFC 3986,
 /// section 2.3, and the `/` between its parts.
-const KEY_SET: &AsciiSet = &NON_ALPHANUMERIC
+const KEY_ENCODE_SET: &AsciiSet = &NON_ALPHANUMERIC
     .remove(b'-')
     .remove(b'_')
     .remove(b'~')
@@ -28,11 +28,11 @@
 
 /// Returns the path of a key.
 pub(super) fn key_path(key: &str) -> String {
-    format!("/v1/kv/{}", utf8_percent_encode(key, KEY_SET))
+    format!("/v1/kv/{}", utf8_percent_encode(key, KEY_ENCODE_SET))
 }
 
 /// Returns a duration as the store writes it.
-pub(super) fn duration_text(duration: Duration) -> String {
+pub(super) fn format_duration(duration: Duration) -> String {
     format!("{}ms", duration.as_millis())
 }
 
--- a/crates/foxtide-config/tests/budget.rs
+++ b/crates/foxtide-config/tests/budget.rs
@@ -21,7 +21,7 @@
     Fleet {
         live_instances,
         watchers: live_instances,
-        watches: true,
+        is_watcher: true,
     }
 }
 
@@ -46,8 +46,8 @@
         let span_s = 60;
         let start = MonotonicTime::ZERO;
         let watchers = instances.min(2 * zones);
-        let made = |watches| {
-            let fleet = Fleet { live_instances: instances, watchers, watches };
+        let made = |is_watcher| {
+            let fleet = Fleet { live_instances: instances, watchers, is_watcher };
             let mut budget = StoreBudget::new(OPTIONS, fleet, start);
             greedy(&mut budget, CallClass::Read, start, span_s) as f64
         };
@@ -89,9 +89,9 @@
 fn verify_no_saved_up_calls_meet_a_store_that_returns() {
     let start = MonotonicTime::ZERO;
     let mut budget = StoreBudget::new(OPTIONS, fleet(10), start);
-    budget.answered(false, start);
+    budget.record_call(false, start);
     let back = start + Duration::from_secs(600);
-    budget.answered(true, back);
+    budget.record_call(true, back);
     assert!(budget.take(CallClass::Read, back));
     assert!(!budget.take(CallClass::Read, back));
 }
--- a/crates/foxtide/examples/measure/store.rs
+++ b/crates/foxtide/examples/measure/store.rs
@@ -307,7 +307,7 @@
     let fleet = Fleet {
         live_instances: instances,
         watchers: instances.min(ZONES * WATCHERS_PER_ZONE),
-        watches: chosen,
+        is_watcher: chosen,
     };
     let budget = StoreBudget::new(BudgetOptions::default(), fleet, MonotonicTime::ZERO);
     let peer = server.address().to_string();
--- a/crates/foxtide/src/store.rs
+++ b/crates/foxtide/src/store.rs
@@ -55,7 +55,7 @@
 }
 
 /// Counts who shares the store's rates.
-fn fleet(members: &[Member], watches: bool) -> Fleet {
+fn fleet(members: &[Member], is_watcher: bool) -> Fleet {
     let running = members.iter().filter(|member| member.state.is_running());
     let mut in_zones: BTreeMap<&AvailabilityZoneId, usize> = BTreeMap::new();
     for member in running {
@@ -68,7 +68,7 @@
     Fleet {
         live_instances: count(in_zones.values().sum()),
         watchers: count(watchers.sum()),
-        watches,
+        is_watcher,
     }
 }
 
