--- a/crates/foxtide-config/tests/blocks.rs
+++ b/crates/foxtide-config/tests/blocks.rs
@@ -27,7 +27,7 @@
 use foxtide_core::store::Store;
 use foxtide_core::time::MonotonicTime;
 use support::{
-    PATIENT,
+    LONG_TIMEOUT,
     client,
     server, //
 };
@@ -75,7 +75,7 @@
 fn verify_a_table_and_its_changes_are_read_back() {
     smol::block_on(async {
         let server = server().await;
-        let store = client(&server, PATIENT);
+        let store = client(&server, LONG_TIMEOUT);
         let base = replace(&store).await;
         let accepted = set(&store, &base, "10.1.0.0/16").await.unwrap();
         assert!(!accepted.settled);
@@ -92,7 +92,7 @@
 fn verify_the_second_of_two_operators_is_refused() {
     smol::block_on(async {
         let server = server().await;
-        let store = client(&server, PATIENT);
+        let store = client(&server, LONG_TIMEOUT);
         let base = replace(&store).await;
         set(&store, &base, "10.1.0.0/16").await.unwrap();
         let error = set(&store, &base, "10.2.0.0/16").await.unwrap_err();
@@ -105,7 +105,7 @@
 fn verify_a_lost_answer_is_settled_by_reading() {
     smol::block_on(async {
         let server = server().await;
-        let store = client(&server, PATIENT);
+        let store = client(&server, LONG_TIMEOUT);
         let base = replace(&store).await;
         server.lose_answers(1);
         let accepted = set(&store, &base, "10.1.0.0/16").await.unwrap();
@@ -118,7 +118,7 @@
 fn verify_lost_answers_of_chunks_are_written_again() {
     smol::block_on(async {
         let server = server().await;
-        let store = client(&server, PATIENT);
+        let store = client(&server, LONG_TIMEOUT);
         server.set_answer_loss_probability(0.3);
         let first = [block("10.0.0.0/8", "windhoek")];
         let mut tries = 0;
@@ -146,7 +146,7 @@
 fn verify_many_changes_write_the_chunks_anew_and_delete_the_old_ones() {
     smol::block_on(async {
         let server = server().await;
-        let store = client(&server, PATIENT);
+        let store = client(&server, LONG_TIMEOUT);
         let mut base = replace(&store).await;
         for number in 0..20 {
             set(&store, &base, &format!("10.{number}.0.0/16"))
@@ -166,7 +166,7 @@
 fn verify_a_damaged_chunk_is_refused() {
     smol::block_on(async {
         let server = server().await;
-        let store = client(&server, PATIENT);
+        let store = client(&server, LONG_TIMEOUT);
         let manifest = replace(&store).await.manifest;
         server.set_value(&manifest.chunks[0].key(), "not a chunk");
         let error = blocks::load_table(&store, &manifest).await.unwrap_err();
@@ -178,7 +178,7 @@
 fn verify_a_load_waits_for_its_call_budget() {
     smol::block_on(async {
         let server = server().await;
-        let store = client(&server, PATIENT);
+        let store = client(&server, LONG_TIMEOUT);
         let first = [
             block("10.0.0.0/8", "windhoek"),
             block("2001:db8::/32", "walvis"),
--- a/crates/foxtide-config/tests/budget.rs
+++ b/crates/foxtide-config/tests/budget.rs
@@ -26,7 +26,7 @@
 }
 
 /// Returns how many calls an instance gets through that always wants more.
-fn greedy(budget: &mut StoreBudget, class: CallClass, from: MonotonicTime, span_s: u64) -> u64 {
+fn max_calls(budget: &mut StoreBudget, class: CallClass, from: MonotonicTime, span_s: u64) -> u64 {
     let mut now = from;
     let mut made = 0;
     while now.since(from) < Duration::from_secs(span_s) {
@@ -49,7 +49,7 @@
         let made = |is_watcher| {
             let fleet = Fleet { live_instances: instances, watchers, is_watcher };
             let mut budget = StoreBudget::new(OPTIONS, fleet, start);
-            greedy(&mut budget, CallClass::Read, start, span_s) as f64
+            max_calls(&mut budget, CallClass::Read, start, span_s) as f64
         };
         let others = f64::from(instances - watchers);
         let sum = made(true) * f64::from(watchers) + made(false) * others;
@@ -63,15 +63,15 @@
     let start = MonotonicTime::ZERO;
     let mut budget = StoreBudget::new(OPTIONS, fleet(10), start);
     budget.set_fleet(fleet(100), start);
-    let few = greedy(&mut budget, CallClass::Read, start, 60);
+    let few = max_calls(&mut budget, CallClass::Read, start, 60);
     assert!(few <= 60 * 4 + 20, "{few}");
     let later = start + Duration::from_secs(120);
     budget.set_fleet(fleet(10), later);
-    let still_few = greedy(&mut budget, CallClass::Read, later, 60);
+    let still_few = max_calls(&mut budget, CallClass::Read, later, 60);
     assert!(still_few <= 60 * 5 + 20, "{still_few}");
     let hour_later = later + Duration::from_secs(3_600);
     budget.set_fleet(fleet(10), hour_later);
-    let doubled = greedy(&mut budget, CallClass::Read, hour_later, 60);
+    let doubled = max_calls(&mut budget, CallClass::Read, hour_later, 60);
     assert!(doubled <= 60 * 9 + 60, "{doubled}");
 }
 
--- a/crates/foxtide-config/tests/change.rs
+++ b/crates/foxtide-config/tests/change.rs
@@ -10,10 +10,10 @@
 use foxtide_core::units::Revision;
 use foxtide_testing::Availability;
 use support::{
-    IMPATIENT,
-    PATIENT,
-    behind_a_proxy_that_swallows_one_request,
+    LONG_TIMEOUT,
+    SHORT_TIMEOUT,
     client,
+    client_behind_proxy_dropping_one_request,
     create,
     document,
     load,
@@ -28,7 +28,7 @@
 fn verify_an_accepted_change_raises_the_revision() {
     smol::block_on(async {
         let server = server().await;
-        let store = client(&server, PATIENT);
+        let store = client(&server, LONG_TIMEOUT);
         let first = create(&store).await;
         assert_eq!(first.document.revision, Revision::new(1));
         let accepted = set_deadline(&store, &first, 0, 1_234).await.unwrap();
@@ -50,7 +50,7 @@
 fn verify_the_second_of_two_operators_sees_both_changes() {
     smol::block_on(async {
         let server = server().await;
-        let store = client(&server, PATIENT);
+        let store = client(&server, LONG_TIMEOUT);
         let base = create(&store).await;
         set_deadline(&store, &base, 0, 1_111).await.unwrap();
         let error = set_deadline(&store, &base, 0, 2_222).await.unwrap_err();
@@ -72,7 +72,7 @@
 fn verify_changes_of_different_fields_can_be_rebased() {
     smol::block_on(async {
         let server = server().await;
-        let store = client(&server, PATIENT);
+        let store = client(&server, LONG_TIMEOUT);
         let base = create(&store).await;
         set_deadline(&store, &base, 0, 1_111).await.unwrap();
         let ours = request(Some(base.clone()), with_deadline(&base, 1, 2_222));
@@ -87,7 +87,7 @@
 fn verify_contested_fields_are_not_rebased() {
     smol::block_on(async {
         let server = server().await;
-        let store = client(&server, PATIENT);
+        let store = client(&server, LONG_TIMEOUT);
         let base = create(&store).await;
         set_deadline(&store, &base, 0, 1_111).await.unwrap();
         let ours = request(Some(base.clone()), with_deadline(&base, 0, 2_222));
@@ -100,7 +100,7 @@
 fn verify_a_lost_answer_is_settled_as_accepted() {
     smol::block_on(async {
         let server = server().await;
-        let store = client(&server, PATIENT);
+        let store = client(&server, LONG_TIMEOUT);
         let base = create(&store).await;
         server.lose_answers(1);
         let accepted = set_deadline(&store, &base, 0, 1_234).await.unwrap();
@@ -113,11 +113,11 @@
 fn verify_a_write_that_never_took_effect_is_settled_by_writing_again() {
     smol::block_on(async {
         let server = server().await;
-        let base = create(&client(&server, PATIENT)).await;
-        let store = behind_a_proxy_that_swallows_one_request(&server).await;
+        let base = create(&client(&server, LONG_TIMEOUT)).await;
+        let store = client_behind_proxy_dropping_one_request(&server).await;
         let accepted = set_deadline(&store, &base, 0, 1_234).await.unwrap();
         assert!(accepted.settled);
-        let stored = load(&client(&server, PATIENT)).await;
+        let stored = load(&client(&server, LONG_TIMEOUT)).await;
         assert_eq!(stored.document, accepted.document);
         assert_eq!(stored.document.revision, Revision::new(2));
     });
@@ -127,7 +127,7 @@
 fn verify_a_lost_answer_is_settled_after_others_built_on_the_change() {
     smol::block_on(async {
         let server = server().await;
-        let store = client(&server, PATIENT);
+        let store = client(&server, LONG_TIMEOUT);
         let base = create(&store).await;
         // The write takes effect, and further changes are made before its
         // writer can look.
@@ -152,19 +152,19 @@
 fn verify_a_write_that_cannot_be_settled_says_so_and_can_be_run_again() {
     smol::block_on(async {
         let server = server().await;
-        let store = client(&server, IMPATIENT);
-        let patient = client(&server, PATIENT);
-        let base = create(&patient).await;
+        let store = client(&server, SHORT_TIMEOUT);
+        let working = client(&server, LONG_TIMEOUT);
+        let base = create(&working).await;
         server.set_availability(Availability::Silent).await;
         let error = set_deadline(&store, &base, 0, 1_234).await.unwrap_err();
         assert!(matches!(error, ChangeError::Unsettled { .. }), "{error}");
         server.set_availability(Availability::Serving).await;
-        let current = load(&patient).await;
+        let current = load(&working).await;
         let wanted = with_deadline(&current, 0, 1_234);
-        change::accept(&patient, request(Some(current), wanted))
+        change::accept(&working, request(Some(current), wanted))
             .await
             .unwrap();
-        let again = load(&patient).await;
+        let again = load(&working).await;
         assert_eq!(again.document.services[0].contract.deadline_ms, 1_234);
     });
 }
@@ -173,7 +173,7 @@
 fn verify_an_invalid_document_is_not_written() {
     smol::block_on(async {
         let server = server().await;
-        let store = client(&server, PATIENT);
+        let store = client(&server, LONG_TIMEOUT);
         let mut broken = document();
         broken.services[0].contract.homes.pop();
         let error = change::accept(&store, request(None, broken))
@@ -191,7 +191,7 @@
 fn verify_the_history_is_bounded() {
     smol::block_on(async {
         let server = server().await;
-        let store = client(&server, PATIENT);
+        let store = client(&server, LONG_TIMEOUT);
         let mut stored = create(&store).await;
         for round in 0..25 {
             set_deadline(&store, &stored, 0, 1_000 + round)
--- a/crates/foxtide-config/tests/examples.rs
+++ b/crates/foxtide-config/tests/examples.rs
@@ -12,7 +12,7 @@
 use serde_json::json;
 use support::example;
 
-struct Tenant {
+struct Example {
     name: &'static str,
     regions: [&'static str; 3],
     services: [&'static str; 4],
@@ -20,15 +20,15 @@
     delay_ms: f64,
 }
 
-const TENANTS: [Tenant; 2] = [
-    Tenant {
+const EXAMPLES: [Example; 2] = [
+    Example {
         name: "hamutenya",
         regions: ["khomas", "erongo", "oshana"],
         services: ["viewer", "notices", "archive", "hazards"],
         connections: 360,
         delay_ms: 35.0,
     },
-    Tenant {
+    Example {
         name: "kluisdepot",
         regions: ["bru", "antw", "gent"],
         services: ["slotfinder", "doorctl", "hotellink", "ledger"],
@@ -39,10 +39,10 @@
 
 #[test]
 fn verify_the_templates_have_the_tenants_sizes() {
-    for tenant in TENANTS {
-        let file = example(&format!("{}/template.jsonc", tenant.name));
+    for expected in EXAMPLES {
+        let file = example(&format!("{}/template.jsonc", expected.name));
         let template = Template::load(&file).unwrap();
-        let name = tenant.name.parse().unwrap();
+        let name = expected.name.parse().unwrap();
         let document = template.instantiate(&name, &Parameters::new()).unwrap();
         change::check(&document).unwrap();
         let regions: Vec<&str> = document
@@ -50,7 +50,7 @@
             .iter()
             .map(|one| one.region.as_str())
             .collect();
-        assert_eq!(regions, tenant.regions);
+        assert_eq!(regions, expected.regions);
         assert!(
             document
                 .regions
@@ -62,18 +62,19 @@
             document
                 .links
                 .iter()
-                .all(|link| link.delay_ms == tenant.delay_ms)
+                .all(|link| link.delay_ms == expected.delay_ms)
         );
         let services: Vec<&str> = document
             .services
             .iter()
             .map(|one| one.service.as_str())
             .collect();
-        assert_eq!(services, tenant.services);
+        assert_eq!(services, expected.services);
         for service in &document.services {
             assert_eq!(service.upstreams.len(), 12);
-            let sized =
-                |slots, connections| (3..=4).contains(&slots) && connections == tenant.connections;
+            let sized = |slots, connections| {
+                (3..=4).contains(&slots) && connections == expected.connections
+            };
             assert!(
                 service
                     .upstreams
@@ -86,23 +87,23 @@
 
 #[test]
 fn verify_the_settings_are_valid() {
-    for tenant in TENANTS {
-        let file = example(&format!("{}/settings.jsonc", tenant.name));
+    for expected in EXAMPLES {
+        let file = example(&format!("{}/settings.jsonc", expected.name));
         let settings = Settings::load(&file).unwrap();
-        assert_eq!(settings.organisations[0].as_str(), tenant.name);
+        assert_eq!(settings.organisations[0].as_str(), expected.name);
     }
 }
 
 #[test]
 fn verify_the_parameters_fit_the_templates() {
-    for tenant in TENANTS {
+    for expected in EXAMPLES {
         let template =
-            Template::load(&example(&format!("{}/template.jsonc", tenant.name))).unwrap();
-        let file = example(&format!("{}/parameters.jsonc", tenant.name));
+            Template::load(&example(&format!("{}/template.jsonc", expected.name))).unwrap();
+        let file = example(&format!("{}/parameters.jsonc", expected.name));
         let text = foxtide_config::document::read_text(&file).unwrap();
         let given = foxtide_config::document::parse("parameters", &text).unwrap();
         let document = template
-            .instantiate(&tenant.name.parse().unwrap(), &given)
+            .instantiate(&expected.name.parse().unwrap(), &given)
             .unwrap();
         change::check(&document).unwrap();
     }
--- a/crates/foxtide-config/tests/http_store.rs
+++ b/crates/foxtide-config/tests/http_store.rs
@@ -18,8 +18,8 @@
 use smol::net::TcpListener;
 use std::time::Duration;
 use support::{
-    IMPATIENT,
-    PATIENT,
+    LONG_TIMEOUT,
+    SHORT_TIMEOUT,
     client,
     server, //
 };
@@ -31,7 +31,7 @@
 fn verify_keys_are_compared_and_swapped() {
     smol::block_on(async {
         let server = server().await;
-        let store = client(&server, PATIENT);
+        let store = client(&server, LONG_TIMEOUT);
         assert_eq!(store.read(KEY).await.unwrap(), None);
         assert!(
             store
@@ -64,14 +64,15 @@
 fn verify_a_watch_ends_with_a_change() {
     smol::block_on(async {
         let server = server().await;
-        let store = client(&server, PATIENT);
+        let store = client(&server, LONG_TIMEOUT);
         store
             .write(KEY, b"one".to_vec(), StoreIndex::ABSENT)
             .await
             .unwrap();
         let listing = store.list(PREFIX).await.unwrap();
         let watcher = store.clone();
-        let watch = smol::spawn(async move { watcher.watch(PREFIX, listing.index, PATIENT).await });
+        let watch =
+            smol::spawn(async move { watcher.watch(PREFIX, listing.index, LONG_TIMEOUT).await });
         store
             .write(KEY, b"two".to_vec(), listing.entries[0].index)
             .await
@@ -86,7 +87,7 @@
 fn verify_a_lease_has_one_holder() {
     smol::block_on(async {
         let server = server().await;
-        let store = client(&server, PATIENT);
+        let store = client(&server, LONG_TIMEOUT);
         let ttl = Duration::from_secs(30);
         let one = store.open_session("one", ttl).await.unwrap();
         let other = store.open_session("other", ttl).await.unwrap();
@@ -107,7 +108,7 @@
 fn verify_without_a_listener_nothing_was_sent() {
     smol::block_on(async {
         let server = server().await;
-        let store = client(&server, PATIENT);
+        let store = client(&server, LONG_TIMEOUT);
         server.set_availability(Availability::Refusing).await;
         let error = store
             .write(KEY, b"one".to_vec(), StoreIndex::ABSENT)
@@ -124,7 +125,7 @@
 fn verify_a_value_too_large_is_not_sent() {
     smol::block_on(async {
         let server = server().await;
-        let store = client(&server, PATIENT);
+        let store = client(&server, LONG_TIMEOUT);
         let value = vec![b'x'; 2 * VALUE_MAX_BYTES];
         let error = store
             .write(KEY, value, StoreIndex::ABSENT)
@@ -139,7 +140,7 @@
 fn verify_silence_after_the_request_is_unknown() {
     smol::block_on(async {
         let server = server().await;
-        let store = client(&server, IMPATIENT);
+        let store = client(&server, SHORT_TIMEOUT);
         server.set_availability(Availability::Silent).await;
         let error = store
             .write(KEY, b"one".to_vec(), StoreIndex::ABSENT)
@@ -153,7 +154,7 @@
 fn verify_a_lost_answer_is_unknown_and_the_write_took_effect() {
     smol::block_on(async {
         let server = server().await;
-        let store = client(&server, PATIENT);
+        let store = client(&server, LONG_TIMEOUT);
         server.lose_answers(1);
         let error = store
             .write(KEY, b"one".to_vec(), StoreIndex::ABSENT)
@@ -168,7 +169,7 @@
 fn verify_a_failing_server_is_unknown() {
     smol::block_on(async {
         let server = server().await;
-        let store = client(&server, PATIENT);
+        let store = client(&server, LONG_TIMEOUT);
         server.set_availability(Availability::Failing).await;
         let error = store
             .write(KEY, b"one".to_vec(), StoreIndex::ABSENT)
@@ -196,7 +197,7 @@
     .detach();
     HttpStore::new(HttpStoreOptions {
         address,
-        call_timeout: PATIENT,
+        call_timeout: LONG_TIMEOUT,
     })
 }
 
--- a/crates/foxtide-config/tests/instance_list.rs
+++ b/crates/foxtide-config/tests/instance_list.rs
@@ -11,7 +11,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-const PATIENT: Duration = Duration::from_secs(20);
+const LONG_TIMEOUT: Duration = Duration::from_secs(20);
 
 fn listed(instance: &str, peer_address: SocketAddr) -> ListedInstance {
     ListedInstance {
@@ -32,7 +32,9 @@
             .unwrap();
         let peers = [7_400, 7_401].map(|port| SocketAddr::from(([10, 0, 0, 1], port)));
         list.set_instances(vec![listed("a", peers[0]), listed("b", peers[1])]);
-        let read = read_instance_list(list.address(), PATIENT).await.unwrap();
+        let read = read_instance_list(list.address(), LONG_TIMEOUT)
+            .await
+            .unwrap();
         assert_eq!(read, peers);
     });
 }
@@ -44,12 +46,16 @@
             .await
             .unwrap();
         list.set_availability(Availability::Failing).await;
-        let error = read_instance_list(list.address(), PATIENT)
+        let error = read_instance_list(list.address(), LONG_TIMEOUT)
             .await
             .unwrap_err();
         let expected = format!("list of instances {}: status 500", list.address());
         assert_eq!(error.to_string(), expected);
         list.set_availability(Availability::Refusing).await;
-        assert!(read_instance_list(list.address(), PATIENT).await.is_err());
+        assert!(
+            read_instance_list(list.address(), LONG_TIMEOUT)
+                .await
+                .is_err()
+        );
     });
 }
--- a/crates/foxtide-config/tests/support/mod.rs
+++ b/crates/foxtide-config/tests/support/mod.rs
@@ -29,10 +29,10 @@
 use std::time::Duration;
 
 /// Long enough to never end a call that is answered.
-pub(crate) const PATIENT: Duration = Duration::from_secs(20);
+pub(crate) const LONG_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// Short enough to end a call that is never answered.
-pub(crate) const IMPATIENT: Duration = Duration::from_millis(100);
+pub(crate) const SHORT_TIMEOUT: Duration = Duration::from_millis(100);
 
 pub(crate) fn example(path: &str) -> PathBuf {
     let root = PathBuf::from(env!("CARGO_MANIFEST_DIR"));
@@ -65,16 +65,16 @@
 
 /// Returns a client whose first request never reaches the store; the
 /// connection is closed after it was read.
-pub(crate) async fn behind_a_proxy_that_swallows_one_request(server: &StoreServer) -> HttpStore {
+pub(crate) async fn client_behind_proxy_dropping_one_request(server: &StoreServer) -> HttpStore {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
     let address = listener.local_addr().expect("bound");
     let target = server.address();
     smol::spawn(async move {
-        let (mut swallowed, _) = listener.accept().await.expect("a connection");
+        let (mut dropped, _) = listener.accept().await.expect("a connection");
         let mut request = vec![0; 65_536];
-        let received = swallowed.read(&mut request).await.expect("a request");
+        let received = dropped.read(&mut request).await.expect("a request");
         assert!(received > 0);
-        drop(swallowed);
+        drop(dropped);
         loop {
             let (caller, _) = listener.accept().await.expect("a connection");
             let store = TcpStream::connect(target).await.expect("the store");
@@ -86,7 +86,7 @@
     .detach();
     HttpStore::new(HttpStoreOptions {
         address,
-        call_timeout: PATIENT,
+        call_timeout: LONG_TIMEOUT,
     })
 }
 
--- a/crates/foxtide-config/tests/watch.rs
+++ b/crates/foxtide-config/tests/watch.rs
@@ -25,7 +25,7 @@
 };
 use std::time::Duration;
 use support::{
-    PATIENT,
+    LONG_TIMEOUT,
     client,
     create,
     load,
@@ -39,7 +39,7 @@
     WatchOptions {
         call_interval_min: Duration::from_millis(1),
         role_check_interval: Duration::from_millis(1),
-        wait: PATIENT,
+        wait: LONG_TIMEOUT,
         ..WatchOptions::default()
     }
 }
@@ -53,7 +53,7 @@
     is_watcher: Arc<AtomicBool>,
     options: WatchOptions,
 ) -> Receiver<WatchReport> {
-    let store = Arc::new(client(server, PATIENT));
+    let store = Arc::new(client(server, LONG_TIMEOUT));
     let role = move || is_watcher.load(Ordering::Relaxed);
     let watch = ConfigurationWatch::new(store, role, options);
     let (sender, receiver) = unbounded();
@@ -73,7 +73,7 @@
 fn verify_accepted_changes_are_told_in_order() {
     smol::block_on(async {
         let server = server().await;
-        let store = client(&server, PATIENT);
+        let store = client(&server, LONG_TIMEOUT);
         let reports = start(&server, Arc::new(AtomicBool::new(true)));
         let stored = create(&store).await;
         assert_eq!(next_revision(&reports).await, Revision::new(1));
@@ -135,7 +135,7 @@
 fn verify_an_older_document_is_not_told() {
     smol::block_on(async {
         let server = server().await;
-        let store = client(&server, PATIENT);
+        let store = client(&server, LONG_TIMEOUT);
         let first = create(&store).await;
         let old = server.value(KEY).unwrap();
         set_deadline(&store, &first, 0, 1_234).await.unwrap();
@@ -156,7 +156,7 @@
 fn verify_an_invalid_value_is_told_and_skipped() {
     smol::block_on(async {
         let server = server().await;
-        let store = client(&server, PATIENT);
+        let store = client(&server, LONG_TIMEOUT);
         server.set_value("foxtide/organisations/broken", vec![0xff, 0xfe]);
         create(&store).await;
         let reports = start(&server, Arc::new(AtomicBool::new(true)));
@@ -192,7 +192,7 @@
 fn verify_an_instance_without_the_role_makes_no_calls() {
     smol::block_on(async {
         let server = server().await;
-        let store = client(&server, PATIENT);
+        let store = client(&server, LONG_TIMEOUT);
         create(&store).await;
         let role = Arc::new(AtomicBool::new(false));
         let reports = start(&server, role.clone());
