--- a/crates/foxtide-config/src/blocks/chunks.rs
+++ b/crates/foxtide-config/src/blocks/chunks.rs
@@ -19,10 +19,10 @@
 use std::time::Duration;
 
 /// How often a chunk is written again whose answer was lost.
-const WRITE_TRIES: u32 = 5;
+const WRITE_ATTEMPTS_MAX: u32 = 5;
 
 /// The wait after a read that the instance's call budget held back.
-const BUDGET_WAIT: Duration = Duration::from_secs(1);
+const BUDGET_RETRY_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Reads the table that a manifest names. Waits where the instance's call
 /// budget holds a read back.
@@ -37,7 +37,7 @@
     let mut values = Vec::new();
     for part in &manifest.chunks {
         let entry = read_within_budget(store, &part.key()).await?;
-        let entry = entry.ok_or_else(|| missing(part))?;
+        let entry = entry.ok_or_else(|| missing_chunk(part))?;
         values.push(entry.value);
     }
     // It takes tens of milliseconds: aside from the tasks of others.
@@ -48,13 +48,13 @@
 async fn read_within_budget<S: Store>(store: &S, key: &str) -> StoreResult<Option<StoreEntry>> {
     loop {
         match store.read(key).await {
-            Err(StoreError::OverBudget { .. }) => Timer::after(BUDGET_WAIT).await,
+            Err(StoreError::OverBudget { .. }) => Timer::after(BUDGET_RETRY_INTERVAL).await,
             answered => return answered,
         };
     }
 }
 
-fn missing(part: &Part) -> BlocksError {
+fn missing_chunk(part: &Part) -> BlocksError {
     BlocksError::Decode {
         problem: format!("{} is missing", part.key()),
     }
@@ -81,7 +81,7 @@
     value: Vec<u8>,
 ) -> Result<(), BlocksChangeError> {
     let mut latest = None;
-    for _ in 0..WRITE_TRIES {
+    for _ in 0..WRITE_ATTEMPTS_MAX {
         let known = store.read(key).await?;
         let index = known.map_or(StoreIndex::ABSENT, |entry| entry.index);
         match store.write(key, value.clone(), index).await {
@@ -92,13 +92,13 @@
             Err(error) => return Err(error.into()),
         }
     }
-    let contended = || StoreError::Refused {
+    let conflict = || StoreError::Refused {
         step: "write a chunk",
         peer: key.to_owned(),
         status: 409,
         cause: "written by others each time".to_owned(),
     };
-    Err(latest.unwrap_or_else(contended).into())
+    Err(latest.unwrap_or_else(conflict).into())
 }
 
 /// Returns the chunks that lie in the store now.
@@ -110,7 +110,7 @@
 /// it was written.
 ///
 /// One that cannot be deleted now is found by the next change.
-pub(super) async fn delete_unnamed<S: Store>(
+pub(super) async fn delete_unreferenced<S: Store>(
     store: &S,
     listed: &[StoreEntry],
     manifest: &Manifest,
--- a/crates/foxtide-config/src/blocks/publish.rs
+++ b/crates/foxtide-config/src/blocks/publish.rs
@@ -23,10 +23,10 @@
 use std::time::Duration;
 
 /// How often an unknown write is read back and tried again.
-const SETTLE_TRIES: u32 = 5;
+const SETTLE_ATTEMPTS_MAX: u32 = 5;
 
 /// The wait before the first of these; each further one is twice as long.
-const SETTLE_WAIT: Duration = Duration::from_millis(100);
+const SETTLE_WAIT_INITIAL: Duration = Duration::from_millis(100);
 
 /// The manifest as it was read, the base of a change.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -78,7 +78,7 @@
 ) -> Result<PublishedBlocks, BlocksChangeError> {
     let revision = base.map_or(0, |base| base.manifest.revision) + 1;
     let table = ClientBlocks::new(revision, sites, blocks)?;
-    publish_whole(store, base, &table).await
+    publish_table(store, base, &table).await
 }
 
 /// Sets some blocks and takes others out.
@@ -98,17 +98,17 @@
         set,
         removed,
     };
-    let manifest = changed(&base.manifest, delta)?;
+    let manifest = with_delta(&base.manifest, delta)?;
     if manifest.wants_rewrite()? {
         let table = chunks::load_table(store, &manifest).await?;
-        return publish_whole(store, Some(base), &table).await;
+        return publish_table(store, Some(base), &table).await;
     }
-    let settled = write(store, &manifest, base.index).await?;
+    let settled = write_manifest(store, &manifest, base.index).await?;
     Ok(PublishedBlocks { manifest, settled })
 }
 
 /// Returns the manifest after a change, checked.
-fn changed(base: &Manifest, delta: Delta) -> BlocksResult<Manifest> {
+fn with_delta(base: &Manifest, delta: Delta) -> BlocksResult<Manifest> {
     let empty = ClientBlocks::new(delta.follows, base.sites.clone(), &[])?;
     empty.apply(&delta)?;
     let mut manifest = base.clone();
@@ -118,7 +118,7 @@
 
 /// Writes a table's chunks, then its manifest, and deletes chunks that are no
 /// longer named.
-async fn publish_whole<S: Store>(
+async fn publish_table<S: Store>(
     store: &S,
     base: Option<&StoredManifest>,
     table: &ClientBlocks,
@@ -127,14 +127,14 @@
     let listed = chunks::list(store).await?;
     chunks::write(store, values).await?;
     let expected = base.map_or(StoreIndex::ABSENT, |base| base.index);
-    let settled = write(store, &manifest, expected).await?;
-    chunks::delete_unnamed(store, &listed, &manifest).await;
+    let settled = write_manifest(store, &manifest, expected).await?;
+    chunks::delete_unreferenced(store, &listed, &manifest).await;
     Ok(PublishedBlocks { manifest, settled })
 }
 
 /// Writes the manifest if it still has the expected index. Tells whether the
 /// answer was lost and the write was found by reading.
-async fn write<S: Store>(
+async fn write_manifest<S: Store>(
     store: &S,
     manifest: &Manifest,
     expected: StoreIndex,
@@ -167,8 +167,8 @@
     lost_answer: StoreError,
 ) -> Result<bool, BlocksChangeError> {
     let mut cause = lost_answer;
-    let mut wait = SETTLE_WAIT;
-    for _ in 0..SETTLE_TRIES {
+    let mut wait = SETTLE_WAIT_INITIAL;
+    for _ in 0..SETTLE_ATTEMPTS_MAX {
         Timer::after(wait).await;
         wait *= 2;
         match settle_once(store, value, expected).await {
