--- a/crates/foxtide-config/src/backoff.rs
+++ b/crates/foxtide-config/src/backoff.rs
@@ -6,18 +6,18 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BackoffOptions {
     /// The upper bound of the first wait.
-    pub first: Duration,
+    pub initial_max: Duration,
     /// The upper bound of all waits. With the time that a change takes from
     /// a watching instance to all others it stays below the 18 s in which an
     /// accepted change is to be in force.
-    pub longest: Duration,
+    pub wait_max: Duration,
 }
 
 impl Default for BackoffOptions {
     fn default() -> Self {
         Self {
-            first: Duration::from_millis(500),
-            longest: Duration::from_secs(15),
+            initial_max: Duration::from_millis(500),
+            wait_max: Duration::from_secs(15),
         }
     }
 }
@@ -43,16 +43,16 @@
         }
     }
 
-    /// Records a failure and returns how long to wait; `draw` is even in 0..1.
-    pub fn failed(&mut self, draw: f64) -> Duration {
+    /// Records a failure and returns how long to wait; `jitter` is even in 0..1.
+    pub fn record_failure(&mut self, jitter: f64) -> Duration {
         let doublings = self.failures.min(DOUBLINGS_MAX);
         self.failures = self.failures.saturating_add(1);
-        let bound = self.options.first.saturating_mul(1 << doublings);
-        bound.min(self.options.longest).mul_f64(draw)
+        let bound = self.options.initial_max.saturating_mul(1 << doublings);
+        bound.min(self.options.wait_max).mul_f64(jitter)
     }
 
     /// Records a success. Tells whether failures came before it.
-    pub fn succeeded(&mut self) -> bool {
+    pub fn record_success(&mut self) -> bool {
         std::mem::take(&mut self.failures) > 0
     }
 }
@@ -64,11 +64,13 @@
     #[test]
     fn verify_waits_double_up_to_the_longest() {
         let mut backoff = Backoff::new(BackoffOptions::default());
-        let waits: Vec<u128> = (0..8).map(|_| backoff.failed(1.0).as_millis()).collect();
+        let waits: Vec<u128> = (0..8)
+            .map(|_| backoff.record_failure(1.0).as_millis())
+            .collect();
         let expected = [500, 1_000, 2_000, 4_000, 8_000, 15_000, 15_000, 15_000];
         assert_eq!(waits, expected);
-        assert!(backoff.succeeded());
-        assert!(!backoff.succeeded());
-        assert_eq!(backoff.failed(0.5), Duration::from_millis(250));
+        assert!(backoff.record_success());
+        assert!(!backoff.record_success());
+        assert_eq!(backoff.record_failure(0.5), Duration::from_millis(250));
     }
 }
--- a/crates/foxtide-config/src/watch/calls.rs
+++ b/crates/foxtide-config/src/watch/calls.rs
@@ -129,13 +129,13 @@
         };
         match &finished.result {
             Ok(_) => {
-                backoff.succeeded();
+                backoff.record_success();
                 self.options.call_interval_min
             }
             // The store is not to blame: it was not asked.
             Err(StoreError::OverBudget { .. }) => self.options.role_check_interval,
             Err(_) => backoff
-                .failed(self.jitter.f64())
+                .record_failure(self.jitter.f64())
                 .max(self.options.call_interval_min),
         }
     }
--- a/crates/foxtide/src/client_blocks.rs
+++ b/crates/foxtide/src/client_blocks.rs
@@ -122,12 +122,12 @@
             }
             match self.watch_once(&mut after, &manifests).await {
                 Ok(()) => {
-                    backoff.succeeded();
+                    backoff.record_success();
                     Timer::after(WATCH_GAP).await;
                 }
                 // The store is not to blame: it was not asked.
                 Err(StoreError::OverBudget { .. }) => drop(Timer::after(ROLE_CHECK).await),
-                Err(_) => drop(Timer::after(backoff.failed(fastrand::f64())).await),
+                Err(_) => drop(Timer::after(backoff.record_failure(fastrand::f64())).await),
             }
         }
     }
@@ -208,12 +208,12 @@
                     self.reject(&cause);
                     break;
                 }
-                Timer::after(backoff.failed(fastrand::f64())).await;
+                Timer::after(backoff.record_failure(fastrand::f64())).await;
                 while let Ok(newer) = manifests.try_recv() {
                     manifest = newer;
                 }
             }
-            backoff.succeeded();
+            backoff.record_success();
         }
     }
 
--- a/crates/foxtide/src/configuration.rs
+++ b/crates/foxtide/src/configuration.rs
@@ -90,7 +90,7 @@
         loop {
             if !store_read && store_again_in.is_zero() {
                 store_read = self.read_store(&mut watch).await;
-                store_again_in = backoff.failed(fastrand::f64());
+                store_again_in = backoff.record_failure(fastrand::f64());
             }
             let joined = self.mesh.synchronised();
             let has_any = !self.tables.organisations().is_empty();
