--- a/crates/foxtide-config/src/change/accept.rs
+++ b/crates/foxtide-config/src/change/accept.rs
@@ -320,7 +320,7 @@
 fn new_change_id() -> Result<ChangeId, ChangeError> {
     let text = uuid::Uuid::now_v7().to_string();
     let parsed = text.parse::<ChangeId>();
-    parsed.map_err(|error| crate::Error::found_in("change_id", error).into())
+    parsed.map_err(|error| crate::Error::from_core("change_id", error).into())
 }
 
 fn wall_now() -> WallTime {
--- a/crates/foxtide-config/src/change/codec.rs
+++ b/crates/foxtide-config/src/change/codec.rs
@@ -41,7 +41,7 @@
 /// Fails where the value is no such document: not UTF-8, not JSON, a
 /// duplicate or unknown field, a newer form, or another organisation's.
 pub(super) fn decode_unchecked(key: &str, value: &[u8]) -> Result<Organisation> {
-    let text = document::text_of(key, value.to_vec())?;
+    let text = document::decode_text(key, value.to_vec())?;
     let organisation: Organisation = document::parse(key, &text)?;
     if organisation.schema_version != SCHEMA_VERSION {
         let problem = organisation.schema_version;
--- a/crates/foxtide-config/src/change/rebase.rs
+++ b/crates/foxtide-config/src/change/rebase.rs
@@ -61,5 +61,5 @@
     let current = value_of(current);
     let theirs = diff(&base, &current);
     let merged = rebase(ours, &theirs, &current)?;
-    document::typed("merged document", merged).ok()
+    document::from_value("merged document", merged).ok()
 }
--- a/crates/foxtide-config/src/document.rs
+++ b/crates/foxtide-config/src/document.rs
@@ -44,11 +44,11 @@
 pub fn read_text(path: &Path) -> Result<String> {
     let name = path.display().to_string();
     let bytes = std::fs::read(path).map_err(|error| Error::read(&name, error))?;
-    text_of(&name, bytes)
+    decode_text(&name, bytes)
 }
 
 /// Takes bytes as a text of acceptable size.
-pub(crate) fn text_of(name: &str, bytes: Vec<u8>) -> Result<String> {
+pub(crate) fn decode_text(name: &str, bytes: Vec<u8>) -> Result<String> {
     if bytes.len() > VALUE_MAX_BYTES {
         let size = format!("{} bytes, more than {VALUE_MAX_BYTES}", bytes.len());
         return Err(Error::read(name, size));
@@ -67,12 +67,13 @@
 /// stands twice in the same object.
 pub fn parse_value(name: &str, text: &str) -> Result<Value> {
     let collected = jsonc_parser::parse_to_ast(text, &CollectOptions::default(), &PARSE_OPTIONS)
-        .map_err(|error| syntax(name, &error))?;
+        .map_err(|error| syntax_error(name, &error))?;
     let Some(root) = collected.value else {
-        return Err(fault_at(name, text, 0, "the text is empty".to_owned()));
+        return Err(error_at(name, text, 0, "the text is empty".to_owned()));
     };
-    refuse_duplicates(name, text, &root)?;
-    jsonc_parser::parse_to_serde_value(text, &PARSE_OPTIONS).map_err(|error| syntax(name, &error))
+    reject_duplicate_keys(name, text, &root)?;
+    jsonc_parser::parse_to_serde_value(text, &PARSE_OPTIONS)
+        .map_err(|error| syntax_error(name, &error))
 }
 
 /// Parses a text of JSON with comments into a typed value.
@@ -82,7 +83,7 @@
 /// Fails as [`parse_value`] does, and with the path of a field that is
 /// unknown, missing or out of its range.
 pub fn parse<T: DeserializeOwned>(name: &str, text: &str) -> Result<T> {
-    typed(name, parse_value(name, text)?)
+    from_value(name, parse_value(name, text)?)
 }
 
 /// Takes a plain value as a typed one.
@@ -90,7 +91,7 @@
 /// # Errors
 ///
 /// Fails with the path of a field that is unknown, missing or out of range.
-pub fn typed<T: DeserializeOwned>(name: &str, value: Value) -> Result<T> {
+pub fn from_value<T: DeserializeOwned>(name: &str, value: Value) -> Result<T> {
     serde_path_to_error::deserialize(value).map_err(|error| {
         let field = error.path().to_string();
         let message = error.into_inner().to_string();
@@ -103,7 +104,7 @@
 fn split_message(message: &str) -> (&str, &str) {
     for separator in [", expected ", " is not "] {
         if let Some((problem, expected)) = message.split_once(separator) {
-            return (problem, in_words(expected));
+            return (problem, describe_type(expected));
         }
     }
     if message.starts_with("missing field") {
@@ -119,7 +120,7 @@
 }
 
 /// Returns a type of the language as a reader of the file knows it.
-fn in_words(expected: &str) -> &str {
+fn describe_type(expected: &str) -> &str {
     match expected {
         "u8" | "u16" | "u32" | "u64" | "usize" => "a whole number, 0 or more, without a unit",
         "f64" => "a number, without a unit",
@@ -128,7 +129,7 @@
     }
 }
 
-fn syntax(name: &str, error: &ParseError) -> Error {
+fn syntax_error(name: &str, error: &ParseError) -> Error {
     Error::Syntax {
         file: name.to_owned(),
         line: error.line_display(),
@@ -137,7 +138,7 @@
     }
 }
 
-fn fault_at(name: &str, text: &str, offset: usize, problem: String) -> Error {
+fn error_at(name: &str, text: &str, offset: usize, problem: String) -> Error {
     let before = &text[..offset];
     let line_start = before.rfind('\n').map_or(0, |at| at + 1);
     Error::Syntax {
@@ -148,26 +149,26 @@
     }
 }
 
-fn refuse_duplicates(name: &str, text: &str, node: &Node<'_>) -> Result<()> {
+fn reject_duplicate_keys(name: &str, text: &str, node: &Node<'_>) -> Result<()> {
     match node {
-        Node::Object(object) => refuse_duplicates_of(name, text, object),
+        Node::Object(object) => reject_duplicate_keys_in(name, text, object),
         Node::Array(array) => array
             .elements
             .iter()
-            .try_for_each(|element| refuse_duplicates(name, text, element)),
+            .try_for_each(|element| reject_duplicate_keys(name, text, element)),
         _ => Ok(()),
     }
 }
 
-fn refuse_duplicates_of(name: &str, text: &str, object: &Object<'_>) -> Result<()> {
+fn reject_duplicate_keys_in(name: &str, text: &str, object: &Object<'_>) -> Result<()> {
     let mut seen = BTreeSet::new();
     for property in &object.properties {
         let key = property.name.as_str();
         if !seen.insert(key) {
             let problem = format!("duplicate key `{key}`; each may stand once in an object");
-            return Err(fault_at(name, text, property.start(), problem));
+            return Err(error_at(name, text, property.start(), problem));
         }
-        refuse_duplicates(name, text, &property.value)?;
+        reject_duplicate_keys(name, text, &property.value)?;
     }
     Ok(())
 }
--- a/crates/foxtide-config/src/errors.rs
+++ b/crates/foxtide-config/src/errors.rs
@@ -67,7 +67,7 @@
     }
 
     /// Returns the error of a check of the core's, found in `file`.
-    pub(crate) fn found_in(file: &str, error: foxtide_core::Error) -> Self {
+    pub(crate) fn from_core(file: &str, error: foxtide_core::Error) -> Self {
         match error {
             foxtide_core::Error::Field {
                 field,
--- a/crates/foxtide-config/src/instance_list.rs
+++ b/crates/foxtide-config/src/instance_list.rs
@@ -14,20 +14,20 @@
 use std::time::Duration;
 
 /// Where the list is read.
-const PATH: &str = "/v1/instances";
+const LIST_PATH: &str = "/v1/instances";
 
 const OK: u16 = 200;
 
-/// What is needed of a line of the list; the rest is the platform's.
+/// What is needed of an instance of the list; the rest is the platform's.
 #[derive(Debug, Deserialize)]
-struct Line {
+struct ListedInstance {
     peer_address: SocketAddr,
 }
 
 /// Why the list could not be read.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("list of instances {peer}: {cause}")]
-pub struct ListError {
+pub struct InstanceListError {
     peer: SocketAddr,
     cause: String,
 }
@@ -40,23 +40,23 @@
 pub async fn read_instance_list(
     list: SocketAddr,
     timeout: Duration,
-) -> Result<Vec<SocketAddr>, ListError> {
+) -> Result<Vec<SocketAddr>, InstanceListError> {
     let call = Call {
         step: "read list",
         method: Method::Get,
-        target: PATH.to_owned(),
+        target: LIST_PATH.to_owned(),
         body: Vec::new(),
         timeout,
     };
     let (_, result) = exchange(list, call).await;
-    let failed = |cause| ListError { peer: list, cause };
+    let failed = |cause| InstanceListError { peer: list, cause };
     let answer = result.map_err(|error| failed(cause_of(error)))?;
     if answer.status != OK {
         return Err(failed(format!("status {}", answer.status)));
     }
-    let lines: Result<Vec<Line>, _> = serde_json::from_slice(&answer.body);
-    let lines = lines.map_err(|error| failed(error.to_string()))?;
-    Ok(lines.into_iter().map(|line| line.peer_address).collect())
+    let listed: Result<Vec<ListedInstance>, _> = serde_json::from_slice(&answer.body);
+    let listed = listed.map_err(|error| failed(error.to_string()))?;
+    Ok(listed.into_iter().map(|one| one.peer_address).collect())
 }
 
 fn cause_of(error: StoreError) -> String {
--- a/crates/foxtide-config/src/lib.rs
+++ b/crates/foxtide-config/src/lib.rs
@@ -29,7 +29,7 @@
     Result, //
 };
 pub use instance_list::{
-    ListError,
+    InstanceListError,
     read_instance_list, //
 };
 pub use settings::Settings;
--- a/crates/foxtide-config/src/template/mod.rs
+++ b/crates/foxtide-config/src/template/mod.rs
@@ -108,7 +108,7 @@
         document.insert("revision".to_owned(), json!(Revision::ZERO));
         document.insert("change_id".to_owned(), json!(DRAFT_CHANGE_ID));
         document.insert("template".to_owned(), json!(used));
-        document::typed(&key_of(name), Value::Object(document))
+        document::from_value(&key_of(name), Value::Object(document))
     }
 
     /// Returns the value of every parameter.
--- a/crates/foxtidectl/src/commands/promises.rs
+++ b/crates/foxtidectl/src/commands/promises.rs
@@ -61,7 +61,7 @@
         let answers = admin::ask_all(&addresses, &page).await?;
         let mut measured: Vec<Measured> = Vec::new();
         for (address, page) in answers.pages {
-            let rows: Vec<Measured> = document::typed(&format!("instance {address}"), page)?;
+            let rows: Vec<Measured> = document::from_value(&format!("instance {address}"), page)?;
             measured.extend(rows);
         }
         let kept = over_all(measured);
--- a/crates/foxtidectl/src/commands/timeline.rs
+++ b/crates/foxtidectl/src/commands/timeline.rs
@@ -138,7 +138,7 @@
     let total = listed.len();
     let read = listed
         .into_iter()
-        .map(|one| document::typed::<Event>(&name, one));
+        .map(|one| document::from_value::<Event>(&name, one));
     let events: Vec<Event> = read.filter_map(Result::ok).collect();
     let unknown = total - events.len();
     (events, unknown)
