--- a/crates/foxtide-config/src/change/accept.rs
+++ b/crates/foxtide-config/src/change/accept.rs
@@ -1,4 +1,4 @@
-//! The compare-and-swap of a change, and settling one whose answer was lost.
+//! Writes changes by compare-and-swap and resolves writes with an unknown outcome.
 
 use super::codec::{
     ORGANISATION_PREFIX,
@@ -40,40 +40,40 @@
     UNIX_EPOCH, //
 };
 
-/// How often an unknown write is read back and tried again.
+/// Attempts to resolve a write with an unknown outcome.
 const SETTLE_ATTEMPTS_MAX: u32 = 5;
 
-/// The wait before the first of these; each further one is twice as long.
+/// Wait before the first attempt; doubles with each further one.
 const SETTLE_WAIT_INITIAL: Duration = Duration::from_millis(100);
 
-/// A document as it was read, the base of a change.
+/// A document read from the store, the base of a change.
 #[derive(Clone, Debug, PartialEq)]
 pub struct StoredDocument {
     /// The document.
     pub document: Organisation,
-    /// The index to compare with when it is written.
+    /// Index of the key, for compare-and-swap.
     pub index: StoreIndex,
 }
 
-/// A change that is to be accepted.
+/// A proposed change.
 #[derive(Clone, Debug)]
 pub struct ChangeRequest {
-    /// What the change started from; nothing for a new organisation.
+    /// Document that the change is based on; `None` for a new organisation.
     pub base: Option<StoredDocument>,
     /// The whole document after the change.
     pub document: Organisation,
-    /// Who makes it.
+    /// Author of the change.
     pub author: String,
-    /// What it does, in one line.
+    /// Summary in one line.
     pub summary: String,
 }
 
 /// An accepted change.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AcceptedChange {
-    /// The document as it is stored now, or was when the change was accepted.
+    /// The document as it was written.
     pub document: Organisation,
-    /// Whether the answer was lost and the change was found by reading.
+    /// Whether the answer was lost and the outcome resolved by reading.
     pub settled: bool,
 }
 
@@ -81,7 +81,7 @@
 ///
 /// # Errors
 ///
-/// Fails where the store does, or where the stored value is invalid.
+/// Fails if the store fails or the stored value is invalid.
 pub async fn load<S: Store>(
     store: &S,
     organisation: &OrganisationId,
@@ -95,7 +95,7 @@
 ///
 /// # Errors
 ///
-/// Fails where the store does, or where a stored value is invalid.
+/// Fails if the store fails or a stored value is invalid.
 pub async fn load_all<S: Store>(store: &S) -> Result<Vec<StoredDocument>, ChangeError> {
     let listing = store.list(ORGANISATION_PREFIX).await;
     let entries = listing.map_err(ChangeError::Store)?.entries;
@@ -109,13 +109,13 @@
     })
 }
 
-/// Checks a change and writes it if its base still is what is stored.
+/// Validates a change and writes it if its base is still the stored document.
 ///
 /// # Errors
 ///
-/// Fails with [`ChangeError::Conflict`] where another change came first, and
-/// with [`ChangeError::Unsettled`] where the outcome stayed unknown; after all
-/// other errors nothing was written.
+/// Fails with [`ChangeError::Conflict`] if another change was accepted first and with
+/// [`ChangeError::Unsettled`] if the outcome is unknown; after other errors nothing was
+/// written.
 pub async fn accept<S: Store>(
     store: &S,
     request: ChangeRequest,
@@ -129,7 +129,7 @@
     }
 }
 
-/// One change on its way into the store.
+/// A validated change with the value to write.
 struct Attempt {
     base: Option<StoredDocument>,
     document: Organisation,
@@ -155,7 +155,7 @@
         store.write(&self.key, value, self.expected()).await
     }
 
-    /// Returns the index that the key has as long as nobody else wrote it.
+    /// Returns the index of the base.
     fn expected(&self) -> StoreIndex {
         let base = self.base.as_ref();
         base.map_or(StoreIndex::ABSENT, |base| base.index)
@@ -175,7 +175,7 @@
         }
     }
 
-    /// Settles a write whose answer was lost.
+    /// Resolves a write with an unknown outcome.
     async fn settle<S: Store>(
         &self,
         store: &S,
@@ -194,12 +194,9 @@
         Err(latest)
     }
 
-    /// Looks for the change in the store; where its base still stands there,
-    /// writes it again.
+    /// Searches the change in the store and writes it again if the base is unchanged.
     ///
-    /// That is safe: both writes compare with the same index, so at most one
-    /// of them takes effect. Once one is answered, the other can no longer
-    /// change anything.
+    /// Both writes compare with the same index, so at most one of them takes effect.
     async fn settle_once<S: Store>(&self, store: &S) -> Result<AcceptedChange, ChangeError> {
         let entry = store.read(&self.key).await;
         let entry = entry.map_err(|error| self.unsettled(error))?;
@@ -215,8 +212,7 @@
         found.map_err(|error| self.to_unsettled(error))
     }
 
-    /// Finds out why the key's index is not the base's: because this change
-    /// took effect earlier, or because of somebody else's.
+    /// Decides whether the key's index differs because of this change or of another.
     async fn resolve_mismatch<S: Store>(&self, store: &S) -> Result<AcceptedChange, ChangeError> {
         let current = load(store, &self.document.organisation).await?;
         let Some(current) = current else {
@@ -229,8 +225,8 @@
         Err(ChangeError::Conflict(Box::new(conflict)))
     }
 
-    /// Takes back the claim that nothing was written, which an error of the
-    /// reading makes, where a write of this change may have taken effect.
+    /// Converts an error that implies that nothing was written to
+    /// [`ChangeError::Unsettled`] if a write of this change may have taken effect.
     fn to_unsettled(&self, error: ChangeError) -> ChangeError {
         match error {
             ChangeError::Unsettled { .. } => error,
@@ -265,36 +261,36 @@
     }
 }
 
-/// Returns what a document changes, bookkeeping left out.
+/// Returns the differences of a document from its base, without bookkeeping fields.
 pub fn differences(base: Option<&StoredDocument>, document: &Organisation) -> Vec<Difference> {
     let before = base.map_or_else(empty_document, |base| value_of(&base.document));
     diff(&before, &value_of(document))
 }
 
-/// Returns what a new organisation's document is compared with.
+/// Returns the base of a new organisation's document.
 fn empty_document() -> Value {
     Value::Object(serde_json::Map::new())
 }
 
-/// Returns a document as a plain value, for comparing.
+/// Returns a document as JSON, for comparisons.
 pub(crate) fn value_of(document: &Organisation) -> Value {
     serde_json::to_value(document).unwrap_or(Value::Null)
 }
 
-/// Tells whether a change took effect, be it the latest or an earlier one.
+/// Returns whether the document's latest or an earlier change is `change`.
 fn contains_change(document: &Organisation, change: &ChangeId) -> bool {
     let is_change = |past: &ChangeSummary| past.change_id == *change;
     document.change_id == *change || document.history.iter().any(is_change)
 }
 
-/// Tells whether a document remembers the change that followed the base.
+/// Returns whether the document's history has the change that followed the base.
 fn contains_successor(document: &Organisation, base: Option<&Organisation>) -> bool {
     let successor = base.map_or(Revision::ZERO, |base| base.revision).next();
     let mut history = document.history.iter();
     history.any(|past| past.revision == successor)
 }
 
-/// Returns the document with its revision, change id and history set.
+/// Returns the document with the next revision, a new change id and its history.
 fn with_new_revision(request: &ChangeRequest) -> Result<Organisation, ChangeError> {
     let base = request.base.as_ref().map(|base| &base.document);
     let revision = base.map_or(Revision::ZERO, |base| base.revision).next();
--- a/crates/foxtide-config/src/change/codec.rs
+++ b/crates/foxtide-config/src/change/codec.rs
@@ -1,4 +1,4 @@
-//! An organisation's document as the store holds it.
+//! Encodes and decodes organisations' documents in the store.
 
 use crate::{
     Error,
@@ -13,7 +13,7 @@
 };
 use foxtide_core::store::VALUE_MAX_BYTES;
 
-/// What the keys of all organisations' documents begin with.
+/// Key prefix of organisations' documents.
 pub const ORGANISATION_PREFIX: &str = "foxtide/organisations/";
 
 /// Returns the key of an organisation's document.
@@ -21,25 +21,24 @@
     format!("{ORGANISATION_PREFIX}{organisation}")
 }
 
-/// Takes a stored value as a document that can be put in force.
+/// Decodes and validates a stored document.
 ///
 /// # Errors
 ///
-/// Fails where the value is no document of the organisation that its key
-/// names, or breaks a rule: a value that was not written by this crate may.
+/// Fails if the value is malformed, belongs to another organisation than the key, or is
+/// an invalid document.
 pub fn decode(key: &str, value: &[u8]) -> Result<Organisation> {
     let organisation = decode_unchecked(key, value)?;
     validate::check(&organisation)?;
     Ok(organisation)
 }
 
-/// Takes a stored value as a document, whether or not it keeps the rules, so
-/// that an operator can mend one that does not.
+/// Decodes a stored document without validating it, so that operators can repair it.
 ///
 /// # Errors
 ///
-/// Fails where the value is no such document: not UTF-8, not JSON, a
-/// duplicate or unknown field, a newer form, or another organisation's.
+/// Fails if the value is malformed, has another schema version or belongs to another
+/// organisation than the key.
 pub(super) fn decode_unchecked(key: &str, value: &[u8]) -> Result<Organisation> {
     let text = document::decode_text(key, value.to_vec())?;
     let organisation: Organisation = document::parse(key, &text)?;
@@ -55,11 +54,11 @@
     Ok(organisation)
 }
 
-/// Returns a document as the value that the store is to hold.
+/// Encodes a document for the store.
 ///
 /// # Errors
 ///
-/// Fails where the value would be larger than the store takes.
+/// Fails if the value is larger than the store accepts.
 pub fn encode(organisation: &Organisation) -> Result<Vec<u8>> {
     let key = key_of(&organisation.organisation);
     let value = serde_json::to_vec(organisation).map_err(|error| Error::read(&key, error))?;
--- a/crates/foxtide-config/src/change/diff.rs
+++ b/crates/foxtide-config/src/change/diff.rs
@@ -1,8 +1,6 @@
-//! What differs between two documents, by path.
+//! Compares and merges documents by field paths.
 //!
-//! Lists of named things (regions, services, upstreams, moves, drains …) are
-//! compared by name, so that an added entry is one difference and not a change
-//! of all behind it.
+//! Lists with named entries are compared by name instead of position.
 
 use serde::Serialize;
 use serde_json::{
@@ -12,7 +10,7 @@
 use std::collections::BTreeSet;
 use std::fmt;
 
-/// The fields that name an entry of a list, the more telling first.
+/// Fields that identify an entry of a list, by precedence.
 const NAME_FIELDS: &[&str] = &[
     "upstream",
     "move",
@@ -22,19 +20,18 @@
     "region",
 ];
 
-/// Fields that every change sets anew.
+/// Fields that every change sets.
 const BOOKKEEPING_FIELDS: &[&str] = &["revision", "change_id", "history"];
 
-/// One field that differs.
+/// A field that differs.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Difference {
-    /// The field's path, such as `services[viewer].contract.deadline_ms`.
+    /// Path such as `services[viewer].contract.deadline_ms`.
     pub path: String,
-    /// What stood there before, if anything.
+    /// The old value, if any.
     pub before: Option<Value>,
-    /// What stands there after, if anything.
+    /// The new value, if any.
     pub after: Option<Value>,
-    /// The path's parts.
     #[serde(skip)]
     segments: Vec<PathSegment>,
 }
@@ -53,10 +50,10 @@
     }
 }
 
-/// The most characters of a value that a line shows.
+/// Maximum characters of a value in a difference's text.
 const DISPLAYED_VALUE_MAX_CHARS: usize = 120;
 
-/// Returns a value's text, or the beginning of it.
+/// Returns a value's text, truncated if long.
 fn truncated(value: &Value) -> String {
     let text = value.to_string();
     match text.char_indices().nth(DISPLAYED_VALUE_MAX_CHARS) {
@@ -65,16 +62,16 @@
     }
 }
 
-/// One part of a path.
+/// A segment of a path.
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum PathSegment {
     /// A field of an object.
     Field(String),
-    /// The entry of a list that has this name.
+    /// The entry of a list with this name.
     Entry(String),
 }
 
-/// Returns the fields in which two documents differ, bookkeeping left out.
+/// Returns the fields that differ, without bookkeeping fields.
 pub(crate) fn diff(before: &Value, after: &Value) -> Vec<Difference> {
     let mut found = Vec::new();
     let mut segments = Vec::new();
@@ -141,7 +138,7 @@
     }
 }
 
-/// Returns the name of a list's entry: a link's is made of both its ends.
+/// Returns the name of a list's entry; that of a link consists of both its ends.
 fn name_of(entry: &Value) -> Option<String> {
     let text = |field: &str| entry.get(field).and_then(Value::as_str);
     let plain = NAME_FIELDS.iter().find_map(|field| text(field));
@@ -174,8 +171,7 @@
     text
 }
 
-/// Returns the paths that both changes touch: the same field, or one a part of
-/// the other.
+/// Returns the paths of `ours` that equal, contain or are part of a path of `theirs`.
 pub(crate) fn conflicting_paths(ours: &[Difference], theirs: &[Difference]) -> Vec<String> {
     let mut paths = Vec::new();
     for our in ours {
@@ -193,8 +189,7 @@
     one[..common] == other[..common]
 }
 
-/// Returns the document that holds both changes, if no field is changed by
-/// both.
+/// Applies `ours` to the accepted document, unless both changed the same field.
 pub(crate) fn rebase(
     ours: &[Difference],
     theirs: &[Difference],
@@ -210,7 +205,7 @@
     Some(merged)
 }
 
-/// Sets or removes what stands at a path.
+/// Sets or removes the value at a path.
 fn apply(target: &mut Value, segments: &[PathSegment], after: Option<&Value>) -> Option<()> {
     let (segment, rest) = segments.split_first()?;
     match segment {
--- a/crates/foxtide-config/src/change/mod.rs
+++ b/crates/foxtide-config/src/change/mod.rs
@@ -1,7 +1,6 @@
-//! How a change to an organisation's document is checked and accepted.
+//! Validates changes to organisations' documents and writes them to the store.
 //!
-//! Accepted means: the store's compare-and-swap on the organisation's one key
-//! succeeded. docs/design/configuration-changes.md weighs the ways.
+//! A change is accepted if the compare-and-swap on the organisation's key succeeds.
 
 mod accept;
 mod codec;
--- a/crates/foxtide-config/src/change/rebase.rs
+++ b/crates/foxtide-config/src/change/rebase.rs
@@ -1,4 +1,4 @@
-//! Applying a change on top of one that came first.
+//! Rebases a conflicting change on the current document.
 
 use super::accept::{
     AcceptedChange,
@@ -17,17 +17,15 @@
 use foxtide_core::organisation::Organisation;
 use foxtide_core::store::Store;
 
-/// How often a change is applied anew before its conflict is reported.
+/// Attempts before a conflict is reported.
 const REBASE_ATTEMPTS_MAX: u32 = 5;
 
-/// Has a change accepted, applying it on top of changes that came first as
-/// long as no field is changed by both.
-///
-/// The merged document is checked as any other before it is written.
+/// Accepts a change, rebasing it on other accepted changes unless both changed the same
+/// field. The merged document is validated before it is written.
 ///
 /// # Errors
 ///
-/// Fails as [`accept`] does.
+/// Fails like [`accept`].
 pub async fn accept_rebased<S: Store>(
     store: &S,
     request: ChangeRequest,
@@ -51,7 +49,7 @@
     accept(store, request).await
 }
 
-/// Returns the current document with the change applied, if that can be.
+/// Applies the change to the current document, if possible.
 fn merge(
     ours: &[Difference],
     request: &ChangeRequest,
