--- a/crates/foxtide-config/src/watch/calls.rs
+++ b/crates/foxtide-config/src/watch/calls.rs
@@ -1,4 +1,4 @@
-//! The calls that wait at the store at the same time.
+//! Concurrent watch calls to the store.
 
 use super::WatchOptions;
 use crate::backoff::Backoff;
@@ -21,28 +21,26 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// What a call waits on.
+/// Target of a watch call.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Target {
-    /// The names of all organisations' documents.
+    /// Names of all organisations' documents.
     Names,
-    /// All organisations' documents.
+    /// All organisations' documents in one call.
     AllDocuments,
-    /// The document at this key.
+    /// The document with this key.
     Document(String),
 }
 
-/// What a call found.
+/// Result of a successful call.
 #[derive(Debug)]
 pub(super) enum Response {
-    /// The names.
     Names(StoreNames),
-    /// The documents.
     Documents(StoreListing),
 }
 
 impl Response {
-    /// Returns the index to wait on next.
+    /// Returns the store's index in the result.
     fn index(&self) -> StoreIndex {
         match self {
             Self::Names(names) => names.index,
@@ -51,18 +49,16 @@
     }
 }
 
-/// A call that has finished.
+/// A finished call.
 #[derive(Debug)]
 pub(super) struct Finished {
-    /// What it waited on.
     pub(super) target: Target,
-    /// The index that it waited on.
+    /// Index that the call waited on.
     after: StoreIndex,
-    /// What it found.
     pub(super) result: StoreResult<Response>,
 }
 
-/// The calls that wait at the same time, at most one a target.
+/// Concurrent calls, at most one per target.
 pub(super) struct PendingCalls<S> {
     store: Arc<S>,
     options: WatchOptions,
@@ -72,7 +68,7 @@
 }
 
 impl<S: Store> PendingCalls<S> {
-    /// Returns no calls.
+    /// Returns an empty set.
     pub(super) fn new(store: Arc<S>, options: WatchOptions) -> Self {
         Self {
             store,
@@ -83,36 +79,35 @@
         }
     }
 
-    /// Ends all calls.
+    /// Cancels all calls.
     pub(super) fn clear(&mut self) {
         self.pending.clear();
         self.backoffs.clear();
     }
 
-    /// Tells whether a target is waited on.
+    /// Returns whether a target is watched.
     pub(super) fn contains(&self, target: &Target) -> bool {
         self.backoffs.contains_key(target)
     }
 
-    /// Waits on a target, which must not be waited on yet.
+    /// Starts to watch a target, which must not be watched yet.
     pub(super) fn add(&mut self, target: Target, after: StoreIndex) {
         let backoff = Backoff::new(self.options.backoff);
         self.backoffs.insert(target.clone(), backoff);
         self.start(target, after, Duration::ZERO);
     }
 
-    /// Stops to wait on a target whose call has finished.
+    /// Stops watching a target whose call has finished.
     pub(super) fn remove(&mut self, target: &Target) {
         self.backoffs.remove(target);
     }
 
-    /// Returns the next call to end.
+    /// Waits for the next call to finish.
     pub(super) async fn next(&mut self) -> Option<Finished> {
         self.pending.next().await
     }
 
-    /// Makes the call of a finished one anew. Returns how long it waits before
-    /// it does.
+    /// Repeats a finished call after a pause, which is returned.
     pub(super) fn restart(&mut self, finished: &Finished) -> Duration {
         let pause = self.pause(finished);
         let after = match &finished.result {
@@ -132,7 +127,7 @@
                 backoff.record_success();
                 self.options.call_interval_min
             }
-            // The store is not to blame: it was not asked.
+            // The budget refused the call, so the store did not fail.
             Err(StoreError::OverBudget { .. }) => self.options.role_check_interval,
             Err(_) => backoff
                 .record_failure(self.jitter.f64())
@@ -177,9 +172,9 @@
     }
 }
 
-/// Returns the index to wait on. One that went back means that the store was
-/// set up anew, so that the next call must not wait; and it is at least 1,
-/// because a call with index 0 never waits (Consul's blocking queries).
+/// Returns the index for the next blocking query. If the index went backwards, the store
+/// was reset and the query must not block. Otherwise it is at least 1, because queries with
+/// index 0 do not block.
 fn next_index(waited_on: StoreIndex, returned: StoreIndex) -> StoreIndex {
     if returned < waited_on {
         return StoreIndex::ABSENT;
--- a/crates/foxtide-config/src/watch/delivered.rs
+++ b/crates/foxtide-config/src/watch/delivered.rs
@@ -1,4 +1,4 @@
-//! What has been told already, so that only newer documents are.
+//! Tracks reported documents, so that each revision is reported once.
 
 use super::WatchReport;
 use crate::change;
@@ -12,7 +12,7 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// What has been told already.
+/// Indices and revisions that were reported.
 #[derive(Debug, Default)]
 pub(super) struct DeliveredVersions {
     indices: BTreeMap<String, StoreIndex>,
@@ -20,7 +20,7 @@
 }
 
 impl DeliveredVersions {
-    /// Takes an entry. Returns what is new in it.
+    /// Records an entry and returns a report if it is new.
     pub(super) fn update(&mut self, entry: &StoreEntry) -> Option<WatchReport> {
         let previous = self.indices.insert(entry.key.clone(), entry.index);
         if previous == Some(entry.index) {
--- a/crates/foxtide-config/src/watch/mod.rs
+++ b/crates/foxtide-config/src/watch/mod.rs
@@ -1,12 +1,11 @@
-//! How an instance learns of accepted changes from the store.
+//! Watches the store for accepted changes.
 //!
-//! Only some instances of each availability zone hold watches; they pass on
-//! what they learn. An instance that holds none makes no calls here at all.
+//! Only some instances of each availability zone are watchers, which propagate changes
+//! to the others. Other instances make no calls.
 //!
-//! A watching instance waits on each organisation's document by itself and on
-//! the names of all, so that a change brings it one document and not all of
-//! them. Where there are more organisations than [`WatchOptions::individual_watches_max`]
-//! it waits on all at once instead, which costs fewer calls and more bytes.
+//! A watcher watches each document and the names of all documents, so that a change
+//! transfers one document. With more than [`WatchOptions::individual_watches_max`]
+//! organisations it watches all documents in one call.
 
 mod calls;
 mod delivered;
@@ -38,21 +37,20 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// How the watch goes about it.
+/// Options of the watch.
 #[derive(Clone, Copy, Debug)]
 pub struct WatchOptions {
-    /// How long a call waits for a change.
+    /// Maximum time for which the store blocks a call.
     pub wait: Duration,
-    /// The least time from one answer to the next call, which bounds the calls
-    /// where changes come in a burst.
+    /// Minimum time between an answer and the next call; bounds the rate of calls.
     pub call_interval_min: Duration,
-    /// How often an instance that holds no watch asks whether it should.
+    /// Interval of checking whether this instance is a watcher.
     pub role_check_interval: Duration,
-    /// The most organisations whose documents are waited on one by one.
+    /// Maximum number of organisations whose documents are watched individually.
     pub individual_watches_max: usize,
-    /// The waits after failures.
+    /// Back-off after failures.
     pub backoff: BackoffOptions,
-    /// The seed of the waits' jitter; must differ between instances.
+    /// Seed of the back-off's jitter; must differ between instances.
     pub seed: u64,
 }
 
@@ -69,32 +67,32 @@
     }
 }
 
-/// What the watch has to tell.
+/// A report of the watch.
 #[derive(Clone, Debug)]
 pub enum WatchReport {
-    /// A document that is newer than all before it of its organisation.
+    /// A document with a higher revision than all before.
     Configuration(Arc<Organisation>),
-    /// A value that cannot be used; what was in force stays so.
+    /// An invalid value; the previous document stays in force.
     Invalid {
-        /// The key.
+        /// Key of the value.
         key: String,
-        /// What is wrong with the value.
+        /// The fault of the value.
         cause: String,
     },
-    /// A call failed, the first after others succeeded.
+    /// A call failed after others succeeded.
     Outage {
-        /// Why.
+        /// Error of the call.
         error: StoreError,
-        /// When the next call is made.
+        /// Time until the next call.
         retry_in: Duration,
     },
     /// A call succeeded after failures.
     Recovered,
 }
 
-/// The watch on all organisations' documents.
+/// Watch on all organisations' documents.
 ///
-/// `is_watcher` tells whether this instance is to hold the watch at present.
+/// `is_watcher` returns whether this instance currently is a watcher.
 #[derive(Debug)]
 pub struct ConfigurationWatch<S, R> {
     store: Arc<S>,
@@ -105,7 +103,7 @@
 }
 
 impl<S: Store, R: Fn() -> bool + Send> ConfigurationWatch<S, R> {
-    /// Returns a watch that has seen nothing.
+    /// Returns a watch that has reported nothing.
     pub fn new(store: Arc<S>, is_watcher: R, options: WatchOptions) -> Self {
         Self {
             store,
@@ -116,11 +114,11 @@
         }
     }
 
-    /// Reads all documents once, for an instance that starts.
+    /// Reads all documents once, for the start of an instance.
     ///
     /// # Errors
     ///
-    /// Fails where the store does.
+    /// Fails if the store fails.
     pub async fn read_all(&mut self) -> StoreResult<Vec<WatchReport>> {
         let listing = self.store.list(ORGANISATION_PREFIX).await?;
         Ok(self.new_reports(&listing))
@@ -136,7 +134,7 @@
         }
     }
 
-    /// Holds the watches for as long as the role lasts.
+    /// Watches for as long as this instance is a watcher.
     async fn watch(&mut self, reports: &Sender<WatchReport>) -> Result<(), SendError<WatchReport>> {
         let mut calls = PendingCalls::new(Arc::clone(&self.store), self.options);
         calls.add(Target::AllDocuments, StoreIndex::ABSENT);
@@ -155,7 +153,7 @@
         Ok(())
     }
 
-    /// Takes in what a call found and makes the next one of its target.
+    /// Reports the result of a call and schedules the next.
     fn handle(&mut self, calls: &mut PendingCalls<S>, finished: Finished) -> Vec<WatchReport> {
         match &finished.result {
             Ok(response) => {
@@ -173,7 +171,7 @@
         }
     }
 
-    /// Waits on what a successful call showed to be there.
+    /// Schedules calls after a successful one.
     fn schedule_next(&self, calls: &mut PendingCalls<S>, finished: &Finished, response: &Response) {
         match response {
             Response::Documents(listing) if finished.target == Target::AllDocuments => {
@@ -187,7 +185,7 @@
         }
     }
 
-    /// Goes on to single documents, if there are few enough.
+    /// Switches to individual watches if there are few documents.
     fn schedule_after_documents(
         &self,
         calls: &mut PendingCalls<S>,
@@ -205,7 +203,7 @@
         }
     }
 
-    /// Waits on documents that are new; on all at once where there are many.
+    /// Watches new documents, or all in one call if there are many.
     fn schedule_after_names(
         &self,
         calls: &mut PendingCalls<S>,
@@ -226,7 +224,7 @@
         }
     }
 
-    /// Takes a listing in. Returns what is new in it.
+    /// Returns reports of the new entries of a listing.
     fn new_reports(&mut self, listing: &StoreListing) -> Vec<WatchReport> {
         let entries = listing.entries.iter();
         entries
