--- a/crates/foxtide-config/src/backoff.rs
+++ b/crates/foxtide-config/src/backoff.rs
@@ -1,15 +1,14 @@
-//! How long to wait after a call to the store failed.
+//! Exponential back-off with full jitter.
 
 use std::time::Duration;
 
-/// The bounds of the waits after failures.
+/// Bounds of the waits after failures.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BackoffOptions {
-    /// The upper bound of the first wait.
+    /// Upper bound of the first wait.
     pub initial_max: Duration,
-    /// The upper bound of all waits. With the time that a change takes from
-    /// a watching instance to all others it stays below the 18 s in which an
-    /// accepted change is to be in force.
+    /// Upper bound of all waits; shorter than the time within which an accepted change
+    /// must be in force.
     pub wait_max: Duration,
 }
 
@@ -22,12 +21,10 @@
     }
 }
 
-/// The doublings after which every bound has reached its longest.
+/// Doublings after which every wait has reached its upper bound.
 const DOUBLINGS_MAX: u32 = 16;
 
-/// Waits that double with each failure in a row, each drawn evenly between
-/// zero and its bound ("full jitter"), so that a fleet that lost the store at
-/// the same moment does not come back at the same moment.
+/// Waits between zero and a bound that doubles with each consecutive failure.
 #[derive(Clone, Debug, Default)]
 pub struct Backoff {
     options: BackoffOptions,
@@ -43,7 +40,7 @@
         }
     }
 
-    /// Records a failure and returns how long to wait; `jitter` is even in 0..1.
+    /// Records a failure and returns the wait; `jitter` is uniform in 0..1.
     pub fn record_failure(&mut self, jitter: f64) -> Duration {
         let doublings = self.failures.min(DOUBLINGS_MAX);
         self.failures = self.failures.saturating_add(1);
@@ -51,7 +48,7 @@
         bound.min(self.options.wait_max).mul_f64(jitter)
     }
 
-    /// Records a success. Tells whether failures came before it.
+    /// Records a success and returns whether the previous call failed.
     pub fn record_success(&mut self) -> bool {
         std::mem::take(&mut self.failures) > 0
     }
--- a/crates/foxtide-config/src/document.rs
+++ b/crates/foxtide-config/src/document.rs
@@ -1,5 +1,5 @@
-//! JSON with comments, read strictly: no duplicate keys, no unknown fields,
-//! and every complaint with its place.
+//! Strict parser of JSON with comments: rejects duplicate keys and unknown fields, and
+//! reports the position of errors.
 
 use crate::{
     Error,
@@ -21,7 +21,7 @@
 use std::collections::BTreeSet;
 use std::path::Path;
 
-/// What a file may hold beside plain JSON: comments and trailing commas.
+/// Extensions of JSON: only comments and trailing commas.
 const PARSE_OPTIONS: ParseOptions = ParseOptions {
     allow_comments: true,
     allow_loose_object_property_names: false,
@@ -39,15 +39,14 @@
 ///
 /// # Errors
 ///
-/// Fails where the file cannot be read, is larger than a value of the store
-/// may be, or is not UTF-8.
+/// Fails if the file cannot be read, is larger than the store accepts or is not UTF-8.
 pub fn read_text(path: &Path) -> Result<String> {
     let name = path.display().to_string();
     let bytes = std::fs::read(path).map_err(|error| Error::read(&name, error))?;
     decode_text(&name, bytes)
 }
 
-/// Takes bytes as a text of acceptable size.
+/// Decodes UTF-8 of at most [`VALUE_MAX_BYTES`].
 pub(crate) fn decode_text(name: &str, bytes: Vec<u8>) -> Result<String> {
     if bytes.len() > VALUE_MAX_BYTES {
         let size = format!("{} bytes, more than {VALUE_MAX_BYTES}", bytes.len());
@@ -59,38 +58,36 @@
     })
 }
 
-/// Parses a text of JSON with comments into a value.
+/// Parses JSON with comments into a value.
 ///
 /// # Errors
 ///
-/// Fails with the line and column of a fault of syntax or of a key that
-/// stands twice in the same object.
+/// Fails with the line and column of a syntax error or a duplicate key.
 pub fn parse_value(name: &str, text: &str) -> Result<Value> {
     let collected = jsonc_parser::parse_to_ast(text, &CollectOptions::default(), &PARSE_OPTIONS)
         .map_err(|error| syntax_error(name, &error))?;
     let Some(root) = collected.value else {
-        return Err(error_at(name, text, 0, "the text is empty".to_owned()));
+        return Err(error_at(name, text, 0, "the document is empty".to_owned()));
     };
     reject_duplicate_keys(name, text, &root)?;
     jsonc_parser::parse_to_serde_value(text, &PARSE_OPTIONS)
         .map_err(|error| syntax_error(name, &error))
 }
 
-/// Parses a text of JSON with comments into a typed value.
+/// Parses JSON with comments into a typed value.
 ///
 /// # Errors
 ///
-/// Fails as [`parse_value`] does, and with the path of a field that is
-/// unknown, missing or out of its range.
+/// Fails like [`parse_value`], and with the path of an unknown, missing or invalid field.
 pub fn parse<T: DeserializeOwned>(name: &str, text: &str) -> Result<T> {
     from_value(name, parse_value(name, text)?)
 }
 
-/// Takes a plain value as a typed one.
+/// Converts a value to a typed one.
 ///
 /// # Errors
 ///
-/// Fails with the path of a field that is unknown, missing or out of range.
+/// Fails with the path of an unknown, missing or invalid field.
 pub fn from_value<T: DeserializeOwned>(name: &str, value: Value) -> Result<T> {
     serde_path_to_error::deserialize(value).map_err(|error| {
         let field = error.path().to_string();
@@ -100,7 +97,7 @@
     })
 }
 
-/// Splits a message of serde's into the problem and what would be valid.
+/// Splits a message of serde into the problem and what is valid.
 fn split_message(message: &str) -> (&str, &str) {
     for separator in [", expected ", " is not "] {
         if let Some((problem, expected)) = message.split_once(separator) {
@@ -119,7 +116,7 @@
     (message, "see docs/SETTINGS.md")
 }
 
-/// Returns a type of the language as a reader of the file knows it.
+/// Describes a Rust type in terms of JSON.
 fn describe_type(expected: &str) -> &str {
     match expected {
         "u8" | "u16" | "u32" | "u64" | "usize" => "a whole number, 0 or more, without a unit",
@@ -165,7 +162,7 @@
     for property in &object.properties {
         let key = property.name.as_str();
         if !seen.insert(key) {
-            let problem = format!("duplicate key `{key}`; each may stand once in an object");
+            let problem = format!("duplicate key `{key}`; keys of an object must be unique");
             return Err(error_at(name, text, property.start(), problem));
         }
         reject_duplicate_keys(name, text, &property.value)?;
--- a/crates/foxtide-config/src/errors.rs
+++ b/crates/foxtide-config/src/errors.rs
@@ -1,14 +1,14 @@
-//! The errors of reading, checking and changing configuration.
+//! Errors of reading and validating configuration.
 
 use std::fmt;
 
 /// The result of a fallible operation of this crate.
 pub type Result<T> = std::result::Result<T, Error>;
 
-/// Why a file or a document cannot be used.
+/// An error of a file or a document.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Error {
-    /// A file cannot be read at all.
+    /// The file cannot be read.
     #[error("{file}: cannot be read: {cause}")]
     Read {
         /// The file's name.
@@ -16,34 +16,33 @@
         /// Why.
         cause: String,
     },
-    /// A text is not JSON with comments.
+    /// The text is not valid JSON with comments.
     #[error("{file}:{line}:{column}: {problem}")]
     Syntax {
         /// The file's name.
         file: String,
-        /// The line, from 1.
+        /// Line, from 1.
         line: usize,
-        /// The column, from 1.
+        /// Column, from 1.
         column: usize,
-        /// What is wrong there.
+        /// The problem.
         problem: String,
     },
-    /// A field holds what cannot be accepted.
+    /// A field has an invalid value.
     #[error("{file}: {field}: {problem}; valid: {expected}")]
     Field {
         /// The file's name.
         file: String,
-        /// The field's path from the root.
+        /// Path of the field from the root.
         field: String,
-        /// What is wrong with it.
+        /// The problem.
         problem: String,
-        /// What would be valid.
+        /// What is valid.
         expected: String,
     },
 }
 
 impl Error {
-    /// Returns the error for a file that cannot be read.
     pub(crate) fn read(file: &str, cause: impl fmt::Display) -> Self {
         Self::Read {
             file: file.to_owned(),
@@ -51,7 +50,6 @@
         }
     }
 
-    /// Returns the error for a field that cannot be accepted.
     pub(crate) fn field(
         file: &str,
         field: impl fmt::Display,
@@ -66,7 +64,7 @@
         }
     }
 
-    /// Returns the error of a check of the core's, found in `file`.
+    /// Converts an error of foxtide-core about a value in `file`.
     pub(crate) fn from_core(file: &str, error: foxtide_core::Error) -> Self {
         match error {
             foxtide_core::Error::Field {
--- a/crates/foxtide-config/src/instance_list.rs
+++ b/crates/foxtide-config/src/instance_list.rs
@@ -1,7 +1,6 @@
-//! The platform's list of instances, a hint for joining the fleet.
+//! Reads the platform's list of instances.
 //!
-//! The list lags, so that it adds addresses to ask and takes none away; who is
-//! live is the membership's matter.
+//! The list may be stale and only provides addresses for joining the mesh.
 
 use crate::store::{
     Call,
@@ -13,18 +12,17 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Where the list is read.
 const LIST_PATH: &str = "/v1/instances";
 
 const OK: u16 = 200;
 
-/// What is needed of an instance of the list; the rest is the platform's.
+/// Used fields of an instance in the list.
 #[derive(Debug, Deserialize)]
 struct ListedInstance {
     peer_address: SocketAddr,
 }
 
-/// Why the list could not be read.
+/// An error of reading the list.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("list of instances {peer}: {cause}")]
 pub struct InstanceListError {
@@ -32,11 +30,11 @@
     cause: String,
 }
 
-/// Reads the addresses at which the listed instances talk to one another.
+/// Reads the peer addresses of the listed instances.
 ///
 /// # Errors
 ///
-/// Fails where no whole answer comes within `timeout` or it is no such list.
+/// Fails if no valid list is received within `timeout`.
 pub async fn read_instance_list(
     list: SocketAddr,
     timeout: Duration,
@@ -64,6 +62,6 @@
         StoreError::NotSent { cause, .. }
         | StoreError::Unknown { cause, .. }
         | StoreError::Refused { cause, .. } => cause,
-        StoreError::OverBudget { .. } => "held back".to_owned(),
+        StoreError::OverBudget { .. } => "call budget exceeded".to_owned(),
     }
 }
--- a/crates/foxtide-config/src/lib.rs
+++ b/crates/foxtide-config/src/lib.rs
@@ -1,12 +1,12 @@
-//! Settings, templates, validation, the store's client and the change flow.
+//! Settings, templates, validation, client of the store and changes of configuration.
 //!
-//! - [`blocks`]: client blocks in the store.
+//! - [`blocks`]: reads and writes client blocks in the store.
 //! - [`settings`]: the settings file of an instance.
-//! - [`document`]: JSON with comments, read strictly.
-//! - [`store`]: the store's client.
+//! - [`document`]: strict parser of JSON with comments.
+//! - [`store`]: client of the store.
 //! - [`template`]: templates and their parameters.
-//! - [`watch`]: how an instance learns of accepted changes from the store.
-//! - [`change`]: how a change is checked and accepted.
+//! - [`watch`]: watches the store for accepted changes.
+//! - [`change`]: validates changes and writes them to the store.
 
 mod backoff;
 pub mod blocks;
