--- a/crates/foxtide-config/src/store/bucket.rs
+++ b/crates/foxtide-config/src/store/bucket.rs
@@ -2,11 +2,10 @@
 
 use foxtide_core::time::MonotonicTime;
 
-/// The least calls that a bucket holds, so that a start-up sequence or a
-/// lease's renewal fits however many instances there are.
+/// Minimum capacity; fits a start-up sequence or a lease renewal in a fleet of any size.
 const CAPACITY_MIN: f64 = 6.0;
 
-/// The seconds of its rate that a bucket holds.
+/// Capacity in seconds of the refill rate.
 const CAPACITY_S: f64 = 5.0;
 
 /// Tokens that refill at a rate up to a capacity.
@@ -19,8 +18,8 @@
 }
 
 impl TokenBucket {
-    /// Returns a bucket that holds one token, so that instances which start
-    /// together do not spend whole bursts together.
+    /// Returns a bucket with one token, so that instances that start at the same time do
+    /// not burst together.
     pub(super) fn new(now: MonotonicTime) -> Self {
         Self {
             rate_per_s: 0.0,
@@ -30,7 +29,7 @@
         }
     }
 
-    /// Sets another rate, and the capacity that goes with it.
+    /// Sets the rate and the corresponding capacity.
     pub(super) fn resize(&mut self, rate_per_s: f64, now: MonotonicTime) {
         self.refill(now);
         self.rate_per_s = rate_per_s;
@@ -38,7 +37,7 @@
         self.tokens = self.tokens.min(self.capacity);
     }
 
-    /// Takes a token if at least `reserve` are left after it.
+    /// Takes a token if at least `reserve` remain.
     pub(super) fn take(&mut self, reserve: f64, now: MonotonicTime) -> bool {
         self.refill(now);
         if self.tokens < 1.0 + reserve {
@@ -48,7 +47,7 @@
         true
     }
 
-    /// Keeps at most this many tokens.
+    /// Discards tokens above a limit.
     pub(super) fn cap_tokens(&mut self, tokens: f64, now: MonotonicTime) {
         self.refill(now);
         self.tokens = self.tokens.min(tokens);
--- a/crates/foxtide-config/src/store/budget.rs
+++ b/crates/foxtide-config/src/store/budget.rs
@@ -1,32 +1,25 @@
-//! How many calls an instance may make, so that the fleet's sum stays under a
-//! set rate.
-//!
-//! docs/design/store-budget.md weighs the ways and gives the measurement.
+//! Limits an instance's calls to the store to its share of the fleet's rates.
 
 use super::bucket::TokenBucket;
 use foxtide_core::time::MonotonicTime;
 
-/// The tokens that calls which can wait leave to those which cannot.
+/// Tokens reserved for urgent calls.
 const URGENT_RESERVE_TOKENS: f64 = 2.0;
 
-/// The time in which the number of instances counted on may halve.
-///
-/// An instance cut off from most others sees few of them live, but those still
-/// make calls. Regions may lose each other for an hour, after which the sum
-/// has at most doubled.
+/// Half-life of the assumed number of instances: behind a network partition an instance
+/// sees few others, which still make calls.
 const COUNT_HALF_LIFE_S: f64 = 3_600.0;
 
-/// The rates that all instances together keep to.
+/// Rate limits of the whole fleet.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct BudgetOptions {
-    /// The most calls that read, waiting watches included, in calls a second.
+    /// Maximum rate of reads, including watches, in calls a second.
     pub fleet_reads_per_s: f64,
-    /// The most calls that write or keep sessions, in calls a second.
+    /// Maximum rate of writes and session renewals, in calls a second.
     pub fleet_writes_per_s: f64,
 }
 
 impl Default for BudgetOptions {
-    /// Returns a fifth of what the store is known to answer.
     fn default() -> Self {
         Self {
             fleet_reads_per_s: 400.0,
@@ -35,19 +28,19 @@
     }
 }
 
-/// Who shares the fleet's rates, as an instance sees it.
+/// The instances that share the fleet's rates, as seen by one of them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Fleet {
-    /// The live instances.
+    /// Number of live instances.
     pub live_instances: u32,
-    /// The instances that hold watches.
+    /// Number of watchers.
     pub watchers: u32,
-    /// Whether this instance is one of them.
+    /// Whether this instance is a watcher.
     pub is_watcher: bool,
 }
 
 impl Default for Fleet {
-    /// Returns a fleet of one instance, which watches.
+    /// Returns a fleet of one instance, which is a watcher.
     fn default() -> Self {
         Self {
             live_instances: 1,
@@ -57,25 +50,25 @@
     }
 }
 
-/// What a call asks of the store.
+/// Class of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallClass {
     /// A read or a watch.
     Read,
-    /// A write that can be made later.
+    /// A write that can be deferred.
     Write,
-    /// A write that keeps or gives back a lease.
+    /// A write that renews or releases a lease.
     Urgent,
 }
 
-/// The part of the reads that is kept for the instances that hold watches.
+/// Share of the reads that is reserved for watchers.
 const WATCHERS_READ_SHARE: f64 = 0.5;
 
-/// One instance's part of the fleet's rates.
+/// An instance's share of the fleet's rates.
 #[derive(Clone, Debug)]
 pub struct StoreBudget {
     options: BudgetOptions,
-    /// The instances and watchers counted on; both fall slowly.
+    /// Assumed numbers of instances and watchers, which decrease slowly.
     instances: f64,
     watchers: f64,
     counted_at: MonotonicTime,
@@ -85,7 +78,7 @@
 }
 
 impl StoreBudget {
-    /// Returns the budget of one instance of a fleet.
+    /// Returns the budget of an instance of `fleet`.
     pub fn new(options: BudgetOptions, fleet: Fleet, now: MonotonicTime) -> Self {
         let mut budget = Self {
             options,
@@ -100,7 +93,7 @@
         budget
     }
 
-    /// Takes in who shares the fleet's rates. More count at once, fewer slowly.
+    /// Updates the fleet: increases apply at once, decreases slowly.
     pub fn set_fleet(&mut self, fleet: Fleet, now: MonotonicTime) {
         let elapsed_s = now.since(self.counted_at).as_secs_f64();
         let decay = 0.5_f64.powf(elapsed_s / COUNT_HALF_LIFE_S);
@@ -123,7 +116,7 @@
         }
     }
 
-    /// Takes the cost of a call. Tells whether the call may be made.
+    /// Takes a token for a call and returns whether the call may be made.
     pub fn take(&mut self, class: CallClass, now: MonotonicTime) -> bool {
         match class {
             CallClass::Read => self.reads.take(0.0, now),
@@ -132,9 +125,8 @@
         }
     }
 
-    /// Records whether a call was answered. The first answer after failures
-    /// leaves one call of a burst at once, so that a returning store does not
-    /// meet everyone's saved-up calls.
+    /// Records whether a call was answered. The first answer after failures discards the
+    /// accumulated tokens, so that the fleet does not overload a recovering store.
     pub fn record_call(&mut self, answered: bool, now: MonotonicTime) {
         if answered && self.last_call_failed {
             self.reads.cap_tokens(1.0, now);
--- a/crates/foxtide-config/src/store/budgeted.rs
+++ b/crates/foxtide-config/src/store/budgeted.rs
@@ -1,7 +1,4 @@
-//! A store whose calls keep to a budget.
-//!
-//! Locks: one around the budget, held for a few operations on numbers and
-//! never across an await.
+//! Wraps a store client with a call budget.
 
 use super::budget::{
     CallClass,
@@ -26,7 +23,7 @@
     Instant, //
 };
 
-/// A store whose calls keep to a budget. Clones share it.
+/// A store client with a call budget. Clones share the budget.
 #[derive(Clone, Debug)]
 pub struct BudgetedStore<S> {
     store: S,
@@ -36,8 +33,8 @@
 }
 
 impl<S: Store> BudgetedStore<S> {
-    /// Returns a store with a budget; the budget's clock starts at zero now.
-    /// `peer` names the store in errors.
+    /// Wraps `store`; the budget's clock starts at zero now. `peer` is the store's name in
+    /// errors.
     pub fn new(store: S, peer: &str, budget: StoreBudget) -> Self {
         Self {
             store,
@@ -47,7 +44,7 @@
         }
     }
 
-    /// Takes in who shares the fleet's rates.
+    /// Updates the instances that share the fleet's rates.
     pub fn set_fleet(&self, fleet: Fleet) {
         let now = self.now();
         self.budget.lock().set_fleet(fleet, now);
@@ -58,7 +55,7 @@
         MonotonicTime::from_us(u64::try_from(us).unwrap_or(u64::MAX))
     }
 
-    /// Makes a call if the budget has room for it.
+    /// Makes a call if the budget permits it.
     async fn budgeted<T>(
         &self,
         step: &'static str,
@@ -78,7 +75,7 @@
     }
 }
 
-/// Tells whether the store is there: also a refusal is an answer.
+/// Returns whether the store answered; a refusal is an answer too.
 fn is_answered<T>(result: &StoreResult<T>) -> bool {
     matches!(result, Ok(_) | Err(StoreError::Refused { .. }))
 }
--- a/crates/foxtide-config/src/store/exchange.rs
+++ b/crates/foxtide-config/src/store/exchange.rs
@@ -1,8 +1,7 @@
-//! One HTTP exchange with the store, and exactly how far it got.
+//! A single HTTP exchange with the store, with errors that tell whether it may have run.
 //!
-//! Each call uses a connection of its own. An instance makes few calls, a
-//! connection costs one round trip, and a call over a kept connection that the
-//! store has closed meanwhile would count as `Unknown` although it never ran.
+//! Each call uses a new connection: on a reused one that the store has closed, a call
+//! would count as `Unknown` although it was never executed.
 
 use async_h1::client;
 use foxtide_core::store::{
@@ -39,36 +38,34 @@
 };
 use std::time::Duration;
 
-/// The answer's header that names the index to wait on.
+/// Response header with the index to wait on.
 const INDEX_HEADER: &str = "x-consul-index";
 
-/// One call as HTTP has it.
+/// An HTTP call.
 #[derive(Debug)]
 pub(crate) struct Call {
-    /// The step's name, for errors and metrics.
+    /// Purpose of the call, for errors and metrics.
     pub(crate) step: &'static str,
-    /// The method.
     pub(crate) method: Method,
-    /// The path and the query, already percent-encoded.
+    /// Percent-encoded path and query.
     pub(crate) target: String,
     /// The body.
     pub(crate) body: Vec<u8>,
-    /// How long the call may take.
+    /// Timeout of the whole call.
     pub(crate) timeout: Duration,
 }
 
-/// An answer that arrived whole.
+/// A complete answer.
 #[derive(Debug)]
 pub(crate) struct Answer {
-    /// The status.
     pub(crate) status: u16,
-    /// The index to wait on, where the answer names one.
+    /// Index to wait on, if any.
     pub(crate) index: Option<u64>,
     /// The body.
     pub(crate) body: Vec<u8>,
 }
 
-/// Makes errors that name the step, the peer and how far the call got.
+/// Progress of a call, from which its errors are made.
 #[derive(Clone, Debug)]
 pub(crate) struct Progress {
     step: &'static str,
@@ -85,10 +82,7 @@
         }
     }
 
-    /// Returns the error of a call that ended here without an answer.
-    ///
-    /// As long as no byte was handed to the kernel, the store cannot have run
-    /// the call. From the first byte on it may have.
+    /// Returns the error of a call without an answer: `Unknown` once a byte was sent.
     fn unanswered(&self, cause: impl Display) -> StoreError {
         let peer = self.peer.to_string();
         let cause = cause.to_string();
@@ -99,7 +93,7 @@
         StoreError::Unknown { step, peer, cause }
     }
 
-    /// Returns the error of a call whose answer cannot be understood.
+    /// Returns the error of a call with an invalid answer.
     pub(crate) fn unknown(&self, cause: impl Display) -> StoreError {
         StoreError::Unknown {
             step: self.step,
@@ -108,11 +102,10 @@
         }
     }
 
-    /// Returns the error of a call that the store answered with a status
-    /// beside success.
+    /// Returns the error of a call with an unsuccessful status.
     ///
-    /// A status of the class 5xx may come from a server that has passed the
-    /// write on and did not hear back, so the outcome is unknown.
+    /// The outcome of a 5xx status is unknown, because the server may have forwarded the
+    /// write.
     pub(crate) fn rejected(&self, answer: &Answer) -> StoreError {
         let cause = String::from_utf8_lossy(&answer.body).trim().to_owned();
         if answer.status >= 500 {
@@ -127,11 +120,11 @@
     }
 }
 
-/// Makes one call and reads the whole answer.
+/// Makes a call and reads the whole answer.
 ///
 /// # Errors
 ///
-/// Fails as the contract of [`foxtide_core::store::Store`] says.
+/// Fails as [`foxtide_core::store::Store`] specifies.
 pub(crate) async fn run(peer: SocketAddr, call: Call) -> (Progress, StoreResult<Answer>) {
     let progress = Progress::new(call.step, peer);
     let timeout = call.timeout;
@@ -167,8 +160,8 @@
     Ok(request)
 }
 
-/// Reads the body and checks that nothing of it is missing: the library ends
-/// a body early without an error where the connection closes.
+/// Reads the body and checks its length: the library reports no error if the connection
+/// closes early.
 async fn read_whole(mut response: Response, progress: &Progress) -> StoreResult<Answer> {
     let stated_bytes = response
         .header(CONTENT_LENGTH)
@@ -191,7 +184,7 @@
     })
 }
 
-/// A connection that counts the bytes it took for sending.
+/// A connection that counts written bytes.
 #[derive(Clone, Debug)]
 struct CountingStream {
     stream: TcpStream,
--- a/crates/foxtide-config/src/store/http.rs
+++ b/crates/foxtide-config/src/store/http.rs
@@ -1,5 +1,5 @@
-//! [`Store`] over the published HTTP API of Consul's key-value store and
-//! sessions (developer.hashicorp.com/consul/api-docs/kv and /session).
+//! Implements [`Store`] over Consul's HTTP API of its key-value store and sessions
+//! (developer.hashicorp.com/consul/api-docs/kv and /session).
 
 use super::exchange::{
     self,
@@ -36,16 +36,15 @@
 const OK: u16 = 200;
 const NOT_FOUND: u16 = 404;
 
-/// A watch may be answered this part of its wait late: the store spreads the
-/// ends of waits over a sixteenth.
+/// The store adds up to a sixteenth of the wait to a blocking query, as jitter.
 const WAIT_JITTER_DIVISOR: u32 = 16;
 
-/// How the store is reached.
+/// Options of the client.
 #[derive(Clone, Copy, Debug)]
 pub struct HttpStoreOptions {
-    /// The store's address.
+    /// Address of the store.
     pub address: SocketAddr,
-    /// How long a call may take; a watch may wait longer by what was asked.
+    /// Timeout of a call; added to the wait of a blocking query.
     pub call_timeout: Duration,
 }
 
@@ -58,19 +57,19 @@
     }
 }
 
-/// The store, over HTTP.
+/// Client of the store over HTTP.
 #[derive(Clone, Debug)]
 pub struct HttpStore {
     options: HttpStoreOptions,
 }
 
 impl HttpStore {
-    /// Returns a client; it connects with each call.
+    /// Returns a client, which connects for each call.
     pub fn new(options: HttpStoreOptions) -> Self {
         Self { options }
     }
 
-    /// Returns the store's address.
+    /// Returns the address of the store.
     pub fn address(&self) -> SocketAddr {
         self.options.address
     }
@@ -101,7 +100,7 @@
         (progress, result)
     }
 
-    /// Makes a call that waits for a change.
+    /// Makes a blocking query.
     async fn blocking_query(&self, call: BlockingQuery) -> (Progress, StoreResult<Answer>) {
         let wait = call.wait;
         let selection = call.selection;
@@ -120,7 +119,7 @@
         self.run(call).await
     }
 
-    /// Makes a call that answers `true` or `false`.
+    /// Makes a call with a boolean answer.
     async fn call_bool(
         &self,
         step: &'static str,
@@ -144,20 +143,20 @@
     }
 }
 
-/// A call that waits for a change.
+/// A call that blocks until a change or a timeout.
 struct BlockingQuery {
     step: &'static str,
-    /// The path of the key or of the prefix.
+    /// Path of the key or prefix.
     path: String,
-    /// The part of the query that says what below the path is meant.
+    /// Query parameters that select the result.
     selection: &'static str,
-    /// The index to wait on.
+    /// Index to wait on.
     after: StoreIndex,
-    /// How long the store waits.
+    /// Maximum wait of the store.
     wait: Duration,
 }
 
-/// Counts a call for the metrics.
+/// Records the outcome, duration and answer size of a call.
 fn record_metrics(step: &'static str, elapsed: Duration, result: &StoreResult<Answer>) {
     let outcome = match result {
         Ok(_) => "answered",
@@ -174,7 +173,7 @@
     metrics::histogram!("foxtide_store_call_seconds", "kind" => step).record(elapsed.as_secs_f64());
 }
 
-/// Takes the body of a successful answer apart.
+/// Decodes the body of a successful answer.
 fn decode<T: DeserializeOwned>(progress: &Progress, answer: Answer) -> StoreResult<T> {
     if answer.status != OK {
         return Err(progress.rejected(&answer));
@@ -183,7 +182,7 @@
         .map_err(|error| progress.unknown(format!("answer: {error}")))
 }
 
-/// Takes a listing apart; no keys are answered as "not found".
+/// Decodes a listing; the store answers 404 if there are no keys.
 fn decode_listing(progress: &Progress, answer: Answer) -> StoreResult<StoreListing> {
     let index = StoreIndex::new(answer.index.unwrap_or_default());
     if answer.status == NOT_FOUND {
@@ -202,8 +201,7 @@
 
 impl Store for HttpStore {
     async fn read(&self, key: &str) -> StoreResult<Option<StoreEntry>> {
-        // A read settles writes whose answer was lost, so that it may not be
-        // served by a server that has just lost its leadership.
+        // Reads resolve writes with an unknown outcome and must not be stale.
         let target = format!("{}?consistent", key_path(key));
         let (progress, result) = self.call("read", Method::Get, target, Vec::new()).await;
         let listing = decode_listing(&progress, result?)?;
--- a/crates/foxtide-config/src/store/mod.rs
+++ b/crates/foxtide-config/src/store/mod.rs
@@ -1,4 +1,4 @@
-//! The client of the platform's store, and the budget of its calls.
+//! Client of the store, and the budget of its calls.
 
 mod bucket;
 mod budget;
--- a/crates/foxtide-config/src/store/wire.rs
+++ b/crates/foxtide-config/src/store/wire.rs
@@ -1,4 +1,4 @@
-//! The store's JSON forms and the encoding of its keys.
+//! JSON bodies of the store's API and the encoding of its keys.
 
 use base64::Engine;
 use base64::engine::general_purpose::STANDARD;
@@ -18,25 +18,24 @@
 };
 use std::time::Duration;
 
-/// What a key is encoded in: all but the unreserved characters of RFC 3986,
-/// section 2.3, and the `/` between its parts.
+/// Characters of keys that are percent-encoded: all but `/` and the unreserved characters
+/// of RFC 3986, section 2.3.
 const KEY_ENCODE_SET: &AsciiSet = &NON_ALPHANUMERIC
     .remove(b'-')
     .remove(b'_')
     .remove(b'~')
     .remove(b'/');
 
-/// Returns the path of a key.
 pub(super) fn key_path(key: &str) -> String {
     format!("/v1/kv/{}", utf8_percent_encode(key, KEY_ENCODE_SET))
 }
 
-/// Returns a duration as the store writes it.
+/// Formats a duration for the store.
 pub(super) fn format_duration(duration: Duration) -> String {
     format!("{}ms", duration.as_millis())
 }
 
-/// A key as the store tells it.
+/// A key with its value and session, as answered.
 #[derive(Debug, Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub(super) struct KeyForm {
@@ -47,7 +46,7 @@
 }
 
 impl KeyForm {
-    /// Returns the entry, or what is wrong with its value.
+    /// Converts to an entry, or returns the fault of the value.
     pub(super) fn into_entry(self) -> Result<StoreEntry, String> {
         let text = self.value.unwrap_or_default();
         let value = STANDARD
@@ -62,27 +61,27 @@
     }
 }
 
-/// What opening a session sends.
+/// Body of a request that opens a session.
 #[derive(Debug, Serialize)]
 #[serde(rename_all = "PascalCase")]
 pub(super) struct SessionRequest {
-    /// The session's name, for people who look at the store.
+    /// Name of the session, for operators.
     pub(super) name: String,
-    /// How long it lives without a renewal.
+    /// Lifetime without a renewal.
     #[serde(rename = "TTL")]
     pub(super) ttl: String,
-    /// What becomes of its keys when it ends.
+    /// What happens to its keys when it ends.
     pub(super) behavior: &'static str,
-    /// How long its keys cannot be taken after it lapsed. Zero: the leases'
-    /// holders and takers wait out the skew themselves.
+    /// Time for which its keys cannot be acquired after it expired. Zero: holders and
+    /// acquirers of leases allow for clock skew themselves.
     pub(super) lock_delay: &'static str,
 }
 
-/// What opening a session answers.
+/// Answer to opening a session.
 #[derive(Debug, Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub(super) struct SessionForm {
-    /// The session's name in calls.
+    /// Identifier of the session.
     #[serde(rename = "ID")]
     pub(super) id: String,
 }
