--- a/crates/foxtide-config/src/blocks/chunks.rs
+++ b/crates/foxtide-config/src/blocks/chunks.rs
@@ -1,4 +1,4 @@
-//! The chunks of a table.
+//! Reads, writes and deletes the chunks of a table.
 
 use super::BlocksChangeError;
 use foxtide_core::blocks::{
@@ -18,18 +18,17 @@
 use smol::Timer;
 use std::time::Duration;
 
-/// How often a chunk is written again whose answer was lost.
+/// Attempts to write a chunk.
 const WRITE_ATTEMPTS_MAX: u32 = 5;
 
-/// The wait after a read that the instance's call budget held back.
+/// Wait after a read that the call budget refused.
 const BUDGET_RETRY_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Reads the table that a manifest names. Waits where the instance's call
-/// budget holds a read back.
+/// Reads the table of a manifest, waiting if the call budget refuses a read.
 ///
 /// # Errors
 ///
-/// Fails where the store does, or where a chunk is missing or wrong.
+/// Fails if the store fails or a chunk is missing or invalid.
 pub async fn load_table<S: Store>(
     store: &S,
     manifest: &Manifest,
@@ -40,7 +39,7 @@
         let entry = entry.ok_or_else(|| missing_chunk(part))?;
         values.push(entry.value);
     }
-    // It takes tens of milliseconds: aside from the tasks of others.
+    // CPU-bound: must not block the executor.
     let manifest = manifest.clone();
     Ok(smol::unblock(move || manifest.load(values)).await?)
 }
@@ -60,10 +59,8 @@
     }
 }
 
-/// Writes chunks.
-///
-/// One that is there already is written again: its index rises, so that nobody
-/// who saw it unused can delete it.
+/// Writes chunks, including existing ones: the new index keeps another writer from
+/// deleting a chunk that it saw unreferenced.
 pub(super) async fn write<S: Store>(
     store: &S,
     values: Vec<Vec<u8>>,
@@ -87,7 +84,7 @@
         match store.write(key, value.clone(), index).await {
             Ok(true) => return Ok(()),
             Ok(false) => {}
-            // The same bytes again do no harm.
+            // Writing the same bytes again is idempotent.
             Err(error @ StoreError::Unknown { .. }) => latest = Some(error),
             Err(error) => return Err(error.into()),
         }
@@ -96,20 +93,18 @@
         step: "write a chunk",
         peer: key.to_owned(),
         status: 409,
-        cause: "written by others each time".to_owned(),
+        cause: "written concurrently in every attempt".to_owned(),
     };
     Err(latest.unwrap_or_else(conflict).into())
 }
 
-/// Returns the chunks that lie in the store now.
+/// Returns the chunks in the store.
 pub(super) async fn list<S: Store>(store: &S) -> Result<Vec<StoreEntry>, BlocksChangeError> {
     Ok(store.list(CHUNK_PREFIX).await?.entries)
 }
 
-/// Deletes chunks that a manifest does not name, as they were listed before
-/// it was written.
-///
-/// One that cannot be deleted now is found by the next change.
+/// Deletes the listed chunks that a manifest does not reference. A chunk that cannot be
+/// deleted is left to the next change.
 pub(super) async fn delete_unreferenced<S: Store>(
     store: &S,
     listed: &[StoreEntry],
@@ -118,7 +113,7 @@
     let named: Vec<String> = manifest.chunks.iter().map(Part::key).collect();
     for entry in listed.iter().filter(|entry| !named.contains(&entry.key)) {
         if let Err(error) = store.delete(&entry.key, entry.index).await {
-            log::debug!("delete {}: {error}", entry.key);
+            log::debug!("failed to delete unreferenced chunk {}: {error}", entry.key);
         }
     }
 }
--- a/crates/foxtide-config/src/blocks/errors.rs
+++ b/crates/foxtide-config/src/blocks/errors.rs
@@ -1,9 +1,9 @@
-//! Why the client blocks could not be read or changed.
+//! Errors of reading and changing client blocks.
 
 use foxtide_core::blocks::BlocksError;
 use foxtide_core::store::StoreError;
 
-/// Why the client blocks could not be read or changed.
+/// An error of reading or changing client blocks.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum BlocksChangeError {
     /// The store failed; the manifest was not changed.
@@ -12,16 +12,16 @@
     /// The blocks are not valid; nothing was changed.
     #[error(transparent)]
     Blocks(#[from] BlocksError),
-    /// Another change came first; the manifest was not changed.
-    #[error("client blocks, write: another change came first, the table is at {revision}")]
+    /// Another change was accepted first; the manifest was not changed.
+    #[error("client blocks, write: another change was accepted first, the table is at {revision}")]
     Conflict {
-        /// The revision in the store.
+        /// Revision in the store.
         revision: u64,
     },
-    /// The answer to the write was lost and reading did not settle it.
+    /// The outcome of the write is unknown.
     #[error("client blocks, write: outcome unknown: {cause}")]
     Unsettled {
-        /// Why.
+        /// Error of the latest call.
         cause: StoreError,
     },
 }
--- a/crates/foxtide-config/src/blocks/mod.rs
+++ b/crates/foxtide-config/src/blocks/mod.rs
@@ -1,10 +1,8 @@
-//! Client blocks in the store: reading the table, changing it, writing it
-//! anew.
+//! Reads and writes the table of client blocks in the store.
 //!
-//! A change is accepted when the compare-and-swap on the manifest succeeded.
-//! Chunks lie under the checksum of their bytes and are written before the
-//! manifest that names them; those that no manifest names any more are deleted
-//! after it.
+//! A change is accepted if the compare-and-swap on the manifest succeeds. Chunks are
+//! keyed by their checksum and written before the manifest that references them;
+//! unreferenced chunks are deleted after it.
 
 mod chunks;
 mod errors;
@@ -20,9 +18,8 @@
     replace, //
 };
 
-/// The name under which the mesh spreads the manifest. No organisation may
-/// have a name that begins as it does.
+/// Name under which the mesh propagates the manifest.
 pub const RESERVED_NAME: &str = "foxtide-client-blocks";
 
-/// How the names begin that no organisation may have.
+/// Prefix of names that organisations must not have.
 pub const RESERVED_PREFIX: &str = "foxtide-";
--- a/crates/foxtide-config/src/blocks/publish.rs
+++ b/crates/foxtide-config/src/blocks/publish.rs
@@ -1,4 +1,4 @@
-//! The compare-and-swap of the manifest.
+//! Writes the manifest by compare-and-swap.
 
 use super::{
     BlocksChangeError,
@@ -22,35 +22,35 @@
 use smol::Timer;
 use std::time::Duration;
 
-/// How often an unknown write is read back and tried again.
+/// Attempts to resolve a write with an unknown outcome.
 const SETTLE_ATTEMPTS_MAX: u32 = 5;
 
-/// The wait before the first of these; each further one is twice as long.
+/// Wait before the first attempt; doubles with each further one.
 const SETTLE_WAIT_INITIAL: Duration = Duration::from_millis(100);
 
-/// The manifest as it was read, the base of a change.
+/// A manifest read from the store, the base of a change.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StoredManifest {
     /// The manifest.
     pub manifest: Manifest,
-    /// The index to compare with when it is written.
+    /// Index of the key, for compare-and-swap.
     pub index: StoreIndex,
 }
 
 /// An accepted table or change.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PublishedBlocks {
-    /// The manifest as it was accepted.
+    /// The accepted manifest.
     pub manifest: Manifest,
-    /// Whether the answer was lost and the change was found by reading.
+    /// Whether the answer was lost and the outcome resolved by reading.
     pub settled: bool,
 }
 
-/// Reads the manifest; none where there are no client blocks.
+/// Reads the manifest; `None` if there are no client blocks.
 ///
 /// # Errors
 ///
-/// Fails where the store does, or where the stored value is invalid.
+/// Fails if the store fails or the stored value is invalid.
 pub async fn load_manifest<S: Store>(
     store: &S,
 ) -> Result<Option<StoredManifest>, BlocksChangeError> {
@@ -67,9 +67,9 @@
 ///
 /// # Errors
 ///
-/// Fails with [`BlocksChangeError::Conflict`] where another change came first
-/// and with [`BlocksChangeError::Unsettled`] where the outcome stayed unknown;
-/// after all other errors the manifest is as it was.
+/// Fails with [`BlocksChangeError::Conflict`] if another change was accepted first and
+/// with [`BlocksChangeError::Unsettled`] if the outcome is unknown; after other errors the
+/// manifest is unchanged.
 pub async fn replace<S: Store>(
     store: &S,
     base: Option<&StoredManifest>,
@@ -81,11 +81,11 @@
     publish_table(store, base, &table).await
 }
 
-/// Sets some blocks and takes others out.
+/// Sets some blocks and removes others.
 ///
 /// # Errors
 ///
-/// As [`replace`].
+/// Fails like [`replace`].
 pub async fn change<S: Store>(
     store: &S,
     base: &StoredManifest,
@@ -107,7 +107,7 @@
     Ok(PublishedBlocks { manifest, settled })
 }
 
-/// Returns the manifest after a change, checked.
+/// Returns the manifest with a valid delta added.
 fn with_delta(base: &Manifest, delta: Delta) -> BlocksResult<Manifest> {
     let empty = ClientBlocks::new(delta.follows, base.sites.clone(), &[])?;
     empty.apply(&delta)?;
@@ -116,8 +116,7 @@
     Ok(manifest)
 }
 
-/// Writes a table's chunks, then its manifest, and deletes chunks that are no
-/// longer named.
+/// Writes a table's chunks and its manifest, then deletes unreferenced chunks.
 async fn publish_table<S: Store>(
     store: &S,
     base: Option<&StoredManifest>,
@@ -132,8 +131,8 @@
     Ok(PublishedBlocks { manifest, settled })
 }
 
-/// Writes the manifest if it still has the expected index. Tells whether the
-/// answer was lost and the write was found by reading.
+/// Writes the manifest if its index is the expected one. Returns whether the answer was
+/// lost and the outcome resolved by reading.
 async fn write_manifest<S: Store>(
     store: &S,
     manifest: &Manifest,
@@ -157,9 +156,8 @@
     }
 }
 
-/// Settles a write whose answer was lost: looks for it, and writes it again
-/// where the base still stands. Both writes compare with the same index, so at
-/// most one takes effect.
+/// Resolves a write with an unknown outcome: searches for it and writes it again if the
+/// base is unchanged. Both writes compare with the same index, so at most one takes effect.
 async fn settle<S: Store>(
     store: &S,
     value: &[u8],
@@ -181,7 +179,7 @@
     Err(BlocksChangeError::Unsettled { cause })
 }
 
-/// Returns whether the write was found; `None` where it must be tried again.
+/// Returns whether the write was found; `None` if another attempt is needed.
 async fn settle_once<S: Store>(
     store: &S,
     value: &[u8],
@@ -193,7 +191,7 @@
     }
     let index = entry.map_or(StoreIndex::ABSENT, |entry| entry.index);
     if index != expected {
-        // Ours may have been there before this one.
+        // Our write may have been overwritten by another.
         return Ok(Some(false));
     }
     let written = store.write(MANIFEST_KEY, value.to_vec(), expected).await?;
