--- a/crates/foxtide-config/src/settings/check.rs
+++ b/crates/foxtide-config/src/settings/check.rs
@@ -1,4 +1,4 @@
-//! Values that have the right type and still cannot be meant.
+//! Validates settings beyond their types.
 
 use super::{
     Limits,
@@ -12,19 +12,18 @@
 use foxtide_core::ids::InstanceId;
 use std::fmt::Display;
 
-/// The most worker threads that an instance may be given.
+/// Maximum number of worker threads.
 const WORKERS_MAX: usize = 256;
 
-/// The longest watch that the store grants, in seconds (Consul's limit on
-/// blocking queries).
+/// Maximum wait of a watch, in seconds: Consul's limit on blocking queries.
 const WATCH_WAIT_MAX_S: u32 = 600;
 
 impl Settings {
-    /// Checks what the types alone do not.
+    /// Checks ranges and relations of fields.
     ///
     /// # Errors
     ///
-    /// Fails with the first field that cannot be meant.
+    /// Fails with the first invalid field.
     pub(super) fn check(&self, name: &str) -> Result<()> {
         let validator = Validator { name };
         validator.cluster(&self.cluster)?;
@@ -40,7 +39,7 @@
     }
 }
 
-/// The checks, all of the same file.
+/// Validates the settings of one file.
 struct Validator<'a> {
     name: &'a str,
 }
@@ -55,7 +54,7 @@
         Err(Error::field(self.name, field, problem, expected))
     }
 
-    /// A cluster's name has the form of all other names.
+    /// Checks the cluster's name, which has the same syntax as an instance's.
     fn cluster(&self, cluster: &str) -> Result<()> {
         match cluster.parse::<InstanceId>() {
             Ok(_) => Ok(()),
@@ -65,7 +64,7 @@
 
     fn listener(&self, field: &str, listener: &Listener) -> Result<()> {
         if listener.advertised().ip().is_unspecified() {
-            let problem = format!("`{}` reaches nobody", listener.advertised());
+            let problem = format!("`{}` is not a reachable address", listener.advertised());
             let expected = "an address that callers and peers can connect to";
             return self.fail(format!("{field}.advertise"), problem, expected);
         }
@@ -169,7 +168,7 @@
         self.check_range("limits.shutdown.drain_max_ms", drain, deadline, 3_600_000)
     }
 
-    /// A key is retried for longer than any request may take.
+    /// Checks the limits of keys, which must outlive the longest request.
     fn keys(&self, limits: &Limits) -> Result<()> {
         let keys = &limits.keys;
         let least = limits.requests.deadline_max_ms.div_ceil(1_000);
--- a/crates/foxtide-config/src/settings/limits.rs
+++ b/crates/foxtide-config/src/settings/limits.rs
@@ -1,4 +1,4 @@
-//! Bounds on what an instance takes on, all with defaults.
+//! Limits of an instance and their defaults.
 
 use serde::{
     Deserialize,
@@ -6,7 +6,7 @@
 };
 use std::time::Duration;
 
-/// All bounds of an instance.
+/// Limits of an instance.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Limits {
@@ -30,21 +30,21 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct RequestLimits {
-    /// The most connections of callers at the same time.
+    /// Maximum concurrent connections of callers.
     pub connections_max: u32,
-    /// The most requests in work at the same time, waiting ones included.
+    /// Maximum concurrent requests, including queued ones.
     pub in_flight_max: u32,
-    /// The most requests that wait for room at the same time.
+    /// Maximum queued requests.
     pub waiting_max: u32,
-    /// The largest head of a request, in bytes.
+    /// Maximum size of a request's head, in bytes.
     pub head_max_bytes: u64,
-    /// The largest body of a request, in bytes.
+    /// Maximum size of a request's body, in bytes.
     pub body_max_bytes: u64,
-    /// The longest deadline that a caller may name, in milliseconds.
+    /// Maximum deadline of a request, in milliseconds.
     pub deadline_max_ms: u32,
-    /// How long a caller may take to send a request's head, in milliseconds.
+    /// Timeout of receiving a request's head, in milliseconds.
     pub head_timeout_ms: u32,
-    /// How long a caller may take to send a request's body, in milliseconds.
+    /// Timeout of receiving a request's body, in milliseconds.
     pub body_timeout_ms: u32,
     /// How long an idle connection is kept, in milliseconds.
     pub idle_timeout_ms: u32,
@@ -70,9 +70,9 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct LookupLimits {
-    /// How long a caller may use an answer, in seconds.
+    /// Time for which a caller may cache an answer, in seconds.
     pub ttl_s: u32,
-    /// The most instances that an answer names.
+    /// Maximum number of instances in an answer.
     pub instances_max: u32,
 }
 
@@ -89,12 +89,11 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct UpstreamLimits {
-    /// How long a connection may take to be made, in milliseconds.
+    /// Timeout of connecting, in milliseconds.
     pub connect_timeout_ms: u32,
     /// How long an idle connection is kept, in milliseconds.
     pub idle_timeout_ms: u32,
-    /// The least connections that an instance may make to an upstream,
-    /// however many instances share it.
+    /// Minimum connections of an instance to an upstream, however many instances share it.
     pub connections_min: u32,
 }
 
@@ -112,13 +111,13 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct StoreLimits {
-    /// How long a call may take, in milliseconds.
+    /// Timeout of a call, in milliseconds.
     pub call_timeout_ms: u32,
-    /// How long a watch waits for a change, in seconds.
+    /// Maximum wait of a watch, in seconds.
     pub watch_wait_s: u32,
-    /// The most read calls that all instances together make, in calls a second.
+    /// Maximum rate of reads of all instances, in calls a second.
     pub fleet_reads_per_s: f64,
-    /// The most write calls that all instances together make, in calls a second.
+    /// Maximum rate of writes of all instances, in calls a second.
     pub fleet_writes_per_s: f64,
 }
 
@@ -134,12 +133,12 @@
 }
 
 impl StoreLimits {
-    /// Returns how long a call may take.
+    /// Returns the timeout of a call.
     pub fn call_timeout(&self) -> Duration {
         Duration::from_millis(self.call_timeout_ms.into())
     }
 
-    /// Returns how long a watch waits for a change.
+    /// Returns the maximum wait of a watch.
     pub fn watch_wait(&self) -> Duration {
         Duration::from_secs(self.watch_wait_s.into())
     }
@@ -149,7 +148,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct EventLimits {
-    /// The most events kept for the time line.
+    /// Maximum number of events kept for the time line.
     pub kept_max: u32,
 }
 
@@ -163,8 +162,8 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct ShutdownLimits {
-    /// The longest that a planned stop waits for requests in flight, in
-    /// milliseconds; it should exceed the longest deadline.
+    /// Maximum time to wait for requests in flight, in milliseconds; should exceed the
+    /// maximum deadline.
     pub drain_max_ms: u32,
 }
 
@@ -180,14 +179,14 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct KeyLimits {
-    /// How long after it was minted a key may be retried, in seconds; at least
-    /// a minute where more keys come than are kept.
+    /// Time after a key's creation in which it may be retried, in seconds; may shrink to
+    /// a minute if more keys arrive than are kept.
     pub validity_s: u32,
-    /// The most keys kept; about 80 bytes each.
+    /// Maximum number of kept keys, of about 80 bytes each.
     pub kept_max: u32,
-    /// The most that the kept answers take together, in bytes.
+    /// Maximum total size of kept answers, in bytes.
     pub answers_max_bytes: u64,
-    /// The largest answer that is kept, in bytes.
+    /// Maximum size of a kept answer, in bytes.
     pub answer_max_bytes: u64,
 }
 
--- a/crates/foxtide-config/src/settings/mod.rs
+++ b/crates/foxtide-config/src/settings/mod.rs
@@ -1,7 +1,5 @@
-//! The settings file of an instance.
+//! The settings file of an instance: JSON with comments.
 //!
-//! An instance has no disk of its own and learns nothing by itself: its name,
-//! place and addresses stand in this file, which is JSON with comments.
 //! docs/SETTINGS.md lists every field.
 
 mod check;
@@ -38,60 +36,59 @@
 };
 use std::path::Path;
 
-/// The settings of one instance.
+/// Settings of an instance.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
-    /// The instance's name, unique in the cluster.
+    /// Name of the instance, unique in the cluster.
     pub instance: InstanceId,
-    /// The region in which it stands.
+    /// Region of the instance.
     pub region: RegionId,
-    /// The availability zone in which it stands.
+    /// Availability zone of the instance.
     pub availability_zone: AvailabilityZoneId,
-    /// The cluster's name; instances of other clusters are not talked to.
+    /// Name of the cluster; instances of other clusters are ignored.
     pub cluster: String,
-    /// Where callers send look-ups and requests.
+    /// Listener for callers' look-ups and requests.
     pub caller: Listener,
-    /// Where operators and probes ask; never open to callers.
+    /// Listener for operators and probes; must not be open to callers.
     pub admin: Listener,
-    /// Where other instances of the cluster talk to it, over TCP and UDP.
+    /// Listener for other instances of the cluster, over TCP and UDP.
     pub peer: Listener,
-    /// The store's address.
+    /// Address of the store.
     pub store_address: SocketAddr,
-    /// The address of the list of live instances, if there is one.
+    /// Address of the platform's list of instances, if any.
     #[serde(default)]
     pub instance_list_address: Option<SocketAddr>,
-    /// Peers to ask first; the list of instances adds to them.
+    /// Peers for joining the mesh, in addition to the list of instances.
     #[serde(default)]
     pub seed_peers: Vec<SocketAddr>,
-    /// The organisations that callers may name; empty: all in the store.
+    /// Organisations that are served; empty for all in the store.
     #[serde(default)]
     pub organisations: Vec<OrganisationId>,
-    /// The address that connections to upstreams are made from, where the
-    /// machine has several; else the system chooses.
+    /// Source address of connections to upstreams; the system chooses if absent.
     #[serde(default)]
     pub upstream_source: Option<IpAddr>,
-    /// How many threads run the instance.
+    /// Number of worker threads.
     #[serde(default = "default_workers")]
     pub workers: usize,
-    /// Bounds on what the instance takes on.
+    /// Limits of the instance.
     #[serde(default)]
     pub limits: Limits,
 }
 
-/// An address to listen on, and the one that others are told.
+/// An address to listen on and the advertised one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Listener {
-    /// The address that is bound.
+    /// Address to bind.
     pub listen: SocketAddr,
-    /// The address that others are told, where it differs.
+    /// Advertised address, if different.
     #[serde(default)]
     pub advertise: Option<SocketAddr>,
 }
 
 impl Listener {
-    /// Returns the address that others are told.
+    /// Returns the address to advertise.
     pub fn advertised(&self) -> SocketAddr {
         self.advertise.unwrap_or(self.listen)
     }
@@ -108,18 +105,18 @@
     ///
     /// # Errors
     ///
-    /// Fails as [`Settings::parse`] does, and where the file cannot be read.
+    /// Fails like [`Settings::parse`], and if the file cannot be read.
     pub fn load(path: &Path) -> Result<Self> {
         let text = document::read_text(path)?;
         Self::parse(&path.display().to_string(), &text)
     }
 
-    /// Reads the settings from a text; `name` stands in the errors.
+    /// Parses settings; errors contain `name`.
     ///
     /// # Errors
     ///
-    /// Fails with the place of a fault of syntax or of a duplicate key, or
-    /// with the path of a field that is unknown, missing or impossible.
+    /// Fails with the position of a syntax error or duplicate key, or with the path of an
+    /// unknown, missing or invalid field.
     pub fn parse(name: &str, text: &str) -> Result<Self> {
         let settings: Self = document::parse(name, text)?;
         settings.check(name)?;
--- a/crates/foxtide-config/src/template/mod.rs
+++ b/crates/foxtide-config/src/template/mod.rs
@@ -1,9 +1,8 @@
-//! Templates, from which operators make organisations.
+//! Templates of organisations' documents.
 //!
-//! A template is a file of JSON with comments: a document with holes, and the
-//! typed parameters that fill them. The document that comes out stands alone.
-//! A newer version of the template changes no organisation; an operator takes
-//! it over with `organisation edit --upgrade`, which shows what changes.
+//! A template is a file of JSON with comments: a document with placeholders and the typed
+//! parameters for them. A newer version of a template changes existing organisations only
+//! by `organisation edit --upgrade`.
 
 mod parameter;
 mod substitute;
@@ -38,25 +37,25 @@
 use std::collections::BTreeMap;
 use std::path::Path;
 
-/// The change id of a document that no change has been made of yet.
+/// Change id of a document that was not accepted yet.
 const DRAFT_CHANGE_ID: &str = "draft";
 
-/// The parameters as an operator gave them.
+/// Values of parameters by name.
 pub type Parameters = BTreeMap<String, Value>;
 
-/// A document with holes, and the parameters that fill them.
+/// A document with placeholders and their parameters.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Template {
-    /// The template's name.
+    /// Name of the template.
     pub template: String,
-    /// The template's version, raised with every edit of the file.
+    /// Version, increased with every edit of the file.
     pub version: u32,
-    /// What it is for, in one line.
+    /// Description in one line.
     pub description: String,
-    /// The parameters.
+    /// Parameters by name.
     pub parameters: BTreeMap<String, Parameter>,
-    /// The document; `{"$parameter": "NAME"}` stands for a parameter's value.
+    /// Document in which `{"$parameter": "NAME"}` is a placeholder.
     pub document: Map<String, Value>,
 }
 
@@ -65,18 +64,18 @@
     ///
     /// # Errors
     ///
-    /// Fails as [`Template::parse`] does, and where the file cannot be read.
+    /// Fails like [`Template::parse`], and if the file cannot be read.
     pub fn load(path: &Path) -> Result<Self> {
         let text = document::read_text(path)?;
         Self::parse(&path.display().to_string(), &text)
     }
 
-    /// Reads a template from a text; `name` stands in the errors.
+    /// Parses a template; errors contain `name`.
     ///
     /// # Errors
     ///
-    /// Fails with the place of the fault: syntax, fields, a default outside of
-    /// its own range, or a hole that no parameter fills.
+    /// Fails on invalid syntax or fields, on a default outside of its range, and on a
+    /// placeholder without a parameter or the reverse.
     pub fn parse(name: &str, text: &str) -> Result<Self> {
         let template: Self = document::parse(name, text)?;
         for (parameter, definition) in &template.parameters {
@@ -86,14 +85,12 @@
         Ok(template)
     }
 
-    /// Makes an organisation's document.
-    ///
-    /// The parameters that are not given take their defaults.
+    /// Creates an organisation's document, with defaults for parameters not given.
     ///
     /// # Errors
     ///
-    /// Fails where a parameter is unknown, missing or outside of its range, or
-    /// where the filled document is none.
+    /// Fails if a parameter is unknown, missing or invalid, or the resulting document is
+    /// malformed.
     pub fn instantiate(&self, name: &OrganisationId, given: &Parameters) -> Result<Organisation> {
         let source = format!("template {} v{}", self.template, self.version);
         let values = self.resolve_values(&source, given)?;
@@ -111,7 +108,7 @@
         document::from_value(&key_of(name), Value::Object(document))
     }
 
-    /// Returns the value of every parameter.
+    /// Returns the values of all parameters.
     fn resolve_values(&self, source: &str, given: &Parameters) -> Result<Parameters> {
         for name in given.keys() {
             if !self.parameters.contains_key(name) {
--- a/crates/foxtide-config/src/template/parameter.rs
+++ b/crates/foxtide-config/src/template/parameter.rs
@@ -1,4 +1,4 @@
-//! A template's typed parameters.
+//! Typed parameters of templates.
 
 use crate::{
     Error,
@@ -15,33 +15,33 @@
 };
 use std::fmt;
 
-/// A parameter: its type, its range and what it is for.
+/// A parameter with its type and range.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Parameter {
-    /// What values it takes.
+    /// Type of the values.
     #[serde(rename = "type")]
     pub kind: ParameterKind,
-    /// What it is for, in one line.
+    /// Description in one line.
     pub description: String,
-    /// The value where none is given; without one it must be given.
+    /// Default; without one a value must be given.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub default: Option<Value>,
-    /// The least value, of a number.
+    /// Minimum of a number.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub least: Option<f64>,
-    /// The greatest value, of a number.
+    /// Maximum of a number.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub most: Option<f64>,
 }
 
-/// The type of a parameter.
+/// Type of a parameter.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ParameterKind {
-    /// A part of a whole, from 0 to 1.
+    /// A share from 0 to 1.
     Share,
-    /// A change of a share in a second.
+    /// A change of a share per second.
     SharePerS,
     /// Requests a second.
     RateRps,
@@ -51,16 +51,15 @@
     Milliseconds,
     /// A whole number.
     Count,
-    /// What is weighed most: `latency` or `headroom`.
+    /// The routing priority: `latency` or `headroom`.
     Priority,
-    /// The regions that serve, each with its share; a list of
-    /// `{"region": …, "share": …}`, or `khomas=0.5,erongo=0.5` on a command
-    /// line.
+    /// Home regions with their shares: a list of `{"region": …, "share": …}`, or
+    /// `khomas=0.5,erongo=0.5` on a command line.
     Homes,
 }
 
 impl ParameterKind {
-    /// Returns the unit's suffix on a command line.
+    /// Returns the suffix of the unit on a command line.
     fn unit(self) -> &'static str {
         match self {
             Self::SharePerS => "/s",
@@ -75,7 +74,7 @@
         matches!(self, Self::Seconds | Self::Milliseconds | Self::Count)
     }
 
-    /// Returns the range that the type alone allows.
+    /// Returns the range of the type.
     fn bounds(self) -> (f64, f64) {
         match self {
             Self::Share | Self::SharePerS => (0.0, 1.0),
@@ -102,7 +101,7 @@
 }
 
 impl Parameter {
-    /// Tells what would be valid, with the range and the unit.
+    /// Describes the valid values with their range and unit.
     pub fn expected(&self) -> String {
         if matches!(self.kind, ParameterKind::Priority | ParameterKind::Homes) {
             return self.kind.to_string();
@@ -120,11 +119,11 @@
         (self.least.unwrap_or(least), self.most.unwrap_or(most))
     }
 
-    /// Takes a text of the command line as a value of this parameter.
+    /// Parses a value given on a command line.
     ///
     /// # Errors
     ///
-    /// Fails where the text has another unit or form.
+    /// Fails if the text is malformed or has another unit.
     pub fn parse_text(&self, source: &str, name: &str, text: &str) -> Result<Value> {
         let value = match self.kind {
             ParameterKind::Priority => Some(json!(text)),
@@ -135,7 +134,7 @@
         value.ok_or_else(|| Error::field(source, name, problem, self.expected()))
     }
 
-    /// Returns the value: what was given, else the default.
+    /// Returns the given value or else the default.
     pub(super) fn value(&self, source: &str, name: &str, given: Option<&Value>) -> Result<Value> {
         let Some(value) = given.or(self.default.as_ref()) else {
             return Err(Error::field(source, name, "not given", self.expected()));
@@ -173,7 +172,7 @@
     }
 }
 
-/// Takes a number with or without the unit of its kind.
+/// Parses a number with an optional unit.
 fn parse_number(text: &str, kind: ParameterKind) -> Option<Value> {
     let number = text.strip_suffix(kind.unit()).unwrap_or(text);
     if kind.is_whole() {
--- a/crates/foxtide-config/src/template/substitute.rs
+++ b/crates/foxtide-config/src/template/substitute.rs
@@ -1,4 +1,4 @@
-//! Filling a template's holes.
+//! Substitutes parameters for a template's placeholders.
 
 use super::{
     Parameters,
@@ -13,15 +13,15 @@
     Value, //
 };
 
-/// The one field of the object that stands for a parameter's value.
+/// Key of the object that is a placeholder.
 const PLACEHOLDER_KEY: &str = "$parameter";
 
-/// Returns the name of the parameter that an object stands for.
+/// Returns the parameter's name if an object is a placeholder.
 fn placeholder(object: &Map<String, Value>) -> Option<&str> {
     object.get(PLACEHOLDER_KEY).and_then(Value::as_str)
 }
 
-/// Returns the document with every hole filled.
+/// Returns the document with values for its placeholders.
 pub(super) fn substitute(document: &Map<String, Value>, values: &Parameters) -> Map<String, Value> {
     let fields = document
         .iter()
@@ -43,14 +43,14 @@
     }
 }
 
-/// Checks that every hole names a parameter and every parameter fills a hole.
+/// Checks that each placeholder has a parameter and each parameter is used.
 pub(super) fn check_placeholders(file: &str, template: &Template) -> Result<()> {
     let mut used = Vec::new();
     collect_names(&Value::Object(template.document.clone()), &mut used);
     let known: Vec<&str> = template.parameters.keys().map(String::as_str).collect();
     for name in &used {
         if !template.parameters.contains_key(name) {
-            let problem = format!("`{name}` is no parameter");
+            let problem = format!("`{name}` is not a parameter");
             return Err(Error::field(file, "document", problem, known.join(", ")));
         }
     }
@@ -61,7 +61,7 @@
         Some(name) => Err(Error::field(
             file,
             format!("parameters.{name}"),
-            "stands nowhere in the document",
+            "is not used in the document",
             format!("{{\"{PLACEHOLDER_KEY}\": \"{name}\"}} in the document, or no such parameter"),
         )),
         None => Ok(()),
--- a/crates/foxtide-config/src/validate/contracts.rs
+++ b/crates/foxtide-config/src/validate/contracts.rs
@@ -1,4 +1,4 @@
-//! Rules on services and what was promised for them.
+//! Validates services and their contracts.
 
 use super::Validator;
 use crate::Result;
@@ -7,16 +7,14 @@
     Service, //
 };
 
-/// How far the homes' shares may be from 1 in sum.
+/// Tolerance of the sum of the homes' shares.
 const SUM_TOLERANCE: f64 = 1e-6;
 
-/// The longest drain window, in seconds.
 const DRAIN_WINDOW_MAX_S: u32 = 3_600;
 
-/// The longest deadline, in milliseconds.
 const DEADLINE_MAX_MS: u32 = 600_000;
 
-/// The methods that are idempotent by definition (RFC 9110, section 9.2.2).
+/// Idempotent methods (RFC 9110, section 9.2.2).
 const IDEMPOTENT_METHODS: &[&str] = &["GET", "HEAD", "OPTIONS", "TRACE", "PUT", "DELETE"];
 
 impl Validator<'_> {
@@ -64,7 +62,7 @@
         self.fail(field, problem, "homes with an upstream each")
     }
 
-    /// Every home must reach every other: spill-over and drains go there.
+    /// Requires links between all homes, for spill-over and drains.
     fn require_links_between(&self, field: &str, homes: &[Home]) -> Result<()> {
         for from in homes {
             let others = homes.iter().filter(|to| to.region != from.region);
--- a/crates/foxtide-config/src/validate/drains.rs
+++ b/crates/foxtide-config/src/validate/drains.rs
@@ -1,4 +1,4 @@
-//! Rules on announced drains.
+//! Validates drains.
 
 use super::Validator;
 use crate::Result;
@@ -10,7 +10,7 @@
 };
 
 impl Validator<'_> {
-    /// Checks the drains, and that together they leave something to serve.
+    /// Checks the drains, and that they leave each service an upstream.
     pub(super) fn drains(&self) -> Result<()> {
         let drains = &self.document.drains;
         self.check_unique("drains", drains.iter().map(|one| &one.id))?;
@@ -44,7 +44,7 @@
                 let problem = format!("there is no upstream `{service}/{upstream}`");
                 self.fail(field, problem, "an upstream in `services`")
             }
-            // The document does not hold the instances.
+            // The document does not list instances.
             DrainTarget::Instance(_) => Ok(()),
         }
     }
@@ -61,7 +61,7 @@
     }
 }
 
-/// Tells whether a drain takes an upstream out of service.
+/// Returns whether a drain covers an upstream.
 fn covers(drain: &Drain, service: &Service, candidate: &Upstream) -> bool {
     match &drain.target {
         DrainTarget::Upstream {
--- a/crates/foxtide-config/src/validate/mod.rs
+++ b/crates/foxtide-config/src/validate/mod.rs
@@ -1,8 +1,7 @@
-//! What a document must fulfil before it is written.
+//! Validates documents beyond the types of their fields.
 //!
-//! The types refuse what no document may hold. Here stand the rules between
-//! fields: names are unique and refer to something, homes sum to one, links
-//! join them, moves keep the shift cap, and a drain leaves something to serve.
+//! Names are unique and references resolve, shares of homes sum to one, links connect
+//! homes, moves keep the shift cap, and drains leave each service an upstream.
 
 mod contracts;
 mod drains;
@@ -23,12 +22,11 @@
 use std::collections::BTreeSet;
 use std::fmt::Display;
 
-/// Checks a whole document.
+/// Validates a document.
 ///
 /// # Errors
 ///
-/// Fails with the path of the first field that breaks a rule, and with what
-/// would be valid.
+/// Fails with the path of the first invalid field and what is valid.
 pub fn check(document: &Organisation) -> Result<()> {
     let validator = Validator {
         document,
@@ -43,7 +41,7 @@
     validator.drains()
 }
 
-/// The checks of one document.
+/// Validates one document.
 struct Validator<'a> {
     document: &'a Organisation,
     file: String,
@@ -68,7 +66,7 @@
         Ok(())
     }
 
-    /// Returns the error for a field that breaks a rule.
+    /// Returns the error of an invalid field.
     fn fail<T>(
         &self,
         field: impl Display,
@@ -78,7 +76,7 @@
         Err(Error::field(&self.file, field, problem, expected))
     }
 
-    /// Fails at the first name that stands twice.
+    /// Fails on the first duplicate name.
     fn check_unique<T: Ord + Display>(
         &self,
         field: impl Display,
@@ -87,15 +85,15 @@
         let mut seen = BTreeSet::new();
         for name in names {
             if seen.contains(&name) {
-                let problem = format!("`{name}` stands twice");
-                return self.fail(field, problem, "each once");
+                let problem = format!("duplicate `{name}`");
+                return self.fail(field, problem, "unique values");
             }
             seen.insert(name);
         }
         Ok(())
     }
 
-    /// Fails where a value is outside of its range.
+    /// Fails if a value is out of range.
     fn check_range<T: PartialOrd + Display>(
         &self,
         field: impl Display,
@@ -109,7 +107,7 @@
         Ok(())
     }
 
-    /// Returns the names of the regions, for errors.
+    /// Returns the names of all regions, for errors.
     fn known_regions(&self) -> String {
         let regions = self.document.regions.iter();
         let names: Vec<&str> = regions.map(|region| region.region.as_str()).collect();
--- a/crates/foxtide-config/src/validate/moves.rs
+++ b/crates/foxtide-config/src/validate/moves.rs
@@ -1,4 +1,4 @@
-//! Rules on planned moves.
+//! Validates planned moves.
 
 use super::Validator;
 use crate::Result;
@@ -10,7 +10,7 @@
 use foxtide_core::time::WallTime;
 use std::time::Duration;
 
-/// How far a sum of paces may exceed the cap by rounding.
+/// Tolerance of sums for rounding errors.
 const PACE_TOLERANCE: f64 = 1e-9;
 
 impl Validator<'_> {
@@ -37,7 +37,7 @@
         self.check_moved_share(&path, movement)
     }
 
-    /// Both ends must be homes: nowhere else was the service promised.
+    /// Requires that a service moves between two different homes.
     fn check_endpoints(&self, path: &str, movement: &PlannedMove, service: &Service) -> Result<()> {
         let homes = &service.contract.homes;
         for (end, region) in [("from", &movement.from), ("to", &movement.to)] {
@@ -45,19 +45,18 @@
             self.require_region(&field, region)?;
             if !homes.iter().any(|home| home.region == *region) {
                 let known: Vec<&str> = homes.iter().map(|home| home.region.as_str()).collect();
-                let problem = format!("`{region}` is no home of `{}`", service.service);
+                let problem = format!("`{region}` is not a home of `{}`", service.service);
                 return self.fail(field, problem, known.join(", "));
             }
         }
         if movement.from == movement.to {
-            let problem = "gives and takes in the same region";
+            let problem = "source and target are the same region";
             return self.fail(format!("{path}.to"), problem, "another home");
         }
         self.require_link(format!("{path}.to"), &movement.from, &movement.to)
     }
 
-    /// All moves that change a region's share at the same time must keep the
-    /// cap together.
+    /// Requires that concurrent moves of a region's share keep the shift cap in sum.
     fn check_pace(&self, path: &str, movement: &PlannedMove, service: &Service) -> Result<()> {
         let cap = service.contract.shift_cap_share_per_s;
         let moves = self.document.moves.iter();
@@ -76,7 +75,7 @@
         self.fail(format!("{path}.pace_share_per_s"), problem, expected)
     }
 
-    /// A region cannot give more than it has.
+    /// Requires that a region does not move away more than its whole share.
     fn check_moved_share(&self, path: &str, movement: &PlannedMove) -> Result<()> {
         let moves = self.document.moves.iter();
         let given =
@@ -90,18 +89,18 @@
     }
 }
 
-/// Tells whether two moves change the share of the same region.
+/// Returns whether two moves change the share of the same region.
 fn share_region(one: &PlannedMove, other: &PlannedMove) -> bool {
     let touches = |region: &RegionId| other.from == *region || other.to == *region;
     one.service == other.service && (touches(&one.from) || touches(&one.to))
 }
 
-/// Tells whether two moves are under way at the same time.
+/// Returns whether two moves overlap in time.
 fn overlap(one: &PlannedMove, other: &PlannedMove) -> bool {
     one.id == other.id || (one.start_us < end_time(other) && other.start_us < end_time(one))
 }
 
-/// Returns when a move stands still: at its pause, or when all has moved.
+/// Returns when a move pauses or is complete.
 fn end_time(movement: &PlannedMove) -> WallTime {
     let length_s = movement.share.get() / movement.pace_share_per_s.get();
     let length = Duration::try_from_secs_f64(length_s).unwrap_or(Duration::MAX);
--- a/crates/foxtide-config/src/validate/topology.rs
+++ b/crates/foxtide-config/src/validate/topology.rs
@@ -1,4 +1,4 @@
-//! Rules on regions and the links between them.
+//! Validates regions and links.
 
 use super::Validator;
 use crate::Result;
@@ -6,7 +6,7 @@
 use foxtide_core::organisation::Link;
 use std::fmt::Display;
 
-/// The longest delay of a link that is taken to be meant, in milliseconds.
+/// Maximum delay of a link, in milliseconds.
 const DELAY_MAX_MS: f64 = 10_000.0;
 
 impl Validator<'_> {
@@ -19,7 +19,7 @@
     fn regions(&self) -> Result<()> {
         let regions = &self.document.regions;
         if regions.is_empty() {
-            return self.fail("regions", "there is none", "one or more");
+            return self.fail("regions", "empty list", "one or more regions");
         }
         self.check_unique("regions", regions.iter().map(|region| &region.region))?;
         let zones = regions.iter().flat_map(|region| &region.availability_zones);
@@ -28,7 +28,7 @@
             let path = format!("regions[{}]", region.region);
             if region.availability_zones.is_empty() {
                 let field = format!("{path}.availability_zones");
-                return self.fail(field, "there is none", "one or more");
+                return self.fail(field, "empty list", "one or more zones");
             }
             if region.sold_rate_rps.get() <= 0.0 {
                 let field = format!("{path}.sold_rate_rps");
@@ -49,7 +49,11 @@
         self.require_region(format!("{path}.from"), &link.from)?;
         self.require_region(format!("{path}.to"), &link.to)?;
         if link.from == link.to {
-            return self.fail(path, "both ends are the same", "two regions");
+            return self.fail(
+                path,
+                "both ends are the same region",
+                "two different regions",
+            );
         }
         if !(0.0..=DELAY_MAX_MS).contains(&link.delay_ms) {
             let expected = format!("milliseconds from 0 to {DELAY_MAX_MS}");
@@ -64,7 +68,7 @@
         Ok(())
     }
 
-    /// Fails where the document has no such region.
+    /// Fails if the document has no such region.
     pub(super) fn require_region(&self, field: impl Display, region: &RegionId) -> Result<()> {
         if self.document.region(region).is_none() {
             let problem = format!("there is no region `{region}`");
@@ -73,7 +77,7 @@
         Ok(())
     }
 
-    /// Fails where no link leads from one region to another.
+    /// Fails if there is no link from one region to another.
     pub(super) fn require_link(
         &self,
         field: impl Display,
--- a/crates/foxtide-config/src/validate/upstreams.rs
+++ b/crates/foxtide-config/src/validate/upstreams.rs
@@ -1,4 +1,4 @@
-//! Rules on the targets of services.
+//! Validates the upstreams of services.
 
 use super::Validator;
 use crate::Result;
@@ -7,10 +7,10 @@
     Upstream, //
 };
 
-/// The most slots of an upstream that are taken to be meant.
+/// Maximum slots of an upstream.
 const SLOTS_MAX: u32 = 100_000;
 
-/// The most connections of an upstream that are taken to be meant.
+/// Maximum connections to an upstream.
 const CONNECTIONS_MAX: u32 = 1_000_000;
 
 impl Validator<'_> {
