--- a/crates/foxtide-config/tests/blocks.rs
+++ b/crates/foxtide-config/tests/blocks.rs
@@ -1,5 +1,4 @@
-//! Client blocks in the store: two operators at once, lost answers, chunks
-//! that are written anew.
+//! Tests of client blocks in the store: conflicts, lost answers and rewritten chunks.
 
 #[allow(dead_code)]
 mod support;
@@ -72,7 +71,7 @@
 }
 
 #[test]
-fn verify_a_table_and_its_changes_are_read_back() {
+fn verify_a_changed_table_is_read_back() {
     smol::block_on(async {
         let server = server().await;
         let store = client(&server, LONG_TIMEOUT);
@@ -89,7 +88,7 @@
 }
 
 #[test]
-fn verify_the_second_of_two_operators_is_refused() {
+fn verify_the_second_of_two_concurrent_changes_is_refused() {
     smol::block_on(async {
         let server = server().await;
         let store = client(&server, LONG_TIMEOUT);
@@ -115,7 +114,7 @@
 }
 
 #[test]
-fn verify_lost_answers_of_chunks_are_written_again() {
+fn verify_chunk_writes_with_lost_answers_are_repeated() {
     smol::block_on(async {
         let server = server().await;
         let store = client(&server, LONG_TIMEOUT);
@@ -143,7 +142,7 @@
 }
 
 #[test]
-fn verify_many_changes_write_the_chunks_anew_and_delete_the_old_ones() {
+fn verify_many_changes_rewrite_the_chunks_and_delete_old_ones() {
     smol::block_on(async {
         let server = server().await;
         let store = client(&server, LONG_TIMEOUT);
@@ -192,7 +191,7 @@
             fleet_reads_per_s: 4.0,
             ..BudgetOptions::default()
         };
-        // A new bucket holds one call: the second chunk has to wait.
+        // A new bucket has one token, so reading the second chunk must wait.
         let budget = StoreBudget::new(options, Fleet::default(), MonotonicTime::ZERO);
         let budgeted = BudgetedStore::new(store, "store", budget);
         let table = blocks::load_table(&budgeted, &manifest).await.unwrap();
--- a/crates/foxtide-config/tests/budget.rs
+++ b/crates/foxtide-config/tests/budget.rs
@@ -1,4 +1,4 @@
-//! The budget of calls to the store.
+//! Tests of the budget of calls to the store.
 
 use foxtide_config::store::CallClass;
 use foxtide_config::{
@@ -25,7 +25,7 @@
     }
 }
 
-/// Returns how many calls an instance gets through that always wants more.
+/// Returns the calls of an instance that makes as many as permitted.
 fn max_calls(budget: &mut StoreBudget, class: CallClass, from: MonotonicTime, span_s: u64) -> u64 {
     let mut now = from;
     let mut made = 0;
@@ -39,8 +39,7 @@
 }
 
 proptest! {
-    /// Whatever the fleet's size: instances that always want more stay, in
-    /// sum, under the fleet's rate and one call each.
+    /// A fleet of any size must keep the fleet's rate, plus one call per instance.
     #[test]
     fn verify_the_fleets_sum_keeps_its_rate(instances in 1_u32..700, zones in 1_u32..16) {
         let span_s = 60;
@@ -59,7 +58,7 @@
 }
 
 #[test]
-fn verify_new_instances_count_at_once_and_lost_ones_slowly() {
+fn verify_the_fleets_size_grows_at_once_and_shrinks_slowly() {
     let start = MonotonicTime::ZERO;
     let mut budget = StoreBudget::new(OPTIONS, fleet(10), start);
     budget.set_fleet(fleet(100), start);
@@ -76,7 +75,7 @@
 }
 
 #[test]
-fn verify_leases_go_before_other_writes() {
+fn verify_urgent_writes_have_reserved_tokens() {
     let start = MonotonicTime::ZERO;
     let mut budget = StoreBudget::new(OPTIONS, fleet(600), start);
     let filled = start + Duration::from_secs(600);
@@ -86,7 +85,7 @@
 }
 
 #[test]
-fn verify_no_saved_up_calls_meet_a_store_that_returns() {
+fn verify_the_first_answer_after_failures_discards_tokens() {
     let start = MonotonicTime::ZERO;
     let mut budget = StoreBudget::new(OPTIONS, fleet(10), start);
     budget.record_call(false, start);
--- a/crates/foxtide-config/tests/change.rs
+++ b/crates/foxtide-config/tests/change.rs
@@ -1,4 +1,4 @@
-//! Accepting changes: two operators at once, and lost answers.
+//! Tests of accepting changes: conflicts and lost answers.
 
 #[allow(dead_code)]
 mod support;
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn verify_the_second_of_two_operators_sees_both_changes() {
+fn verify_a_conflict_contains_both_changes() {
     smol::block_on(async {
         let server = server().await;
         let store = client(&server, LONG_TIMEOUT);
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn verify_contested_fields_are_not_rebased() {
+fn verify_changes_of_the_same_field_are_not_rebased() {
     smol::block_on(async {
         let server = server().await;
         let store = client(&server, LONG_TIMEOUT);
@@ -110,7 +110,7 @@
 }
 
 #[test]
-fn verify_a_write_that_never_took_effect_is_settled_by_writing_again() {
+fn verify_a_lost_write_is_settled_by_writing_again() {
     smol::block_on(async {
         let server = server().await;
         let base = create(&client(&server, LONG_TIMEOUT)).await;
@@ -124,13 +124,12 @@
 }
 
 #[test]
-fn verify_a_lost_answer_is_settled_after_others_built_on_the_change() {
+fn verify_a_lost_answer_is_settled_after_later_changes() {
     smol::block_on(async {
         let server = server().await;
         let store = client(&server, LONG_TIMEOUT);
         let base = create(&store).await;
-        // The write takes effect, and further changes are made before its
-        // writer can look.
+        // Another change follows before the writer reads the outcome.
         server.lose_answers(1);
         let writer = store.clone();
         let write = smol::spawn(async move { set_deadline(&writer, &base, 0, 1_234).await });
@@ -149,7 +148,7 @@
 }
 
 #[test]
-fn verify_a_write_that_cannot_be_settled_says_so_and_can_be_run_again() {
+fn verify_an_unsettled_write_is_reported_and_can_be_repeated() {
     smol::block_on(async {
         let server = server().await;
         let store = client(&server, SHORT_TIMEOUT);
--- a/crates/foxtide-config/tests/examples.rs
+++ b/crates/foxtide-config/tests/examples.rs
@@ -1,4 +1,4 @@
-//! The examples are valid and have the tenants' sizes.
+//! Checks that the examples are valid and have the expected sizes.
 
 #[allow(dead_code)]
 mod support;
@@ -38,7 +38,7 @@
 ];
 
 #[test]
-fn verify_the_templates_have_the_tenants_sizes() {
+fn verify_the_templates_have_the_expected_sizes() {
     for expected in EXAMPLES {
         let file = example(&format!("{}/template.jsonc", expected.name));
         let template = Template::load(&file).unwrap();
@@ -110,7 +110,7 @@
 }
 
 #[test]
-fn verify_a_newer_template_changes_nothing_by_itself() {
+fn verify_a_newer_template_does_not_change_existing_documents() {
     let text = std::fs::read_to_string(example("hamutenya/template.jsonc")).unwrap();
     let old = Template::parse("template", &text).unwrap();
     let newer = text
@@ -126,7 +126,7 @@
 }
 
 #[test]
-fn verify_given_parameters_take_the_place_of_defaults() {
+fn verify_given_parameters_override_defaults() {
     let template = Template::load(&example("kluisdepot/template.jsonc")).unwrap();
     let given = Parameters::from([("slotfinder_deadline_ms".to_owned(), json!(650))]);
     let document = template
--- a/crates/foxtide-config/tests/http_store.rs
+++ b/crates/foxtide-config/tests/http_store.rs
@@ -1,5 +1,4 @@
-//! The store's client against the stand-in: results, and exactly what is
-//! known after a failure.
+//! Tests of the store's client against the test server: results and errors.
 
 #[allow(dead_code)]
 mod support;
@@ -28,7 +27,7 @@
 const PREFIX: &str = "foxtide/organisations/";
 
 #[test]
-fn verify_keys_are_compared_and_swapped() {
+fn verify_writes_and_deletes_compare_the_index() {
     smol::block_on(async {
         let server = server().await;
         let store = client(&server, LONG_TIMEOUT);
@@ -105,7 +104,7 @@
 }
 
 #[test]
-fn verify_without_a_listener_nothing_was_sent() {
+fn verify_a_refused_connection_is_not_sent() {
     smol::block_on(async {
         let server = server().await;
         let store = client(&server, LONG_TIMEOUT);
@@ -137,7 +136,7 @@
 }
 
 #[test]
-fn verify_silence_after_the_request_is_unknown() {
+fn verify_a_timeout_after_the_request_is_unknown() {
     smol::block_on(async {
         let server = server().await;
         let store = client(&server, SHORT_TIMEOUT);
@@ -166,7 +165,7 @@
 }
 
 #[test]
-fn verify_a_failing_server_is_unknown() {
+fn verify_a_server_error_is_unknown() {
     smol::block_on(async {
         let server = server().await;
         let store = client(&server, LONG_TIMEOUT);
@@ -202,7 +201,7 @@
 }
 
 #[test]
-fn verify_an_answer_cut_off_is_unknown() {
+fn verify_a_truncated_answer_is_unknown() {
     smol::block_on(async {
         let store = answer_once(b"HTTP/1.1 200 OK\r\ncontent-length: 4\r\n\r\ntru").await;
         let error = store
--- a/crates/foxtide-config/tests/instance_list.rs
+++ b/crates/foxtide-config/tests/instance_list.rs
@@ -1,4 +1,4 @@
-//! The platform's list of instances.
+//! Tests of reading the platform's list of instances.
 
 use foxtide_config::read_instance_list;
 use foxtide_testing::{
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn verify_the_list_tells_where_peers_are() {
+fn verify_the_list_contains_peer_addresses() {
     smol::block_on(async {
         let list = InstanceListServer::start(InstanceListOptions::default())
             .await
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn verify_a_list_that_fails_is_told_with_its_address() {
+fn verify_errors_contain_the_address_of_the_list() {
     smol::block_on(async {
         let list = InstanceListServer::start(InstanceListOptions::default())
             .await
--- a/crates/foxtide-config/tests/settings_page.rs
+++ b/crates/foxtide-config/tests/settings_page.rs
@@ -1,4 +1,4 @@
-//! The page of settings names every field and its default.
+//! Checks that docs/SETTINGS.md lists every field and default.
 
 use foxtide_config::Settings;
 use foxtide_config::settings::Limits;
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn verify_the_page_tells_every_limit_and_its_default() {
+fn verify_the_page_lists_every_limit_and_its_default() {
     let page = page();
     let limits = serde_json::to_value(Limits::default()).unwrap();
     for (group, fields) in limits.as_object().unwrap() {
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn verify_the_page_tells_every_field() {
+fn verify_the_page_lists_every_field() {
     let page = page();
     let example =
         PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("../../examples/hamutenya/settings.jsonc");
--- a/crates/foxtide-config/tests/support/mod.rs
+++ b/crates/foxtide-config/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! What the tests of this crate share.
+//! Fixtures of this crate's tests.
 
 use foxtide_config::change::{
     self,
@@ -28,10 +28,10 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// Long enough to never end a call that is answered.
+/// Longer than any answered call.
 pub(crate) const LONG_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Short enough to end a call that is never answered.
+/// Short, for calls that are never answered.
 pub(crate) const SHORT_TIMEOUT: Duration = Duration::from_millis(100);
 
 pub(crate) fn example(path: &str) -> PathBuf {
@@ -63,8 +63,7 @@
     })
 }
 
-/// Returns a client whose first request never reaches the store; the
-/// connection is closed after it was read.
+/// Returns a client behind a proxy that drops the first request and its connection.
 pub(crate) async fn client_behind_proxy_dropping_one_request(server: &StoreServer) -> HttpStore {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
     let address = listener.local_addr().expect("bound");
@@ -99,7 +98,7 @@
     }
 }
 
-/// Puts the example into the store and returns it as stored.
+/// Stores the example's document and returns it.
 pub(crate) async fn create(store: &HttpStore) -> StoredDocument {
     let request = request(None, document());
     change::accept(store, request).await.expect("accepted");
@@ -111,7 +110,7 @@
     stored.expect("readable").expect("there")
 }
 
-/// Returns the document with another deadline for a service.
+/// Returns the document with another deadline of a service.
 pub(crate) fn with_deadline(
     stored: &StoredDocument,
     service: usize,
--- a/crates/foxtide-config/tests/watch.rs
+++ b/crates/foxtide-config/tests/watch.rs
@@ -1,4 +1,4 @@
-//! The watch on organisations' documents.
+//! Tests of the watch on organisations' documents.
 
 #[allow(dead_code)]
 mod support;
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn verify_accepted_changes_are_told_in_order() {
+fn verify_accepted_changes_are_reported_in_order() {
     smol::block_on(async {
         let server = server().await;
         let store = client(&server, LONG_TIMEOUT);
@@ -82,7 +82,7 @@
     });
 }
 
-/// Puts the example's document into the store under another name.
+/// Stores the example's document under another name.
 fn put_as(server: &StoreServer, name: &str) {
     let mut document = support::document();
     document.organisation = name.parse().unwrap();
@@ -100,7 +100,7 @@
 }
 
 #[test]
-fn verify_an_organisation_created_later_is_told() {
+fn verify_a_new_organisation_is_reported() {
     smol::block_on(async {
         let server = server().await;
         put_as(&server, "kunene");
@@ -114,7 +114,7 @@
 }
 
 #[test]
-fn verify_many_organisations_are_watched_at_once() {
+fn verify_many_organisations_are_watched_in_one_call() {
     smol::block_on(async {
         let server = server().await;
         put_as(&server, "kunene");
@@ -132,7 +132,7 @@
 }
 
 #[test]
-fn verify_an_older_document_is_not_told() {
+fn verify_an_older_document_is_not_reported() {
     smol::block_on(async {
         let server = server().await;
         let store = client(&server, LONG_TIMEOUT);
@@ -141,7 +141,7 @@
         set_deadline(&store, &first, 0, 1_234).await.unwrap();
         let reports = start(&server, Arc::new(AtomicBool::new(true)));
         assert_eq!(next_revision(&reports).await, Revision::new(2));
-        // Somebody puts an old value back with the store's own tools.
+        // An old value is restored with the store's own tools.
         server.set_value(KEY, old);
         let stored = load(&store).await;
         set_deadline(&store, &stored, 0, 1_111).await.unwrap();
@@ -153,7 +153,7 @@
 }
 
 #[test]
-fn verify_an_invalid_value_is_told_and_skipped() {
+fn verify_an_invalid_value_is_reported_and_skipped() {
     smol::block_on(async {
         let server = server().await;
         let store = client(&server, LONG_TIMEOUT);
@@ -170,7 +170,7 @@
 }
 
 #[test]
-fn verify_an_outage_is_told_and_ends() {
+fn verify_an_outage_and_its_end_are_reported() {
     smol::block_on(async {
         let server = server().await;
         server.set_availability(Availability::Refusing).await;
@@ -189,7 +189,7 @@
 }
 
 #[test]
-fn verify_an_instance_without_the_role_makes_no_calls() {
+fn verify_an_instance_that_is_no_watcher_makes_no_calls() {
     smol::block_on(async {
         let server = server().await;
         let store = client(&server, LONG_TIMEOUT);
