--- a/crates/foxtide-config/src/change/accept.rs
+++ b/crates/foxtide-config/src/change/accept.rs
@@ -194,7 +194,7 @@
         Err(latest)
     }
 
-    /// Searches the change in the store and writes it again if the base is unchanged.
+    /// Searches the store for the change and writes it again if the base is unchanged.
     ///
     /// Both writes compare with the same index, so at most one of them takes effect.
     async fn settle_once<S: Store>(&self, store: &S) -> Result<AcceptedChange, ChangeError> {
--- a/crates/foxtide-config/src/settings/limits.rs
+++ b/crates/foxtide-config/src/settings/limits.rs
@@ -10,23 +10,23 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Limits {
-    /// Bounds on callers' requests.
+    /// Limits of callers' requests.
     pub requests: RequestLimits,
-    /// Bounds on the answers to look-ups.
+    /// Limits of answers to look-ups.
     pub lookups: LookupLimits,
-    /// Bounds on the connections to upstreams.
+    /// Limits of connections to upstreams.
     pub upstreams: UpstreamLimits,
-    /// Bounds on the calls to the store.
+    /// Limits of calls to the store.
     pub store: StoreLimits,
-    /// Bounds on the events kept.
+    /// Limits of kept events.
     pub events: EventLimits,
-    /// Bounds on a planned stop.
+    /// Limits of a planned shutdown.
     pub shutdown: ShutdownLimits,
-    /// Bounds on what is kept of idempotency keys.
+    /// Limits of kept idempotency keys and answers.
     pub keys: KeyLimits,
 }
 
-/// Bounds on callers' requests.
+/// Limits of callers' requests.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct RequestLimits {
@@ -46,7 +46,7 @@
     pub head_timeout_ms: u32,
     /// Timeout of receiving a request's body, in milliseconds.
     pub body_timeout_ms: u32,
-    /// How long an idle connection is kept, in milliseconds.
+    /// Timeout of idle connections, in milliseconds.
     pub idle_timeout_ms: u32,
 }
 
@@ -66,7 +66,7 @@
     }
 }
 
-/// Bounds on the answers to look-ups.
+/// Limits of answers to look-ups.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct LookupLimits {
@@ -85,13 +85,13 @@
     }
 }
 
-/// Bounds on the connections to upstreams.
+/// Limits of connections to upstreams.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct UpstreamLimits {
     /// Timeout of connecting, in milliseconds.
     pub connect_timeout_ms: u32,
-    /// How long an idle connection is kept, in milliseconds.
+    /// Timeout of idle connections, in milliseconds.
     pub idle_timeout_ms: u32,
     /// Minimum connections of an instance to an upstream, however many instances share it.
     pub connections_min: u32,
@@ -107,7 +107,7 @@
     }
 }
 
-/// Bounds on the calls to the store.
+/// Limits of calls to the store.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct StoreLimits {
@@ -144,7 +144,7 @@
     }
 }
 
-/// Bounds on the events kept.
+/// Limits of kept events.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct EventLimits {
@@ -158,7 +158,7 @@
     }
 }
 
-/// Bounds on a planned stop.
+/// Limits of a planned shutdown.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct ShutdownLimits {
@@ -175,7 +175,7 @@
     }
 }
 
-/// Bounds on what is kept of idempotency keys.
+/// Limits of kept idempotency keys and answers.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct KeyLimits {
--- a/crates/foxtide-config/src/store/exchange.rs
+++ b/crates/foxtide-config/src/store/exchange.rs
@@ -49,7 +49,6 @@
     pub(crate) method: Method,
     /// Percent-encoded path and query.
     pub(crate) target: String,
-    /// The body.
     pub(crate) body: Vec<u8>,
     /// Timeout of the whole call.
     pub(crate) timeout: Duration,
@@ -61,7 +60,6 @@
     pub(crate) status: u16,
     /// Index to wait on, if any.
     pub(crate) index: Option<u64>,
-    /// The body.
     pub(crate) body: Vec<u8>,
 }
 
--- a/crates/foxtide-config/src/validate/moves.rs
+++ b/crates/foxtide-config/src/validate/moves.rs
@@ -102,8 +102,10 @@
 
 /// Returns when a move pauses or is complete.
 fn end_time(movement: &PlannedMove) -> WallTime {
-    let length_s = movement.share.get() / movement.pace_share_per_s.get();
-    let length = Duration::try_from_secs_f64(length_s).unwrap_or(Duration::MAX);
-    let whole = movement.start_us + length;
-    movement.paused_us.map_or(whole, |paused| paused.min(whole))
+    let duration_s = movement.share.get() / movement.pace_share_per_s.get();
+    let duration = Duration::try_from_secs_f64(duration_s).unwrap_or(Duration::MAX);
+    let complete_at = movement.start_us + duration;
+    movement
+        .paused_us
+        .map_or(complete_at, |paused| paused.min(complete_at))
 }
