--- a/crates/foxtide-core/src/explain/episodes.rs
+++ b/crates/foxtide-core/src/explain/episodes.rs
@@ -1,4 +1,4 @@
-//! Times during which requests of a service did not go as planned.
+//! Episodes of spilling or shedding at a service.
 
 use super::{
     Decision,
@@ -12,29 +12,27 @@
 use crate::time::WallTime;
 use std::time::Duration;
 
-/// How long no request must have been hit for an episode to be over.
-const QUIET: Duration = Duration::from_secs(10);
+/// The time without an affected request that ends an episode.
+const QUIET_PERIOD: Duration = Duration::from_secs(10);
 
-/// What happens to requests.
+/// A kind of episode and the events that delimit it.
 #[derive(Clone, Copy, Debug)]
-struct Kind {
-    /// The event of its beginning.
-    begins: EventCode,
-    /// The event of its end.
-    ends: EventCode,
-    /// Tells whether a decision by a rule belongs to it.
+struct EpisodeKind {
+    start_event: EventCode,
+    end_event: EventCode,
+    /// Returns whether a decision by a rule belongs to the episode.
     covers: fn(Rule) -> bool,
 }
 
-const KINDS: [Kind; 2] = [
-    Kind {
-        begins: EventCode::SpillStarted,
-        ends: EventCode::SpillStopped,
+const EPISODE_KINDS: [EpisodeKind; 2] = [
+    EpisodeKind {
+        start_event: EventCode::SpillStarted,
+        end_event: EventCode::SpillStopped,
         covers: |rule| matches!(rule, Rule::Spilled),
     },
-    Kind {
-        begins: EventCode::SheddingStarted,
-        ends: EventCode::SheddingStopped,
+    EpisodeKind {
+        start_event: EventCode::SheddingStarted,
+        end_event: EventCode::SheddingStopped,
         covers: |rule| {
             matches!(
                 rule,
@@ -44,42 +42,42 @@
     },
 ];
 
-/// An episode of one kind.
+/// The current episode of one kind; inactive at 0 requests.
 #[derive(Clone, Copy, Debug, Default)]
 struct Episode {
     requests: u64,
-    last_us: WallTime,
+    last_at: WallTime,
 }
 
 /// The episodes of one service.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Episodes([Episode; KINDS.len()]);
+pub(super) struct Episodes([Episode; EPISODE_KINDS.len()]);
 
 impl Episodes {
-    /// Counts a decision; returns what begins with it.
-    pub(super) fn note(&mut self, decision: &Decision) -> Vec<EventDraft> {
-        let mut begun = Vec::new();
-        for (kind, episode) in KINDS.iter().zip(&mut self.0) {
+    /// Counts a decision; returns events for the episodes it starts.
+    pub(super) fn record(&mut self, decision: &Decision) -> Vec<EventDraft> {
+        let mut started = Vec::new();
+        for (kind, episode) in EPISODE_KINDS.iter().zip(&mut self.0) {
             if !(kind.covers)(decision.rule) {
                 continue;
             }
             if episode.requests == 0 {
-                begun.push(beginning(kind, decision));
+                started.push(start_event(kind, decision));
             }
             episode.requests += 1;
-            episode.last_us = decision.at_us;
+            episode.last_at = decision.at_us;
         }
-        begun
+        started
     }
 
-    /// Returns what has ended by now.
+    /// Returns events for the episodes that have ended.
     pub(super) fn end(&mut self, now: WallTime) -> Vec<EventDraft> {
         let mut ended = Vec::new();
-        for (kind, episode) in KINDS.iter().zip(&mut self.0) {
-            if episode.requests > 0 && now.since(episode.last_us) >= QUIET {
+        for (kind, episode) in EPISODE_KINDS.iter().zip(&mut self.0) {
+            if episode.requests > 0 && now.since(episode.last_at) >= QUIET_PERIOD {
                 let detail = format!("requests={}", episode.requests);
                 ended.push(EventDraft {
-                    code: kind.ends,
+                    code: kind.end_event,
                     fields: EventFields::detail(detail),
                 });
                 *episode = Episode::default();
@@ -89,9 +87,9 @@
     }
 }
 
-fn beginning(kind: &Kind, decision: &Decision) -> EventDraft {
+fn start_event(kind: &EpisodeKind, decision: &Decision) -> EventDraft {
     EventDraft {
-        code: kind.begins,
+        code: kind.start_event,
         fields: EventFields {
             region: decision.region.clone(),
             detail: decision.rule.text().to_owned(),
--- a/crates/foxtide-core/src/poison/quarantine.rs
+++ b/crates/foxtide-core/src/poison/quarantine.rs
@@ -1,4 +1,4 @@
-//! The requests that are quarantined: no upstream is to run them.
+//! Table of quarantined requests, which are not sent to upstreams.
 
 use super::Fingerprint;
 use crate::store::StoreIndex;
@@ -6,143 +6,140 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// From how many known ends and trials together on a request is not tried again. Three ends
-/// are evidence, and operators accept three more sends: two of these are left for sends that
-/// were under way and for ends that instances have seen which were cut off.
-const SENDS_MAX: u32 = 4;
+/// The sum of known ends and trials at which trials stop. It leaves room for sends already in
+/// flight and for ends seen by partitioned instances.
+const ENDS_AND_TRIALS_MAX: u32 = 4;
 
-/// The pauses before the trials of a quarantined request. A request that was quarantined for
-/// the failures of others is served again after the first; one that ends its upstreams costs
-/// one each time.
-const TRIAL_PAUSES: [Duration; 3] = [
+/// The delays before the trials of a quarantined request, by the number of past trials.
+const TRIAL_DELAYS: [Duration; 3] = [
     Duration::from_secs(10),
     Duration::from_secs(60),
     Duration::from_secs(600),
 ];
 
-/// By how much longer an instance waits before a trial, at most, as a share of the pause: the
-/// first takes the trial, and the others need not ask the store for it.
-const TRIAL_SPREAD: f64 = 0.2;
+/// The largest random addition to a trial's delay, as a share of it: it spreads the claims of
+/// the instances.
+const TRIAL_JITTER: f64 = 0.2;
 
-/// When the caller of a request is to come back that is not tried again.
-const RETRY_AFTER_FINAL: Duration = Duration::from_secs(60);
+/// The retry delay for callers of a request that has no trial due.
+const RETRY_AFTER_NO_TRIAL: Duration = Duration::from_secs(60);
 
-/// After what time an instance writes an entry that the store lacks and that another one was
-/// to write, and over what time instances spread these writes.
-const OTHER_WRITE_AFTER: Duration = Duration::from_secs(3);
-const OTHER_WRITE_SPREAD: Duration = Duration::from_secs(3);
+/// How long an instance waits for another one to write an entry before writing it itself.
+const PEER_WRITE_DELAY: Duration = Duration::from_secs(3);
 
-/// How long after a write the store's word on it is waited for before it is written again.
-const SEEN_TIME: Duration = Duration::from_secs(3);
+/// The time over which instances spread such writes.
+const PEER_WRITE_JITTER: Duration = Duration::from_secs(3);
 
-/// The most requests that are quarantined; the oldest entry makes room for a new one.
+/// How long a write may stay unconfirmed by the store before it is repeated.
+const WRITE_CONFIRM_TIMEOUT: Duration = Duration::from_secs(3);
+
+/// The capacity of the table; the oldest entry is evicted for a new one.
 const ENTRIES_MAX: usize = 4_096;
 
-/// What the fleet knows of a quarantined request.
+/// The evidence and the trials of a quarantined request.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct QuarantineEntry {
-    /// The upstreams that have ended under it.
+    /// The number of upstreams that ended under it.
     pub ends: u32,
-    /// How often an instance was allowed to send it after that.
+    /// The number of trials claimed since.
     pub trials: u32,
 }
 
 impl QuarantineEntry {
-    /// Returns the entry with another trial, unless there have been enough.
+    /// Returns the entry with one more trial, unless none is left.
     pub fn with_trial(self) -> Option<Self> {
-        let is_left = self.ends.saturating_add(self.trials) < SENDS_MAX;
+        let is_left = self.ends.saturating_add(self.trials) < ENDS_AND_TRIALS_MAX;
         is_left.then(|| Self {
             trials: self.trials + 1,
             ..self
         })
     }
 
-    fn merged(self, other: Self) -> Self {
+    fn fieldwise_max(self, other: Self) -> Self {
         Self {
             ends: self.ends.max(other.ends),
             trials: self.trials.max(other.trials),
         }
     }
 
-    fn trial_pause(self) -> Duration {
-        let last = TRIAL_PAUSES.len() - 1;
-        TRIAL_PAUSES[last.min(self.trials as usize)]
+    fn trial_delay(self) -> Duration {
+        let last = TRIAL_DELAYS.len() - 1;
+        TRIAL_DELAYS[last.min(self.trials as usize)]
     }
 }
 
-/// An entry that the store holds.
+/// An entry as the store holds it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StoredEntry {
     /// The request.
     pub fingerprint: Fingerprint,
-    /// What the store holds of it.
+    /// The entry.
     pub entry: QuarantineEntry,
-    /// The index of its last change.
+    /// The index of the entry's last change.
     pub index: StoreIndex,
 }
 
-/// Whether a request may be sent.
+/// The quarantine status of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Clearance {
-    /// It is not quarantined.
-    Open,
-    /// It is; its caller may come back after this time.
-    Held(Duration),
-    /// It is, and the instance that claims its next trial may send it once.
+pub enum QuarantineStatus {
+    /// It may be sent.
+    NotQuarantined,
+    /// It is quarantined; its caller may retry after this time.
+    Quarantined(Duration),
+    /// It is quarantined; the instance that claims the next trial may send it once.
     TrialDue,
 }
 
-/// Who has quarantined a request, as far as this instance knows.
+/// The source of an entry that is not from the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Origin {
-    /// This instance, which writes the entry to the store at once.
+    /// This instance, which writes the entry to the store immediately.
     Own,
-    /// Another one, which is expected to write it.
+    /// Another instance, which is expected to write it.
     Peer,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Held {
+struct QuarantinedRequest {
     entry: QuarantineEntry,
-    /// The index of the entry in the store; nothing where it is not known to be there.
+    /// The index of the entry in the store; `None` where it is not known to be stored.
     index: Option<StoreIndex>,
-    held_at: MonotonicTime,
+    quarantined_at: MonotonicTime,
     trial_at: MonotonicTime,
-    /// When this instance writes the entry to the store, where it is not there.
+    /// When this instance writes the entry to the store if it is missing there.
     write_at: MonotonicTime,
 }
 
-/// All quarantined requests.
+/// The quarantined requests known to an instance.
 ///
-/// An entry stands until the request is served in a trial or an operator removes its key
-/// from the store: a quarantine that ended by time would let the request through at each
-/// instance anew.
+/// Entries do not expire: an entry is removed when the request is served in a trial or an
+/// operator removes its key from the store.
 #[derive(Clone, Debug, Default)]
-pub struct Quarantine(HashMap<Fingerprint, Held>);
+pub struct Quarantine(HashMap<Fingerprint, QuarantinedRequest>);
 
 impl Quarantine {
-    /// Tells whether a request may be sent now.
-    pub fn clearance(&self, fingerprint: Fingerprint, now: MonotonicTime) -> Clearance {
-        let Some(held) = self.0.get(&fingerprint) else {
-            return Clearance::Open;
+    /// Returns whether a request may be sent now.
+    pub fn status(&self, fingerprint: Fingerprint, now: MonotonicTime) -> QuarantineStatus {
+        let Some(request) = self.0.get(&fingerprint) else {
+            return QuarantineStatus::NotQuarantined;
         };
-        if held.index.is_none() || held.entry.with_trial().is_none() {
-            return Clearance::Held(RETRY_AFTER_FINAL);
+        if request.index.is_none() || request.entry.with_trial().is_none() {
+            return QuarantineStatus::Quarantined(RETRY_AFTER_NO_TRIAL);
         }
-        if now < held.trial_at {
-            return Clearance::Held(held.trial_at - now);
+        if now < request.trial_at {
+            return QuarantineStatus::Quarantined(request.trial_at - now);
         }
-        Clearance::TrialDue
+        QuarantineStatus::TrialDue
     }
 
-    /// Tells whether a request is quarantined.
+    /// Returns whether a request is quarantined.
     pub fn contains(&self, fingerprint: Fingerprint) -> bool {
         self.0.contains_key(&fingerprint)
     }
 
-    /// Takes in an entry from another source than the store; tells whether the request was
-    /// not quarantined before. `draw` is from 0 to 1 and another one on each instance.
-    pub fn learn(
+    /// Merges an entry that is not from the store; returns whether the request was not
+    /// quarantined before. `draw` is a random number from 0 to 1.
+    pub fn merge(
         &mut self,
         fingerprint: Fingerprint,
         entry: QuarantineEntry,
@@ -150,53 +147,55 @@
         draw: f64,
         now: MonotonicTime,
     ) -> bool {
-        if let Some(held) = self.0.get_mut(&fingerprint) {
-            held.entry = held.entry.merged(entry);
+        if let Some(request) = self.0.get_mut(&fingerprint) {
+            request.entry = request.entry.fieldwise_max(entry);
             return false;
         }
         let write_after = match origin {
             Origin::Own => Duration::ZERO,
-            Origin::Peer => OTHER_WRITE_AFTER + OTHER_WRITE_SPREAD.mul_f64(draw),
+            Origin::Peer => PEER_WRITE_DELAY + PEER_WRITE_JITTER.mul_f64(draw),
         };
         self.insert(
             fingerprint,
-            Held {
+            QuarantinedRequest {
                 entry,
                 index: None,
-                held_at: now,
-                trial_at: now + trial_after(entry, draw),
+                quarantined_at: now,
+                trial_at: now + jittered_trial_delay(entry, draw),
                 write_at: now + write_after,
             },
         );
         true
     }
 
-    /// Takes in an entry as the store holds it; tells whether the request was not
-    /// quarantined before.
-    pub fn take_in(&mut self, stored: &StoredEntry, draw: f64, now: MonotonicTime) -> bool {
+    /// Merges an entry from the store; returns whether the request was not quarantined
+    /// before.
+    pub fn merge_stored(&mut self, stored: &StoredEntry, draw: f64, now: MonotonicTime) -> bool {
         let known = self.0.get(&stored.fingerprint).copied();
-        let entry = known.map_or(stored.entry, |known| known.entry.merged(stored.entry));
-        let is_same_pause = known.is_some_and(|known| known.entry.trials == entry.trials);
+        let entry = known.map_or(stored.entry, |known| {
+            known.entry.fieldwise_max(stored.entry)
+        });
+        let is_same_delay = known.is_some_and(|known| known.entry.trials == entry.trials);
         let trial_at = match known {
-            Some(known) if is_same_pause => known.trial_at,
-            _ => now + trial_after(entry, draw),
+            Some(known) if is_same_delay => known.trial_at,
+            _ => now + jittered_trial_delay(entry, draw),
         };
-        let held = Held {
+        let request = QuarantinedRequest {
             entry,
             index: Some(stored.index),
-            held_at: known.map_or(now, |known| known.held_at),
+            quarantined_at: known.map_or(now, |known| known.quarantined_at),
             trial_at,
             write_at: now,
         };
-        self.insert(stored.fingerprint, held);
+        self.insert(stored.fingerprint, request);
         known.is_none()
     }
 
-    /// Takes in all entries that the store holds; returns the requests that are new.
+    /// Merges all entries of the store; returns the newly quarantined requests.
     ///
-    /// One that is missing was removed, unless the store has come back from an older copy
-    /// (`is_restored`): it is written again then.
-    pub fn replace(
+    /// Missing entries are released, unless the store was restored from an older copy
+    /// (`is_restored`), in which case they are written again.
+    pub fn sync_stored(
         &mut self,
         stored: &[StoredEntry],
         is_restored: bool,
@@ -205,80 +204,84 @@
     ) -> Vec<Fingerprint> {
         let is_stored =
             |fingerprint: Fingerprint| stored.iter().any(|one| one.fingerprint == fingerprint);
-        self.0.retain(|&fingerprint, held| {
-            if held.index.is_none() || is_stored(fingerprint) {
+        self.0.retain(|&fingerprint, request| {
+            if request.index.is_none() || is_stored(fingerprint) {
                 return true;
             }
-            held.index = None;
-            held.write_at = now + OTHER_WRITE_SPREAD.mul_f64(draw);
+            request.index = None;
+            request.write_at = now + PEER_WRITE_JITTER.mul_f64(draw);
             is_restored
         });
-        let is_new = |one: &&StoredEntry| self.take_in(one, draw, now);
+        let is_new = |one: &&StoredEntry| self.merge_stored(one, draw, now);
         let new = stored.iter().filter(is_new);
         new.map(|one| one.fingerprint).collect()
     }
 
-    /// Lets a request through; tells whether it was quarantined.
+    /// Releases a request; returns whether it was quarantined.
     pub fn release(&mut self, fingerprint: Fingerprint) -> bool {
         self.0.remove(&fingerprint).is_some()
     }
 
-    /// Returns the entry that is to replace the one in the store when this instance claims
-    /// the next trial of a request; nothing where none is due.
+    /// Returns the entry with which this instance may claim the next trial in the store;
+    /// `None` where none is due.
     pub fn next_trial(&self, fingerprint: Fingerprint, now: MonotonicTime) -> Option<StoredEntry> {
-        if self.clearance(fingerprint, now) != Clearance::TrialDue {
+        if self.status(fingerprint, now) != QuarantineStatus::TrialDue {
             return None;
         }
-        let held = self.0.get(&fingerprint)?;
+        let request = self.0.get(&fingerprint)?;
         Some(StoredEntry {
             fingerprint,
-            entry: held.entry.with_trial()?,
-            index: held.index?,
+            entry: request.entry.with_trial()?,
+            index: request.index?,
         })
     }
 
-    /// Notes that this instance asks the store for a trial: whatever the answer, it does not
-    /// ask again before the next pause is over.
+    /// Records that this instance claims a trial: whatever the store answers, the next claim
+    /// follows after the next delay.
     pub fn claim(&mut self, trial: &StoredEntry, draw: f64, now: MonotonicTime) {
-        if let Some(held) = self.0.get_mut(&trial.fingerprint) {
-            held.trial_at = now + trial_after(trial.entry, draw);
+        if let Some(request) = self.0.get_mut(&trial.fingerprint) {
+            request.trial_at = now + jittered_trial_delay(trial.entry, draw);
         }
     }
 
-    /// Returns an entry that this instance is to write to the store now.
-    pub fn due(&self, now: MonotonicTime) -> Option<(Fingerprint, QuarantineEntry)> {
-        let is_due = |held: &Held| held.index.is_none() && held.write_at <= now;
+    /// Returns an entry that is due to be written to the store.
+    pub fn next_write(&self, now: MonotonicTime) -> Option<(Fingerprint, QuarantineEntry)> {
+        let is_due =
+            |request: &QuarantinedRequest| request.index.is_none() && request.write_at <= now;
         let mut entries = self.0.iter();
-        let (&fingerprint, held) = entries.find(|(_, held)| is_due(held))?;
-        Some((fingerprint, held.entry))
+        let (&fingerprint, request) = entries.find(|(_, request)| is_due(request))?;
+        Some((fingerprint, request.entry))
     }
 
-    /// Notes that an entry was written, or could not be, and when to try again.
-    pub fn note_write(&mut self, fingerprint: Fingerprint, now: MonotonicTime) {
-        if let Some(held) = self.0.get_mut(&fingerprint) {
-            held.write_at = now + SEEN_TIME;
+    /// Records an attempt to write an entry, successful or not, and schedules the next.
+    pub fn record_write(&mut self, fingerprint: Fingerprint, now: MonotonicTime) {
+        if let Some(request) = self.0.get_mut(&fingerprint) {
+            request.write_at = now + WRITE_CONFIRM_TIMEOUT;
         }
     }
 
     /// Returns the entries that the store is not known to hold.
     pub fn unstored(&self) -> Vec<(Fingerprint, QuarantineEntry)> {
-        let unstored = self.0.iter().filter(|(_, held)| held.index.is_none());
+        let unstored = self.0.iter().filter(|(_, request)| request.index.is_none());
         unstored
-            .map(|(&fingerprint, held)| (fingerprint, held.entry))
+            .map(|(&fingerprint, request)| (fingerprint, request.entry))
             .collect()
     }
 
-    fn insert(&mut self, fingerprint: Fingerprint, held: Held) {
+    fn insert(&mut self, fingerprint: Fingerprint, request: QuarantinedRequest) {
         if self.0.len() >= ENTRIES_MAX && !self.0.contains_key(&fingerprint) {
-            let oldest = self.0.iter().min_by_key(|(_, held)| held.held_at);
+            let oldest = self
+                .0
+                .iter()
+                .min_by_key(|(_, request)| request.quarantined_at);
             if let Some(oldest) = oldest.map(|(&fingerprint, _)| fingerprint) {
                 self.0.remove(&oldest);
             }
         }
-        self.0.insert(fingerprint, held);
+        self.0.insert(fingerprint, request);
     }
 }
 
-fn trial_after(entry: QuarantineEntry, draw: f64) -> Duration {
-    entry.trial_pause().mul_f64(1.0 + TRIAL_SPREAD * draw)
+fn jittered_trial_delay(entry: QuarantineEntry, draw: f64) -> Duration {
+    entry.trial_delay().mul_f64(1.0 + TRIAL_JITTER * draw)
 }
--- a/crates/foxtide-core/tests/choice_properties.rs
+++ b/crates/foxtide-core/tests/choice_properties.rs
@@ -1,4 +1,4 @@
-//! What holds of a balancer whatever happens to it.
+//! Property tests of the load balancer: invariants under random operations.
 
 mod upstreams;
 
@@ -78,8 +78,8 @@
     ]
 }
 
-/// A balancer, what was taken from it and what was asked of it.
-struct Bench {
+/// A balancer with its open tickets and polls.
+struct Harness {
     balancer: Balancer,
     now: MonotonicTime,
     tickets: Vec<Ticket>,
@@ -87,7 +87,7 @@
     leaving: BTreeSet<UpstreamId>,
 }
 
-impl Bench {
+impl Harness {
     fn new() -> Self {
         let mut balancer = Balancer::new(BalancerOptions::default(), 3);
         balancer.configure(&list(UPSTREAMS), 1, MonotonicTime::ZERO);
@@ -135,7 +135,7 @@
     }
 
     fn pick(&mut self, draw: u64) {
-        let barred: Vec<UpstreamId> = self
+        let unavailable: Vec<UpstreamId> = self
             .balancer
             .statuses(self.now)
             .filter(|(_, status)| !is_open(*status))
@@ -143,8 +143,8 @@
             .collect();
         if let Pick::Take(ticket) = self.balancer.pick(self.now, draw) {
             let chosen = &ticket.upstream().upstream;
-            assert!(!self.leaving.contains(chosen), "{chosen} leaves");
-            assert!(!barred.contains(chosen), "{chosen} is out");
+            assert!(!self.leaving.contains(chosen), "{chosen} is leaving");
+            assert!(!unavailable.contains(chosen), "{chosen} is unavailable");
             self.tickets.push(ticket);
         }
     }
@@ -176,7 +176,7 @@
         self.balancer.finish_poll(poll, result, self.now);
     }
 
-    /// Checks what holds at any time.
+    /// Checks the invariants.
     fn check(&self) {
         let statuses: Vec<UpstreamStatus> = self
             .balancer
@@ -207,11 +207,11 @@
     })]
 
     #[test]
-    fn verify_choice_keeps_its_bounds(ops in proptest::collection::vec(op(), 1..300)) {
-        let mut bench = Bench::new();
+    fn verify_balancer_keeps_its_invariants(ops in proptest::collection::vec(op(), 1..300)) {
+        let mut harness = Harness::new();
         for op in ops {
-            bench.run(op);
-            bench.check();
+            harness.run(op);
+            harness.check();
         }
     }
 }
--- a/crates/foxtide-core/tests/steering/node.rs
+++ b/crates/foxtide-core/tests/steering/node.rs
@@ -1,12 +1,12 @@
-//! One instance of a scenario.
+//! One simulated instance.
 
 use super::decider::Decider;
 use foxtide_core::ids::RegionId;
 use foxtide_core::organisation::Organisation;
 use foxtide_core::steering::{
     FleetView,
-    HeardReport,
     InstanceReport,
+    ReceivedReport,
     ViewOptions, //
 };
 use foxtide_core::time::MonotonicTime;
@@ -15,20 +15,20 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// How long the platform's list names an instance that has died.
+/// The time for which the platform's list contains an instance that has stopped.
 const LIST_LAG_MS: u64 = 10_000;
 
-/// How long the report of an instance is kept that is no longer listed; longer
-/// than its claims are held.
-const KEEP_REPORT_MS: u64 = 20_000;
+/// The time for which an unlisted instance's report is kept; longer than its
+/// claims count.
+const REPORT_HOLD_MS: u64 = 20_000;
 
-/// A peer's newest report as an instance knows it.
+/// The newest report received from a peer.
 pub(super) struct Known {
     pub(super) made_ms: u64,
     pub(super) report: Arc<InstanceReport>,
 }
 
-/// A request that waits for room.
+/// A request to be admitted.
 pub(super) struct Waiting {
     pub(super) service: usize,
     pub(super) origin: usize,
@@ -36,25 +36,25 @@
     pub(super) waited: Duration,
 }
 
-/// An instance with its clocks and what it knows.
+/// An instance with its clocks, received reports and pending updates.
 pub(super) struct Node<D> {
     pub(super) region: usize,
     pub(super) decider: D,
-    /// When its process started; its steady clock's beginning.
+    /// When its process started, the origin of its monotonic clock.
     pub(super) started_ms: u64,
-    /// What its wall clock is ahead of the slowest, in milliseconds.
+    /// The skew of its wall clock.
     pub(super) skew_ms: u64,
     pub(super) up: bool,
     pub(super) stopped_ms: u64,
     pub(super) paused_until_ms: u64,
     pub(super) demand_weight: f64,
     pub(super) known: BTreeMap<usize, Known>,
-    pub(super) seen_health: Vec<(u64, usize, Share)>,
-    pub(super) configured: Vec<(u64, Arc<Organisation>)>,
+    pub(super) pending_health: Vec<(u64, usize, Share)>,
+    pub(super) pending_configurations: Vec<(u64, Arc<Organisation>)>,
 }
 
 impl<D: Decider> Node<D> {
-    /// Returns an instance that starts with the scenario.
+    /// Creates an instance that starts with the scenario.
     pub(super) fn new(region: usize, decider: D, skew_ms: u64, demand_weight: f64) -> Self {
         Self {
             region,
@@ -66,8 +66,8 @@
             paused_until_ms: 0,
             demand_weight,
             known: BTreeMap::new(),
-            seen_health: Vec::new(),
-            configured: Vec::new(),
+            pending_health: Vec::new(),
+            pending_configurations: Vec::new(),
         }
     }
 
@@ -78,7 +78,7 @@
         }
     }
 
-    /// Tells whether the platform's list still names it.
+    /// Returns whether the platform's list contains the instance.
     pub(super) fn is_listed(&self, now_ms: u64) -> bool {
         self.up || now_ms - self.stopped_ms < LIST_LAG_MS
     }
@@ -87,29 +87,31 @@
         self.up && now_ms >= self.paused_until_ms
     }
 
-    /// The node's steady clock.
+    /// Converts scenario time to the instance's monotonic clock.
     pub(super) fn now(&self, at_ms: u64) -> MonotonicTime {
         self.now_us(at_ms * 1_000)
     }
 
-    /// The same in microseconds.
     pub(super) fn now_us(&self, at_us: u64) -> MonotonicTime {
         MonotonicTime::from_us(at_us - self.started_ms * 1_000)
     }
 
-    /// Learns of its upstreams' health and of a new configuration.
-    pub(super) fn learn(&mut self, regions: &[RegionId], now_ms: u64) {
+    /// Applies pending health changes and the newest pending configuration.
+    pub(super) fn apply_pending(&mut self, regions: &[RegionId], now_ms: u64) {
         let now = self.now(now_ms);
-        let due = self.seen_health.iter().filter(|seen| seen.0 <= now_ms);
-        for (_, place, healthy) in due {
-            self.decider.set_health(&regions[*place], *healthy);
+        let due = self.pending_health.iter().filter(|seen| seen.0 <= now_ms);
+        for (_, region_index, healthy) in due {
+            self.decider.set_health(&regions[*region_index], *healthy);
         }
-        self.seen_health.retain(|seen| seen.0 > now_ms);
-        let mut due = self.configured.iter().filter(|due| due.0 <= now_ms);
+        self.pending_health.retain(|seen| seen.0 > now_ms);
+        let mut due = self
+            .pending_configurations
+            .iter()
+            .filter(|due| due.0 <= now_ms);
         if let Some((_, organisation)) = due.next_back() {
             self.decider.configure(organisation, now);
         }
-        self.configured.retain(|due| due.0 > now_ms);
+        self.pending_configurations.retain(|due| due.0 > now_ms);
     }
 
     pub(super) fn observe(
@@ -120,19 +122,21 @@
         platform_list: bool,
     ) {
         let now = self.now(now_ms);
-        let held = |made_ms| now_ms - made_ms < KEEP_REPORT_MS;
+        let held = |made_ms| now_ms - made_ms < REPORT_HOLD_MS;
         self.known
             .retain(|from, known| (platform_list && listed[*from].1) || held(known.made_ms));
-        let reports = self.known.iter().map(|(from, known)| HeardReport {
+        let reports = self.known.iter().map(|(from, known)| ReceivedReport {
             origin: &regions[listed[*from].0],
             made_at: MonotonicTime::from_ms(known.made_ms - self.started_ms),
             report: &known.report,
         });
         let mut view = FleetView::from_reports(reports, ViewOptions::default(), now);
         let seen = if platform_list { regions } else { &[] };
-        for (place, region) in seen.iter().enumerate() {
-            let here = listed.iter().filter(|listed| **listed == (place, true));
-            view.expect(region, here.count() as u32);
+        for (region_index, region) in seen.iter().enumerate() {
+            let here = listed
+                .iter()
+                .filter(|listed| **listed == (region_index, true));
+            view.add_listed(region, here.count() as u32);
         }
         self.decider.observe(&view, now);
     }
--- a/crates/foxtide-testing/src/scenario/process.rs
+++ b/crates/foxtide-testing/src/scenario/process.rs
@@ -8,9 +8,9 @@
     BalancerOptions, //
 };
 use foxtide_core::idempotency::{
-    KeptAnswer,
     OwnerId,
     ProcessNumber,
+    ReplayableAnswer,
     Table,
     TableOptions, //
 };
@@ -40,8 +40,8 @@
 };
 use foxtide_core::steering::{
     FleetView,
-    HeardReport,
     InstanceReport,
+    ReceivedReport,
     Steering,
     SteeringOptions,
     ViewOptions,
@@ -70,7 +70,7 @@
     pub(super) operation: OperationNumber,
 }
 
-impl KeptAnswer for KeptRun {
+impl ReplayableAnswer for KeptRun {
     fn size(&self) -> ByteSize {
         ByteSize::from_bytes(size_of::<OperationNumber>() as u64)
     }
@@ -255,7 +255,7 @@
         }
         self.viewed_at = now;
         self.heard_news = false;
-        let reports = self.heard.values().map(|heard| HeardReport {
+        let reports = self.heard.values().map(|heard| ReceivedReport {
             origin: &heard.region,
             made_at: heard.made_at,
             report: &heard.report,
--- a/crates/foxtide-testing/src/scenario/requests.rs
+++ b/crates/foxtide-testing/src/scenario/requests.rs
@@ -227,7 +227,7 @@
         let Some(balancer) = process.and_then(|p| p.balancer(&service, &region)) else {
             return self.cannot_send(number);
         };
-        match balancer.pick_other(now, draw, &tried) {
+        match balancer.pick_avoiding(now, draw, &tried) {
             Pick::Take(ticket) => self.send_attempt(number, region, ticket),
             Pick::Wait { retry_in } => {
                 let retry_in = retry_in.min(PICK_PAUSE_MAX);
@@ -287,7 +287,7 @@
         let (place, service) = (copy.instance, copy.service.clone());
         let hedge_at = copy.attempts.hedge_at();
         if let (Some(claim), Some(process)) = (&copy.claim, &mut self.instances[place].process) {
-            process.table.written(claim);
+            process.table.mark_written(claim);
         }
         let attempt = self.launch(number, id, service, region, ticket);
         if let Some(copy) = self.copies.get_mut(&number) {
