--- a/crates/foxtide-config/src/change/diff.rs
+++ b/crates/foxtide-config/src/change/diff.rs
@@ -1,8 +1,6 @@
-//! What differs between two documents, by path.
+//! Compares and merges documents by field paths.
 //!
-//! Lists of named things (regions, services, upstreams, moves, drains …) are
-//! compared by name, so that an added entry is one difference and not a change
-//! of all behind it.
+//! Lists with named entries are compared by name instead of position.
 
 use serde::Serialize;
 use serde_json::{
@@ -12,7 +10,7 @@
 use std::collections::BTreeSet;
 use std::fmt;
 
-/// The fields that name an entry of a list, the more telling first.
+/// Fields that identify an entry of a list, by precedence.
 const NAME_FIELDS: &[&str] = &[
     "upstream",
     "move",
@@ -22,85 +20,86 @@
     "region",
 ];
 
-/// Fields that every change sets anew.
+/// Fields that every change sets.
 const BOOKKEEPING_FIELDS: &[&str] = &["revision", "change_id", "history"];
 
-/// One field that differs.
+/// A field that differs.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Difference {
-    /// The field's path, such as `services[viewer].contract.deadline_ms`.
+    /// Path such as `services[viewer].contract.deadline_ms`.
     pub path: String,
-    /// What stood there before, if anything.
+    /// The old value, if any.
     pub before: Option<Value>,
-    /// What stands there after, if anything.
+    /// The new value, if any.
     pub after: Option<Value>,
-    /// The path's parts.
     #[serde(skip)]
-    steps: Vec<Step>,
+    segments: Vec<PathSegment>,
 }
 
 impl fmt::Display for Difference {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match (&self.before, &self.after) {
             (Some(before), Some(after)) => {
-                let (before, after) = (shortened(before), shortened(after));
+                let (before, after) = (truncated(before), truncated(after));
                 write!(f, "~ {}: {before} -> {after}", self.path)
             }
-            (None, Some(after)) => write!(f, "+ {}: {}", self.path, shortened(after)),
-            (Some(before), None) => write!(f, "- {}: {}", self.path, shortened(before)),
+            (None, Some(after)) => write!(f, "+ {}: {}", self.path, truncated(after)),
+            (Some(before), None) => write!(f, "- {}: {}", self.path, truncated(before)),
             (None, None) => write!(f, "  {}", self.path),
         }
     }
 }
 
-/// The most characters of a value that a line shows.
-const SHOWN_MAX_CHARS: usize = 120;
+/// Maximum characters of a value in a difference's text.
+const DISPLAYED_VALUE_MAX_CHARS: usize = 120;
 
-/// Returns a value's text, or the beginning of it.
-fn shortened(value: &Value) -> String {
+/// Returns a value's text, truncated if long.
+fn truncated(value: &Value) -> String {
     let text = value.to_string();
-    match text.char_indices().nth(SHOWN_MAX_CHARS) {
+    match text.char_indices().nth(DISPLAYED_VALUE_MAX_CHARS) {
         Some((end, _)) => format!("{}… ({} bytes)", &text[..end], text.len()),
         None => text,
     }
 }
 
-/// One part of a path.
+/// A segment of a path.
 #[derive(Clone, Debug, PartialEq, Eq)]
-enum Step {
+enum PathSegment {
     /// A field of an object.
     Field(String),
-    /// The entry of a list that has this name.
+    /// The entry of a list with this name.
     Entry(String),
 }
 
-/// Returns the fields in which two documents differ, bookkeeping left out.
+/// Returns the fields that differ, without bookkeeping fields.
 pub(crate) fn diff(before: &Value, after: &Value) -> Vec<Difference> {
     let mut found = Vec::new();
-    let mut steps = Vec::new();
-    compare(Some(before), Some(after), &mut steps, &mut found);
+    let mut segments = Vec::new();
+    compare(Some(before), Some(after), &mut segments, &mut found);
     found
 }
 
 fn compare(
     before: Option<&Value>,
     after: Option<&Value>,
-    steps: &mut Vec<Step>,
+    segments: &mut Vec<PathSegment>,
     found: &mut Vec<Difference>,
 ) {
     match (before, after) {
         (one, other) if one == other => {}
         (Some(Value::Object(one)), Some(Value::Object(other))) => {
-            compare_objects(one, other, steps, found);
+            compare_objects(one, other, segments, found);
         }
-        (Some(Value::Array(one)), Some(Value::Array(other))) if named(one) && named(other) => {
-            compare_lists(one, other, steps, found);
+        (Some(Value::Array(one)), Some(Value::Array(other)))
+            if has_unique_names(one) && has_unique_names(other) =>
+        {
+            compare_lists(one, other, segments, found);
         }
         _ => found.push(Difference {
-            path: path_text(steps),
+            path: path_text(segments),
             before: before.cloned(),
             after: after.cloned(),
-            steps: steps.clone(),
+            segments: segments.clone(),
         }),
     }
 }
@@ -108,24 +107,24 @@
 fn compare_objects(
     before: &Map<String, Value>,
     after: &Map<String, Value>,
-    steps: &mut Vec<Step>,
+    segments: &mut Vec<PathSegment>,
     found: &mut Vec<Difference>,
 ) {
     let keys: BTreeSet<&String> = before.keys().chain(after.keys()).collect();
     for key in keys {
-        if steps.is_empty() && BOOKKEEPING_FIELDS.contains(&key.as_str()) {
+        if segments.is_empty() && BOOKKEEPING_FIELDS.contains(&key.as_str()) {
             continue;
         }
-        steps.push(Step::Field(key.clone()));
-        compare(before.get(key), after.get(key), steps, found);
-        steps.pop();
+        segments.push(PathSegment::Field(key.clone()));
+        compare(before.get(key), after.get(key), segments, found);
+        segments.pop();
     }
 }
 
 fn compare_lists(
     before: &[Value],
     after: &[Value],
-    steps: &mut Vec<Step>,
+    segments: &mut Vec<PathSegment>,
     found: &mut Vec<Difference>,
 ) {
     let names = before.iter().chain(after).filter_map(name_of);
@@ -133,13 +132,13 @@
     for name in names {
         let one = find(before, &name);
         let other = find(after, &name);
-        steps.push(Step::Entry(name));
-        compare(one, other, steps, found);
-        steps.pop();
+        segments.push(PathSegment::Entry(name));
+        compare(one, other, segments, found);
+        segments.pop();
     }
 }
 
-/// Returns the name of a list's entry: a link's is made of both its ends.
+/// Returns the name of a list's entry; that of a link consists of both its ends.
 fn name_of(entry: &Value) -> Option<String> {
     let text = |field: &str| entry.get(field).and_then(Value::as_str);
     let plain = NAME_FIELDS.iter().find_map(|field| text(field));
@@ -150,7 +149,7 @@
     }
 }
 
-fn named(list: &[Value]) -> bool {
+fn has_unique_names(list: &[Value]) -> bool {
     let names: BTreeSet<String> = list.iter().filter_map(name_of).collect();
     names.len() == list.len()
 }
@@ -160,67 +159,65 @@
         .find(|entry| name_of(entry).as_deref() == Some(name))
 }
 
-fn path_text(steps: &[Step]) -> String {
+fn path_text(segments: &[PathSegment]) -> String {
     let mut text = String::new();
-    for step in steps {
-        match step {
-            Step::Field(name) if text.is_empty() => text.push_str(name),
-            Step::Field(name) => text.push_str(&format!(".{name}")),
-            Step::Entry(name) => text.push_str(&format!("[{name}]")),
+    for segment in segments {
+        match segment {
+            PathSegment::Field(name) if text.is_empty() => text.push_str(name),
+            PathSegment::Field(name) => text.push_str(&format!(".{name}")),
+            PathSegment::Entry(name) => text.push_str(&format!("[{name}]")),
         }
     }
     text
 }
 
-/// Returns the paths that both changes touch: the same field, or one a part of
-/// the other.
-pub(crate) fn contested(ours: &[Difference], theirs: &[Difference]) -> Vec<String> {
+/// Returns the paths of `ours` that equal, contain or are part of a path of `theirs`.
+pub(crate) fn conflicting_paths(ours: &[Difference], theirs: &[Difference]) -> Vec<String> {
     let mut paths = Vec::new();
     for our in ours {
-        let touches = |their: &Difference| overlaps(&our.steps, &their.steps);
+        let overlaps_with = |their: &Difference| overlaps(&our.segments, &their.segments);
         let agreed = theirs.contains(our);
-        if !agreed && theirs.iter().any(touches) {
+        if !agreed && theirs.iter().any(overlaps_with) {
             paths.push(our.path.clone());
         }
     }
     paths
 }
 
-fn overlaps(one: &[Step], other: &[Step]) -> bool {
+fn overlaps(one: &[PathSegment], other: &[PathSegment]) -> bool {
     let common = one.len().min(other.len());
     one[..common] == other[..common]
 }
 
-/// Returns the document that holds both changes, if no field is changed by
-/// both.
+/// Applies `ours` to the accepted document, unless both changed the same field.
 pub(crate) fn rebase(
     ours: &[Difference],
     theirs: &[Difference],
     accepted: &Value,
 ) -> Option<Value> {
-    if !contested(ours, theirs).is_empty() {
+    if !conflicting_paths(ours, theirs).is_empty() {
         return None;
     }
     let mut merged = accepted.clone();
     for difference in ours {
-        apply(&mut merged, &difference.steps, difference.after.as_ref())?;
+        apply(&mut merged, &difference.segments, difference.after.as_ref())?;
     }
     Some(merged)
 }
 
-/// Sets or removes what stands at a path.
-fn apply(target: &mut Value, steps: &[Step], after: Option<&Value>) -> Option<()> {
-    let (step, rest) = steps.split_first()?;
-    match step {
-        Step::Field(name) => apply_field(target.as_object_mut()?, name, rest, after),
-        Step::Entry(name) => apply_entry(target.as_array_mut()?, name, rest, after),
+/// Sets or removes the value at a path.
+fn apply(target: &mut Value, segments: &[PathSegment], after: Option<&Value>) -> Option<()> {
+    let (segment, rest) = segments.split_first()?;
+    match segment {
+        PathSegment::Field(name) => apply_field(target.as_object_mut()?, name, rest, after),
+        PathSegment::Entry(name) => apply_entry(target.as_array_mut()?, name, rest, after),
     }
 }
 
 fn apply_field(
     object: &mut Map<String, Value>,
     name: &str,
-    rest: &[Step],
+    rest: &[PathSegment],
     after: Option<&Value>,
 ) -> Option<()> {
     if !rest.is_empty() {
@@ -236,7 +233,7 @@
 fn apply_entry(
     list: &mut Vec<Value>,
     name: &str,
-    rest: &[Step],
+    rest: &[PathSegment],
     after: Option<&Value>,
 ) -> Option<()> {
     let position = list
--- a/crates/foxtide-config/src/validate/mod.rs
+++ b/crates/foxtide-config/src/validate/mod.rs
@@ -1,13 +1,12 @@
-//! What a document must fulfil before it is written.
+//! Validates documents beyond the types of their fields.
 //!
-//! The types refuse what no document may hold. Here stand the rules between
-//! fields: names are unique and refer to something, homes sum to one, links
-//! join them, moves keep the shift cap, and a drain leaves something to serve.
+//! Names are unique and references resolve, shares of homes sum to one, links connect
+//! homes, moves keep the shift cap, and drains leave each service an upstream.
 
 mod contracts;
 mod drains;
 mod moves;
-mod places;
+mod topology;
 mod upstreams;
 
 use crate::blocks::RESERVED_PREFIX;
@@ -23,33 +22,32 @@
 use std::collections::BTreeSet;
 use std::fmt::Display;
 
-/// Checks a whole document.
+/// Validates a document.
 ///
 /// # Errors
 ///
-/// Fails with the path of the first field that breaks a rule, and with what
-/// would be valid.
+/// Fails with the path of the first invalid field and what is valid.
 pub fn check(document: &Organisation) -> Result<()> {
-    let check = Check {
+    let validator = Validator {
         document,
         file: key_of(&document.organisation),
     };
-    check.schema()?;
-    check.name()?;
-    check.places()?;
-    check.services()?;
-    check.upstreams()?;
-    check.moves()?;
-    check.drains()
+    validator.schema()?;
+    validator.name()?;
+    validator.topology()?;
+    validator.services()?;
+    validator.upstreams()?;
+    validator.moves()?;
+    validator.drains()
 }
 
-/// The checks of one document.
-struct Check<'a> {
+/// Validates one document.
+struct Validator<'a> {
     document: &'a Organisation,
     file: String,
 }
 
-impl Check<'_> {
+impl Validator<'_> {
     fn schema(&self) -> Result<()> {
         let version = self.document.schema_version;
         if version != SCHEMA_VERSION {
@@ -68,7 +66,7 @@
         Ok(())
     }
 
-    /// Returns the error for a field that breaks a rule.
+    /// Returns the error of an invalid field.
     fn fail<T>(
         &self,
         field: impl Display,
@@ -78,8 +76,8 @@
         Err(Error::field(&self.file, field, problem, expected))
     }
 
-    /// Fails at the first name that stands twice.
-    fn unique<T: Ord + Display>(
+    /// Fails on the first duplicate name.
+    fn check_unique<T: Ord + Display>(
         &self,
         field: impl Display,
         names: impl IntoIterator<Item = T>,
@@ -87,16 +85,16 @@
         let mut seen = BTreeSet::new();
         for name in names {
             if seen.contains(&name) {
-                let problem = format!("`{name}` stands twice");
-                return self.fail(field, problem, "each once");
+                let problem = format!("duplicate `{name}`");
+                return self.fail(field, problem, "unique values");
             }
             seen.insert(name);
         }
         Ok(())
     }
 
-    /// Fails where a value is outside of its range.
-    fn range<T: PartialOrd + Display>(
+    /// Fails if a value is out of range.
+    fn check_range<T: PartialOrd + Display>(
         &self,
         field: impl Display,
         value: T,
@@ -109,7 +107,7 @@
         Ok(())
     }
 
-    /// Returns the names of the regions, for errors.
+    /// Returns the names of all regions, for errors.
     fn known_regions(&self) -> String {
         let regions = self.document.regions.iter();
         let names: Vec<&str> = regions.map(|region| region.region.as_str()).collect();
--- a/crates/foxtide-config/tests/watch.rs
+++ b/crates/foxtide-config/tests/watch.rs
@@ -1,4 +1,4 @@
-//! The watch on organisations' documents.
+//! Tests of the watch on organisations' documents.
 
 #[allow(dead_code)]
 mod support;
@@ -25,7 +25,7 @@
 };
 use std::time::Duration;
 use support::{
-    PATIENT,
+    LONG_TIMEOUT,
     client,
     create,
     load,
@@ -37,9 +37,9 @@
 
 fn options() -> WatchOptions {
     WatchOptions {
-        gap_min: Duration::from_millis(1),
-        role_check: Duration::from_millis(1),
-        wait: PATIENT,
+        call_interval_min: Duration::from_millis(1),
+        role_check_interval: Duration::from_millis(1),
+        wait: LONG_TIMEOUT,
         ..WatchOptions::default()
     }
 }
@@ -53,7 +53,7 @@
     is_watcher: Arc<AtomicBool>,
     options: WatchOptions,
 ) -> Receiver<WatchReport> {
-    let store = Arc::new(client(server, PATIENT));
+    let store = Arc::new(client(server, LONG_TIMEOUT));
     let role = move || is_watcher.load(Ordering::Relaxed);
     let watch = ConfigurationWatch::new(store, role, options);
     let (sender, receiver) = unbounded();
@@ -70,10 +70,10 @@
 }
 
 #[test]
-fn verify_accepted_changes_are_told_in_order() {
+fn verify_accepted_changes_are_reported_in_order() {
     smol::block_on(async {
         let server = server().await;
-        let store = client(&server, PATIENT);
+        let store = client(&server, LONG_TIMEOUT);
         let reports = start(&server, Arc::new(AtomicBool::new(true)));
         let stored = create(&store).await;
         assert_eq!(next_revision(&reports).await, Revision::new(1));
@@ -82,7 +82,7 @@
     });
 }
 
-/// Puts the example's document into the store under another name.
+/// Stores the example's document under another name.
 fn put_as(server: &StoreServer, name: &str) {
     let mut document = support::document();
     document.organisation = name.parse().unwrap();
@@ -100,7 +100,7 @@
 }
 
 #[test]
-fn verify_an_organisation_created_later_is_told() {
+fn verify_a_new_organisation_is_reported() {
     smol::block_on(async {
         let server = server().await;
         put_as(&server, "kunene");
@@ -114,12 +114,12 @@
 }
 
 #[test]
-fn verify_many_organisations_are_watched_at_once() {
+fn verify_many_organisations_are_watched_in_one_call() {
     smol::block_on(async {
         let server = server().await;
         put_as(&server, "kunene");
         let few = WatchOptions {
-            single_max: 1,
+            individual_watches_max: 1,
             ..options()
         };
         let reports = start_with(&server, Arc::new(AtomicBool::new(true)), few);
@@ -132,16 +132,16 @@
 }
 
 #[test]
-fn verify_an_older_document_is_not_told() {
+fn verify_an_older_document_is_not_reported() {
     smol::block_on(async {
         let server = server().await;
-        let store = client(&server, PATIENT);
+        let store = client(&server, LONG_TIMEOUT);
         let first = create(&store).await;
         let old = server.value(KEY).unwrap();
         set_deadline(&store, &first, 0, 1_234).await.unwrap();
         let reports = start(&server, Arc::new(AtomicBool::new(true)));
         assert_eq!(next_revision(&reports).await, Revision::new(2));
-        // Somebody puts an old value back with the store's own tools.
+        // An old value is restored with the store's own tools.
         server.set_value(KEY, old);
         let stored = load(&store).await;
         set_deadline(&store, &stored, 0, 1_111).await.unwrap();
@@ -153,10 +153,10 @@
 }
 
 #[test]
-fn verify_an_invalid_value_is_told_and_skipped() {
+fn verify_an_invalid_value_is_reported_and_skipped() {
     smol::block_on(async {
         let server = server().await;
-        let store = client(&server, PATIENT);
+        let store = client(&server, LONG_TIMEOUT);
         server.set_value("foxtide/organisations/broken", vec![0xff, 0xfe]);
         create(&store).await;
         let reports = start(&server, Arc::new(AtomicBool::new(true)));
@@ -170,7 +170,7 @@
 }
 
 #[test]
-fn verify_an_outage_is_told_and_ends() {
+fn verify_an_outage_and_its_end_are_reported() {
     smol::block_on(async {
         let server = server().await;
         server.set_availability(Availability::Refusing).await;
@@ -189,10 +189,10 @@
 }
 
 #[test]
-fn verify_an_instance_without_the_role_makes_no_calls() {
+fn verify_an_instance_that_is_no_watcher_makes_no_calls() {
     smol::block_on(async {
         let server = server().await;
-        let store = client(&server, PATIENT);
+        let store = client(&server, LONG_TIMEOUT);
         create(&store).await;
         let role = Arc::new(AtomicBool::new(false));
         let reports = start(&server, role.clone());
