--- a/crates/foxtide/tests/explain_failures.rs
+++ b/crates/foxtide/tests/explain_failures.rs
@@ -13,12 +13,12 @@
 #[path = "../../../platform/examples/soak/deadly.rs"]
 mod deadly;
 #[allow(dead_code)]
+#[path = "../../../platform/examples/soak/history.rs"]
+mod history;
+#[allow(dead_code)]
 #[path = "../../../platform/examples/soak/instance.rs"]
 mod instance;
 #[allow(dead_code)]
-#[path = "../../../platform/examples/soak/ledger.rs"]
-mod ledger;
-#[allow(dead_code)]
 #[path = "../../../platform/examples/soak/organisations.rs"]
 mod organisations;
 
@@ -39,8 +39,8 @@
 use configuration::document;
 use foxtide_http::BufferedStream;
 use foxtidectl::ExitStatus;
+use history::History;
 use instance::Instance;
-use ledger::Ledger;
 use organisations::Organisation;
 use proxy::Proxy;
 use std::net::SocketAddr;
@@ -79,10 +79,10 @@
         std::fs::create_dir_all(&directory).unwrap();
         let store = Store::start().unwrap();
         store.configure(&document(2, false));
-        let ledger = Arc::new(Ledger::default());
+        let history = Arc::new(History::default());
         let upstream = |service: &'static str| {
             let name = format!("i-{service}");
-            let starting = Upstream::start(name, service, "khomas-a", &store, &ledger);
+            let starting = Upstream::start(name, service, "khomas-a", &store, &history);
             smol::block_on(starting).unwrap()
         };
         let (viewer, notices) = (upstream("viewer"), upstream("notices"));
