--- a/crates/foxtide/tests/explain_failures.rs
+++ b/crates/foxtide/tests/explain_failures.rs
@@ -55,7 +55,7 @@
 };
 use store::{
     Store,
-    Trouble, //
+    StoreFault, //
 };
 use upstream::{
     Manner,
@@ -203,7 +203,7 @@
 #[test]
 fn verify_a_decision_from_old_knowledge_is_explained() {
     let fleet = Fleet::start("explain-outage");
-    fleet.store.set(Trouble::Silent);
+    fleet.store.set_fault(StoreFault::Unresponsive);
     let lines = || std::fs::read_to_string(fleet.instance.log()).unwrap();
     eventually("the outage is noticed", || {
         lines().contains("store-unreachable")
