--- a/crates/foxtide/tests/explain_failures.rs
+++ b/crates/foxtide/tests/explain_failures.rs
@@ -58,7 +58,7 @@
     StoreFault, //
 };
 use upstream::{
-    Manner,
+    Behaviour,
     Upstream, //
 };
 
@@ -151,7 +151,7 @@
 #[test]
 fn verify_a_refusal_for_want_of_room_is_explained() {
     let fleet = Fleet::start("explain-room");
-    fleet.viewer.set(Manner::Slow);
+    fleet.viewer.set_behaviour(Behaviour::Slow);
     let callers = fleet.callers();
     let refused = smol::block_on(async {
         // The upstream takes 11 at once.
@@ -184,7 +184,7 @@
 #[test]
 fn verify_a_lost_answer_is_explained() {
     let fleet = Fleet::start("explain-lost");
-    fleet.notices.set(Manner::LosesAnswers);
+    fleet.notices.set_behaviour(Behaviour::DropsResponses);
     let lost = (0..20)
         .map(|number| format!("lost-{number}"))
         .find(|request| fleet.request(request, false) == Some(502));
