--- a/crates/foxtide/tests/explain_failures.rs
+++ b/crates/foxtide/tests/explain_failures.rs
@@ -10,9 +10,6 @@
 #[path = "../../../platform/examples/soak/configuration.rs"]
 mod configuration;
 #[allow(dead_code)]
-#[path = "../../../platform/examples/soak/deadly.rs"]
-mod deadly;
-#[allow(dead_code)]
 #[path = "../../../platform/examples/soak/history.rs"]
 mod history;
 #[allow(dead_code)]
@@ -21,6 +18,9 @@
 #[allow(dead_code)]
 #[path = "../../../platform/examples/soak/organisations.rs"]
 mod organisations;
+#[allow(dead_code)]
+#[path = "../../../platform/examples/soak/poison.rs"]
+mod poison;
 
 #[allow(dead_code)]
 #[path = "../../../platform/examples/soak/proxy.rs"]
