--- a/crates/foxtide/tests/explain_failures.rs
+++ b/crates/foxtide/tests/explain_failures.rs
@@ -34,7 +34,7 @@
 
 use callers::{
     Message,
-    exchange, //
+    send_request, //
 };
 use configuration::document;
 use foxtide_http::BufferedStream;
@@ -139,12 +139,12 @@
     let mut stream = BufferedStream::connect(callers, None).await.ok()?;
     let path = if is_idempotent { "/safe/7" } else { "/once/7" };
     let message = Message {
-        request: &request,
+        request_id: &request,
         path,
-        object: 7,
-        key: &Organisation::Free.key(),
+        affinity_key: 7,
+        api_key: &Organisation::Free.key(),
     };
-    let response = exchange(&mut stream, &message).await?;
+    let response = send_request(&mut stream, &message).await?;
     Some(response.head.status)
 }
 
