--- a/crates/foxtide/tests/explain_failures.rs
+++ b/crates/foxtide/tests/explain_failures.rs
@@ -142,7 +142,7 @@
         request_id: &request,
         path,
         affinity_key: 7,
-        api_key: &Organisation::Free.key(),
+        api_key: &Organisation::Unlimited.key(),
     };
     let response = send_request(&mut stream, &message).await?;
     Some(response.head.status)
