--- a/crates/foxtide/tests/explain_failures.rs
+++ b/crates/foxtide/tests/explain_failures.rs
@@ -98,7 +98,7 @@
             instance,
         };
         eventually("the instance serves", || {
-            fleet.instance.callers().is_some() && fleet.request("start", true) == Some(200)
+            fleet.instance.caller_address().is_some() && fleet.request("start", true) == Some(200)
         });
         fleet
     }
@@ -109,12 +109,14 @@
     }
 
     fn callers(&self) -> SocketAddr {
-        self.instance.callers().expect("the instance has started")
+        self.instance
+            .caller_address()
+            .expect("the instance has started")
     }
 
     /// Returns what the operator's tool says of a request, once its line is there.
     fn explanation(&self, request: &str) -> String {
-        let log = self.instance.log().display().to_string();
+        let log = self.instance.log_path().display().to_string();
         let arguments = ["explain", "request", request, "--lines", &log].map(str::to_owned);
         let explain = || {
             let (mut output, mut errors) = (Vec::new(), Vec::new());
@@ -204,7 +206,7 @@
 fn verify_a_decision_from_old_knowledge_is_explained() {
     let fleet = Fleet::start("explain-outage");
     fleet.store.set_fault(StoreFault::Unresponsive);
-    let lines = || std::fs::read_to_string(fleet.instance.log()).unwrap();
+    let lines = || std::fs::read_to_string(fleet.instance.log_path()).unwrap();
     eventually("the outage is noticed", || {
         lines().contains("store-unreachable")
     });
