--- a/crates/foxtide-core/src/lib.rs
+++ b/crates/foxtide-core/src/lib.rs
@@ -7,6 +7,7 @@
 pub mod admission;
 pub mod blocks;
 pub mod choice;
+pub mod dissemination;
 pub mod errors;
 pub mod events;
 pub mod explain;
@@ -24,7 +25,6 @@
 pub mod registry;
 pub mod retry;
 pub mod routing;
-pub mod spreading;
 pub mod steering;
 pub mod store;
 pub mod time;
--- a/crates/foxtide-core/tests/spreading.rs
+++ b/crates/foxtide-core/tests/dissemination.rs
@@ -1,5 +1,14 @@
 //! Documents, fetches and load sums, without any network.
 
+use foxtide_core::dissemination::{
+    ConfigurationTable,
+    Document,
+    FetchQueue,
+    LoadMessage,
+    LoadOptions,
+    LoadSpreader,
+    Moment, //
+};
 use foxtide_core::idempotency::ProcessNumber;
 use foxtide_core::ids::{
     OrganisationId,
@@ -17,15 +26,6 @@
     MemberState,
     MemberView, //
 };
-use foxtide_core::spreading::{
-    ConfigurationTable,
-    Document,
-    FetchQueue,
-    LoadMessage,
-    LoadOptions,
-    LoadSpreader,
-    Moment, //
-};
 use foxtide_core::steering::{
     FleetView,
     InstanceReport,
--- a/crates/foxtide-mesh/src/datagrams.rs
+++ b/crates/foxtide-mesh/src/datagrams.rs
@@ -17,9 +17,9 @@
     join,
     load, //
 };
+use foxtide_core::dissemination::LoadMessage;
 use foxtide_core::ids::InstanceId;
 use foxtide_core::membership::Packet;
-use foxtide_core::spreading::LoadMessage;
 use prost::Message as _;
 use std::net::SocketAddr;
 use std::sync::Arc;
--- a/crates/foxtide-mesh/src/documents.rs
+++ b/crates/foxtide-mesh/src/documents.rs
@@ -15,14 +15,14 @@
     request,
     response, //
 };
+use foxtide_core::dissemination::{
+    Document,
+    Fetch, //
+};
 use foxtide_core::membership::{
     Announcement,
     Rumour, //
 };
-use foxtide_core::spreading::{
-    Document,
-    Fetch, //
-};
 use std::net::SocketAddr;
 use std::sync::Arc;
 
--- a/crates/foxtide-mesh/src/handle.rs
+++ b/crates/foxtide-mesh/src/handle.rs
@@ -28,6 +28,7 @@
     load,
     streams, //
 };
+use foxtide_core::dissemination::Document;
 use foxtide_core::ids::{
     InstanceId,
     OrganisationId, //
@@ -39,7 +40,6 @@
     MembershipCounts,
     Role, //
 };
-use foxtide_core::spreading::Document;
 use foxtide_core::steering::{
     FleetView,
     InstanceReport, //
--- a/crates/foxtide-mesh/src/lib.rs
+++ b/crates/foxtide-mesh/src/lib.rs
@@ -1,7 +1,7 @@
 //! What foxtide processes say to each other: membership and spreading.
 //!
 //! The decisions are in [`foxtide_core::membership`] and
-//! [`foxtide_core::spreading`]; this crate encodes, sends and receives.
+//! [`foxtide_core::dissemination`]; this crate encodes, sends and receives.
 
 mod calls;
 mod datagrams;
--- a/crates/foxtide-mesh/src/load.rs
+++ b/crates/foxtide-mesh/src/load.rs
@@ -7,13 +7,13 @@
     datagram,
     read_load, //
 };
-use foxtide_core::ids::InstanceId;
-use foxtide_core::membership::DATAGRAM_MAX_BYTES;
-use foxtide_core::spreading::{
+use foxtide_core::dissemination::{
     LoadMessage,
     LoadSend,
     Moment, //
 };
+use foxtide_core::ids::InstanceId;
+use foxtide_core::membership::DATAGRAM_MAX_BYTES;
 use foxtide_core::time::WallTime;
 use prost::Message as _;
 use std::net::SocketAddr;
--- a/crates/foxtide-mesh/src/options.rs
+++ b/crates/foxtide-mesh/src/options.rs
@@ -2,6 +2,7 @@
 
 use crate::faults::Faults;
 use foxtide_clock::SteadyClock;
+use foxtide_core::dissemination::LoadOptions;
 use foxtide_core::idempotency::ProcessNumber;
 use foxtide_core::ids::{
     AvailabilityZoneId,
@@ -9,7 +10,6 @@
     RegionId, //
 };
 use foxtide_core::membership::MembershipOptions;
-use foxtide_core::spreading::LoadOptions;
 use foxtide_events::Recorder;
 use std::net::SocketAddr;
 use std::time::Duration;
--- a/crates/foxtide-mesh/src/shared.rs
+++ b/crates/foxtide-mesh/src/shared.rs
@@ -25,6 +25,12 @@
     Header,
     to_datagram, //
 };
+use foxtide_core::dissemination::{
+    ConfigurationTable,
+    Document,
+    FetchQueue,
+    LoadSpreader, //
+};
 use foxtide_core::events::{
     EventCode,
     HybridTime, //
@@ -36,12 +42,6 @@
     Membership,
     Output, //
 };
-use foxtide_core::spreading::{
-    ConfigurationTable,
-    Document,
-    FetchQueue,
-    LoadSpreader, //
-};
 use foxtide_core::time::{
     MonotonicTime,
     WallTime, //
--- a/crates/foxtide-mesh/src/wire/convert.rs
+++ b/crates/foxtide-mesh/src/wire/convert.rs
@@ -3,6 +3,7 @@
 use super::messages as wire;
 use super::messages::datagram::Body;
 use super::unreadable::Unreadable;
+use foxtide_core::dissemination;
 use foxtide_core::idempotency::ProcessNumber;
 use foxtide_core::membership as core;
 use foxtide_core::membership::{
@@ -11,7 +12,6 @@
     ProbeId,
     Rumour, //
 };
-use foxtide_core::spreading;
 use foxtide_core::units::Revision;
 use std::net::{
     IpAddr,
@@ -199,8 +199,8 @@
     }
 }
 
-impl From<&spreading::Document> for wire::Document {
-    fn from(document: &spreading::Document) -> Self {
+impl From<&dissemination::Document> for wire::Document {
+    fn from(document: &dissemination::Document) -> Self {
         Self {
             organisation: document.organisation.to_string(),
             revision: document.revision.get(),
@@ -210,8 +210,10 @@
 }
 
 /// Reads a document from its encoded form.
-pub(crate) fn read_document(document: wire::Document) -> Result<spreading::Document, Unreadable> {
-    Ok(spreading::Document {
+pub(crate) fn read_document(
+    document: wire::Document,
+) -> Result<dissemination::Document, Unreadable> {
+    Ok(dissemination::Document {
         organisation: document.organisation.parse()?,
         revision: Revision::new(document.revision),
         bytes: document.bytes.into(),
--- a/crates/foxtide-mesh/src/wire/load/mod.rs
+++ b/crates/foxtide-mesh/src/wire/load/mod.rs
@@ -88,6 +88,10 @@
 mod tests {
     use super::*;
     use crate::wire::unreadable::Unreadable;
+    use foxtide_core::dissemination::{
+        LoadMessage,
+        LoadRecord, //
+    };
     use foxtide_core::ids::{
         RegionId,
         ServiceId, //
@@ -96,10 +100,6 @@
         Claim,
         LimitUse, //
     };
-    use foxtide_core::spreading::{
-        LoadMessage,
-        LoadRecord, //
-    };
     use foxtide_core::steering::{
         RegionView,
         ServiceView, //
--- a/crates/foxtide-mesh/src/wire/load/read.rs
+++ b/crates/foxtide-mesh/src/wire/load/read.rs
@@ -7,6 +7,10 @@
     WHOLE, //
 };
 use crate::wire::unreadable::Unreadable;
+use foxtide_core::dissemination::{
+    LoadMessage,
+    LoadRecord, //
+};
 use foxtide_core::ids::{
     OrganisationId,
     RegionId,
@@ -16,10 +20,6 @@
     Claim,
     LimitUse, //
 };
-use foxtide_core::spreading::{
-    LoadMessage,
-    LoadRecord, //
-};
 use foxtide_core::steering::{
     RegionView,
     ServiceView, //
--- a/crates/foxtide-mesh/src/wire/load/write.rs
+++ b/crates/foxtide-mesh/src/wire/load/write.rs
@@ -7,14 +7,14 @@
     Service,
     WHOLE, //
 };
+use foxtide_core::dissemination::{
+    LoadMessage,
+    LoadRecord, //
+};
 use foxtide_core::ids::{
     RegionId,
     ServiceId, //
 };
-use foxtide_core::spreading::{
-    LoadMessage,
-    LoadRecord, //
-};
 use foxtide_core::steering::ServiceView;
 use foxtide_core::time::WallTime;
 use foxtide_core::units::Share;
--- a/crates/foxtide-mesh/tests/mesh/fleet.rs
+++ b/crates/foxtide-mesh/tests/mesh/fleet.rs
@@ -1,9 +1,9 @@
 //! A few instances on loopback, and waiting for what they come to know.
 
+use foxtide_core::dissemination::Document;
 use foxtide_core::idempotency::ProcessNumber;
 use foxtide_core::ids::InstanceId;
 use foxtide_core::membership::MemberState;
-use foxtide_core::spreading::Document;
 use foxtide_core::units::Revision;
 use foxtide_mesh::{
     Faults,
--- a/crates/foxtide-mesh/tests/mesh/spreading.rs
+++ b/crates/foxtide-mesh/tests/mesh/spreading.rs
@@ -8,7 +8,7 @@
     start_fleet,
     wait_until, //
 };
-use foxtide_core::spreading::Document;
+use foxtide_core::dissemination::Document;
 use foxtide_mesh::{
     Faults,
     Synchronisation, //
--- a/crates/foxtide-testing/src/scenario/event.rs
+++ b/crates/foxtide-testing/src/scenario/event.rs
@@ -7,6 +7,7 @@
     Poll,
     PollResult, //
 };
+use foxtide_core::dissemination::Document;
 use foxtide_core::ids::{
     InstanceId,
     RegionId,
@@ -17,7 +18,6 @@
     Member,
     Packet, //
 };
-use foxtide_core::spreading::Document;
 use std::net::SocketAddr;
 
 /// Names one copy of a request at one instance.
--- a/crates/foxtide-testing/src/scenario/process.rs
+++ b/crates/foxtide-testing/src/scenario/process.rs
@@ -7,6 +7,10 @@
     Balancer,
     BalancerOptions, //
 };
+use foxtide_core::dissemination::{
+    ConfigurationTable,
+    Document, //
+};
 use foxtide_core::idempotency::{
     OwnerId,
     ProcessNumber,
@@ -34,10 +38,6 @@
     RetryBudget,
     RetryBudgetOptions, //
 };
-use foxtide_core::spreading::{
-    ConfigurationTable,
-    Document, //
-};
 use foxtide_core::steering::{
     FleetView,
     HeardReport,
--- a/crates/foxtide-testing/src/scenario/spread.rs
+++ b/crates/foxtide-testing/src/scenario/spread.rs
@@ -10,6 +10,7 @@
     ORGANISATION_PREFIX,
     decode, //
 };
+use foxtide_core::dissemination::Document;
 use foxtide_core::ids::InstanceId;
 use foxtide_core::membership::{
     Announcement,
@@ -18,7 +19,6 @@
     Role,
     Rumour, //
 };
-use foxtide_core::spreading::Document;
 use foxtide_core::store::Store;
 use std::net::SocketAddr;
 use std::time::Duration;
--- a/crates/foxtide/examples/measure/mesh_fleet.rs
+++ b/crates/foxtide/examples/measure/mesh_fleet.rs
@@ -1,5 +1,6 @@
 //! Real instances of the mesh on loopback, all in this process.
 
+use foxtide_core::dissemination::Document;
 use foxtide_core::idempotency::ProcessNumber;
 use foxtide_core::ids::{
     OrganisationId,
@@ -10,7 +11,6 @@
     Claim,
     LimitUse, //
 };
-use foxtide_core::spreading::Document;
 use foxtide_core::steering::{
     InstanceReport,
     ServiceReport, //
--- a/crates/foxtide/examples/measure/spread.rs
+++ b/crates/foxtide/examples/measure/spread.rs
@@ -12,7 +12,7 @@
     Limit,
     Report, //
 };
-use foxtide_core::spreading::Document;
+use foxtide_core::dissemination::Document;
 use foxtide_core::units::Revision;
 use foxtide_mesh::MeshHandle;
 use rand::rngs::StdRng;
--- a/crates/foxtide/src/client_blocks.rs
+++ b/crates/foxtide/src/client_blocks.rs
@@ -21,12 +21,12 @@
     Manifest,
     Site, //
 };
+use foxtide_core::dissemination::Document;
 use foxtide_core::events::{
     EventCode,
     EventFields, //
 };
 use foxtide_core::ids::RegionId;
-use foxtide_core::spreading::Document;
 use foxtide_core::store::{
     Store,
     StoreError,
--- a/crates/foxtide/src/configuration.rs
+++ b/crates/foxtide/src/configuration.rs
@@ -18,12 +18,12 @@
     WatchReport,
     change, //
 };
+use foxtide_core::dissemination::Document;
 use foxtide_core::events::{
     EventCode,
     EventFields, //
 };
 use foxtide_core::organisation::Organisation;
-use foxtide_core::spreading::Document;
 use foxtide_entry::{
     Clock,
     SystemClock,
