--- a/crates/foxtide-core/src/dissemination/load/spreader.rs
+++ b/crates/foxtide-core/src/dissemination/load/aggregator.rs
@@ -19,7 +19,7 @@
 /// kept: by then the new parent's sum has arrived.
 const MOVED_INTERVALS: u32 = 2;
 
-/// Intervals after a change of the tree for which a region's limits are held.
+/// Intervals after a change of the tree for which a region's limits are known.
 const CHANGED_INTERVALS: u32 = 3;
 
 /// Records that travel together.
@@ -33,7 +33,7 @@
 
 /// A message to send.
 #[derive(Clone, Debug, PartialEq)]
-pub struct LoadSend {
+pub struct LoadEnvelope {
     /// Where to.
     pub to: SocketAddr,
     /// What.
@@ -55,14 +55,14 @@
 }
 
 /// What a record tells of.
-type Subject = (OrganisationId, RegionId);
+type RecordKey = (OrganisationId, RegionId);
 
 /// Spreads the load of one instance and holds what it knows of all.
 #[derive(Clone, Debug)]
-pub struct LoadSpreader {
+pub struct LoadAggregator {
     pub(super) options: LoadOptions,
     pub(super) own: Member,
-    pub(super) table: BTreeMap<Subject, LoadRecord>,
+    pub(super) table: BTreeMap<RecordKey, LoadRecord>,
     reports: BTreeMap<OrganisationId, OwnReport>,
     children: BTreeMap<InstanceId, ChildSum>,
     place: Place,
@@ -70,10 +70,10 @@
     claims_held_until: WallTime,
     sharers_held_until: WallTime,
     summed_at: WallTime,
-    told_at: WallTime,
+    broadcast_at: WallTime,
 }
 
-impl LoadSpreader {
+impl LoadAggregator {
     /// Returns the state of an instance that knows nothing yet.
     pub fn new(own: Member, options: LoadOptions) -> Self {
         Self {
@@ -87,7 +87,7 @@
             claims_held_until: WallTime::ZERO,
             sharers_held_until: WallTime::ZERO,
             summed_at: WallTime::ZERO,
-            told_at: WallTime::ZERO,
+            broadcast_at: WallTime::ZERO,
         }
     }
 
@@ -132,19 +132,19 @@
     /// Sends what is due. Levels take their turns within each interval of the
     /// wall clock, the lowest first, so that a sum reaches the root soon after
     /// its reports were made.
-    pub fn tick(&mut self, now: WallTime) -> Vec<LoadSend> {
+    pub fn tick(&mut self, now: WallTime) -> Vec<LoadEnvelope> {
         let levels_below = self.place.depth_max - self.place.depth;
         let sum_phase = self.options.hop * levels_below;
-        let told_phase = sum_phase + self.options.far_hop;
+        let broadcast_phase = sum_phase + self.options.far_hop;
         let mut sends = Vec::new();
         if self.is_due(self.summed_at, sum_phase, now) {
             self.summed_at = now;
             self.send_sum(now, &mut sends);
         }
-        if self.place.is_root() && self.is_due(self.told_at, told_phase, now) {
-            self.told_at = now;
+        if self.place.is_root() && self.is_due(self.broadcast_at, broadcast_phase, now) {
+            self.broadcast_at = now;
             let table = self.table.values().cloned().collect();
-            self.tell_children(&LoadMessage::Table(table), &mut sends);
+            self.send_to_children(&LoadMessage::Table(table), &mut sends);
         }
         sends
     }
@@ -155,7 +155,7 @@
         sender: &InstanceId,
         message: LoadMessage,
         now: WallTime,
-    ) -> Vec<LoadSend> {
+    ) -> Vec<LoadEnvelope> {
         let mut sends = Vec::new();
         match message {
             LoadMessage::Sum(mut records) => {
@@ -167,10 +167,10 @@
                 self.children.insert(sender.clone(), sum);
             }
             LoadMessage::Table(records) => {
-                let newer = self.take_newer(records, now);
+                let newer = self.merge_newer(records, now);
                 // Roots wait for all of their kind and send one table.
                 if !newer.is_empty() && !self.place.is_root() {
-                    self.tell_children(&LoadMessage::Table(newer), &mut sends);
+                    self.send_to_children(&LoadMessage::Table(newer), &mut sends);
                 }
             }
         }
@@ -178,19 +178,19 @@
     }
 
     /// Takes in records of whole regions and returns those that were newer
-    /// than the ones held.
-    pub fn take_newer(&mut self, mut records: Vec<LoadRecord>, now: WallTime) -> Vec<LoadRecord> {
+    /// than the ones known.
+    pub fn merge_newer(&mut self, mut records: Vec<LoadRecord>, now: WallTime) -> Vec<LoadRecord> {
         let latest = now + self.options.skew * 2;
         records.retain(|record| {
             // One from a clock far ahead would keep all others out.
             if record.summed_at > latest {
                 return false;
             }
-            let subject = (record.organisation.clone(), record.region.clone());
-            let held = self.table.get(&subject);
-            let newer = held.is_none_or(|held| record.summed_at > held.summed_at);
+            let key = (record.organisation.clone(), record.region.clone());
+            let known = self.table.get(&key);
+            let newer = known.is_none_or(|known| record.summed_at > known.summed_at);
             if newer {
-                self.table.insert(subject, record.clone());
+                self.table.insert(key, record.clone());
             }
             newer
         });
@@ -210,21 +210,21 @@
         last < turn || now < last
     }
 
-    fn send_sum(&mut self, now: WallTime, sends: &mut Vec<LoadSend>) {
+    fn send_sum(&mut self, now: WallTime, sends: &mut Vec<LoadEnvelope>) {
         let mut records = self.sum(now);
         if records.is_empty() {
             return;
         }
         if let Some(to) = self.place.parent {
             let message = LoadMessage::Sum(records);
-            sends.push(LoadSend { to, message });
+            sends.push(LoadEnvelope { to, message });
             return;
         }
-        self.hold_limits(&mut records, now);
-        self.take_newer(records.clone(), now);
+        self.limit_changes(&mut records, now);
+        self.merge_newer(records.clone(), now);
         for to in &self.place.other_roots {
             let message = LoadMessage::Table(records.clone());
-            sends.push(LoadSend { to: *to, message });
+            sends.push(LoadEnvelope { to: *to, message });
         }
     }
 
@@ -234,31 +234,31 @@
     /// While a tree changes, a sum may be missing on its way from an old parent
     /// to a new one or be counted at both, and a root that died took its own
     /// claims with it.
-    fn hold_limits(&self, records: &mut [LoadRecord], now: WallTime) {
+    fn limit_changes(&self, records: &mut [LoadRecord], now: WallTime) {
         for record in records {
-            let subject = (record.organisation.clone(), record.region.clone());
-            let Some(before) = self.table.get(&subject) else {
+            let key = (record.organisation.clone(), record.region.clone());
+            let Some(before) = self.table.get(&key) else {
                 continue;
             };
             if now < self.claims_held_until {
-                record.hold_claims(before);
+                record.raise_claims_to(before);
             }
             if now < self.sharers_held_until {
-                record.hold_sharers(before);
+                record.lower_sharers_to(before);
             }
         }
     }
 
-    fn tell_children(&self, message: &LoadMessage, sends: &mut Vec<LoadSend>) {
+    fn send_to_children(&self, message: &LoadMessage, sends: &mut Vec<LoadEnvelope>) {
         for to in self.place.children.values() {
             let message = message.clone();
-            sends.push(LoadSend { to: *to, message });
+            sends.push(LoadEnvelope { to: *to, message });
         }
     }
 
     /// Sums up this instance and all below it.
     fn sum(&mut self, now: WallTime) -> Vec<LoadRecord> {
-        self.forget_children(now);
+        self.expire_children(now);
         let mut sums: BTreeMap<OrganisationId, LoadRecord> = BTreeMap::new();
         let region = &self.own.region;
         let own = self.reports.iter().map(|(organisation, own)| {
@@ -287,7 +287,7 @@
     ///
     /// One that is gone keeps its claims until they run out; one that moved
     /// is summed by its new parent.
-    fn forget_children(&mut self, now: WallTime) {
+    fn expire_children(&mut self, now: WallTime) {
         let moved_hold = self.interval() * MOVED_INTERVALS;
         let elsewhere = &self.place.elsewhere;
         let claim_hold = self.options.view.claim_hold;
--- a/crates/foxtide-core/src/dissemination/load/mod.rs
+++ b/crates/foxtide-core/src/dissemination/load/mod.rs
@@ -5,17 +5,17 @@
 //! region's root; the regions' roots tell one another; the table of all regions
 //! goes down the same trees.
 
+mod aggregator;
 mod options;
 mod record;
-mod spreader;
 mod tree;
 mod view;
 
-pub use options::LoadOptions;
-pub use record::LoadRecord;
-pub use spreader::{
+pub use aggregator::{
+    LoadAggregator, //
+    LoadEnvelope,
     LoadMessage,
-    LoadSend,
-    LoadSpreader, //
 };
+pub use options::LoadOptions;
+pub use record::LoadRecord;
 pub use view::Moment;
--- a/crates/foxtide-core/src/dissemination/load/record.rs
+++ b/crates/foxtide-core/src/dissemination/load/record.rs
@@ -84,7 +84,7 @@
     }
 
     /// Raises the claims to those of the record before it.
-    pub(super) fn hold_claims(&mut self, before: &Self) {
+    pub(super) fn raise_claims_to(&mut self, before: &Self) {
         for (region, limit) in &before.sum.limits {
             let own = self.sum.limits.entry(region.clone()).or_default();
             own.claim = own.claim.most(limit.claim);
@@ -92,7 +92,7 @@
     }
 
     /// Lowers the numbers that share by claims to those of the record before it.
-    pub(super) fn hold_sharers(&mut self, before: &Self) {
+    pub(super) fn lower_sharers_to(&mut self, before: &Self) {
         for (region, limit) in &mut self.sum.limits {
             let before = before.sum.limits.get(region).copied();
             *limit = limit.with_sharers_of(before.unwrap_or_default());
@@ -106,7 +106,11 @@
 
     /// Returns about the encoded size, in bytes.
     pub(super) fn size_bytes(&self) -> usize {
-        let foreign = self.sum.foreign.values().flat_map(|told| told.values());
+        let foreign = self
+            .sum
+            .foreign
+            .values()
+            .flat_map(|services| services.values());
         let services = self.sum.services.values().chain(foreign);
         let services_bytes: usize = services
             .map(|service| SERVICE_BYTES + service.row.len() * REGION_BYTES)
--- a/crates/foxtide-core/src/dissemination/load/view.rs
+++ b/crates/foxtide-core/src/dissemination/load/view.rs
@@ -1,7 +1,7 @@
 //! What an instance knows of the load of all regions.
 
+use super::aggregator::LoadAggregator;
 use super::record::LoadRecord;
-use super::spreader::LoadSpreader;
 use crate::ids::OrganisationId;
 use crate::membership::MemberView;
 use crate::steering::{
@@ -22,7 +22,7 @@
     pub wall: WallTime,
 }
 
-impl LoadSpreader {
+impl LoadAggregator {
     /// Returns what is known of one organisation in all regions.
     ///
     /// Times on the reader's clock are early by up to the clocks' skew, so that
--- a/crates/foxtide-core/src/dissemination/mod.rs
+++ b/crates/foxtide-core/src/dissemination/mod.rs
@@ -14,10 +14,10 @@
     FetchQueue, //
 };
 pub use load::{
+    LoadAggregator,
+    LoadEnvelope,
     LoadMessage,
     LoadOptions,
     LoadRecord,
-    LoadSend,
-    LoadSpreader,
     Moment, //
 };
--- a/crates/foxtide-core/tests/dissemination.rs
+++ b/crates/foxtide-core/tests/dissemination.rs
@@ -4,9 +4,9 @@
     ConfigurationTable,
     Document,
     FetchQueue,
+    LoadAggregator,
     LoadMessage,
     LoadOptions,
-    LoadSpreader,
     Moment, //
 };
 use foxtide_core::idempotency::ProcessNumber;
@@ -139,7 +139,7 @@
 
 /// Spreaders that hear each other at once.
 struct LoadFleet {
-    spreaders: BTreeMap<SocketAddr, LoadSpreader>,
+    aggregators: BTreeMap<SocketAddr, LoadAggregator>,
     members: Vec<Member>,
     now: WallTime,
     version: u64,
@@ -149,13 +149,13 @@
 impl LoadFleet {
     fn new(instances: usize, regions: usize) -> Self {
         let members: Vec<_> = (0..instances).map(|it| member(it, regions)).collect();
-        let spreaders = members.iter().map(|member| {
+        let aggregators = members.iter().map(|member| {
             let options = LoadOptions::default();
-            let spreader = LoadSpreader::new(member.clone(), options);
-            (member.peer_address, spreader)
+            let aggregator = LoadAggregator::new(member.clone(), options);
+            (member.peer_address, aggregator)
         });
         Self {
-            spreaders: spreaders.collect(),
+            aggregators: aggregators.collect(),
             members,
             now: WallTime::from_ms(1_000_000),
             version: 0,
@@ -165,7 +165,8 @@
 
     fn kill(&mut self, instance: usize) {
         self.members[instance].state = MemberState::Dead;
-        self.spreaders.remove(&self.members[instance].peer_address);
+        self.aggregators
+            .remove(&self.members[instance].peer_address);
         self.version += 1;
     }
 
@@ -179,17 +180,17 @@
 
     fn step(&mut self) {
         let mut sends = Vec::new();
-        for (address, spreader) in &mut self.spreaders {
-            spreader.publish(organisation(), report(), self.now);
-            spreader.observe(self.members.iter(), self.version, self.now);
-            let own = spreader.tick(self.now).into_iter();
+        for (address, aggregator) in &mut self.aggregators {
+            aggregator.publish(organisation(), report(), self.now);
+            aggregator.observe(self.members.iter(), self.version, self.now);
+            let own = aggregator.tick(self.now).into_iter();
             sends.extend(own.map(|send| (*address, send)));
         }
         while let Some((from, send)) = sends.pop() {
             self.sends += 1;
             let sender = self.members.iter().find(|it| it.peer_address == from);
             let sender = sender.unwrap().instance.clone();
-            if let Some(receiver) = self.spreaders.get_mut(&send.to) {
+            if let Some(receiver) = self.aggregators.get_mut(&send.to) {
                 let next = receiver.receive(&sender, send.message, self.now);
                 sends.extend(next.into_iter().map(|next| (send.to, next)));
             }
@@ -197,14 +198,14 @@
     }
 
     fn view(&self, instance: usize) -> FleetView {
-        let spreader = &self.spreaders[&self.members[instance].peer_address];
+        let aggregator = &self.aggregators[&self.members[instance].peer_address];
         let monotonic = MonotonicTime::from_ms(100_000);
         let members = self.members.iter().map(|member| MemberView {
             member,
             changed_at: monotonic,
         });
         let wall = self.now;
-        spreader.fleet_view(&organisation(), members, Moment { monotonic, wall })
+        aggregator.fleet_view(&organisation(), members, Moment { monotonic, wall })
     }
 
     /// Returns what `instance` knows to be claimed, over all regions.
@@ -294,7 +295,7 @@
     fleet.run_for(Duration::from_secs(4));
     // Their trees' roots and inner ones are among the dead.
     for dead in [0..6, 6..12, 12..18] {
-        let before_rps = 10.0 * fleet.spreaders.len() as f64;
+        let before_rps = 10.0 * fleet.aggregators.len() as f64;
         dead.for_each(|instance| fleet.kill(instance));
         let hold = LoadOptions::default().view.claim_hold;
         let end = fleet.now + hold.saturating_sub(Duration::from_secs(3));
@@ -324,14 +325,14 @@
 fn verify_a_record_from_a_fast_clock_does_not_keep_others_out() {
     let mut fleet = LoadFleet::new(4, 1);
     fleet.run_for(Duration::from_secs(3));
-    let spreader = fleet.spreaders.values_mut().next().unwrap();
-    let mut record = spreader.records().next().unwrap().clone();
+    let aggregator = fleet.aggregators.values_mut().next().unwrap();
+    let mut record = aggregator.records().next().unwrap().clone();
     record.summed_at = fleet.now + Duration::from_secs(3_600);
     record.sum.live_instances = 99;
     let table = LoadMessage::Table(vec![record]);
     let sender = "i1".parse().unwrap();
-    spreader.receive(&sender, table, fleet.now);
-    assert!(spreader.records().all(|it| it.sum.live_instances == 4));
+    aggregator.receive(&sender, table, fleet.now);
+    assert!(aggregator.records().all(|it| it.sum.live_instances == 4));
 }
 
 #[test]
--- a/crates/foxtide-mesh/src/load.rs
+++ b/crates/foxtide-mesh/src/load.rs
@@ -8,8 +8,8 @@
     read_load, //
 };
 use foxtide_core::dissemination::{
+    LoadEnvelope,
     LoadMessage,
-    LoadSend,
     Moment, //
 };
 use foxtide_core::ids::InstanceId;
@@ -66,12 +66,12 @@
 /// Takes a peer's table in.
 pub(crate) fn merge(shared: &Shared, load: &Load) {
     if let Ok(LoadMessage::Table(records)) = read_load(load) {
-        shared.state.lock().load.take_newer(records, wall_now());
+        shared.state.lock().load.merge_newer(records, wall_now());
     }
 }
 
-fn send_all(shared: &Shared, sends: Vec<LoadSend>) {
-    for LoadSend { to, message } in sends {
+fn send_all(shared: &Shared, sends: Vec<LoadEnvelope>) {
+    for LoadEnvelope { to, message } in sends {
         send(shared, to, message);
     }
 }
--- a/crates/foxtide-mesh/src/shared.rs
+++ b/crates/foxtide-mesh/src/shared.rs
@@ -29,7 +29,7 @@
     ConfigurationTable,
     Document,
     FetchQueue,
-    LoadSpreader, //
+    LoadAggregator, //
 };
 use foxtide_core::events::{
     EventCode,
@@ -81,7 +81,7 @@
     pub(crate) membership: Membership,
     pub(crate) configurations: ConfigurationTable,
     pub(crate) fetches: FetchQueue,
-    pub(crate) load: LoadSpreader,
+    pub(crate) load: LoadAggregator,
     pub(crate) guard: Guard,
     pub(crate) rng: StdRng,
     pub(crate) seeds: BTreeSet<SocketAddr>,
@@ -127,7 +127,7 @@
         let seed = options.seed.unwrap_or_else(random_seed);
         let instance = own.instance.clone();
         let address = own.peer_address;
-        let load = LoadSpreader::new(own.clone(), options.load);
+        let load = LoadAggregator::new(own.clone(), options.load);
         let state = State {
             membership: Membership::new(own, options.membership, seed, now),
             configurations: ConfigurationTable::default(),
