--- a/crates/foxtide-core/src/dissemination/load/aggregator.rs
+++ b/crates/foxtide-core/src/dissemination/load/aggregator.rs
@@ -2,7 +2,7 @@
 
 use super::options::LoadOptions;
 use super::record::LoadRecord;
-use super::tree::Place;
+use super::tree::TreePosition;
 use crate::ids::{
     InstanceId,
     OrganisationId,
@@ -65,8 +65,8 @@
     pub(super) table: BTreeMap<RecordKey, LoadRecord>,
     reports: BTreeMap<OrganisationId, OwnReport>,
     children: BTreeMap<InstanceId, ChildSum>,
-    place: Place,
-    place_version: Option<u64>,
+    position: TreePosition,
+    members_version: Option<u64>,
     claims_held_until: WallTime,
     sharers_held_until: WallTime,
     summed_at: WallTime,
@@ -82,8 +82,8 @@
             table: BTreeMap::new(),
             reports: BTreeMap::new(),
             children: BTreeMap::new(),
-            place: Place::default(),
-            place_version: None,
+            position: TreePosition::default(),
+            members_version: None,
             claims_held_until: WallTime::ZERO,
             sharers_held_until: WallTime::ZERO,
             summed_at: WallTime::ZERO,
@@ -105,21 +105,21 @@
         version: u64,
         now: WallTime,
     ) {
-        if self.place_version == Some(version) {
+        if self.members_version == Some(version) {
             return;
         }
-        self.place_version = Some(version);
-        let place = Place::new(&self.own, members, self.options.fan_out);
-        if place == self.place {
+        self.members_version = Some(version);
+        let position = TreePosition::new(&self.own, members, self.options.fan_out);
+        if position == self.position {
             return;
         }
-        if place.is_root() && !self.place.is_root() {
+        if position.is_root() && !self.position.is_root() {
             self.claims_held_until = now + self.options.view.claim_hold;
         }
         let changed_hold = self.interval() * CHANGED_INTERVALS;
         self.claims_held_until = self.claims_held_until.max(now + changed_hold);
         self.sharers_held_until = now + changed_hold;
-        self.place = place;
+        self.position = position;
     }
 
     /// Returns the time between two rounds.
@@ -133,15 +133,15 @@
     /// wall clock, the lowest first, so that a sum reaches the root soon after
     /// its reports were made.
     pub fn tick(&mut self, now: WallTime) -> Vec<LoadEnvelope> {
-        let levels_below = self.place.depth_max - self.place.depth;
-        let sum_phase = self.options.hop * levels_below;
-        let broadcast_phase = sum_phase + self.options.far_hop;
+        let levels_below = self.position.depth_max - self.position.depth;
+        let sum_phase = self.options.level_delay * levels_below;
+        let broadcast_phase = sum_phase + self.options.inter_region_delay;
         let mut sends = Vec::new();
         if self.is_due(self.summed_at, sum_phase, now) {
             self.summed_at = now;
             self.send_sum(now, &mut sends);
         }
-        if self.place.is_root() && self.is_due(self.broadcast_at, broadcast_phase, now) {
+        if self.position.is_root() && self.is_due(self.broadcast_at, broadcast_phase, now) {
             self.broadcast_at = now;
             let table = self.table.values().cloned().collect();
             self.send_to_children(&LoadMessage::Table(table), &mut sends);
@@ -169,7 +169,7 @@
             LoadMessage::Table(records) => {
                 let newer = self.merge_newer(records, now);
                 // Roots wait for all of their kind and send one table.
-                if !newer.is_empty() && !self.place.is_root() {
+                if !newer.is_empty() && !self.position.is_root() {
                     self.send_to_children(&LoadMessage::Table(newer), &mut sends);
                 }
             }
@@ -215,14 +215,14 @@
         if records.is_empty() {
             return;
         }
-        if let Some(to) = self.place.parent {
+        if let Some(to) = self.position.parent {
             let message = LoadMessage::Sum(records);
             sends.push(LoadEnvelope { to, message });
             return;
         }
         self.limit_changes(&mut records, now);
         self.merge_newer(records.clone(), now);
-        for to in &self.place.other_roots {
+        for to in &self.position.other_roots {
             let message = LoadMessage::Table(records.clone());
             sends.push(LoadEnvelope { to: *to, message });
         }
@@ -250,7 +250,7 @@
     }
 
     fn send_to_children(&self, message: &LoadMessage, sends: &mut Vec<LoadEnvelope>) {
-        for to in self.place.children.values() {
+        for to in self.position.children.values() {
             let message = message.clone();
             sends.push(LoadEnvelope { to: *to, message });
         }
@@ -283,16 +283,16 @@
         sums.into_values().collect()
     }
 
-    /// Forgets the sums of instances that report elsewhere by now.
+    /// Forgets the sums of instances that report other_members by now.
     ///
     /// One that is gone keeps its claims until they run out; one that moved
     /// is summed by its new parent.
     fn expire_children(&mut self, now: WallTime) {
         let moved_hold = self.interval() * MOVED_INTERVALS;
-        let elsewhere = &self.place.elsewhere;
+        let other_members = &self.position.other_members;
         let claim_hold = self.options.view.claim_hold;
         self.children.retain(|child, sum| {
-            let moved = elsewhere.contains(child);
+            let moved = other_members.contains(child);
             let hold = if moved { moved_hold } else { claim_hold };
             now - sum.received_at <= hold
         });
--- a/crates/foxtide-core/src/dissemination/load/mod.rs
+++ b/crates/foxtide-core/src/dissemination/load/mod.rs
@@ -14,8 +14,8 @@
 pub use aggregator::{
     LoadAggregator, //
     LoadEnvelope,
-    LoadMessage,
+    LoadMessage, //
 };
 pub use options::LoadOptions;
 pub use record::LoadRecord;
-pub use view::Moment;
+pub use view::ClockReading;
--- a/crates/foxtide-core/src/dissemination/load/options.rs
+++ b/crates/foxtide-core/src/dissemination/load/options.rs
@@ -21,10 +21,10 @@
     /// Instances that an instance of the tree has below it. Default 2.
     pub fan_out: usize,
     /// Time that a level of the tree gives the level below it. Default 60 ms.
-    pub hop: Duration,
+    pub level_delay: Duration,
     /// Time that the roots of the regions give one another; over the one-way
     /// delay between the regions furthest apart. Default 120 ms.
-    pub far_hop: Duration,
+    pub inter_region_delay: Duration,
     /// A report older than this when it is summed does not count as heard;
     /// below the age at which readers drop it. Default 2 s.
     pub live_age_max: Duration,
@@ -42,8 +42,8 @@
             interval_max: Duration::from_secs(30),
             budget_bytes_per_s: 1_400,
             fan_out: 2,
-            hop: Duration::from_millis(60),
-            far_hop: Duration::from_millis(120),
+            level_delay: Duration::from_millis(60),
+            inter_region_delay: Duration::from_millis(120),
             live_age_max: Duration::from_secs(2),
             skew: CLOCK_SKEW_MAX,
             view: ViewOptions::default(),
--- a/crates/foxtide-core/src/dissemination/load/tree.rs
+++ b/crates/foxtide-core/src/dissemination/load/tree.rs
@@ -1,4 +1,4 @@
-//! The place of an instance in the tree over which load is summed.
+//! The position of an instance in the tree over which load is summed.
 
 use crate::ids::{
     InstanceId,
@@ -19,13 +19,13 @@
 
 /// The instances above, below and beside one instance.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub(super) struct Place {
+pub(super) struct TreePosition {
     /// Where its sums go; `None` for the root of a region.
     pub(super) parent: Option<SocketAddr>,
     /// Whose sums come to it.
     pub(super) children: BTreeMap<InstanceId, SocketAddr>,
-    /// The running instances of the region whose sums go elsewhere.
-    pub(super) elsewhere: BTreeSet<InstanceId>,
+    /// The running instances of the region whose sums go other_members.
+    pub(super) other_members: BTreeSet<InstanceId>,
     /// The roots of other regions, where it is itself one.
     pub(super) other_roots: Vec<SocketAddr>,
     /// Levels above it.
@@ -37,8 +37,8 @@
 /// The running instances of a region, the root first.
 type Ranked<'a> = Vec<&'a Member>;
 
-impl Place {
-    /// Returns the place of `own` among `members`.
+impl TreePosition {
+    /// Returns the position of `own` among `members`.
     pub(super) fn new<'a>(
         own: &Member,
         members: impl Iterator<Item = &'a Member>,
@@ -52,16 +52,16 @@
         let Some(number) = number else {
             return Self::default();
         };
-        let mut place = in_region(&ranked, number, fan_out);
+        let mut position = in_region(&ranked, number, fan_out);
         if number == 0 {
             let roots = regions.values().map(|ranked| ranked[0].peer_address);
-            place.other_roots = roots.collect();
+            position.other_roots = roots.collect();
         }
-        place
+        position
     }
 }
 
-impl Place {
+impl TreePosition {
     /// Returns whether this is the root of its region.
     pub(super) fn is_root(&self) -> bool {
         self.parent.is_none()
@@ -85,16 +85,16 @@
     (leaving, Reverse(weight(Role::Aggregator, &member.instance)))
 }
 
-fn in_region(ranked: &Ranked<'_>, number: usize, fan_out: usize) -> Place {
+fn in_region(ranked: &Ranked<'_>, number: usize, fan_out: usize) -> TreePosition {
     let below = fan_out * number + 1..=fan_out * number + fan_out;
     let children = below.filter_map(|child| ranked.get(child));
-    let children: BTreeMap<_, _> = children.map(|child| known(child)).collect();
-    let mates = ranked.iter().map(|member| &member.instance);
-    let elsewhere = mates.filter(|mate| !children.contains_key(mate));
+    let children: BTreeMap<_, _> = children.map(|child| address_of(child)).collect();
+    let members = ranked.iter().map(|member| &member.instance);
+    let other_members = members.filter(|member| !children.contains_key(member));
     let above = number.checked_sub(1).map(|before| before / fan_out);
-    Place {
+    TreePosition {
         parent: above.map(|parent| ranked[parent].peer_address),
-        elsewhere: elsewhere.cloned().collect(),
+        other_members: other_members.cloned().collect(),
         other_roots: Vec::new(),
         depth: depth(number, fan_out),
         depth_max: depth(ranked.len() - 1, fan_out),
@@ -102,7 +102,7 @@
     }
 }
 
-fn known(member: &Member) -> (InstanceId, SocketAddr) {
+fn address_of(member: &Member) -> (InstanceId, SocketAddr) {
     (member.instance.clone(), member.peer_address)
 }
 
--- a/crates/foxtide-core/src/dissemination/load/view.rs
+++ b/crates/foxtide-core/src/dissemination/load/view.rs
@@ -15,7 +15,7 @@
 
 /// One moment on both clocks of a process.
 #[derive(Clone, Copy, Debug)]
-pub struct Moment {
+pub struct ClockReading {
     /// On the steady clock.
     pub monotonic: MonotonicTime,
     /// On the wall clock.
@@ -31,14 +31,14 @@
         &self,
         organisation: &OrganisationId,
         members: impl Iterator<Item = MemberView<'a>>,
-        now: Moment,
+        now: ClockReading,
     ) -> FleetView {
         let mut view = FleetView {
             measured_at: now.monotonic,
             ..FleetView::default()
         };
         for ((of, region), record) in &self.table {
-            let expired = self.on_own_clock(record.summed_at, now) < self.expiry(now);
+            let expired = self.to_own_clock(record.summed_at, now) < self.expiry(now);
             if of == organisation && !expired {
                 view.regions
                     .insert(region.clone(), self.region_view(record, now));
@@ -56,26 +56,26 @@
         view
     }
 
-    fn region_view(&self, record: &LoadRecord, now: Moment) -> RegionView {
+    fn region_view(&self, record: &LoadRecord, now: ClockReading) -> RegionView {
         let mut record = record.clone();
-        let live_since = self.on_own_clock(record.live_since, now);
+        let live_since = self.to_own_clock(record.live_since, now);
         if now.monotonic - live_since > self.options.view.view_age_max {
             record.make_silent();
         }
         RegionView {
-            oldest_at: self.on_own_clock(record.oldest_at, now),
+            oldest_at: self.to_own_clock(record.oldest_at, now),
             known_instances: 0,
             ..record.sum
         }
     }
 
     /// Returns a peer's time on the reader's steady clock, early by the skew.
-    fn on_own_clock(&self, at: WallTime, now: Moment) -> MonotonicTime {
+    fn to_own_clock(&self, at: WallTime, now: ClockReading) -> MonotonicTime {
         let age = now.wall - at + self.options.skew;
         now.monotonic.saturating_sub(age)
     }
 
-    fn expiry(&self, now: Moment) -> MonotonicTime {
+    fn expiry(&self, now: ClockReading) -> MonotonicTime {
         now.monotonic.saturating_sub(self.options.view.claim_hold)
     }
 }
--- a/crates/foxtide-core/src/dissemination/mod.rs
+++ b/crates/foxtide-core/src/dissemination/mod.rs
@@ -14,10 +14,10 @@
     FetchQueue, //
 };
 pub use load::{
+    ClockReading, //
     LoadAggregator,
     LoadEnvelope,
     LoadMessage,
     LoadOptions,
     LoadRecord,
-    Moment, //
 };
--- a/crates/foxtide-core/tests/dissemination.rs
+++ b/crates/foxtide-core/tests/dissemination.rs
@@ -1,13 +1,13 @@
 //! Documents, fetches and load sums, without any network.
 
 use foxtide_core::dissemination::{
+    ClockReading, //
     ConfigurationTable,
     Document,
     FetchQueue,
     LoadAggregator,
     LoadMessage,
     LoadOptions,
-    Moment, //
 };
 use foxtide_core::idempotency::ProcessNumber;
 use foxtide_core::ids::{
@@ -205,7 +205,7 @@
             changed_at: monotonic,
         });
         let wall = self.now;
-        aggregator.fleet_view(&organisation(), members, Moment { monotonic, wall })
+        aggregator.fleet_view(&organisation(), members, ClockReading { monotonic, wall })
     }
 
     /// Returns what `instance` knows to be claimed, over all regions.
--- a/crates/foxtide-mesh/src/load.rs
+++ b/crates/foxtide-mesh/src/load.rs
@@ -8,9 +8,9 @@
     read_load, //
 };
 use foxtide_core::dissemination::{
+    ClockReading, //
     LoadEnvelope,
     LoadMessage,
-    Moment, //
 };
 use foxtide_core::ids::InstanceId;
 use foxtide_core::membership::DATAGRAM_MAX_BYTES;
@@ -30,8 +30,8 @@
 }
 
 /// Returns the present moment on both clocks.
-pub(crate) fn moment(shared: &Shared) -> Moment {
-    Moment {
+pub(crate) fn moment(shared: &Shared) -> ClockReading {
+    ClockReading {
         monotonic: shared.now(),
         wall: wall_now(),
     }
