--- a/crates/foxtide-core/src/dissemination/configuration.rs
+++ b/crates/foxtide-core/src/dissemination/configuration.rs
@@ -38,7 +38,7 @@
     /// Takes a document in where it is newer than the one held, and returns
     /// whether it was.
     pub fn apply(&mut self, document: &Document) -> bool {
-        let newer = self.wants(&document.announcement());
+        let newer = self.is_newer(&document.announcement());
         if newer {
             let organisation = document.organisation.clone();
             self.documents.insert(organisation, document.clone());
@@ -47,7 +47,7 @@
     }
 
     /// Returns whether an announced revision is newer than the one held.
-    pub fn wants(&self, announcement: &Announcement) -> bool {
+    pub fn is_newer(&self, announcement: &Announcement) -> bool {
         let held = self.documents.get(&announcement.organisation);
         held.is_none_or(|held| announcement.revision > held.revision)
     }
--- a/crates/foxtide-core/src/dissemination/fetch.rs
+++ b/crates/foxtide-core/src/dissemination/fetch.rs
@@ -16,7 +16,7 @@
 pub struct FetchOptions {
     /// Wait after a failure for another announcement. Default 100 ms.
     pub retry_after: Duration,
-    /// How often each source is asked; after that the document is wanted again
+    /// How often each source is asked; after that the document is pending again
     /// when a peer announces it or compares digests. Default 3.
     pub attempts_per_source: usize,
     /// Sources remembered of one revision. Default 8.
@@ -36,100 +36,100 @@
 /// A document to fetch now.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Fetch {
-    /// What is wanted, or a newer revision of it.
+    /// What is pending, or a newer revision of it.
     pub announcement: Announcement,
     /// Where to ask.
     pub from: SocketAddr,
 }
 
-/// What is wanted of one organisation.
+/// What is pending of one organisation.
 #[derive(Clone, Debug)]
-struct Wanted {
+struct PendingFetch {
     revision: Revision,
     sources: Vec<SocketAddr>,
     next: usize,
-    under_way: bool,
+    in_flight: bool,
     retry_at: MonotonicTime,
 }
 
-/// The documents that are wanted and not yet held.
+/// The documents that are pending and not yet held.
 #[derive(Clone, Debug, Default)]
 pub struct FetchQueue {
     options: FetchOptions,
-    wanted: BTreeMap<OrganisationId, Wanted>,
+    pending: BTreeMap<OrganisationId, PendingFetch>,
 }
 
 impl FetchQueue {
-    /// Notes that `by` holds a revision that is wanted.
-    pub fn announced(&mut self, announcement: &Announcement, by: SocketAddr) {
-        let fresh = || Wanted {
+    /// Notes that `by` holds a revision that is pending.
+    pub fn add_source(&mut self, announcement: &Announcement, by: SocketAddr) {
+        let fresh = || PendingFetch {
             revision: announcement.revision,
             sources: Vec::new(),
             next: 0,
-            under_way: false,
+            in_flight: false,
             retry_at: MonotonicTime::ZERO,
         };
         let organisation = announcement.organisation.clone();
-        let wanted = self.wanted.entry(organisation).or_insert_with(fresh);
-        if announcement.revision < wanted.revision {
+        let pending = self.pending.entry(organisation).or_insert_with(fresh);
+        if announcement.revision < pending.revision {
             return;
         }
-        if announcement.revision > wanted.revision {
-            *wanted = fresh();
+        if announcement.revision > pending.revision {
+            *pending = fresh();
         }
-        let known = wanted.sources.contains(&by);
-        if !known && wanted.sources.len() < self.options.sources_max {
-            wanted.sources.push(by);
+        let known = pending.sources.contains(&by);
+        if !known && pending.sources.len() < self.options.sources_max {
+            pending.sources.push(by);
         }
     }
 
     /// Returns the fetches to start now.
-    pub fn due(&mut self, now: MonotonicTime) -> Vec<Fetch> {
+    pub fn start_due(&mut self, now: MonotonicTime) -> Vec<Fetch> {
         let mut due = Vec::new();
-        for (organisation, wanted) in &mut self.wanted {
-            if wanted.under_way || now < wanted.retry_at || wanted.sources.is_empty() {
+        for (organisation, pending) in &mut self.pending {
+            if pending.in_flight || now < pending.retry_at || pending.sources.is_empty() {
                 continue;
             }
-            let place = wanted.next % wanted.sources.len();
-            wanted.next += 1;
-            wanted.under_way = true;
+            let index = pending.next % pending.sources.len();
+            pending.next += 1;
+            pending.in_flight = true;
             due.push(Fetch {
                 announcement: Announcement {
                     organisation: organisation.clone(),
-                    revision: wanted.revision,
+                    revision: pending.revision,
                 },
-                from: wanted.sources[place],
+                from: pending.sources[index],
             });
         }
         due
     }
 
     /// Notes that a fetch failed.
-    pub fn failed(&mut self, fetch: &Fetch, now: MonotonicTime) {
+    pub fn mark_failed(&mut self, fetch: &Fetch, now: MonotonicTime) {
         let organisation = &fetch.announcement.organisation;
-        let Some(wanted) = self.wanted.get_mut(organisation) else {
+        let Some(pending) = self.pending.get_mut(organisation) else {
             return;
         };
-        if wanted.revision != fetch.announcement.revision {
+        if pending.revision != fetch.announcement.revision {
             return;
         }
-        wanted.under_way = false;
-        wanted.retry_at = now + self.options.retry_after;
-        if wanted.next >= wanted.sources.len() * self.options.attempts_per_source {
-            self.wanted.remove(organisation);
+        pending.in_flight = false;
+        pending.retry_at = now + self.options.retry_after;
+        if pending.next >= pending.sources.len() * self.options.attempts_per_source {
+            self.pending.remove(organisation);
         }
     }
 
     /// Notes that a revision is held, wherever it came from.
-    pub fn held(&mut self, announcement: &Announcement) {
-        let wanted = self.wanted.get(&announcement.organisation);
-        if wanted.is_some_and(|wanted| wanted.revision <= announcement.revision) {
-            self.wanted.remove(&announcement.organisation);
+    pub fn mark_held(&mut self, announcement: &Announcement) {
+        let pending = self.pending.get(&announcement.organisation);
+        if pending.is_some_and(|pending| pending.revision <= announcement.revision) {
+            self.pending.remove(&announcement.organisation);
         }
     }
 
-    /// Returns whether nothing is wanted.
+    /// Returns whether nothing is pending.
     pub fn is_empty(&self) -> bool {
-        self.wanted.is_empty()
+        self.pending.is_empty()
     }
 }
--- a/crates/foxtide-core/src/dissemination/mod.rs
+++ b/crates/foxtide-core/src/dissemination/mod.rs
@@ -19,5 +19,5 @@
     LoadEnvelope,
     LoadMessage,
     LoadOptions,
-    LoadRecord,
+    LoadRecord, //
 };
--- a/crates/foxtide-core/tests/dissemination.rs
+++ b/crates/foxtide-core/tests/dissemination.rs
@@ -7,7 +7,7 @@
     FetchQueue,
     LoadAggregator,
     LoadMessage,
-    LoadOptions,
+    LoadOptions, //
 };
 use foxtide_core::idempotency::ProcessNumber;
 use foxtide_core::ids::{
@@ -91,46 +91,46 @@
 #[test]
 fn verify_a_failed_fetch_goes_to_another_source() {
     let mut fetches = FetchQueue::default();
-    fetches.announced(&announcement(3), source(1));
-    fetches.announced(&announcement(3), source(2));
+    fetches.add_source(&announcement(3), source(1));
+    fetches.add_source(&announcement(3), source(2));
     let now = MonotonicTime::ZERO;
-    let first = fetches.due(now);
+    let first = fetches.start_due(now);
     assert_eq!(first.len(), 1);
-    assert!(fetches.due(now).is_empty(), "one at a time");
-    fetches.failed(&first[0], now);
+    assert!(fetches.start_due(now).is_empty(), "one at a time");
+    fetches.mark_failed(&first[0], now);
     let later = now + Duration::from_secs(1);
-    let second = fetches.due(later);
+    let second = fetches.start_due(later);
     assert_ne!(second[0].from, first[0].from);
-    fetches.held(&announcement(3));
+    fetches.mark_held(&announcement(3));
     assert!(fetches.is_empty());
 }
 
 #[test]
 fn verify_a_newer_revision_replaces_the_one_that_is_fetched() {
     let mut fetches = FetchQueue::default();
-    fetches.announced(&announcement(3), source(1));
+    fetches.add_source(&announcement(3), source(1));
     let now = MonotonicTime::ZERO;
-    let old = fetches.due(now);
-    fetches.announced(&announcement(4), source(2));
-    fetches.announced(&announcement(2), source(3));
-    let new = fetches.due(now);
+    let old = fetches.start_due(now);
+    fetches.add_source(&announcement(4), source(2));
+    fetches.add_source(&announcement(2), source(3));
+    let new = fetches.start_due(now);
     assert_eq!(new[0].announcement, announcement(4));
     // What becomes of the old one no longer matters.
-    fetches.held(&old[0].announcement);
-    fetches.failed(&old[0], now);
+    fetches.mark_held(&old[0].announcement);
+    fetches.mark_failed(&old[0], now);
     assert!(!fetches.is_empty());
-    fetches.held(&announcement(4));
+    fetches.mark_held(&announcement(4));
     assert!(fetches.is_empty());
 }
 
 #[test]
 fn verify_sources_that_are_all_gone_are_given_up() {
     let mut fetches = FetchQueue::default();
-    fetches.announced(&announcement(3), source(1));
+    fetches.add_source(&announcement(3), source(1));
     let mut now = MonotonicTime::ZERO;
     for _ in 0..100 {
-        for fetch in fetches.due(now) {
-            fetches.failed(&fetch, now);
+        for fetch in fetches.start_due(now) {
+            fetches.mark_failed(&fetch, now);
         }
         now = now + Duration::from_secs(1);
     }
--- a/crates/foxtide-mesh/src/documents.rs
+++ b/crates/foxtide-mesh/src/documents.rs
@@ -32,7 +32,7 @@
     let announcement = document.announcement();
     let now = shared.now();
     let mut state = shared.state.lock();
-    state.fetches.held(&announcement);
+    state.fetches.mark_held(&announcement);
     if !state.configurations.apply(document) {
         return false;
     }
@@ -52,10 +52,10 @@
 /// Notes that a peer holds a revision, and fetches it where it is newer.
 pub(crate) fn announced(shared: &Arc<Shared>, announcement: &Announcement, by: SocketAddr) {
     let mut state = shared.state.lock();
-    if !state.configurations.wants(announcement) {
+    if !state.configurations.is_newer(announcement) {
         return;
     }
-    state.fetches.announced(announcement, by);
+    state.fetches.add_source(announcement, by);
     drop(state);
     start_fetches(shared);
 }
@@ -63,7 +63,7 @@
 /// Starts the fetches that are due.
 pub(crate) fn start_fetches(shared: &Arc<Shared>) {
     let now = shared.now();
-    let due = shared.state.lock().fetches.due(now);
+    let due = shared.state.lock().fetches.start_due(now);
     for fetch in due {
         let shared = shared.clone();
         smol::spawn(async move { carry_through(&shared, &fetch).await }).detach();
@@ -78,7 +78,7 @@
         Err(error) => {
             log::debug!("fetch {}: {error}", fetch.announcement.organisation);
             let now = shared.now();
-            shared.state.lock().fetches.failed(fetch, now);
+            shared.state.lock().fetches.mark_failed(fetch, now);
         }
     }
 }
--- a/crates/foxtide-mesh/src/load.rs
+++ b/crates/foxtide-mesh/src/load.rs
@@ -10,7 +10,7 @@
 use foxtide_core::dissemination::{
     ClockReading, //
     LoadEnvelope,
-    LoadMessage,
+    LoadMessage, //
 };
 use foxtide_core::ids::InstanceId;
 use foxtide_core::membership::DATAGRAM_MAX_BYTES;
--- a/crates/foxtide-testing/src/scenario/spread.rs
+++ b/crates/foxtide-testing/src/scenario/spread.rs
@@ -141,7 +141,7 @@
 
     fn announced(&mut self, place: usize, announcement: &Announcement, by: SocketAddr) {
         let process = self.instances[place].process.as_ref();
-        let wanted = process.is_some_and(|process| process.documents.wants(announcement));
+        let wanted = process.is_some_and(|process| process.documents.is_newer(announcement));
         let Some(peer) = self.at_address(by).filter(|_| wanted) else {
             return;
         };
