--- a/crates/foxtide-config/src/blocks/chunks.rs
+++ b/crates/foxtide-config/src/blocks/chunks.rs
@@ -4,9 +4,9 @@
 use foxtide_core::blocks::{
     BlocksError,
     CHUNK_PREFIX,
+    ChunkRef, //
     ClientBlocks,
     Manifest,
-    Part, //
 };
 use foxtide_core::store::{
     Store,
@@ -54,7 +54,7 @@
     }
 }
 
-fn missing(part: &Part) -> BlocksError {
+fn missing(part: &ChunkRef) -> BlocksError {
     BlocksError::Decode {
         problem: format!("{} is missing", part.key()),
     }
@@ -69,7 +69,7 @@
     values: Vec<Vec<u8>>,
 ) -> Result<(), BlocksChangeError> {
     for value in values {
-        let key = Part::of(&value).key();
+        let key = ChunkRef::of(&value).key();
         write_one(store, &key, value).await?;
     }
     Ok(())
@@ -115,7 +115,7 @@
     listed: &[StoreEntry],
     manifest: &Manifest,
 ) {
-    let named: Vec<String> = manifest.chunks.iter().map(Part::key).collect();
+    let named: Vec<String> = manifest.chunks.iter().map(ChunkRef::key).collect();
     for entry in listed.iter().filter(|entry| !named.contains(&entry.key)) {
         if let Err(error) = store.delete(&entry.key, entry.index).await {
             log::debug!("delete {}: {error}", entry.key);
--- a/crates/foxtide-core/src/blocks/manifest.rs
+++ b/crates/foxtide-core/src/blocks/manifest.rs
@@ -51,15 +51,15 @@
 
 /// One chunk of a table, by what it must be.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Part {
+pub struct ChunkRef {
     /// Its checksum.
     pub checksum: Checksum,
     /// Its size.
     pub size_bytes: u64,
 }
 
-impl Part {
-    /// Returns the part that a value makes.
+impl ChunkRef {
+    /// Returns the chunk that a value makes.
     pub fn of(value: &[u8]) -> Self {
         Self {
             checksum: Checksum(xxh3_64(value)),
@@ -97,7 +97,7 @@
     /// The sites, in the order of their numbers.
     pub sites: SiteTable,
     /// The chunks, in order.
-    pub chunks: Vec<Part>,
+    pub chunks: Vec<ChunkRef>,
     /// The deltas, in order.
     pub deltas: Vec<Delta>,
 }
@@ -111,7 +111,7 @@
             base_revision: table.revision(),
             base_blocks: table.counts(),
             sites: table.sites().clone(),
-            chunks: values.iter().map(|value| Part::of(value)).collect(),
+            chunks: values.iter().map(|value| ChunkRef::of(value)).collect(),
             deltas: Vec::new(),
         };
         (manifest, values)
@@ -177,7 +177,7 @@
                 v6_blocks: usize::try_from(message.v6_blocks).unwrap_or(0),
             },
             sites: SiteTable::new(sites?)?,
-            chunks: message.chunks.into_iter().map(to_part).collect(),
+            chunks: message.chunks.into_iter().map(to_chunk_ref).collect(),
             deltas: deltas.collect::<BlocksResult<_>>()?,
         })
     }
@@ -212,10 +212,10 @@
         let sites = self.sites.clone();
         let mut builder = ClientBlocksBuilder::new(self.base_revision, sites, self.base_blocks);
         let mut values = chunks.into_iter();
-        for part in &self.chunks {
-            let missing = || BlocksError::decode(format!("{} is missing", part.key()));
+        for chunk in &self.chunks {
+            let missing = || BlocksError::decode(format!("{} is missing", chunk.key()));
             let value = values.next().ok_or_else(missing)?;
-            part.check(&value)?;
+            chunk.check(&value)?;
             builder.add_chunk(&value)?;
         }
         let table = builder.finish();
@@ -244,15 +244,15 @@
     })
 }
 
-fn to_part_message(part: &Part) -> PartMessage {
+fn to_part_message(chunk: &ChunkRef) -> PartMessage {
     PartMessage {
-        checksum: part.checksum.0,
-        size_bytes: part.size_bytes,
+        checksum: chunk.checksum.0,
+        size_bytes: chunk.size_bytes,
     }
 }
 
-fn to_part(message: PartMessage) -> Part {
-    Part {
+fn to_chunk_ref(message: PartMessage) -> ChunkRef {
+    ChunkRef {
         checksum: Checksum(message.checksum),
         size_bytes: message.size_bytes,
     }
--- a/crates/foxtide-core/src/blocks/mod.rs
+++ b/crates/foxtide-core/src/blocks/mod.rs
@@ -30,9 +30,9 @@
 pub use manifest::{
     CHUNK_PREFIX,
     Checksum,
+    ChunkRef, //
     MANIFEST_KEY,
     Manifest,
-    Part, //
 };
 pub use site::{
     Site,
