--- a/crates/foxtide-config/src/blocks/chunks.rs
+++ b/crates/foxtide-config/src/blocks/chunks.rs
@@ -6,7 +6,7 @@
     CHUNK_PREFIX,
     ChunkRef, //
     ClientBlocks,
-    Manifest,
+    Manifest, //
 };
 use foxtide_core::store::{
     Store,
--- a/crates/foxtide-config/src/blocks/publish.rs
+++ b/crates/foxtide-config/src/blocks/publish.rs
@@ -93,13 +93,13 @@
     removed: Vec<IpNet>,
 ) -> Result<PublishedBlocks, BlocksChangeError> {
     let delta = Delta {
-        follows: base.manifest.revision,
+        base_revision: base.manifest.revision,
         revision: base.manifest.revision + 1,
         set,
         removed,
     };
     let manifest = changed(&base.manifest, delta)?;
-    if manifest.wants_rewrite()? {
+    if manifest.needs_rewrite()? {
         let table = chunks::load_table(store, &manifest).await?;
         return publish_whole(store, Some(base), &table).await;
     }
@@ -109,7 +109,7 @@
 
 /// Returns the manifest after a change, checked.
 fn changed(base: &Manifest, delta: Delta) -> BlocksResult<Manifest> {
-    let empty = ClientBlocks::new(delta.follows, base.sites.clone(), &[])?;
+    let empty = ClientBlocks::new(delta.base_revision, base.sites.clone(), &[])?;
     empty.apply(&delta)?;
     let mut manifest = base.clone();
     manifest.add(delta)?;
--- a/crates/foxtide-core/src/blocks/delta.rs
+++ b/crates/foxtide-core/src/blocks/delta.rs
@@ -29,7 +29,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Delta {
     /// The revision that is changed.
-    pub follows: u64,
+    pub base_revision: u64,
     /// The revision after the change.
     pub revision: u64,
     /// Blocks that are added or get another site.
@@ -89,11 +89,11 @@
     /// # Errors
     ///
     /// Fails where one does not follow the one before.
-    pub(super) fn combine(deltas: Vec<Self>, follows: u64) -> BlocksResult<Self> {
-        let mut revision = follows;
+    pub(super) fn combine(deltas: Vec<Self>, base_revision: u64) -> BlocksResult<Self> {
+        let mut revision = base_revision;
         let mut changes: HashMap<IpNet, Option<SiteIndex>> = HashMap::new();
         for delta in deltas {
-            delta.check_follows(revision)?;
+            delta.check_base(revision)?;
             revision = delta.revision;
             let set = delta
                 .set
@@ -103,7 +103,7 @@
             changes.extend(delta.removed.into_iter().map(|net| (net, None)));
         }
         let mut combined = Self {
-            follows,
+            base_revision,
             revision,
             ..Self::default()
         };
@@ -117,12 +117,12 @@
     }
 
     /// Fails where the delta does not follow a revision.
-    pub(super) fn check_follows(&self, revision: u64) -> BlocksResult<()> {
-        if self.follows == revision {
+    pub(super) fn check_base(&self, revision: u64) -> BlocksResult<()> {
+        if self.base_revision == revision {
             return Ok(());
         }
         Err(BlocksError::Revision {
-            follows: self.follows,
+            base_revision: self.base_revision,
             revision,
         })
     }
@@ -142,7 +142,7 @@
         sort(&mut sorted.v4)?;
         sort(&mut sorted.v6)?;
         let message = DeltaMessage {
-            follows: self.follows,
+            follows: self.base_revision,
             revision: self.revision,
             set_v4: Some(columns::<V4>(&sorted.v4, true)),
             set_v6: Some(columns::<V6>(&sorted.v6, true)),
@@ -161,7 +161,7 @@
         let payload = open(bytes, "a delta")?;
         let message = DeltaMessage::decode(&payload[..]).map_err(BlocksError::decode)?;
         let mut delta = Self {
-            follows: message.follows,
+            base_revision: message.follows,
             revision: message.revision,
             ..Self::default()
         };
--- a/crates/foxtide-core/src/blocks/errors.rs
+++ b/crates/foxtide-core/src/blocks/errors.rs
@@ -54,10 +54,10 @@
         count: usize,
     },
     /// A delta follows another revision than the table's.
-    #[error("client blocks, change: follows revision {follows}, the table is at {revision}")]
+    #[error("client blocks, change: follows revision {base_revision}, the table is at {revision}")]
     Revision {
         /// The revision that the delta changes.
-        follows: u64,
+        base_revision: u64,
         /// The revision that the table has.
         revision: u64,
     },
--- a/crates/foxtide-core/src/blocks/manifest.rs
+++ b/crates/foxtide-core/src/blocks/manifest.rs
@@ -123,7 +123,7 @@
     ///
     /// Fails where the delta follows another revision.
     pub fn add(&mut self, delta: Delta) -> BlocksResult<()> {
-        delta.check_follows(self.revision)?;
+        delta.check_base(self.revision)?;
         self.revision = delta.revision;
         self.deltas.push(delta);
         Ok(())
@@ -135,7 +135,7 @@
     /// # Errors
     ///
     /// Fails as [`Manifest::encode`].
-    pub fn wants_rewrite(&self) -> BlocksResult<bool> {
+    pub fn needs_rewrite(&self) -> BlocksResult<bool> {
         let many = self.deltas.len() >= DELTAS_MAX;
         Ok(many || (!self.deltas.is_empty() && self.encode()?.len() > SIZE_MAX_BYTES))
     }
@@ -186,19 +186,19 @@
     ///
     /// A revision names one content, for manifests are written by
     /// check-and-set, so a table of the base's revision or later will do.
-    pub fn follows(&self, table: &ClientBlocks) -> bool {
-        let known = |delta: &Delta| delta.follows == table.revision();
+    pub fn can_advance(&self, table: &ClientBlocks) -> bool {
+        let known = |delta: &Delta| delta.base_revision == table.revision();
         *table.sites() == self.sites
             && (table.revision() == self.revision || self.deltas.iter().any(known))
     }
 
-    /// Brings a table that [`Manifest::follows`] to this revision.
+    /// Brings a table that [`Manifest::can_advance`] to this revision.
     ///
     /// # Errors
     ///
     /// Fails where the deltas do not follow each other or are not valid.
     pub fn advance(&self, table: &ClientBlocks) -> BlocksResult<ClientBlocks> {
-        let newer = |delta: &&Delta| delta.follows >= table.revision();
+        let newer = |delta: &&Delta| delta.base_revision >= table.revision();
         let deltas = self.deltas.iter().filter(newer).cloned().collect();
         table.apply(&Delta::combine(deltas, table.revision())?)
     }
--- a/crates/foxtide-core/src/blocks/mod.rs
+++ b/crates/foxtide-core/src/blocks/mod.rs
@@ -32,7 +32,7 @@
     Checksum,
     ChunkRef, //
     MANIFEST_KEY,
-    Manifest,
+    Manifest, //
 };
 pub use site::{
     Site,
--- a/crates/foxtide-core/src/blocks/table.rs
+++ b/crates/foxtide-core/src/blocks/table.rs
@@ -56,7 +56,7 @@
     pub fn new(revision: u64, sites: SiteTable, blocks: &[Block]) -> BlocksResult<Self> {
         let empty = ClientBlocksBuilder::new(revision, sites, BlockCounts::default()).finish();
         let delta = Delta {
-            follows: revision,
+            base_revision: revision,
             revision,
             set: blocks.to_vec(),
             removed: Vec::new(),
@@ -119,7 +119,7 @@
     /// Fails where the delta follows another revision, sets a block twice,
     /// sets one that is longer than valid, or names a site that there is not.
     pub fn apply(&self, delta: &Delta) -> BlocksResult<Self> {
-        delta.check_follows(self.revision)?;
+        delta.check_base(self.revision)?;
         let sorted = SortedDelta::new(delta, &self.sites)?;
         Ok(Self {
             revision: delta.revision,
--- a/crates/foxtide-core/tests/blocks.rs
+++ b/crates/foxtide-core/tests/blocks.rs
@@ -136,10 +136,10 @@
         let removed: Vec<_> = removed.into_iter().filter(|net| !changed.contains_key(net)).collect();
         model.retain(|net, _| !removed.contains(net));
         model.extend(changed);
-        let delta = Delta { follows: 1, revision: 2, set, removed };
+        let delta = Delta { base_revision: 1, revision: 2, set, removed };
         manifest.add(delta.clone()).unwrap();
         let manifest = Manifest::decode(&manifest.encode().unwrap()).unwrap();
-        prop_assert!(manifest.follows(&base));
+        prop_assert!(manifest.can_advance(&base));
         prop_assert_eq!(manifest.advance(&base).unwrap().revision(), 2);
         let loaded = manifest.load(values).unwrap();
         let applied = base.apply(&delta).unwrap();
@@ -225,7 +225,7 @@
 fn verify_delta_of_another_revision_is_refused() {
     let table = ClientBlocks::new(5, sites(), &[]).unwrap();
     let delta = Delta {
-        follows: 4,
+        base_revision: 4,
         revision: 5,
         ..Delta::default()
     };
@@ -233,7 +233,7 @@
     assert!(matches!(
         error,
         BlocksError::Revision {
-            follows: 4,
+            base_revision: 4,
             revision: 5
         }
     ));
@@ -246,7 +246,7 @@
     let (mut manifest, _) = Manifest::of(&table);
     for site in 2..20u8 {
         let delta = Delta {
-            follows: manifest.revision,
+            base_revision: manifest.revision,
             revision: manifest.revision + 1,
             set: vec![block("10.0.0.0/8", site)],
             removed: vec![block("11.0.0.0/8", 0).net],
@@ -260,11 +260,11 @@
         site_name(&caught_up, "10.1.1.1").as_deref(),
         Some("site-19")
     );
-    assert!(manifest.wants_rewrite().unwrap());
+    assert!(manifest.needs_rewrite().unwrap());
     let (rewritten, _) = Manifest::of(&table);
-    assert!(rewritten.follows(&table));
-    assert!(!rewritten.follows(&first));
-    assert!(!rewritten.wants_rewrite().unwrap());
+    assert!(rewritten.can_advance(&table));
+    assert!(!rewritten.can_advance(&first));
+    assert!(!rewritten.needs_rewrite().unwrap());
 }
 
 #[test]
--- a/crates/foxtide/examples/measure/blocks/mod.rs
+++ b/crates/foxtide/examples/measure/blocks/mod.rs
@@ -127,7 +127,7 @@
     report.figure("blocks.load", ms, "ms", Limit::None);
 }
 
-fn delta(blocks: &[Block], data: &mut Data, follows: u64) -> Delta {
+fn delta(blocks: &[Block], data: &mut Data, base_revision: u64) -> Delta {
     let stride = blocks.len() / CHANGED_BLOCKS;
     let chosen = blocks.iter().step_by(stride).take(CHANGED_BLOCKS);
     let set = chosen.map(|block| Block {
@@ -135,8 +135,8 @@
         site: data.site(),
     });
     Delta {
-        follows,
-        revision: follows + 1,
+        base_revision,
+        revision: base_revision + 1,
         set: set.collect(),
         removed: Vec::new(),
     }
@@ -177,8 +177,8 @@
     let started = Instant::now();
     std::thread::scope(|scope| {
         scope.spawn(|| {
-            for follows in 1..=CHANGES {
-                let changed = current.load().apply(&delta(blocks, data, follows));
+            for base_revision in 1..=CHANGES {
+                let changed = current.load().apply(&delta(blocks, data, base_revision));
                 current.store(Arc::new(changed.expect("a good delta")));
             }
             done.store(true, Ordering::Release);
--- a/crates/foxtide/src/client_blocks.rs
+++ b/crates/foxtide/src/client_blocks.rs
@@ -222,7 +222,7 @@
             return Ok(());
         }
         let current = self.in_force.0.load_full();
-        let following = current.filter(|blocks| manifest.follows(blocks));
+        let following = current.filter(|blocks| manifest.can_advance(blocks));
         let blocks = match following {
             Some(blocks) => advance(manifest.clone(), blocks).await?,
             None => self.load(manifest).await?,
