--- a/crates/foxtide-core/src/blocks/builder.rs
+++ b/crates/foxtide-core/src/blocks/builder.rs
@@ -26,13 +26,13 @@
 
 /// The most blocks of a family for which room is made before they come, so
 /// that a wrong count does no harm.
-const ROOM_MAX_BLOCKS: usize = 4_000_000;
+const CAPACITY_MAX_BLOCKS: usize = 4_000_000;
 
 impl BlockCounts {
     fn bounded(self) -> Self {
         Self {
-            v4_blocks: self.v4_blocks.min(ROOM_MAX_BLOCKS),
-            v6_blocks: self.v6_blocks.min(ROOM_MAX_BLOCKS),
+            v4_blocks: self.v4_blocks.min(CAPACITY_MAX_BLOCKS),
+            v6_blocks: self.v6_blocks.min(CAPACITY_MAX_BLOCKS),
         }
     }
 }
@@ -46,13 +46,13 @@
 
 impl ClientBlocksBuilder {
     /// Returns a builder with room for so many blocks.
-    pub fn new(revision: u64, sites: SiteTable, room: BlockCounts) -> Self {
-        let room = room.bounded();
+    pub fn new(revision: u64, sites: SiteTable, capacity: BlockCounts) -> Self {
+        let capacity = capacity.bounded();
         let table = ClientBlocks {
             revision,
             sites: Arc::new(sites),
-            v4: Columns::with_capacity(room.v4_blocks),
-            v6: Columns::with_capacity(room.v6_blocks),
+            v4: Columns::with_capacity(capacity.v4_blocks),
+            v6: Columns::with_capacity(capacity.v6_blocks),
         };
         Self { table }
     }
--- a/crates/foxtide-core/src/blocks/codec.rs
+++ b/crates/foxtide-core/src/blocks/codec.rs
@@ -114,13 +114,13 @@
 }
 
 /// Puts a payload and its checksum into one value.
-pub(super) fn seal(payload: Vec<u8>) -> Vec<u8> {
+pub(super) fn with_checksum(payload: Vec<u8>) -> Vec<u8> {
     let checksum = xxh3_64(&payload);
     SealedMessage { checksum, payload }.encode_to_vec()
 }
 
 /// Takes the payload out of a value, after a look at its checksum.
-pub(super) fn open(value: &[u8], part: &str) -> BlocksResult<Vec<u8>> {
+pub(super) fn verified_payload(value: &[u8], part: &str) -> BlocksResult<Vec<u8>> {
     let sealed = SealedMessage::decode(value).map_err(BlocksError::decode)?;
     if xxh3_64(&sealed.payload) != sealed.checksum {
         let part = part.to_owned();
@@ -153,8 +153,8 @@
     /// Adds a block after all others.
     pub(super) fn push(&mut self, prefix: Prefix, site: Option<SiteIndex>) {
         let shift = u32::from(F::BITS - prefix.length);
-        let place = |start: u64| start.checked_shr(shift).unwrap_or(0);
-        let step = place(prefix.start) - place(self.last_start);
+        let position = |start: u64| start.checked_shr(shift).unwrap_or(0);
+        let step = position(prefix.start) - position(self.last_start);
         self.columns.steps.push(step);
         self.columns.lengths.push(prefix.length);
         self.columns.sites.extend(site.map(SiteIndex::get));
@@ -230,13 +230,13 @@
 fn next_start<F: Family>(last: u64, step: u64, length: u8) -> BlocksResult<u64> {
     let bad = || BlocksError::decode("a block lies beyond the last address");
     let shift = u32::from(F::BITS.checked_sub(length).ok_or_else(bad)?);
-    let place = last.checked_shr(shift).unwrap_or(0);
-    let place = place.checked_add(step).ok_or_else(bad)?;
+    let position = last.checked_shr(shift).unwrap_or(0);
+    let position = position.checked_add(step).ok_or_else(bad)?;
     let blocks = 1u128 << length;
-    if u128::from(place) >= blocks {
+    if u128::from(position) >= blocks {
         return Err(bad());
     }
-    Ok(place.checked_shl(shift).unwrap_or(0))
+    Ok(position.checked_shl(shift).unwrap_or(0))
 }
 
 /// Returns blocks as values of at most [`VALUE_MAX_BYTES`].
@@ -247,18 +247,18 @@
         writer.push(entry.prefix, Some(entry.site));
         if writer.is_full() {
             let full = std::mem::replace(&mut writer, ColumnsWriter::new());
-            chunks.push(seal(full.finish().encode_to_vec()));
+            chunks.push(with_checksum(full.finish().encode_to_vec()));
         }
     }
     let rest = writer.finish();
     if !rest.steps.is_empty() {
-        chunks.push(seal(rest.encode_to_vec()));
+        chunks.push(with_checksum(rest.encode_to_vec()));
     }
     chunks
 }
 
 /// Reads a chunk.
 pub(super) fn decode_chunk(value: &[u8]) -> BlocksResult<ColumnsMessage> {
-    let payload = open(value, "a chunk")?;
+    let payload = verified_payload(value, "a chunk")?;
     ColumnsMessage::decode(&payload[..]).map_err(BlocksError::decode)
 }
--- a/crates/foxtide-core/src/blocks/columns.rs
+++ b/crates/foxtide-core/src/blocks/columns.rs
@@ -10,7 +10,7 @@
     Prefix, //
 };
 use super::search::{
-    Sorted,
+    SortedPrefixes,
     longest_match, //
 };
 use super::{
@@ -34,8 +34,8 @@
     wide: Vec<Entry>,
     /// The first halves that have longer blocks, ascending.
     buckets: Vec<F::Half>,
-    /// Where each bucket begins in the columns; their end comes last.
-    begins: Vec<u32>,
+    /// Where each bucket offsets in the columns; their end comes last.
+    offsets: Vec<u32>,
     /// The second halves of the longer blocks' first addresses.
     starts: Vec<F::Half>,
     /// How many bits of the second half are fixed.
@@ -49,7 +49,7 @@
         Self {
             wide: Vec::new(),
             buckets: Vec::new(),
-            begins: vec![0],
+            offsets: vec![0],
             starts: Vec::new(),
             lengths: Vec::new(),
             sites: Vec::new(),
@@ -64,26 +64,26 @@
     lengths: &'a [u8],
 }
 
-impl<F: Family> Sorted for Bucket<'_, F> {
+impl<F: Family> SortedPrefixes for Bucket<'_, F> {
     fn count(&self) -> usize {
         self.starts.len()
     }
 
-    fn prefix(&self, place: usize) -> Prefix {
+    fn prefix(&self, index: usize) -> Prefix {
         Prefix {
-            start: self.starts[place].into(),
-            length: self.lengths[place],
+            start: self.starts[index].into(),
+            length: self.lengths[index],
         }
     }
 }
 
-impl Sorted for Vec<Entry> {
+impl SortedPrefixes for Vec<Entry> {
     fn count(&self) -> usize {
         self.len()
     }
 
-    fn prefix(&self, place: usize) -> Prefix {
-        self[place].prefix
+    fn prefix(&self, index: usize) -> Prefix {
+        self[index].prefix
     }
 }
 
@@ -117,14 +117,14 @@
         let (bucket, start) = Self::split(entry.prefix.start)?;
         if self.buckets.last() != Some(&bucket) {
             self.buckets.push(bucket);
-            self.begins.push(0);
+            self.offsets.push(0);
         }
         self.starts.push(start);
         self.lengths.push(length);
         self.sites.push(entry.site);
         let end = u32::try_from(self.starts.len());
         let end = end.map_err(|_| BlocksError::decode("more than 2^32 blocks"))?;
-        if let Some(last) = self.begins.last_mut() {
+        if let Some(last) = self.offsets.last_mut() {
             *last = end;
         }
         Ok(())
@@ -134,7 +134,7 @@
     pub(super) fn shrink(&mut self) {
         self.wide.shrink_to_fit();
         self.buckets.shrink_to_fit();
-        self.begins.shrink_to_fit();
+        self.offsets.shrink_to_fit();
         self.starts.shrink_to_fit();
         self.lengths.shrink_to_fit();
         self.sites.shrink_to_fit();
@@ -149,19 +149,19 @@
     fn find_narrow(&self, address: u64) -> Option<SiteIndex> {
         let (bucket, rest) = Self::split(address).ok()?;
         let number = self.buckets.binary_search(&bucket).ok()?;
-        let begin = self.begins[number] as usize;
-        let end = self.begins[number + 1] as usize;
+        let begin = self.offsets[number] as usize;
+        let end = self.offsets[number + 1] as usize;
         let blocks: Bucket<'_, F> = Bucket {
             starts: &self.starts[begin..end],
             lengths: &self.lengths[begin..end],
         };
-        let place = longest_match(&blocks, rest.into(), Self::HALF_BITS)?;
-        Some(self.sites[begin + place])
+        let index = longest_match(&blocks, rest.into(), Self::HALF_BITS)?;
+        Some(self.sites[begin + index])
     }
 
     fn find_wide(&self, address: u64) -> Option<SiteIndex> {
-        let place = longest_match(&self.wide, address, F::BITS)?;
-        Some(self.wide[place].site)
+        let index = longest_match(&self.wide, address, F::BITS)?;
+        Some(self.wide[index].site)
     }
 
     /// Splits an address into its halves.
@@ -185,7 +185,7 @@
         let halves = self.buckets.capacity() + self.starts.capacity();
         self.wide.capacity() * size_of::<Entry>()
             + halves * size_of::<F::Half>()
-            + self.begins.capacity() * size_of::<u32>()
+            + self.offsets.capacity() * size_of::<u32>()
             + self.lengths.capacity()
             + self.sites.capacity() * size_of::<SiteIndex>()
     }
@@ -205,19 +205,19 @@
         let bucket_of = self.buckets.iter().enumerate();
         bucket_of.flat_map(move |(number, bucket)| {
             let first: u64 = (*bucket).into();
-            let places = self.begins[number] as usize..self.begins[number + 1] as usize;
-            places.map(move |place| self.narrow_entry(first, place))
+            let indices = self.offsets[number] as usize..self.offsets[number + 1] as usize;
+            indices.map(move |index| self.narrow_entry(first, index))
         })
     }
 
-    fn narrow_entry(&self, bucket: u64, place: usize) -> Entry {
-        let rest: u64 = self.starts[place].into();
+    fn narrow_entry(&self, bucket: u64, index: usize) -> Entry {
+        let rest: u64 = self.starts[index].into();
         Entry {
             prefix: Prefix {
                 start: bucket << Self::HALF_BITS | rest,
-                length: Self::HALF_BITS + self.lengths[place],
+                length: Self::HALF_BITS + self.lengths[index],
             },
-            site: self.sites[place],
+            site: self.sites[index],
         }
     }
 }
--- a/crates/foxtide-core/src/blocks/delta.rs
+++ b/crates/foxtide-core/src/blocks/delta.rs
@@ -4,8 +4,8 @@
     ColumnsMessage,
     ColumnsWriter,
     DeltaMessage,
-    open,
-    seal, //
+    verified_payload,
+    with_checksum, //
 };
 use super::family::{
     Family,
@@ -149,7 +149,7 @@
             removed_v4: Some(columns::<V4>(&sorted.v4, false)),
             removed_v6: Some(columns::<V6>(&sorted.v6, false)),
         };
-        Ok(seal(message.encode_to_vec()))
+        Ok(with_checksum(message.encode_to_vec()))
     }
 
     /// Reads a delta that [`Delta::encode`] made.
@@ -158,7 +158,7 @@
     ///
     /// Fails where the bytes were changed or do not hold a delta.
     pub fn decode(bytes: &[u8]) -> BlocksResult<Self> {
-        let payload = open(bytes, "a delta")?;
+        let payload = verified_payload(bytes, "a delta")?;
         let message = DeltaMessage::decode(&payload[..]).map_err(BlocksError::decode)?;
         let mut delta = Self {
             base_revision: message.follows,
--- a/crates/foxtide-core/src/blocks/family.rs
+++ b/crates/foxtide-core/src/blocks/family.rs
@@ -128,6 +128,6 @@
 /// Returns the first `length` of a number's `bits` bits, the others nought.
 pub(super) fn truncate(value: u64, length: u8, bits: u8) -> u64 {
     let shift = u32::from(bits - length);
-    let kept = value.checked_shr(shift).unwrap_or(0);
-    kept.checked_shl(shift).unwrap_or(0)
+    let leading = value.checked_shr(shift).unwrap_or(0);
+    leading.checked_shl(shift).unwrap_or(0)
 }
--- a/crates/foxtide-core/src/blocks/manifest.rs
+++ b/crates/foxtide-core/src/blocks/manifest.rs
@@ -10,8 +10,8 @@
     ManifestMessage,
     PartMessage,
     SiteMessage,
-    open,
-    seal, //
+    verified_payload,
+    with_checksum, //
 };
 use super::{
     BlockCounts,
@@ -156,7 +156,7 @@
             chunks: self.chunks.iter().map(to_part_message).collect(),
             deltas: deltas?,
         };
-        Ok(seal(message.encode_to_vec()))
+        Ok(with_checksum(message.encode_to_vec()))
     }
 
     /// Reads a manifest that [`Manifest::encode`] made.
@@ -165,7 +165,7 @@
     ///
     /// Fails where the bytes were changed or do not hold a manifest.
     pub fn decode(value: &[u8]) -> BlocksResult<Self> {
-        let payload = open(value, "the manifest")?;
+        let payload = verified_payload(value, "the manifest")?;
         let message = ManifestMessage::decode(&payload[..]).map_err(BlocksError::decode)?;
         let sites: BlocksResult<Vec<Site>> = message.sites.into_iter().map(to_site).collect();
         let deltas = message.deltas.iter().map(|value| Delta::decode(value));
--- a/crates/foxtide-core/src/blocks/search.rs
+++ b/crates/foxtide-core/src/blocks/search.rs
@@ -5,13 +5,13 @@
     truncate, //
 };
 
-/// Sorted prefixes of `BITS`-bit numbers.
-pub(super) trait Sorted {
+/// SortedPrefixes prefixes of `BITS`-bit numbers.
+pub(super) trait SortedPrefixes {
     /// Returns the number of prefixes.
     fn count(&self) -> usize;
 
-    /// Returns the prefix at a place below the count.
-    fn prefix(&self, place: usize) -> Prefix;
+    /// Returns the prefix at a index below the count.
+    fn prefix(&self, index: usize) -> Prefix;
 
     /// Returns how many of the first `end` prefixes are at most `key`.
     fn rank(&self, key: Prefix, end: usize) -> usize {
@@ -29,7 +29,7 @@
     }
 }
 
-/// Returns the place of the longest prefix that holds an address of `bits`
+/// Returns the index of the longest prefix that holds an address of `bits`
 /// bits.
 ///
 /// The last prefix at or before the address is the longest one that holds it,
@@ -37,7 +37,7 @@
 /// address of that one, and so is at most as long as what the two have in
 /// common: the search goes on from there. Each round shortens the common
 /// part, so there are at most `bits` rounds; with real blocks one or two.
-pub(super) fn longest_match(sorted: &impl Sorted, address: u64, bits: u8) -> Option<usize> {
+pub(super) fn longest_match(sorted: &impl SortedPrefixes, address: u64, bits: u8) -> Option<usize> {
     let mut key = Prefix {
         start: address,
         length: bits,
@@ -45,11 +45,11 @@
     let mut end = sorted.count();
     loop {
         end = sorted.rank(key, end);
-        let place = end.checked_sub(1)?;
-        let found = sorted.prefix(place);
+        let index = end.checked_sub(1)?;
+        let found = sorted.prefix(index);
         let common = common_bits(found.start, address, bits);
         if common >= found.length {
-            return Some(place);
+            return Some(index);
         }
         key = Prefix {
             start: truncate(address, common, bits),
--- a/crates/foxtide-core/src/blocks/site.rs
+++ b/crates/foxtide-core/src/blocks/site.rs
@@ -35,7 +35,7 @@
     }
 }
 
-/// A site: a place in a region where callers are served.
+/// A site: a index in a region where callers are served.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Site {
@@ -80,8 +80,8 @@
 
     /// Returns the number of the site of this name.
     pub fn index_of(&self, site: &SiteId) -> Option<SiteIndex> {
-        let place = self.0.iter().position(|known| known.site == *site)?;
-        u8::try_from(place).ok().map(SiteIndex)
+        let index = self.0.iter().position(|known| known.site == *site)?;
+        u8::try_from(index).ok().map(SiteIndex)
     }
 
     /// Returns the site of this number.
--- a/crates/foxtide-core/src/blocks/table.rs
+++ b/crates/foxtide-core/src/blocks/table.rs
@@ -148,18 +148,18 @@
 /// Merges sorted changes into a table.
 fn merge<F: Family>(old: &Columns<F>, changes: &[Change]) -> BlocksResult<Columns<F>> {
     let mut merged = Columns::with_capacity(old.len() + changes.len());
-    let mut kept = old.entries().peekable();
+    let mut unchanged = old.entries().peekable();
     for change in changes {
-        while let Some(entry) = kept.next_if(|entry| entry.prefix < change.prefix) {
+        while let Some(entry) = unchanged.next_if(|entry| entry.prefix < change.prefix) {
             merged.push(entry)?;
         }
-        kept.next_if(|entry| entry.prefix == change.prefix);
+        unchanged.next_if(|entry| entry.prefix == change.prefix);
         if let Some(site) = change.site {
             let prefix = change.prefix;
             merged.push(Entry { prefix, site })?;
         }
     }
-    for entry in kept {
+    for entry in unchanged {
         merged.push(entry)?;
     }
     merged.shrink();
