--- a/crates/foxtide-core/src/events/backup/mod.rs
+++ b/crates/foxtide-core/src/events/backup/mod.rs
@@ -23,8 +23,8 @@
     choose_peers, //
 };
 pub use sender::{
+    BATCH_OVERHEAD_BYTES,
+    BackupBatch,
     BackupSender,
-    PARCEL_OVERHEAD_BYTES,
-    Parcel,
     SenderOptions, //
 };
--- a/crates/foxtide-core/src/events/backup/sender.rs
+++ b/crates/foxtide-core/src/events/backup/sender.rs
@@ -12,7 +12,7 @@
 
 /// What a message costs besides its events: the origin's name, the sequence,
 /// the frame and the packet around it, in bytes.
-pub const PARCEL_OVERHEAD_BYTES: u64 = 128;
+pub const BATCH_OVERHEAD_BYTES: u64 = 128;
 
 const BATCH_EVENTS: usize = 64;
 
@@ -42,7 +42,7 @@
 
 /// A message to one peer.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Parcel {
+pub struct BackupBatch {
     /// The peer.
     pub to: InstanceId,
     /// What it is to keep.
@@ -119,24 +119,24 @@
         &mut self,
         now: MonotonicTime,
         events_after: impl Fn(u64, usize) -> Vec<RingEntry>,
-    ) -> Vec<Parcel> {
+    ) -> Vec<BackupBatch> {
         self.refill(now);
-        let mut parcels = Vec::new();
-        for place in 0..self.cursors.len() {
+        let mut batches = Vec::new();
+        for index in 0..self.cursors.len() {
             let timeout = self.options.acknowledge_timeout;
-            self.cursors[place].rewind_if_overdue(now, timeout);
-            let entries = events_after(self.cursors[place].sent, BATCH_EVENTS);
-            self.count_lost(place, &entries);
-            let sharers = self.cursors.len() - place;
-            if let Some(copies) = self.pack(entries, self.tokens_bytes / sharers as f64) {
-                let cursor = &mut self.cursors[place];
+            self.cursors[index].rewind_if_overdue(now, timeout);
+            let entries = events_after(self.cursors[index].sent, BATCH_EVENTS);
+            self.count_lost(index, &entries);
+            let remaining_peers = self.cursors.len() - index;
+            if let Some(copies) = self.pack(entries, self.tokens_bytes / remaining_peers as f64) {
+                let cursor = &mut self.cursors[index];
                 cursor.sent = copies.through;
                 cursor.sent_at = now;
                 let to = cursor.peer.clone();
-                parcels.push(Parcel { to, copies });
+                batches.push(BackupBatch { to, copies });
             }
         }
-        parcels
+        batches
     }
 
     /// Notes that a peer has kept all events up to a sequence.
@@ -162,8 +162,8 @@
         self.refilled_at = now;
     }
 
-    fn count_lost(&mut self, place: usize, entries: &[RingEntry]) {
-        let cursor = &mut self.cursors[place];
+    fn count_lost(&mut self, index: usize, entries: &[RingEntry]) {
+        let cursor = &mut self.cursors[index];
         let Some(first) = entries.first() else {
             return;
         };
@@ -178,7 +178,7 @@
     /// Packs the events that an allowance of bytes pays for, and takes it from
     /// the budget.
     fn pack(&mut self, entries: Vec<RingEntry>, allowance_bytes: f64) -> Option<EventCopies> {
-        let mut cost_bytes = PARCEL_OVERHEAD_BYTES as f64;
+        let mut cost_bytes = BATCH_OVERHEAD_BYTES as f64;
         let mut copies = EventCopies {
             origin: self.own.to_string(),
             ..EventCopies::default()
@@ -195,7 +195,7 @@
         if copies.events.is_empty() {
             return None;
         }
-        let sent_bytes = copies.encoded_len() as f64 + PARCEL_OVERHEAD_BYTES as f64;
+        let sent_bytes = copies.encoded_len() as f64 + BATCH_OVERHEAD_BYTES as f64;
         self.tokens_bytes -= sent_bytes.min(self.tokens_bytes);
         Some(copies)
     }
--- a/crates/foxtide-core/tests/backup.rs
+++ b/crates/foxtide-core/tests/backup.rs
@@ -1,11 +1,11 @@
 //! Copies of events at peers: who keeps them, what is sent, what is kept.
 
 use foxtide_core::events::backup::{
+    BackupBatch,
     BackupHolder,
     BackupPeer,
     BackupSender,
     HolderOptions,
-    Parcel,
     SenderOptions,
     choose_peers, //
 };
@@ -74,7 +74,7 @@
         }
     }
 
-    fn poll(&mut self, now_ms: u64) -> Vec<Parcel> {
+    fn poll(&mut self, now_ms: u64) -> Vec<BackupBatch> {
         let ring = &self.ring;
         let after = |sequence, limit| ring.notable_after(sequence, limit);
         self.sender.poll(MonotonicTime::from_ms(now_ms), after)
@@ -124,9 +124,9 @@
     let mut origin = Origin::new(SenderOptions::default(), 100);
     let mut holder = BackupHolder::default();
     origin.record(5);
-    for parcel in origin.poll(1_000) {
-        let ack = holder.accept(parcel.copies).unwrap();
-        origin.sender.acknowledge(&parcel.to, ack.through);
+    for batch in origin.poll(1_000) {
+        let ack = holder.accept(batch.copies).unwrap();
+        origin.sender.acknowledge(&batch.to, ack.through);
     }
     assert!(origin.poll(60_000).is_empty());
     let everything = EventFilter::default();
@@ -156,9 +156,9 @@
     let seconds = 600;
     for second in 1..=seconds {
         origin.record(100);
-        for parcel in origin.poll(second * 1_000) {
-            sent_bytes += parcel.copies.encoded_len() as u64;
-            origin.sender.acknowledge(&parcel.to, parcel.copies.through);
+        for batch in origin.poll(second * 1_000) {
+            sent_bytes += batch.copies.encoded_len() as u64;
+            origin.sender.acknowledge(&batch.to, batch.copies.through);
         }
     }
     let most = options.burst_bytes + seconds * options.budget_bytes_per_s;
@@ -170,15 +170,15 @@
 fn verify_new_peer_gets_what_is_kept() {
     let mut origin = Origin::new(SenderOptions::default(), 100);
     origin.record(3);
-    for parcel in origin.poll(1_000) {
-        origin.sender.acknowledge(&parcel.to, parcel.copies.through);
+    for batch in origin.poll(1_000) {
+        origin.sender.acknowledge(&batch.to, batch.copies.through);
     }
     let peers = ["i-1", "i-9"].map(|name| name.parse().unwrap());
     origin.sender.set_peers(peers.to_vec());
-    let parcels = origin.poll(2_000);
-    assert_eq!(parcels.len(), 1);
-    assert_eq!(parcels[0].to.as_str(), "i-9");
-    assert_eq!(parcels[0].copies.events.len(), 3);
+    let batches = origin.poll(2_000);
+    assert_eq!(batches.len(), 1);
+    assert_eq!(batches[0].to.as_str(), "i-9");
+    assert_eq!(batches[0].copies.events.len(), 3);
 }
 
 #[test]
--- a/crates/foxtide-events/src/time_line.rs
+++ b/crates/foxtide-events/src/time_line.rs
@@ -7,11 +7,11 @@
 use crate::Recorder;
 use foxtide_core::Result;
 use foxtide_core::events::backup::{
+    BackupBatch,
     BackupHolder,
     BackupPeer,
     BackupSender,
     HolderOptions,
-    Parcel,
     SenderOptions,
     choose_peers, //
 };
@@ -106,7 +106,7 @@
     }
 
     /// Returns the messages that are due now.
-    pub fn poll(&self, now: MonotonicTime) -> Vec<Parcel> {
+    pub fn poll(&self, now: MonotonicTime) -> Vec<BackupBatch> {
         let recorder = &self.shared.recorder;
         let mut sending = self.shared.sending.lock();
         let after = |sequence, limit| recorder.notable_after(sequence, limit);
--- a/crates/foxtide/examples/measure/events/mod.rs
+++ b/crates/foxtide/examples/measure/events/mod.rs
@@ -8,10 +8,10 @@
     Report, //
 };
 use foxtide_core::events::backup::{
+    BATCH_OVERHEAD_BYTES,
     BackupHolder,
     BackupPeer,
     BackupSender,
-    PARCEL_OVERHEAD_BYTES,
     SenderOptions,
     choose_peers, //
 };
@@ -157,14 +157,12 @@
         }
         let started = Instant::now();
         let after = |sequence, limit| ring.notable_after(sequence, limit);
-        let parcels = sender.poll(MonotonicTime::from_ms(second * 1_000), after);
-        for parcel in parcels {
-            played.sent_bytes += parcel.copies.encoded_len() as u64 + PARCEL_OVERHEAD_BYTES;
-            let number: usize = parcel.to.as_str()[5..].parse().expect("a peer's number");
-            let ack = holders[number]
-                .accept(parcel.copies)
-                .expect("a good origin");
-            sender.acknowledge(&parcel.to, ack.through);
+        let batches = sender.poll(MonotonicTime::from_ms(second * 1_000), after);
+        for batch in batches {
+            played.sent_bytes += batch.copies.encoded_len() as u64 + BATCH_OVERHEAD_BYTES;
+            let number: usize = batch.to.as_str()[5..].parse().expect("a peer's number");
+            let ack = holders[number].accept(batch.copies).expect("a good origin");
+            sender.acknowledge(&batch.to, ack.through);
         }
         played.busy_s += started.elapsed().as_secs_f64();
     }
@@ -205,7 +203,7 @@
     }
     let each_us = started.elapsed().as_secs_f64() * 1e6 / (per_member * GROUP) as f64;
     // A packet for each second with events, as the copies are sent.
-    let packets = per_member as u64 * (MASK_OVERHEAD_BYTES + PARCEL_OVERHEAD_BYTES);
+    let packets = per_member as u64 * (MASK_OVERHEAD_BYTES + BATCH_OVERHEAD_BYTES);
     let per_s = (mask_bytes / GROUP as u64 + packets) as f64 / SECONDS as f64;
     report.figure("events.parity.sent", per_s, "B/s", Limit::None);
     report.figure("events.parity_2d.sent", 2.0 * per_s, "B/s", Limit::None);
--- a/crates/foxtide/src/copies.rs
+++ b/crates/foxtide/src/copies.rs
@@ -1,8 +1,8 @@
 //! Copies of the time line at peers, over the mesh's calls.
 
 use foxtide_core::events::backup::{
+    BackupBatch, //
     BackupPeer,
-    Parcel, //
 };
 use foxtide_core::events::{
     EventCopies,
@@ -58,22 +58,22 @@
     }
 
     async fn send_due(&self) {
-        for parcel in self.time_line.poll(self.clock.now()) {
-            self.send_one(parcel).await;
+        for batch in self.time_line.poll(self.clock.now()) {
+            self.send_one(batch).await;
         }
     }
 
     /// Sends events to one peer. Without an answer they are due again later.
-    async fn send_one(&self, parcel: Parcel) {
+    async fn send_one(&self, batch: BackupBatch) {
         let call = PeerCall {
-            copies: Some(parcel.copies),
+            copies: Some(batch.copies),
         };
         let bytes = call.encode_to_vec();
-        let Ok(answer) = self.mesh.call(&parcel.to, bytes, CALL_DEADLINE).await else {
+        let Ok(answer) = self.mesh.call(&batch.to, bytes, CALL_DEADLINE).await else {
             return;
         };
         if let Ok(ack) = EventCopiesAck::decode(&answer[..]) {
-            self.time_line.acknowledge(&parcel.to, ack);
+            self.time_line.acknowledge(&batch.to, ack);
         }
     }
 
