--- a/crates/foxtide-core/src/records.rs
+++ b/crates/foxtide-core/src/records.rs
@@ -16,12 +16,12 @@
 /// The most bytes of records that one instance tells to many. The slowest machines
 /// have links of 10 Mbit/s, on which this takes 0.1 s; a watcher tells up to 16.
 /// A configuration of 1,700 routes is larger, and is read from the store instead.
-const TOLD_BYTES_MAX: usize = 128 * 1_024;
+const RELAYED_BYTES_MAX: usize = 128 * 1_024;
 
 /// Tells whether records are small enough to be told to many instances.
-pub fn are_told(records: &[Record]) -> bool {
+pub fn fit_relay_limit(records: &[Record]) -> bool {
     let size = |record: &Record| record.key.len() + record.value.as_ref().map_or(0, Vec::len);
-    records.iter().map(size).sum::<usize>() <= TOLD_BYTES_MAX
+    records.iter().map(size).sum::<usize>() <= RELAYED_BYTES_MAX
 }
 
 /// A key of the store and what it holds, as it is read and passed on.
--- a/crates/foxtide-core/tests/records.rs
+++ b/crates/foxtide-core/tests/records.rs
@@ -3,7 +3,7 @@
 use foxtide_core::records::{
     Record,
     RecordLog,
-    are_told, //
+    fit_relay_limit, //
 };
 use foxtide_core::store::StoreIndex;
 
@@ -85,7 +85,11 @@
 #[test]
 fn verify_large_changes_are_left_to_the_store() {
     let routes = "r".repeat(700_000);
-    assert!(!are_told(&[record("configuration", Some(&routes), 2)]));
+    assert!(!fit_relay_limit(&[record(
+        "configuration",
+        Some(&routes),
+        2
+    )]));
     let registrations: Vec<Record> = (0..200)
         .map(|number| {
             record(
@@ -95,6 +99,6 @@
             )
         })
         .collect();
-    assert!(are_told(&registrations));
-    assert!(are_told(&[]));
+    assert!(fit_relay_limit(&registrations));
+    assert!(fit_relay_limit(&[]));
 }
--- a/crates/foxtide-gateway/src/relay/server.rs
+++ b/crates/foxtide-gateway/src/relay/server.rs
@@ -12,7 +12,7 @@
 use crate::state::State;
 use crate::traffic::Sent;
 use bytes::Bytes;
-use foxtide_core::records::are_told;
+use foxtide_core::records::fit_relay_limit;
 use foxtide_events::{
     EventCode,
     log_event, //
@@ -218,7 +218,7 @@
     let changes = after.and_then(|after| log.changes_after(after));
     let is_everything = changes.is_none();
     let records = changes.unwrap_or_else(|| log.all());
-    if request.reads_large && !are_told(&records) {
+    if request.reads_large && !fit_relay_limit(&records) {
         return ChangesResponse {
             is_current: true,
             is_large: true,
--- a/crates/foxtide/src/copies.rs
+++ b/crates/foxtide/src/copies.rs
@@ -2,7 +2,7 @@
 
 use foxtide_core::events::backup::{
     BackupBatch, //
-    BackupPeer,
+    BackupPeer,  //
 };
 use foxtide_core::events::{
     EventCopies,
