--- a/crates/foxtide-core/src/events/clock.rs
+++ b/crates/foxtide-core/src/events/clock.rs
@@ -23,7 +23,7 @@
 
 /// The most by which another process's time may lie ahead of the wall clock
 /// before it is taken for that of a broken clock and not followed.
-pub const AHEAD_MAX: Duration = CLOCK_SKEW_MAX;
+pub const CLOCK_LEAD_MAX: Duration = CLOCK_SKEW_MAX;
 
 const EXPECTED: &str = "microseconds since 1970 and a counter, such as `1750000000000000+2`";
 
@@ -56,7 +56,7 @@
     /// Tells whether the time lies further ahead of the wall clock than two
     /// sound clocks can differ.
     pub fn is_ahead(self, wall: WallTime) -> bool {
-        self.wall_us.since(wall) > AHEAD_MAX
+        self.wall_us.since(wall) > CLOCK_LEAD_MAX
     }
 }
 
--- a/crates/foxtide-core/src/events/event.rs
+++ b/crates/foxtide-core/src/events/event.rs
@@ -123,12 +123,12 @@
 
 impl fmt::Display for EventFields {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        show(f, "organisation", self.organisation.as_ref())?;
-        show(f, "service", self.service.as_ref())?;
-        show(f, "region", self.region.as_ref())?;
-        show(f, "upstream", self.upstream.as_ref())?;
-        show(f, "peer", self.peer.as_ref())?;
-        show(f, "request", self.request.as_ref())?;
+        write_field(f, "organisation", self.organisation.as_ref())?;
+        write_field(f, "service", self.service.as_ref())?;
+        write_field(f, "region", self.region.as_ref())?;
+        write_field(f, "upstream", self.upstream.as_ref())?;
+        write_field(f, "peer", self.peer.as_ref())?;
+        write_field(f, "request", self.request.as_ref())?;
         if self.detail.is_empty() {
             return Ok(());
         }
@@ -136,7 +136,11 @@
     }
 }
 
-fn show(f: &mut fmt::Formatter<'_>, name: &str, value: Option<&impl fmt::Display>) -> fmt::Result {
+fn write_field(
+    f: &mut fmt::Formatter<'_>,
+    name: &str,
+    value: Option<&impl fmt::Display>,
+) -> fmt::Result {
     match value {
         Some(value) => write!(f, " {name}={value}"),
         None => Ok(()),
--- a/crates/foxtide-core/src/events/filter.rs
+++ b/crates/foxtide-core/src/events/filter.rs
@@ -19,7 +19,7 @@
 };
 use std::str::FromStr;
 
-/// A choice of events; the default passes all.
+/// A choice of events; the default matches all.
 #[derive(Clone, Debug, Default)]
 pub struct EventFilter {
     /// Only events of this code.
@@ -58,26 +58,26 @@
             "service" => self.service = Some(text.parse()?),
             "region" => self.region = Some(text.parse()?),
             "request" => self.request = Some(text.parse()?),
-            "since_us" => self.since_us = Some(WallTime::from_us(number(text)?)),
-            "limit" => self.limit = Some(number(text)?),
+            "since_us" => self.since_us = Some(WallTime::from_us(parse_number(text)?)),
+            "limit" => self.limit = Some(parse_number(text)?),
             _ => {}
         }
         Ok(())
     }
 
     /// Tells whether an event is asked for.
-    pub fn passes(&self, event: &Event) -> bool {
+    pub fn matches(&self, event: &Event) -> bool {
         let fields = &event.fields;
-        self.passes_kind(event)
-            && wanted(&self.instance, Some(&event.instance))
-            && wanted(&self.organisation, fields.organisation.as_ref())
-            && wanted(&self.service, fields.service.as_ref())
-            && wanted(&self.region, fields.region.as_ref())
-            && wanted(&self.request, fields.request.as_ref())
+        self.matches_code_and_time(event)
+            && matches_field(&self.instance, Some(&event.instance))
+            && matches_field(&self.organisation, fields.organisation.as_ref())
+            && matches_field(&self.service, fields.service.as_ref())
+            && matches_field(&self.region, fields.region.as_ref())
+            && matches_field(&self.request, fields.request.as_ref())
     }
 
-    fn passes_kind(&self, event: &Event) -> bool {
-        wanted(&self.code, Some(&event.code))
+    fn matches_code_and_time(&self, event: &Event) -> bool {
+        matches_field(&self.code, Some(&event.code))
             && self.level.is_none_or(|least| event.code.level() <= least)
             && self.since_us.is_none_or(|at| event.clock.wall_us >= at)
     }
@@ -85,7 +85,7 @@
     /// Returns the events that pass, oldest first; the latest
     /// [`EventFilter::limit`] of them.
     pub fn select<'a>(&self, events: impl Iterator<Item = &'a Event>) -> Vec<Event> {
-        let passing = events.filter(|event| self.passes(event));
+        let passing = events.filter(|event| self.matches(event));
         let mut selected: Vec<Event> = passing.cloned().collect();
         selected.sort_by_key(|event| event.clock);
         let limit = self.limit.unwrap_or(usize::MAX);
@@ -94,12 +94,12 @@
     }
 }
 
-fn number<T: FromStr>(text: &str) -> Result<T> {
+fn parse_number<T: FromStr>(text: &str) -> Result<T> {
     let parsed = text.parse();
     parsed.map_err(|_| Error::parse(text, "a whole number, 0 or more"))
 }
 
-fn wanted<T: PartialEq>(wanted: &Option<T>, value: Option<&T>) -> bool {
+fn matches_field<T: PartialEq>(wanted: &Option<T>, value: Option<&T>) -> bool {
     match wanted {
         Some(wanted) => value == Some(wanted),
         None => true,
--- a/crates/foxtide-core/src/events/mod.rs
+++ b/crates/foxtide-core/src/events/mod.rs
@@ -18,7 +18,7 @@
 
 pub use catalogue::catalogue_page;
 pub use clock::{
-    AHEAD_MAX,
+    CLOCK_LEAD_MAX,
     HybridClock,
     HybridTime, //
 };
--- a/crates/foxtide-core/src/events/repeats.rs
+++ b/crates/foxtide-core/src/events/repeats.rs
@@ -25,16 +25,16 @@
 
 /// What happened to one sort of event.
 #[derive(Clone, Copy, Debug)]
-struct Repeat {
+struct RepeatCount {
     since_us: WallTime,
     recorded: u32,
-    held_back: u64,
+    suppressed: u64,
 }
 
 /// Decides which events are recorded.
 #[derive(Clone, Debug, Default)]
 pub struct RepeatFilter {
-    repeats: HashMap<u64, Repeat>,
+    repeats: HashMap<u64, RepeatCount>,
 }
 
 impl RepeatFilter {
@@ -51,24 +51,27 @@
         if code.level() == Level::Debug {
             return Some(fields);
         }
-        self.make_room(wall);
+        self.evict_ended(wall);
         if self.repeats.len() >= KEYS_MAX {
             return Some(fields);
         }
-        let fresh = Repeat {
+        let new_window = RepeatCount {
             since_us: wall,
             recorded: 0,
-            held_back: 0,
+            suppressed: 0,
         };
-        let repeat = self.repeats.entry(key(code, &fields)).or_insert(fresh);
-        if is_over(repeat, wall) {
-            if repeat.held_back > 0 {
-                fields.detail = format!("held_back={} {}", repeat.held_back, fields.detail);
+        let repeat = self
+            .repeats
+            .entry(repeat_key(code, &fields))
+            .or_insert(new_window);
+        if has_ended(repeat, wall) {
+            if repeat.suppressed > 0 {
+                fields.detail = format!("held_back={} {}", repeat.suppressed, fields.detail);
             }
-            *repeat = fresh;
+            *repeat = new_window;
         }
         if repeat.recorded >= RECORDED_MAX {
-            repeat.held_back += 1;
+            repeat.suppressed += 1;
             return None;
         }
         repeat.recorded += 1;
@@ -76,21 +79,21 @@
     }
 
     /// Forgets what is over, once so many are watched.
-    fn make_room(&mut self, wall: WallTime) {
+    fn evict_ended(&mut self, wall: WallTime) {
         if self.repeats.len() >= KEYS_MAX {
-            self.repeats.retain(|_, repeat| !is_over(repeat, wall));
+            self.repeats.retain(|_, repeat| !has_ended(repeat, wall));
         }
     }
 }
 
 /// Tells whether a window has ended; one that lies in the future, after the
 /// clock was set back, has.
-fn is_over(repeat: &Repeat, wall: WallTime) -> bool {
+fn has_ended(repeat: &RepeatCount, wall: WallTime) -> bool {
     wall < repeat.since_us || wall.since(repeat.since_us) >= WINDOW
 }
 
 /// Events are about the same where all but the request and the detail agree.
-fn key(code: EventCode, fields: &EventFields) -> u64 {
+fn repeat_key(code: EventCode, fields: &EventFields) -> u64 {
     let names = [
         fields.organisation.as_ref().map(|name| name.as_str()),
         fields.service.as_ref().map(|name| name.as_str()),
--- a/crates/foxtide-core/src/events/ring.rs
+++ b/crates/foxtide-core/src/events/ring.rs
@@ -16,14 +16,14 @@
     /// How many events above [`Level::Debug`]; 4,096 by default.
     pub notable: usize,
     /// How many events of [`Level::Debug`]; 1,024 by default.
-    pub routine: usize,
+    pub debug: usize,
 }
 
 impl Default for EventRingOptions {
     fn default() -> Self {
         Self {
             notable: 4_096,
-            routine: 1_024,
+            debug: 1_024,
         }
     }
 }
@@ -74,7 +74,7 @@
 #[derive(Clone, Debug)]
 pub struct EventRing {
     notable: Queue,
-    routine: Queue,
+    debug: Queue,
 }
 
 impl Default for EventRing {
@@ -88,32 +88,32 @@
     pub fn new(options: EventRingOptions) -> Self {
         Self {
             notable: Queue::new(options.notable),
-            routine: Queue::new(options.routine),
+            debug: Queue::new(options.debug),
         }
     }
 
     /// Adds an event and drops the oldest one of its sort where room is short.
     pub fn push(&mut self, event: Event) {
         match event.code.level() {
-            Level::Debug => self.routine.push(event),
+            Level::Debug => self.debug.push(event),
             Level::Error | Level::Warn | Level::Info => self.notable.push(event),
         }
     }
 
     /// Returns how many events were ever recorded.
     pub fn recorded(&self) -> u64 {
-        self.notable.recorded + self.routine.recorded
+        self.notable.recorded + self.debug.recorded
     }
 
     /// Returns how many events were dropped for want of room.
     pub fn dropped(&self) -> u64 {
-        self.notable.dropped() + self.routine.dropped()
+        self.notable.dropped() + self.debug.dropped()
     }
 
     /// Returns the events that pass a filter, oldest first; the latest
     /// [`EventFilter::limit`] of them.
     pub fn select(&self, filter: &EventFilter) -> Vec<Event> {
-        let entries = self.notable.entries.iter().chain(&self.routine.entries);
+        let entries = self.notable.entries.iter().chain(&self.debug.entries);
         let events = entries.map(|entry| &entry.event);
         filter.select(events)
     }
--- a/crates/foxtide-core/tests/backup.rs
+++ b/crates/foxtide-core/tests/backup.rs
@@ -52,10 +52,7 @@
 
 impl Origin {
     fn new(options: SenderOptions, notable: usize) -> Self {
-        let ring = EventRingOptions {
-            notable,
-            routine: 1,
-        };
+        let ring = EventRingOptions { notable, debug: 1 };
         let mut sender = BackupSender::new(name(), options, MonotonicTime::ZERO);
         sender.set_peers(vec!["i-1".parse().unwrap()]);
         Self {
--- a/crates/foxtide-core/tests/events.rs
+++ b/crates/foxtide-core/tests/events.rs
@@ -109,7 +109,7 @@
 fn verify_flood_of_requests_keeps_notable_events() {
     let mut ring = EventRing::new(EventRingOptions {
         notable: 2,
-        routine: 3,
+        debug: 3,
     });
     let mut clock = HybridClock::default();
     let mut push = |code| ring.push(event("k-1", clock.tick(WallTime::ZERO), code));
