--- a/crates/foxtide-config/src/template/mod.rs
+++ b/crates/foxtide-config/src/template/mod.rs
@@ -21,9 +21,9 @@
 };
 use foxtide_core::ids::OrganisationId;
 use foxtide_core::organisation::{
+    AppliedTemplate, //
     Organisation,
     SCHEMA_VERSION,
-    TemplateUse, //
 };
 use foxtide_core::units::Revision;
 use serde::{
@@ -98,7 +98,7 @@
         let source = format!("template {} v{}", self.template, self.version);
         let values = self.values(&source, given)?;
         let mut document = fill::filled(&self.document, &values);
-        let used = TemplateUse {
+        let used = AppliedTemplate {
             name: self.template.clone(),
             version: self.version,
             parameters: given.clone(),
--- a/crates/foxtide-config/src/template/parameter.rs
+++ b/crates/foxtide-config/src/template/parameter.rs
@@ -4,7 +4,7 @@
     Error,
     Result, //
 };
-use foxtide_core::organisation::Home;
+use foxtide_core::organisation::HomeRegion;
 use serde::{
     Deserialize,
     Serialize, //
@@ -162,7 +162,9 @@
     fn accepts(&self, value: &Value) -> bool {
         match self.kind {
             ParameterKind::Priority => value == "latency" || value == "headroom",
-            ParameterKind::Homes => serde_json::from_value::<Vec<Home>>(value.clone()).is_ok(),
+            ParameterKind::Homes => {
+                serde_json::from_value::<Vec<HomeRegion>>(value.clone()).is_ok()
+            }
             kind => {
                 let (least, most) = self.range();
                 let whole = !kind.is_whole() || value.is_u64();
--- a/crates/foxtide-config/src/validate/contracts.rs
+++ b/crates/foxtide-config/src/validate/contracts.rs
@@ -3,7 +3,7 @@
 use super::Check;
 use crate::Result;
 use foxtide_core::organisation::{
-    Home,
+    HomeRegion,
     Service, //
 };
 
@@ -55,7 +55,7 @@
         self.homes_joined(&field, homes)
     }
 
-    fn served(&self, field: &str, service: &Service, home: &Home) -> Result<()> {
+    fn served(&self, field: &str, service: &Service, home: &HomeRegion) -> Result<()> {
         let mut upstreams = service.upstreams.iter();
         if upstreams.any(|upstream| upstream.region == home.region) {
             return Ok(());
@@ -65,7 +65,7 @@
     }
 
     /// Every home must reach every other: spill-over and drains go there.
-    fn homes_joined(&self, field: &str, homes: &[Home]) -> Result<()> {
+    fn homes_joined(&self, field: &str, homes: &[HomeRegion]) -> Result<()> {
         for from in homes {
             let others = homes.iter().filter(|to| to.region != from.region);
             for to in others {
--- a/crates/foxtide-core/src/organisation.rs
+++ b/crates/foxtide-core/src/organisation.rs
@@ -48,7 +48,7 @@
     pub change_id: ChangeId,
     /// The template that the document was made from.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub template: Option<TemplateUse>,
+    pub template: Option<AppliedTemplate>,
     /// The regions in which the organisation has room.
     pub regions: Vec<Region>,
     /// The links between the regions, each direction on its own.
@@ -88,7 +88,7 @@
 /// The template and the parameters that a document was made from.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct TemplateUse {
+pub struct AppliedTemplate {
     /// The template's name.
     pub name: String,
     /// The template's version; a newer one changes nothing by itself.
@@ -151,7 +151,7 @@
 pub struct Contract {
     /// The regions in which the service is served, with the share of the
     /// traffic from outside of them that each takes. The shares sum to 1.
-    pub homes: Vec<Home>,
+    pub homes: Vec<HomeRegion>,
     /// The most of the service's requests that may be served in another home
     /// than the planned one.
     pub spill_limit_share: Share,
@@ -175,7 +175,7 @@
 /// A region in which a service is served.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Home {
+pub struct HomeRegion {
     /// The region.
     pub region: RegionId,
     /// Its part of the traffic that comes from outside the homes.
--- a/crates/foxtide-entry/tests/support/mod.rs
+++ b/crates/foxtide-entry/tests/support/mod.rs
@@ -14,7 +14,7 @@
     RegionId, //
 };
 use foxtide_core::organisation::{
-    Home,
+    HomeRegion,
     Link,
     Organisation,
     Priority, //
@@ -275,7 +275,7 @@
     service.upstreams[1].availability_zone = region.availability_zones[0].clone();
     let share = Share::clamped(0.5);
     service.contract.homes[0].share = share;
-    service.contract.homes.push(Home {
+    service.contract.homes.push(HomeRegion {
         region: region.region.clone(),
         share,
     });
--- a/crates/foxtide-testing/src/scenario/setting.rs
+++ b/crates/foxtide-testing/src/scenario/setting.rs
@@ -8,7 +8,7 @@
 };
 use foxtide_core::organisation::{
     Contract,
-    Home,
+    HomeRegion,
     Link,
     Organisation,
     Priority,
@@ -153,7 +153,7 @@
     pub(super) fn add_service(&mut self, service: ServiceId, terms: &ServiceTerms) {
         let regions = &self.organisation.regions;
         let share = Share::clamped(1.0 / regions.len().max(1) as f64);
-        let homes = regions.iter().map(|region| Home {
+        let homes = regions.iter().map(|region| HomeRegion {
             region: region.region.clone(),
             share,
         });
--- a/crates/foxtide/examples/measure/steering/costs.rs
+++ b/crates/foxtide/examples/measure/steering/costs.rs
@@ -73,7 +73,7 @@
             service
                 .contract
                 .homes
-                .push(foxtide_core::organisation::Home {
+                .push(foxtide_core::organisation::HomeRegion {
                     region: id.clone(),
                     ..home
                 });
