--- a/crates/foxtide-config/src/template/mod.rs
+++ b/crates/foxtide-config/src/template/mod.rs
@@ -23,7 +23,7 @@
 use foxtide_core::organisation::{
     AppliedTemplate, //
     Organisation,
-    SCHEMA_VERSION,
+    SCHEMA_VERSION, //
 };
 use foxtide_core::units::Revision;
 use serde::{
--- a/crates/foxtide-core/tests/backup.rs
+++ b/crates/foxtide-core/tests/backup.rs
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn verify_copies_stand_in_other_zones_and_regions() {
+fn verify_peers_are_in_other_zones_and_regions() {
     let members = members(30);
     for own in &members {
         let chosen = choose_peers(own, &members, 2);
@@ -93,22 +93,22 @@
 }
 
 #[test]
-fn verify_choice_changes_little_when_a_member_goes() {
+fn verify_peers_change_little_when_a_member_leaves() {
     let all = members(60);
     let without: Vec<_> = all.iter().filter(|m| **m != member(7)).cloned().collect();
-    let mut kept = 0;
+    let mut unchanged = 0;
     for own in &without {
         let before = choose_peers(own, &all, 2);
         let after = choose_peers(own, &without, 2);
         let lost = before.contains(&member(7).instance);
-        kept += usize::from(before == after);
+        unchanged += usize::from(before == after);
         assert!(lost || before == after);
     }
-    assert!(kept >= 50, "{kept}");
+    assert!(unchanged >= 50, "{unchanged}");
 }
 
 #[test]
-fn verify_small_fleets_take_what_there_is() {
+fn verify_small_fleets_use_the_peers_they_have() {
     let alone = members(1);
     assert!(choose_peers(&alone[0], &alone, 2).is_empty());
     let mut pair = members(2);
@@ -194,12 +194,12 @@
         holder.accept(copies).unwrap();
     }
     assert!(holder.size_bytes() <= 30_000);
-    let mut kept: HashMap<InstanceId, usize> = HashMap::new();
+    let mut held: HashMap<InstanceId, usize> = HashMap::new();
     for event in holder.select(&EventFilter::default()) {
-        *kept.entry(event.instance).or_default() += 1;
+        *held.entry(event.instance).or_default() += 1;
     }
-    assert_eq!(kept[&"i-3".parse::<InstanceId>().unwrap()], 5);
-    assert_eq!(kept.len(), 3);
+    assert_eq!(held[&"i-3".parse::<InstanceId>().unwrap()], 5);
+    assert_eq!(held.len(), 3);
 }
 
 #[test]
--- a/crates/foxtide-core/tests/blocks.rs
+++ b/crates/foxtide-core/tests/blocks.rs
@@ -53,7 +53,7 @@
 }
 
 /// The model: all blocks, looked through one by one.
-fn naive(blocks: &BTreeMap<IpNet, SiteIndex>, client: IpAddr) -> Option<SiteIndex> {
+fn linear_search(blocks: &BTreeMap<IpNet, SiteIndex>, client: IpAddr) -> Option<SiteIndex> {
     let holding = blocks.iter().filter(|(net, _)| net.contains(&client));
     let longest = holding.max_by_key(|(net, _)| net.prefix_len());
     longest.map(|(_, site)| *site)
@@ -100,7 +100,7 @@
 }
 
 fn assert_same(table: &ClientBlocks, model: &BTreeMap<IpNet, SiteIndex>, client: IpAddr) {
-    let expected = naive(model, client).and_then(|site| table.sites().get(site));
+    let expected = linear_search(model, client).and_then(|site| table.sites().get(site));
     assert_eq!(table.site_of(client), expected, "{client}");
 }
 
@@ -152,7 +152,7 @@
 
     /// Whatever bytes come, reading them ends in an error or in a table.
     #[test]
-    fn verify_damaged_chunks_do_no_harm(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
+    fn verify_arbitrary_bytes_never_panic(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
         let _ = ClientBlocksBuilder::new(1, sites(), BlockCounts::default()).add_chunk(&bytes);
         let _ = Delta::decode(&bytes);
         let _ = Manifest::decode(&bytes);
@@ -196,7 +196,7 @@
 }
 
 #[test]
-fn verify_damage_is_found() {
+fn verify_changed_bytes_are_rejected() {
     let table = ClientBlocks::new(1, sites(), &[block("10.0.0.0/8", 1)]).unwrap();
     let (manifest, values) = Manifest::of(&table);
     let mut damaged = values[0].clone();
@@ -240,7 +240,7 @@
 }
 
 #[test]
-fn verify_missed_deltas_are_caught_up_with() {
+fn verify_a_manifest_advances_over_missed_deltas() {
     let mut table = ClientBlocks::new(1, sites(), &[block("10.0.0.0/8", 1)]).unwrap();
     let first = table.clone();
     let (mut manifest, _) = Manifest::of(&table);
@@ -255,11 +255,8 @@
         table = manifest.advance(&table).unwrap();
         assert_eq!(table.revision(), manifest.revision);
     }
-    let caught_up = manifest.advance(&first).unwrap();
-    assert_eq!(
-        site_name(&caught_up, "10.1.1.1").as_deref(),
-        Some("site-19")
-    );
+    let advanced = manifest.advance(&first).unwrap();
+    assert_eq!(site_name(&advanced, "10.1.1.1").as_deref(), Some("site-19"));
     assert!(manifest.needs_rewrite().unwrap());
     let (rewritten, _) = Manifest::of(&table);
     assert!(rewritten.can_advance(&table));
--- a/crates/foxtide-core/tests/dissemination.rs
+++ b/crates/foxtide-core/tests/dissemination.rs
@@ -61,7 +61,7 @@
 
 proptest! {
     #[test]
-    fn verify_tables_agree_whatever_the_order(
+    fn verify_tables_converge_in_any_order(
         mut revisions in prop::collection::vec(1u64..50, 1..40),
     ) {
         let newest = *revisions.iter().max().unwrap();
@@ -124,7 +124,7 @@
 }
 
 #[test]
-fn verify_sources_that_are_all_gone_are_given_up() {
+fn verify_a_fetch_without_working_sources_is_dropped() {
     let mut fetches = FetchQueue::default();
     fetches.add_source(&announcement(3), source(1));
     let mut now = MonotonicTime::ZERO;
@@ -264,7 +264,7 @@
 }
 
 #[test]
-fn verify_all_know_the_sum_of_all() {
+fn verify_every_instance_gets_the_fleet_sum() {
     let mut fleet = LoadFleet::new(100, 3);
     fleet.run_for(Duration::from_secs(4));
     for instance in 0..100 {
@@ -276,7 +276,7 @@
 }
 
 #[test]
-fn verify_a_sum_is_young_at_any_time() {
+fn verify_sums_stay_below_the_age_limit() {
     let mut fleet = LoadFleet::new(100, 3);
     fleet.run_for(Duration::from_secs(4));
     let options = LoadOptions::default();
@@ -290,7 +290,7 @@
 }
 
 #[test]
-fn verify_claims_of_the_dead_are_never_forgotten_early() {
+fn verify_claims_of_dead_instances_are_held() {
     let mut fleet = LoadFleet::new(60, 3);
     fleet.run_for(Duration::from_secs(4));
     // Their trees' roots and inner ones are among the dead.
@@ -311,7 +311,7 @@
 }
 
 #[test]
-fn verify_claims_counted_twice_run_out() {
+fn verify_claims_counted_twice_expire() {
     let mut fleet = LoadFleet::new(60, 3);
     fleet.run_for(Duration::from_secs(4));
     for instance in 0..6 {
@@ -322,7 +322,7 @@
 }
 
 #[test]
-fn verify_a_record_from_a_fast_clock_does_not_keep_others_out() {
+fn verify_a_record_from_a_fast_clock_is_rejected() {
     let mut fleet = LoadFleet::new(4, 1);
     fleet.run_for(Duration::from_secs(3));
     let aggregator = fleet.aggregators.values_mut().next().unwrap();
@@ -336,7 +336,7 @@
 }
 
 #[test]
-fn verify_rounds_slow_down_where_the_budget_asks_for_it() {
+fn verify_the_interval_grows_to_keep_the_budget() {
     let options = LoadOptions::default();
     assert_eq!(options.interval(100), options.interval_min);
     assert!(options.interval(10_000) > options.interval_min);
--- a/crates/foxtide-core/tests/records.rs
+++ b/crates/foxtide-core/tests/records.rs
@@ -29,12 +29,12 @@
 }
 
 #[test]
-fn verify_an_empty_log_tells_nothing() {
+fn verify_an_empty_log_has_no_changes() {
     assert_eq!(RecordLog::default().changes_after(at(0)), None);
 }
 
 #[test]
-fn verify_changes_are_told_in_order_with_removals() {
+fn verify_changes_come_in_order_with_removals() {
     let mut log = RecordLog::default();
     log.replace(
         &[record("a", Some("1"), 3), record("b", Some("1"), 4)],
@@ -51,7 +51,7 @@
 /// After the store has forgotten its history all is read again; that must not
 /// have everything told to all who follow this log.
 #[test]
-fn verify_a_second_reading_is_told_as_a_difference() {
+fn verify_a_second_read_yields_the_difference() {
     let mut log = RecordLog::default();
     let first: Vec<Record> = (0..100)
         .map(|number| record(&format!("k{number:03}"), Some("1"), number + 1))
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn verify_old_removals_are_dropped_and_no_longer_told() {
+fn verify_old_removals_are_dropped() {
     let mut log = RecordLog::default();
     log.replace(&[], at(1));
     for number in 0..5_000 {
@@ -83,7 +83,7 @@
 /// A configuration that had grown by 1,700 routes did not reach followers of a watcher
 /// with a slow link in time.
 #[test]
-fn verify_large_changes_are_left_to_the_store() {
+fn verify_large_changes_exceed_the_relay_limit() {
     let routes = "r".repeat(700_000);
     assert!(!fit_relay_limit(&[record(
         "configuration",
--- a/crates/foxtide-core/tests/eras.rs
+++ b/crates/foxtide-core/tests/store_restore.rs
@@ -1,4 +1,4 @@
-//! A store that comes back from an older copy.
+//! A store that comes back from an older backup.
 //!
 //! The pattern: the store loses what it has acknowledged in the last seconds, its numbers
 //! go back and are given out again, and those who follow it, or follow those who do, are at
@@ -46,14 +46,14 @@
 }
 
 #[test]
-fn verify_a_later_era_is_later_whatever_the_number() {
+fn verify_indices_order_by_era_first() {
     assert!(at(1, 900) < at(2, 3));
     assert_eq!(at(2, 3).to_string(), "2:3");
     assert_eq!(StoreIndex::new(3).to_string(), "3");
 }
 
 #[test]
-fn verify_what_the_copy_changed_is_told_and_nothing_else() {
+fn verify_a_restore_yields_only_the_changes_of_the_backup() {
     let mut log = RecordLog::default();
     let first = [
         record("a", Some("1"), at(1, 3)),
@@ -67,12 +67,12 @@
         ],
         at(1, 7),
     );
-    // The copy is of number 5.
-    let copy = [
+    // The backup is of number 5.
+    let backup = [
         record("a", Some("1"), at(2, 3)),
         record("b", Some("1"), at(2, 4)),
     ];
-    log.replace(&copy, at(2, 5));
+    log.replace(&backup, at(2, 5));
     assert_eq!(keys(log.changes_after(at(1, 7))).unwrap(), ["b", "-c"]);
     // One who has seen what this log has not is told everything.
     assert_eq!(log.changes_after(at(1, 8)), None);
@@ -106,55 +106,55 @@
     }
 
     fn all(&self) -> Vec<Record> {
-        let restamped = |record: &Record| Record {
+        let in_current_era = |record: &Record| Record {
             index: record.index.in_era(self.era),
             ..record.clone()
         };
-        self.present.values().map(restamped).collect()
+        self.present.values().map(in_current_era).collect()
     }
 
     /// Returns what has changed, or nothing where the position is not its own.
     fn changes_after(&self, index: StoreIndex) -> Option<Vec<Record>> {
-        let is_own = index.era() == self.era && index.get() <= self.number;
+        let is_known = index.era() == self.era && index.get() <= self.number;
         let newer = self.changes.iter().filter(|change| change.index > index);
-        is_own.then(|| newer.cloned().collect())
+        is_known.then(|| newer.cloned().collect())
     }
 
-    fn restore(&mut self, copy: &Self) {
+    fn restore(&mut self, backup: &Self) {
         let era = self.era + 1;
         *self = Self {
             era,
             changes: Vec::new(),
-            ..copy.clone()
+            ..backup.clone()
         };
     }
 }
 
 /// One who follows the store, or another one.
 #[derive(Clone, Debug, Default)]
-struct Reader {
+struct Replica {
     log: RecordLog,
     index: Option<StoreIndex>,
     known: BTreeMap<String, Vec<u8>>,
     positions: Vec<StoreIndex>,
 }
 
-impl Reader {
-    fn ask_store(&mut self, store: &Store) {
+impl Replica {
+    fn read_store(&mut self, store: &Store) {
         let changes = self.index.and_then(|index| store.changes_after(index));
-        self.take(changes, &store.all(), store.index());
+        self.apply(changes, &store.all(), store.index());
     }
 
-    fn ask_peer(&mut self, peer: &Self) {
+    fn read_peer(&mut self, peer: &Self) {
         if peer.index.is_none() {
             return;
         }
         let changes = self.index.and_then(|index| peer.log.changes_after(index));
         let index = peer.log.index().max(self.index.unwrap_or_default());
-        self.take(changes, &peer.log.all(), index);
+        self.apply(changes, &peer.log.all(), index);
     }
 
-    fn take(&mut self, changes: Option<Vec<Record>>, all: &[Record], index: StoreIndex) {
+    fn apply(&mut self, changes: Option<Vec<Record>>, all: &[Record], index: StoreIndex) {
         match changes {
             Some(changes) => {
                 self.log.append(&changes, index);
@@ -178,43 +178,43 @@
     }
 }
 
-/// Writers, readers that are cut and start again, and a store that comes back from copies of
+/// Writers, replicas that are cut and start again, and a store that comes back from backups of
 /// itself; then all are well again, and each reader is asked for what it knows.
 #[test]
-fn verify_all_know_the_same_after_returns_from_older_copies() {
+fn verify_replicas_converge_after_store_restores() {
     for seed in 0..200 {
         let mut draws = fastrand::Rng::with_seed(seed);
         let mut store = Store {
             era: 1,
             ..Store::default()
         };
-        let mut copies = vec![store.clone()];
+        let mut backups = vec![store.clone()];
         // The first two follow the store, the others follow these.
-        let mut readers = vec![Reader::default(); 8];
+        let mut replicas = vec![Replica::default(); 8];
         for step in 0..400 {
             let key = format!("k{}", draws.u8(..12));
             match draws.u8(..20) {
                 0..9 => store.write(&key, Some(step.to_string())),
                 9..11 => store.write(&key, None),
-                11 => copies.push(store.clone()),
+                11 => backups.push(store.clone()),
                 12 if draws.u8(..4) == 0 => {
-                    let newest = copies.len().saturating_sub(1 + draws.usize(..2));
-                    store.restore(&copies[newest].clone());
-                    copies = vec![store.clone()];
+                    let chosen = backups.len().saturating_sub(1 + draws.usize(..2));
+                    store.restore(&backups[chosen].clone());
+                    backups = vec![store.clone()];
                 }
                 13 if draws.u8(..4) == 0 => {
-                    let restarted = draws.usize(..readers.len());
-                    readers[restarted] = Reader::default();
+                    let restarted = draws.usize(..replicas.len());
+                    replicas[restarted] = Replica::default();
                 }
                 _ => {
-                    let asker = draws.usize(..readers.len());
-                    ask(&mut readers, asker, &store, draws.usize(..2));
+                    let index = draws.usize(..replicas.len());
+                    update(&mut replicas, index, &store, draws.usize(..2));
                 }
             }
         }
         for _ in 0..2 {
-            for asker in 0..readers.len() {
-                ask(&mut readers, asker, &store, asker % 2);
+            for index in 0..replicas.len() {
+                update(&mut replicas, index, &store, index % 2);
             }
         }
         let held: BTreeMap<String, Vec<u8>> = store
@@ -222,23 +222,23 @@
             .into_iter()
             .filter_map(|record| Some((record.key, record.value?)))
             .collect();
-        for (number, reader) in readers.iter().enumerate() {
-            assert_eq!(reader.known, held, "seed {seed}, reader {number}");
+        for (number, replica) in replicas.iter().enumerate() {
+            assert_eq!(replica.known, held, "seed {seed}, replica {number}");
             assert!(
-                reader.positions.is_sorted(),
-                "seed {seed}, reader {number}: {:?}",
-                reader.positions
+                replica.positions.is_sorted(),
+                "seed {seed}, replica {number}: {:?}",
+                replica.positions
             );
         }
     }
 }
 
-fn ask(readers: &mut [Reader], asker: usize, store: &Store, watcher: usize) {
-    if asker < 2 {
-        readers[asker].ask_store(store);
+fn update(replicas: &mut [Replica], index: usize, store: &Store, watcher: usize) {
+    if index < 2 {
+        replicas[index].read_store(store);
     } else {
-        let watcher = readers[watcher].clone();
-        readers[asker].ask_peer(&watcher);
+        let watcher = replicas[watcher].clone();
+        replicas[index].read_peer(&watcher);
     }
 }
 
@@ -283,7 +283,7 @@
 }
 
 #[test]
-fn verify_those_who_have_left_get_nothing_where_a_copy_shows_them_as_ready() {
+fn verify_left_upstreams_stay_ineligible_when_a_backup_lists_them() {
     let (mut registry, now) = registry();
     registry.store_restored(now);
     registry.store_answered(now);
@@ -296,7 +296,7 @@
 }
 
 #[test]
-fn verify_one_that_comes_back_by_itself_is_used_again() {
+fn verify_an_upstream_that_registers_again_is_eligible() {
     let (mut registry, now) = registry();
     registry.register(ready("three"), now);
     assert_eq!(eligible(&registry), ["one", "three"]);
@@ -307,7 +307,7 @@
 }
 
 #[test]
-fn verify_what_is_missing_in_the_copy_is_gone_after_the_time_of_return_only() {
+fn verify_registrations_missing_from_a_backup_expire_after_the_grace() {
     let (mut registry, now) = registry();
     registry.register(ready("four"), now);
     registry.store_restored(now);
