--- a/crates/foxtide-core/src/errors.rs
+++ b/crates/foxtide-core/src/errors.rs
@@ -1,35 +1,35 @@
-//! The error type of the decisions and of the values they work on.
+//! The error type of parsing and validation.
 
 use std::fmt;
 
 /// The result of a fallible operation of this crate.
 pub type Result<T> = std::result::Result<T, Error>;
 
-/// What went wrong while a value was parsed or checked.
+/// An error of parsing or validating a value.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Error {
-    /// A value's text does not have the form its type requires.
+    /// The text is not a valid value of its type.
     #[error("`{text}` is not {expected}")]
     Parse {
-        /// The text that was given.
+        /// The rejected text.
         text: String,
-        /// What would be valid.
+        /// A description of valid values.
         expected: &'static str,
     },
-    /// A field of a document holds a value that cannot be accepted.
+    /// A field of a document holds an invalid value.
     #[error("{field}: {problem}; valid: {expected}")]
     Field {
         /// The field's path from the root of the document.
         field: String,
-        /// What is wrong with it.
+        /// The reason for the rejection.
         problem: String,
-        /// What would be valid.
+        /// A description of valid values.
         expected: String,
     },
 }
 
 impl Error {
-    /// Returns the error for a text that does not parse.
+    /// Creates the error for a text that does not parse.
     pub fn parse(text: &str, expected: &'static str) -> Self {
         Self::Parse {
             text: text.to_owned(),
@@ -37,7 +37,7 @@
         }
     }
 
-    /// Returns the error for a field that cannot be accepted.
+    /// Creates the error for an invalid field.
     pub fn field(
         field: impl fmt::Display,
         problem: impl fmt::Display,
--- a/crates/foxtide-core/src/ids.rs
+++ b/crates/foxtide-core/src/ids.rs
@@ -1,4 +1,4 @@
-//! Names of the things in the world: instances, regions, organisations.
+//! Validated names of instances, regions, organisations and other entities.
 
 use crate::{
     Error,
@@ -12,7 +12,7 @@
 use std::str::FromStr;
 use std::sync::Arc;
 
-/// The longest name, in bytes; that of a DNS label (RFC 1035, section 2.3.4).
+/// The maximum length of a name, as of a DNS label (RFC 1035, section 2.3.4).
 pub const NAME_MAX_BYTES: usize = 63;
 
 const NAME_EXPECTED: &str = "1 to 63 of the letters a-z, the digits 0-9 and `-`";
@@ -32,7 +32,7 @@
         pub struct $name(Arc<str>);
 
         impl $name {
-            /// Returns the name's text.
+            /// Returns the name as a string slice.
             pub fn as_str(&self) -> &str {
                 &self.0
             }
@@ -78,7 +78,7 @@
 }
 
 define_name!(
-    /// The name of an organisation, the tenant whose contract is kept.
+    /// The name of an organisation, a tenant of foxtide.
     OrganisationId
 );
 define_name!(
@@ -90,11 +90,11 @@
     RegionId
 );
 define_name!(
-    /// The name of an availability zone; unique over all regions.
+    /// The name of an availability zone, unique across all regions.
     AvailabilityZoneId
 );
 define_name!(
-    /// The name of an upstream, one target of a service; unique in its service.
+    /// The name of an upstream, unique within its service.
     UpstreamId
 );
 define_name!(
@@ -102,7 +102,7 @@
     InstanceId
 );
 define_name!(
-    /// The name of a site, a place in a region to which clients are directed.
+    /// The name of a site, a location in a region that serves clients.
     SiteId
 );
 define_name!(
@@ -114,16 +114,16 @@
     DrainId
 );
 define_name!(
-    /// The identity of one change to a configuration, chosen by its writer.
+    /// The identifier of a configuration change, chosen by its writer.
     ChangeId
 );
 
-/// The directed link between two regions.
+/// The identifier of a directed link between two regions.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct LinkId {
-    /// The region in which the sending instance stands.
+    /// The region of the sending instance.
     pub from: RegionId,
-    /// The region in which the receiving upstream stands.
+    /// The region of the receiving upstream.
     pub to: RegionId,
 }
 
--- a/crates/foxtide-core/src/lib.rs
+++ b/crates/foxtide-core/src/lib.rs
@@ -1,8 +1,7 @@
-//! Types and decisions of foxtide.
+//! Types and decision logic of foxtide, free of I/O.
 //!
-//! Everything here is pure: a decision takes its state, an input and the
-//! current time, and returns what is to be done. Clocks, randomness and I/O
-//! belong to the callers.
+//! A decision takes its state, an input and the current time, and returns the
+//! actions to take. Callers supply clocks, randomness and I/O.
 
 pub mod admission;
 pub mod blocks;
--- a/crates/foxtide-core/src/organisation.rs
+++ b/crates/foxtide-core/src/organisation.rs
@@ -1,5 +1,5 @@
-//! An organisation's configuration: regions, links, services, contracts,
-//! moves and drains. One document an organisation, one key in the store.
+//! The configuration document of an organisation: regions, links, services,
+//! contracts, moves and drains. The store holds each document under one key.
 
 use crate::ids::{
     AvailabilityZoneId,
@@ -28,30 +28,30 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// The version of the document's form that this build writes.
+/// The schema version that this build writes.
 pub const SCHEMA_VERSION: u32 = 1;
 
-/// The most changes that a document remembers.
+/// The maximum number of changes in a document's history.
 pub const HISTORY_MAX: usize = 20;
 
-/// The whole configuration of one organisation, as the store holds it.
+/// The configuration of one organisation, as stored.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Organisation {
-    /// The version of the document's form.
+    /// The document's schema version.
     pub schema_version: u32,
     /// The organisation's name.
     pub organisation: OrganisationId,
-    /// The number of this state of the document; raised by every change.
+    /// The document's revision, incremented by every change.
     pub revision: Revision,
-    /// The identity of the change that made this revision.
+    /// The identifier of the change that made this revision.
     pub change_id: ChangeId,
-    /// The template that the document was made from.
+    /// The template that the document was generated from.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub template: Option<AppliedTemplate>,
-    /// The regions in which the organisation has room.
+    /// The regions in which the organisation has capacity.
     pub regions: Vec<Region>,
-    /// The links between the regions, each direction on its own.
+    /// The directed links between the regions.
     pub links: Vec<Link>,
     /// The services.
     pub services: Vec<Service>,
@@ -63,41 +63,40 @@
     pub drains: Vec<Drain>,
     /// The latest accepted changes, the oldest first; at most [`HISTORY_MAX`].
     ///
-    /// It stands inside the document so that a writer whose answer was lost
-    /// finds its change also after others have built on it.
+    /// A writer that got no response looks its change up here.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub history: Vec<ChangeSummary>,
 }
 
-/// One accepted change, as the document remembers it.
+/// An entry of a document's history.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ChangeSummary {
-    /// The change's identity.
+    /// The change's identifier.
     pub change_id: ChangeId,
-    /// The revision that it made.
+    /// The revision that the change made.
     pub revision: Revision,
-    /// Who made it.
+    /// The author.
     pub author: String,
-    /// When it was written, by the writer's clock.
+    /// The time of the change on the writer's clock.
     pub written_us: WallTime,
-    /// What it did, in one line.
+    /// A one-line description.
     pub summary: String,
 }
 
-/// The template and the parameters that a document was made from.
+/// A template and its parameters, from which a document was generated.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct AppliedTemplate {
     /// The template's name.
     pub name: String,
-    /// The template's version; a newer one changes nothing by itself.
+    /// The template's version; documents are not updated with newer versions.
     pub version: u32,
-    /// The parameters as the operator gave them.
+    /// The parameters given by the operator.
     pub parameters: BTreeMap<String, serde_json::Value>,
 }
 
-/// A region and what was sold there.
+/// A region and its sold capacity.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Region {
@@ -105,11 +104,11 @@
     pub region: RegionId,
     /// Its availability zones.
     pub availability_zones: Vec<AvailabilityZoneId>,
-    /// The most that all services together may send to upstreams here.
+    /// The limit on the rate of all services to upstreams in the region.
     pub sold_rate_rps: RequestRate,
 }
 
-/// A directed link between two regions and what was sold on it.
+/// A directed link between two regions and its sold capacity.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Link {
@@ -117,14 +116,14 @@
     pub from: RegionId,
     /// The region of the receiving upstreams.
     pub to: RegionId,
-    /// The most that all services together may send over it.
+    /// The limit on the rate of all services over the link.
     pub sold_rate_rps: RequestRate,
-    /// The delay one way, in milliseconds.
+    /// The one-way delay in milliseconds.
     pub delay_ms: f64,
 }
 
 impl Link {
-    /// Returns the link's name.
+    /// Returns the link's identifier.
     pub fn id(&self) -> LinkId {
         LinkId {
             from: self.from.clone(),
@@ -139,82 +138,79 @@
 pub struct Service {
     /// The service's name.
     pub service: ServiceId,
-    /// What was promised for it.
+    /// The service's contract.
     pub contract: Contract,
-    /// The targets that serve it.
+    /// The upstreams that serve it.
     pub upstreams: Vec<Upstream>,
 }
 
-/// What was promised for a service.
+/// The guarantees and limits of a service.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Contract {
-    /// The regions in which the service is served, with the share of the
-    /// traffic from outside of them that each takes. The shares sum to 1.
+    /// The home regions of the service, each with its share of the traffic from
+    /// outside of them. The shares sum to 1.
     pub homes: Vec<HomeRegion>,
-    /// The most of the service's requests that may be served in another home
-    /// than the planned one.
+    /// The maximum share of requests that may spill over to another home region.
     pub spill_limit_share: Share,
-    /// The fastest that the share of a region may change.
+    /// The maximum rate of change of a region's share.
     pub shift_cap_share_per_s: ShareRate,
-    /// How long a leaving upstream is given to end what is in flight, in seconds.
+    /// The time in seconds that a leaving upstream has to finish its requests.
     pub drain_window_s: u32,
-    /// How long a request may take where its caller names no deadline, in
-    /// milliseconds.
+    /// The default deadline of a request in milliseconds.
     pub deadline_ms: u32,
-    /// What is given up first when room is short.
+    /// The trade-off between latency and headroom.
     pub priority: Priority,
-    /// The methods whose requests may be run more than once.
+    /// The methods whose requests are idempotent.
     pub idempotent_methods: Vec<String>,
-    /// The beginnings of paths, after the service's own, whose requests may be
-    /// run more than once whatever their method.
+    /// Prefixes of paths, below the service's own, whose requests are idempotent
+    /// whatever their method.
     #[serde(default)]
     pub idempotent_path_prefixes: Vec<String>,
 }
 
-/// A region in which a service is served.
+/// A home region of a service.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct HomeRegion {
     /// The region.
     pub region: RegionId,
-    /// Its part of the traffic that comes from outside the homes.
+    /// Its share of the traffic from outside the home regions.
     pub share: Share,
 }
 
-/// What a service weighs most.
+/// The objective that a service prefers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Priority {
-    /// Latency first: short queues, reads are hedged, spill comes early.
+    /// Prefers low latency: short queues, hedged reads, early spill-over.
     Latency,
-    /// Headroom first: room is kept free, requests wait longer, spill comes late.
+    /// Prefers headroom: reserved capacity, longer queues, late spill-over.
     Headroom,
 }
 
-/// One target of a service.
+/// A server of a service.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Upstream {
     /// The upstream's name.
     pub upstream: UpstreamId,
-    /// Where it listens.
+    /// The address that it listens on.
     pub address: SocketAddr,
-    /// The region in which it stands.
+    /// Its region.
     pub region: RegionId,
-    /// The availability zone in which it stands.
+    /// Its availability zone.
     pub availability_zone: AvailabilityZoneId,
-    /// How many requests it runs at the same time.
+    /// The maximum number of concurrent requests.
     pub slots: u32,
-    /// How many connections it takes from all instances together.
+    /// The maximum number of connections from all instances together.
     pub connections: u32,
 }
 
 /// A planned move of part of a service's traffic between two regions.
 ///
-/// The position is a function of time, so that every instance, also one that
-/// has just started, computes the same: the moved share is 0 until `start_us`,
-/// then grows by `pace_share_per_s` each second up to `share`.
+/// The moved share is a function of time, so that all instances agree on it: 0
+/// until `start_us`, then growing by `pace_share_per_s` each second up to `share`.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PlannedMove {
@@ -223,17 +219,17 @@
     pub id: MoveId,
     /// The service whose traffic moves.
     pub service: ServiceId,
-    /// The region that gives.
+    /// The source region.
     pub from: RegionId,
-    /// The region that takes.
+    /// The target region.
     pub to: RegionId,
-    /// The part of the giving region's traffic that moves in the end.
+    /// The share of the source region's traffic to move.
     pub share: Share,
-    /// How fast it moves; at most the contract's shift cap.
+    /// The rate of the move, at most the contract's shift cap.
     pub pace_share_per_s: ShareRate,
-    /// When it starts.
+    /// The start of the move.
     pub start_us: WallTime,
-    /// When it was paused; the position stays what it was then.
+    /// The time since which the move has been paused.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub paused_us: Option<WallTime>,
 }
@@ -245,13 +241,13 @@
     /// The drain's name.
     #[serde(rename = "drain")]
     pub id: DrainId,
-    /// What leaves.
+    /// The target.
     pub target: DrainTarget,
-    /// When it starts.
+    /// The start of the drain.
     pub start_us: WallTime,
 }
 
-/// What a drain takes out of service.
+/// The target of a drain.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum DrainTarget {
@@ -264,9 +260,9 @@
     },
     /// All upstreams and instances of an availability zone.
     AvailabilityZone(AvailabilityZoneId),
-    /// All upstreams of a region; its traffic moves under the shift cap.
+    /// All upstreams of a region; its traffic shifts at most at the shift cap.
     Region(RegionId),
-    /// One instance, which is left out of look-ups.
+    /// One instance, which look-ups omit.
     Instance(InstanceId),
 }
 
@@ -290,15 +286,15 @@
 }
 
 impl Contract {
-    /// Returns the time a request is given where its caller names no deadline.
+    /// Returns the default deadline of a request.
     pub fn deadline(&self) -> Duration {
         Duration::from_millis(self.deadline_ms.into())
     }
 
-    /// Tells whether a request may be run more than once (RFC 9110, section
-    /// 9.2.2; the contract says which methods and paths are idempotent).
+    /// Returns whether a request is idempotent (RFC 9110, section 9.2.2) by the
+    /// contract's methods and paths.
     ///
-    /// `path` is what follows `/{organisation}/{service}` in the request.
+    /// `path` is the request's path after `/{organisation}/{service}`.
     pub fn is_idempotent(&self, method: &str, path: &str) -> bool {
         let same_method = |known: &String| known.eq_ignore_ascii_case(method);
         let same_path = |prefix: &String| is_below(path, prefix);
@@ -307,11 +303,11 @@
     }
 }
 
-/// Tells whether a path lies at or below a prefix, whole segments compared.
+/// Returns whether a path equals a prefix or lies below it, by whole segments.
 ///
-/// A path that an upstream may read as another one (dot segments, empty
-/// segments, escapes; RFC 3986, section 6.2.2) lies below no prefix, so that
-/// it can never make a request idempotent that is not.
+/// Paths that an upstream may normalise (dot segments, empty segments, escapes;
+/// RFC 3986, section 6.2.2) never match, so that they cannot make a request
+/// idempotent that is not.
 fn is_below(path: &str, prefix: &str) -> bool {
     let path = path.split(['?', '#']).next().unwrap_or_default();
     let plain = !path.contains("//") && !path.contains("/.") && !path.contains(['%', '\\', ';']);
--- a/crates/foxtide-core/src/outcome.rs
+++ b/crates/foxtide-core/src/outcome.rs
@@ -1,4 +1,4 @@
-//! What became of a request that foxtide answers itself.
+//! The outcome of a request that foxtide answers itself.
 
 use crate::{
     Error,
@@ -7,19 +7,19 @@
 use std::fmt;
 use std::str::FromStr;
 
-/// What is known about the run of a request at an upstream.
+/// Whether an upstream has run a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Outcome {
-    /// No attempt has run or ever will: it may be sent again safely.
+    /// No attempt has run or will run: a retry is safe.
     NotRun,
-    /// An attempt may have run, or may still run.
+    /// An attempt may have run or may still run.
     Unknown,
-    /// An attempt has run and its whole answer is known.
+    /// An attempt has run and its whole response is known.
     Done,
 }
 
 impl Outcome {
-    /// Returns the outcome's text, as it stands in the answer's header.
+    /// Returns the outcome's value in the response header.
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::NotRun => "not-run",
--- a/crates/foxtide-core/src/owned_tokens.rs
+++ b/crates/foxtide-core/src/owned_tokens.rs
@@ -1,4 +1,4 @@
-//! Tokens that each belong to one living instance.
+//! Rate tokens that are partitioned among the live instances.
 
 use crate::ids::InstanceId;
 use crate::time::MonotonicTime;
@@ -8,13 +8,13 @@
 use std::time::Duration;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// What this instance has used of a bound that all instances keep together.
+/// This instance's use of a fleet-wide limit.
 ///
-/// What is permitted is cut into tokens, and each token belongs to the live instance with
-/// the highest hash for it: all instances agree on the owners without asking.
+/// The limit is divided into tokens. Rendezvous hashing assigns each token to one live
+/// instance, so that instances agree on the owners without coordination.
 #[derive(Clone, Debug)]
 pub(crate) struct OwnedTokens<K> {
-    /// Until when tokens are used.
+    /// The end of each token's current use.
     used_until: HashMap<(K, u64), MonotonicTime>,
 }
 
@@ -27,8 +27,8 @@
 }
 
 impl<K: Clone + Display + Eq + Hash> OwnedTokens<K> {
-    /// Takes one of `count` tokens of `key` for `period`; tells whether there was one.
-    /// `instances` are those thought alive, `own` among them.
+    /// Takes one of the `count` tokens of `key` for `period` and returns whether one was
+    /// free. `instances` are the members believed alive, including `own`.
     pub(crate) fn try_take(
         &mut self,
         key: &K,
@@ -52,7 +52,7 @@
         false
     }
 
-    /// Forgets tokens that are free again.
+    /// Removes tokens whose use has ended.
     pub(crate) fn prune(&mut self, now: MonotonicTime) {
         self.used_until.retain(|_, &mut until| now < until);
     }
--- a/crates/foxtide-core/src/records.rs
+++ b/crates/foxtide-core/src/records.rs
@@ -1,4 +1,4 @@
-//! What was read of the store, kept to be told to others.
+//! A log of the store's records, from which peers are served changes.
 
 use crate::store::StoreIndex;
 use std::collections::{
@@ -6,57 +6,50 @@
     HashSet, //
 };
 
-/// The most removed keys that are remembered; an upstream that leaves is one.
+/// The maximum number of tombstones of removed keys.
 const REMOVED_MAX: usize = 4_096;
 
-/// The most gaps that are remembered: all is read again when the store forgets its history
-/// or comes back from a copy, a few times a day at most.
+/// The maximum number of gaps; a full read of the store makes one.
 const GAPS_MAX: usize = 8;
 
-/// The most bytes of records that one instance tells to many. The slowest machines
-/// have links of 10 Mbit/s, on which this takes 0.1 s; a watcher tells up to 16.
-/// A configuration of 1,700 routes is larger, and is read from the store instead.
+/// The maximum size of records that a watcher relays to each of its peers.
 const RELAYED_BYTES_MAX: usize = 128 * 1_024;
 
-/// Tells whether records are small enough to be told to many instances.
+/// Returns whether records are small enough to be relayed; larger ones are read from the store.
 pub fn fit_relay_limit(records: &[Record]) -> bool {
     let size = |record: &Record| record.key.len() + record.value.as_ref().map_or(0, Vec::len);
     records.iter().map(size).sum::<usize>() <= RELAYED_BYTES_MAX
 }
 
-/// A key of the store and what it holds, as it is read and passed on.
+/// The state of one key of the store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Record {
     /// The key.
     pub key: String,
-    /// The value; nothing where the key was removed.
+    /// The value; `None` where the key was removed.
     pub value: Option<Vec<u8>>,
-    /// The index of the change.
+    /// The index of the last change.
     pub index: StoreIndex,
 }
 
-/// The newest record of each key, with keys that were removed of late.
+/// The latest record of each key, with tombstones of recently removed keys.
 #[derive(Clone, Debug, Default)]
 pub struct RecordLog {
     records: BTreeMap<String, Record>,
     removed: usize,
-    /// All changes after this index are in the log; nothing before the first
-    /// reading.
+    /// The log holds all changes after this index; `None` before the first read.
     complete_after: Option<StoreIndex>,
     index: StoreIndex,
-    /// Between which indices all was read again, the latest last. What was written and
-    /// removed between them was never seen here, nor what the store has lost where it came
-    /// back from an older copy: one who is between them cannot be told the difference.
+    /// The index ranges that full reads skipped, the latest last. Keys that were written
+    /// and removed within a range, or lost in a restore of the store, are not in the log.
     gaps: Vec<(StoreIndex, StoreIndex)>,
 }
 
 impl RecordLog {
-    /// Takes in all that the store held at `index`.
+    /// Applies a full read of the store at `index`.
     ///
-    /// What was known before stays told: a key that is missing now counts as
-    /// removed at `index`, so that one who knows an earlier index is told the
-    /// difference and not everything. In a later era of the store the same holds for
-    /// values that have not changed.
+    /// Missing keys count as removed at `index`, and in a later era of the store
+    /// unchanged values keep their index, so that peers get only the difference.
     pub fn replace(&mut self, records: &[Record], index: StoreIndex) {
         if self.complete_after.is_some() && self.index < index {
             self.note_gap(index);
@@ -96,7 +89,7 @@
         self.gaps.iter().any(holds)
     }
 
-    /// Adds changes in their order.
+    /// Appends changes, the oldest first.
     pub fn append(&mut self, records: &[Record], index: StoreIndex) {
         for record in records {
             let before = self.records.insert(record.key.clone(), record.clone());
@@ -112,14 +105,13 @@
         }
     }
 
-    /// Returns the index up to which the log is complete.
+    /// Returns the index of the latest change.
     pub fn index(&self) -> StoreIndex {
         self.index
     }
 
-    /// Returns what has changed after `index`, in the order of the changes;
-    /// nothing where that cannot be told. One who knows more than this log is
-    /// told of no change.
+    /// Returns the changes after `index`, the oldest first, or `None` if the log is
+    /// incomplete for that index. The result is empty for an index ahead of the log.
     pub fn changes_after(&self, index: StoreIndex) -> Option<Vec<Record>> {
         let is_complete = self
             .complete_after
@@ -133,7 +125,7 @@
         Some(records)
     }
 
-    /// Returns all that the store holds.
+    /// Returns the records of all present keys.
     pub fn all(&self) -> Vec<Record> {
         let present = self
             .records
--- a/crates/foxtide-core/src/store.rs
+++ b/crates/foxtide-core/src/store.rs
@@ -1,27 +1,25 @@
-//! What foxtide needs of the platform's key-value store.
+//! The interface to the platform's key-value store.
 //!
-//! The operations are those of a store with modify indices, blocking queries,
-//! check-and-set and sessions (Consul's published HTTP API has them all), and
-//! small enough in number to be written for another store in an hour.
+//! It requires modify indices, blocking queries, check-and-set and sessions, as
+//! Consul's HTTP API offers them.
 
 use std::fmt;
 use std::future::Future;
 use std::time::Duration;
 
-/// The largest value that the store holds, in bytes.
+/// The maximum size of a value.
 pub const VALUE_MAX_BYTES: usize = 1_000_000;
 
 /// The result of a call to the store.
 pub type StoreResult<T> = std::result::Result<T, StoreError>;
 
-/// The position of the store's last change to a key or to a prefix.
+/// The index of the last change of a key or a prefix.
 ///
-/// A store may come back from an older copy: numbers go back then and are given out again.
-/// It counts these returns, so that a position of a later era is the later one whatever
-/// its number.
+/// A restore of the store from a backup reuses numbers. Each restore begins a new era;
+/// indices are ordered by era first.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct StoreIndex {
-    /// How often the store had come back from a copy; 0 where it does not tell.
+    /// The number of restores; 0 where the store does not report it.
     era: u64,
     number: u64,
 }
@@ -30,7 +28,7 @@
     /// The index of a key that does not exist.
     pub const ABSENT: Self = Self::new(0);
 
-    /// Returns the index with this number, of a store that tells no era.
+    /// Creates the index with this number in era 0.
     pub const fn new(number: u64) -> Self {
         Self { era: 0, number }
     }
@@ -52,7 +50,7 @@
 }
 
 impl fmt::Display for StoreIndex {
-    /// Writes the number, after the era where the store tells it: `2:17`.
+    /// Formats the number, preceded by a known era: `2:17`.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         if self.era > 0 {
             write!(f, "{}:", self.era)?;
@@ -61,17 +59,17 @@
     }
 }
 
-/// The name of a session, which the store gives out.
+/// The identifier of a session, assigned by the store.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct SessionId(String);
 
 impl SessionId {
-    /// Returns the session of this name.
+    /// Creates an identifier from its text.
     pub fn new(name: impl Into<String>) -> Self {
         Self(name.into())
     }
 
-    /// Returns the name.
+    /// Returns the identifier as a string slice.
     pub fn as_str(&self) -> &str {
         &self.0
     }
@@ -83,7 +81,7 @@
     }
 }
 
-/// A key and what it holds.
+/// A key with its value and metadata.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StoreEntry {
     /// The key.
@@ -92,25 +90,25 @@
     pub value: Vec<u8>,
     /// The index of its last change.
     pub index: StoreIndex,
-    /// The session that holds it as a lease, if any.
+    /// The session that holds the key as a lease.
     pub session: Option<SessionId>,
 }
 
-/// The keys below a prefix at one moment.
+/// A consistent listing of the entries below a prefix.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct StoreListing {
-    /// The entries, in the order of their keys.
+    /// The entries, ordered by key.
     pub entries: Vec<StoreEntry>,
-    /// The index to wait on for the next change.
+    /// The index after which to wait for the next change.
     pub index: StoreIndex,
 }
 
-/// The names of the keys below a prefix at one moment.
+/// A consistent listing of the keys below a prefix.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct StoreNames {
-    /// The keys, in their order.
+    /// The keys, ordered.
     pub keys: Vec<String>,
-    /// The index to wait on for the next change below the prefix.
+    /// The index after which to wait for the next change.
     pub index: StoreIndex,
 }
 
@@ -124,10 +122,10 @@
     }
 }
 
-/// Why a call to the store has no answer that can be used.
+/// An error of a call to the store.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum StoreError {
-    /// The call never reached the store: nothing was changed.
+    /// The call did not reach the store; nothing was changed.
     #[error("store {peer}, {step}: not sent: {cause}")]
     NotSent {
         /// The step that failed.
@@ -137,7 +135,7 @@
         /// Why.
         cause: String,
     },
-    /// The call may have taken effect: its answer was lost or came too late.
+    /// The response was lost or late; the call may have taken effect.
     #[error("store {peer}, {step}: outcome unknown: {cause}")]
     Unknown {
         /// The step that failed.
@@ -147,47 +145,45 @@
         /// Why.
         cause: String,
     },
-    /// The store answered that it did not do it.
+    /// The store refused the call; nothing was changed.
     #[error("store {peer}, {step}: refused with status {status}: {cause}")]
     Refused {
         /// The step that failed.
         step: &'static str,
         /// The store's address.
         peer: String,
-        /// The status of the answer.
+        /// The HTTP status of the response.
         status: u16,
-        /// The answer's text.
+        /// The body of the response.
         cause: String,
     },
-    /// The call was not made: the instance has used its part of the store's
-    /// rate.
-    #[error("store {peer}, {step}: held back by the call budget")]
+    /// The call was not made: the instance's call budget is used up.
+    #[error("store {peer}, {step}: not sent: the call budget is used up")]
     OverBudget {
-        /// The step that was held back.
+        /// The step that was not made.
         step: &'static str,
         /// The store's address.
         peer: String,
     },
 }
 
-/// The platform's store.
+/// A client of the platform's key-value store.
 ///
 /// # Contract
 ///
-/// An implementer tells [`StoreError::NotSent`] and [`StoreError::Refused`]
-/// only where nothing was changed; any doubt is [`StoreError::Unknown`]. Every
-/// call ends within a time that the implementer states. A caller settles an
-/// unknown write by reading the key again, and never makes a request of a
-/// client of foxtide wait for a call.
+/// Implementations return [`StoreError::NotSent`] and [`StoreError::Refused`]
+/// only if nothing was changed, and [`StoreError::Unknown`] in any other case.
+/// Every call has a documented time limit. Callers resolve an unknown write by
+/// reading the key again, and never block client requests on a call.
 pub trait Store: Send + Sync + 'static {
     /// Reads a key.
     fn read(&self, key: &str) -> impl Future<Output = StoreResult<Option<StoreEntry>>> + Send;
 
-    /// Reads all keys below a prefix, now.
+    /// Lists the entries below a prefix.
     fn list(&self, prefix: &str) -> impl Future<Output = StoreResult<StoreListing>> + Send;
 
-    /// Waits until something below the prefix has an index above `after`, or
-    /// until `wait` has passed, and reads all keys below it.
+    /// Lists the entries below a prefix once one of them has an index above
+    /// `after`, or after `wait` at the latest.
     fn watch(
         &self,
         prefix: &str,
@@ -195,11 +191,10 @@
         wait: Duration,
     ) -> impl Future<Output = StoreResult<StoreListing>> + Send;
 
-    /// Waits as [`Store::watch`] does for a change of one key; the listing
-    /// holds that key or nothing.
+    /// Watches one key as [`Store::watch`] does; the listing holds at most that
+    /// key.
     ///
-    /// A store that can wait on one key should; this one waits on all keys
-    /// that begin so.
+    /// The default implementation watches all keys with this prefix.
     fn watch_key(
         &self,
         key: &str,
@@ -213,9 +208,9 @@
         }
     }
 
-    /// Waits as [`Store::watch`] does and reads only the names of the keys.
+    /// Watches a prefix as [`Store::watch`] does and returns only the keys.
     ///
-    /// A store that can tell names without values should; this one reads all.
+    /// The default implementation reads the values as well.
     fn watch_names(
         &self,
         prefix: &str,
@@ -226,7 +221,7 @@
     }
 
     /// Writes a key if its index still is `expected`
-    /// ([`StoreIndex::ABSENT`]: if there is no such key). Tells whether it was
+    /// ([`StoreIndex::ABSENT`]: if there is no such key). Returns whether it was
     /// written.
     fn write(
         &self,
@@ -235,7 +230,7 @@
         expected: StoreIndex,
     ) -> impl Future<Output = StoreResult<bool>> + Send;
 
-    /// Deletes a key if its index still is `expected`. Tells whether it was
+    /// Deletes a key if its index still is `expected`. Returns whether it was
     /// deleted.
     fn delete(
         &self,
@@ -243,20 +238,20 @@
         expected: StoreIndex,
     ) -> impl Future<Output = StoreResult<bool>> + Send;
 
-    /// Opens a session that lapses `ttl` after its last renewal.
+    /// Opens a session that expires `ttl` after its last renewal.
     fn open_session(
         &self,
         name: &str,
         ttl: Duration,
     ) -> impl Future<Output = StoreResult<SessionId>> + Send;
 
-    /// Renews a session. Tells whether it still was there.
+    /// Renews a session. Returns whether it still existed.
     fn renew_session(&self, session: &SessionId) -> impl Future<Output = StoreResult<bool>> + Send;
 
-    /// Ends a session; the keys that it holds are free.
+    /// Closes a session and releases the keys that it holds.
     fn close_session(&self, session: &SessionId) -> impl Future<Output = StoreResult<()>> + Send;
 
-    /// Takes a key as a lease for a session and writes its value. Tells
+    /// Acquires a key as a lease for a session and writes its value. Returns
     /// whether the session now holds it.
     fn acquire(
         &self,
@@ -265,7 +260,8 @@
         session: &SessionId,
     ) -> impl Future<Output = StoreResult<bool>> + Send;
 
-    /// Gives a lease back, writing its value. Tells whether the session held it.
+    /// Writes the value of a lease and releases it. Returns whether the session
+    /// held it.
     fn release(
         &self,
         key: &str,
--- a/crates/foxtide-core/src/time.rs
+++ b/crates/foxtide-core/src/time.rs
@@ -1,4 +1,4 @@
-//! Points in time, passed into every decision.
+//! Monotonic and wall-clock timestamps.
 
 use serde::{
     Deserialize,
@@ -22,25 +22,25 @@
         pub struct $name(u64);
 
         impl $name {
-            /// The beginning of this clock.
+            /// The clock's epoch.
             pub const ZERO: Self = Self(0);
 
-            /// Returns the time `us` microseconds after the clock's beginning.
+            /// Creates a time from microseconds since the epoch.
             pub const fn from_us(us: u64) -> Self {
                 Self(us)
             }
 
-            /// Returns the time `ms` milliseconds after the clock's beginning.
+            /// Creates a time from milliseconds since the epoch.
             pub const fn from_ms(ms: u64) -> Self {
                 Self(ms.saturating_mul(1_000))
             }
 
-            /// Returns the microseconds since the clock's beginning.
+            /// Returns the microseconds since the epoch.
             pub const fn as_us(self) -> u64 {
                 self.0
             }
 
-            /// Returns the whole milliseconds since the clock's beginning.
+            /// Returns the whole milliseconds since the epoch.
             pub const fn as_ms(self) -> u64 {
                 self.0 / 1_000
             }
@@ -50,7 +50,7 @@
                 Duration::from_micros(self.0.saturating_sub(earlier.0))
             }
 
-            /// Returns the time `by` before this one, at least the beginning.
+            /// Subtracts a duration, saturating at the epoch.
             pub fn saturating_sub(self, by: Duration) -> Self {
                 Self(self.0.saturating_sub(duration_us(by)))
             }
@@ -86,18 +86,18 @@
 }
 
 define_time!(
-    /// A reading of a process's steady clock, which never goes back and means
-    /// nothing to another process. In microseconds.
+    /// A reading of the monotonic clock, in microseconds; comparable only within
+    /// one process.
     MonotonicTime
 );
 define_time!(
-    /// A reading of the wall clock, since the Unix epoch, in microseconds.
+    /// A reading of the wall clock, in microseconds since the Unix epoch.
     ///
     /// Clocks of different processes differ by at most [`CLOCK_SKEW_MAX`].
     WallTime
 );
 
-/// The most by which the wall clocks of two processes are taken to differ.
+/// The assumed maximum skew between the wall clocks of two processes.
 pub const CLOCK_SKEW_MAX: Duration = Duration::from_millis(500);
 
 #[cfg(test)]
--- a/crates/foxtide-core/src/units.rs
+++ b/crates/foxtide-core/src/units.rs
@@ -1,4 +1,4 @@
-//! Rates, shares, sizes and revisions with their units in the type.
+//! Types of rates, shares, sizes and revisions.
 
 use crate::{
     Error,
@@ -19,14 +19,14 @@
         pub struct $name(f64);
 
         impl $name {
-            /// Nothing at all.
+            /// Zero.
             pub const ZERO: Self = Self(0.0);
 
-            /// Returns the quantity.
+            /// Creates the quantity.
             ///
             /// # Errors
             ///
-            /// Fails where `value` is not a number in the type's range.
+            /// Fails if `value` is outside the type's range.
             pub fn new(value: f64) -> Result<Self> {
                 let valid: fn(f64) -> bool = $valid;
                 if !valid(value) {
@@ -35,7 +35,7 @@
                 Ok(Self(value))
             }
 
-            /// Returns the plain number, in the type's unit.
+            /// Returns the value in the type's unit.
             pub const fn get(self) -> f64 {
                 self.0
             }
@@ -74,21 +74,21 @@
 }
 
 define_quantity!(
-    /// A rate in requests a second.
+    /// A rate in requests per second.
     RequestRate,
     "rps",
     "a rate in requests a second, 0 or more, such as `250rps`",
     |value| value.is_finite() && value >= 0.0
 );
 define_quantity!(
-    /// A part of a whole, from 0 to 1.
+    /// A fraction from 0 to 1.
     Share,
     "",
     "a share from 0 to 1, such as `0.25`",
     |value| (0.0..=1.0).contains(&value)
 );
 define_quantity!(
-    /// How fast a share may change, in shares a second.
+    /// A rate of change of a share, per second.
     ShareRate,
     "/s",
     "a change of a share in a second, above 0 and at most 1, such as `0.02/s`",
@@ -96,17 +96,17 @@
 );
 
 impl Share {
-    /// The whole.
+    /// The whole, 1.
     pub const ONE: Self = Self(1.0);
 
-    /// Returns `value` forced into the range of a share; not-a-number is 0.
+    /// Clamps `value` to the range of a share; NaN becomes 0.
     pub fn clamped(value: f64) -> Self {
         Self(value.clamp(0.0, 1.0).max(0.0))
     }
 }
 
 impl RequestRate {
-    /// Returns `value` forced into the range of a rate; not-a-number is 0.
+    /// Clamps `value` to 0 or more; NaN and infinities become 0.
     pub fn clamped(value: f64) -> Self {
         if value.is_finite() {
             Self(value.max(0.0))
@@ -124,17 +124,17 @@
 pub struct ByteSize(u64);
 
 impl ByteSize {
-    /// Returns a size of `bytes`.
+    /// Creates a size in bytes.
     pub const fn from_bytes(bytes: u64) -> Self {
         Self(bytes)
     }
 
-    /// Returns a size of `kib` times 1,024 bytes.
+    /// Creates a size in KiB.
     pub const fn from_kib(kib: u64) -> Self {
         Self(kib * 1_024)
     }
 
-    /// Returns the bytes.
+    /// Returns the number of bytes.
     pub const fn get(self) -> u64 {
         self.0
     }
@@ -160,8 +160,7 @@
 
 /// The revision of an organisation's configuration.
 ///
-/// Each accepted change raises it by one; of two documents of the same
-/// organisation the one with the higher revision is the newer.
+/// Each accepted change increments it.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -172,7 +171,7 @@
     /// The revision before the first change.
     pub const ZERO: Self = Self(0);
 
-    /// Returns the revision with this number.
+    /// Creates a revision from its number.
     pub const fn new(number: u64) -> Self {
         Self(number)
     }
@@ -182,7 +181,7 @@
         self.0
     }
 
-    /// Returns the revision that the next change has.
+    /// Returns the revision after the next change.
     pub const fn next(self) -> Self {
         Self(self.0 + 1)
     }
