--- a/crates/foxtide-config/src/blocks/chunks.rs
+++ b/crates/foxtide-config/src/blocks/chunks.rs
@@ -4,7 +4,7 @@
 use foxtide_core::blocks::{
     BlocksError,
     CHUNK_PREFIX,
-    ChunkRef, //
+    ChunkRef,
     ClientBlocks,
     Manifest, //
 };
--- a/crates/foxtide-config/src/template/mod.rs
+++ b/crates/foxtide-config/src/template/mod.rs
@@ -21,7 +21,7 @@
 };
 use foxtide_core::ids::OrganisationId;
 use foxtide_core::organisation::{
-    AppliedTemplate, //
+    AppliedTemplate,
     Organisation,
     SCHEMA_VERSION, //
 };
--- a/crates/foxtide-core/src/blocks/mod.rs
+++ b/crates/foxtide-core/src/blocks/mod.rs
@@ -30,7 +30,7 @@
 pub use manifest::{
     CHUNK_PREFIX,
     Checksum,
-    ChunkRef, //
+    ChunkRef,
     MANIFEST_KEY,
     Manifest, //
 };
--- a/crates/foxtide-core/src/dissemination/load/aggregator.rs
+++ b/crates/foxtide-core/src/dissemination/load/aggregator.rs
@@ -270,7 +270,7 @@
                 continue;
             }
             if now - record.live_since > self.options.live_age_max {
-                record.make_silent();
+                record.exclude_from_live();
             }
             record.summed_at = now;
             match sums.get_mut(&record.organisation) {
--- a/crates/foxtide-core/src/dissemination/load/mod.rs
+++ b/crates/foxtide-core/src/dissemination/load/mod.rs
@@ -12,7 +12,7 @@
 mod view;
 
 pub use aggregator::{
-    LoadAggregator, //
+    LoadAggregator,
     LoadEnvelope,
     LoadMessage, //
 };
--- a/crates/foxtide-core/src/dissemination/load/record.rs
+++ b/crates/foxtide-core/src/dissemination/load/record.rs
@@ -100,7 +100,7 @@
     }
 
     /// Takes back that its instances were heard; their claims still count.
-    pub(super) fn make_silent(&mut self) {
+    pub(super) fn exclude_from_live(&mut self) {
         self.sum.make_silent();
     }
 
--- a/crates/foxtide-core/src/dissemination/load/view.rs
+++ b/crates/foxtide-core/src/dissemination/load/view.rs
@@ -60,7 +60,7 @@
         let mut record = record.clone();
         let live_since = self.to_own_clock(record.live_since, now);
         if now.monotonic - live_since > self.options.view.view_age_max {
-            record.make_silent();
+            record.exclude_from_live();
         }
         RegionView {
             oldest_at: self.to_own_clock(record.oldest_at, now),
--- a/crates/foxtide-core/src/dissemination/mod.rs
+++ b/crates/foxtide-core/src/dissemination/mod.rs
@@ -14,7 +14,7 @@
     FetchQueue, //
 };
 pub use load::{
-    ClockReading, //
+    ClockReading,
     LoadAggregator,
     LoadEnvelope,
     LoadMessage,
--- a/crates/foxtide-core/tests/dissemination.rs
+++ b/crates/foxtide-core/tests/dissemination.rs
@@ -1,7 +1,7 @@
 //! Documents, fetches and load sums, without any network.
 
 use foxtide_core::dissemination::{
-    ClockReading, //
+    ClockReading,
     ConfigurationTable,
     Document,
     FetchQueue,
--- a/crates/foxtide-mesh/src/load.rs
+++ b/crates/foxtide-mesh/src/load.rs
@@ -8,7 +8,7 @@
     read_load, //
 };
 use foxtide_core::dissemination::{
-    ClockReading, //
+    ClockReading,
     LoadEnvelope,
     LoadMessage, //
 };
--- a/crates/foxtide/src/copies.rs
+++ b/crates/foxtide/src/copies.rs
@@ -1,8 +1,8 @@
 //! Copies of the time line at peers, over the mesh's calls.
 
 use foxtide_core::events::backup::{
-    BackupBatch, //
-    BackupPeer,  //
+    BackupBatch,
+    BackupPeer, //
 };
 use foxtide_core::events::{
     EventCopies,
