--- a/crates/foxtide-core/src/dissemination/configuration.rs
+++ b/crates/foxtide-core/src/dissemination/configuration.rs
@@ -1,4 +1,4 @@
-//! The newest document of each organisation that an instance holds.
+//! The latest configuration document of each organisation.
 
 use crate::ids::OrganisationId;
 use crate::membership::Announcement;
@@ -7,19 +7,19 @@
 use std::sync::Arc;
 use xxhash_rust::xxh3::Xxh3;
 
-/// One revision of an organisation's configuration, in its stored form.
+/// One revision of an organisation's configuration, as stored.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Document {
-    /// Whose configuration it is.
+    /// The organisation.
     pub organisation: OrganisationId,
-    /// Its revision.
+    /// The revision.
     pub revision: Revision,
-    /// Its content, which this module does not look into.
+    /// The encoded content, opaque to this module.
     pub bytes: Arc<[u8]>,
 }
 
 impl Document {
-    /// Returns what says that this document can be had.
+    /// Returns the announcement of this document to peers.
     pub fn announcement(&self) -> Announcement {
         Announcement {
             organisation: self.organisation.clone(),
@@ -28,15 +28,15 @@
     }
 }
 
-/// The documents that an instance holds; a revision never goes back.
+/// The documents that an instance holds; revisions only increase.
 #[derive(Clone, Debug, Default)]
 pub struct ConfigurationTable {
     documents: BTreeMap<OrganisationId, Document>,
 }
 
 impl ConfigurationTable {
-    /// Takes a document in where it is newer than the one held, and returns
-    /// whether it was.
+    /// Stores a document if it is newer than the one held, and returns whether it
+    /// was.
     pub fn apply(&mut self, document: &Document) -> bool {
         let newer = self.is_newer(&document.announcement());
         if newer {
@@ -57,17 +57,17 @@
         self.documents.get(organisation)
     }
 
-    /// Returns all documents by organisation.
+    /// Returns all documents, ordered by organisation.
     pub fn documents(&self) -> impl Iterator<Item = &Document> {
         self.documents.values()
     }
 
-    /// Returns the revision held of each organisation.
+    /// Returns the held revision of each organisation.
     pub fn revisions(&self) -> Vec<Announcement> {
         self.documents().map(Document::announcement).collect()
     }
 
-    /// Returns a hash over organisations and revisions.
+    /// Returns a hash of the held organisations and revisions.
     pub fn hash(&self) -> u64 {
         let mut hasher = Xxh3::new();
         for document in self.documents() {
--- a/crates/foxtide-core/src/dissemination/fetch.rs
+++ b/crates/foxtide-core/src/dissemination/fetch.rs
@@ -1,7 +1,7 @@
-//! Which documents are to be fetched, and from whom.
+//! Schedules the fetching of announced documents from peers.
 //!
-//! A revision is announced by several peers but fetched from one; another one
-//! is asked when that fails.
+//! A revision is fetched from one of the peers that announced it, and from
+//! another one after a failure.
 
 use crate::ids::OrganisationId;
 use crate::membership::Announcement;
@@ -11,15 +11,15 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Settings of fetching.
+/// Options of [`FetchQueue`].
 #[derive(Clone, Copy, Debug)]
 pub struct FetchOptions {
-    /// Wait after a failure for another announcement. Default 100 ms.
+    /// The delay between a failure and the next attempt. Default 100 ms.
     pub retry_after: Duration,
-    /// How often each source is asked; after that the document is pending again
-    /// when a peer announces it or compares digests. Default 3.
+    /// The maximum number of attempts per source. After that, the document is
+    /// dropped until a peer announces it again. Default 3.
     pub attempts_per_source: usize,
-    /// Sources remembered of one revision. Default 8.
+    /// The maximum number of sources of one revision. Default 8.
     pub sources_max: usize,
 }
 
@@ -33,16 +33,16 @@
     }
 }
 
-/// A document to fetch now.
+/// A fetch to start.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Fetch {
-    /// What is pending, or a newer revision of it.
+    /// The document; a newer revision will do as well.
     pub announcement: Announcement,
-    /// Where to ask.
+    /// The address of the peer to fetch from.
     pub from: SocketAddr,
 }
 
-/// What is pending of one organisation.
+/// The pending fetch of one organisation's document.
 #[derive(Clone, Debug)]
 struct PendingFetch {
     revision: Revision,
@@ -52,7 +52,7 @@
     retry_at: MonotonicTime,
 }
 
-/// The documents that are pending and not yet held.
+/// The queue of documents to fetch.
 #[derive(Clone, Debug, Default)]
 pub struct FetchQueue {
     options: FetchOptions,
@@ -60,7 +60,7 @@
 }
 
 impl FetchQueue {
-    /// Notes that `by` holds a revision that is pending.
+    /// Adds a peer as a source of an announced revision.
     pub fn add_source(&mut self, announcement: &Announcement, by: SocketAddr) {
         let fresh = || PendingFetch {
             revision: announcement.revision,
@@ -83,7 +83,7 @@
         }
     }
 
-    /// Returns the fetches to start now.
+    /// Returns the fetches that are due and marks them as in flight.
     pub fn start_due(&mut self, now: MonotonicTime) -> Vec<Fetch> {
         let mut due = Vec::new();
         for (organisation, pending) in &mut self.pending {
@@ -104,7 +104,7 @@
         due
     }
 
-    /// Notes that a fetch failed.
+    /// Marks a fetch as failed and schedules the next attempt.
     pub fn mark_failed(&mut self, fetch: &Fetch, now: MonotonicTime) {
         let organisation = &fetch.announcement.organisation;
         let Some(pending) = self.pending.get_mut(organisation) else {
@@ -120,7 +120,7 @@
         }
     }
 
-    /// Notes that a revision is held, wherever it came from.
+    /// Removes the pending fetch of a revision that is now held, or of an older one.
     pub fn mark_held(&mut self, announcement: &Announcement) {
         let pending = self.pending.get(&announcement.organisation);
         if pending.is_some_and(|pending| pending.revision <= announcement.revision) {
@@ -128,7 +128,7 @@
         }
     }
 
-    /// Returns whether nothing is pending.
+    /// Returns whether no fetch is pending.
     pub fn is_empty(&self) -> bool {
         self.pending.is_empty()
     }
--- a/crates/foxtide-core/src/dissemination/load/aggregator.rs
+++ b/crates/foxtide-core/src/dissemination/load/aggregator.rs
@@ -1,4 +1,4 @@
-//! The rounds in which sums go up and the table comes down.
+//! Sums load up the tree and distributes the table of all regions down it.
 
 use super::options::LoadOptions;
 use super::record::LoadRecord;
@@ -15,49 +15,48 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Intervals for which the sum of an instance that moved to another parent is
-/// kept: by then the new parent's sum has arrived.
+/// The number of intervals for which the sum of a child that moved to another
+/// parent is kept, until the new parent's sum arrives.
 const MOVED_INTERVALS: u32 = 2;
 
-/// Intervals after a change of the tree for which a region's limits are known.
+/// The number of intervals after a change of the tree for which changes of a
+/// region's limits are constrained.
 const CHANGED_INTERVALS: u32 = 3;
 
-/// Records that travel together.
+/// A message between instances.
 #[derive(Clone, Debug, PartialEq)]
 pub enum LoadMessage {
-    /// The sum over the sender and all below it.
+    /// The sum over the sender's subtree.
     Sum(Vec<LoadRecord>),
     /// Sums of whole regions.
     Table(Vec<LoadRecord>),
 }
 
-/// A message to send.
+/// A message and its recipient.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LoadEnvelope {
-    /// Where to.
+    /// The recipient's address.
     pub to: SocketAddr,
-    /// What.
+    /// The message.
     pub message: LoadMessage,
 }
 
-/// An instance's own report.
 #[derive(Clone, Debug)]
 struct OwnReport {
     report: InstanceReport,
     made_at: WallTime,
 }
 
-/// The last sum of an instance below.
+/// The latest sum of a child.
 #[derive(Clone, Debug)]
 struct ChildSum {
     records: Vec<LoadRecord>,
     received_at: WallTime,
 }
 
-/// What a record tells of.
 type RecordKey = (OrganisationId, RegionId);
 
-/// Spreads the load of one instance and holds what it knows of all.
+/// Aggregates the load of all instances; the state of one instance.
 #[derive(Clone, Debug)]
 pub struct LoadAggregator {
     pub(super) options: LoadOptions,
@@ -74,7 +73,7 @@
 }
 
 impl LoadAggregator {
-    /// Returns the state of an instance that knows nothing yet.
+    /// Creates an aggregator with an empty table.
     pub fn new(own: Member, options: LoadOptions) -> Self {
         Self {
             options,
@@ -91,14 +90,14 @@
         }
     }
 
-    /// Sets what this instance reports for an organisation.
+    /// Sets this instance's report for an organisation.
     pub fn publish(&mut self, organisation: OrganisationId, report: InstanceReport, now: WallTime) {
         let made_at = now;
         self.reports
             .insert(organisation, OwnReport { report, made_at });
     }
 
-    /// Takes the members in; `version` changes whenever they do.
+    /// Updates the tree for the members; `version` changes whenever they do.
     pub fn observe<'a>(
         &mut self,
         members: impl Iterator<Item = &'a Member>,
@@ -122,16 +121,17 @@
         self.position = position;
     }
 
-    /// Returns the time between two rounds.
+    /// Returns the interval between rounds.
     pub fn interval(&self) -> Duration {
         let records = self.table.values();
         let table_bytes = records.map(LoadRecord::size_bytes).sum();
         self.options.interval(table_bytes)
     }
 
-    /// Sends what is due. Levels take their turns within each interval of the
-    /// wall clock, the lowest first, so that a sum reaches the root soon after
-    /// its reports were made.
+    /// Returns the messages that are due.
+    ///
+    /// Within each interval of the wall clock the levels of the tree send in
+    /// sequence, the lowest first, so that sums reach the root with little delay.
     pub fn tick(&mut self, now: WallTime) -> Vec<LoadEnvelope> {
         let levels_below = self.position.depth_max - self.position.depth;
         let sum_phase = self.options.level_delay * levels_below;
@@ -149,7 +149,7 @@
         sends
     }
 
-    /// Takes a message of `sender` in and passes on what is new.
+    /// Handles a message of `sender` and returns the messages that forward it.
     pub fn receive(
         &mut self,
         sender: &InstanceId,
@@ -168,7 +168,7 @@
             }
             LoadMessage::Table(records) => {
                 let newer = self.merge_newer(records, now);
-                // Roots wait for all of their kind and send one table.
+                // Roots collect the sums of all regions and send one table in `tick`.
                 if !newer.is_empty() && !self.position.is_root() {
                     self.send_to_children(&LoadMessage::Table(newer), &mut sends);
                 }
@@ -177,12 +177,11 @@
         sends
     }
 
-    /// Takes in records of whole regions and returns those that were newer
-    /// than the ones known.
+    /// Merges records of whole regions and returns those that were newer.
     pub fn merge_newer(&mut self, mut records: Vec<LoadRecord>, now: WallTime) -> Vec<LoadRecord> {
         let latest = now + self.options.skew * 2;
         records.retain(|record| {
-            // One from a clock far ahead would keep all others out.
+            // A record from a fast clock would block all later ones.
             if record.summed_at > latest {
                 return false;
             }
@@ -206,7 +205,7 @@
         let interval_us = self.interval().as_micros().max(1) as u64;
         let since_phase_us = now.saturating_sub(phase).as_us();
         let turn = WallTime::from_us(since_phase_us / interval_us * interval_us) + phase;
-        // A clock that was put back must not silence the instance.
+        // Sends also after the clock was set back.
         last < turn || now < last
     }
 
@@ -228,12 +227,11 @@
         }
     }
 
-    /// Keeps the claims of a region's sum from falling below those of the one
-    /// before it, and the number that shares by claims from rising.
+    /// Keeps a region's claims from falling and its numbers of sharers from rising
+    /// after a change of the tree.
     ///
-    /// While a tree changes, a sum may be missing on its way from an old parent
-    /// to a new one or be counted at both, and a root that died took its own
-    /// claims with it.
+    /// Until the tree settles, sums may be missing or counted twice, and the
+    /// claims of a failed root are lost.
     fn limit_changes(&self, records: &mut [LoadRecord], now: WallTime) {
         for record in records {
             let key = (record.organisation.clone(), record.region.clone());
@@ -256,7 +254,7 @@
         }
     }
 
-    /// Sums up this instance and all below it.
+    /// Sums the reports of this instance's subtree.
     fn sum(&mut self, now: WallTime) -> Vec<LoadRecord> {
         self.expire_children(now);
         let mut sums: BTreeMap<OrganisationId, LoadRecord> = BTreeMap::new();
@@ -283,10 +281,8 @@
         sums.into_values().collect()
     }
 
-    /// Forgets the sums of instances that report other_members by now.
-    ///
-    /// One that is gone keeps its claims until they run out; one that moved
-    /// is summed by its new parent.
+    /// Removes the sums of children that moved to another parent, and expired sums
+    /// of failed ones.
     fn expire_children(&mut self, now: WallTime) {
         let moved_hold = self.interval() * MOVED_INTERVALS;
         let other_members = &self.position.other_members;
--- a/crates/foxtide-core/src/dissemination/load/mod.rs
+++ b/crates/foxtide-core/src/dissemination/load/mod.rs
@@ -1,9 +1,9 @@
-//! Summing of load over a tree, so that each instance sends and receives a
-//! bounded amount whatever the size of the fleet.
+//! Aggregation of load over a tree, with traffic per instance independent of the
+//! size of the fleet.
 //!
-//! The instances of a region form a tree by rendezvous hash. Sums go up to the
-//! region's root; the regions' roots tell one another; the table of all regions
-//! goes down the same trees.
+//! The instances of a region form a tree by rendezvous hashing. Sums propagate up
+//! to the region's root, roots exchange their sums, and the table of all regions
+//! propagates down the trees.
 
 mod aggregator;
 mod options;
--- a/crates/foxtide-core/src/dissemination/load/options.rs
+++ b/crates/foxtide-core/src/dissemination/load/options.rs
@@ -1,37 +1,35 @@
-//! Settings of the spreading of load.
+//! Options of the aggregation of load.
 
 use crate::steering::ViewOptions;
 use crate::time::CLOCK_SKEW_MAX;
 use std::time::Duration;
 
-/// Lengths of time between two rounds are multiples of this.
+/// The granularity of the interval between rounds.
 const INTERVAL_STEP_MS: u64 = 250;
 
-/// Settings of the spreading of load; equal on all instances.
+/// Options of [`LoadAggregator`](super::LoadAggregator); equal on all instances.
 #[derive(Clone, Copy, Debug)]
 pub struct LoadOptions {
-    /// Shortest time between two rounds. Default 1 s.
+    /// The minimum interval between rounds. Default 1 s.
     pub interval_min: Duration,
-    /// Longest time between two rounds. Default 30 s.
+    /// The maximum interval between rounds. Default 30 s.
     pub interval_max: Duration,
-    /// What an instance may send for it, in bytes a second. Where the table of
-    /// all regions is too large for that, rounds come less often. Default
-    /// 1,400.
+    /// The bandwidth limit of an instance in bytes per second; the interval grows
+    /// with the size of the table to keep it. Default 1,400.
     pub budget_bytes_per_s: u32,
-    /// Instances that an instance of the tree has below it. Default 2.
+    /// The number of children of an instance in the tree. Default 2.
     pub fan_out: usize,
-    /// Time that a level of the tree gives the level below it. Default 60 ms.
+    /// The time that each level of the tree waits for the level below. Default 60 ms.
     pub level_delay: Duration,
-    /// Time that the roots of the regions give one another; over the one-way
-    /// delay between the regions furthest apart. Default 120 ms.
+    /// The time that roots wait for the sums of other regions; above the largest
+    /// one-way delay between regions. Default 120 ms.
     pub inter_region_delay: Duration,
-    /// A report older than this when it is summed does not count as heard;
-    /// below the age at which readers drop it. Default 2 s.
+    /// The maximum age at which a summed report counts as live; below
+    /// [`ViewOptions::view_age_max`]. Default 2 s.
     pub live_age_max: Duration,
-    /// What a record's age is at most above what the clocks say. Default
-    /// [`CLOCK_SKEW_MAX`].
+    /// The assumed maximum clock skew. Default [`CLOCK_SKEW_MAX`].
     pub skew: Duration,
-    /// How old reports may be for those who read the view.
+    /// The age limits of readers of the view.
     pub view: ViewOptions,
 }
 
@@ -52,10 +50,10 @@
 }
 
 impl LoadOptions {
-    /// Returns the time between two rounds at which an instance with a full
-    /// set of children keeps the budget, for a table of this size.
+    /// Returns the interval between rounds at which an instance with `fan_out`
+    /// children keeps the bandwidth limit.
     pub fn interval(&self, table_bytes: usize) -> Duration {
-        // One more than its children: a root also tells other roots.
+        // Adds one message for the exchange between roots.
         let round_bytes = table_bytes.saturating_mul(self.fan_out + 1) as u64;
         let budget = u64::from(self.budget_bytes_per_s.max(1));
         let needed_ms = round_bytes.saturating_mul(1_000) / budget;
--- a/crates/foxtide-core/src/dissemination/load/record.rs
+++ b/crates/foxtide-core/src/dissemination/load/record.rs
@@ -1,4 +1,4 @@
-//! The load of a group of instances, as it travels.
+//! The aggregated load of a group of instances.
 
 use crate::ids::{
     OrganisationId,
@@ -16,37 +16,37 @@
     WallTime, //
 };
 
-/// Usual encoded size of a record without what is listed in it, in bytes.
+/// Typical encoded size of a record without its lists.
 const RECORD_BYTES: usize = 34;
 
-/// Usual encoded size of a service's figures without its row, in bytes.
+/// Typical encoded size of a service's figures without its row.
 const SERVICE_BYTES: usize = 16;
 
-/// Encoded size of a share of one region, in bytes.
+/// Encoded size of one region's share.
 const REGION_BYTES: usize = 3;
 
-/// Usual encoded size of the use of one region's limits, in bytes.
+/// Typical encoded size of the use of one region's limits.
 const LIMIT_BYTES: usize = 7;
 
-/// What some instances of a region report for one organisation.
+/// The sum of the reports of some instances of a region for one organisation.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LoadRecord {
     /// The organisation.
     pub organisation: OrganisationId,
-    /// The region that the instances stand in.
+    /// The region of the instances.
     pub region: RegionId,
-    /// When the sum was made.
+    /// The time of the summation.
     pub summed_at: WallTime,
-    /// When the oldest report in the sum was made.
+    /// The time of the oldest report in the sum.
     pub oldest_at: WallTime,
-    /// When the oldest report of an instance that counts as heard was made.
+    /// The time of the oldest report of an instance that counts as live.
     pub live_since: WallTime,
-    /// The sum; its own times are not used.
+    /// The sum; its `oldest_at` is unused.
     pub sum: RegionView,
 }
 
 impl LoadRecord {
-    /// Returns the record of a single instance.
+    /// Creates the record of a single instance.
     pub(super) fn single(
         organisation: &OrganisationId,
         region: &RegionId,
@@ -72,7 +72,7 @@
         }
     }
 
-    /// Counts the instances of another record in.
+    /// Adds another record to the sum.
     pub(super) fn merge(&mut self, other: &Self) {
         self.oldest_at = self.oldest_at.min(other.oldest_at);
         self.live_since = match (self.sum.live_instances, other.sum.live_instances) {
@@ -83,7 +83,7 @@
         self.sum.merge(&other.sum);
     }
 
-    /// Raises the claims to those of the record before it.
+    /// Raises the claims to at least those of the previous record.
     pub(super) fn raise_claims_to(&mut self, before: &Self) {
         for (region, limit) in &before.sum.limits {
             let own = self.sum.limits.entry(region.clone()).or_default();
@@ -91,7 +91,7 @@
         }
     }
 
-    /// Lowers the numbers that share by claims to those of the record before it.
+    /// Lowers the numbers of sharers by claim to at most those of the previous record.
     pub(super) fn lower_sharers_to(&mut self, before: &Self) {
         for (region, limit) in &mut self.sum.limits {
             let before = before.sum.limits.get(region).copied();
@@ -99,12 +99,12 @@
         }
     }
 
-    /// Takes back that its instances were heard; their claims still count.
+    /// Stops counting the instances as live; their claims still count.
     pub(super) fn exclude_from_live(&mut self) {
         self.sum.make_silent();
     }
 
-    /// Returns about the encoded size, in bytes.
+    /// Estimates the encoded size in bytes.
     pub(super) fn size_bytes(&self) -> usize {
         let foreign = self
             .sum
--- a/crates/foxtide-core/src/dissemination/load/tree.rs
+++ b/crates/foxtide-core/src/dissemination/load/tree.rs
@@ -1,4 +1,4 @@
-//! The position of an instance in the tree over which load is summed.
+//! The position of an instance in the aggregation tree.
 
 use crate::ids::{
     InstanceId,
@@ -17,20 +17,20 @@
 };
 use std::net::SocketAddr;
 
-/// The instances above, below and beside one instance.
+/// The position of an instance and its neighbours in the tree.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(super) struct TreePosition {
-    /// Where its sums go; `None` for the root of a region.
+    /// The parent; `None` for the root of a region.
     pub(super) parent: Option<SocketAddr>,
-    /// Whose sums come to it.
+    /// The children.
     pub(super) children: BTreeMap<InstanceId, SocketAddr>,
-    /// The running instances of the region whose sums go other_members.
+    /// The running instances of the region that are not children.
     pub(super) other_members: BTreeSet<InstanceId>,
-    /// The roots of other regions, where it is itself one.
+    /// The roots of other regions; empty unless the instance is a root.
     pub(super) other_roots: Vec<SocketAddr>,
-    /// Levels above it.
+    /// The number of levels above the instance.
     pub(super) depth: u32,
-    /// Levels below the region's root.
+    /// The number of levels below the region's root.
     pub(super) depth_max: u32,
 }
 
@@ -79,7 +79,7 @@
     regions
 }
 
-/// Those that leave come last, where nobody depends on them.
+/// Sorts leaving members last, so that they have no children.
 fn order(member: &Member) -> (bool, Reverse<u64>) {
     let leaving = member.state == MemberState::Leaving;
     (leaving, Reverse(weight(Role::Aggregator, &member.instance)))
@@ -106,7 +106,7 @@
     (member.instance.clone(), member.peer_address)
 }
 
-/// Returns the level of the instance with this number in its region.
+/// Returns the level of the instance with this rank in its region.
 fn depth(mut number: usize, fan_out: usize) -> u32 {
     let mut depth = 0;
     while number > 0 {
--- a/crates/foxtide-core/src/dissemination/load/view.rs
+++ b/crates/foxtide-core/src/dissemination/load/view.rs
@@ -1,4 +1,4 @@
-//! What an instance knows of the load of all regions.
+//! An instance's view of the load of all regions.
 
 use super::aggregator::LoadAggregator;
 use super::record::LoadRecord;
@@ -13,20 +13,20 @@
     WallTime, //
 };
 
-/// One moment on both clocks of a process.
+/// A simultaneous reading of both clocks of a process.
 #[derive(Clone, Copy, Debug)]
 pub struct ClockReading {
-    /// On the steady clock.
+    /// The monotonic clock.
     pub monotonic: MonotonicTime,
-    /// On the wall clock.
+    /// The wall clock.
     pub wall: WallTime,
 }
 
 impl LoadAggregator {
-    /// Returns what is known of one organisation in all regions.
+    /// Returns the known load of one organisation in all regions.
     ///
-    /// Times on the reader's clock are early by up to the clocks' skew, so that
-    /// nothing seems younger than it is.
+    /// Reports are dated back by the maximum clock skew, so that none appears
+    /// younger than it is.
     pub fn fleet_view<'a>(
         &self,
         organisation: &OrganisationId,
@@ -69,7 +69,7 @@
         }
     }
 
-    /// Returns a peer's time on the reader's steady clock, early by the skew.
+    /// Converts a peer's wall time to the local monotonic clock, less the skew.
     fn to_own_clock(&self, at: WallTime, now: ClockReading) -> MonotonicTime {
         let age = now.wall - at + self.options.skew;
         now.monotonic.saturating_sub(age)
--- a/crates/foxtide-core/src/dissemination/mod.rs
+++ b/crates/foxtide-core/src/dissemination/mod.rs
@@ -1,4 +1,4 @@
-//! How documents and load figures reach every instance.
+//! Dissemination of configuration documents and load figures to all instances.
 
 mod configuration;
 mod fetch;
--- a/crates/foxtide-core/tests/dissemination.rs
+++ b/crates/foxtide-core/tests/dissemination.rs
@@ -1,4 +1,4 @@
-//! Documents, fetches and load sums, without any network.
+//! Configuration documents, fetches and load aggregation, without a network.
 
 use foxtide_core::dissemination::{
     ClockReading,
@@ -96,7 +96,10 @@
     let now = MonotonicTime::ZERO;
     let first = fetches.start_due(now);
     assert_eq!(first.len(), 1);
-    assert!(fetches.start_due(now).is_empty(), "one at a time");
+    assert!(
+        fetches.start_due(now).is_empty(),
+        "at most one fetch in flight"
+    );
     fetches.mark_failed(&first[0], now);
     let later = now + Duration::from_secs(1);
     let second = fetches.start_due(later);
@@ -115,7 +118,7 @@
     fetches.add_source(&announcement(2), source(3));
     let new = fetches.start_due(now);
     assert_eq!(new[0].announcement, announcement(4));
-    // What becomes of the old one no longer matters.
+    // Results of the superseded fetch have no effect.
     fetches.mark_held(&old[0].announcement);
     fetches.mark_failed(&old[0], now);
     assert!(!fetches.is_empty());
@@ -137,7 +140,7 @@
     assert!(fetches.is_empty());
 }
 
-/// Spreaders that hear each other at once.
+/// Aggregators whose messages arrive without delay.
 struct LoadFleet {
     aggregators: BTreeMap<SocketAddr, LoadAggregator>,
     members: Vec<Member>,
@@ -208,7 +211,7 @@
         aggregator.fleet_view(&organisation(), members, ClockReading { monotonic, wall })
     }
 
-    /// Returns what `instance` knows to be claimed, over all regions.
+    /// Returns the claimed rate over all regions in the view of `instance`.
     fn claimed_rps(&self, instance: usize) -> f64 {
         let view = self.view(instance);
         let regions = view.regions.values();
@@ -216,7 +219,7 @@
         limits.map(|limit| limit.claim.planned_rps.get()).sum()
     }
 
-    /// Returns how many `instance` knows to share in the region's limit.
+    /// Returns the number of sharers of region limits in the view of `instance`.
     fn sharers(&self, instance: usize) -> u32 {
         let view = self.view(instance);
         let regions = view.regions.values();
@@ -270,7 +273,7 @@
     for instance in 0..100 {
         let view = fleet.view(instance);
         let live: u32 = view.regions.values().map(|it| it.live_instances).sum();
-        assert_eq!(live, 100, "known to i{instance}");
+        assert_eq!(live, 100, "view of i{instance}");
         assert_eq!(fleet.claimed_rps(instance), 1_000.0);
     }
 }
@@ -293,7 +296,7 @@
 fn verify_claims_of_dead_instances_are_held() {
     let mut fleet = LoadFleet::new(60, 3);
     fleet.run_for(Duration::from_secs(4));
-    // Their trees' roots and inner ones are among the dead.
+    // Kills roots and inner nodes of the trees.
     for dead in [0..6, 6..12, 12..18] {
         let before_rps = 10.0 * fleet.aggregators.len() as f64;
         dead.for_each(|instance| fleet.kill(instance));
