--- a/crates/foxtide-core/src/blocks/builder.rs
+++ b/crates/foxtide-core/src/blocks/builder.rs
@@ -1,4 +1,4 @@
-//! Builds a table from the chunks that lie in the store.
+//! Builds a table from the chunks in the store.
 
 use super::codec::decode_chunk;
 use super::columns::Columns;
@@ -15,17 +15,16 @@
 };
 use std::sync::Arc;
 
-/// How many blocks of each family a table has.
+/// The number of blocks of each address family.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct BlockCounts {
-    /// Blocks of v4.
+    /// The IPv4 blocks.
     pub v4_blocks: usize,
-    /// Blocks of v6.
+    /// The IPv6 blocks.
     pub v6_blocks: usize,
 }
 
-/// The most blocks of a family for which room is made before they come, so
-/// that a wrong count does no harm.
+/// The maximum capacity reserved per family; limits the effect of a wrong count.
 const CAPACITY_MAX_BLOCKS: usize = 4_000_000;
 
 impl BlockCounts {
@@ -37,15 +36,14 @@
     }
 }
 
-/// Takes chunks one by one, so that a load needs little more memory than the
-/// table itself.
+/// A builder that decodes one chunk at a time to bound the memory of a load.
 #[derive(Debug)]
 pub struct ClientBlocksBuilder {
     table: ClientBlocks,
 }
 
 impl ClientBlocksBuilder {
-    /// Returns a builder with room for so many blocks.
+    /// Creates a builder with a reserved capacity.
     pub fn new(revision: u64, sites: SiteTable, capacity: BlockCounts) -> Self {
         let capacity = capacity.bounded();
         let table = ClientBlocks {
@@ -57,12 +55,11 @@
         Self { table }
     }
 
-    /// Adds a chunk, in the order in which [`ClientBlocks::chunks`] gave them.
+    /// Adds the next chunk, in the order of [`ClientBlocks::chunks`].
     ///
     /// # Errors
     ///
-    /// Fails where the bytes were changed, where blocks do not ascend, or
-    /// where one names a site that there is not.
+    /// Fails if the checksum differs, blocks are out of order or a site is unknown.
     pub fn add_chunk(&mut self, value: &[u8]) -> BlocksResult<()> {
         let columns = decode_chunk(value)?;
         if columns.is_v4() {
--- a/crates/foxtide-core/src/blocks/codec.rs
+++ b/crates/foxtide-core/src/blocks/codec.rs
@@ -1,11 +1,9 @@
-//! The form in which blocks lie in the store.
+//! The encoding of client blocks in the store.
 //!
 //! A value is a [`SealedMessage`]: a payload and its XXH3 checksum. The payload
-//! of a chunk is a [`ColumnsMessage`], that of a delta a [`DeltaMessage`], that of
-//! the manifest a [`ManifestMessage`]. In
-//! columns, blocks ascend, and each first address is kept as the number of
-//! blocks of its own length that lie between it and the one before, which is
-//! nearly always a byte.
+//! is a [`ColumnsMessage`], [`DeltaMessage`] or [`ManifestMessage`]. Columns hold
+//! blocks in ascending order. Each first address is delta-encoded against the
+//! previous one, in units of the block's own size, mostly in a single byte.
 
 use super::columns::Entry;
 use super::family::{
@@ -26,10 +24,10 @@
 use std::marker::PhantomData;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Room in a value for what is not blocks: tags, lengths and the checksum.
+/// Space reserved in a value for tags, lengths and the checksum.
 const CHUNK_OVERHEAD_BYTES: usize = 64;
 
-/// The most that a block takes: a varint of ten bytes, its length and its site.
+/// The maximum size of a block: a varint of ten bytes, its length and its site.
 const BLOCK_MAX_BYTES: usize = 12;
 
 /// A payload and its checksum.
@@ -41,17 +39,17 @@
     payload: Vec<u8>,
 }
 
-/// Blocks of one family, ascending.
+/// Blocks of one family in ascending order.
 #[derive(Clone, PartialEq, prost::Message)]
 pub(super) struct ColumnsMessage {
-    /// The bits of an address: 32 or 64.
+    /// The number of bits of an address: 32 or 64.
     #[prost(uint32, tag = "1")]
     bits: u32,
     #[prost(uint64, repeated, tag = "2")]
     steps: Vec<u64>,
     #[prost(bytes = "vec", tag = "3")]
     lengths: Vec<u8>,
-    /// The sites' numbers; empty where blocks are removed.
+    /// The site indices; empty for removed blocks.
     #[prost(bytes = "vec", tag = "4")]
     sites: Vec<u8>,
 }
@@ -73,7 +71,6 @@
     pub(super) removed_v6: Option<ColumnsMessage>,
 }
 
-/// A site.
 #[derive(Clone, PartialEq, prost::Message)]
 pub(super) struct SiteMessage {
     #[prost(string, tag = "1")]
@@ -84,7 +81,7 @@
     pub(super) alternatives: Vec<String>,
 }
 
-/// What a chunk must be.
+/// The expected checksum and size of a chunk.
 #[derive(Clone, Copy, PartialEq, prost::Message)]
 pub(super) struct PartMessage {
     #[prost(fixed64, tag = "1")]
@@ -93,7 +90,7 @@
     pub(super) size_bytes: u64,
 }
 
-/// What makes up a table.
+/// The chunks, sites and deltas of a table.
 #[derive(Clone, PartialEq, prost::Message)]
 pub(super) struct ManifestMessage {
     #[prost(uint64, tag = "1")]
@@ -108,18 +105,18 @@
     pub(super) sites: Vec<SiteMessage>,
     #[prost(message, repeated, tag = "6")]
     pub(super) chunks: Vec<PartMessage>,
-    /// Sealed deltas, in order.
+    /// Encoded deltas with their checksums, in order.
     #[prost(bytes = "vec", repeated, tag = "7")]
     pub(super) deltas: Vec<Vec<u8>>,
 }
 
-/// Puts a payload and its checksum into one value.
+/// Encodes a payload with its checksum.
 pub(super) fn with_checksum(payload: Vec<u8>) -> Vec<u8> {
     let checksum = xxh3_64(&payload);
     SealedMessage { checksum, payload }.encode_to_vec()
 }
 
-/// Takes the payload out of a value, after a look at its checksum.
+/// Decodes a value and verifies the checksum of its payload.
 pub(super) fn verified_payload(value: &[u8], part: &str) -> BlocksResult<Vec<u8>> {
     let sealed = SealedMessage::decode(value).map_err(BlocksError::decode)?;
     if xxh3_64(&sealed.payload) != sealed.checksum {
@@ -129,7 +126,7 @@
     Ok(sealed.payload)
 }
 
-/// Writes blocks, ascending, into columns.
+/// Encodes blocks in ascending order as columns.
 pub(super) struct ColumnsWriter<F> {
     columns: ColumnsMessage,
     last_start: u64,
@@ -150,7 +147,7 @@
         }
     }
 
-    /// Adds a block after all others.
+    /// Appends a block, which must be greater than all others.
     pub(super) fn push(&mut self, prefix: Prefix, site: Option<SiteIndex>) {
         let shift = u32::from(F::BITS - prefix.length);
         let position = |start: u64| start.checked_shr(shift).unwrap_or(0);
@@ -162,7 +159,7 @@
         self.last_start = prefix.start;
     }
 
-    /// Tells whether a value has no room for another block.
+    /// Returns whether another block may exceed the maximum size of a value.
     fn is_full(&self) -> bool {
         let blocks_bytes = self.steps_bytes + 2 * self.columns.lengths.len();
         blocks_bytes + BLOCK_MAX_BYTES + CHUNK_OVERHEAD_BYTES > VALUE_MAX_BYTES
@@ -174,10 +171,12 @@
 }
 
 impl ColumnsMessage {
-    /// Returns the prefixes, one by one, so that none need be kept.
+    /// Returns an iterator that decodes the prefixes.
     fn prefixes<F: Family>(&self) -> BlocksResult<impl Iterator<Item = BlocksResult<Prefix>>> {
         if self.bits != u32::from(F::BITS) || self.steps.len() != self.lengths.len() {
-            return Err(BlocksError::decode("columns of other blocks or lengths"));
+            return Err(BlocksError::decode(
+                "columns are of the other address family or differ in length",
+            ));
         }
         let mut last_start = 0;
         let pairs = self.steps.iter().zip(&self.lengths);
@@ -190,12 +189,14 @@
         }))
     }
 
-    /// Returns the blocks with their sites, one by one.
+    /// Returns an iterator that decodes the blocks with their sites.
     pub(super) fn entries<F: Family>(
         &self,
     ) -> BlocksResult<impl Iterator<Item = BlocksResult<Entry>>> {
         if self.lengths.len() != self.sites.len() {
-            return Err(BlocksError::decode("columns of other lengths"));
+            return Err(BlocksError::decode(
+                "columns of blocks and sites differ in length",
+            ));
         }
         let pairs = self.prefixes::<F>()?.zip(&self.sites);
         Ok(pairs.map(|(prefix, site)| {
@@ -219,16 +220,15 @@
         prefixes.map(|prefix| prefix.map(F::to_net)).collect()
     }
 
-    /// Tells whether the blocks are v4.
+    /// Returns whether the blocks are IPv4.
     pub(super) fn is_v4(&self) -> bool {
         self.bits == u32::from(V4::BITS)
     }
 }
 
-/// Returns the first address of the block that lies `step` blocks of its
-/// `length` after the one before.
+/// Returns the first address of the block `step` blocks of `length` bits after `last`.
 fn next_start<F: Family>(last: u64, step: u64, length: u8) -> BlocksResult<u64> {
-    let bad = || BlocksError::decode("a block lies beyond the last address");
+    let bad = || BlocksError::decode("a block is outside of the address space");
     let shift = u32::from(F::BITS.checked_sub(length).ok_or_else(bad)?);
     let position = last.checked_shr(shift).unwrap_or(0);
     let position = position.checked_add(step).ok_or_else(bad)?;
@@ -239,7 +239,7 @@
     Ok(position.checked_shl(shift).unwrap_or(0))
 }
 
-/// Returns blocks as values of at most [`VALUE_MAX_BYTES`].
+/// Encodes blocks as values of at most [`VALUE_MAX_BYTES`].
 pub(super) fn encode_chunks<F: Family>(entries: impl Iterator<Item = Entry>) -> Vec<Vec<u8>> {
     let mut chunks = Vec::new();
     let mut writer = ColumnsWriter::<F>::new();
@@ -257,7 +257,7 @@
     chunks
 }
 
-/// Reads a chunk.
+/// Decodes a chunk.
 pub(super) fn decode_chunk(value: &[u8]) -> BlocksResult<ColumnsMessage> {
     let payload = verified_payload(value, "a chunk")?;
     ColumnsMessage::decode(&payload[..]).map_err(BlocksError::decode)
--- a/crates/foxtide-core/src/blocks/columns.rs
+++ b/crates/foxtide-core/src/blocks/columns.rs
@@ -1,9 +1,9 @@
-//! The compact table of one family.
+//! The in-memory table of the blocks of one address family.
 //!
-//! Blocks that are longer than half of the family's bits lie in the bucket of
-//! their first half, so that only the second half is kept of each, in columns:
-//! 4 bytes a v4 block and 6 a v6 block. The few wider blocks stand apart and
-//! are searched where no narrower one is found, which keeps the longest match.
+//! Blocks longer than half of the family's bits are grouped into buckets by the
+//! first half of their address. Only the second half is stored per block, in
+//! columns: 4 bytes per IPv4 block and 6 per IPv6 block. The few wider blocks are
+//! stored separately and searched only if no narrower block matches.
 
 use super::family::{
     Family,
@@ -30,15 +30,15 @@
 /// The table of one family.
 #[derive(Clone, Debug)]
 pub(super) struct Columns<F: Family> {
-    /// Blocks not longer than half of the bits.
+    /// Blocks of at most half of the bits.
     wide: Vec<Entry>,
-    /// The first halves that have longer blocks, ascending.
+    /// The first halves of addresses that have longer blocks, ascending.
     buckets: Vec<F::Half>,
     /// Where each bucket offsets in the columns; their end comes last.
     offsets: Vec<u32>,
-    /// The second halves of the longer blocks' first addresses.
+    /// The second halves of the first addresses of longer blocks.
     starts: Vec<F::Half>,
-    /// How many bits of the second half are fixed.
+    /// The prefix lengths within the second half.
     lengths: Vec<u8>,
     sites: Vec<SiteIndex>,
     last: Option<Prefix>,
@@ -90,7 +90,7 @@
 impl<F: Family> Columns<F> {
     const HALF_BITS: u8 = F::BITS / 2;
 
-    /// Returns an empty table with room for `blocks` blocks.
+    /// Creates an empty table with capacity for `blocks` blocks.
     pub(super) fn with_capacity(blocks: usize) -> Self {
         Self {
             starts: Vec::with_capacity(blocks),
@@ -100,7 +100,7 @@
         }
     }
 
-    /// Adds a block after all others.
+    /// Appends a block, which must be greater than all others.
     pub(super) fn push(&mut self, entry: Entry) -> BlocksResult<()> {
         if self.last.is_some_and(|last| last >= entry.prefix) {
             return Err(BlocksError::Order);
@@ -130,7 +130,7 @@
         Ok(())
     }
 
-    /// Gives back the room that was kept for more blocks.
+    /// Releases unused capacity.
     pub(super) fn shrink(&mut self) {
         self.wide.shrink_to_fit();
         self.buckets.shrink_to_fit();
@@ -140,7 +140,7 @@
         self.sites.shrink_to_fit();
     }
 
-    /// Returns the site of the longest block that holds an address.
+    /// Returns the site of the longest block that contains an address.
     pub(super) fn find(&self, address: u64) -> Option<SiteIndex> {
         let narrow = self.find_narrow(address);
         narrow.or_else(|| self.find_wide(address))
@@ -164,7 +164,6 @@
         Some(self.wide[index].site)
     }
 
-    /// Splits an address into its halves.
     fn split(address: u64) -> BlocksResult<(F::Half, F::Half)> {
         let mask = (1 << Self::HALF_BITS) - 1;
         let first = F::Half::try_from(address >> Self::HALF_BITS);
@@ -175,12 +174,11 @@
         }
     }
 
-    /// Returns the number of blocks.
     pub(super) fn len(&self) -> usize {
         self.wide.len() + self.starts.len()
     }
 
-    /// Returns the memory in use, in bytes.
+    /// Returns the allocated memory in bytes.
     pub(super) fn size_bytes(&self) -> usize {
         let halves = self.buckets.capacity() + self.starts.capacity();
         self.wide.capacity() * size_of::<Entry>()
@@ -190,7 +188,7 @@
             + self.sites.capacity() * size_of::<SiteIndex>()
     }
 
-    /// Returns all blocks, ascending.
+    /// Returns all blocks in ascending order.
     pub(super) fn entries(&self) -> impl Iterator<Item = Entry> + '_ {
         let mut wide = self.wide.iter().copied().peekable();
         let mut narrow = self.narrow_entries().peekable();
--- a/crates/foxtide-core/src/blocks/delta.rs
+++ b/crates/foxtide-core/src/blocks/delta.rs
@@ -25,27 +25,27 @@
 use prost::Message;
 use std::collections::HashMap;
 
-/// A change from one revision of a table to the next.
+/// A change of a table from one revision to a later one.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Delta {
-    /// The revision that is changed.
+    /// The revision that the delta applies to.
     pub base_revision: u64,
     /// The revision after the change.
     pub revision: u64,
-    /// Blocks that are added or get another site.
+    /// Blocks to add or to assign to another site.
     pub set: Vec<Block>,
-    /// Blocks that are taken out; one that is not there is passed over.
+    /// Blocks to remove; unknown ones are ignored.
     pub removed: Vec<IpNet>,
 }
 
-/// One changed block: its new site, or none where it is taken out.
+/// A changed block with its new site, or `None` if it is removed.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Change {
     pub(super) prefix: Prefix,
     pub(super) site: Option<SiteIndex>,
 }
 
-/// A delta's changes, checked, each family ascending.
+/// The validated changes of a delta, in ascending order per family.
 #[derive(Debug, Default)]
 pub(super) struct SortedDelta {
     pub(super) v4: Vec<Change>,
@@ -84,11 +84,11 @@
 }
 
 impl Delta {
-    /// Returns one delta that does what several do one after the other.
+    /// Combines consecutive deltas into one.
     ///
     /// # Errors
     ///
-    /// Fails where one does not follow the one before.
+    /// Fails if a delta does not apply to the revision of the previous one.
     pub(super) fn combine(deltas: Vec<Self>, base_revision: u64) -> BlocksResult<Self> {
         let mut revision = base_revision;
         let mut changes: HashMap<IpNet, Option<SiteIndex>> = HashMap::new();
@@ -116,7 +116,7 @@
         Ok(combined)
     }
 
-    /// Fails where the delta does not follow a revision.
+    /// Fails if the delta does not apply to `revision`.
     pub(super) fn check_base(&self, revision: u64) -> BlocksResult<()> {
         if self.base_revision == revision {
             return Ok(());
@@ -127,11 +127,11 @@
         })
     }
 
-    /// Returns the delta as a value for the store.
+    /// Encodes the delta as a value for the store.
     ///
     /// # Errors
     ///
-    /// Fails where a block is given twice or is longer than valid.
+    /// Fails if a block occurs twice or its prefix is too long.
     pub fn encode(&self) -> BlocksResult<Vec<u8>> {
         let set = self.set.iter().map(|block| (block.net, Some(block.site)));
         let removed = self.removed.iter().map(|net| (*net, None));
@@ -152,11 +152,11 @@
         Ok(with_checksum(message.encode_to_vec()))
     }
 
-    /// Reads a delta that [`Delta::encode`] made.
+    /// Decodes a delta from the output of [`Delta::encode`].
     ///
     /// # Errors
     ///
-    /// Fails where the bytes were changed or do not hold a delta.
+    /// Fails if the checksum differs or the value is not a delta.
     pub fn decode(bytes: &[u8]) -> BlocksResult<Self> {
         let payload = verified_payload(bytes, "a delta")?;
         let message = DeltaMessage::decode(&payload[..]).map_err(BlocksError::decode)?;
@@ -176,7 +176,7 @@
     }
 }
 
-/// Returns the changes that set a block, or those that take one out.
+/// Encodes either the changes that set a block or those that remove one.
 fn columns<F: Family>(changes: &[Change], set: bool) -> ColumnsMessage {
     let mut writer = ColumnsWriter::<F>::new();
     for change in changes.iter().filter(|change| change.site.is_some() == set) {
--- a/crates/foxtide-core/src/blocks/errors.rs
+++ b/crates/foxtide-core/src/blocks/errors.rs
@@ -1,64 +1,64 @@
-//! What can be wrong with a table of client blocks.
+//! The error type of client blocks.
 
 use super::SiteIndex;
 use crate::ids::SiteId;
 use ipnet::IpNet;
 
-/// The result of reading or changing a table.
+/// The result of a fallible operation on client blocks.
 pub type BlocksResult<T> = std::result::Result<T, BlocksError>;
 
-/// Why a table, a chunk or a delta cannot be used.
+/// An error of decoding or changing a table of client blocks.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum BlocksError {
-    /// The bytes are not those that were written.
+    /// The checksum of a value does not match.
     #[error("client blocks, read {part}: the checksum does not match")]
     Checksum {
-        /// What was read.
+        /// The value that was read.
         part: String,
     },
-    /// The bytes cannot be decoded.
+    /// A value cannot be decoded.
     #[error("client blocks, decode: {problem}")]
     Decode {
-        /// What is wrong.
+        /// The cause.
         problem: String,
     },
-    /// A block is longer than a look-up can tell apart.
+    /// A block's prefix is longer than the table supports.
     #[error("client blocks: {block} is longer than /{longest}")]
     TooLong {
         /// The block.
         block: IpNet,
-        /// The longest prefix that is valid.
+        /// The maximum prefix length.
         longest: u8,
     },
-    /// Blocks do not come in ascending order, or one comes twice.
+    /// Blocks are not in ascending order, or one occurs twice.
     #[error("client blocks: a block is out of order or given twice")]
     Order,
-    /// A block names a site that the table does not have.
+    /// A block refers to a site that the table does not have.
     #[error("client blocks: there is no site number {site}")]
     UnknownSite {
-        /// The site's number.
+        /// The site's index.
         site: SiteIndex,
     },
-    /// A site is named twice, or an alternative does not exist.
+    /// A site is defined twice, or an alternative does not exist.
     #[error("client blocks, sites: `{site}` {problem}")]
     BadSite {
         /// The site.
         site: SiteId,
-        /// What is wrong with it.
+        /// The cause.
         problem: &'static str,
     },
-    /// There are more sites than a table can number.
+    /// The table has too many sites.
     #[error("client blocks, sites: {count} sites, valid: at most 256")]
     TooManySites {
-        /// How many there are.
+        /// The number of sites.
         count: usize,
     },
-    /// A delta follows another revision than the table's.
+    /// A delta applies to another revision than the table's.
     #[error("client blocks, change: follows revision {base_revision}, the table is at {revision}")]
     Revision {
-        /// The revision that the delta changes.
+        /// The revision that the delta applies to.
         base_revision: u64,
-        /// The revision that the table has.
+        /// The table's revision.
         revision: u64,
     },
 }
--- a/crates/foxtide-core/src/blocks/family.rs
+++ b/crates/foxtide-core/src/blocks/family.rs
@@ -1,5 +1,4 @@
-//! The two families of addresses, reduced to the bits that blocks can tell
-//! apart.
+//! The IPv4 and IPv6 address families, reduced to the bits that blocks use.
 
 use super::{
     BlocksError,
@@ -17,30 +16,29 @@
     Ipv6Addr, //
 };
 
-/// An unsigned number that holds half of an address.
+/// An unsigned integer that holds half of an address.
 pub(super) trait Half: Copy + Debug + Ord + Into<u64> + TryFrom<u64> {}
 
 impl Half for u16 {}
 impl Half for u32 {}
 
-/// A family of addresses.
+/// An address family.
 pub(super) trait Family {
-    /// The bits of an address that blocks can tell apart.
+    /// The maximum prefix length of a block.
     const BITS: u8;
 
-    /// The first half of an address, which names a bucket, or the second.
+    /// The integer type of half of an address.
     type Half: Half;
 
-    /// Returns the block that a prefix stands for.
+    /// Converts a prefix to a network.
     fn to_net(prefix: Prefix) -> IpNet;
 }
 
-/// Addresses of 32 bits.
+/// IPv4.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct V4;
 
-/// Addresses of 128 bits, of which blocks use the first 64: a client's network
-/// is a /64 at least (RFC 4291, section 2.5.4).
+/// IPv6, of which blocks use the first 64 bits, the subnet prefix (RFC 4291, section 2.5.4).
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct V6;
 
@@ -65,16 +63,15 @@
     }
 }
 
-/// A block as a number: its first address, in the family's bits, and the
-/// number of bits that are the same in all its addresses. Ordered by these, so
-/// that a block comes right before the blocks inside of it.
+/// A block: its first address, in the family's bits, and its prefix length. In
+/// this order a block precedes the blocks that it contains.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(super) struct Prefix {
     pub(super) start: u64,
     pub(super) length: u8,
 }
 
-/// An address of either family, in the family's bits.
+/// An address of either family, reduced to the family's bits.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum Address {
     V4(u64),
@@ -82,7 +79,7 @@
 }
 
 impl From<IpAddr> for Address {
-    /// Takes a v4 address in v6 form (RFC 4291, section 2.5.5.2) for v4.
+    /// Treats IPv4-mapped IPv6 addresses (RFC 4291, section 2.5.5.2) as IPv4.
     fn from(address: IpAddr) -> Self {
         match address.to_canonical() {
             IpAddr::V4(address) => Self::V4(address.to_bits().into()),
@@ -91,7 +88,7 @@
     }
 }
 
-/// A block of either family.
+/// A prefix of either family.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum FamilyPrefix {
     V4(Prefix),
@@ -125,7 +122,7 @@
     u64::from_be_bytes([a, b, c, d, e, f, g, h])
 }
 
-/// Returns the first `length` of a number's `bits` bits, the others nought.
+/// Clears all but the first `length` bits of a `bits`-bit number.
 pub(super) fn truncate(value: u64, length: u8, bits: u8) -> u64 {
     let shift = u32::from(bits - length);
     let leading = value.checked_shr(shift).unwrap_or(0);
--- a/crates/foxtide-core/src/blocks/manifest.rs
+++ b/crates/foxtide-core/src/blocks/manifest.rs
@@ -1,10 +1,9 @@
-//! What the store holds of a table.
+//! The manifest of a table of client blocks in the store.
 //!
-//! Chunks lie under the checksum of their bytes, so that a writer never
-//! changes a value that a reader may be at; the manifest, written last and by
-//! check-and-set, names those that make up the table. The latest changes lie
-//! in the manifest itself: an instance that has an older table needs nothing
-//! but the manifest, which the mesh spreads.
+//! Chunks are content-addressed by checksum, so that a writer never changes a
+//! value that is being read. The manifest, written last and by check-and-set,
+//! lists the chunks of the table. It also contains the latest deltas, so that an
+//! instance with an older table needs only the manifest.
 
 use super::codec::{
     ManifestMessage,
@@ -30,16 +29,16 @@
 /// The key of the manifest.
 pub const MANIFEST_KEY: &str = "foxtide/blocks/manifest";
 
-/// The beginning of the keys of chunks; their checksum follows.
+/// The prefix of the keys of chunks, followed by their checksum.
 pub const CHUNK_PREFIX: &str = "foxtide/blocks/chunks/";
 
-/// How many deltas a manifest holds before its chunks are written anew.
+/// The number of deltas at which the chunks are rewritten.
 const DELTAS_MAX: usize = 16;
 
-/// How large a manifest may get before its chunks are written anew.
+/// The size of the manifest above which the chunks are rewritten.
 const SIZE_MAX_BYTES: usize = 65_536;
 
-/// The XXH3 checksum of a value, shown as 16 hexadecimal digits.
+/// The XXH3 checksum of a value, displayed as 16 hexadecimal digits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Checksum(u64);
 
@@ -49,17 +48,17 @@
     }
 }
 
-/// One chunk of a table, by what it must be.
+/// A reference to a chunk of a table.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ChunkRef {
-    /// Its checksum.
+    /// The chunk's checksum.
     pub checksum: Checksum,
-    /// Its size.
+    /// The chunk's size.
     pub size_bytes: u64,
 }
 
 impl ChunkRef {
-    /// Returns the chunk that a value makes.
+    /// Creates a reference to the chunk with this value.
     pub fn of(value: &[u8]) -> Self {
         Self {
             checksum: Checksum(xxh3_64(value)),
@@ -67,16 +66,16 @@
         }
     }
 
-    /// Returns the key under which the value lies.
+    /// Returns the chunk's key in the store.
     pub fn key(&self) -> String {
         format!("{CHUNK_PREFIX}{}", self.checksum)
     }
 
-    /// Checks a value that was read under the key.
+    /// Verifies the value of the chunk.
     ///
     /// # Errors
     ///
-    /// Fails where it is not the value that the manifest names.
+    /// Fails if the checksum or the size differs.
     pub fn check(&self, value: &[u8]) -> BlocksResult<()> {
         if Self::of(value) == *self {
             return Ok(());
@@ -85,16 +84,16 @@
     }
 }
 
-/// Names what makes up a table.
+/// The description of a table in the store.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Manifest {
     /// The revision after the last delta.
     pub revision: u64,
-    /// The revision of the chunks, before any delta.
+    /// The revision of the chunks, without the deltas.
     pub base_revision: u64,
-    /// The blocks in the chunks.
+    /// The number of blocks in the chunks.
     pub base_blocks: BlockCounts,
-    /// The sites, in the order of their numbers.
+    /// The sites, in index order.
     pub sites: SiteTable,
     /// The chunks, in order.
     pub chunks: Vec<ChunkRef>,
@@ -103,7 +102,7 @@
 }
 
 impl Manifest {
-    /// Returns the manifest of a whole table and the chunks to write first.
+    /// Creates the manifest of a table, and the chunks to write before it.
     pub fn of(table: &ClientBlocks) -> (Self, Vec<Vec<u8>>) {
         let values = table.chunks();
         let manifest = Self {
@@ -117,11 +116,11 @@
         (manifest, values)
     }
 
-    /// Adds a delta.
+    /// Appends a delta.
     ///
     /// # Errors
     ///
-    /// Fails where the delta follows another revision.
+    /// Fails if the delta does not apply to the manifest's revision.
     pub fn add(&mut self, delta: Delta) -> BlocksResult<()> {
         delta.check_base(self.revision)?;
         self.revision = delta.revision;
@@ -129,22 +128,21 @@
         Ok(())
     }
 
-    /// Tells whether so many deltas have gathered that the chunks are to be
-    /// written anew.
+    /// Returns whether the deltas should be compacted into new chunks.
     ///
     /// # Errors
     ///
-    /// Fails as [`Manifest::encode`].
+    /// Fails like [`Manifest::encode`].
     pub fn needs_rewrite(&self) -> BlocksResult<bool> {
         let many = self.deltas.len() >= DELTAS_MAX;
         Ok(many || (!self.deltas.is_empty() && self.encode()?.len() > SIZE_MAX_BYTES))
     }
 
-    /// Returns the manifest as a value for the store.
+    /// Encodes the manifest as a value for the store.
     ///
     /// # Errors
     ///
-    /// Fails where a delta has a block twice or one longer than valid.
+    /// Fails if a block occurs twice in a delta or its prefix is too long.
     pub fn encode(&self) -> BlocksResult<Vec<u8>> {
         let deltas: BlocksResult<Vec<Vec<u8>>> = self.deltas.iter().map(Delta::encode).collect();
         let message = ManifestMessage {
@@ -159,11 +157,11 @@
         Ok(with_checksum(message.encode_to_vec()))
     }
 
-    /// Reads a manifest that [`Manifest::encode`] made.
+    /// Decodes a manifest from the output of [`Manifest::encode`].
     ///
     /// # Errors
     ///
-    /// Fails where the bytes were changed or do not hold a manifest.
+    /// Fails if the checksum differs or the value is not a manifest.
     pub fn decode(value: &[u8]) -> BlocksResult<Self> {
         let payload = verified_payload(value, "the manifest")?;
         let message = ManifestMessage::decode(&payload[..]).map_err(BlocksError::decode)?;
@@ -182,21 +180,21 @@
         })
     }
 
-    /// Tells whether a table can be brought to this revision by deltas alone.
+    /// Returns whether the deltas alone can bring a table to this revision.
     ///
-    /// A revision names one content, for manifests are written by
-    /// check-and-set, so a table of the base's revision or later will do.
+    /// Check-and-set makes the content of a revision unique, so that comparing
+    /// revisions suffices.
     pub fn can_advance(&self, table: &ClientBlocks) -> bool {
         let known = |delta: &Delta| delta.base_revision == table.revision();
         *table.sites() == self.sites
             && (table.revision() == self.revision || self.deltas.iter().any(known))
     }
 
-    /// Brings a table that [`Manifest::can_advance`] to this revision.
+    /// Applies the deltas to a table that satisfies [`Manifest::can_advance`].
     ///
     /// # Errors
     ///
-    /// Fails where the deltas do not follow each other or are not valid.
+    /// Fails if the deltas are not consecutive or invalid.
     pub fn advance(&self, table: &ClientBlocks) -> BlocksResult<ClientBlocks> {
         let newer = |delta: &&Delta| delta.base_revision >= table.revision();
         let deltas = self.deltas.iter().filter(newer).cloned().collect();
@@ -207,7 +205,7 @@
     ///
     /// # Errors
     ///
-    /// Fails where a chunk is missing or wrong; the caller keeps its old table.
+    /// Fails if a chunk is missing or invalid.
     pub fn load(&self, chunks: impl IntoIterator<Item = Vec<u8>>) -> BlocksResult<ClientBlocks> {
         let sites = self.sites.clone();
         let mut builder = ClientBlocksBuilder::new(self.base_revision, sites, self.base_blocks);
--- a/crates/foxtide-core/src/blocks/mod.rs
+++ b/crates/foxtide-core/src/blocks/mod.rs
@@ -1,11 +1,9 @@
-//! Which site serves which block of client addresses.
+//! The mapping of blocks of client addresses to sites.
 //!
-//! [`ClientBlocks`] is an immutable table: a look-up finds the longest block
-//! that holds an address (longest-prefix match, as RFC 4632 section 5.1), and
-//! a change makes a new table, which the caller swaps in while look-ups go on
-//! in the old one. The store holds the table as a [`Manifest`], chunks and
-//! deltas, each below the size of one value. docs/design/client-blocks.md
-//! weighs the structures.
+//! [`ClientBlocks`] is an immutable table with longest-prefix match (RFC 4632,
+//! section 5.1). A change makes a new table, which the caller swaps in while
+//! look-ups continue in the old one. The store holds a table as a [`Manifest`],
+//! chunks and deltas, each small enough for one value.
 
 mod builder;
 mod codec;
--- a/crates/foxtide-core/src/blocks/search.rs
+++ b/crates/foxtide-core/src/blocks/search.rs
@@ -1,4 +1,4 @@
-//! Longest-prefix search in sorted prefixes that may lie in each other.
+//! Longest-prefix match in sorted, nested prefixes.
 
 use super::family::{
     Prefix,
@@ -7,7 +7,6 @@
 
 /// SortedPrefixes prefixes of `BITS`-bit numbers.
 pub(super) trait SortedPrefixes {
-    /// Returns the number of prefixes.
     fn count(&self) -> usize;
 
     /// Returns the prefix at a index below the count.
@@ -58,7 +57,7 @@
     }
 }
 
-/// Returns how many of the first bits two `bits`-bit numbers share.
+/// Returns the length of the common prefix of two `bits`-bit numbers.
 fn common_bits(one: u64, other: u64, bits: u8) -> u8 {
     let unused = u64::BITS - u32::from(bits);
     let same = (one ^ other).leading_zeros().saturating_sub(unused);
--- a/crates/foxtide-core/src/blocks/site.rs
+++ b/crates/foxtide-core/src/blocks/site.rs
@@ -1,4 +1,4 @@
-//! The sites that client blocks are directed to.
+//! The sites that client blocks are mapped to.
 
 use super::{
     BlocksError,
@@ -15,15 +15,15 @@
 use std::collections::HashSet;
 use std::fmt;
 
-/// The most sites that a table can number.
+/// The maximum number of sites, as indices are 8 bits wide.
 const SITES_MAX: usize = 256;
 
-/// The number of a site in its table.
+/// The index of a site in its table.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct SiteIndex(pub(super) u8);
 
 impl SiteIndex {
-    /// Returns the number.
+    /// Returns the index as an integer.
     pub const fn get(self) -> u8 {
         self.0
     }
@@ -39,27 +39,27 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Site {
-    /// Its name.
+    /// The name.
     pub site: SiteId,
-    /// The region in which it stands.
+    /// The region.
     pub region: RegionId,
-    /// The sites to take instead, the best first.
+    /// The fallback sites, the best first.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub alternatives: Vec<SiteId>,
 }
 
-/// All sites of a table.
+/// The sites of a table.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(try_from = "Vec<Site>", into = "Vec<Site>")]
 pub struct SiteTable(Vec<Site>);
 
 impl SiteTable {
-    /// Returns the table of these sites, numbered in their order.
+    /// Creates a table with the sites in index order.
     ///
     /// # Errors
     ///
-    /// Fails where there are more than 256 sites, where one is named twice or
-    /// where an alternative does not exist.
+    /// Fails if there are more than 256 sites, a name occurs twice or an
+    /// alternative does not exist.
     pub fn new(sites: Vec<Site>) -> BlocksResult<Self> {
         if sites.len() > SITES_MAX {
             return Err(BlocksError::TooManySites { count: sites.len() });
@@ -67,29 +67,32 @@
         let mut names = HashSet::new();
         for site in &sites {
             if !names.insert(&site.site) {
-                return Err(bad_site(&site.site, "is named twice"));
+                return Err(bad_site(&site.site, "is defined twice"));
             }
         }
         for name in sites.iter().flat_map(|site| &site.alternatives) {
             if !names.contains(name) {
-                return Err(bad_site(name, "is an alternative but no site"));
+                return Err(bad_site(
+                    name,
+                    "is listed as an alternative but not defined",
+                ));
             }
         }
         Ok(Self(sites))
     }
 
-    /// Returns the number of the site of this name.
+    /// Returns the index of a site.
     pub fn index_of(&self, site: &SiteId) -> Option<SiteIndex> {
         let index = self.0.iter().position(|known| known.site == *site)?;
         u8::try_from(index).ok().map(SiteIndex)
     }
 
-    /// Returns the site of this number.
+    /// Returns the site with this index.
     pub fn get(&self, index: SiteIndex) -> Option<&Site> {
         self.0.get(usize::from(index.0))
     }
 
-    /// Returns a site's alternatives, the best first.
+    /// Returns the alternatives of a site, the best first.
     pub fn alternatives<'a>(&'a self, site: &'a Site) -> impl Iterator<Item = &'a Site> {
         let indices = site
             .alternatives
@@ -98,7 +101,7 @@
         indices.filter_map(|index| self.get(index))
     }
 
-    /// Returns all sites in the order of their numbers.
+    /// Returns all sites in index order.
     pub fn sites(&self) -> &[Site] {
         &self.0
     }
--- a/crates/foxtide-core/src/blocks/table.rs
+++ b/crates/foxtide-core/src/blocks/table.rs
@@ -1,4 +1,4 @@
-//! The table of all client blocks.
+//! The table of client blocks.
 
 use super::codec::encode_chunks;
 use super::columns::{
@@ -31,9 +31,9 @@
 /// A block of client addresses and the site that serves it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Block {
-    /// The block.
+    /// The network.
     pub net: IpNet,
-    /// The site's number in the table.
+    /// The site's index.
     pub site: SiteIndex,
 }
 
@@ -47,12 +47,12 @@
 }
 
 impl ClientBlocks {
-    /// Returns the table of these blocks, given in any order.
+    /// Creates a table of blocks, given in any order.
     ///
     /// # Errors
     ///
-    /// Fails where a block is given twice, is a v6 block longer than /64, or
-    /// names a site that there is not.
+    /// Fails if a block occurs twice, is an IPv6 block longer than /64 or refers to
+    /// an unknown site.
     pub fn new(revision: u64, sites: SiteTable, blocks: &[Block]) -> BlocksResult<Self> {
         let empty = ClientBlocksBuilder::new(revision, sites, BlockCounts::default()).finish();
         let delta = Delta {
@@ -74,7 +74,7 @@
         &self.sites
     }
 
-    /// Returns the site of the longest block that holds a client's address.
+    /// Returns the site of the longest block that contains a client's address.
     pub fn site_of(&self, client: IpAddr) -> Option<&Site> {
         let index = match Address::from(client) {
             Address::V4(address) => self.v4.find(address),
@@ -88,7 +88,7 @@
         self.v4.len() + self.v6.len()
     }
 
-    /// Returns the number of blocks of each family.
+    /// Returns the number of blocks of each address family.
     pub fn counts(&self) -> BlockCounts {
         BlockCounts {
             v4_blocks: self.v4.len(),
@@ -96,28 +96,28 @@
         }
     }
 
-    /// Tells whether there is no block.
+    /// Returns whether the table has no blocks.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// Returns the memory that the blocks take, in bytes.
+    /// Returns the allocated memory of the blocks in bytes.
     pub fn size_bytes(&self) -> usize {
         self.v4.size_bytes() + self.v6.size_bytes()
     }
 
-    /// Returns all blocks, v4 first, each family ascending.
+    /// Returns all blocks, IPv4 first, in ascending order per family.
     pub fn blocks(&self) -> impl Iterator<Item = Block> + '_ {
         let v4 = self.v4.entries().map(to_block::<V4>);
         v4.chain(self.v6.entries().map(to_block::<V6>))
     }
 
-    /// Returns the table after a change; this one stays as it is.
+    /// Returns a new table with a delta applied.
     ///
     /// # Errors
     ///
-    /// Fails where the delta follows another revision, sets a block twice,
-    /// sets one that is longer than valid, or names a site that there is not.
+    /// Fails if the delta applies to another revision, changes a block twice, has
+    /// one whose prefix is too long, or refers to an unknown site.
     pub fn apply(&self, delta: &Delta) -> BlocksResult<Self> {
         delta.check_base(self.revision)?;
         let sorted = SortedDelta::new(delta, &self.sites)?;
@@ -129,8 +129,8 @@
         })
     }
 
-    /// Returns the table as values for the store, which
-    /// [`ClientBlocksBuilder::add_chunk`] reads.
+    /// Encodes the table as values for the store, which
+    /// [`ClientBlocksBuilder::add_chunk`] decodes.
     pub fn chunks(&self) -> Vec<Vec<u8>> {
         let mut chunks = encode_chunks::<V4>(self.v4.entries());
         chunks.extend(encode_chunks::<V6>(self.v6.entries()));
@@ -145,7 +145,7 @@
     }
 }
 
-/// Merges sorted changes into a table.
+/// Merges sorted changes into a copy of the table.
 fn merge<F: Family>(old: &Columns<F>, changes: &[Change]) -> BlocksResult<Columns<F>> {
     let mut merged = Columns::with_capacity(old.len() + changes.len());
     let mut unchanged = old.entries().peekable();
--- a/crates/foxtide-core/tests/blocks.rs
+++ b/crates/foxtide-core/tests/blocks.rs
@@ -1,4 +1,4 @@
-//! Client blocks against a plain model, and what arrives damaged.
+//! Client blocks compared with a reference model, and invalid input.
 
 use foxtide_core::blocks::{
     Block,
@@ -52,14 +52,14 @@
     site.map(|site| site.site.to_string())
 }
 
-/// The model: all blocks, looked through one by one.
+/// The reference model of a look-up.
 fn linear_search(blocks: &BTreeMap<IpNet, SiteIndex>, client: IpAddr) -> Option<SiteIndex> {
     let holding = blocks.iter().filter(|(net, _)| net.contains(&client));
     let longest = holding.max_by_key(|(net, _)| net.prefix_len());
     longest.map(|(_, site)| *site)
 }
 
-/// Addresses from few bits, so that blocks lie in each other.
+/// Generates addresses from few values, so that blocks nest.
 fn v4_address() -> impl Strategy<Value = Ipv4Addr> {
     let octet = prop::sample::select(vec![0u8, 1, 2, 127, 128, 255]);
     prop::array::uniform4(octet).prop_map(Ipv4Addr::from)
@@ -150,7 +150,7 @@
         }
     }
 
-    /// Whatever bytes come, reading them ends in an error or in a table.
+    /// Decoding arbitrary bytes yields an error or a table.
     #[test]
     fn verify_arbitrary_bytes_never_panic(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
         let _ = ClientBlocksBuilder::new(1, sites(), BlockCounts::default()).add_chunk(&bytes);
