--- a/crates/foxtide-core/src/blocks/columns.rs
+++ b/crates/foxtide-core/src/blocks/columns.rs
@@ -34,7 +34,7 @@
     wide: Vec<Entry>,
     /// The first halves of addresses that have longer blocks, ascending.
     buckets: Vec<F::Half>,
-    /// Where each bucket offsets in the columns; their end comes last.
+    /// The offset of each bucket in the columns, followed by their length.
     offsets: Vec<u32>,
     /// The second halves of the first addresses of longer blocks.
     starts: Vec<F::Half>,
--- a/crates/foxtide-core/src/blocks/search.rs
+++ b/crates/foxtide-core/src/blocks/search.rs
@@ -5,11 +5,11 @@
     truncate, //
 };
 
-/// SortedPrefixes prefixes of `BITS`-bit numbers.
+/// A sorted sequence of prefixes.
 pub(super) trait SortedPrefixes {
     fn count(&self) -> usize;
 
-    /// Returns the prefix at a index below the count.
+    /// Returns the prefix at an index below the count.
     fn prefix(&self, index: usize) -> Prefix;
 
     /// Returns how many of the first `end` prefixes are at most `key`.
@@ -28,14 +28,13 @@
     }
 }
 
-/// Returns the index of the longest prefix that holds an address of `bits`
+/// Returns the index of the longest prefix that contains an address of `bits`
 /// bits.
 ///
-/// The last prefix at or before the address is the longest one that holds it,
-/// if it holds it at all. If not, every prefix that does also holds the first
-/// address of that one, and so is at most as long as what the two have in
-/// common: the search goes on from there. Each round shortens the common
-/// part, so there are at most `bits` rounds; with real blocks one or two.
+/// If the last prefix at or before the address contains it, it is the longest
+/// match. Otherwise every match also contains the start of that prefix and is no
+/// longer than its common part with the address, from which the search continues.
+/// Each iteration shortens the common part, so there are at most `bits` of them.
 pub(super) fn longest_match(sorted: &impl SortedPrefixes, address: u64, bits: u8) -> Option<usize> {
     let mut key = Prefix {
         start: address,
--- a/crates/foxtide-core/src/blocks/site.rs
+++ b/crates/foxtide-core/src/blocks/site.rs
@@ -35,7 +35,7 @@
     }
 }
 
-/// A site: a index in a region where callers are served.
+/// A location in a region that serves clients.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Site {
