--- a/crates/foxtide-core/src/events/backup/holder.rs
+++ b/crates/foxtide-core/src/events/backup/holder.rs
@@ -1,4 +1,4 @@
-//! Keeps the events of other instances in bounded room.
+//! Stores the events of other instances in bounded memory.
 
 use crate::Result;
 use crate::events::{
@@ -13,12 +13,12 @@
     VecDeque, //
 };
 
-/// How much is kept.
+/// The capacity of a [`BackupHolder`].
 #[derive(Clone, Copy, Debug)]
 pub struct HolderOptions {
-    /// The most that is kept of one instance, in bytes; 128 KiB by default.
+    /// The maximum size of the events of one instance; 128 KiB by default.
     pub origin_bytes: usize,
-    /// The most that is kept in all, in bytes; 1 MiB by default.
+    /// The maximum size of all events; 1 MiB by default.
     pub total_bytes: usize,
 }
 
@@ -31,7 +31,7 @@
     }
 }
 
-/// The kept events of one instance.
+/// The stored events of one instance.
 #[derive(Clone, Debug, Default)]
 struct Origin {
     events: VecDeque<Event>,
@@ -39,9 +39,9 @@
 }
 
 impl Origin {
-    /// Adds an event unless it is kept already, as one that was sent twice.
+    /// Adds an event unless it is a duplicate.
     fn add(&mut self, event: Event) {
-        let same = |kept: &&Event| kept.clock == event.clock;
+        let same = |stored: &&Event| stored.clock == event.clock;
         if self.events.iter().rev().find(same).is_some() {
             return;
         }
@@ -56,7 +56,7 @@
     }
 }
 
-/// The events that this instance keeps for others.
+/// The events that this instance stores for others.
 #[derive(Clone, Debug, Default)]
 pub struct BackupHolder {
     options: HolderOptions,
@@ -64,7 +64,7 @@
 }
 
 impl BackupHolder {
-    /// Returns an empty holder.
+    /// Creates an empty holder.
     pub fn new(options: HolderOptions) -> Self {
         Self {
             options,
@@ -72,12 +72,12 @@
         }
     }
 
-    /// Keeps what a peer sent; returns the answer to it. Events of a number
-    /// that only a newer version knows are left out.
+    /// Stores the events of a peer and returns the acknowledgement. Events with an
+    /// unknown code, as newer versions may send, are ignored.
     ///
     /// # Errors
     ///
-    /// Fails where the origin's name does not parse.
+    /// Fails if the origin's name is invalid.
     pub fn accept(&mut self, copies: EventCopies) -> Result<EventCopiesAck> {
         let through = copies.through;
         let instance: InstanceId = copies.origin.parse()?;
@@ -93,22 +93,22 @@
         Ok(EventCopiesAck { through })
     }
 
-    /// Returns the kept events that pass a filter, oldest first.
+    /// Returns the stored events that match a filter, the oldest first.
     pub fn select(&self, filter: &EventFilter) -> Vec<Event> {
         filter.select(self.origins.values().flat_map(|origin| &origin.events))
     }
 
-    /// Returns the memory that the kept events take, in bytes.
+    /// Returns the memory of the stored events in bytes.
     pub fn size_bytes(&self) -> usize {
         self.origins.values().map(|origin| origin.size_bytes).sum()
     }
 
-    /// Returns how many instances have events here.
+    /// Returns the number of instances with stored events.
     pub fn origins(&self) -> usize {
         self.origins.len()
     }
 
-    /// Drops the oldest events of whichever instance has most.
+    /// Evicts the oldest events of the instances that use the most memory.
     fn shrink_to_total(&mut self) {
         while self.size_bytes() > self.options.total_bytes {
             let largest = self.origins.values_mut().max_by_key(|o| o.size_bytes);
--- a/crates/foxtide-core/src/events/backup/mod.rs
+++ b/crates/foxtide-core/src/events/backup/mod.rs
@@ -1,14 +1,14 @@
-//! Copies of an instance's events at peers.
+//! Replication of an instance's events to peers.
 //!
-//! Instances have no disks: a replaced one takes its ring along. So each
-//! streams its events above debug level to a few peers in other availability
-//! zones and regions, within a budget of bytes, and keeps those of others in
-//! bounded room. docs/design/time-line.md weighs this against parity.
+//! Instances have no disks, so events would be lost with their instance. Each
+//! instance streams its events above debug level to a few peers in other
+//! availability zones and regions, within a bandwidth limit, and stores those of
+//! others in bounded memory.
 //!
-//! The order of calls: [`choose_peers`] whenever the members change, then
-//! [`BackupSender::set_peers`]; [`BackupSender::poll`] about once a second;
-//! the receiver passes each message to [`BackupHolder::accept`] and sends
-//! back what that returns, for [`BackupSender::acknowledge`].
+//! Callers pass the result of [`choose_peers`] to [`BackupSender::set_peers`]
+//! whenever the members change, and call [`BackupSender::poll`] about once per
+//! second. Receivers pass each message to [`BackupHolder::accept`] and return its
+//! result for [`BackupSender::acknowledge`].
 
 mod holder;
 mod peers;
--- a/crates/foxtide-core/src/events/backup/peers.rs
+++ b/crates/foxtide-core/src/events/backup/peers.rs
@@ -1,4 +1,4 @@
-//! Which peers keep the events of an instance.
+//! Selection of the peers that store the events of an instance.
 
 use crate::ids::{
     AvailabilityZoneId,
@@ -8,24 +8,23 @@
 use std::cmp::Reverse;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// A member and where it stands.
+/// A member and its location.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct BackupPeer {
     /// The instance.
     pub instance: InstanceId,
-    /// Its availability zone.
+    /// The availability zone.
     pub availability_zone: AvailabilityZoneId,
-    /// Its region.
+    /// The region.
     pub region: RegionId,
 }
 
-/// Chooses the peers that keep `own`'s events, at most `copies`.
+/// Selects up to `copies` peers to store the events of `own`.
 ///
-/// The first is taken from another availability zone of the same region, so
-/// that it can be reached while regions lose each other; the others from other
-/// regions. Where there are none, the next best is taken. Among equals the
-/// choice is by rendezvous hash (Thaler and Ravishankar, 1998), so that it
-/// changes little when members come and go.
+/// The first is preferably in another availability zone of the same region, so
+/// that it stays reachable when regions are disconnected, and the others are
+/// preferably in other regions. Rendezvous hashing (Thaler and Ravishankar, 1998)
+/// decides among equals, which keeps changes small when members join or leave.
 pub fn choose_peers(own: &BackupPeer, members: &[BackupPeer], copies: usize) -> Vec<InstanceId> {
     let mut chosen: Vec<&BackupPeer> = Vec::new();
     for _ in 0..copies {
@@ -41,7 +40,7 @@
     names.collect()
 }
 
-/// Ranks a candidate; lower is better.
+/// Returns the rank of a candidate; lower is better.
 fn rank(own: &BackupPeer, peer: &BackupPeer, chosen: &[&BackupPeer]) -> (u8, Reverse<u64>) {
     let new_zone = peer.availability_zone != own.availability_zone
         && chosen
--- a/crates/foxtide-core/src/events/backup/sender.rs
+++ b/crates/foxtide-core/src/events/backup/sender.rs
@@ -1,4 +1,4 @@
-//! Sends an instance's events to the peers that keep them.
+//! Sends an instance's events to the peers that store them.
 
 use crate::events::{
     EventCopies,
@@ -10,23 +10,20 @@
 use prost::Message;
 use std::time::Duration;
 
-/// What a message costs besides its events: the origin's name, the sequence,
-/// the frame and the packet around it, in bytes.
+/// The assumed overhead of a message: the origin's name, the sequence number, the
+/// frame and the packet headers.
 pub const BATCH_OVERHEAD_BYTES: u64 = 128;
 
 const BATCH_EVENTS: usize = 64;
 
-/// How events are sent to peers.
+/// Options of [`BackupSender`].
 #[derive(Clone, Copy, Debug)]
 pub struct SenderOptions {
-    /// The most that is sent to all peers together in the long run, in bytes a
-    /// second; 256 by default.
+    /// The average bandwidth limit to all peers together; 256 bytes/s by default.
     pub budget_bytes_per_s: u64,
-    /// The most that is sent at once after a quiet time, in bytes; 16 KiB by
-    /// default.
+    /// The burst limit; 16 KiB by default.
     pub burst_bytes: u64,
-    /// How long an acknowledgement may take before the events are sent again;
-    /// 5 s by default.
+    /// The time after which unacknowledged events are resent; 5 s by default.
     pub acknowledge_timeout: Duration,
 }
 
@@ -40,16 +37,16 @@
     }
 }
 
-/// A message to one peer.
+/// A batch of events for one peer.
 #[derive(Clone, Debug, PartialEq)]
 pub struct BackupBatch {
     /// The peer.
     pub to: InstanceId,
-    /// What it is to keep.
+    /// The events to store.
     pub copies: EventCopies,
 }
 
-/// How far one peer has the events.
+/// The replication state of one peer.
 #[derive(Clone, Debug)]
 struct Cursor {
     peer: InstanceId,
@@ -68,8 +65,7 @@
         }
     }
 
-    /// Starts again after the last acknowledged event where the answer to what
-    /// was sent is overdue.
+    /// Resumes after the last acknowledged event if an acknowledgement is overdue.
     fn rewind_if_overdue(&mut self, now: MonotonicTime, timeout: Duration) {
         let waits = self.sent > self.acknowledged;
         if waits && now.since(self.sent_at) >= timeout {
@@ -78,7 +74,7 @@
     }
 }
 
-/// Sends an instance's events to its peers within a budget (token bucket).
+/// Sends an instance's events to its peers within a bandwidth limit (token bucket).
 #[derive(Clone, Debug)]
 pub struct BackupSender {
     own: InstanceId,
@@ -90,7 +86,7 @@
 }
 
 impl BackupSender {
-    /// Returns a sender without peers, its whole burst at hand.
+    /// Creates a sender without peers and with a full token bucket.
     pub fn new(own: InstanceId, options: SenderOptions, now: MonotonicTime) -> Self {
         Self {
             own,
@@ -102,8 +98,8 @@
         }
     }
 
-    /// Replaces the peers. One that stays goes on where it is; a new one gets
-    /// all events that are still kept.
+    /// Replaces the peers. Existing peers keep their state; new ones are sent all
+    /// events that are still in the ring.
     pub fn set_peers(&mut self, peers: Vec<InstanceId>) {
         let known = std::mem::take(&mut self.cursors);
         let cursor = |peer: InstanceId| {
@@ -113,8 +109,8 @@
         self.cursors = peers.into_iter().map(cursor).collect();
     }
 
-    /// Returns the messages that are due now. `events_after` returns the
-    /// oldest kept events after a sequence, at most as many as asked for.
+    /// Returns the batches that are due. `events_after` returns the oldest events
+    /// after a sequence number, up to a limit.
     pub fn poll(
         &mut self,
         now: MonotonicTime,
@@ -139,7 +135,7 @@
         batches
     }
 
-    /// Notes that a peer has kept all events up to a sequence.
+    /// Records that a peer has stored all events up to a sequence number.
     pub fn acknowledge(&mut self, peer: &InstanceId, through: u64) {
         let cursors = self.cursors.iter_mut();
         for cursor in cursors.filter(|cursor| cursor.peer == *peer) {
@@ -148,8 +144,7 @@
         }
     }
 
-    /// Returns how many events were overwritten before they could be sent,
-    /// counted once for each peer.
+    /// Returns the number of events overwritten before they were sent, per peer.
     pub fn lost(&self) -> u64 {
         self.lost
     }
@@ -168,15 +163,14 @@
             return;
         };
         let missing = first.sequence - cursor.sent - 1;
-        // What was overwritten before a peer was chosen is no loss of copies.
+        // Events overwritten before the peer was selected do not count as lost.
         if cursor.sent > 0 {
             self.lost += missing;
         }
         cursor.sent += missing;
     }
 
-    /// Packs the events that an allowance of bytes pays for, and takes it from
-    /// the budget.
+    /// Packs the events that fit an allowance, and takes their size from the bucket.
     fn pack(&mut self, entries: Vec<RingEntry>, allowance_bytes: f64) -> Option<EventCopies> {
         let mut cost_bytes = BATCH_OVERHEAD_BYTES as f64;
         let mut copies = EventCopies {
--- a/crates/foxtide-core/src/events/clock.rs
+++ b/crates/foxtide-core/src/events/clock.rs
@@ -1,9 +1,8 @@
 //! A hybrid logical clock (Kulkarni, Demirbas, Madappa, Avva and Leone,
 //! "Logical Physical Clocks", OPODIS 2014).
 //!
-//! Its times stay near the wall clock, and the time of an event is above the
-//! times of all events that could have caused it, however the wall clocks
-//! differ.
+//! Timestamps stay close to the wall clock, and the timestamp of an event is
+//! greater than those of all events that may have caused it, despite clock skew.
 
 use crate::time::{
     CLOCK_SKEW_MAX,
@@ -21,20 +20,19 @@
 use std::str::FromStr;
 use std::time::Duration;
 
-/// The most by which another process's time may lie ahead of the wall clock
-/// before it is taken for that of a broken clock and not followed.
+/// The maximum lead of a remote timestamp over the wall clock; the clock ignores others.
 pub const CLOCK_LEAD_MAX: Duration = CLOCK_SKEW_MAX;
 
 const EXPECTED: &str = "microseconds since 1970 and a counter, such as `1750000000000000+2`";
 
-/// A time of a hybrid logical clock; ordered.
+/// A timestamp of a hybrid logical clock.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct HybridTime {
-    /// The latest wall time known to the process.
+    /// The latest wall-clock time known to the process.
     pub wall_us: WallTime,
-    /// Tells apart the events of one `wall_us`.
+    /// Orders events with the same `wall_us`.
     pub counter: u32,
 }
 
@@ -53,8 +51,7 @@
         }
     }
 
-    /// Tells whether the time lies further ahead of the wall clock than two
-    /// sound clocks can differ.
+    /// Returns whether the timestamp leads the wall clock by more than [`CLOCK_LEAD_MAX`].
     pub fn is_ahead(self, wall: WallTime) -> bool {
         self.wall_us.since(wall) > CLOCK_LEAD_MAX
     }
@@ -79,25 +76,24 @@
     }
 }
 
-/// The clock of one process.
+/// The hybrid logical clock of one process.
 #[derive(Clone, Debug, Default)]
 pub struct HybridClock {
     latest: HybridTime,
 }
 
 impl HybridClock {
-    /// Returns the time of a new local event or of a message to be sent.
+    /// Returns the timestamp of a local event or of a message to send.
     pub fn tick(&mut self, wall: WallTime) -> HybridTime {
         let next = self.latest.successor();
         self.latest = next.max(HybridTime::at(wall));
         self.latest
     }
 
-    /// Returns the time of the arrival of a message that was sent at `remote`.
+    /// Returns the timestamp of the receipt of a message that was sent at `remote`.
     ///
-    /// A time that [is ahead](HybridTime::is_ahead) is not followed, so that
-    /// one broken clock cannot drag the others along; order against that
-    /// process is then not kept.
+    /// A remote timestamp that [is ahead](HybridTime::is_ahead) is ignored, so that
+    /// a faulty clock does not advance others; its events may then be out of order.
     pub fn observe(&mut self, remote: HybridTime, wall: WallTime) -> HybridTime {
         if !remote.is_ahead(wall) {
             self.latest = self.latest.max(remote);
@@ -105,7 +101,7 @@
         self.tick(wall)
     }
 
-    /// Returns the time of the latest event.
+    /// Returns the latest timestamp.
     pub fn latest(&self) -> HybridTime {
         self.latest
     }
--- a/crates/foxtide-core/src/events/event.rs
+++ b/crates/foxtide-core/src/events/event.rs
@@ -1,4 +1,4 @@
-//! One event of one process.
+//! Events and their fields.
 
 use super::{
     EventCode,
@@ -24,21 +24,21 @@
 use std::str::FromStr;
 use std::sync::Arc;
 
-/// The longest detail that is kept, in bytes; longer ones are cut.
+/// The maximum length of a detail; longer ones are truncated.
 pub const DETAIL_MAX_BYTES: usize = 256;
 
-/// The two reference counts of a shared text.
+/// The reference counts of an `Arc<str>`.
 const SHARED_TEXT_OVERHEAD_BYTES: usize = 2 * size_of::<usize>();
 
 const REQUEST_ID_MAX_BYTES: usize = 64;
 
-/// The identity of one request, sent on in `foxtide-request-id`.
+/// The identifier of a request, forwarded in `foxtide-request-id`.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct RequestId(Arc<str>);
 
 impl RequestId {
-    /// Returns the text.
+    /// Returns the identifier as a string slice.
     pub fn as_str(&self) -> &str {
         &self.0
     }
@@ -78,7 +78,7 @@
     }
 }
 
-/// What an event is about; all that does not apply is left out.
+/// The subjects of an event; fields that do not apply are omitted.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EventFields {
     /// The organisation.
@@ -99,13 +99,13 @@
     /// The request.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub request: Option<RequestId>,
-    /// The figures and reasons, for people.
+    /// Figures and reasons as free text.
     #[serde(default, skip_serializing_if = "String::is_empty")]
     pub detail: String,
 }
 
 impl EventFields {
-    /// Returns fields that hold nothing but a detail.
+    /// Creates fields with only a detail.
     pub fn detail(detail: impl Into<String>) -> Self {
         Self {
             detail: detail.into(),
@@ -113,7 +113,7 @@
         }
     }
 
-    /// Cuts the detail to [`DETAIL_MAX_BYTES`], at the end of a character.
+    /// Truncates the detail to [`DETAIL_MAX_BYTES`] at a character boundary.
     pub(super) fn bounded(mut self) -> Self {
         let end = self.detail.floor_char_boundary(DETAIL_MAX_BYTES);
         self.detail.truncate(end);
@@ -147,31 +147,31 @@
     }
 }
 
-/// An event before it is stamped, as a decision tells it.
+/// An event without timestamp and instance, as decisions emit it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EventDraft {
-    /// What happened.
+    /// The type of event.
     pub code: EventCode,
-    /// What it is about.
+    /// The subjects.
     pub fields: EventFields,
 }
 
 /// One event of one process.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Event {
-    /// When it happened.
+    /// The timestamp.
     pub clock: HybridTime,
-    /// The instance at which it happened.
+    /// The instance that recorded the event.
     pub instance: InstanceId,
-    /// What happened.
+    /// The type of event.
     pub code: EventCode,
-    /// What it is about.
+    /// The subjects.
     #[serde(flatten)]
     pub fields: EventFields,
 }
 
 impl Event {
-    /// Returns an event, its detail cut to [`DETAIL_MAX_BYTES`].
+    /// Creates an event with its detail truncated to [`DETAIL_MAX_BYTES`].
     pub fn new(
         clock: HybridTime,
         instance: InstanceId,
@@ -186,8 +186,7 @@
         }
     }
 
-    /// Returns the memory that the event takes, in bytes, its names counted as
-    /// if it shared them with nothing.
+    /// Returns the memory of the event in bytes, including its shared names.
     pub fn size_bytes(&self) -> usize {
         let fields = &self.fields;
         let names = [
@@ -206,7 +205,7 @@
 }
 
 impl fmt::Display for Event {
-    /// Writes the form of a log line: `F5003 upstream-ejected service=…`.
+    /// Formats the event as a log line: `F5003 upstream-ejected service=…`.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}{}", self.code, self.fields)
     }
--- a/crates/foxtide-core/src/events/filter.rs
+++ b/crates/foxtide-core/src/events/filter.rs
@@ -1,4 +1,4 @@
-//! Which events a reader asks for.
+//! Filters of events.
 
 use super::{
     Event,
@@ -19,14 +19,14 @@
 };
 use std::str::FromStr;
 
-/// A choice of events; the default matches all.
+/// A filter of events; the default matches all.
 #[derive(Clone, Debug, Default)]
 pub struct EventFilter {
     /// Only events of this code.
     pub code: Option<EventCode>,
-    /// Only events of this level or worse.
+    /// Only events of at least this severity.
     pub level: Option<Level>,
-    /// Only events at this instance.
+    /// Only events of this instance.
     pub instance: Option<InstanceId>,
     /// Only events of this organisation.
     pub organisation: Option<OrganisationId>,
@@ -36,19 +36,18 @@
     pub region: Option<RegionId>,
     /// Only events of this request.
     pub request: Option<RequestId>,
-    /// Only events at this time or later.
+    /// Only events since this time.
     pub since_us: Option<WallTime>,
-    /// At most this many, the latest.
+    /// The maximum number of events; the latest are selected.
     pub limit: Option<usize>,
 }
 
 impl EventFilter {
-    /// Sets one field from its text, as in the query of `/v1/events`. Other
-    /// names are passed over.
+    /// Sets a field from a query parameter of `/v1/events`; unknown names are ignored.
     ///
     /// # Errors
     ///
-    /// Fails where the text is not valid for the field.
+    /// Fails if the text is invalid for the field.
     pub fn set(&mut self, name: &str, text: &str) -> Result<()> {
         match name {
             "code" => self.code = Some(text.parse()?),
@@ -65,7 +64,7 @@
         Ok(())
     }
 
-    /// Tells whether an event is asked for.
+    /// Returns whether an event matches the filter.
     pub fn matches(&self, event: &Event) -> bool {
         let fields = &event.fields;
         self.matches_code_and_time(event)
@@ -82,8 +81,7 @@
             && self.since_us.is_none_or(|at| event.clock.wall_us >= at)
     }
 
-    /// Returns the events that pass, oldest first; the latest
-    /// [`EventFilter::limit`] of them.
+    /// Returns the latest [`EventFilter::limit`] matching events, the oldest first.
     pub fn select<'a>(&self, events: impl Iterator<Item = &'a Event>) -> Vec<Event> {
         let passing = events.filter(|event| self.matches(event));
         let mut selected: Vec<Event> = passing.cloned().collect();
--- a/crates/foxtide-core/src/events/mod.rs
+++ b/crates/foxtide-core/src/events/mod.rs
@@ -1,9 +1,8 @@
-//! Numbered events and the time line that they form over all processes.
+//! Numbered events and their merged time line across processes.
 //!
-//! Every process stamps its events with a [`HybridClock`], keeps them in an
-//! [`EventRing`] and shows them on request; [`merge`] puts the events of
-//! several processes into one order that never shows an effect before its
-//! cause. `foxtide-events` holds the thread-safe recorder over these parts.
+//! Every process timestamps its events with a [`HybridClock`] and keeps them in
+//! an [`EventRing`]; [`merge`] puts the events of several processes into causal
+//! order. `foxtide-events` has the thread-safe recorder.
 
 pub mod backup;
 mod catalogue;
--- a/crates/foxtide-core/src/events/repeats.rs
+++ b/crates/foxtide-core/src/events/repeats.rs
@@ -1,8 +1,8 @@
-//! Holds back events that repeat.
+//! Suppresses repeated events.
 //!
-//! Where an upstream fails, each request tells the same. Some hundred of these
-//! a second would push everything else out of the ring and use up the budget
-//! of the copies, so beyond the first few of a while they are only counted.
+//! A failing upstream causes the same event for every request. Beyond a limit per
+//! time window, repetitions are only counted, so that they neither evict other
+//! events from the ring nor use up the bandwidth for backups.
 
 use super::{
     EventCode,
@@ -14,16 +14,16 @@
 use std::time::Duration;
 use xxhash_rust::xxh3::Xxh3;
 
-/// How long repetitions are counted together.
+/// The window in which repetitions are counted.
 const WINDOW: Duration = Duration::from_secs(10);
 
-/// How many events about the same are recorded in a window.
+/// The maximum number of recorded repetitions in a window.
 const RECORDED_MAX: u32 = 10;
 
-/// How many different events are watched; further ones are not held back.
+/// The maximum number of tracked events; others are not suppressed.
 const KEYS_MAX: usize = 1_024;
 
-/// What happened to one sort of event.
+/// The repetitions of one event in the current window.
 #[derive(Clone, Copy, Debug)]
 struct RepeatCount {
     since_us: WallTime,
@@ -31,17 +31,17 @@
     suppressed: u64,
 }
 
-/// Decides which events are recorded.
+/// Decides which events to record.
 #[derive(Clone, Debug, Default)]
 pub struct RepeatFilter {
     repeats: HashMap<u64, RepeatCount>,
 }
 
 impl RepeatFilter {
-    /// Returns the event's fields if it is to be recorded, and nothing where it
-    /// is only counted. The first one after a window tells how many were.
+    /// Returns the fields of an event to record, or `None` if it is suppressed. The
+    /// first event after a window contains the number of suppressed ones.
     ///
-    /// Events of [`Level::Debug`] are never held back: their room is apart.
+    /// [`Level::Debug`] events are never suppressed, as they have separate capacity.
     pub fn admit(
         &mut self,
         code: EventCode,
@@ -78,7 +78,7 @@
         Some(fields)
     }
 
-    /// Forgets what is over, once so many are watched.
+    /// Removes ended windows when the limit of tracked events is reached.
     fn evict_ended(&mut self, wall: WallTime) {
         if self.repeats.len() >= KEYS_MAX {
             self.repeats.retain(|_, repeat| !has_ended(repeat, wall));
@@ -86,13 +86,12 @@
     }
 }
 
-/// Tells whether a window has ended; one that lies in the future, after the
-/// clock was set back, has.
+/// Returns whether a window has ended, or is in the future after the clock was set back.
 fn has_ended(repeat: &RepeatCount, wall: WallTime) -> bool {
     wall < repeat.since_us || wall.since(repeat.since_us) >= WINDOW
 }
 
-/// Events are about the same where all but the request and the detail agree.
+/// Hashes all fields but the request and the detail.
 fn repeat_key(code: EventCode, fields: &EventFields) -> u64 {
     let names = [
         fields.organisation.as_ref().map(|name| name.as_str()),
--- a/crates/foxtide-core/src/events/ring.rs
+++ b/crates/foxtide-core/src/events/ring.rs
@@ -1,7 +1,7 @@
-//! The bounded memory of a process's events.
+//! A bounded buffer of the latest events of a process.
 //!
-//! Events of [`Level::Debug`] have room of their own, so that a flood of
-//! requests cannot push out what an operator will ask about.
+//! [`Level::Debug`] events have separate capacity, so that events of requests do
+//! not evict those that are relevant to operators.
 
 use super::{
     Event,
@@ -10,12 +10,12 @@
 };
 use std::collections::VecDeque;
 
-/// How many events are kept.
+/// The capacity of an [`EventRing`].
 #[derive(Clone, Copy, Debug)]
 pub struct EventRingOptions {
-    /// How many events above [`Level::Debug`]; 4,096 by default.
+    /// The number of events above [`Level::Debug`]; 4,096 by default.
     pub notable: usize,
-    /// How many events of [`Level::Debug`]; 1,024 by default.
+    /// The number of [`Level::Debug`] events; 1,024 by default.
     pub debug: usize,
 }
 
@@ -28,16 +28,16 @@
     }
 }
 
-/// An event and its place in the order of recording.
+/// An event with its sequence number.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RingEntry {
-    /// Counts the process's events of the same sort, from 1.
+    /// The sequence number among the process's events in the same queue, from 1.
     pub sequence: u64,
     /// The event.
     pub event: Event,
 }
 
-/// The kept events of one sort.
+/// A bounded queue of events.
 #[derive(Clone, Debug, Default)]
 struct Queue {
     entries: VecDeque<RingEntry>,
@@ -54,7 +54,7 @@
     }
 
     fn push(&mut self, event: Event) {
-        // Room is made first, so that the queue never grows past its capacity.
+        // Evicts first, so that the queue never reallocates beyond its capacity.
         if self.entries.len() >= self.capacity {
             self.entries.pop_front();
         }
@@ -84,7 +84,7 @@
 }
 
 impl EventRing {
-    /// Returns an empty ring.
+    /// Creates an empty ring.
     pub fn new(options: EventRingOptions) -> Self {
         Self {
             notable: Queue::new(options.notable),
@@ -92,7 +92,7 @@
         }
     }
 
-    /// Adds an event and drops the oldest one of its sort where room is short.
+    /// Adds an event, evicting the oldest one if its queue is full.
     pub fn push(&mut self, event: Event) {
         match event.code.level() {
             Level::Debug => self.debug.push(event),
@@ -100,26 +100,25 @@
         }
     }
 
-    /// Returns how many events were ever recorded.
+    /// Returns the number of events recorded so far.
     pub fn recorded(&self) -> u64 {
         self.notable.recorded + self.debug.recorded
     }
 
-    /// Returns how many events were dropped for want of room.
+    /// Returns the number of evicted events.
     pub fn dropped(&self) -> u64 {
         self.notable.dropped() + self.debug.dropped()
     }
 
-    /// Returns the events that pass a filter, oldest first; the latest
-    /// [`EventFilter::limit`] of them.
+    /// Returns the latest [`EventFilter::limit`] events that match a filter, the
+    /// oldest first.
     pub fn select(&self, filter: &EventFilter) -> Vec<Event> {
         let entries = self.notable.entries.iter().chain(&self.debug.entries);
         let events = entries.map(|entry| &entry.event);
         filter.select(events)
     }
 
-    /// Returns the oldest `limit` events above [`Level::Debug`] that were
-    /// recorded after `sequence`.
+    /// Returns the oldest `limit` events above [`Level::Debug`] after `sequence`.
     pub fn notable_after(&self, sequence: u64, limit: usize) -> Vec<RingEntry> {
         let entries = &self.notable.entries;
         let start = entries.partition_point(|entry| entry.sequence <= sequence);
--- a/crates/foxtide-core/src/events/wire.rs
+++ b/crates/foxtide-core/src/events/wire.rs
@@ -1,4 +1,4 @@
-//! The form in which events travel between processes.
+//! The encoding of events between processes.
 
 use super::{
     Event,
@@ -14,10 +14,10 @@
 };
 use std::str::FromStr;
 
-/// An event whose instance the message around it names.
+/// An event; the enclosing message has its instance.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct EventMessage {
-    /// Microseconds since the Unix epoch, of the hybrid clock.
+    /// The wall time of the hybrid clock, in microseconds since the Unix epoch.
     #[prost(uint64, tag = "1")]
     pub wall_us: u64,
     /// The counter of the hybrid clock.
@@ -26,7 +26,7 @@
     /// The event's number.
     #[prost(uint32, tag = "3")]
     pub code: u32,
-    /// The organisation; empty for none, as all names below.
+    /// The organisation; empty for none, like the names below.
     #[prost(string, tag = "4")]
     pub organisation: String,
     /// The service.
@@ -44,29 +44,29 @@
     /// The request.
     #[prost(string, tag = "9")]
     pub request: String,
-    /// The figures and reasons.
+    /// The detail.
     #[prost(string, tag = "10")]
     pub detail: String,
 }
 
-/// Events that a peer is to keep.
+/// Events for a peer to store.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct EventCopies {
-    /// The instance at which they happened.
+    /// The instance that recorded the events.
     #[prost(string, tag = "1")]
     pub origin: String,
-    /// The sequence of the last of them at their origin.
+    /// The sequence number of the last event at its origin.
     #[prost(uint64, tag = "2")]
     pub through: u64,
-    /// The events, oldest first.
+    /// The events, the oldest first.
     #[prost(message, repeated, tag = "3")]
     pub events: Vec<EventMessage>,
 }
 
-/// Says which events a peer has kept.
+/// Acknowledges stored events.
 #[derive(Clone, Copy, PartialEq, Eq, prost::Message)]
 pub struct EventCopiesAck {
-    /// As in [`EventCopies`].
+    /// The sequence number from [`EventCopies`].
     #[prost(uint64, tag = "1")]
     pub through: u64,
 }
@@ -90,7 +90,7 @@
 }
 
 impl EventMessage {
-    /// Returns when the event happened.
+    /// Returns the event's timestamp.
     pub fn clock(&self) -> HybridTime {
         HybridTime {
             wall_us: WallTime::from_us(self.wall_us),
@@ -98,12 +98,11 @@
         }
     }
 
-    /// Returns the event, at the instance that the message came from.
+    /// Decodes an event of `instance`.
     ///
     /// # Errors
     ///
-    /// Fails where a name does not parse or the number is not in this
-    /// process's catalogue, as that of a newer version may be.
+    /// Fails if a name is invalid or the code is unknown to this version.
     pub fn into_event(self, instance: InstanceId) -> Result<Event> {
         let clock = self.clock();
         let fields = EventFields {
--- a/crates/foxtide-core/tests/backup.rs
+++ b/crates/foxtide-core/tests/backup.rs
@@ -1,4 +1,4 @@
-//! Copies of events at peers: who keeps them, what is sent, what is kept.
+//! Replication of events to peers: selection of peers, sending and storage.
 
 use foxtide_core::events::backup::{
     BackupBatch,
--- a/crates/foxtide-core/tests/events.rs
+++ b/crates/foxtide-core/tests/events.rs
@@ -1,4 +1,4 @@
-//! The catalogue, the hybrid clock, the ring and the merged time line.
+//! The event catalogue, the hybrid clock, the ring and the merged time line.
 
 use foxtide_core::events::{
     DETAIL_MAX_BYTES,
@@ -161,8 +161,7 @@
 }
 
 proptest! {
-    /// Processes with skewed clocks send each other messages; in the merged
-    /// time line every message's arrival comes after its sending.
+    /// Receipts follow their sends in the merged time line despite clock skew.
     #[test]
     fn verify_merge_keeps_causal_order(
         steps in prop::collection::vec((0usize..4, 0usize..4, 0u64..50), 1..60),
--- a/crates/foxtide-core/tests/records.rs
+++ b/crates/foxtide-core/tests/records.rs
@@ -1,4 +1,4 @@
-//! What is told to others of the store.
+//! The changes that the log of store records yields.
 
 use foxtide_core::records::{
     Record,
@@ -48,8 +48,7 @@
     assert_eq!(log.all(), [record("a", Some("2"), 7)]);
 }
 
-/// After the store has forgotten its history all is read again; that must not
-/// have everything told to all who follow this log.
+/// A full read must not make followers of the log receive all records again.
 #[test]
 fn verify_a_second_read_yields_the_difference() {
     let mut log = RecordLog::default();
@@ -80,8 +79,7 @@
     assert_eq!(log.changes_after(at(5_001)).unwrap(), []);
 }
 
-/// A configuration that had grown by 1,700 routes did not reach followers of a watcher
-/// with a slow link in time.
+/// Relaying a large configuration over a watcher's slow link delays its followers.
 #[test]
 fn verify_large_changes_exceed_the_relay_limit() {
     let routes = "r".repeat(700_000);
--- a/crates/foxtide-core/tests/store_restore.rs
+++ b/crates/foxtide-core/tests/store_restore.rs
@@ -1,9 +1,6 @@
-//! A store that comes back from an older backup.
+//! Restores of the store from an older backup.
 //!
-//! The pattern: the store loses what it has acknowledged in the last seconds, its numbers
-//! go back and are given out again, and those who follow it, or follow those who do, are at
-//! different positions then. Nobody may push an older state over a newer one, and a while
-//! after the return all know the same.
+//! Replicas at different positions must never replace newer state by older, and converge.
 
 use foxtide_core::ids::UpstreamId;
 use foxtide_core::records::{
@@ -67,20 +64,20 @@
         ],
         at(1, 7),
     );
-    // The backup is of number 5.
+    // The backup was taken at number 5.
     let backup = [
         record("a", Some("1"), at(2, 3)),
         record("b", Some("1"), at(2, 4)),
     ];
     log.replace(&backup, at(2, 5));
     assert_eq!(keys(log.changes_after(at(1, 7))).unwrap(), ["b", "-c"]);
-    // One who has seen what this log has not is told everything.
+    // An index in a gap requires a full read.
     assert_eq!(log.changes_after(at(1, 8)), None);
-    // One who is ahead is told nothing.
+    // An index ahead of the log has no changes.
     assert_eq!(log.changes_after(at(3, 1)).unwrap(), []);
 }
 
-/// The store, as those see it who follow it.
+/// A model of the store as its watchers see it.
 #[derive(Clone, Debug, Default)]
 struct Store {
     era: u64,
@@ -113,7 +110,7 @@
         self.present.values().map(in_current_era).collect()
     }
 
-    /// Returns what has changed, or nothing where the position is not its own.
+    /// Returns the changes after `index`, or `None` if the index is unknown.
     fn changes_after(&self, index: StoreIndex) -> Option<Vec<Record>> {
         let is_known = index.era() == self.era && index.get() <= self.number;
         let newer = self.changes.iter().filter(|change| change.index > index);
@@ -130,7 +127,7 @@
     }
 }
 
-/// One who follows the store, or another one.
+/// A replica of the store that follows the store or another replica.
 #[derive(Clone, Debug, Default)]
 struct Replica {
     log: RecordLog,
@@ -178,8 +175,8 @@
     }
 }
 
-/// Writers, replicas that are cut and start again, and a store that comes back from backups of
-/// itself; then all are well again, and each reader is asked for what it knows.
+/// Replicas converge after random writes, restarts and restores, and their indices never
+/// go back.
 #[test]
 fn verify_replicas_converge_after_store_restores() {
     for seed in 0..200 {
@@ -189,7 +186,7 @@
             ..Store::default()
         };
         let mut backups = vec![store.clone()];
-        // The first two follow the store, the others follow these.
+        // The first two follow the store, the others follow these two.
         let mut replicas = vec![Replica::default(); 8];
         for step in 0..400 {
             let key = format!("k{}", draws.u8(..12));
@@ -260,8 +257,7 @@
     upstream(name, UpstreamState::Ready, 1)
 }
 
-/// A registry that knows three upstreams: one ready, one that has announced its leaving,
-/// and one that has left.
+/// Returns a registry with one upstream ready, one draining and one that has left.
 fn registry() -> (Registry, MonotonicTime) {
     let now = MonotonicTime::from_ms(10_000);
     let mut registry = Registry::default();
@@ -289,7 +285,7 @@
     registry.store_answered(now);
     registry.replace(vec![ready("one"), ready("two"), ready("three")], now);
     assert_eq!(eligible(&registry), ["one"]);
-    // They have started anew.
+    // Both upstreams restart.
     registry.register(upstream("two", UpstreamState::Ready, 2), now);
     registry.register(upstream("three", UpstreamState::Ready, 2), now);
     assert_eq!(eligible(&registry), ["one", "three", "two"]);
