--- a/crates/foxtide-core/src/steering/decide.rs
+++ b/crates/foxtide-core/src/steering/decide.rs
@@ -1,14 +1,14 @@
-//! The decision on one attempt.
+//! Admits or refuses attempts to send a request.
 
 use super::admission::{
     Admission,
     RefusalReason, //
 };
-use super::engine::Steering;
-use super::rooms::{
-    Full,
-    NoRoom, //
+use super::destinations::{
+    LimitExhausted, //
+    LimitKind,      //
 };
+use super::engine::Steering;
 use super::service::{
     Drawn,
     ServiceState, //
@@ -20,22 +20,22 @@
 use crate::time::MonotonicTime;
 use std::time::Duration;
 
-/// The least time that a refused caller is asked to wait.
+/// The minimum retry-after of a refusal.
 const RETRY_AFTER_MIN: Duration = Duration::from_secs(1);
 
-/// The longest time that a refused caller is asked to wait.
+/// The maximum retry-after of a refusal.
 const RETRY_AFTER_MAX: Duration = Duration::from_secs(30);
 
-/// The least time between two tries of a waiting request.
+/// The minimum time between two attempts of a waiting request.
 const RETRY_IN_MIN: Duration = Duration::from_millis(1);
 
 impl Steering {
-    /// Decides on one attempt to send a request.
+    /// Decides on one attempt to send a request of the own region's callers.
     ///
-    /// Every attempt has to be admitted, retries and hedges too: each is a
-    /// request that the region receives. `draw` is uniform in `[0, 1)` and
-    /// stays the same while the request waits; `waited` is how long it has
-    /// waited so far, zero when it is new.
+    /// Every attempt needs admission, including retries and hedges, as the
+    /// region receives each of them. `draw` is uniform in `[0, 1)` and constant
+    /// while the request waits; `waited` is the time waited so far, zero for a
+    /// new request.
     pub fn admit(
         &mut self,
         service: &ServiceId,
@@ -46,12 +46,11 @@
         self.admit_at(0, service, draw, waited, now)
     }
 
-    /// Decides the same for a caller of any region.
+    /// Decides on one attempt for a caller of any region.
     ///
-    /// Callers of another region come when its instances are gone. Where the
-    /// caller's region is known, its row goes on from where it was, and moves
-    /// under the shift cap; with [`Self::admit`] their requests would move at
-    /// once.
+    /// Callers use instances of another region when their own region has none.
+    /// They keep the row of their own region, which changes under the shift
+    /// cap; [`Self::admit`] would move their requests at once.
     pub fn admit_from(
         &mut self,
         service: &ServiceId,
@@ -72,10 +71,10 @@
         waited: Duration,
         now: MonotonicTime,
     ) -> Admission {
-        let Some(index) = self.tables.service(service) else {
+        let Some(index) = self.names.service(service) else {
             return refuse(RefusalReason::UnknownService, RETRY_AFTER_MAX);
         };
-        let ready = self.knows_rows(now);
+        let ready = self.rows_are_current(now);
         let state = &mut self.flows[flows].services[index];
         if waited.is_zero() {
             state.count_arrival();
@@ -86,25 +85,25 @@
         let Some(drawn) = state.draw(draw) else {
             return refuse_unserved(state);
         };
-        match self.rooms.take(drawn.index, now) {
+        match self.destinations.try_acquire(drawn.index, now) {
             Ok(()) => self.send(drawn),
-            Err(no_room) => {
-                let without_room = self.retry_without_room();
+            Err(exhausted) => {
+                let without_capacity = self.retry_without_capacity();
                 let state = &self.flows[flows].services[index];
-                wait_or_refuse(state, no_room, waited, without_room)
+                wait_or_refuse(state, exhausted, waited, without_capacity)
             }
         }
     }
 
-    /// Cuts this instance's part in a region whose side refused a request.
+    /// Reduces this instance's rate to a region that refused a request.
     pub fn refused_by(&mut self, region: &RegionId, now: MonotonicTime) {
-        self.rooms.refused(region, now);
+        self.destinations.refused(region, now);
     }
 
-    /// Returns the wait that is told where no room is in sight: an instance
-    /// that has just started gets its part once its claim has been out.
-    fn retry_without_room(&self) -> Duration {
-        match self.rooms.has_settled() {
+    /// Returns the retry-after when no token will come. An instance that has
+    /// just started gets its allocation after the growth window.
+    fn retry_without_capacity(&self) -> Duration {
+        match self.destinations.has_settled() {
             true => RETRY_AFTER_MAX,
             false => self.options.growth_window,
         }
@@ -112,7 +111,7 @@
 
     fn send(&self, drawn: Drawn) -> Admission {
         Admission::Send {
-            region: self.tables.regions[drawn.index].clone(),
+            region: self.names.regions[drawn.index].clone(),
             spilled: drawn.spilled,
         }
     }
@@ -125,27 +124,30 @@
     } else {
         RefusalReason::NoRegion
     };
-    refuse(reason, state.until_whole())
+    refuse(reason, state.time_to_full_service())
 }
 
 fn wait_or_refuse(
     state: &ServiceState,
-    no_room: NoRoom,
+    exhausted: LimitExhausted,
     waited: Duration,
-    without_room: Duration,
+    without_capacity: Duration,
 ) -> Admission {
-    let retry_in = no_room.next_in.map(|next| next.max(RETRY_IN_MIN));
+    let retry_in = exhausted.next_in.map(|next| next.max(RETRY_IN_MIN));
     match retry_in.filter(|next| waited + *next <= state.priority.queue_max) {
         Some(retry_in) => Admission::Wait { retry_in },
-        None => refuse(no_room.full.into(), no_room.next_in.unwrap_or(without_room)),
+        None => refuse(
+            exhausted.limit.into(),
+            exhausted.next_in.unwrap_or(without_capacity),
+        ),
     }
 }
 
-impl From<Full> for RefusalReason {
-    fn from(full: Full) -> Self {
-        match full {
-            Full::Region => Self::RegionLimit,
-            Full::Link => Self::LinkLimit,
+impl From<LimitKind> for RefusalReason {
+    fn from(limit: LimitKind) -> Self {
+        match limit {
+            LimitKind::Region => Self::RegionLimit,
+            LimitKind::Link => Self::LinkLimit,
         }
     }
 }
--- a/crates/foxtide-core/src/steering/flows.rs
+++ b/crates/foxtide-core/src/steering/flows.rs
@@ -1,13 +1,13 @@
-//! The rows of all services for the callers of one origin region.
+//! The state of all services for the callers of one origin region.
 
+use super::destinations::Destinations;
+use super::name_index::{
+    NameIndex, //
+    NamedRow,  //
+};
 use super::options::SteeringOptions;
 use super::planned::PlannedRows;
-use super::rooms::Rooms;
 use super::service::ServiceState;
-use super::tables::{
-    NamedRow,
-    Tables, //
-};
 use super::view::{
     FleetView,
     ServiceReport, //
@@ -28,43 +28,42 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// The services as the callers of one origin use them.
+/// The state of all services for the callers of one origin.
 ///
-/// An instance serves its own region's callers; those of another region come
-/// when that region's instances are gone. Their row is their own origin's, so
-/// that nothing shifts by their coming.
+/// An instance also serves callers of regions without live instances. These
+/// keep the row of their own origin, so that their traffic does not shift.
 #[derive(Clone, Debug)]
 pub(crate) struct OriginFlows {
-    /// The callers' region.
+    /// The region of the callers.
     pub(crate) origin: RegionId,
     /// The services in the order of the configuration.
     pub(crate) services: Vec<ServiceState>,
     planned: PlannedRows,
 }
 
-/// Which rows are taken over from elsewhere.
+/// The rows that are adopted from peers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Adoption {
-    /// Those that are not known yet.
+    /// Only those that are missing.
     Missing,
-    /// All.
+    /// All rows.
     All,
 }
 
 impl OriginFlows {
-    /// Returns the flows of an origin; their rows are not known yet.
+    /// Creates the flows of an origin, without rows.
     pub(crate) fn new(
         organisation: &Organisation,
         origin: RegionId,
         options: &SteeringOptions,
-        rooms: &Rooms,
+        destinations: &Destinations,
     ) -> Self {
         let planned = PlannedRows::new(organisation, &origin, options.shift_cap_factor);
         let mut services = Vec::new();
-        for (place, service) in organisation.services.iter().enumerate() {
-            let homes = planned.homes_at(place);
+        for (index, service) in organisation.services.iter().enumerate() {
+            let homes = planned.homes_at(index);
             let mut state = ServiceState::new(service, homes, options);
-            state.reachable = reachable(organisation, service, rooms);
+            state.reachable = reachable(organisation, service, destinations);
             services.push(state);
         }
         Self {
@@ -74,90 +73,94 @@
         }
     }
 
-    /// Keeps the rows and what was measured under another configuration.
-    pub(crate) fn keep(&mut self, old: &Self, old_tables: &Tables, tables: &Tables) {
-        for (id, place) in &tables.services {
-            if let Some(old_place) = old_tables.service(id) {
-                let state = &mut self.services[*place];
-                state.keep(&old.services[old_place], old_tables, tables);
+    /// Restores rows and measurements from the flows of the previous configuration.
+    pub(crate) fn restore(&mut self, old: &Self, old_names: &NameIndex, names: &NameIndex) {
+        for (id, index) in &names.services {
+            if let Some(old_index) = old_names.service(id) {
+                let state = &mut self.services[*index];
+                state.restore(&old.services[old_index], old_names, names);
             }
         }
     }
 
-    /// Takes over what other flows of the instance see of the upstreams.
+    /// Copies the health of the upstreams from other flows of the instance.
     pub(crate) fn share_health(&mut self, other: &Self) {
         for (state, other) in self.services.iter_mut().zip(&other.services) {
-            state.seen_health.clone_from(&other.seen_health);
-            state.told_health.clone_from(&other.told_health);
+            state.observed_health.clone_from(&other.observed_health);
+            state.reported_health.clone_from(&other.reported_health);
         }
     }
 
-    /// Takes over what peers say of their regions' upstreams.
-    pub(crate) fn take_told_health(&mut self, view: &FleetView, tables: &Tables) {
-        for (id, place) in &tables.services {
-            let told = tables
+    /// Updates the health that peers report for their regions' upstreams.
+    pub(crate) fn update_reported_health(&mut self, view: &FleetView, names: &NameIndex) {
+        for (id, index) in &names.services {
+            let health = names
                 .regions
                 .iter()
-                .map(|region| told_health(view, region, id));
-            self.services[*place].told_health = told.collect();
+                .map(|region| reported_health(view, region, id));
+            self.services[*index].reported_health = health.collect();
         }
     }
 
-    /// Takes over where these callers' requests go elsewhere.
+    /// Adopts rows that peers use for these callers.
     pub(crate) fn adopt(
         &mut self,
         rows: &BTreeMap<ServiceId, NamedRow>,
-        tables: &Tables,
+        names: &NameIndex,
         which: Adoption,
     ) {
-        for (id, place) in &tables.services {
-            let state = &mut self.services[*place];
+        for (id, index) in &names.services {
+            let state = &mut self.services[*index];
             let row = rows
                 .get(id)
                 .filter(|_| which == Adoption::All || state.row.is_none());
             if let Some(row) = row {
-                state.row = Some(tables.plain(row));
+                state.row = Some(names.indexed(row));
                 state.drop_unusable();
             }
         }
     }
 
-    /// Notes what callers ask of a peer, on average.
-    pub(crate) fn take_peers_demand(&mut self, view: &FleetView, tables: &Tables) {
+    /// Updates the mean demand per peer of the same origin.
+    pub(crate) fn update_peer_demand(&mut self, view: &FleetView, names: &NameIndex) {
         let here = view.regions.get(&self.origin);
-        for (id, place) in &tables.services {
+        for (id, index) in &names.services {
             let service = here.and_then(|here| here.services.get(id));
             let mean = service.map(|s| s.demand_rps.get() / f64::from(s.instances.max(1)));
-            self.services[*place].peers_demand_rps = mean.unwrap_or_default();
+            self.services[*index].peer_demand_rps = mean.unwrap_or_default();
         }
     }
 
-    /// Notes where peers send the same callers' requests.
-    pub(crate) fn take_peers(&mut self, rows: &BTreeMap<ServiceId, NamedRow>, tables: &Tables) {
-        for (id, place) in &tables.services {
-            let row = rows.get(id).map(|row| tables.plain(row));
-            self.services[*place].peers = row;
+    /// Sets the peers' mean rows for the same callers.
+    pub(crate) fn set_peer_rows(
+        &mut self,
+        rows: &BTreeMap<ServiceId, NamedRow>,
+        names: &NameIndex,
+    ) {
+        for (id, index) in &names.services {
+            let row = rows.get(id).map(|row| names.indexed(row));
+            self.services[*index].peer_row = row;
         }
     }
 
-    /// Tells whether these callers use the instance no more, or not yet.
+    /// Returns whether no requests of these callers have arrived recently.
     pub(crate) fn is_idle(&self) -> bool {
         self.services.iter().all(ServiceState::is_idle)
     }
 
-    /// Tells whether some service has no row yet.
-    pub(crate) fn misses_rows(&self) -> bool {
+    /// Returns whether any service has no row yet.
+    pub(crate) fn has_missing_rows(&self) -> bool {
         self.services.iter().any(|state| state.row.is_none())
     }
 
-    /// Starts the rows that no peer knows of.
+    /// Initialises the rows that no peer reports.
     ///
-    /// If most instances are heard and none sends a service's requests, then
-    /// nothing flows that could shift, and the row starts at its target. An
-    /// instance that is cut off cannot know; its row rises under the cap.
-    pub(crate) fn start_missing(&mut self, hears_majority: bool) {
+    /// If a majority of instances is live and none has a row, there is no traffic
+    /// to shift and the row starts at its target. Otherwise it starts empty and
+    /// rises under the shift cap.
+    pub(crate) fn start_missing(&mut self, sees_majority: bool) {
         for state in self.services.iter_mut().filter(|state| state.row.is_none()) {
-            if hears_majority {
+            if sees_majority {
                 state.start_at_target();
             } else {
                 state.start_empty();
@@ -165,30 +168,30 @@
         }
     }
 
-    /// Works out where the traffic is wanted.
-    pub(crate) fn aim(&mut self, wall: WallTime, since_last: Duration) {
-        for (place, state) in self.services.iter_mut().enumerate() {
+    /// Updates the measured demand and the wanted rows.
+    pub(crate) fn update_wanted(&mut self, wall: WallTime, since_last: Duration) {
+        for (index, state) in self.services.iter_mut().enumerate() {
             state.measure_demand(since_last);
-            state.aim(self.planned.row_at(place, wall));
+            state.update_wanted(self.planned.row_at(index, wall));
         }
     }
 
-    /// Returns what to tell peers of these callers, for each service. Rows are
-    /// told only by those who know them.
+    /// Returns the reports of all services for these callers; rows are included
+    /// only if the instance is `ready`.
     pub(crate) fn report(
         &self,
-        tables: &Tables,
+        names: &NameIndex,
         ready: bool,
     ) -> BTreeMap<ServiceId, ServiceReport> {
-        let own = tables.region(&self.origin);
-        let services = tables.services.iter();
-        let services = services.map(|(id, place)| {
-            let state = &self.services[*place];
+        let own = names.region(&self.origin);
+        let services = names.services.iter();
+        let services = services.map(|(id, index)| {
+            let state = &self.services[*index];
             let row = state.row.as_ref().filter(|_| ready);
             let report = ServiceReport {
                 demand_rps: RequestRate::clamped(state.demand_rps),
-                healthy_share: own.and_then(|region| state.seen_health[region]),
-                row: row.map_or_else(NamedRow::new, |row| tables.named(row)),
+                healthy_share: own.and_then(|region| state.observed_health[region]),
+                row: row.map_or_else(NamedRow::new, |row| names.named(row)),
             };
             (id.clone(), report)
         });
@@ -196,17 +199,21 @@
     }
 }
 
-/// Tells which regions could serve a service if they were healthy.
-fn reachable(organisation: &Organisation, service: &Service, rooms: &Rooms) -> Vec<bool> {
+/// Returns which regions could serve a service if they were healthy.
+fn reachable(
+    organisation: &Organisation,
+    service: &Service,
+    destinations: &Destinations,
+) -> Vec<bool> {
     let regions = organisation.regions.iter().enumerate();
-    let reachable = regions.map(|(place, region)| {
+    let reachable = regions.map(|(index, region)| {
         let mut upstreams = service.upstreams.iter();
-        rooms.reachable(place) && upstreams.any(|upstream| upstream.region == region.region)
+        destinations.reachable(index) && upstreams.any(|upstream| upstream.region == region.region)
     });
     reachable.collect()
 }
 
-fn told_health(view: &FleetView, region: &RegionId, service: &ServiceId) -> Option<Share> {
+fn reported_health(view: &FleetView, region: &RegionId, service: &ServiceId) -> Option<Share> {
     view.regions
         .get(region)?
         .services
--- a/crates/foxtide-core/tests/steering/limits.rs
+++ b/crates/foxtide-core/tests/steering/limits.rs
@@ -1,11 +1,11 @@
-//! Tests of the split of sold rates.
+//! Tests of claims and of the allocation of sold rates.
 
 use foxtide_core::limits::{
     Claim,
     ClaimWindow,
     Claims,
-    Hearing,
-    part, //
+    Connectivity,
+    allocate, //
 };
 use foxtide_core::time::MonotonicTime;
 use foxtide_core::units::RequestRate;
@@ -22,7 +22,7 @@
     }
 }
 
-/// An instance's recent claims: any peer may know either of the two.
+/// Generates the two recent claims of an instance; a peer may know either.
 fn two_claims() -> impl Strategy<Value = [Claim; 2]> {
     let one = || (0.0..150.0, 0.0..150.0).prop_map(|(planned, spilled)| claim(planned, spilled));
     [one(), one()]
@@ -38,7 +38,7 @@
 
 proptest! {
     #[test]
-    fn verify_parts_never_sum_to_more_than_was_sold(
+    fn verify_allocations_never_sum_to_more_than_the_sold_rate(
         fleet in proptest::collection::vec((two_claims(), any::<u16>()), 1..12),
     ) {
         let mut total = 0.0;
@@ -47,7 +47,7 @@
             for (index, (claims, _)) in fleet.iter().enumerate() {
                 all.add(claims[usize::from(knows >> index & 1)]);
             }
-            total += part(RequestRate::clamped(SOLD_RPS), least(own), all).get();
+            total += allocate(RequestRate::clamped(SOLD_RPS), least(own), all).get();
         }
         prop_assert!(total <= SOLD_RPS * (1.0 + 1e-9), "{total}");
     }
@@ -59,9 +59,9 @@
         planned_rps: 80.0,
         spilled_rps: 60.0,
     };
-    let spilled = part(RequestRate::clamped(SOLD_RPS), claim(0.0, 60.0), all);
+    let spilled = allocate(RequestRate::clamped(SOLD_RPS), claim(0.0, 60.0), all);
     assert!((spilled.get() - 20.0).abs() < 1e-9);
-    let planned = part(RequestRate::clamped(SOLD_RPS), claim(80.0, 0.0), all);
+    let planned = allocate(RequestRate::clamped(SOLD_RPS), claim(80.0, 0.0), all);
     assert!((planned.get() - 80.0).abs() < 1e-9);
 }
 
@@ -70,19 +70,19 @@
     let mut window = ClaimWindow::default();
     let at = |s: u64| MonotonicTime::from_ms(s * 1_000);
     window.publish(claim(10.0, 0.0), at(0));
-    window.settle(WINDOW, Hearing::All, at(0));
-    window.settle(WINDOW, Hearing::All, at(3));
+    window.settle(WINDOW, Connectivity::Full, at(0));
+    window.settle(WINDOW, Connectivity::Full, at(3));
     assert_eq!(window.usable(), Claim::default());
-    window.settle(WINDOW, Hearing::All, at(4));
+    window.settle(WINDOW, Connectivity::Full, at(4));
     let first = window.usable().planned_rps.get();
     assert!(first >= 10.0);
     window.publish(claim(40.0, 0.0), at(5));
-    window.settle(WINDOW, Hearing::All, at(8));
+    window.settle(WINDOW, Connectivity::Full, at(8));
     assert!(window.usable().planned_rps.get() <= first);
-    window.settle(WINDOW, Hearing::All, at(9));
+    window.settle(WINDOW, Connectivity::Full, at(9));
     assert!(window.usable().planned_rps.get() >= 40.0);
     window.publish(claim(4.0, 0.0), at(9));
-    window.settle(WINDOW, Hearing::All, at(9));
+    window.settle(WINDOW, Connectivity::Full, at(9));
     assert!(window.usable().planned_rps.get() <= 5.0);
 }
 
@@ -91,10 +91,10 @@
     let mut window = ClaimWindow::default();
     let at = |s: u64| MonotonicTime::from_ms(s * 1_000);
     window.publish(claim(10.0, 0.0), at(0));
-    window.settle(WINDOW, Hearing::All, at(0));
-    window.settle(WINDOW, Hearing::All, at(4));
+    window.settle(WINDOW, Connectivity::Full, at(0));
+    window.settle(WINDOW, Connectivity::Full, at(4));
     let before = window.usable();
     window.publish(claim(50.0, 0.0), at(5));
-    window.settle(WINDOW, Hearing::Some, at(60));
+    window.settle(WINDOW, Connectivity::Partial, at(60));
     assert_eq!(window.usable(), before);
 }
--- a/crates/foxtide-gateway/src/datagram/poison.rs
+++ b/crates/foxtide-gateway/src/datagram/poison.rs
@@ -11,9 +11,9 @@
 };
 use foxtide_core::time::WallTime;
 
-/// An upstream has ended under a request.
+/// An upstream that ended while it worked on a request.
 #[derive(Clone, PartialEq, prost::Message)]
-pub(crate) struct EndMessage {
+pub(crate) struct UpstreamEndMessage {
     #[prost(fixed64, tag = "1")]
     fingerprint: u64,
     #[prost(string, tag = "2")]
@@ -28,18 +28,18 @@
 pub(crate) struct QuarantineMessage {
     #[prost(fixed64, tag = "1")]
     fingerprint: u64,
-    /// The upstreams that have ended under it.
+    /// How many upstreams ended while they worked on it.
     #[prost(uint32, tag = "3")]
     ends: u32,
-    /// How often an instance was allowed to send it after that.
+    /// How often an instance was allowed to send it as a trial.
     #[prost(uint32, tag = "4")]
     trials: u32,
 }
 
 impl Datagram {
-    /// Returns the message that an upstream has ended under a request.
+    /// Returns the report of an upstream that ended while it worked on a request.
     pub(crate) fn end_report(number: u64, report: &EndReport) -> Self {
-        let message = EndMessage {
+        let message = UpstreamEndMessage {
             fingerprint: report.fingerprint.hash(),
             upstream: report.upstream.to_string(),
             born_ms: report.born_at.map(WallTime::as_ms),
@@ -50,7 +50,7 @@
         }
     }
 
-    /// Returns the message that a request has been served under which an end was reported.
+    /// Returns the message that a suspected request was served.
     pub(crate) fn cleared(number: u64, fingerprint: Fingerprint) -> Self {
         Self {
             number,
@@ -72,12 +72,12 @@
     }
 }
 
-impl EndMessage {
-    /// Returns what is reported.
+impl UpstreamEndMessage {
+    /// Returns the report.
     ///
     /// # Errors
     ///
-    /// Fails where the upstream's name is none.
+    /// Fails if the name of the upstream is invalid.
     pub(crate) fn report(&self) -> foxtide_core::Result<EndReport> {
         Ok(EndReport {
             fingerprint: Fingerprint::from_hash(self.fingerprint),
@@ -88,7 +88,7 @@
 }
 
 impl QuarantineMessage {
-    /// Returns the message about a request.
+    /// Returns the message on a quarantined request.
     pub(crate) fn new(fingerprint: Fingerprint, entry: QuarantineEntry) -> Self {
         Self {
             fingerprint: fingerprint.hash(),
@@ -97,12 +97,12 @@
         }
     }
 
-    /// Returns the request.
+    /// Returns the fingerprint of the request.
     pub(crate) fn fingerprint(&self) -> Fingerprint {
         Fingerprint::from_hash(self.fingerprint)
     }
 
-    /// Returns what the sender knows of it.
+    /// Returns the quarantine entry of the request.
     pub(crate) fn entry(&self) -> QuarantineEntry {
         QuarantineEntry {
             ends: self.ends,
--- a/crates/foxtide-gateway/src/forward/caller.rs
+++ b/crates/foxtide-gateway/src/forward/caller.rs
@@ -1,27 +1,29 @@
-//! Whether the caller of a request that is not broken off is still there.
+//! Detects that the caller of a non-idempotent request has disconnected.
 
 use smol::channel::Receiver;
 use std::future::pending;
 
-/// Tells when a caller has left; what of its request was not sent need not be.
+/// Reports the disconnect of a caller, after which its request is not sent any more.
 #[derive(Debug, Default)]
 pub(crate) struct CallerWatch {
-    /// Closes when the caller has left.
-    open: Option<Receiver<()>>,
+    /// Closes when the caller disconnects.
+    connection: Option<Receiver<()>>,
 }
 
 impl CallerWatch {
-    /// Returns a watch on a caller that has left once the other end of the channel is
+    /// Returns a watch on a caller that counts as disconnected once the channel's sender is
     /// dropped.
-    pub(crate) fn new(open: Receiver<()>) -> Self {
-        Self { open: Some(open) }
+    pub(crate) fn new(connection: Receiver<()>) -> Self {
+        Self {
+            connection: Some(connection),
+        }
     }
 
-    /// Waits until the caller has left.
-    pub(crate) async fn left(&self) {
-        match &self.open {
+    /// Waits until the caller disconnects.
+    pub(crate) async fn disconnected(&self) {
+        match &self.connection {
             // Nothing is ever sent: this returns when the channel is closed.
-            Some(open) => while open.recv().await.is_ok() {},
+            Some(connection) => while connection.recv().await.is_ok() {},
             None => pending().await,
         }
     }
--- a/crates/foxtide-gateway/src/forward/mod.rs
+++ b/crates/foxtide-gateway/src/forward/mod.rs
@@ -1,17 +1,17 @@
-//! A request's way to an upstream and back.
+//! Forwards requests to upstreams.
 
 mod admit;
 mod attempt;
-mod begun;
+mod attempt_guard;
+mod attempt_loop;
 mod caller;
 mod entry;
-mod order;
-mod placed;
+mod recheck;
 mod request;
-mod review;
-mod run;
+mod route_match;
+mod target;
 
 pub(crate) use caller::CallerWatch;
 pub(crate) use entry::forward;
-pub(crate) use order::Order;
 pub(crate) use request::CallerRequest;
+pub(crate) use route_match::RouteMatch;
--- /dev/null
+++ b/crates/foxtide-gateway/src/forward/recheck.rs
@@ -0,0 +1,79 @@
+//! Rechecks a request before each attempt.
+
+use super::attempt_loop::AttemptLoop;
+use crate::dialect::{
+    CallerIdentity,
+    Dialect, //
+};
+use crate::outcome::{
+    Refusal,
+    Reply, //
+};
+use crate::poison::Sending;
+use foxtide_core::poison::RETRY_DELAY;
+use futures_lite::future::or;
+use smol::Timer;
+use std::time::{
+    Duration,
+    Instant, //
+};
+
+/// Log reason of a request that is quarantined for ending its upstreams.
+pub(super) const QUARANTINED_REASON: &str = "ends_its_upstreams";
+
+/// Tells whether two identities name the same organisation.
+fn is_same_organisation(one: &CallerIdentity, other: &CallerIdentity) -> bool {
+    let name = |caller: &CallerIdentity| {
+        let terms = caller.organisation()?;
+        Some(terms.organisation.clone())
+    };
+    name(one) == name(other)
+}
+
+impl<D: Dialect> AttemptLoop<'_, D> {
+    /// Returns the reply if the request may not be sent any more: it was quarantined, or the
+    /// key of the caller was revoked.
+    pub(super) fn recheck(&mut self) -> Option<Reply> {
+        if let Some(retry_after) = self.quarantine_retry_after() {
+            if self.failure.is_none() {
+                self.trace.reason = QUARANTINED_REASON;
+            }
+            let refused = Refusal::NotRun { retry_after };
+            return Some(self.failure.clone().unwrap_or_else(|| refused.into()));
+        }
+        let routes = self.shared.state.lock().routes()?;
+        if routes.version() == self.route_match.version {
+            return None;
+        }
+        let caller = self.request.identify(&routes, self.route);
+        let reason = match caller {
+            Ok(caller) if is_same_organisation(&caller, &self.route_match.caller) => return None,
+            Ok(_) => "key_changed_hands",
+            Err(reason) => reason,
+        };
+        if self.failure.is_none() {
+            self.trace.reason = reason;
+        }
+        let refused = Refusal::Unauthorised.into();
+        Some(self.failure.clone().unwrap_or(refused))
+    }
+
+    /// Returns the retry delay if the request is quarantined and the attempt is not its trial.
+    fn quarantine_retry_after(&self) -> Option<Duration> {
+        if self.sending == Sending::Once && self.sent_attempts == 0 {
+            return None;
+        }
+        let now = self.shared.clock.now();
+        self.shared.poison.held_for(self.fingerprint, now)
+    }
+
+    /// Waits until a quarantine of the request can have become known, unless the caller
+    /// disconnects.
+    pub(super) async fn wait_for_verdict(&self) {
+        let time_left = self.deadline.saturating_duration_since(Instant::now());
+        let waited = async {
+            Timer::after(RETRY_DELAY.min(time_left)).await;
+        };
+        or(self.caller.disconnected(), waited).await;
+    }
+}
