--- a/crates/foxtide-core/src/events/code.rs
+++ b/crates/foxtide-core/src/events/code.rs
@@ -183,7 +183,7 @@
     5015 RequestCancelled "request-cancelled" Debug "The caller disconnected; the attempt was cancelled."
     5016 RequestRejected "request-rejected" Debug "A request is malformed or matches no service."
     5020 UpstreamUnreachable "upstream-unreachable" Warn "No connection to an upstream can be established."
-    5021 ResponseTruncated "response-truncated" Warn "An upstream ended an answer early; the caller was told."
+    5021 ResponseTruncated "response-truncated" Warn "An upstream ended a response early; the caller was notified."
     5022 ServiceEmpty "service-empty" Error "A service has no usable upstream at all."
     5023 ServiceUsable "service-usable" Info "A service has usable upstreams again."
     5024 UpstreamDoubted "upstream-doubted" Info "A registration expired while the store was unavailable; the upstream is kept for a grace period."
@@ -194,7 +194,7 @@
     5034 ResponseStray "response-stray" Info "A response to another request arrived on a connection and was ignored."
     5035 UpstreamRestarted "upstream-restarted" Info "An upstream restarted under the same name; its previous state was discarded."
     5036 RequestQuarantined "request-quarantined" Warn "Upstreams terminate under a request wherever it is sent; instances forward it only for trials."
-    5037 UpstreamEnded "upstream-ended" Info "An upstream terminated while it processed a request; the fields give the other requests of this instance there."
+    5037 UpstreamEnded "upstream-ended" Info "An upstream terminated while it processed a request; the fields give the number of its other requests from this instance."
     5038 QuarantineLearnt "quarantine-learnt" Info "The instance learnt that a request is quarantined; the fields give the source."
     5039 RequestReleased "request-released" Info "A request is no longer quarantined: it was served, or an operator removed its key."
     5040 TrialClaimed "trial-claimed" Info "The instance asked the store for the trial of a quarantined request; `claimed` gives the result."
@@ -223,11 +223,11 @@
     7010 StoreAdopted "store-adopted" Warn "A starting instance adopted a peer's last state of the unavailable store."
     7011 StoreCalls "store-calls" Info "The calls to the store since the last such line, by purpose."
     7012 RecordWithdrawn "record-withdrawn" Info "The instance that maintains this one's record was told to remove it."
-    7013 StoreRestored "store-restored" Warn "The store was restored from an older backup; changes acknowledged since are lost there and kept here until rewritten."
+    7013 StoreRestored "store-restored" Warn "The store was restored from an older backup; changes acknowledged since are lost in the store, and the instance keeps them until they are written again."
     7014 QuarantineCallFailed "quarantine-call-failed" Warn "A store call for a quarantined request failed; it is retried."
 
     8005 PromiseBroken "promise-broken" Error "A promise to an organisation is broken; the detail names it."
-    8006 PromiseKept "promise-kept" Info "A promise is kept again."
+    8006 PromiseKept "promise-kept" Info "A broken promise to an organisation holds again."
 }
 
 impl fmt::Display for EventCode {
--- a/crates/foxtide-core/src/records.rs
+++ b/crates/foxtide-core/src/records.rs
@@ -12,10 +12,10 @@
 /// The maximum number of gaps; a full read of the store makes one.
 const GAPS_MAX: usize = 8;
 
-/// The maximum size of records that a watcher relays to each of its peers.
+/// The maximum total size of relayed records, as a watcher sends them to many peers.
 const RELAYED_BYTES_MAX: usize = 128 * 1_024;
 
-/// Returns whether records are small enough to be relayed; larger ones are read from the store.
+/// Returns whether records are small enough to relay; peers read larger ones from the store.
 pub fn fit_relay_limit(records: &[Record]) -> bool {
     let size = |record: &Record| record.key.len() + record.value.as_ref().map_or(0, Vec::len);
     records.iter().map(size).sum::<usize>() <= RELAYED_BYTES_MAX
--- a/crates/foxtide-core/tests/events.rs
+++ b/crates/foxtide-core/tests/events.rs
@@ -117,9 +117,9 @@
     for _ in 0..100 {
         push(EventCode::RequestTimedOut);
     }
-    let kept = ring.select(&EventFilter::default());
-    assert_eq!(kept.len(), 4);
-    assert_eq!(kept[0].code, EventCode::UpstreamEjected);
+    let selected = ring.select(&EventFilter::default());
+    assert_eq!(selected.len(), 4);
+    assert_eq!(selected[0].code, EventCode::UpstreamEjected);
     assert_eq!((ring.recorded(), ring.dropped()), (101, 97));
     assert_eq!(ring.notable_after(0, 10).len(), 1);
     assert_eq!(ring.notable_after(1, 10).len(), 0);
