--- a/crates/foxtide-core/src/events/code.rs
+++ b/crates/foxtide-core/src/events/code.rs
@@ -194,7 +194,7 @@
     5034 ResponseStray "response-stray" Info "A response to another request arrived on a connection and was ignored."
     5035 UpstreamRestarted "upstream-restarted" Info "An upstream restarted under the same name; its previous state was discarded."
     5036 RequestQuarantined "request-quarantined" Warn "Upstreams terminate under a request wherever it is sent; instances forward it only for trials."
-    5037 UpstreamEnded "upstream-ended" Info "An upstream terminated while it processed a request; the fields give the number of its other requests from this instance."
+    5037 UpstreamEnded "upstream-ended" Info "An upstream terminated while it processed a request; the fields give the number of this instance's requests there."
     5038 QuarantineLearnt "quarantine-learnt" Info "The instance learnt that a request is quarantined; the fields give the source."
     5039 RequestReleased "request-released" Info "A request is no longer quarantined: it was served, or an operator removed its key."
     5040 TrialClaimed "trial-claimed" Info "The instance asked the store for the trial of a quarantined request; `claimed` gives the result."
