--- a/crates/foxtide-config/src/template/mod.rs
+++ b/crates/foxtide-config/src/template/mod.rs
@@ -20,9 +20,9 @@
 };
 use foxtide_core::ids::OrganisationId;
 use foxtide_core::organisation::{
+    AppliedTemplate,
     Organisation,
-    SCHEMA_VERSION,
-    TemplateUse, //
+    SCHEMA_VERSION, //
 };
 use foxtide_core::units::Revision;
 use serde::{
@@ -95,7 +95,7 @@
         let source = format!("template {} v{}", self.template, self.version);
         let values = self.resolve_values(&source, given)?;
         let mut document = substitute::substitute(&self.document, &values);
-        let used = TemplateUse {
+        let used = AppliedTemplate {
             name: self.template.clone(),
             version: self.version,
             parameters: given.clone(),
--- a/crates/foxtide-core/src/blocks/search.rs
+++ b/crates/foxtide-core/src/blocks/search.rs
@@ -1,17 +1,16 @@
-//! Longest-prefix search in sorted prefixes that may lie in each other.
+//! Longest-prefix match in sorted, nested prefixes.
 
 use super::family::{
     Prefix,
     truncate, //
 };
 
-/// Sorted prefixes of `BITS`-bit numbers.
-pub(super) trait Sorted {
-    /// Returns the number of prefixes.
+/// A sorted sequence of prefixes.
+pub(super) trait SortedPrefixes {
     fn count(&self) -> usize;
 
-    /// Returns the prefix at a place below the count.
-    fn prefix(&self, place: usize) -> Prefix;
+    /// Returns the prefix at an index below the count.
+    fn prefix(&self, index: usize) -> Prefix;
 
     /// Returns how many of the first `end` prefixes are at most `key`.
     fn rank(&self, key: Prefix, end: usize) -> usize {
@@ -29,15 +28,14 @@
     }
 }
 
-/// Returns the place of the longest prefix that holds an address of `bits`
+/// Returns the index of the longest prefix that contains an address of `bits`
 /// bits.
 ///
-/// The last prefix at or before the address is the longest one that holds it,
-/// if it holds it at all. If not, every prefix that does also holds the first
-/// address of that one, and so is at most as long as what the two have in
-/// common: the search goes on from there. Each round shortens the common
-/// part, so there are at most `bits` rounds; with real blocks one or two.
-pub(super) fn longest_match(sorted: &impl Sorted, address: u64, bits: u8) -> Option<usize> {
+/// If the last prefix at or before the address contains it, it is the longest
+/// match. Otherwise every match also contains the start of that prefix and is no
+/// longer than its common part with the address, from which the search continues.
+/// Each iteration shortens the common part, so there are at most `bits` of them.
+pub(super) fn longest_match(sorted: &impl SortedPrefixes, address: u64, bits: u8) -> Option<usize> {
     let mut key = Prefix {
         start: address,
         length: bits,
@@ -45,11 +43,11 @@
     let mut end = sorted.count();
     loop {
         end = sorted.rank(key, end);
-        let place = end.checked_sub(1)?;
-        let found = sorted.prefix(place);
+        let index = end.checked_sub(1)?;
+        let found = sorted.prefix(index);
         let common = common_bits(found.start, address, bits);
         if common >= found.length {
-            return Some(place);
+            return Some(index);
         }
         key = Prefix {
             start: truncate(address, common, bits),
@@ -58,7 +56,7 @@
     }
 }
 
-/// Returns how many of the first bits two `bits`-bit numbers share.
+/// Returns the length of the common prefix of two `bits`-bit numbers.
 fn common_bits(one: u64, other: u64, bits: u8) -> u8 {
     let unused = u64::BITS - u32::from(bits);
     let same = (one ^ other).leading_zeros().saturating_sub(unused);
--- a/crates/foxtide-core/tests/spreading.rs
+++ b/crates/foxtide-core/tests/dissemination.rs
@@ -1,5 +1,14 @@
-//! Documents, fetches and load sums, without any network.
+//! Configuration documents, fetches and load aggregation, without a network.
 
+use foxtide_core::dissemination::{
+    ClockReading,
+    ConfigurationTable,
+    Document,
+    FetchQueue,
+    LoadAggregator,
+    LoadMessage,
+    LoadOptions, //
+};
 use foxtide_core::idempotency::ProcessNumber;
 use foxtide_core::ids::{
     OrganisationId,
@@ -17,15 +26,6 @@
     MemberState,
     MemberView, //
 };
-use foxtide_core::spreading::{
-    ConfigurationTable,
-    Document,
-    FetchQueue,
-    LoadMessage,
-    LoadOptions,
-    LoadSpreader,
-    Moment, //
-};
 use foxtide_core::steering::{
     FleetView,
     InstanceReport,
@@ -61,7 +61,7 @@
 
 proptest! {
     #[test]
-    fn verify_tables_agree_whatever_the_order(
+    fn verify_tables_converge_in_any_order(
         mut revisions in prop::collection::vec(1u64..50, 1..40),
     ) {
         let newest = *revisions.iter().max().unwrap();
@@ -91,55 +91,58 @@
 #[test]
 fn verify_a_failed_fetch_goes_to_another_source() {
     let mut fetches = FetchQueue::default();
-    fetches.announced(&announcement(3), source(1));
-    fetches.announced(&announcement(3), source(2));
+    fetches.add_source(&announcement(3), source(1));
+    fetches.add_source(&announcement(3), source(2));
     let now = MonotonicTime::ZERO;
-    let first = fetches.due(now);
+    let first = fetches.start_due(now);
     assert_eq!(first.len(), 1);
-    assert!(fetches.due(now).is_empty(), "one at a time");
-    fetches.failed(&first[0], now);
+    assert!(
+        fetches.start_due(now).is_empty(),
+        "at most one fetch in flight"
+    );
+    fetches.mark_failed(&first[0], now);
     let later = now + Duration::from_secs(1);
-    let second = fetches.due(later);
+    let second = fetches.start_due(later);
     assert_ne!(second[0].from, first[0].from);
-    fetches.held(&announcement(3));
+    fetches.mark_held(&announcement(3));
     assert!(fetches.is_empty());
 }
 
 #[test]
 fn verify_a_newer_revision_replaces_the_one_that_is_fetched() {
     let mut fetches = FetchQueue::default();
-    fetches.announced(&announcement(3), source(1));
+    fetches.add_source(&announcement(3), source(1));
     let now = MonotonicTime::ZERO;
-    let old = fetches.due(now);
-    fetches.announced(&announcement(4), source(2));
-    fetches.announced(&announcement(2), source(3));
-    let new = fetches.due(now);
+    let old = fetches.start_due(now);
+    fetches.add_source(&announcement(4), source(2));
+    fetches.add_source(&announcement(2), source(3));
+    let new = fetches.start_due(now);
     assert_eq!(new[0].announcement, announcement(4));
-    // What becomes of the old one no longer matters.
-    fetches.held(&old[0].announcement);
-    fetches.failed(&old[0], now);
+    // Results of the superseded fetch have no effect.
+    fetches.mark_held(&old[0].announcement);
+    fetches.mark_failed(&old[0], now);
     assert!(!fetches.is_empty());
-    fetches.held(&announcement(4));
+    fetches.mark_held(&announcement(4));
     assert!(fetches.is_empty());
 }
 
 #[test]
-fn verify_sources_that_are_all_gone_are_given_up() {
+fn verify_a_fetch_without_working_sources_is_dropped() {
     let mut fetches = FetchQueue::default();
-    fetches.announced(&announcement(3), source(1));
+    fetches.add_source(&announcement(3), source(1));
     let mut now = MonotonicTime::ZERO;
     for _ in 0..100 {
-        for fetch in fetches.due(now) {
-            fetches.failed(&fetch, now);
+        for fetch in fetches.start_due(now) {
+            fetches.mark_failed(&fetch, now);
         }
         now = now + Duration::from_secs(1);
     }
     assert!(fetches.is_empty());
 }
 
-/// Spreaders that hear each other at once.
+/// Aggregators whose messages arrive without delay.
 struct LoadFleet {
-    spreaders: BTreeMap<SocketAddr, LoadSpreader>,
+    aggregators: BTreeMap<SocketAddr, LoadAggregator>,
     members: Vec<Member>,
     now: WallTime,
     version: u64,
@@ -149,13 +152,13 @@
 impl LoadFleet {
     fn new(instances: usize, regions: usize) -> Self {
         let members: Vec<_> = (0..instances).map(|it| member(it, regions)).collect();
-        let spreaders = members.iter().map(|member| {
+        let aggregators = members.iter().map(|member| {
             let options = LoadOptions::default();
-            let spreader = LoadSpreader::new(member.clone(), options);
-            (member.peer_address, spreader)
+            let aggregator = LoadAggregator::new(member.clone(), options);
+            (member.peer_address, aggregator)
         });
         Self {
-            spreaders: spreaders.collect(),
+            aggregators: aggregators.collect(),
             members,
             now: WallTime::from_ms(1_000_000),
             version: 0,
@@ -165,7 +168,8 @@
 
     fn kill(&mut self, instance: usize) {
         self.members[instance].state = MemberState::Dead;
-        self.spreaders.remove(&self.members[instance].peer_address);
+        self.aggregators
+            .remove(&self.members[instance].peer_address);
         self.version += 1;
     }
 
@@ -179,17 +183,17 @@
 
     fn step(&mut self) {
         let mut sends = Vec::new();
-        for (address, spreader) in &mut self.spreaders {
-            spreader.publish(organisation(), report(), self.now);
-            spreader.observe(self.members.iter(), self.version, self.now);
-            let own = spreader.tick(self.now).into_iter();
+        for (address, aggregator) in &mut self.aggregators {
+            aggregator.publish(organisation(), report(), self.now);
+            aggregator.observe(self.members.iter(), self.version, self.now);
+            let own = aggregator.tick(self.now).into_iter();
             sends.extend(own.map(|send| (*address, send)));
         }
         while let Some((from, send)) = sends.pop() {
             self.sends += 1;
             let sender = self.members.iter().find(|it| it.peer_address == from);
             let sender = sender.unwrap().instance.clone();
-            if let Some(receiver) = self.spreaders.get_mut(&send.to) {
+            if let Some(receiver) = self.aggregators.get_mut(&send.to) {
                 let next = receiver.receive(&sender, send.message, self.now);
                 sends.extend(next.into_iter().map(|next| (send.to, next)));
             }
@@ -197,17 +201,17 @@
     }
 
     fn view(&self, instance: usize) -> FleetView {
-        let spreader = &self.spreaders[&self.members[instance].peer_address];
+        let aggregator = &self.aggregators[&self.members[instance].peer_address];
         let monotonic = MonotonicTime::from_ms(100_000);
         let members = self.members.iter().map(|member| MemberView {
             member,
             changed_at: monotonic,
         });
         let wall = self.now;
-        spreader.fleet_view(&organisation(), members, Moment { monotonic, wall })
+        aggregator.fleet_view(&organisation(), members, ClockReading { monotonic, wall })
     }
 
-    /// Returns what `instance` knows to be claimed, over all regions.
+    /// Returns the claimed rate over all regions in the view of `instance`.
     fn claimed_rps(&self, instance: usize) -> f64 {
         let view = self.view(instance);
         let regions = view.regions.values();
@@ -215,7 +219,7 @@
         limits.map(|limit| limit.claim.planned_rps.get()).sum()
     }
 
-    /// Returns how many `instance` knows to share in the region's limit.
+    /// Returns the number of sharers of region limits in the view of `instance`.
     fn sharers(&self, instance: usize) -> u32 {
         let view = self.view(instance);
         let regions = view.regions.values();
@@ -263,19 +267,19 @@
 }
 
 #[test]
-fn verify_all_know_the_sum_of_all() {
+fn verify_every_instance_gets_the_fleet_sum() {
     let mut fleet = LoadFleet::new(100, 3);
     fleet.run_for(Duration::from_secs(4));
     for instance in 0..100 {
         let view = fleet.view(instance);
         let live: u32 = view.regions.values().map(|it| it.live_instances).sum();
-        assert_eq!(live, 100, "known to i{instance}");
+        assert_eq!(live, 100, "view of i{instance}");
         assert_eq!(fleet.claimed_rps(instance), 1_000.0);
     }
 }
 
 #[test]
-fn verify_a_sum_is_young_at_any_time() {
+fn verify_sums_stay_below_the_age_limit() {
     let mut fleet = LoadFleet::new(100, 3);
     fleet.run_for(Duration::from_secs(4));
     let options = LoadOptions::default();
@@ -289,12 +293,12 @@
 }
 
 #[test]
-fn verify_claims_of_the_dead_are_never_forgotten_early() {
+fn verify_claims_of_dead_instances_are_held() {
     let mut fleet = LoadFleet::new(60, 3);
     fleet.run_for(Duration::from_secs(4));
-    // Their trees' roots and inner ones are among the dead.
+    // Kills roots and inner nodes of the trees.
     for dead in [0..6, 6..12, 12..18] {
-        let before_rps = 10.0 * fleet.spreaders.len() as f64;
+        let before_rps = 10.0 * fleet.aggregators.len() as f64;
         dead.for_each(|instance| fleet.kill(instance));
         let hold = LoadOptions::default().view.claim_hold;
         let end = fleet.now + hold.saturating_sub(Duration::from_secs(3));
@@ -310,7 +314,7 @@
 }
 
 #[test]
-fn verify_claims_counted_twice_run_out() {
+fn verify_claims_counted_twice_expire() {
     let mut fleet = LoadFleet::new(60, 3);
     fleet.run_for(Duration::from_secs(4));
     for instance in 0..6 {
@@ -321,21 +325,21 @@
 }
 
 #[test]
-fn verify_a_record_from_a_fast_clock_does_not_keep_others_out() {
+fn verify_a_record_from_a_fast_clock_is_rejected() {
     let mut fleet = LoadFleet::new(4, 1);
     fleet.run_for(Duration::from_secs(3));
-    let spreader = fleet.spreaders.values_mut().next().unwrap();
-    let mut record = spreader.records().next().unwrap().clone();
+    let aggregator = fleet.aggregators.values_mut().next().unwrap();
+    let mut record = aggregator.records().next().unwrap().clone();
     record.summed_at = fleet.now + Duration::from_secs(3_600);
     record.sum.live_instances = 99;
     let table = LoadMessage::Table(vec![record]);
     let sender = "i1".parse().unwrap();
-    spreader.receive(&sender, table, fleet.now);
-    assert!(spreader.records().all(|it| it.sum.live_instances == 4));
+    aggregator.receive(&sender, table, fleet.now);
+    assert!(aggregator.records().all(|it| it.sum.live_instances == 4));
 }
 
 #[test]
-fn verify_rounds_slow_down_where_the_budget_asks_for_it() {
+fn verify_the_interval_grows_to_keep_the_budget() {
     let options = LoadOptions::default();
     assert_eq!(options.interval(100), options.interval_min);
     assert!(options.interval(10_000) > options.interval_min);
--- a/crates/foxtide-core/tests/events.rs
+++ b/crates/foxtide-core/tests/events.rs
@@ -1,4 +1,4 @@
-//! The catalogue, the hybrid clock, the ring and the merged time line.
+//! The event catalogue, the hybrid clock, the ring and the merged time line.
 
 use foxtide_core::events::{
     DETAIL_MAX_BYTES,
@@ -109,7 +109,7 @@
 fn verify_flood_of_requests_keeps_notable_events() {
     let mut ring = EventRing::new(EventRingOptions {
         notable: 2,
-        routine: 3,
+        debug: 3,
     });
     let mut clock = HybridClock::default();
     let mut push = |code| ring.push(event("k-1", clock.tick(WallTime::ZERO), code));
@@ -117,9 +117,9 @@
     for _ in 0..100 {
         push(EventCode::RequestTimedOut);
     }
-    let kept = ring.select(&EventFilter::default());
-    assert_eq!(kept.len(), 4);
-    assert_eq!(kept[0].code, EventCode::UpstreamEjected);
+    let selected = ring.select(&EventFilter::default());
+    assert_eq!(selected.len(), 4);
+    assert_eq!(selected[0].code, EventCode::UpstreamEjected);
     assert_eq!((ring.recorded(), ring.dropped()), (101, 97));
     assert_eq!(ring.notable_after(0, 10).len(), 1);
     assert_eq!(ring.notable_after(1, 10).len(), 0);
@@ -161,8 +161,7 @@
 }
 
 proptest! {
-    /// Processes with skewed clocks send each other messages; in the merged
-    /// time line every message's arrival comes after its sending.
+    /// Receipts follow their sends in the merged time line despite clock skew.
     #[test]
     fn verify_merge_keeps_causal_order(
         steps in prop::collection::vec((0usize..4, 0usize..4, 0u64..50), 1..60),
--- a/crates/foxtide-mesh/src/lib.rs
+++ b/crates/foxtide-mesh/src/lib.rs
@@ -1,7 +1,7 @@
 //! Messages between foxtide instances: membership, configuration, load and calls.
 //!
 //! The protocols are state machines in [`foxtide_core::membership`] and
-//! [`foxtide_core::spreading`]; this crate does their encoding and network I/O.
+//! [`foxtide_core::dissemination`]; this crate does their encoding and network I/O.
 
 mod calls;
 mod datagrams;
--- a/crates/foxtide/src/client_blocks.rs
+++ b/crates/foxtide/src/client_blocks.rs
@@ -21,12 +21,12 @@
     Manifest,
     Site, //
 };
+use foxtide_core::dissemination::Document;
 use foxtide_core::events::{
     EventCode,
     EventFields, //
 };
 use foxtide_core::ids::RegionId;
-use foxtide_core::spreading::Document;
 use foxtide_core::store::{
     Store,
     StoreError,
@@ -222,7 +222,7 @@
             return Ok(());
         }
         let current = self.in_force.0.load_full();
-        let following = current.filter(|blocks| manifest.follows(blocks));
+        let following = current.filter(|blocks| manifest.can_advance(blocks));
         let blocks = match following {
             Some(blocks) => advance(manifest.clone(), blocks).await?,
             None => self.load(manifest).await?,
