--- a/crates/foxtide-config/src/validate/contracts.rs
+++ b/crates/foxtide-config/src/validate/contracts.rs
@@ -3,7 +3,7 @@
 use super::Validator;
 use crate::Result;
 use foxtide_core::organisation::{
-    Home,
+    HomeRegion,
     Service, //
 };
 
@@ -53,7 +53,7 @@
         self.require_links_between(&field, homes)
     }
 
-    fn require_upstream_in(&self, field: &str, service: &Service, home: &Home) -> Result<()> {
+    fn require_upstream_in(&self, field: &str, service: &Service, home: &HomeRegion) -> Result<()> {
         let mut upstreams = service.upstreams.iter();
         if upstreams.any(|upstream| upstream.region == home.region) {
             return Ok(());
@@ -63,7 +63,7 @@
     }
 
     /// Requires links between all homes, for spill-over and drains.
-    fn require_links_between(&self, field: &str, homes: &[Home]) -> Result<()> {
+    fn require_links_between(&self, field: &str, homes: &[HomeRegion]) -> Result<()> {
         for from in homes {
             let others = homes.iter().filter(|to| to.region != from.region);
             for to in others {
--- a/crates/foxtide-core/tests/backup.rs
+++ b/crates/foxtide-core/tests/backup.rs
@@ -1,11 +1,11 @@
-//! Copies of events at peers: who keeps them, what is sent, what is kept.
+//! Replication of events to peers: selection of peers, sending and storage.
 
 use foxtide_core::events::backup::{
+    BackupBatch,
     BackupHolder,
     BackupPeer,
     BackupSender,
     HolderOptions,
-    Parcel,
     SenderOptions,
     choose_peers, //
 };
@@ -52,10 +52,7 @@
 
 impl Origin {
     fn new(options: SenderOptions, notable: usize) -> Self {
-        let ring = EventRingOptions {
-            notable,
-            routine: 1,
-        };
+        let ring = EventRingOptions { notable, debug: 1 };
         let mut sender = BackupSender::new(name(), options, MonotonicTime::ZERO);
         sender.set_peers(vec!["i-1".parse().unwrap()]);
         Self {
@@ -74,7 +71,7 @@
         }
     }
 
-    fn poll(&mut self, now_ms: u64) -> Vec<Parcel> {
+    fn poll(&mut self, now_ms: u64) -> Vec<BackupBatch> {
         let ring = &self.ring;
         let after = |sequence, limit| ring.notable_after(sequence, limit);
         self.sender.poll(MonotonicTime::from_ms(now_ms), after)
@@ -82,7 +79,7 @@
 }
 
 #[test]
-fn verify_copies_stand_in_other_zones_and_regions() {
+fn verify_peers_are_in_other_zones_and_regions() {
     let members = members(30);
     for own in &members {
         let chosen = choose_peers(own, &members, 2);
@@ -96,22 +93,22 @@
 }
 
 #[test]
-fn verify_choice_changes_little_when_a_member_goes() {
+fn verify_peers_change_little_when_a_member_leaves() {
     let all = members(60);
     let without: Vec<_> = all.iter().filter(|m| **m != member(7)).cloned().collect();
-    let mut kept = 0;
+    let mut unchanged = 0;
     for own in &without {
         let before = choose_peers(own, &all, 2);
         let after = choose_peers(own, &without, 2);
         let lost = before.contains(&member(7).instance);
-        kept += usize::from(before == after);
+        unchanged += usize::from(before == after);
         assert!(lost || before == after);
     }
-    assert!(kept >= 50, "{kept}");
+    assert!(unchanged >= 50, "{unchanged}");
 }
 
 #[test]
-fn verify_small_fleets_take_what_there_is() {
+fn verify_small_fleets_use_the_peers_they_have() {
     let alone = members(1);
     assert!(choose_peers(&alone[0], &alone, 2).is_empty());
     let mut pair = members(2);
@@ -124,9 +121,9 @@
     let mut origin = Origin::new(SenderOptions::default(), 100);
     let mut holder = BackupHolder::default();
     origin.record(5);
-    for parcel in origin.poll(1_000) {
-        let ack = holder.accept(parcel.copies).unwrap();
-        origin.sender.acknowledge(&parcel.to, ack.through);
+    for batch in origin.poll(1_000) {
+        let ack = holder.accept(batch.copies).unwrap();
+        origin.sender.acknowledge(&batch.to, ack.through);
     }
     assert!(origin.poll(60_000).is_empty());
     let everything = EventFilter::default();
@@ -156,9 +153,9 @@
     let seconds = 600;
     for second in 1..=seconds {
         origin.record(100);
-        for parcel in origin.poll(second * 1_000) {
-            sent_bytes += parcel.copies.encoded_len() as u64;
-            origin.sender.acknowledge(&parcel.to, parcel.copies.through);
+        for batch in origin.poll(second * 1_000) {
+            sent_bytes += batch.copies.encoded_len() as u64;
+            origin.sender.acknowledge(&batch.to, batch.copies.through);
         }
     }
     let most = options.burst_bytes + seconds * options.budget_bytes_per_s;
@@ -170,15 +167,15 @@
 fn verify_new_peer_gets_what_is_kept() {
     let mut origin = Origin::new(SenderOptions::default(), 100);
     origin.record(3);
-    for parcel in origin.poll(1_000) {
-        origin.sender.acknowledge(&parcel.to, parcel.copies.through);
+    for batch in origin.poll(1_000) {
+        origin.sender.acknowledge(&batch.to, batch.copies.through);
     }
     let peers = ["i-1", "i-9"].map(|name| name.parse().unwrap());
     origin.sender.set_peers(peers.to_vec());
-    let parcels = origin.poll(2_000);
-    assert_eq!(parcels.len(), 1);
-    assert_eq!(parcels[0].to.as_str(), "i-9");
-    assert_eq!(parcels[0].copies.events.len(), 3);
+    let batches = origin.poll(2_000);
+    assert_eq!(batches.len(), 1);
+    assert_eq!(batches[0].to.as_str(), "i-9");
+    assert_eq!(batches[0].copies.events.len(), 3);
 }
 
 #[test]
@@ -197,12 +194,12 @@
         holder.accept(copies).unwrap();
     }
     assert!(holder.size_bytes() <= 30_000);
-    let mut kept: HashMap<InstanceId, usize> = HashMap::new();
+    let mut held: HashMap<InstanceId, usize> = HashMap::new();
     for event in holder.select(&EventFilter::default()) {
-        *kept.entry(event.instance).or_default() += 1;
+        *held.entry(event.instance).or_default() += 1;
     }
-    assert_eq!(kept[&"i-3".parse::<InstanceId>().unwrap()], 5);
-    assert_eq!(kept.len(), 3);
+    assert_eq!(held[&"i-3".parse::<InstanceId>().unwrap()], 5);
+    assert_eq!(held.len(), 3);
 }
 
 #[test]
--- a/crates/foxtide-mesh/src/shared.rs
+++ b/crates/foxtide-mesh/src/shared.rs
@@ -25,6 +25,12 @@
     Header,
     to_datagram, //
 };
+use foxtide_core::dissemination::{
+    ConfigurationTable,
+    Document,
+    FetchQueue,
+    LoadAggregator, //
+};
 use foxtide_core::events::{
     EventCode,
     HybridTime, //
@@ -36,12 +42,6 @@
     Membership,
     Output, //
 };
-use foxtide_core::spreading::{
-    ConfigurationTable,
-    Document,
-    FetchQueue,
-    LoadSpreader, //
-};
 use foxtide_core::time::{
     MonotonicTime,
     WallTime, //
@@ -81,7 +81,7 @@
     pub(crate) membership: Membership,
     pub(crate) configurations: ConfigurationTable,
     pub(crate) fetches: FetchQueue,
-    pub(crate) load: LoadSpreader,
+    pub(crate) load: LoadAggregator,
     pub(crate) validator: HeaderValidator,
     pub(crate) rng: StdRng,
     pub(crate) seeds: BTreeSet<SocketAddr>,
@@ -125,7 +125,7 @@
         let seed = options.seed.unwrap_or_else(random_seed);
         let instance = own.instance.clone();
         let address = own.peer_address;
-        let load = LoadSpreader::new(own.clone(), options.load);
+        let load = LoadAggregator::new(own.clone(), options.load);
         let state = State {
             membership: Membership::new(own, options.membership, seed, now),
             configurations: ConfigurationTable::default(),
--- a/crates/foxtide-mesh/src/wire/load/mod.rs
+++ b/crates/foxtide-mesh/src/wire/load/mod.rs
@@ -87,6 +87,10 @@
 mod tests {
     use super::*;
     use crate::wire::invalid_message::InvalidMessage;
+    use foxtide_core::dissemination::{
+        LoadMessage,
+        LoadRecord, //
+    };
     use foxtide_core::ids::{
         RegionId,
         ServiceId, //
@@ -95,10 +99,6 @@
         Claim,
         LimitUse, //
     };
-    use foxtide_core::spreading::{
-        LoadMessage,
-        LoadRecord, //
-    };
     use foxtide_core::steering::{
         RegionView,
         ServiceView, //
