--- a/crates/foxtide/src/client_blocks.rs
+++ b/crates/foxtide/src/client_blocks.rs
@@ -45,23 +45,23 @@
 use std::time::Duration;
 
 /// How long a watch waits for a change.
-const WATCH_WAIT: Duration = Duration::from_secs(55);
+const WATCH_TIMEOUT: Duration = Duration::from_secs(55);
 
 /// The least time from one answer of the watch to the next call.
-const WATCH_GAP: Duration = Duration::from_millis(200);
+const WATCH_INTERVAL_MIN: Duration = Duration::from_millis(200);
 
 /// How often an instance that holds no watch asks whether it should.
-const ROLE_CHECK: Duration = Duration::from_secs(1);
+const ROLE_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Over how long instances spread their reading of chunks: 600 instances that
 /// read five values each are then 100 calls a second.
-const LOAD_SPREAD: Duration = Duration::from_secs(30);
+const LOAD_JITTER_MAX: Duration = Duration::from_secs(30);
 
 /// The client blocks in force. Clones share them; readers never wait.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct BlocksInForce(Arc<ArcSwapOption<ClientBlocks>>);
+pub(crate) struct ActiveBlocks(Arc<ArcSwapOption<ClientBlocks>>);
 
-impl BlocksInForce {
+impl ActiveBlocks {
     /// Returns the region that serves a client: that of its site or, where
     /// `is_live` says no of it, that of the first alternative with a live one.
     pub(crate) fn region_of(
@@ -85,8 +85,8 @@
 
 /// Follows the client blocks of store and mesh.
 #[derive(Clone, Debug)]
-pub(crate) struct BlocksFollower {
-    pub(crate) in_force: BlocksInForce,
+pub(crate) struct BlocksUpdater {
+    pub(crate) active: ActiveBlocks,
     pub(crate) mesh: MeshHandle,
     pub(crate) store: Arc<NodeStore>,
     pub(crate) recorder: Recorder,
@@ -94,39 +94,39 @@
 
 /// Why a manifest could not be put into force.
 #[derive(Debug)]
-enum Failure {
+enum ApplyError {
     /// It is not valid.
     Rejected(String),
     /// The store did not give its chunks; they are asked for again.
     Unavailable,
 }
 
-impl BlocksFollower {
+impl BlocksUpdater {
     /// Follows both for good.
     pub(crate) async fn run(self) {
         let changes = self.mesh.configuration_changes();
         let (sender, manifests) = smol::channel::bounded(1);
-        let from_store = self.clone().follow_store(sender.clone());
-        let from_mesh = self.clone().follow_mesh(changes, sender);
-        let taking = self.take_all(manifests);
-        smol::future::zip(smol::future::zip(from_store, from_mesh), taking).await;
+        let store_task = self.clone().watch_store(sender.clone());
+        let mesh_task = self.clone().watch_mesh(changes, sender);
+        let apply_task = self.apply_manifests(manifests);
+        smol::future::zip(smol::future::zip(store_task, mesh_task), apply_task).await;
     }
 
-    async fn follow_store(self, manifests: Sender<Manifest>) {
+    async fn watch_store(self, manifests: Sender<Manifest>) {
         let mut after = StoreIndex::ABSENT;
         let mut backoff = Backoff::new(BackoffOptions::default());
         loop {
             if !self.mesh.is_watcher() {
-                Timer::after(ROLE_CHECK).await;
+                Timer::after(ROLE_CHECK_INTERVAL).await;
                 continue;
             }
             match self.watch_once(&mut after, &manifests).await {
                 Ok(()) => {
                     backoff.succeeded();
-                    Timer::after(WATCH_GAP).await;
+                    Timer::after(WATCH_INTERVAL_MIN).await;
                 }
                 // The store is not to blame: it was not asked.
-                Err(StoreError::OverBudget { .. }) => drop(Timer::after(ROLE_CHECK).await),
+                Err(StoreError::OverBudget { .. }) => drop(Timer::after(ROLE_CHECK_INTERVAL).await),
                 Err(_) => drop(Timer::after(backoff.failed(fastrand::f64())).await),
             }
         }
@@ -138,10 +138,13 @@
         after: &mut StoreIndex,
         manifests: &Sender<Manifest>,
     ) -> Result<(), StoreError> {
-        let listing = self.store.watch(MANIFEST_KEY, *after, WATCH_WAIT).await?;
+        let listing = self
+            .store
+            .watch(MANIFEST_KEY, *after, WATCH_TIMEOUT)
+            .await?;
         // An index that went back means that the store was set up anew.
-        let went_back = listing.index < *after;
-        *after = if went_back {
+        let is_reset = listing.index < *after;
+        *after = if is_reset {
             StoreIndex::ABSENT
         } else {
             listing.index
@@ -150,7 +153,7 @@
         let Some(entry) = entries.find(|entry| entry.key == MANIFEST_KEY) else {
             return Ok(());
         };
-        if let Some(manifest) = self.read(&entry.value) {
+        if let Some(manifest) = self.decode(&entry.value) {
             self.publish(&manifest, entry.value);
             // The receiver lives as long as this task.
             let _ = manifests.send(manifest).await;
@@ -170,26 +173,26 @@
         });
     }
 
-    async fn follow_mesh(self, changes: Receiver<Document>, manifests: Sender<Manifest>) {
+    async fn watch_mesh(self, changes: Receiver<Document>, manifests: Sender<Manifest>) {
         for document in self.mesh.configurations() {
-            self.pass_on(&document, &manifests).await;
+            self.forward_document(&document, &manifests).await;
         }
         while let Ok(document) = changes.recv().await {
-            self.pass_on(&document, &manifests).await;
+            self.forward_document(&document, &manifests).await;
         }
     }
 
-    async fn pass_on(&self, document: &Document, manifests: &Sender<Manifest>) {
+    async fn forward_document(&self, document: &Document, manifests: &Sender<Manifest>) {
         if document.organisation.as_str() != RESERVED_NAME {
             return;
         }
-        if let Some(manifest) = self.read(&document.bytes) {
+        if let Some(manifest) = self.decode(&document.bytes) {
             // The receiver lives as long as this task.
             let _ = manifests.send(manifest).await;
         }
     }
 
-    fn read(&self, value: &[u8]) -> Option<Manifest> {
+    fn decode(&self, value: &[u8]) -> Option<Manifest> {
         match Manifest::decode(value) {
             Ok(manifest) => Some(manifest),
             Err(error) => {
@@ -200,11 +203,11 @@
     }
 
     /// Puts manifests into force, the newest that has come.
-    async fn take_all(self, manifests: Receiver<Manifest>) {
+    async fn apply_manifests(self, manifests: Receiver<Manifest>) {
         let mut backoff = Backoff::new(BackoffOptions::default());
         while let Ok(mut manifest) = manifests.recv().await {
-            while let Err(failure) = self.take(&manifest).await {
-                if let Failure::Rejected(cause) = failure {
+            while let Err(error) = self.apply(&manifest).await {
+                if let ApplyError::Rejected(cause) = error {
                     self.reject(&cause);
                     break;
                 }
@@ -217,52 +220,55 @@
         }
     }
 
-    async fn take(&self, manifest: &Manifest) -> Result<(), Failure> {
-        if manifest.revision <= self.in_force.revision() {
+    async fn apply(&self, manifest: &Manifest) -> Result<(), ApplyError> {
+        if manifest.revision <= self.active.revision() {
             return Ok(());
         }
-        let current = self.in_force.0.load_full();
-        let following = current.filter(|blocks| manifest.follows(blocks));
-        let blocks = match following {
+        let current = self.active.0.load_full();
+        let previous = current.filter(|blocks| manifest.follows(blocks));
+        let blocks = match previous {
             Some(blocks) => advance(manifest.clone(), blocks).await?,
             None => self.load(manifest).await?,
         };
         let detail = format!("revision={} blocks={}", blocks.revision(), blocks.len());
-        self.in_force.0.store(Some(Arc::new(blocks)));
-        self.note(EventCode::ClientBlocksApplied, detail);
+        self.active.0.store(Some(Arc::new(blocks)));
+        self.record(EventCode::ClientBlocksApplied, detail);
         Ok(())
     }
 
     /// Reads the chunks; later ones of many instances after a while, so that
     /// they do not ask the store all at once. The first table is read at once,
     /// for instances start one by one.
-    async fn load(&self, manifest: &Manifest) -> Result<ClientBlocks, Failure> {
-        if self.in_force.revision() > 0 {
-            Timer::after(LOAD_SPREAD.mul_f64(fastrand::f64())).await;
+    async fn load(&self, manifest: &Manifest) -> Result<ClientBlocks, ApplyError> {
+        if self.active.revision() > 0 {
+            Timer::after(LOAD_JITTER_MAX.mul_f64(fastrand::f64())).await;
         }
         let loaded = load_table(&*self.store, manifest).await;
         loaded.map_err(|error| match error {
             foxtide_config::blocks::BlocksChangeError::Blocks(error) => {
-                Failure::Rejected(error.to_string())
+                ApplyError::Rejected(error.to_string())
             }
-            _ => Failure::Unavailable,
+            _ => ApplyError::Unavailable,
         })
     }
 
     fn reject(&self, cause: &str) {
-        self.note(EventCode::ClientBlocksRejected, cause.to_owned());
+        self.record(EventCode::ClientBlocksRejected, cause.to_owned());
     }
 
-    fn note(&self, code: EventCode, detail: String) {
+    fn record(&self, code: EventCode, detail: String) {
         self.recorder.record(code, EventFields::detail(detail));
     }
 }
 
 /// Applies the newest changes, which takes tens of milliseconds, aside from
 /// the workers.
-async fn advance(manifest: Manifest, blocks: Arc<ClientBlocks>) -> Result<ClientBlocks, Failure> {
+async fn advance(
+    manifest: Manifest,
+    blocks: Arc<ClientBlocks>,
+) -> Result<ClientBlocks, ApplyError> {
     let advanced = smol::unblock(move || manifest.advance(&blocks)).await;
-    advanced.map_err(|error| Failure::Rejected(error.to_string()))
+    advanced.map_err(|error| ApplyError::Rejected(error.to_string()))
 }
 
 #[cfg(test)]
@@ -295,11 +301,11 @@
             site: sites.index_of(&"windhoek".parse().unwrap()).unwrap(),
         };
         let blocks = ClientBlocks::new(1, sites, &[block]).unwrap();
-        let in_force = BlocksInForce::default();
-        in_force.0.store(Some(Arc::new(blocks)));
+        let active = ActiveBlocks::default();
+        active.0.store(Some(Arc::new(blocks)));
         let region = |client: &str, live: &[&str]| {
             let is_live = |region: &RegionId| live.contains(&region.as_str());
-            let found = in_force.region_of(client.parse().unwrap(), is_live);
+            let found = active.region_of(client.parse().unwrap(), is_live);
             found.map(|region| region.to_string())
         };
         assert_eq!(region("10.1.1.1", &["khomas", "erongo"]).unwrap(), "khomas");
--- a/crates/foxtide/src/node/parts.rs
+++ b/crates/foxtide/src/node/parts.rs
@@ -1,7 +1,7 @@
 //! What the request path works with.
 
 use super::shared::Shared;
-use crate::client_blocks::BlocksInForce;
+use crate::client_blocks::ActiveBlocks;
 use crate::pages::Pages;
 use crate::tables::Tables;
 use foxtide_core::idempotency::OwnerId;
@@ -99,7 +99,7 @@
 #[derive(Debug)]
 pub(crate) struct NodeDirectory {
     tables: Arc<Tables>,
-    blocks: BlocksInForce,
+    blocks: ActiveBlocks,
     mesh: MeshHandle,
     clock: SystemClock,
 }
--- a/crates/foxtide/src/node/shared.rs
+++ b/crates/foxtide/src/node/shared.rs
@@ -5,8 +5,8 @@
     NodeOptions, //
 };
 use crate::client_blocks::{
-    BlocksFollower,
-    BlocksInForce, //
+    ActiveBlocks,  //
+    BlocksUpdater, //
 };
 use crate::configuration::Configurations;
 use crate::copies::Copies;
@@ -60,7 +60,7 @@
     pub(super) traffic: Arc<TrafficTables>,
     pub(super) mesh: MeshHandle,
     pub(super) store: Arc<NodeStore>,
-    pub(super) blocks: BlocksInForce,
+    pub(super) blocks: ActiveBlocks,
     pub(super) recorder: Recorder,
     pub(super) explainer: Explainer,
     pub(super) promises: Promises,
@@ -93,7 +93,7 @@
             traffic: Arc::new(traffic),
             mesh,
             store: store::open(settings),
-            blocks: BlocksInForce::default(),
+            blocks: ActiveBlocks::default(),
             time_line: options::time_line(settings, &recorder, &clock),
             recorder,
             explainer: Explainer::default(),
@@ -121,7 +121,7 @@
         let instance_list = settings.instance_list_address;
         vec![
             workers.spawn(self.configurations(settings).run()),
-            workers.spawn(self.blocks_follower().run()),
+            workers.spawn(self.blocks_updater().run()),
             workers.spawn(self.traffic_follower().run()),
             workers.spawn(follow_members(self.clone())),
             workers.spawn(store::follow_fleet(
@@ -150,9 +150,9 @@
         }
     }
 
-    fn blocks_follower(&self) -> BlocksFollower {
-        BlocksFollower {
-            in_force: self.blocks.clone(),
+    fn blocks_updater(&self) -> BlocksUpdater {
+        BlocksUpdater {
+            active: self.blocks.clone(),
             mesh: self.mesh.clone(),
             store: Arc::clone(&self.store),
             recorder: self.recorder.clone(),
