--- a/crates/foxtide/src/configuration.rs
+++ b/crates/foxtide/src/configuration.rs
@@ -7,7 +7,7 @@
 use crate::readiness::Readiness;
 use crate::store::NodeStore;
 use crate::tables::{
-    Applied,
+    ApplyOutcome,
     Tables, //
 };
 use foxtide_config::blocks::RESERVED_PREFIX;
@@ -36,17 +36,17 @@
 use std::time::Duration;
 
 /// The wait between two looks at whether the first configuration is there.
-const START_RETRY: Duration = Duration::from_millis(200);
+const START_POLL_INTERVAL: Duration = Duration::from_millis(200);
 
 /// How long a start waits for peers where the store answers.
-const JOIN_WAIT: Duration = Duration::from_secs(3);
+const JOIN_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// How many of the watch's reports may wait.
-const REPORTS_MAX: usize = 256;
+const QUEUED_REPORTS_MAX: usize = 256;
 
 /// Brings configurations into force.
 #[derive(Clone, Debug)]
-pub(crate) struct Configurations {
+pub(crate) struct ConfigurationUpdater {
     pub(crate) tables: Arc<Tables>,
     pub(crate) traffic: Arc<TrafficTables>,
     pub(crate) clock: SystemClock,
@@ -58,17 +58,17 @@
     pub(crate) seed: u64,
 }
 
-impl Configurations {
+impl ConfigurationUpdater {
     /// Reads the first configuration from store and peers, then follows both
     /// for good.
     pub(crate) async fn run(self) {
         let changes = self.mesh.configuration_changes();
-        let from_mesh = self.clone().follow_mesh(changes);
-        let from_store = async {
+        let mesh_task = self.clone().watch_mesh(changes);
+        let store_task = async {
             let watch = self.start().await;
-            self.follow_store(watch).await;
+            self.watch_store(watch).await;
         };
-        both(from_mesh, from_store).await;
+        run_both(mesh_task, store_task).await;
     }
 
     /// Returns once the newest that store and peers know is in force. Where
@@ -86,26 +86,26 @@
         let mut waited = Duration::ZERO;
         let mut store_read = false;
         let mut backoff = Backoff::default();
-        let mut store_again_in = Duration::ZERO;
+        let mut store_retry_in = Duration::ZERO;
         loop {
-            if !store_read && store_again_in.is_zero() {
+            if !store_read && store_retry_in.is_zero() {
                 store_read = self.read_store(&mut watch).await;
-                store_again_in = backoff.failed(fastrand::f64());
+                store_retry_in = backoff.failed(fastrand::f64());
             }
             let joined = self.mesh.synchronised();
             let has_any = !self.tables.organisations().is_empty();
-            let peers_told = joined && has_any;
-            if peers_told || (store_read && (joined || waited >= JOIN_WAIT)) {
+            let has_peer_configuration = joined && has_any;
+            if has_peer_configuration || (store_read && (joined || waited >= JOIN_TIMEOUT)) {
                 break;
             }
-            smol::Timer::after(START_RETRY).await;
-            waited += START_RETRY;
-            store_again_in = store_again_in.saturating_sub(START_RETRY);
+            smol::Timer::after(START_POLL_INTERVAL).await;
+            waited += START_POLL_INTERVAL;
+            store_retry_in = store_retry_in.saturating_sub(START_POLL_INTERVAL);
         }
         self.readiness.configuration_in_force();
         let count = self.tables.organisations().len();
         let detail = format!("organisations={count} store_read={store_read}");
-        self.note(EventCode::ConfigurationFetched, detail);
+        self.record(EventCode::ConfigurationFetched, detail);
         watch
     }
 
@@ -115,53 +115,55 @@
     ) -> bool {
         match watch.read_now().await {
             Ok(reports) => {
-                reports.into_iter().for_each(|report| self.take(report));
+                reports
+                    .into_iter()
+                    .for_each(|report| self.handle_report(report));
                 true
             }
             Err(error) => {
-                self.note(EventCode::StoreUnreachable, error);
+                self.record(EventCode::StoreUnreachable, error);
                 false
             }
         }
     }
 
-    async fn follow_store<R: Fn() -> bool + Send>(&self, watch: ConfigurationWatch<NodeStore, R>) {
-        let (sender, receiver) = smol::channel::bounded(REPORTS_MAX);
-        let taking = async {
+    async fn watch_store<R: Fn() -> bool + Send>(&self, watch: ConfigurationWatch<NodeStore, R>) {
+        let (sender, receiver) = smol::channel::bounded(QUEUED_REPORTS_MAX);
+        let report_task = async {
             while let Ok(report) = receiver.recv().await {
-                self.take(report);
+                self.handle_report(report);
             }
         };
-        both(watch.run(sender), taking).await;
+        run_both(watch.run(sender), report_task).await;
     }
 
-    async fn follow_mesh(self, changes: Receiver<Document>) {
+    async fn watch_mesh(self, changes: Receiver<Document>) {
         for document in self.mesh.configurations() {
-            self.take_document(&document);
+            self.apply_document(&document);
         }
         while let Ok(document) = changes.recv().await {
-            self.take_document(&document);
+            self.apply_document(&document);
         }
     }
 
-    fn take(&self, report: WatchReport) {
+    fn handle_report(&self, report: WatchReport) {
         match report {
-            WatchReport::Configuration(document) => self.take_configuration(document),
+            WatchReport::Configuration(document) => self.publish_and_apply(document),
             WatchReport::Invalid { key, cause } => {
-                self.note(
+                self.record(
                     EventCode::ConfigurationUnreadable,
                     format!("key={key} {cause}"),
                 );
             }
             WatchReport::Outage { error, retry_in } => {
                 let detail = format!("{error} retry_in_ms={}", retry_in.as_millis());
-                self.note(EventCode::StoreUnreachable, detail);
+                self.record(EventCode::StoreUnreachable, detail);
             }
-            WatchReport::Recovered => self.note(EventCode::StoreReachable, ""),
+            WatchReport::Recovered => self.record(EventCode::StoreReachable, ""),
         }
     }
 
-    fn take_configuration(&self, organisation: Arc<Organisation>) {
+    fn publish_and_apply(&self, organisation: Arc<Organisation>) {
         match change::encode(&organisation) {
             Ok(bytes) => {
                 let document = Document {
@@ -171,34 +173,34 @@
                 };
                 self.mesh.publish_configuration(&document);
             }
-            Err(error) => self.note(EventCode::ConfigurationUnreadable, error),
+            Err(error) => self.record(EventCode::ConfigurationUnreadable, error),
         }
-        self.put_in_force(organisation);
+        self.apply(organisation);
     }
 
-    fn take_document(&self, document: &Document) {
+    fn apply_document(&self, document: &Document) {
         if document.organisation.as_str().starts_with(RESERVED_PREFIX) {
             return;
         }
         let key = change::key_of(&document.organisation);
         match change::decode(&key, &document.bytes) {
-            Ok(organisation) => self.put_in_force(Arc::new(organisation)),
-            Err(error) => self.note(EventCode::ConfigurationUnreadable, error),
+            Ok(organisation) => self.apply(Arc::new(organisation)),
+            Err(error) => self.record(EventCode::ConfigurationUnreadable, error),
         }
     }
 
-    fn note(&self, code: EventCode, detail: impl ToString) {
+    fn record(&self, code: EventCode, detail: impl ToString) {
         self.recorder
             .record(code, EventFields::detail(detail.to_string()));
     }
 
-    fn put_in_force(&self, organisation: Arc<Organisation>) {
-        let detail = describe(&organisation);
+    fn apply(&self, organisation: Arc<Organisation>) {
+        let detail = latest_change(&organisation);
         let fields = EventFields {
             organisation: Some(organisation.organisation.clone()),
             ..EventFields::detail(detail)
         };
-        if self.tables.apply(Arc::clone(&organisation)) == Applied::InForce {
+        if self.tables.apply(Arc::clone(&organisation)) == ApplyOutcome::Applied {
             // Without waiting for the next look at the tables: an instance
             // that says it is ready must serve what it has read.
             self.traffic.configure(&organisation, self.clock.now());
@@ -209,7 +211,7 @@
 }
 
 /// Returns what a document's latest change was, and whose.
-fn describe(organisation: &Organisation) -> String {
+fn latest_change(organisation: &Organisation) -> String {
     let mut text = format!("{} {}", organisation.revision, organisation.change_id);
     if let Some(latest) = organisation.history.last() {
         text += &format!(" {}: {}", latest.author, latest.summary);
@@ -218,6 +220,6 @@
 }
 
 /// Runs two tasks that end only with the process.
-async fn both(first: impl Future<Output = ()>, second: impl Future<Output = ()>) {
+async fn run_both(first: impl Future<Output = ()>, second: impl Future<Output = ()>) {
     smol::future::zip(first, second).await;
 }
--- a/crates/foxtide/src/node/parts.rs
+++ b/crates/foxtide/src/node/parts.rs
@@ -125,7 +125,7 @@
 
     fn leave(&self) {
         self.tables.set_leaving();
-        self.tables.renew_instances(self.clock.wall());
+        self.tables.update_instances(self.clock.wall());
         self.mesh.leave();
     }
 }
--- a/crates/foxtide/src/node/shared.rs
+++ b/crates/foxtide/src/node/shared.rs
@@ -8,7 +8,7 @@
     ActiveBlocks,  //
     BlocksUpdater, //
 };
-use crate::configuration::Configurations;
+use crate::configuration::ConfigurationUpdater;
 use crate::copies::Copies;
 use crate::observer::Observer;
 use crate::pages::Pages;
@@ -120,7 +120,7 @@
         let copies = self.copies();
         let instance_list = settings.instance_list_address;
         vec![
-            workers.spawn(self.configurations(settings).run()),
+            workers.spawn(self.configuration_updater(settings).run()),
             workers.spawn(self.blocks_updater().run()),
             workers.spawn(self.traffic_follower().run()),
             workers.spawn(follow_members(self.clone())),
@@ -136,8 +136,8 @@
         ]
     }
 
-    fn configurations(&self, settings: &Settings) -> Configurations {
-        Configurations {
+    fn configuration_updater(&self, settings: &Settings) -> ConfigurationUpdater {
+        ConfigurationUpdater {
             tables: Arc::clone(&self.tables),
             traffic: Arc::clone(&self.traffic),
             clock: self.clock,
@@ -203,7 +203,7 @@
 async fn follow_members(shared: Shared) {
     loop {
         shared.tables.set_members(shared.mesh.members());
-        shared.tables.renew_instances(shared.clock.wall());
+        shared.tables.update_instances(shared.clock.wall());
         Timer::after(MEMBERS_INTERVAL).await;
     }
 }
--- a/crates/foxtide/src/tables.rs
+++ b/crates/foxtide/src/tables.rs
@@ -2,7 +2,7 @@
 //! callers may use.
 //!
 //! Readers take a snapshot and never wait. Writers hold the one lock here,
-//! `writing`, while they build the next snapshot; nothing else is locked
+//! `write_lock`, while they build the next snapshot; nothing else is locked
 //! under it.
 
 use arc_swap::ArcSwap;
@@ -39,14 +39,14 @@
     organisations: ArcSwap<Organisations>,
     members: ArcSwap<Vec<Member>>,
     instances: ArcSwap<Arc<[ServingInstance]>>,
-    writing: Mutex<()>,
+    write_lock: Mutex<()>,
 }
 
 /// What became of a document that an instance was shown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Applied {
+pub enum ApplyOutcome {
     /// It is newer than the one before it and now in force.
-    InForce,
+    Applied,
     /// The same or a newer revision is in force.
     NotNewer(Revision),
 }
@@ -60,23 +60,23 @@
             organisations: ArcSwap::default(),
             members: ArcSwap::default(),
             instances: ArcSwap::from_pointee(Vec::new().into()),
-            writing: Mutex::new(()),
+            write_lock: Mutex::new(()),
         }
     }
 
     /// Puts a document into force if it is newer than the one in force.
-    pub fn apply(&self, document: Arc<Organisation>) -> Applied {
-        let _writing = self.writing.lock();
+    pub fn apply(&self, document: Arc<Organisation>) -> ApplyOutcome {
+        let _guard = self.write_lock.lock();
         let current = self.organisations.load();
         if let Some(known) = current.get(&document.organisation)
             && known.revision >= document.revision
         {
-            return Applied::NotNewer(known.revision);
+            return ApplyOutcome::NotNewer(known.revision);
         }
         let mut next = Organisations::clone(&current);
         next.insert(document.organisation.clone(), document);
         self.organisations.store(Arc::new(next));
-        Applied::InForce
+        ApplyOutcome::Applied
     }
 
     /// Returns the name of this instance.
@@ -95,16 +95,20 @@
     }
 
     /// Chooses anew which instances callers may use at `wall`.
-    pub fn renew_instances(&self, wall: WallTime) {
-        let _writing = self.writing.lock();
+    pub fn update_instances(&self, wall: WallTime) {
+        let _guard = self.write_lock.lock();
         let organisations = self.organisations.load();
-        let drained = Drained::at(&organisations, wall);
+        let drained = DrainedPlaces::at(&organisations, wall);
         let members = self.members.load();
         let usable = |member: &&Member| {
             let own_leaving = member.instance == self.own && self.is_leaving();
             member.state.is_usable() && !own_leaving && !drained.covers(member)
         };
-        let chosen: Vec<ServingInstance> = members.iter().filter(usable).map(serving).collect();
+        let chosen: Vec<ServingInstance> = members
+            .iter()
+            .filter(usable)
+            .map(serving_instance)
+            .collect();
         let next: Arc<[ServingInstance]> = chosen.into();
         self.instances.store(Arc::new(next));
     }
@@ -145,12 +149,12 @@
 
 /// The instances and zones that announced drains keep callers from.
 #[derive(Debug, Default)]
-struct Drained {
+struct DrainedPlaces {
     instances: Vec<InstanceId>,
     availability_zones: Vec<AvailabilityZoneId>,
 }
 
-impl Drained {
+impl DrainedPlaces {
     fn at(organisations: &Organisations, wall: WallTime) -> Self {
         let mut drained = Self::default();
         let drains = organisations.values().flat_map(|it| &it.drains);
@@ -170,7 +174,7 @@
     }
 }
 
-fn serving(member: &Member) -> ServingInstance {
+fn serving_instance(member: &Member) -> ServingInstance {
     ServingInstance {
         instance: member.instance.clone(),
         owner: OwnerId {
