--- a/crates/foxtide/src/copies.rs
+++ b/crates/foxtide/src/event_backup.rs
@@ -26,7 +26,7 @@
 const COPY_INTERVAL: Duration = Duration::from_secs(1);
 
 /// How long a peer may take to keep what it is sent.
-const CALL_DEADLINE: Duration = Duration::from_secs(2);
+const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// What one instance calls another for.
 #[derive(Clone, PartialEq, prost::Message)]
@@ -38,20 +38,20 @@
 
 /// Copies this instance's events to peers and keeps theirs.
 #[derive(Clone, Debug)]
-pub(crate) struct Copies {
+pub(crate) struct EventBackup {
     pub(crate) time_line: TimeLine,
     pub(crate) mesh: MeshHandle,
     pub(crate) clock: SystemClock,
 }
 
-impl Copies {
+impl EventBackup {
     /// Copies events for good.
     pub(crate) async fn send(self) {
         loop {
             Timer::after(COPY_INTERVAL).await;
             let members = self.mesh.members();
             let running = members.iter().filter(|member| member.state.is_usable());
-            let peers: Vec<BackupPeer> = running.map(peer).collect();
+            let peers: Vec<BackupPeer> = running.map(backup_peer).collect();
             self.time_line.set_members(&peers);
             self.send_due().await;
         }
@@ -59,17 +59,17 @@
 
     async fn send_due(&self) {
         for parcel in self.time_line.poll(self.clock.now()) {
-            self.send_one(parcel).await;
+            self.send_parcel(parcel).await;
         }
     }
 
     /// Sends events to one peer. Without an answer they are due again later.
-    async fn send_one(&self, parcel: Parcel) {
+    async fn send_parcel(&self, parcel: Parcel) {
         let call = PeerCall {
             copies: Some(parcel.copies),
         };
         let bytes = call.encode_to_vec();
-        let Ok(answer) = self.mesh.call(&parcel.to, bytes, CALL_DEADLINE).await else {
+        let Ok(answer) = self.mesh.call(&parcel.to, bytes, CALL_TIMEOUT).await else {
             return;
         };
         if let Ok(ack) = EventCopiesAck::decode(&answer[..]) {
@@ -89,15 +89,15 @@
     fn answer(&self, call: IncomingCall) {
         let copies = PeerCall::decode(&call.bytes[..])
             .ok()
-            .and_then(|c| c.copies);
-        let kept = copies.and_then(|copies| self.time_line.accept(copies).ok());
-        if let Some(ack) = kept {
+            .and_then(|call| call.copies);
+        let ack = copies.and_then(|copies| self.time_line.accept(copies).ok());
+        if let Some(ack) = ack {
             call.respond(ack.encode_to_vec());
         }
     }
 }
 
-fn peer(member: &Member) -> BackupPeer {
+fn backup_peer(member: &Member) -> BackupPeer {
     BackupPeer {
         instance: member.instance.clone(),
         availability_zone: member.availability_zone.clone(),
--- a/crates/foxtide/src/lib.rs
+++ b/crates/foxtide/src/lib.rs
@@ -4,7 +4,7 @@
 mod client_blocks;
 pub mod command;
 mod configuration;
-mod copies;
+mod event_backup;
 mod instance_list;
 mod load_events;
 mod member_events;
--- a/crates/foxtide/src/node/shared.rs
+++ b/crates/foxtide/src/node/shared.rs
@@ -9,7 +9,7 @@
     BlocksUpdater, //
 };
 use crate::configuration::ConfigurationUpdater;
-use crate::copies::Copies;
+use crate::event_backup::EventBackup;
 use crate::observer::Observer;
 use crate::pages::Pages;
 use crate::promises::{
@@ -117,7 +117,7 @@
 
     /// Starts all that goes on beside the request path.
     pub(super) fn start_tasks(&self, settings: &Settings, workers: &Workers) -> Vec<Task<()>> {
-        let copies = self.copies();
+        let backup = self.event_backup();
         let instance_list = settings.instance_list_address;
         vec![
             workers.spawn(self.configuration_updater(settings).run()),
@@ -131,8 +131,8 @@
             workers.spawn(instance_list::follow(instance_list, self.mesh.clone())),
             workers.spawn(self.sampler().run()),
             workers.spawn(self.observer().run()),
-            workers.spawn(copies.clone().send()),
-            workers.spawn(copies.receive()),
+            workers.spawn(backup.clone().send()),
+            workers.spawn(backup.receive()),
         ]
     }
 
@@ -190,8 +190,8 @@
         }
     }
 
-    fn copies(&self) -> Copies {
-        Copies {
+    fn event_backup(&self) -> EventBackup {
+        EventBackup {
             time_line: self.time_line.clone(),
             mesh: self.mesh.clone(),
             clock: self.clock,
