--- a/crates/foxtide/src/configuration.rs
+++ b/crates/foxtide/src/configuration.rs
@@ -102,7 +102,7 @@
             waited += START_POLL_INTERVAL;
             store_retry_in = store_retry_in.saturating_sub(START_POLL_INTERVAL);
         }
-        self.readiness.configuration_in_force();
+        self.readiness.set_configured();
         let count = self.tables.organisations().len();
         let detail = format!("organisations={count} store_read={store_read}");
         self.record(EventCode::ConfigurationFetched, detail);
--- a/crates/foxtide/src/node/shared.rs
+++ b/crates/foxtide/src/node/shared.rs
@@ -22,7 +22,7 @@
     NodeStore, //
 };
 use crate::tables::Tables;
-use crate::traffic::TrafficFollower;
+use crate::traffic::TrafficUpdater;
 use crate::{
     instance_list,
     telemetry, //
@@ -122,7 +122,7 @@
         vec![
             workers.spawn(self.configuration_updater(settings).run()),
             workers.spawn(self.blocks_updater().run()),
-            workers.spawn(self.traffic_follower().run()),
+            workers.spawn(self.traffic_updater().run()),
             workers.spawn(follow_members(self.clone())),
             workers.spawn(store::follow_fleet(
                 Arc::clone(&self.store),
@@ -159,8 +159,8 @@
         }
     }
 
-    fn traffic_follower(&self) -> TrafficFollower {
-        TrafficFollower {
+    fn traffic_updater(&self) -> TrafficUpdater {
+        TrafficUpdater {
             tables: Arc::clone(&self.tables),
             traffic: Arc::clone(&self.traffic),
             mesh: self.mesh.clone(),
--- a/crates/foxtide/src/readiness.rs
+++ b/crates/foxtide/src/readiness.rs
@@ -23,7 +23,7 @@
 
 impl Readiness {
     /// Notes that the newest configuration that can be had is in force.
-    pub(crate) fn configuration_in_force(&self) {
+    pub(crate) fn set_configured(&self) {
         self.shared.configured.store(true, Ordering::Release);
     }
 
@@ -33,7 +33,7 @@
     }
 
     /// Notes that callers can be served; tells whether that is new.
-    pub(crate) fn serve(&self) -> bool {
+    pub(crate) fn set_serving(&self) -> bool {
         !self.shared.serving.swap(true, Ordering::AcqRel)
     }
 
--- a/crates/foxtide/src/traffic.rs
+++ b/crates/foxtide/src/traffic.rs
@@ -22,12 +22,12 @@
 use std::time::Duration;
 
 /// The time between two looks at configurations and members.
-const FOLLOW_INTERVAL: Duration = Duration::from_millis(100);
+const UPDATE_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Hands configurations and the view of the fleet to the request path, and its
 /// reports to the mesh.
 #[derive(Debug)]
-pub(crate) struct TrafficFollower {
+pub(crate) struct TrafficUpdater {
     pub(crate) tables: Arc<Tables>,
     pub(crate) traffic: Arc<TrafficTables>,
     pub(crate) mesh: MeshHandle,
@@ -36,23 +36,23 @@
     pub(crate) clock: SystemClock,
 }
 
-impl TrafficFollower {
+impl TrafficUpdater {
     /// Follows for good.
     pub(crate) async fn run(self) {
         let mut report_at = self.clock.now();
         loop {
             let now = self.clock.now();
-            self.follow(now);
-            self.become_ready(now);
+            self.update(now);
+            self.update_readiness(now);
             if now >= report_at {
                 self.report(now);
                 report_at = now + self.mesh.load_interval();
             }
-            Timer::after(FOLLOW_INTERVAL).await;
+            Timer::after(UPDATE_INTERVAL).await;
         }
     }
 
-    fn follow(&self, now: MonotonicTime) {
+    fn update(&self, now: MonotonicTime) {
         let members = self.tables.members();
         let usable = members.iter().filter(|member| member.state.is_usable());
         let usable = usable.map(|member| (&member.instance, &member.region));
@@ -65,7 +65,7 @@
     }
 
     /// Joins those that serve callers once every decision can be made.
-    fn become_ready(&self, now: MonotonicTime) {
+    fn update_readiness(&self, now: MonotonicTime) {
         if !self.readiness.is_configured() || self.readiness.is_serving() {
             return;
         }
@@ -74,7 +74,7 @@
             let ready = self.traffic.inspect(id, |steering| steering.is_ready(now));
             ready.unwrap_or(false)
         };
-        if organisations.keys().all(is_ready) && self.readiness.serve() {
+        if organisations.keys().all(is_ready) && self.readiness.set_serving() {
             self.mesh.serve();
             let detail = format!("organisations={}", organisations.len());
             let fields = EventFields::detail(detail);
