--- a/crates/foxtide/src/load_events.rs
+++ b/crates/foxtide/src/load_events.rs
@@ -23,7 +23,7 @@
 
 impl LoadEvents {
     /// Returns what changed since the last look at these organisations' views.
-    pub(crate) fn look(&mut self, views: &[(OrganisationId, FleetView)]) -> Vec<EventDraft> {
+    pub(crate) fn update(&mut self, views: &[(OrganisationId, FleetView)]) -> Vec<EventDraft> {
         let regions = views.iter().flat_map(|(organisation, view)| {
             let stale = view.regions.iter().filter(|(_, region)| is_stale(region));
             stale.map(|(region, _)| (organisation.clone(), region.clone()))
@@ -75,8 +75,11 @@
     fn verify_old_figures_are_told_once_and_so_is_their_return() {
         let mut events = LoadEvents::default();
         let mut codes = |live| {
-            let told = events.look(&view(live));
-            told.into_iter().map(|event| event.code).collect::<Vec<_>>()
+            let recorded = events.update(&view(live));
+            recorded
+                .into_iter()
+                .map(|event| event.code)
+                .collect::<Vec<_>>()
         };
         assert_eq!(codes(3), []);
         assert_eq!(codes(0), [EventCode::MeasurementsStale]);
--- a/crates/foxtide/src/member_events.rs
+++ b/crates/foxtide/src/member_events.rs
@@ -23,20 +23,20 @@
 /// Tells what changed between two looks at the members.
 #[derive(Debug, Default)]
 pub(crate) struct MemberEvents {
-    seen: Option<Seen>,
+    previous: Option<Snapshot>,
 }
 
 /// What one look showed.
 #[derive(Debug)]
-struct Seen {
-    members: BTreeMap<InstanceId, Known>,
-    lost_zones: BTreeSet<AvailabilityZoneId>,
-    lost_regions: BTreeSet<RegionId>,
+struct Snapshot {
+    members: BTreeMap<InstanceId, MemberSnapshot>,
+    unreachable_zones: BTreeSet<AvailabilityZoneId>,
+    unreachable_regions: BTreeSet<RegionId>,
 }
 
 /// What one look showed of a member.
 #[derive(Clone, Copy, Debug)]
-struct Known {
+struct MemberSnapshot {
     state: MemberState,
     process: ProcessNumber,
 }
@@ -44,41 +44,43 @@
 impl MemberEvents {
     /// Returns what changed since the last look; nothing at the first one, at
     /// which a starting instance hears of all members at once.
-    pub(crate) fn look(&mut self, members: &[Member]) -> Vec<EventDraft> {
-        let seen = Seen::new(members);
-        let Some(before) = &self.seen else {
-            self.seen = Some(seen);
+    pub(crate) fn update(&mut self, members: &[Member]) -> Vec<EventDraft> {
+        let snapshot = Snapshot::new(members);
+        let Some(before) = &self.previous else {
+            self.previous = Some(snapshot);
             return Vec::new();
         };
-        let mut events = seen.changed_members(before, members);
-        events.extend(seen.changed_zones(before));
-        events.extend(seen.changed_regions(before));
-        self.seen = Some(seen);
+        let mut events = snapshot.member_changes(before, members);
+        events.extend(snapshot.zone_changes(before));
+        events.extend(snapshot.region_changes(before));
+        self.previous = Some(snapshot);
         events
     }
 }
 
-impl Seen {
+impl Snapshot {
     fn new(members: &[Member]) -> Self {
-        let known = members.iter().map(|m| (m.instance.clone(), known(m)));
+        let known = members
+            .iter()
+            .map(|m| (m.instance.clone(), member_snapshot(m)));
         Self {
             members: known.collect(),
-            lost_zones: lost(members, |member| &member.availability_zone),
-            lost_regions: lost(members, |member| &member.region),
+            unreachable_zones: unreachable_places(members, |member| &member.availability_zone),
+            unreachable_regions: unreachable_places(members, |member| &member.region),
         }
     }
 
-    fn changed_members(&self, before: &Self, members: &[Member]) -> Vec<EventDraft> {
+    fn member_changes(&self, before: &Self, members: &[Member]) -> Vec<EventDraft> {
         let changed = members.iter().filter_map(|member| {
             let was = before.members.get(&member.instance).copied();
-            let code = code_of(was, known(member))?;
+            let code = code_of(was, member_snapshot(member))?;
             Some(member_event(code, member))
         });
         changed.collect()
     }
 
-    fn changed_zones(&self, before: &Self) -> Vec<EventDraft> {
-        let (new, old) = (&self.lost_zones, &before.lost_zones);
+    fn zone_changes(&self, before: &Self) -> Vec<EventDraft> {
+        let (new, old) = (&self.unreachable_zones, &before.unreachable_zones);
         let event = |code, zone: &AvailabilityZoneId| EventDraft {
             code,
             fields: EventFields::detail(format!("zone={zone}")),
@@ -90,8 +92,8 @@
         lost.chain(found).collect()
     }
 
-    fn changed_regions(&self, before: &Self) -> Vec<EventDraft> {
-        let (new, old) = (&self.lost_regions, &before.lost_regions);
+    fn region_changes(&self, before: &Self) -> Vec<EventDraft> {
+        let (new, old) = (&self.unreachable_regions, &before.unreachable_regions);
         let event = |code, region: &RegionId| EventDraft {
             code,
             fields: EventFields {
@@ -108,21 +110,24 @@
 }
 
 /// Returns the places all of whose members are dead.
-fn lost<P: Ord + Clone>(members: &[Member], place: impl Fn(&Member) -> &P) -> BTreeSet<P> {
+fn unreachable_places<P: Ord + Clone>(
+    members: &[Member],
+    place: impl Fn(&Member) -> &P,
+) -> BTreeSet<P> {
     let running = members.iter().filter(|member| member.state.is_running());
     let running: BTreeSet<&P> = running.map(&place).collect();
     let places = members.iter().map(&place);
     places.filter(|it| !running.contains(it)).cloned().collect()
 }
 
-fn known(member: &Member) -> Known {
-    Known {
+fn member_snapshot(member: &Member) -> MemberSnapshot {
+    MemberSnapshot {
         state: member.state,
         process: member.process,
     }
 }
 
-fn code_of(before: Option<Known>, now: Known) -> Option<EventCode> {
+fn code_of(before: Option<MemberSnapshot>, now: MemberSnapshot) -> Option<EventCode> {
     use MemberState::{
         Alive,
         Dead,
@@ -196,19 +201,19 @@
             let steady = member("khomas-3", Alive);
             [member("khomas-1", one), member("khomas-2", two), steady]
         };
-        assert!(events.look(&three(Alive, Alive)[..1]).is_empty());
-        let joined = codes(events.look(&three(Alive, Alive)));
+        assert!(events.update(&three(Alive, Alive)[..1]).is_empty());
+        let joined = codes(events.update(&three(Alive, Alive)));
         assert_eq!(joined, [EventCode::MemberJoined; 2]);
-        let changed = codes(events.look(&three(Suspect, Leaving)));
+        let changed = codes(events.update(&three(Suspect, Leaving)));
         let expected = [EventCode::MemberSuspected, EventCode::MemberLeaving];
         assert_eq!(changed, expected);
-        let ended = codes(events.look(&three(Dead, Dead)));
+        let ended = codes(events.update(&three(Dead, Dead)));
         let expected = [EventCode::MemberFailed, EventCode::MemberLeft];
         assert_eq!(ended, expected);
-        assert!(events.look(&three(Dead, Dead)).is_empty());
+        assert!(events.update(&three(Dead, Dead)).is_empty());
         let mut replaced = three(Dead, Alive);
         replaced[1].process = ProcessNumber::new(2);
-        let back = codes(events.look(&replaced));
+        let back = codes(events.update(&replaced));
         assert_eq!(back, [EventCode::MemberReplaced]);
     }
 
@@ -220,16 +225,16 @@
         };
         let mut events = MemberEvents::default();
         let both = |state| [member("khomas-1", Alive), member("oshana-1", state)];
-        events.look(&both(Alive));
-        let lost = codes(events.look(&both(Dead)));
+        events.update(&both(Alive));
+        let lost = codes(events.update(&both(Dead)));
         let expected = [
             EventCode::MemberFailed,
             EventCode::ZoneUnreachable,
             EventCode::RegionUnreachable,
         ];
         assert_eq!(lost, expected);
-        assert!(events.look(&both(Dead)).is_empty());
-        let back = codes(events.look(&both(Alive)));
+        assert!(events.update(&both(Dead)).is_empty());
+        let back = codes(events.update(&both(Alive)));
         let expected = [
             EventCode::MemberRefuted,
             EventCode::ZoneReachable,
--- a/crates/foxtide/src/observer.rs
+++ b/crates/foxtide/src/observer.rs
@@ -24,11 +24,11 @@
 use std::time::Duration;
 
 /// The time between two looks.
-const LOOK_INTERVAL: Duration = Duration::from_secs(1);
+const CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
 /// A look that comes later than this after the one before tells of a process
 /// that was paused or starved.
-const LATE: Duration = Duration::from_secs(3);
+const STALL_THRESHOLD: Duration = Duration::from_secs(3);
 
 /// Looks once a second and records what is new.
 #[derive(Clone, Debug)]
@@ -42,55 +42,56 @@
 
 /// What the looks compare with.
 #[derive(Debug, Default)]
-struct Seen {
+struct PreviousState {
     members: MemberEvents,
     plans: PlanEvents,
     load: LoadEvents,
     was_watcher: bool,
-    looked_at: Option<MonotonicTime>,
+    checked_at: Option<MonotonicTime>,
 }
 
 impl Observer {
     /// Looks for good.
     pub(crate) async fn run(self) {
-        let mut seen = Seen::default();
+        let mut previous = PreviousState::default();
         loop {
-            Timer::after(LOOK_INTERVAL).await;
-            self.look_at_clock(&mut seen.looked_at);
+            Timer::after(CHECK_INTERVAL).await;
+            self.check_clock(&mut previous.checked_at);
             if self.mesh.synchronised() {
-                self.look_at_members(&mut seen.members);
-                self.look_at_load(&mut seen.load);
+                self.record_member_changes(&mut previous.members);
+                self.record_load_changes(&mut previous.load);
             }
-            self.look_at_role(&mut seen.was_watcher);
-            self.look_at_plans(&mut seen.plans);
-            self.look_at_services();
+            self.record_role_changes(&mut previous.was_watcher);
+            self.record_plan_changes(&mut previous.plans);
+            self.record_service_changes();
         }
     }
 
-    fn look_at_clock(&self, looked_at: &mut Option<MonotonicTime>) {
+    fn check_clock(&self, checked_at: &mut Option<MonotonicTime>) {
         let now = self.clock.now();
-        let since_last = looked_at.map_or(Duration::ZERO, |last| now.since(last));
-        if since_last > LATE {
+        let since_last = checked_at.map_or(Duration::ZERO, |last| now.since(last));
+        if since_last > STALL_THRESHOLD {
             let detail = format!("for_ms={}", since_last.as_millis());
             self.recorder
                 .record(EventCode::WorkerStalled, EventFields::detail(detail));
         }
-        *looked_at = Some(now);
+        *checked_at = Some(now);
     }
 
-    fn look_at_members(&self, members: &mut MemberEvents) {
-        self.recorder.record_all(members.look(&self.mesh.members()));
+    fn record_member_changes(&self, members: &mut MemberEvents) {
+        self.recorder
+            .record_all(members.update(&self.mesh.members()));
     }
 
-    fn look_at_load(&self, load: &mut LoadEvents) {
+    fn record_load_changes(&self, load: &mut LoadEvents) {
         let organisations = self.tables.organisations();
         let ids = organisations.keys();
         let views = ids.map(|id| (id.clone(), self.mesh.fleet_view(id)));
         let views: Vec<_> = views.collect();
-        self.recorder.record_all(load.look(&views));
+        self.recorder.record_all(load.update(&views));
     }
 
-    fn look_at_role(&self, was_watcher: &mut bool) {
+    fn record_role_changes(&self, was_watcher: &mut bool) {
         let is_watcher = self.mesh.is_watcher();
         if is_watcher != *was_watcher {
             let code = if is_watcher {
@@ -103,13 +104,13 @@
         *was_watcher = is_watcher;
     }
 
-    fn look_at_plans(&self, plans: &mut PlanEvents) {
+    fn record_plan_changes(&self, plans: &mut PlanEvents) {
         let organisations = self.tables.organisations();
         self.recorder
-            .record_all(plans.look(&organisations, self.clock.wall()));
+            .record_all(plans.update(&organisations, self.clock.wall()));
     }
 
-    fn look_at_services(&self) {
+    fn record_service_changes(&self) {
         self.recorder
             .record_all(self.explainer.changes(self.clock.wall()));
     }
--- a/crates/foxtide/src/plan_events.rs
+++ b/crates/foxtide/src/plan_events.rs
@@ -29,12 +29,12 @@
 /// Tells what changed between two looks at the configurations in force.
 #[derive(Debug, Default)]
 pub(crate) struct PlanEvents {
-    seen: BTreeMap<OrganisationId, Seen>,
+    previous: BTreeMap<OrganisationId, Snapshot>,
 }
 
 /// What one look showed of an organisation.
 #[derive(Debug, Default)]
-struct Seen {
+struct Snapshot {
     moves: BTreeMap<MoveId, Phase>,
     drains: BTreeSet<DrainId>,
     upstreams: BTreeSet<(ServiceId, UpstreamId)>,
@@ -52,25 +52,25 @@
 impl PlanEvents {
     /// Returns what changed since the last look; nothing of an organisation
     /// that was not there before.
-    pub(crate) fn look(
+    pub(crate) fn update(
         &mut self,
         organisations: &BTreeMap<OrganisationId, Arc<Organisation>>,
         wall: WallTime,
     ) -> Vec<EventDraft> {
         let mut events = Vec::new();
         for (id, organisation) in organisations {
-            let seen = Seen::new(organisation, wall);
-            if let Some(before) = self.seen.get(id) {
-                events.extend(seen.changes(before, organisation));
+            let snapshot = Snapshot::new(organisation, wall);
+            if let Some(before) = self.previous.get(id) {
+                events.extend(snapshot.changes(before, organisation));
             }
-            self.seen.insert(id.clone(), seen);
+            self.previous.insert(id.clone(), snapshot);
         }
-        self.seen.retain(|id, _| organisations.contains_key(id));
+        self.previous.retain(|id, _| organisations.contains_key(id));
         events
     }
 }
 
-impl Seen {
+impl Snapshot {
     fn new(organisation: &Organisation, wall: WallTime) -> Self {
         let moves = organisation.moves.iter();
         let started = |drain: &&Drain| drain.start_us <= wall;
@@ -90,19 +90,19 @@
     }
 
     fn changes(&self, before: &Self, organisation: &Organisation) -> Vec<EventDraft> {
-        let mut events = self.moved(before, organisation);
-        events.extend(self.drained(before, organisation));
+        let mut events = self.move_events(before, organisation);
+        events.extend(self.drain_events(before, organisation));
         let added = self.upstreams.difference(&before.upstreams);
-        events.extend(added.map(|it| upstream(EventCode::UpstreamAdded, it)));
+        events.extend(added.map(|it| upstream_event(EventCode::UpstreamAdded, it)));
         let removed = before.upstreams.difference(&self.upstreams);
-        events.extend(removed.map(|it| upstream(EventCode::UpstreamRemoved, it)));
+        events.extend(removed.map(|it| upstream_event(EventCode::UpstreamRemoved, it)));
         for event in &mut events {
             event.fields.organisation = Some(organisation.organisation.clone());
         }
         events
     }
 
-    fn moved(&self, before: &Self, organisation: &Organisation) -> Vec<EventDraft> {
+    fn move_events(&self, before: &Self, organisation: &Organisation) -> Vec<EventDraft> {
         let changed = organisation.moves.iter().filter_map(|planned| {
             let now = self.moves.get(&planned.id)?;
             let was = before.moves.get(&planned.id).unwrap_or(&Phase::Waiting);
@@ -112,7 +112,7 @@
         changed.collect()
     }
 
-    fn drained(&self, before: &Self, organisation: &Organisation) -> Vec<EventDraft> {
+    fn drain_events(&self, before: &Self, organisation: &Organisation) -> Vec<EventDraft> {
         let is_new =
             |drain: &&Drain| self.drains.contains(&drain.id) && !before.drains.contains(&drain.id);
         let new = organisation.drains.iter().filter(is_new);
@@ -178,7 +178,7 @@
     })
 }
 
-fn upstream(code: EventCode, (service, upstream): &(ServiceId, UpstreamId)) -> EventDraft {
+fn upstream_event(code: EventCode, (service, upstream): &(ServiceId, UpstreamId)) -> EventDraft {
     EventDraft {
         code,
         fields: EventFields {
@@ -206,11 +206,11 @@
         serde_json::from_str(&text).unwrap()
     }
 
-    fn look(events: &mut PlanEvents, document: &Organisation, at_s: u64) -> Vec<EventCode> {
+    fn changes(events: &mut PlanEvents, document: &Organisation, at_s: u64) -> Vec<EventCode> {
         let document = Arc::new(document.clone());
         let organisations = [(document.organisation.clone(), document)].into();
-        let told = events.look(&organisations, WallTime::from_ms(at_s * 1_000));
-        told.into_iter().map(|event| event.code).collect()
+        let recorded = events.update(&organisations, WallTime::from_ms(at_s * 1_000));
+        recorded.into_iter().map(|event| event.code).collect()
     }
 
     #[test]
@@ -220,14 +220,17 @@
             "share":0.1,"pace_share_per_s":0.01,"start_us":100000000}"#;
         let document = organisation(planned, "", "v-1");
         let mut events = PlanEvents::default();
-        assert_eq!(look(&mut events, &document, 99), []);
-        assert_eq!(look(&mut events, &document, 100), [EventCode::MoveStarted]);
-        assert_eq!(look(&mut events, &document, 109), []);
+        assert_eq!(changes(&mut events, &document, 99), []);
+        assert_eq!(
+            changes(&mut events, &document, 100),
+            [EventCode::MoveStarted]
+        );
+        assert_eq!(changes(&mut events, &document, 109), []);
         let mut paused = document.clone();
         paused.moves[0].paused_us = Some(WallTime::from_ms(109_500));
-        assert_eq!(look(&mut events, &paused, 120), [EventCode::MovePaused]);
+        assert_eq!(changes(&mut events, &paused, 120), [EventCode::MovePaused]);
         assert_eq!(
-            look(&mut events, &document, 121),
+            changes(&mut events, &document, 121),
             [EventCode::MoveCompleted]
         );
     }
@@ -237,10 +240,13 @@
         let drain = r#"{"drain":"d1","target":{"region":"khomas"},"start_us":5000000}"#;
         let mut events = PlanEvents::default();
         let before = organisation("", drain, "v-1");
-        assert_eq!(look(&mut events, &before, 4), []);
-        assert_eq!(look(&mut events, &before, 5), [EventCode::RegionDraining]);
-        let told = look(&mut events, &organisation("", drain, "v-2"), 6);
+        assert_eq!(changes(&mut events, &before, 4), []);
+        assert_eq!(
+            changes(&mut events, &before, 5),
+            [EventCode::RegionDraining]
+        );
+        let recorded = changes(&mut events, &organisation("", drain, "v-2"), 6);
         let expected = [EventCode::UpstreamAdded, EventCode::UpstreamRemoved];
-        assert_eq!(told, expected);
+        assert_eq!(recorded, expected);
     }
 }
