--- a/crates/foxtide/src/node/parts.rs
+++ b/crates/foxtide/src/node/parts.rs
@@ -2,7 +2,7 @@
 
 use super::shared::Shared;
 use crate::client_blocks::ActiveBlocks;
-use crate::pages::Pages;
+use crate::pages::AdminPages;
 use crate::tables::Tables;
 use foxtide_core::idempotency::OwnerId;
 use foxtide_core::ids::{
@@ -38,7 +38,7 @@
     recorder: Recorder,
     explainer: Explainer,
     owner: OwnerId,
-    pages: Pages,
+    pages: AdminPages,
 }
 
 impl NodeParts {
@@ -64,7 +64,7 @@
 impl Parts for NodeParts {
     type Directory = NodeDirectory;
     type Clock = SystemClock;
-    type Admin = Pages;
+    type Admin = AdminPages;
 
     fn directory(&self) -> &NodeDirectory {
         &self.directory
@@ -90,7 +90,7 @@
         &self.owner
     }
 
-    fn admin(&self) -> &Pages {
+    fn admin(&self) -> &AdminPages {
         &self.pages
     }
 }
--- a/crates/foxtide/src/node/shared.rs
+++ b/crates/foxtide/src/node/shared.rs
@@ -11,7 +11,7 @@
 use crate::configuration::ConfigurationUpdater;
 use crate::event_backup::EventBackup;
 use crate::observer::Observer;
-use crate::pages::Pages;
+use crate::pages::AdminPages;
 use crate::promises::{
     PromiseSampler,
     Promises, //
@@ -104,8 +104,8 @@
     }
 
     /// Returns the operators' pages.
-    pub(super) fn pages(&self) -> Pages {
-        Pages {
+    pub(super) fn pages(&self) -> AdminPages {
+        AdminPages {
             tables: Arc::clone(&self.tables),
             time_line: self.time_line.clone(),
             explainer: self.explainer.clone(),
@@ -129,7 +129,7 @@
                 self.mesh.clone(),
             )),
             workers.spawn(instance_list::follow(instance_list, self.mesh.clone())),
-            workers.spawn(self.sampler().run()),
+            workers.spawn(self.promise_sampler().run()),
             workers.spawn(self.observer().run()),
             workers.spawn(backup.clone().send()),
             workers.spawn(backup.receive()),
@@ -170,7 +170,7 @@
         }
     }
 
-    fn sampler(&self) -> PromiseSampler {
+    fn promise_sampler(&self) -> PromiseSampler {
         PromiseSampler {
             promises: self.promises.clone(),
             tables: Arc::clone(&self.tables),
--- a/crates/foxtide/src/pages.rs
+++ b/crates/foxtide/src/pages.rs
@@ -17,16 +17,16 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-const JSON: &str = "application/json";
+const JSON_CONTENT_TYPE: &str = "application/json";
 
 /// How many explanations an answer holds where the query names no limit.
-const EXPLANATIONS_MAX: usize = 20;
+const EXPLANATIONS_DEFAULT_LIMIT: usize = 20;
 
-const METRICS: &str = "text/plain; version=0.0.4";
+const METRICS_CONTENT_TYPE: &str = "text/plain; version=0.0.4";
 
 /// Answers operators from what the instance knows.
 #[derive(Debug)]
-pub(crate) struct Pages {
+pub(crate) struct AdminPages {
     /// The configurations and instances.
     pub(crate) tables: Arc<Tables>,
     /// The events of this instance and those kept for peers.
@@ -52,7 +52,7 @@
     state: String,
 }
 
-impl Pages {
+impl AdminPages {
     fn events(&self, query: Option<&str>) -> Option<AdminPage> {
         let filter = event_filter(query)?;
         Some(json(&self.time_line.select(&filter)))
@@ -63,7 +63,7 @@
         Some(json(&self.explainer.select(&filter)))
     }
 
-    fn promised(&self, query: Option<&str>) -> Option<AdminPage> {
+    fn promises(&self, query: Option<&str>) -> Option<AdminPage> {
         let Some(name) = parameter(query, "organisation") else {
             return Some(json(&self.promises.rows(None)));
         };
@@ -92,19 +92,19 @@
 
     fn metrics(&self) -> AdminPage {
         AdminPage {
-            content_type: METRICS,
+            content_type: METRICS_CONTENT_TYPE,
             body: self.metrics.render().into_bytes(),
         }
     }
 }
 
-impl foxtide_entry::Admin for Pages {
+impl foxtide_entry::Admin for AdminPages {
     fn page(&self, path: &str, query: Option<&str>) -> Option<AdminPage> {
         match path {
             "/metrics" => Some(self.metrics()),
             "/v1/events" => self.events(query),
             "/v1/explain" => self.explanations(query),
-            "/v1/promises" => self.promised(query),
+            "/v1/promises" => self.promises(query),
             "/v1/instances" => Some(json(&self.instances())),
             "/v1/configuration" => self.configuration(query),
             _ => None,
@@ -131,7 +131,7 @@
     // Types of this crate with names as keys always have a JSON form.
     let body = serde_json::to_vec(value).unwrap_or_default();
     AdminPage {
-        content_type: JSON,
+        content_type: JSON_CONTENT_TYPE,
         body,
     }
 }
@@ -159,7 +159,7 @@
 /// valid.
 fn explain_filter(query: Option<&str>) -> Option<ExplainFilter> {
     let mut filter = ExplainFilter {
-        limit: Some(EXPLANATIONS_MAX),
+        limit: Some(EXPLANATIONS_DEFAULT_LIMIT),
         ..ExplainFilter::default()
     };
     for (name, text) in pairs(query) {
--- a/crates/foxtide/src/promises.rs
+++ b/crates/foxtide/src/promises.rs
@@ -80,7 +80,7 @@
         rows.collect()
     }
 
-    fn add(&self, organisation: &Organisation, sample: Sample) -> Vec<Promise> {
+    fn add_sample(&self, organisation: &Organisation, sample: Sample) -> Vec<Promise> {
         let mut monitors = self.monitors.lock();
         let monitor = monitors
             .entry(organisation.organisation.clone())
@@ -97,8 +97,8 @@
         loop {
             for (id, organisation) in self.tables.organisations().iter() {
                 if let Some(sample) = self.sample(id, self.clock.now()) {
-                    let promises = self.promises.add(organisation, sample);
-                    self.tell(id, &promises, &mut broken);
+                    let promises = self.promises.add_sample(organisation, sample);
+                    self.record_changes(id, &promises, &mut broken);
                 }
             }
             Timer::after(SAMPLE_INTERVAL).await;
@@ -113,7 +113,12 @@
 
     /// Records each promise when it is first found broken and when it holds
     /// again.
-    fn tell(&self, id: &OrganisationId, promises: &[Promise], broken: &mut BTreeSet<String>) {
+    fn record_changes(
+        &self,
+        id: &OrganisationId,
+        promises: &[Promise],
+        broken: &mut BTreeSet<String>,
+    ) {
         for promise in promises {
             let name = format!(
                 "{id} {} {:?} {:?}",
