--- a/crates/foxtide/src/instance_list.rs
+++ b/crates/foxtide/src/instance_list.rs
@@ -12,7 +12,7 @@
 use std::time::Duration;
 
 /// How long the list may take to answer.
-const TIMEOUT: Duration = Duration::from_secs(3);
+const READ_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// The mean time between two readings before this instance has joined.
 const JOINING_INTERVAL: Duration = Duration::from_secs(1);
@@ -21,15 +21,15 @@
 const JOINED_INTERVAL: Duration = Duration::from_secs(30);
 
 /// Follows the list, if there is one, for good.
-pub(crate) async fn follow(list: Option<SocketAddr>, mesh: MeshHandle) {
+pub(crate) async fn poll(list: Option<SocketAddr>, mesh: MeshHandle) {
     let Some(list) = list else {
         return;
     };
     loop {
-        if is_alone(&mesh) || mesh.is_watcher() {
-            read(list, &mesh).await;
+        if has_no_peers(&mesh) || mesh.is_watcher() {
+            read_seeds(list, &mesh).await;
         }
-        let interval = match is_alone(&mesh) {
+        let interval = match has_no_peers(&mesh) {
             true => JOINING_INTERVAL,
             false => JOINED_INTERVAL,
         };
@@ -39,12 +39,12 @@
 }
 
 /// Tells whether this instance has found no other yet.
-fn is_alone(mesh: &MeshHandle) -> bool {
+fn has_no_peers(mesh: &MeshHandle) -> bool {
     mesh.members().len() <= 1
 }
 
-async fn read(list: SocketAddr, mesh: &MeshHandle) {
-    let outcome = match read_instance_list(list, TIMEOUT).await {
+async fn read_seeds(list: SocketAddr, mesh: &MeshHandle) {
+    let outcome = match read_instance_list(list, READ_TIMEOUT).await {
         Ok(peers) => {
             mesh.add_seeds(&peers);
             "read"
--- a/crates/foxtide/src/node/mod.rs
+++ b/crates/foxtide/src/node/mod.rs
@@ -62,7 +62,7 @@
         let listeners = Listeners::bind(settings.caller.listen, settings.admin.listen)
             .context("start the request path")?;
         let caller_address = listeners.caller_address();
-        let process = options::draw_process_number()?;
+        let process = options::random_process_number()?;
         let shared = Shared::open(settings, caller_address, process, options)?;
         let owner = OwnerId {
             instance: settings.instance.clone(),
--- a/crates/foxtide/src/node/options.rs
+++ b/crates/foxtide/src/node/options.rs
@@ -49,7 +49,7 @@
 }
 
 /// Draws what tells this process from others of the same instance.
-pub(super) fn draw_process_number() -> Result<ProcessNumber> {
+pub(super) fn random_process_number() -> Result<ProcessNumber> {
     let number = SysRng.try_next_u64();
     let number = number.context("draw the number of this process")?;
     Ok(ProcessNumber::new(number))
@@ -120,7 +120,7 @@
     }
 }
 
-pub(super) fn count(setting: u32) -> usize {
+pub(super) fn saturating_usize(setting: u32) -> usize {
     usize::try_from(setting).unwrap_or(usize::MAX)
 }
 
@@ -132,14 +132,14 @@
         admin_address: settings.admin.listen,
         organisations: settings.organisations.clone(),
         lookup_ttl: Duration::from_secs(limits.lookups.ttl_s.into()),
-        lookup_instances: count(limits.lookups.instances_max),
+        lookup_instances: saturating_usize(limits.lookups.instances_max),
         deadline_max: Duration::from_millis(requests.deadline_max_ms.into()),
         limits: Limits {
             head: ByteSize::from_bytes(requests.head_max_bytes),
             request_body: ByteSize::from_bytes(requests.body_max_bytes),
-            connections: count(requests.connections_max),
-            in_flight: count(requests.in_flight_max),
-            waiting: count(requests.waiting_max),
+            connections: saturating_usize(requests.connections_max),
+            in_flight: saturating_usize(requests.in_flight_max),
+            waiting: saturating_usize(requests.waiting_max),
             head_time: Duration::from_millis(requests.head_timeout_ms.into()),
             body_time: Duration::from_millis(requests.body_timeout_ms.into()),
             idle_time: Duration::from_millis(requests.idle_timeout_ms.into()),
@@ -147,7 +147,7 @@
         },
         keys: TableOptions {
             validity: Duration::from_secs(keys.validity_s.into()),
-            keys_max: count(keys.kept_max),
+            keys_max: saturating_usize(keys.kept_max),
             answers_max: ByteSize::from_bytes(keys.answers_max_bytes),
             answer_max: ByteSize::from_bytes(keys.answer_max_bytes),
             ..TableOptions::default()
--- a/crates/foxtide/src/node/shared.rs
+++ b/crates/foxtide/src/node/shared.rs
@@ -51,7 +51,7 @@
 use std::time::Duration;
 
 /// The time between two looks at the members and the announced drains.
-const MEMBERS_INTERVAL: Duration = Duration::from_millis(100);
+const MEMBERS_UPDATE_INTERVAL: Duration = Duration::from_millis(100);
 
 /// The tables and handles that the parts of one instance share.
 #[derive(Clone, Debug)]
@@ -123,12 +123,12 @@
             workers.spawn(self.configuration_updater(settings).run()),
             workers.spawn(self.blocks_updater().run()),
             workers.spawn(self.traffic_updater().run()),
-            workers.spawn(follow_members(self.clone())),
-            workers.spawn(store::follow_fleet(
+            workers.spawn(update_members(self.clone())),
+            workers.spawn(store::update_budget(
                 Arc::clone(&self.store),
                 self.mesh.clone(),
             )),
-            workers.spawn(instance_list::follow(instance_list, self.mesh.clone())),
+            workers.spawn(instance_list::poll(instance_list, self.mesh.clone())),
             workers.spawn(self.promise_sampler().run()),
             workers.spawn(self.observer().run()),
             workers.spawn(backup.clone().send()),
@@ -200,10 +200,10 @@
 }
 
 /// Keeps the tables' members and the instances for look-ups up to date.
-async fn follow_members(shared: Shared) {
+async fn update_members(shared: Shared) {
     loop {
         shared.tables.set_members(shared.mesh.members());
         shared.tables.update_instances(shared.clock.wall());
-        Timer::after(MEMBERS_INTERVAL).await;
+        Timer::after(MEMBERS_UPDATE_INTERVAL).await;
     }
 }
--- a/crates/foxtide/src/store.rs
+++ b/crates/foxtide/src/store.rs
@@ -25,7 +25,7 @@
 pub(crate) type NodeStore = BudgetedStore<HttpStore>;
 
 /// The time between two counts of the fleet.
-const COUNT_INTERVAL: Duration = Duration::from_secs(1);
+const BUDGET_UPDATE_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Returns the store that the settings name.
 ///
@@ -47,31 +47,31 @@
 }
 
 /// Keeps the budget to the live members, for good.
-pub(crate) async fn follow_fleet(store: Arc<NodeStore>, mesh: MeshHandle) {
+pub(crate) async fn update_budget(store: Arc<NodeStore>, mesh: MeshHandle) {
     loop {
-        store.set_fleet(fleet(&mesh.members(), mesh.is_watcher()));
-        Timer::after(COUNT_INTERVAL).await;
+        store.set_fleet(count_fleet(&mesh.members(), mesh.is_watcher()));
+        Timer::after(BUDGET_UPDATE_INTERVAL).await;
     }
 }
 
 /// Counts who shares the store's rates.
-fn fleet(members: &[Member], watches: bool) -> Fleet {
+fn count_fleet(members: &[Member], watches: bool) -> Fleet {
     let running = members.iter().filter(|member| member.state.is_running());
-    let mut in_zones: BTreeMap<&AvailabilityZoneId, usize> = BTreeMap::new();
+    let mut zone_counts: BTreeMap<&AvailabilityZoneId, usize> = BTreeMap::new();
     for member in running {
-        *in_zones.entry(&member.availability_zone).or_default() += 1;
+        *zone_counts.entry(&member.availability_zone).or_default() += 1;
     }
     let watchers_per_zone = MeshOptions::default().watchers_per_zone;
-    let watchers = in_zones
+    let watchers = zone_counts
         .values()
         .map(|count| *count.min(&watchers_per_zone));
     Fleet {
-        live_instances: count(in_zones.values().sum()),
-        watchers: count(watchers.sum()),
+        live_instances: saturating_u32(zone_counts.values().sum()),
+        watchers: saturating_u32(watchers.sum()),
         watches,
     }
 }
 
-fn count(number: usize) -> u32 {
+fn saturating_u32(number: usize) -> u32 {
     u32::try_from(number).unwrap_or(u32::MAX)
 }
