--- a/crates/foxtide/src/platform/metrics.rs
+++ b/crates/foxtide/src/platform/metrics.rs
@@ -29,11 +29,11 @@
 const HEAD_MAX_BYTES: usize = 8 * 1_024;
 
 /// How long one who asks may take.
-const EXCHANGE_TIME: Duration = Duration::from_secs(3);
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// How often the samples of histograms are taken in; until then each sample
 /// takes memory.
-const UPKEEP_PERIOD: Duration = Duration::from_secs(5);
+const UPKEEP_INTERVAL: Duration = Duration::from_secs(5);
 
 /// The bound listener for metrics.
 #[derive(Debug)]
@@ -65,7 +65,7 @@
         let handle = telemetry::start_metrics();
         let upkeep = async {
             loop {
-                Timer::after(UPKEEP_PERIOD).await;
+                Timer::after(UPKEEP_INTERVAL).await;
                 handle.run_upkeep();
             }
         };
@@ -79,11 +79,11 @@
         match listener.accept().await {
             Ok((socket, peer)) => {
                 let answering = answer(BufferedStream::new(socket), &handle);
-                let late = async {
-                    Timer::after(EXCHANGE_TIME).await;
+                let timeout = async {
+                    Timer::after(REQUEST_TIMEOUT).await;
                     Err(MessageError::Truncated)
                 };
-                if let Err(error) = or(answering, late).await {
+                if let Err(error) = or(answering, timeout).await {
                     log::debug!("metrics were not served to {peer}: {error}");
                 }
             }
--- a/crates/foxtide/src/platform/mod.rs
+++ b/crates/foxtide/src/platform/mod.rs
@@ -44,7 +44,7 @@
     telemetry::start_structured_logging();
     let path = settings_path()?;
     let settings = PlatformSettings::load(&path)?;
-    telemetry::name_instance(&settings.gateway.place.instance);
+    telemetry::set_instance(&settings.gateway.place.instance);
     let executor = Arc::new(Executor::new());
     let serving = serve(settings, &path, metrics_port, Arc::clone(&executor));
     smol::block_on(executor.run(serving))
@@ -91,6 +91,6 @@
     log_event!(EventCode::ProcessStopping, signal = signal);
     gateway.stop().await;
     log_event!(EventCode::ProcessStopped, signal = signal);
-    telemetry::await_lines();
+    telemetry::flush_log();
     Ok(())
 }
--- a/crates/foxtide/src/platform/reload.rs
+++ b/crates/foxtide/src/platform/reload.rs
@@ -23,7 +23,7 @@
 };
 
 /// How often it is looked whether the file has changed without a signal.
-const LOOK_PERIOD: Duration = Duration::from_secs(5);
+const FILE_CHECK_INTERVAL: Duration = Duration::from_secs(5);
 
 /// Puts changed bounds in force; what else has changed takes a restart.
 pub(super) async fn reload(
@@ -41,16 +41,16 @@
     let mut changed_at = modified(&path);
     loop {
         let signalled = async { signals.recv().await.is_ok() };
-        let looked = async {
-            Timer::after(LOOK_PERIOD).await;
+        let interval_elapsed = async {
+            Timer::after(FILE_CHECK_INTERVAL).await;
             false
         };
-        let is_signalled = or(signalled, looked).await;
-        let now_at = modified(&path);
-        if !is_signalled && now_at == changed_at {
+        let is_signalled = or(signalled, interval_elapsed).await;
+        let modified_at = modified(&path);
+        if !is_signalled && modified_at == changed_at {
             continue;
         }
-        changed_at = now_at;
+        changed_at = modified_at;
         match PlatformSettings::load(&path) {
             Ok(newer) => {
                 apply(&settings, &newer, &gateway);
--- a/crates/foxtide/src/telemetry/mod.rs
+++ b/crates/foxtide/src/telemetry/mod.rs
@@ -3,7 +3,7 @@
 mod structured;
 mod writer;
 
-pub(crate) use structured::name_instance;
+pub(crate) use structured::set_instance;
 use writer::LineWriter;
 
 use metrics_exporter_prometheus::{
@@ -46,8 +46,8 @@
 }
 
 /// Waits until the lines so far are on standard output, for 0.3 s at most.
-pub(crate) fn await_lines() {
-    writer::await_written();
+pub(crate) fn flush_log() {
+    writer::flush();
 }
 
 /// Starts to collect metrics, once a process, and returns the handle that
--- a/crates/foxtide/src/telemetry/structured.rs
+++ b/crates/foxtide/src/telemetry/structured.rs
@@ -26,7 +26,7 @@
 static INSTANCE: OnceLock<String> = OnceLock::new();
 
 /// Has all lines from now on name the instance that writes them.
-pub(crate) fn name_instance(instance: &InstanceId) {
+pub(crate) fn set_instance(instance: &InstanceId) {
     // A process is one instance: the first name stays.
     INSTANCE.get_or_init(|| instance.to_string());
 }
--- a/crates/foxtide/src/telemetry/writer.rs
+++ b/crates/foxtide/src/telemetry/writer.rs
@@ -25,14 +25,14 @@
 };
 
 /// The most lines that wait to be written: 2 MB at 500 bytes a line.
-const WAITING_LINES_MAX: usize = 4_096;
+const QUEUED_LINES_MAX: usize = 4_096;
 
 /// How long the end of the process waits for lines that are still to be written;
 /// where nobody reads them they are lost with it.
-const END_TIME: Duration = Duration::from_millis(300);
+const FLUSH_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// How often it is looked whether they are.
-const END_STEP: Duration = Duration::from_millis(1);
+const FLUSH_POLL_INTERVAL: Duration = Duration::from_millis(1);
 
 /// Lines that were put into the queue, and lines that were taken out and written.
 static QUEUED_LINES: AtomicU64 = AtomicU64::new(0);
@@ -51,7 +51,7 @@
 impl LineWriter {
     /// Starts the thread.
     pub(super) fn start() -> Self {
-        let (lines, waiting) = sync_channel(WAITING_LINES_MAX);
+        let (lines, waiting) = sync_channel(QUEUED_LINES_MAX);
         let started = thread::Builder::new()
             .name("log".to_owned())
             .spawn(move || write_lines(&waiting));
@@ -81,11 +81,11 @@
 
 /// Waits until the lines so far are written, for a bounded time: the last ones tell
 /// that the process has stopped.
-pub(super) fn await_written() {
-    let ends_at = Instant::now() + END_TIME;
+pub(super) fn flush() {
+    let ends_at = Instant::now() + FLUSH_TIMEOUT;
     let queued = QUEUED_LINES.load(Ordering::SeqCst);
     while WRITTEN_LINES.load(Ordering::SeqCst) < queued && Instant::now() < ends_at {
-        thread::sleep(END_STEP);
+        thread::sleep(FLUSH_POLL_INTERVAL);
     }
 }
 
