--- a/crates/foxtide/src/client_blocks.rs
+++ b/crates/foxtide/src/client_blocks.rs
@@ -1,9 +1,9 @@
-//! Brings the client blocks of the store into force at an instance.
+//! Loads client blocks and keeps them up to date.
 //!
-//! The watchers of each availability zone watch the manifest and give it to
-//! the mesh, which spreads it as a document of a reserved name. The latest
-//! changes lie in the manifest; chunks are read from the store by an instance
-//! that starts or has missed too many of them.
+//! The watchers of each availability zone watch the manifest in the store and
+//! publish it to the mesh as a document with a reserved name. The manifest
+//! holds the latest changes; an instance that starts or has missed too many
+//! changes reads the chunks from the store.
 
 use crate::store::NodeStore;
 use arc_swap::ArcSwapOption;
@@ -44,26 +44,26 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// How long a watch waits for a change.
+/// Maximum time a watch call waits for a change.
 const WATCH_TIMEOUT: Duration = Duration::from_secs(55);
 
-/// The least time from one answer of the watch to the next call.
+/// Minimum delay between a watch response and the next call.
 const WATCH_INTERVAL_MIN: Duration = Duration::from_millis(200);
 
-/// How often an instance that holds no watch asks whether it should.
+/// How often a non-watcher checks whether it has become a watcher.
 const ROLE_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Over how long instances spread their reading of chunks: 600 instances that
-/// read five values each are then 100 calls a second.
+/// Maximum random delay before reading chunks, which limits the load on the
+/// store when all instances reload.
 const LOAD_JITTER_MAX: Duration = Duration::from_secs(30);
 
-/// The client blocks in force. Clones share them; readers never wait.
+/// The active client blocks. Clones share them; reads are lock-free.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ActiveBlocks(Arc<ArcSwapOption<ClientBlocks>>);
 
 impl ActiveBlocks {
-    /// Returns the region that serves a client: that of its site or, where
-    /// `is_live` says no of it, that of the first alternative with a live one.
+    /// Returns the region that serves a client: the region of its site, or the
+    /// first live alternative. If none is live, the region of the site.
     pub(crate) fn region_of(
         &self,
         client: IpAddr,
@@ -83,7 +83,7 @@
     }
 }
 
-/// Follows the client blocks of store and mesh.
+/// Updates the client blocks from the store and the mesh.
 #[derive(Clone, Debug)]
 pub(crate) struct BlocksUpdater {
     pub(crate) active: ActiveBlocks,
@@ -92,17 +92,17 @@
     pub(crate) recorder: Recorder,
 }
 
-/// Why a manifest could not be put into force.
+/// Why a manifest could not be applied.
 #[derive(Debug)]
 enum ApplyError {
-    /// It is not valid.
+    /// The manifest or its blocks are invalid.
     Rejected(String),
-    /// The store did not give its chunks; they are asked for again.
+    /// The chunks could not be read from the store; the load is retried.
     Unavailable,
 }
 
 impl BlocksUpdater {
-    /// Follows both for good.
+    /// Runs until the process ends.
     pub(crate) async fn run(self) {
         let changes = self.mesh.configuration_changes();
         let (sender, manifests) = smol::channel::bounded(1);
@@ -125,14 +125,14 @@
                     backoff.succeeded();
                     Timer::after(WATCH_INTERVAL_MIN).await;
                 }
-                // The store is not to blame: it was not asked.
+                // The call was not sent, so the store's backoff is unchanged.
                 Err(StoreError::OverBudget { .. }) => drop(Timer::after(ROLE_CHECK_INTERVAL).await),
                 Err(_) => drop(Timer::after(backoff.failed(fastrand::f64())).await),
             }
         }
     }
 
-    /// Waits for one answer of the store and passes it on.
+    /// Waits for one watch response and forwards its manifest.
     async fn watch_once(
         &self,
         after: &mut StoreIndex,
@@ -142,7 +142,7 @@
             .store
             .watch(MANIFEST_KEY, *after, WATCH_TIMEOUT)
             .await?;
-        // An index that went back means that the store was set up anew.
+        // A lower index means that the store was recreated.
         let is_reset = listing.index < *after;
         *after = if is_reset {
             StoreIndex::ABSENT
@@ -155,13 +155,12 @@
         };
         if let Some(manifest) = self.decode(&entry.value) {
             self.publish(&manifest, entry.value);
-            // The receiver lives as long as this task.
+            // The receiver outlives this task.
             let _ = manifests.send(manifest).await;
         }
         Ok(())
     }
 
-    /// Gives a manifest to the mesh.
     fn publish(&self, manifest: &Manifest, value: Vec<u8>) {
         let Ok(organisation) = RESERVED_NAME.parse() else {
             return;
@@ -187,7 +186,7 @@
             return;
         }
         if let Some(manifest) = self.decode(&document.bytes) {
-            // The receiver lives as long as this task.
+            // The receiver outlives this task.
             let _ = manifests.send(manifest).await;
         }
     }
@@ -202,7 +201,7 @@
         }
     }
 
-    /// Puts manifests into force, the newest that has come.
+    /// Applies received manifests, preferring the newest after a failure.
     async fn apply_manifests(self, manifests: Receiver<Manifest>) {
         let mut backoff = Backoff::new(BackoffOptions::default());
         while let Ok(mut manifest) = manifests.recv().await {
@@ -236,9 +235,8 @@
         Ok(())
     }
 
-    /// Reads the chunks; later ones of many instances after a while, so that
-    /// they do not ask the store all at once. The first table is read at once,
-    /// for instances start one by one.
+    /// Reads the chunks from the store, after a random delay unless this is the
+    /// first load.
     async fn load(&self, manifest: &Manifest) -> Result<ClientBlocks, ApplyError> {
         if self.active.revision() > 0 {
             Timer::after(LOAD_JITTER_MAX.mul_f64(fastrand::f64())).await;
@@ -261,8 +259,8 @@
     }
 }
 
-/// Applies the newest changes, which takes tens of milliseconds, aside from
-/// the workers.
+/// Applies the changes of a manifest on the blocking pool, because this takes
+/// tens of milliseconds.
 async fn advance(
     manifest: Manifest,
     blocks: Arc<ClientBlocks>,
@@ -289,7 +287,7 @@
     }
 
     #[test]
-    fn verify_an_alternative_stands_in_for_a_region_without_instances() {
+    fn verify_an_alternative_replaces_a_region_without_live_instances() {
         let sites = SiteTable::new(vec![
             site("windhoek", "khomas", &["gobabis", "walvis"]),
             site("gobabis", "omaheke", &[]),
