--- a/crates/foxtide/src/configuration.rs
+++ b/crates/foxtide/src/configuration.rs
@@ -1,8 +1,8 @@
-//! How configurations come into force at an instance.
+//! Applies configurations from the store and the mesh.
 //!
-//! The store's watch (held by few instances of each availability zone) and the
-//! mesh both bring documents. Each is offered to the tables, which take only a
-//! newer revision; what the store brought first is passed on to the mesh.
+//! A few instances of each availability zone watch the store and publish its
+//! documents to the mesh. The tables accept only documents with a newer
+//! revision.
 
 use crate::readiness::Readiness;
 use crate::store::NodeStore;
@@ -35,16 +35,15 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// The wait between two looks at whether the first configuration is there.
+/// How often a starting instance checks for its first configuration.
 const START_POLL_INTERVAL: Duration = Duration::from_millis(200);
 
-/// How long a start waits for peers where the store answers.
+/// How long a starting instance waits for peers once it has read the store.
 const JOIN_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// How many of the watch's reports may wait.
 const QUEUED_REPORTS_MAX: usize = 256;
 
-/// Brings configurations into force.
+/// Updates the configurations from the store and the mesh.
 #[derive(Clone, Debug)]
 pub(crate) struct ConfigurationUpdater {
     pub(crate) tables: Arc<Tables>,
@@ -59,8 +58,8 @@
 }
 
 impl ConfigurationUpdater {
-    /// Reads the first configuration from store and peers, then follows both
-    /// for good.
+    /// Fetches the first configuration, then follows the store and the mesh
+    /// until the process ends.
     pub(crate) async fn run(self) {
         let changes = self.mesh.configuration_changes();
         let mesh_task = self.clone().watch_mesh(changes);
@@ -71,9 +70,8 @@
         run_both(mesh_task, store_task).await;
     }
 
-    /// Returns once the newest that store and peers know is in force. Where
-    /// the store is away the peers' word is enough; where no peer answers the
-    /// store's is.
+    /// Waits for the first configuration: from the peers, or from the store if
+    /// the peers have none or do not answer in time.
     async fn start(&self) -> ConfigurationWatch<NodeStore, impl Fn() -> bool + Send + use<>> {
         let mesh = self.mesh.clone();
         let options = WatchOptions {
@@ -201,8 +199,8 @@
             ..EventFields::detail(detail)
         };
         if self.tables.apply(Arc::clone(&organisation)) == ApplyOutcome::Applied {
-            // Without waiting for the next look at the tables: an instance
-            // that says it is ready must serve what it has read.
+            // Not deferred to the traffic updater: a ready instance must serve
+            // the configuration that it has read.
             self.traffic.configure(&organisation, self.clock.now());
             self.recorder
                 .record(EventCode::ConfigurationApplied, fields);
@@ -210,7 +208,7 @@
     }
 }
 
-/// Returns what a document's latest change was, and whose.
+/// Describes the latest change of a document and its author.
 fn latest_change(organisation: &Organisation) -> String {
     let mut text = format!("{} {}", organisation.revision, organisation.change_id);
     if let Some(latest) = organisation.history.last() {
@@ -219,7 +217,7 @@
     text
 }
 
-/// Runs two tasks that end only with the process.
+/// Runs two tasks concurrently.
 async fn run_both(first: impl Future<Output = ()>, second: impl Future<Output = ()>) {
     smol::future::zip(first, second).await;
 }
--- a/crates/foxtide/src/tables.rs
+++ b/crates/foxtide/src/tables.rs
@@ -1,9 +1,7 @@
-//! What an instance knows: the configurations in force and the instances that
-//! callers may use.
+//! Shared tables of active configurations, members and available instances.
 //!
-//! Readers take a snapshot and never wait. Writers hold the one lock here,
-//! `write_lock`, while they build the next snapshot; nothing else is locked
-//! under it.
+//! Readers take a lock-free snapshot. Writers hold `write_lock` while they
+//! build the next snapshot; no other lock is taken under it.
 
 use arc_swap::ArcSwap;
 use foxtide_core::idempotency::OwnerId;
@@ -42,17 +40,17 @@
     write_lock: Mutex<()>,
 }
 
-/// What became of a document that an instance was shown.
+/// The outcome of [`Tables::apply`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ApplyOutcome {
-    /// It is newer than the one before it and now in force.
+    /// The document was newer and is now active.
     Applied,
-    /// The same or a newer revision is in force.
+    /// The same or a newer revision is already active.
     NotNewer(Revision),
 }
 
 impl Tables {
-    /// Returns the tables of the instance `own`, which knows nothing yet.
+    /// Creates empty tables for the instance `own`.
     pub fn new(own: InstanceId) -> Self {
         Self {
             own,
@@ -64,7 +62,7 @@
         }
     }
 
-    /// Puts a document into force if it is newer than the one in force.
+    /// Activates a document if its revision is newer than the active one.
     pub fn apply(&self, document: Arc<Organisation>) -> ApplyOutcome {
         let _guard = self.write_lock.lock();
         let current = self.organisations.load();
@@ -84,17 +82,17 @@
         &self.own
     }
 
-    /// Takes over what the mesh believes of all members.
+    /// Sets the members as reported by the mesh.
     pub fn set_members(&self, members: Vec<Member>) {
         self.members.store(Arc::new(members));
     }
 
-    /// Returns what the mesh believes of all members.
+    /// Returns the members as last reported by the mesh.
     pub fn members(&self) -> Arc<Vec<Member>> {
         self.members.load_full()
     }
 
-    /// Chooses anew which instances callers may use at `wall`.
+    /// Recomputes the instances that callers may use at `wall`.
     pub fn update_instances(&self, wall: WallTime) {
         let _guard = self.write_lock.lock();
         let organisations = self.organisations.load();
@@ -113,12 +111,12 @@
         self.instances.store(Arc::new(next));
     }
 
-    /// Returns all configurations in force.
+    /// Returns all active configurations.
     pub fn organisations(&self) -> Arc<Organisations> {
         self.organisations.load_full()
     }
 
-    /// Returns the configuration of an organisation that is in force.
+    /// Returns the active configuration of an organisation.
     pub fn organisation(&self, id: &OrganisationId) -> Option<Arc<Organisation>> {
         self.organisations.load().get(id).cloned()
     }
@@ -128,7 +126,7 @@
         Arc::clone(&self.instances.load())
     }
 
-    /// Returns where callers reach an instance whose process is thought to run.
+    /// Returns the caller address of an instance that is running.
     pub fn address_of(&self, instance: &InstanceId) -> Option<SocketAddr> {
         let members = self.members.load();
         let member = members.iter().find(|member| member.instance == *instance);
@@ -136,18 +134,18 @@
         running.map(|member| member.caller_address)
     }
 
-    /// Notes that this instance leaves.
+    /// Marks this instance as leaving.
     pub fn set_leaving(&self) {
         self.leaving.store(true, Ordering::Release);
     }
 
-    /// Tells whether this instance leaves.
+    /// Returns whether this instance is leaving.
     pub fn is_leaving(&self) -> bool {
         self.leaving.load(Ordering::Acquire)
     }
 }
 
-/// The instances and zones that announced drains keep callers from.
+/// The instances and availability zones with an active drain.
 #[derive(Debug, Default)]
 struct DrainedPlaces {
     instances: Vec<InstanceId>,
