--- a/crates/foxtide/src/event_backup.rs
+++ b/crates/foxtide/src/event_backup.rs
@@ -1,4 +1,4 @@
-//! Copies of the time line at peers, over the mesh's calls.
+//! Backs up the events of the time line at peers, through mesh calls.
 
 use foxtide_core::events::backup::{
     BackupPeer,
@@ -22,21 +22,19 @@
 use smol::Timer;
 use std::time::Duration;
 
-/// The time between two looks at what is to be copied.
 const COPY_INTERVAL: Duration = Duration::from_secs(1);
 
-/// How long a peer may take to keep what it is sent.
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// What one instance calls another for.
+/// The payload of a call to a peer.
 #[derive(Clone, PartialEq, prost::Message)]
 struct PeerCall {
-    /// Events to keep.
+    /// Events for the peer to store.
     #[prost(message, optional, tag = "1")]
     copies: Option<EventCopies>,
 }
 
-/// Copies this instance's events to peers and keeps theirs.
+/// Sends this instance's events to peers and stores theirs.
 #[derive(Clone, Debug)]
 pub(crate) struct EventBackup {
     pub(crate) time_line: TimeLine,
@@ -45,7 +43,7 @@
 }
 
 impl EventBackup {
-    /// Copies events for good.
+    /// Sends events that are due until the process ends.
     pub(crate) async fn send(self) {
         loop {
             Timer::after(COPY_INTERVAL).await;
@@ -63,7 +61,7 @@
         }
     }
 
-    /// Sends events to one peer. Without an answer they are due again later.
+    /// Sends events to one peer. Unacknowledged events become due again.
     async fn send_parcel(&self, parcel: Parcel) {
         let call = PeerCall {
             copies: Some(parcel.copies),
@@ -77,7 +75,7 @@
         }
     }
 
-    /// Keeps what peers send, for good.
+    /// Stores the events that peers send until the process ends.
     pub(crate) async fn receive(self) {
         let calls = self.mesh.incoming_calls();
         while let Ok(call) = calls.recv().await {
@@ -85,7 +83,7 @@
         }
     }
 
-    /// Answers a call; one that cannot be read is left without an answer.
+    /// Stores the events of a call and responds; ignores an invalid call.
     fn answer(&self, call: IncomingCall) {
         let copies = PeerCall::decode(&call.bytes[..])
             .ok()
