--- a/crates/foxtide/src/instance_list.rs
+++ b/crates/foxtide/src/instance_list.rs
@@ -1,9 +1,8 @@
-//! Takes hints for joining the fleet from the platform's list of instances.
+//! Reads seed addresses from the platform's list of instances.
 //!
-//! The settings' seeds may all have been replaced since they were written. An
-//! instance that knows no other asks the list often; afterwards only the
-//! instances that watch the store do, so that parts of the fleet that lost
-//! each other find together again and the list is not asked by all.
+//! The seeds in the settings may be outdated. An instance without peers polls
+//! the list frequently. Afterwards only the instances that watch the store
+//! poll it, so that a partitioned mesh can rejoin.
 
 use foxtide_config::read_instance_list;
 use foxtide_mesh::MeshHandle;
@@ -11,16 +10,15 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// How long the list may take to answer.
 const READ_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// The mean time between two readings before this instance has joined.
+/// The mean poll interval while this instance has no peers.
 const JOINING_INTERVAL: Duration = Duration::from_secs(1);
 
-/// The mean time between two readings afterwards.
+/// The mean poll interval once this instance has joined.
 const JOINED_INTERVAL: Duration = Duration::from_secs(30);
 
-/// Follows the list, if there is one, for good.
+/// Polls the list, if one is configured, until the process ends.
 pub(crate) async fn poll(list: Option<SocketAddr>, mesh: MeshHandle) {
     let Some(list) = list else {
         return;
@@ -33,12 +31,11 @@
             true => JOINING_INTERVAL,
             false => JOINED_INTERVAL,
         };
-        // Between half and one and a half of the interval.
+        // 0.5 to 1.5 times the interval.
         Timer::after(interval.mul_f64(0.5 + fastrand::f64())).await;
     }
 }
 
-/// Tells whether this instance has found no other yet.
 fn has_no_peers(mesh: &MeshHandle) -> bool {
     mesh.members().len() <= 1
 }
@@ -50,7 +47,7 @@
             "read"
         }
         Err(error) => {
-            log::debug!("{error}");
+            log::debug!("cannot read seed addresses: {error}");
             "failed"
         }
     };
--- a/crates/foxtide/src/store.rs
+++ b/crates/foxtide/src/store.rs
@@ -1,4 +1,4 @@
-//! The store as an instance uses it: over HTTP, within the fleet's budget.
+//! Opens the HTTP store and keeps its call budget up to date.
 
 use foxtide_config::{
     BudgetOptions,
@@ -21,16 +21,15 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// The store of an instance.
+/// The store client of an instance.
 pub(crate) type NodeStore = BudgetedStore<HttpStore>;
 
-/// The time between two counts of the fleet.
 const BUDGET_UPDATE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Returns the store that the settings name.
+/// Opens the store at the configured address.
 ///
-/// Until the mesh tells otherwise the instance takes itself for the only one,
-/// which lets it read its configuration at once; its bucket bounds the burst.
+/// The budget initially assumes a fleet of one instance, so that the
+/// configuration can be read at once; the token bucket bounds the burst.
 pub(crate) fn open(settings: &Settings) -> Arc<NodeStore> {
     let limits = &settings.limits.store;
     let store = HttpStore::new(HttpStoreOptions {
@@ -46,7 +45,7 @@
     Arc::new(BudgetedStore::new(store, &peer, budget))
 }
 
-/// Keeps the budget to the live members, for good.
+/// Adjusts the budget to the number of live members until the process ends.
 pub(crate) async fn update_budget(store: Arc<NodeStore>, mesh: MeshHandle) {
     loop {
         store.set_fleet(count_fleet(&mesh.members(), mesh.is_watcher()));
@@ -54,7 +53,7 @@
     }
 }
 
-/// Counts who shares the store's rates.
+/// Counts the members that share the store's call rates.
 fn count_fleet(members: &[Member], watches: bool) -> Fleet {
     let running = members.iter().filter(|member| member.state.is_running());
     let mut zone_counts: BTreeMap<&AvailabilityZoneId, usize> = BTreeMap::new();
