--- a/crates/foxtide/src/load_events.rs
+++ b/crates/foxtide/src/load_events.rs
@@ -1,4 +1,4 @@
-//! Events about figures that stop to arrive from a region.
+//! Derives events about regions whose load reports are stale.
 
 use foxtide_core::events::{
     EventCode,
@@ -15,32 +15,32 @@
 };
 use std::collections::BTreeSet;
 
-/// Tells which regions' figures are old, by what changed between two looks.
+/// Tracks the regions with stale load reports.
 #[derive(Debug, Default)]
 pub(crate) struct LoadEvents {
     stale: BTreeSet<(OrganisationId, RegionId)>,
 }
 
 impl LoadEvents {
-    /// Returns what changed since the last look at these organisations' views.
+    /// Returns events for the changes since the last update.
     pub(crate) fn update(&mut self, views: &[(OrganisationId, FleetView)]) -> Vec<EventDraft> {
         let regions = views.iter().flat_map(|(organisation, view)| {
             let stale = view.regions.iter().filter(|(_, region)| is_stale(region));
             stale.map(|(region, _)| (organisation.clone(), region.clone()))
         });
         let stale: BTreeSet<_> = regions.collect();
-        let lost = stale.difference(&self.stale);
-        let mut events: Vec<_> = lost
+        let became_stale = stale.difference(&self.stale);
+        let mut events: Vec<_> = became_stale
             .map(|it| event(EventCode::MeasurementsStale, it))
             .collect();
-        let found = self.stale.difference(&stale);
-        events.extend(found.map(|it| event(EventCode::MeasurementsFresh, it)));
+        let became_fresh = self.stale.difference(&stale);
+        events.extend(became_fresh.map(|it| event(EventCode::MeasurementsFresh, it)));
         self.stale = stale;
         events
     }
 }
 
-/// Tells whether none of a region's instances was heard of late.
+/// Returns whether a region has known instances but no live ones.
 fn is_stale(region: &RegionView) -> bool {
     region.known_instances > 0 && region.live_instances == 0
 }
@@ -72,7 +72,7 @@
     }
 
     #[test]
-    fn verify_old_figures_are_told_once_and_so_is_their_return() {
+    fn verify_stale_and_fresh_reports_are_recorded_once() {
         let mut events = LoadEvents::default();
         let mut codes = |live| {
             let recorded = events.update(&view(live));
--- a/crates/foxtide/src/member_events.rs
+++ b/crates/foxtide/src/member_events.rs
@@ -1,4 +1,4 @@
-//! Events about members, from what the mesh believes of them.
+//! Derives events from changes of the mesh's members.
 
 use foxtide_core::events::{
     EventCode,
@@ -20,13 +20,12 @@
     BTreeSet, //
 };
 
-/// Tells what changed between two looks at the members.
+/// Tracks the members, zones and regions.
 #[derive(Debug, Default)]
 pub(crate) struct MemberEvents {
     previous: Option<Snapshot>,
 }
 
-/// What one look showed.
 #[derive(Debug)]
 struct Snapshot {
     members: BTreeMap<InstanceId, MemberSnapshot>,
@@ -34,7 +33,6 @@
     unreachable_regions: BTreeSet<RegionId>,
 }
 
-/// What one look showed of a member.
 #[derive(Clone, Copy, Debug)]
 struct MemberSnapshot {
     state: MemberState,
@@ -42,8 +40,8 @@
 }
 
 impl MemberEvents {
-    /// Returns what changed since the last look; nothing at the first one, at
-    /// which a starting instance hears of all members at once.
+    /// Returns events for the changes since the last update. The first update
+    /// returns none, because a starting instance learns all members at once.
     pub(crate) fn update(&mut self, members: &[Member]) -> Vec<EventDraft> {
         let snapshot = Snapshot::new(members);
         let Some(before) = &self.previous else {
@@ -109,7 +107,7 @@
     }
 }
 
-/// Returns the places all of whose members are dead.
+/// Returns the places without a running member.
 fn unreachable_places<P: Ord + Clone>(
     members: &[Member],
     place: impl Fn(&Member) -> &P,
@@ -218,7 +216,7 @@
     }
 
     #[test]
-    fn verify_a_lost_region_is_told_once_and_so_is_its_return() {
+    fn verify_region_changes_are_recorded_once() {
         use MemberState::{
             Alive,
             Dead, //
--- a/crates/foxtide/src/observer.rs
+++ b/crates/foxtide/src/observer.rs
@@ -1,5 +1,5 @@
-//! Records what changes around an instance: members, its own role, plans,
-//! figures of other regions, services, and pauses of its own process.
+//! Records changes of members, load reports, plans, services and the own role,
+//! and stalls of the process.
 
 use crate::load_events::LoadEvents;
 use crate::member_events::MemberEvents;
@@ -23,14 +23,12 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// The time between two looks.
 const CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
-/// A look that comes later than this after the one before tells of a process
-/// that was paused or starved.
+/// Time between two checks above which the process counts as stalled.
 const STALL_THRESHOLD: Duration = Duration::from_secs(3);
 
-/// Looks once a second and records what is new.
+/// Periodically compares the state of the instance and records changes.
 #[derive(Clone, Debug)]
 pub(crate) struct Observer {
     pub(crate) recorder: Recorder,
@@ -40,7 +38,7 @@
     pub(crate) clock: SystemClock,
 }
 
-/// What the looks compare with.
+/// The state at the previous check.
 #[derive(Debug, Default)]
 struct PreviousState {
     members: MemberEvents,
@@ -51,7 +49,7 @@
 }
 
 impl Observer {
-    /// Looks for good.
+    /// Runs until the process ends.
     pub(crate) async fn run(self) {
         let mut previous = PreviousState::default();
         loop {
--- a/crates/foxtide/src/plan_events.rs
+++ b/crates/foxtide/src/plan_events.rs
@@ -1,5 +1,5 @@
-//! Events about what configurations plan: moves that start, pause and end,
-//! drains that start, upstreams that come and go.
+//! Derives events from configuration changes: planned moves, drains, and added
+//! or removed upstreams.
 
 use foxtide_core::events::{
     EventCode,
@@ -26,13 +26,12 @@
 };
 use std::sync::Arc;
 
-/// Tells what changed between two looks at the configurations in force.
+/// Tracks the plans of all organisations.
 #[derive(Debug, Default)]
 pub(crate) struct PlanEvents {
     previous: BTreeMap<OrganisationId, Snapshot>,
 }
 
-/// What one look showed of an organisation.
 #[derive(Debug, Default)]
 struct Snapshot {
     moves: BTreeMap<MoveId, Phase>,
@@ -40,7 +39,7 @@
     upstreams: BTreeSet<(ServiceId, UpstreamId)>,
 }
 
-/// How far a planned move is.
+/// The phase of a planned move.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Phase {
     Waiting,
@@ -50,8 +49,8 @@
 }
 
 impl PlanEvents {
-    /// Returns what changed since the last look; nothing of an organisation
-    /// that was not there before.
+    /// Returns events for the changes since the last update. A new organisation
+    /// yields none.
     pub(crate) fn update(
         &mut self,
         organisations: &BTreeMap<OrganisationId, Arc<Organisation>>,
@@ -160,8 +159,8 @@
     }
 }
 
-/// Returns the event of a drain of a region or zone; that of an upstream is
-/// told by its balancer, that of an instance by the members.
+/// Returns the event of a drain of a region or zone. The balancer reports
+/// drains of upstreams, and the member events those of instances.
 fn drain_event(drain: &Drain) -> Option<EventDraft> {
     let (region, place) = match &drain.target {
         DrainTarget::Region(region) => (Some(region.clone()), format!("region={region}")),
@@ -214,8 +213,8 @@
     }
 
     #[test]
-    fn verify_moves_are_told_from_start_to_end() {
-        // A tenth of the traffic at 0.01 a second, from second 100 on.
+    fn verify_move_phases_are_recorded() {
+        // Moves 10% of the traffic at 1% per second from 100 s on.
         let planned = r#"{"move":"m1","service":"viewer","from":"khomas","to":"oshana",
             "share":0.1,"pace_share_per_s":0.01,"start_us":100000000}"#;
         let document = organisation(planned, "", "v-1");
@@ -236,7 +235,7 @@
     }
 
     #[test]
-    fn verify_drains_and_upstreams_are_told() {
+    fn verify_drains_and_upstreams_are_recorded() {
         let drain = r#"{"drain":"d1","target":{"region":"khomas"},"start_us":5000000}"#;
         let mut events = PlanEvents::default();
         let before = organisation("", drain, "v-1");
