--- a/crates/foxtide/src/pages.rs
+++ b/crates/foxtide/src/pages.rs
@@ -1,4 +1,4 @@
-//! The pages for operators.
+//! Serves the admin pages for operators.
 
 use crate::promises::Promises;
 use crate::readiness::Readiness;
@@ -19,25 +19,21 @@
 
 const JSON_CONTENT_TYPE: &str = "application/json";
 
-/// How many explanations an answer holds where the query names no limit.
+/// The number of explanations returned if the query sets no limit.
 const EXPLANATIONS_DEFAULT_LIMIT: usize = 20;
 
 const METRICS_CONTENT_TYPE: &str = "text/plain; version=0.0.4";
 
-/// Answers operators from what the instance knows.
+/// The data behind the admin pages.
 #[derive(Debug)]
 pub(crate) struct AdminPages {
-    /// The configurations and instances.
     pub(crate) tables: Arc<Tables>,
-    /// The events of this instance and those kept for peers.
+    /// The events of this instance and those stored for peers.
     pub(crate) time_line: TimeLine,
-    /// Why look-ups and requests went where they did.
+    /// The routing decisions of look-ups and requests.
     pub(crate) explainer: Explainer,
-    /// Whether the promises hold.
     pub(crate) promises: Promises,
-    /// What renders the metrics.
     pub(crate) metrics: PrometheusHandle,
-    /// Whether callers can be served.
     pub(crate) readiness: Readiness,
 }
 
@@ -128,7 +124,7 @@
 }
 
 fn json(value: &impl Serialize) -> AdminPage {
-    // Types of this crate with names as keys always have a JSON form.
+    // Serialisation cannot fail: all map keys are strings.
     let body = serde_json::to_vec(value).unwrap_or_default();
     AdminPage {
         content_type: JSON_CONTENT_TYPE,
@@ -146,7 +142,7 @@
     parts.filter_map(|part| part.split_once('='))
 }
 
-/// Returns the events that a query asks for; none where a field is not valid.
+/// Parses an event query. Returns `None` if a value is invalid.
 fn event_filter(query: Option<&str>) -> Option<EventFilter> {
     let mut filter = EventFilter::default();
     for (name, text) in pairs(query) {
@@ -155,8 +151,7 @@
     Some(filter)
 }
 
-/// Returns the decisions that a query asks for; none where a field is not
-/// valid.
+/// Parses an explain query. Returns `None` if a value is invalid.
 fn explain_filter(query: Option<&str>) -> Option<ExplainFilter> {
     let mut filter = ExplainFilter {
         limit: Some(EXPLANATIONS_DEFAULT_LIMIT),
--- a/crates/foxtide/src/promises.rs
+++ b/crates/foxtide/src/promises.rs
@@ -1,7 +1,7 @@
-//! Measures once a second whether the promises hold.
+//! Samples the traffic once a second and checks the promises.
 //!
-//! Locks: one, around the monitors, held for one sample or one page and never
-//! together with another.
+//! The only lock guards the monitors; it is held for one sample or one page,
+//! and no other lock is taken under it.
 
 use crate::tables::Tables;
 use foxtide_core::events::{
@@ -36,16 +36,15 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// The time between two samples.
 const SAMPLE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// The promises of all organisations, as this instance measures them.
+/// The promise monitors of all organisations.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Promises {
     monitors: Arc<Mutex<BTreeMap<OrganisationId, PromiseMonitor>>>,
 }
 
-/// A promise as the operators' page shows it.
+/// A promise as shown on the admin page.
 #[derive(Debug, Serialize)]
 pub(crate) struct PromiseRow {
     organisation: OrganisationId,
@@ -53,7 +52,7 @@
     promise: Promise,
 }
 
-/// Takes the samples.
+/// Samples the traffic of all organisations.
 #[derive(Debug)]
 pub(crate) struct PromiseSampler {
     pub(crate) promises: Promises,
@@ -64,7 +63,7 @@
 }
 
 impl Promises {
-    /// Returns the promises to one organisation, or to all.
+    /// Returns the promises to one organisation, or to all if `None`.
     pub(crate) fn rows(&self, organisation: Option<&OrganisationId>) -> Vec<PromiseRow> {
         let monitors = self.monitors.lock();
         let wanted = monitors
@@ -91,7 +90,7 @@
 }
 
 impl PromiseSampler {
-    /// Takes samples for good.
+    /// Runs until the process ends.
     pub(crate) async fn run(self) {
         let mut broken = BTreeSet::new();
         loop {
@@ -111,8 +110,7 @@
         self.traffic.inspect(organisation, measure)
     }
 
-    /// Records each promise when it is first found broken and when it holds
-    /// again.
+    /// Records each promise that becomes broken or holds again.
     fn record_changes(
         &self,
         id: &OrganisationId,
