--- a/crates/foxtide/src/readiness.rs
+++ b/crates/foxtide/src/readiness.rs
@@ -1,7 +1,8 @@
-//! Whether an instance has all that it needs to serve callers.
+//! Tracks whether an instance is ready to serve callers.
 //!
-//! It needs the newest configuration, its peers' positions and its part of the
-//! sold rates. Until then it is a member that joins: look-ups do not name it.
+//! Readiness requires the newest configuration, the peers' positions and the
+//! instance's part of the sold rates. Until then the instance is a joining
+//! member that look-ups do not return.
 
 use std::sync::Arc;
 use std::sync::atomic::{
@@ -9,7 +10,7 @@
     Ordering, //
 };
 
-/// How far an instance has come; clones share it.
+/// The readiness of an instance. Clones share it.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Readiness {
     shared: Arc<Flags>,
@@ -22,22 +23,22 @@
 }
 
 impl Readiness {
-    /// Notes that the newest configuration that can be had is in force.
+    /// Marks the first configuration as applied.
     pub(crate) fn set_configured(&self) {
         self.shared.configured.store(true, Ordering::Release);
     }
 
-    /// Tells whether a configuration is in force.
+    /// Returns whether the first configuration is applied.
     pub(crate) fn is_configured(&self) -> bool {
         self.shared.configured.load(Ordering::Acquire)
     }
 
-    /// Notes that callers can be served; tells whether that is new.
+    /// Marks the instance as serving. Returns whether it was not before.
     pub(crate) fn set_serving(&self) -> bool {
         !self.shared.serving.swap(true, Ordering::AcqRel)
     }
 
-    /// Tells whether callers can be served.
+    /// Returns whether callers can be served.
     pub(crate) fn is_serving(&self) -> bool {
         self.shared.serving.load(Ordering::Acquire)
     }
--- a/crates/foxtide/src/signals.rs
+++ b/crates/foxtide/src/signals.rs
@@ -1,4 +1,4 @@
-//! Signals of the operating system, as a channel.
+//! Delivers operating system signals through channels.
 
 use signal_hook::consts::{
     SIGHUP,
@@ -10,24 +10,23 @@
 use std::io;
 use std::thread;
 
-/// The signals after which an instance stops gracefully.
+/// The signals that stop an instance gracefully.
 const STOP_SIGNALS: [i32; 2] = [SIGTERM, SIGINT];
 
 /// Returns a channel that receives the number of each stop signal.
 ///
 /// # Errors
 ///
-/// Fails where the handlers or the thread that waits for them cannot be set up.
+/// Returns an error if the handlers or their thread cannot be set up.
 pub fn stop_signals() -> io::Result<Receiver<i32>> {
     receive(&STOP_SIGNALS)
 }
 
-/// Returns a channel that receives the number of each signal that asks for the
-/// settings to be read again.
+/// Returns a channel that receives the number of each reload signal.
 ///
 /// # Errors
 ///
-/// Fails as [`stop_signals`] does.
+/// Returns an error in the same cases as [`stop_signals`].
 pub fn reload_signals() -> io::Result<Receiver<i32>> {
     receive(&[SIGHUP])
 }
--- a/crates/foxtide/src/traffic.rs
+++ b/crates/foxtide/src/traffic.rs
@@ -1,5 +1,5 @@
-//! Keeps the request path's decisions in step with what the instance knows,
-//! and tells peers what it decided.
+//! Updates the request path from configurations and members, and publishes its
+//! load reports to peers.
 
 use crate::readiness::Readiness;
 use crate::tables::Tables;
@@ -21,10 +21,9 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// The time between two looks at configurations and members.
 const UPDATE_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Hands configurations and the view of the fleet to the request path, and its
+/// Passes configurations and the fleet view to the request path, and its load
 /// reports to the mesh.
 #[derive(Debug)]
 pub(crate) struct TrafficUpdater {
@@ -37,7 +36,7 @@
 }
 
 impl TrafficUpdater {
-    /// Follows for good.
+    /// Runs until the process ends.
     pub(crate) async fn run(self) {
         let mut report_at = self.clock.now();
         loop {
@@ -64,7 +63,7 @@
         }
     }
 
-    /// Joins those that serve callers once every decision can be made.
+    /// Marks the instance as serving once all organisations are ready.
     fn update_readiness(&self, now: MonotonicTime) {
         if !self.readiness.is_configured() || self.readiness.is_serving() {
             return;
