--- a/crates/foxtide/src/command.rs
+++ b/crates/foxtide/src/command.rs
@@ -40,12 +40,12 @@
     pub version: bool,
 }
 
-/// Does what the command line says.
+/// Runs the command.
 ///
 /// # Errors
 ///
-/// Fails where the settings are wrong, an address cannot be bound or the
-/// instance cannot be stopped cleanly.
+/// Returns an error if the arguments or settings are invalid or the instance
+/// cannot start.
 pub fn run(command: &Command) -> Result<()> {
     if command.version {
         println!("foxtide {}", env!("CARGO_PKG_VERSION"));
--- a/crates/foxtide/src/lib.rs
+++ b/crates/foxtide/src/lib.rs
@@ -1,4 +1,4 @@
-//! The entry instance of foxtide: wires settings, store, mesh and the request
+//! The foxtide entry instance: combines settings, store, mesh and the request
 //! path into one [`node::Node`].
 
 mod client_blocks;
--- a/crates/foxtide/src/node/mod.rs
+++ b/crates/foxtide/src/node/mod.rs
@@ -1,4 +1,4 @@
-//! One entry instance: all its parts, from start to stop.
+//! Starts and stops an entry instance.
 
 mod options;
 mod parts;
@@ -42,23 +42,24 @@
 }
 
 impl Node {
-    /// Starts an instance; it serves once it has its configuration.
+    /// Starts an instance, which serves once it has its configuration.
     ///
     /// # Errors
     ///
-    /// Fails where an address cannot be bound or threads cannot be started.
+    /// Returns an error if an address cannot be bound or a thread cannot be
+    /// started.
     pub fn start(settings: &Settings) -> Result<Self> {
         Self::start_with(settings, NodeOptions::default())
     }
 
-    /// Starts an instance whose decisions are set otherwise than by default.
+    /// Starts an instance with options other than the defaults.
     ///
     /// # Errors
     ///
-    /// Fails as [`Node::start`] does.
+    /// Returns an error in the same cases as [`Node::start`].
     pub fn start_with(settings: &Settings, options: NodeOptions) -> Result<Self> {
         let workers = Workers::start(settings.workers).context("start the workers")?;
-        // Bound first: peers are told where callers connect.
+        // Bound first because peers need the caller address.
         let listeners = Listeners::bind(settings.caller.listen, settings.admin.listen)
             .context("start the request path")?;
         let caller_address = listeners.caller_address();
@@ -83,22 +84,22 @@
         })
     }
 
-    /// Returns where callers connect.
+    /// Returns the address for callers.
     pub fn caller_address(&self) -> SocketAddr {
         self.entry.caller_address()
     }
 
-    /// Returns where operators connect.
+    /// Returns the address of the admin pages.
     pub fn admin_address(&self) -> SocketAddr {
         self.entry.admin_address()
     }
 
-    /// Returns where peers connect.
+    /// Returns the address for peers.
     pub fn peer_address(&self) -> SocketAddr {
         self.mesh.peer_address()
     }
 
-    /// Returns the configurations and instances that are known.
+    /// Returns the tables of configurations and instances.
     pub fn tables(&self) -> &Arc<Tables> {
         &self.tables
     }
@@ -108,8 +109,8 @@
         &self.recorder
     }
 
-    /// Stops gracefully: leaves the look-ups, serves until callers' answers
-    /// have expired, ends what is in flight, then ends.
+    /// Stops gracefully: withdraws from look-ups, serves until look-up results
+    /// have expired, waits for requests in flight, then ends.
     pub async fn stop(self) {
         self.entry.drain().await;
         self.recorder
@@ -117,7 +118,7 @@
         self.kill();
     }
 
-    /// Ends at once, as a process that is killed does; for tests.
+    /// Stops without draining, as if the process were killed.
     pub fn kill(self) {
         self.mesh.stop();
         drop(self.tasks);
--- a/crates/foxtide/src/node/options.rs
+++ b/crates/foxtide/src/node/options.rs
@@ -1,4 +1,4 @@
-//! What the settings file says, as each part takes it.
+//! Converts settings into the options of each component.
 
 use anyhow::{
     Context,
@@ -41,17 +41,17 @@
 use std::time::Duration;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// What is set for an instance besides its settings file.
+/// Options of an instance that are not in its settings file.
 #[derive(Clone, Debug, Default)]
 pub struct NodeOptions {
-    /// Where requests go. Equal on all instances.
+    /// Steering options; must be equal on all instances.
     pub steering: SteeringOptions,
 }
 
-/// Draws what tells this process from others of the same instance.
+/// Returns a random number that identifies this process of the instance.
 pub(super) fn random_process_number() -> Result<ProcessNumber> {
     let number = SysRng.try_next_u64();
-    let number = number.context("draw the number of this process")?;
+    let number = number.context("generate a random process number")?;
     Ok(ProcessNumber::new(number))
 }
 
@@ -74,7 +74,7 @@
         cluster: settings.cluster.clone(),
         recorder: Some(recorder.clone()),
         starts_joining: true,
-        // Times in the view of the fleet then read as the request path's do.
+        // The fleet view must use the same clock as the request path.
         clock: clock.steady(),
         ..MeshOptions::default()
     };
--- a/crates/foxtide/src/node/parts.rs
+++ b/crates/foxtide/src/node/parts.rs
@@ -1,4 +1,4 @@
-//! What the request path works with.
+//! Implements the interfaces that the request path requires.
 
 use super::shared::Shared;
 use crate::client_blocks::ActiveBlocks;
@@ -29,7 +29,7 @@
 };
 use std::sync::Arc;
 
-/// What the request path works with.
+/// The components that the request path uses.
 #[derive(Debug)]
 pub(crate) struct NodeParts {
     directory: NodeDirectory,
@@ -42,7 +42,7 @@
 }
 
 impl NodeParts {
-    /// Returns the parts of an instance whose process is `owner`.
+    /// Creates the parts of the process `owner`.
     pub(super) fn new(shared: &Shared, owner: OwnerId) -> Self {
         Self {
             directory: NodeDirectory {
@@ -95,7 +95,7 @@
     }
 }
 
-/// The tables as the request path reads them, and the way to leave.
+/// The directory of instances, backed by the tables, blocks and mesh.
 #[derive(Debug)]
 pub(crate) struct NodeDirectory {
     tables: Arc<Tables>,
--- a/crates/foxtide/src/node/shared.rs
+++ b/crates/foxtide/src/node/shared.rs
@@ -1,4 +1,4 @@
-//! What the parts of one instance have in common.
+//! Creates the shared components of an instance and its background tasks.
 
 use super::options::{
     self,
@@ -50,10 +50,9 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// The time between two looks at the members and the announced drains.
 const MEMBERS_UPDATE_INTERVAL: Duration = Duration::from_millis(100);
 
-/// The tables and handles that the parts of one instance share.
+/// The tables and handles that the components of an instance share.
 #[derive(Clone, Debug)]
 pub(super) struct Shared {
     pub(super) tables: Arc<Tables>,
@@ -103,7 +102,6 @@
         })
     }
 
-    /// Returns the operators' pages.
     pub(super) fn pages(&self) -> AdminPages {
         AdminPages {
             tables: Arc::clone(&self.tables),
@@ -115,7 +113,7 @@
         }
     }
 
-    /// Starts all that goes on beside the request path.
+    /// Starts the background tasks.
     pub(super) fn start_tasks(&self, settings: &Settings, workers: &Workers) -> Vec<Task<()>> {
         let backup = self.event_backup();
         let instance_list = settings.instance_list_address;
@@ -199,7 +197,7 @@
     }
 }
 
-/// Keeps the tables' members and the instances for look-ups up to date.
+/// Updates the members and the instances for look-ups.
 async fn update_members(shared: Shared) {
     loop {
         shared.tables.set_members(shared.mesh.members());
