--- a/crates/foxtide/src/telemetry/mod.rs
+++ b/crates/foxtide/src/telemetry/mod.rs
@@ -1,4 +1,4 @@
-//! Logs and metrics of the process.
+//! Sets up logging and metrics.
 
 mod structured;
 mod writer;
@@ -13,30 +13,29 @@
 };
 use std::sync::OnceLock;
 
-/// The level at which numbered events are logged where `RUST_LOG` says nothing.
+/// The log filter if `RUST_LOG` is not set.
 const DEFAULT_LOG_FILTER: &str = "info";
 
-/// The upper bounds of the buckets of latency histograms, in seconds: from a
-/// look-up's time to the longest time limit of a request.
+/// Upper bounds of the latency histogram buckets, in seconds.
 const LATENCY_BUCKETS_S: [f64; 14] = [
     0.001, 0.005, 0.02, 0.05, 0.1, 0.2, 0.3, 0.5, 0.8, 1.0, 1.5, 3.0, 6.0, 12.0,
 ];
 
 static METRICS: OnceLock<PrometheusHandle> = OnceLock::new();
 
-/// Starts logging to standard error; a second call changes nothing.
+/// Starts logging to standard error. Has no effect if logging is set up.
 pub fn start_logging() {
     start_logging_at(DEFAULT_LOG_FILTER);
 }
 
-/// Starts logging with another level where `RUST_LOG` says nothing.
+/// Starts logging to standard error with `filter` if `RUST_LOG` is not set.
 pub fn start_logging_at(filter: &str) {
     let environment = env_logger::Env::default().default_filter_or(filter);
-    // A test or an example may have set up logging already: that one stays.
+    // A test or an example may already have set up logging.
     let _ = env_logger::Builder::from_env(environment).try_init();
 }
 
-/// Starts logging to standard output, one JSON object a line.
+/// Starts logging to standard output, one JSON object per line.
 pub fn start_structured_logging() {
     let environment = env_logger::Env::default().default_filter_or(DEFAULT_LOG_FILTER);
     let _ = env_logger::Builder::from_env(environment)
@@ -45,24 +44,24 @@
         .try_init();
 }
 
-/// Waits until the lines so far are on standard output, for 0.3 s at most.
+/// Waits for queued lines to be written, for a bounded time.
 pub(crate) fn flush_log() {
     writer::flush();
 }
 
-/// Starts to collect metrics, once a process, and returns the handle that
-/// renders them.
+/// Returns the handle that renders the metrics. The first call installs the
+/// recorder.
 pub fn start_metrics() -> PrometheusHandle {
     let start = || {
         let seconds = Matcher::Suffix("_seconds".to_owned());
         let builder = PrometheusBuilder::new();
-        // Fails only without buckets.
+        // Fails only if the bucket list is empty.
         let builder = builder
             .set_buckets_for_metric(seconds, &LATENCY_BUCKETS_S)
             .unwrap_or_default();
         let recorder = builder.build_recorder();
         let handle = recorder.handle();
-        // An embedding process may have its own recorder; ours then stays empty.
+        // If an embedding process has its own recorder, this one stays empty.
         let _ = metrics::set_global_recorder(recorder);
         handle
     };
--- a/crates/foxtide/src/telemetry/structured.rs
+++ b/crates/foxtide/src/telemetry/structured.rs
@@ -1,4 +1,4 @@
-//! Log lines as JSON objects.
+//! Formats log lines as JSON objects.
 
 use foxtide_core::ids::InstanceId;
 use log::Record;
@@ -22,20 +22,20 @@
     UNIX_EPOCH, //
 };
 
-/// The name of the instance, once its settings are read.
+/// The name of the instance, set once its settings are loaded.
 static INSTANCE: OnceLock<String> = OnceLock::new();
 
-/// Has all lines from now on name the instance that writes them.
+/// Sets the instance name that all further lines include.
 pub(crate) fn set_instance(instance: &InstanceId) {
-    // A process is one instance: the first name stays.
+    // A process runs one instance, so only the first name is used.
     INSTANCE.get_or_init(|| instance.to_string());
 }
 
-/// Writes a record as one line.
+/// Writes a record as one JSON line.
 ///
 /// # Errors
 ///
-/// Fails as the writer does.
+/// Returns the errors of the writer.
 pub(super) fn write_line(buffer: &mut impl Write, record: &Record<'_>) -> io::Result<()> {
     let mut fields = Fields(Map::new());
     let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH);
@@ -52,7 +52,7 @@
         let cause = error.to_string();
         fields.0.insert("unreadable_field".to_owned(), cause.into());
     }
-    // A numbered line has the event's name for its text.
+    // The text of a record with a `number` field is the event's name.
     let text_field = if fields.0.contains_key("number") {
         "event"
     } else {
--- a/crates/foxtide/src/telemetry/writer.rs
+++ b/crates/foxtide/src/telemetry/writer.rs
@@ -1,4 +1,5 @@
-//! Standard output behind a bounded queue, so that no request waits for it.
+//! Writes log lines to standard output from a thread, through a bounded queue,
+//! so that logging does not block requests.
 
 use foxtide_events::{
     EventCode,
@@ -24,39 +25,37 @@
     Instant, //
 };
 
-/// The most lines that wait to be written: 2 MB at 500 bytes a line.
+/// The queue capacity: about 2 MB at 500 bytes per line.
 const QUEUED_LINES_MAX: usize = 4_096;
 
-/// How long the end of the process waits for lines that are still to be written;
-/// where nobody reads them they are lost with it.
+/// How long the process waits for queued lines before it ends.
 const FLUSH_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// How often it is looked whether they are.
 const FLUSH_POLL_INTERVAL: Duration = Duration::from_millis(1);
 
-/// Lines that were put into the queue, and lines that were taken out and written.
+/// Lines that were submitted, and lines that were written or dropped.
 static QUEUED_LINES: AtomicU64 = AtomicU64::new(0);
 static WRITTEN_LINES: AtomicU64 = AtomicU64::new(0);
 
-/// Lines that found the queue full since the last line that was written.
+/// Lines dropped because of a full queue since the last report.
 static DROPPED_LINES: AtomicU64 = AtomicU64::new(0);
 
-/// Hands lines to a thread that writes them; drops those for which there is no
-/// room, and counts them.
+/// Queues lines for the writer thread. Drops and counts lines if the queue is
+/// full.
 #[derive(Debug)]
 pub(super) struct LineWriter {
     lines: SyncSender<Vec<u8>>,
 }
 
 impl LineWriter {
-    /// Starts the thread.
+    /// Starts the writer thread.
     pub(super) fn start() -> Self {
         let (lines, waiting) = sync_channel(QUEUED_LINES_MAX);
         let started = thread::Builder::new()
             .name("log".to_owned())
             .spawn(move || write_lines(&waiting));
         if let Err(error) = started {
-            eprintln!("foxtide: no thread writes the log: {error}");
+            eprintln!("foxtide: cannot start the log thread: {error}");
         }
         Self { lines }
     }
@@ -79,8 +78,7 @@
     }
 }
 
-/// Waits until the lines so far are written, for a bounded time: the last ones tell
-/// that the process has stopped.
+/// Waits up to [`FLUSH_TIMEOUT`] until the queued lines are written.
 pub(super) fn flush() {
     let ends_at = Instant::now() + FLUSH_TIMEOUT;
     let queued = QUEUED_LINES.load(Ordering::SeqCst);
@@ -101,7 +99,7 @@
         }
         let dropped = DROPPED_LINES.swap(0, Ordering::Relaxed);
         if dropped > 0 {
-            // The queue has room again by now.
+            // Logged after the queue was emptied, so that it has room.
             log_event!(EventCode::LinesDropped, lines = dropped);
         }
         if output
