--- a/crates/foxtide/src/platform/metrics.rs
+++ b/crates/foxtide/src/platform/metrics.rs
@@ -1,4 +1,4 @@
-//! The metrics of an instance, as text over HTTP.
+//! Serves the metrics of an instance as text over HTTP.
 
 use crate::telemetry;
 use anyhow::{
@@ -25,14 +25,13 @@
 
 const PATH: &str = "/metrics";
 
-/// The longest head of a question for metrics.
+/// Maximum size of a request head.
 const HEAD_MAX_BYTES: usize = 8 * 1_024;
 
-/// How long one who asks may take.
+/// Maximum time to receive and answer a request.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// How often the samples of histograms are taken in; until then each sample
-/// takes memory.
+/// How often histogram samples are aggregated, which frees their memory.
 const UPKEEP_INTERVAL: Duration = Duration::from_secs(5);
 
 /// The bound listener for metrics.
@@ -46,7 +45,7 @@
 ///
 /// # Errors
 ///
-/// Fails where the address cannot be bound.
+/// Returns an error if the address cannot be bound.
 pub(super) fn bind_metrics(address: SocketAddr) -> Result<MetricsListener> {
     let step = || format!("bind {address} for metrics");
     let socket = Async::<TcpListener>::bind(address).with_context(step)?;
@@ -55,12 +54,12 @@
 }
 
 impl MetricsListener {
-    /// Returns the address that is bound.
+    /// Returns the bound address.
     pub(super) fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Serves metrics for as long as the future is run.
+    /// Serves metrics until the future is dropped.
     pub(super) async fn serve(self) {
         let handle = telemetry::start_metrics();
         let upkeep = async {
@@ -73,7 +72,7 @@
     }
 }
 
-/// Answers one question after the other; there is one who asks.
+/// Serves connections sequentially; only one scraper is expected.
 async fn accept(listener: Async<TcpListener>, handle: PrometheusHandle) {
     loop {
         match listener.accept().await {
@@ -84,11 +83,11 @@
                     Err(MessageError::Truncated)
                 };
                 if let Err(error) = or(answering, timeout).await {
-                    log::debug!("metrics were not served to {peer}: {error}");
+                    log::debug!("cannot serve metrics to {peer}: {error}");
                 }
             }
             Err(error) => {
-                log::debug!("no question for metrics was accepted: {error}");
+                log::debug!("cannot accept a connection for metrics: {error}");
                 Timer::after(Duration::from_millis(20)).await;
             }
         }
--- a/crates/foxtide/src/platform/mod.rs
+++ b/crates/foxtide/src/platform/mod.rs
@@ -32,14 +32,15 @@
 use std::path::Path;
 use std::sync::Arc;
 
-/// Runs an instance until a stop signal, then stops it gracefully; metrics are
-/// served on `metrics_port` of the instance's address.
+/// Runs an instance until a stop signal, then stops it gracefully. Serves
+/// metrics on `metrics_port` of the instance's address.
 ///
-/// One thread runs all tasks: machines of the platform have a part of one core.
+/// All tasks run on one thread because platform machines have less than one
+/// core.
 ///
 /// # Errors
 ///
-/// Fails where the settings are wrong or an address cannot be bound.
+/// Returns an error if the settings are invalid or an address cannot be bound.
 pub fn run(metrics_port: Option<u16>) -> Result<()> {
     telemetry::start_structured_logging();
     let path = settings_path()?;
@@ -50,12 +51,12 @@
     smol::block_on(executor.run(serving))
 }
 
-/// Checks a settings file of the platform.
+/// Validates a settings file of the platform.
 ///
 /// # Errors
 ///
-/// Fails where the settings are wrong; the error names file, field and what is
-/// valid.
+/// Returns an error that names the file, the field and the valid values if the
+/// settings are invalid.
 pub fn check(file: &Path) -> Result<()> {
     let settings = PlatformSettings::load(file)?;
     let instance = settings.gateway.place.instance;
--- a/crates/foxtide/src/platform/reload.rs
+++ b/crates/foxtide/src/platform/reload.rs
@@ -1,4 +1,4 @@
-//! Reads the settings again when they may have changed.
+//! Reloads the settings on a signal or when the file changes.
 
 use crate::signals;
 use foxtide_events::{
@@ -22,10 +22,10 @@
     SystemTime, //
 };
 
-/// How often it is looked whether the file has changed without a signal.
+/// How often the modification time of the file is checked.
 const FILE_CHECK_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Puts changed bounds in force; what else has changed takes a restart.
+/// Applies changed bounds; other changes require a restart.
 pub(super) async fn reload(
     path: PathBuf,
     mut settings: PlatformSettings,
@@ -34,7 +34,7 @@
     let signals = match signals::reload_signals() {
         Ok(signals) => signals,
         Err(error) => {
-            log::error!("settings are not read again: {error}");
+            log::error!("cannot set up the reload signal; settings reload is disabled: {error}");
             return;
         }
     };
