--- a/crates/foxtide/tests/processes/mod.rs
+++ b/crates/foxtide/tests/processes/mod.rs
@@ -1,4 +1,4 @@
-//! Real instances, each its own process, before stand-ins of the platform.
+//! Starts instances as separate processes with mock platform services.
 
 use foxtide_testing::{
     HttpAnswer,
@@ -25,32 +25,32 @@
     Instant, //
 };
 
-const PATIENCE: Duration = Duration::from_secs(30);
-const POLL: Duration = Duration::from_millis(20);
+const TIMEOUT: Duration = Duration::from_secs(30);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Waits until `look` finds something; panics where it never does.
-pub(crate) async fn wait_for<T, F>(what: &str, mut look: impl FnMut() -> F) -> T
+/// Polls until `check` returns a value. Panics after [`TIMEOUT`].
+pub(crate) async fn wait_for<T, F>(what: &str, mut check: impl FnMut() -> F) -> T
 where
     F: Future<Output = Option<T>>,
 {
     let started = Instant::now();
     loop {
-        if let Some(found) = look().await {
+        if let Some(found) = check().await {
             return found;
         }
-        assert!(started.elapsed() < PATIENCE, "waited in vain for {what}");
-        smol::Timer::after(POLL).await;
+        assert!(started.elapsed() < TIMEOUT, "timed out waiting for {what}");
+        smol::Timer::after(POLL_INTERVAL).await;
     }
 }
 
-/// The platform: a store with one organisation, and its upstream.
+/// A store with one organisation, and the upstream of its service.
 pub(crate) struct Platform {
     pub(crate) store: StoreServer,
     pub(crate) upstream: UpstreamServer,
 }
 
 impl Platform {
-    /// Starts the stand-ins.
+    /// Starts the mock services.
     pub(crate) async fn start() -> Self {
         let store = StoreServer::start(StoreOptions::default()).await.unwrap();
         let upstream = UpstreamServer::start(UpstreamOptions::default())
@@ -85,9 +85,9 @@
     .to_string()
 }
 
-/// Files a notice under a key, again for as long as it is refused as not run;
-/// nothing where no whole answer came.
-pub(crate) async fn file(caller: SocketAddr, key: String) -> Option<HttpAnswer> {
+/// Sends a notice with a key until its outcome is not `not-run`. Returns `None`
+/// if no complete response arrives.
+pub(crate) async fn send_notice(caller: SocketAddr, key: String) -> Option<HttpAnswer> {
     let path = "/hamutenya/notices/new";
     let headers = [("idempotency-key", key.as_str())];
     loop {
@@ -96,7 +96,7 @@
         if answer.header("foxtide-outcome") != Some("not-run") {
             return Some(answer);
         }
-        smol::Timer::after(POLL).await;
+        smol::Timer::after(POLL_INTERVAL).await;
     }
 }
 
@@ -111,7 +111,7 @@
 impl InstanceProcess {
     /// Starts an instance and waits until it serves.
     pub(crate) async fn start(name: &str, platform: &Platform, seeds: &[SocketAddr]) -> Self {
-        // Tests run side by side and name their instances alike.
+        // Concurrent tests may use the same instance names.
         let store_port = platform.store.address().port();
         let directory = env!("CARGO_TARGET_TMPDIR");
         let file = format!("{directory}/at-most-once-{name}-{store_port}.jsonc");
@@ -138,7 +138,7 @@
         instance
     }
 
-    /// Asks for the name that keys for this process carry.
+    /// Returns the owner name that keys minted for this process contain.
     pub(crate) async fn owner(&self) -> String {
         let path = "/v1/lookup?organisation=hamutenya&service=notices";
         let answer = http_call(self.caller, Method::Get, path, &[], b"").await;
@@ -146,25 +146,24 @@
         owner.header("foxtide-owner").unwrap().to_owned()
     }
 
-    /// Kills the process at once.
     pub(crate) fn kill(&mut self) {
         self.child.kill().unwrap();
         self.child.wait().unwrap();
     }
 
-    /// Kills the process and starts another of the same name.
+    /// Kills the process and starts another with the same name.
     pub(crate) async fn replace(&mut self, platform: &Platform, seeds: &[SocketAddr]) {
         self.kill();
         *self = Self::start(&self.name.clone(), platform, seeds).await;
     }
 
-    /// Stops the process without ending it, as a paused machine does.
+    /// Suspends the process with SIGSTOP.
     pub(crate) fn pause(&self) {
         self.signal("-STOP");
     }
 
-    /// Lets a paused process go on.
-    pub(crate) fn wake(&self) {
+    /// Resumes a paused process.
+    pub(crate) fn resume(&self) {
         self.signal("-CONT");
     }
 
@@ -192,13 +191,13 @@
     .to_string()
 }
 
-/// Reads the addresses from the process's first event, and lets the rest of
-/// its log flow on.
+/// Reads the addresses from the start event, then forwards the log to standard
+/// error.
 fn addresses(child: &mut Child) -> (SocketAddr, SocketAddr, SocketAddr) {
     let mut log = BufReader::new(child.stderr.take().unwrap()).lines();
     let started = log.find_map(|line| line.ok().filter(|line| line.contains("caller=")));
     std::thread::spawn(move || log.for_each(|line| eprintln!("{}", line.unwrap_or_default())));
-    let started = started.expect("the process tells its addresses");
+    let started = started.expect("the process logs its addresses");
     let field = |name: &str| {
         let mut words = started.split([' ', '"']);
         let value = words.find_map(|word| word.strip_prefix(name)).unwrap();
