--- a/crates/foxtide/tests/client_blocks.rs
+++ b/crates/foxtide/tests/client_blocks.rs
@@ -1,5 +1,5 @@
-//! Client blocks come into force at every instance, also where the store went
-//! away meanwhile.
+//! Client blocks are applied at every instance, even if the store fails after
+//! one instance has read them.
 
 use foxtide::node::Node;
 use foxtide_config::blocks;
@@ -30,8 +30,8 @@
     Instant, //
 };
 
-const PATIENCE: Duration = Duration::from_secs(30);
-const POLL: Duration = Duration::from_millis(50);
+const TIMEOUT: Duration = Duration::from_secs(30);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 fn settings(name: &str, store: SocketAddr, seeds: &[SocketAddr]) -> Settings {
     let any_port = serde_json::json!({"listen": "127.0.0.1:0"});
@@ -59,7 +59,7 @@
     }
 }
 
-/// Waits until an instance says that a revision is in force.
+/// Waits until an instance has applied a revision.
 async fn wait_for_revision(node: &Node, revision: u64) {
     let started = Instant::now();
     let wanted = format!("revision={revision} ");
@@ -80,13 +80,16 @@
             );
             return;
         }
-        assert!(started.elapsed() < PATIENCE, "waited in vain for {wanted}");
-        smol::Timer::after(POLL).await;
+        assert!(
+            started.elapsed() < TIMEOUT,
+            "timed out waiting for {wanted}"
+        );
+        smol::Timer::after(POLL_INTERVAL).await;
     }
 }
 
 #[test]
-fn verify_blocks_come_into_force_everywhere() {
+fn verify_blocks_are_applied_at_all_instances() {
     smol::block_on(async {
         let server = StoreServer::start(StoreOptions::default()).await.unwrap();
         let store = HttpStore::new(HttpStoreOptions {
