--- a/crates/foxtide/tests/docs.rs
+++ b/crates/foxtide/tests/docs.rs
@@ -1,4 +1,4 @@
-//! The pages name every dependency, and their links lead somewhere.
+//! Checks the links, dependencies and events in the documentation.
 
 use foxtide_core::events::EventCode;
 use std::fs;
@@ -11,21 +11,21 @@
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../..")
 }
 
-/// Returns the pages of the repository.
+/// Returns the Markdown files of the repository.
 fn pages() -> Vec<PathBuf> {
     files(&root(), "md")
 }
 
-/// Returns the files of a kind below a directory, `target` and hidden ones
-/// left out.
-fn files(directory: &Path, kind: &str) -> Vec<PathBuf> {
+/// Returns the files with an extension below a directory, without `target` and
+/// hidden directories.
+fn files(directory: &Path, extension: &str) -> Vec<PathBuf> {
     let mut found = Vec::new();
     for entry in fs::read_dir(directory).unwrap() {
         let path = entry.unwrap().path();
         let name = path.file_name().unwrap().to_str().unwrap();
         if path.is_dir() && name != "target" && !name.starts_with('.') {
-            found.extend(files(&path, kind));
-        } else if path.extension().is_some_and(|extension| extension == kind) {
+            found.extend(files(&path, extension));
+        } else if path.extension().is_some_and(|found| found == extension) {
             found.push(path);
         }
     }
@@ -57,14 +57,17 @@
 }
 
 #[test]
-fn verify_every_dependency_is_justified() {
+fn verify_every_dependency_is_documented() {
     let manifest = fs::read_to_string(root().join("Cargo.toml")).unwrap();
     let page = fs::read_to_string(root().join("docs/DEPENDENCIES.md")).unwrap();
     let section = manifest.split("[workspace.dependencies]").nth(1).unwrap();
     let section = section.split("\n[").next().unwrap();
     let names = section.lines().filter_map(|line| line.split_once(" = "));
     for (name, _) in names.filter(|(name, _)| !name.starts_with("foxtide")) {
-        assert!(page.contains(&format!("`{name}`")), "{name} has no line");
+        assert!(
+            page.contains(&format!("`{name}`")),
+            "{name} is not listed in docs/DEPENDENCIES.md"
+        );
     }
 }
 
@@ -78,7 +81,7 @@
 }
 
 #[test]
-fn verify_pages_name_only_events_that_there_are() {
+fn verify_pages_name_only_known_events() {
     let catalogue = fs::read_to_string(root().join("docs/EVENTS.md")).unwrap();
     let known: Vec<&str> = event_numbers(&catalogue).collect();
     for page in pages() {
@@ -98,6 +101,6 @@
     let text: String = texts.collect();
     for code in EventCode::ALL {
         let name = format!("EventCode::{code:?}");
-        assert!(text.contains(&name), "{code} is recorded nowhere");
+        assert!(text.contains(&name), "no source file records {code}");
     }
 }
