--- a/crates/foxtide/tests/explain_failures.rs
+++ b/crates/foxtide/tests/explain_failures.rs
@@ -1,8 +1,6 @@
-//! From the identity of a failed request in a caller's hand to its cause, by the
-//! lines of the real program.
+//! Explains failed requests by their identity, from the logs of a real process.
 
-// The stand-ins of the soak, which speak the platform's protocol. Each test uses a
-// part of them.
+// Mock platform services of the soak example, only some of which are used here.
 #[allow(dead_code)]
 #[path = "../../../platform/examples/soak/callers.rs"]
 mod callers;
@@ -62,8 +60,7 @@
     Upstream, //
 };
 
-/// How long a condition may take to hold before a test fails.
-const PATIENCE: Duration = Duration::from_secs(30);
+const TIMEOUT: Duration = Duration::from_secs(30);
 
 /// One instance with an upstream of each service.
 struct Fleet {
@@ -97,13 +94,13 @@
             notices,
             instance,
         };
-        eventually("the instance serves", || {
+        wait_until("the instance serves", || {
             fleet.instance.callers().is_some() && fleet.request("start", true) == Some(200)
         });
         fleet
     }
 
-    /// Sends a request on a connection of its own and returns the status.
+    /// Sends a request on a new connection and returns the status.
     fn request(&self, request: &str, is_idempotent: bool) -> Option<u16> {
         smol::block_on(send(self.callers(), request.to_owned(), is_idempotent))
     }
@@ -112,7 +109,7 @@
         self.instance.callers().expect("the instance has started")
     }
 
-    /// Returns what the operator's tool says of a request, once its line is there.
+    /// Returns foxtidectl's explanation of a request once its end is logged.
     fn explanation(&self, request: &str) -> String {
         let log = self.instance.log().display().to_string();
         let arguments = ["explain", "request", request, "--lines", &log].map(str::to_owned);
@@ -122,15 +119,15 @@
             let text = String::from_utf8(output).unwrap();
             (status == ExitStatus::Done && !text.contains("its end is not")).then_some(text)
         };
-        eventually("the request is explained", || explain().is_some());
+        wait_until("the request is explained", || explain().is_some());
         explain().unwrap()
     }
 }
 
-fn eventually(what: &str, holds: impl Fn() -> bool) {
-    let ends_at = Instant::now() + PATIENCE;
+fn wait_until(what: &str, holds: impl Fn() -> bool) {
+    let deadline = Instant::now() + TIMEOUT;
     while !holds() {
-        assert!(Instant::now() < ends_at, "never: {what}");
+        assert!(Instant::now() < deadline, "timed out waiting until {what}");
         std::thread::sleep(Duration::from_millis(10));
     }
 }
@@ -149,12 +146,12 @@
 }
 
 #[test]
-fn verify_a_refusal_for_want_of_room_is_explained() {
+fn verify_a_refusal_by_a_full_upstream_is_explained() {
     let fleet = Fleet::start("explain-room");
     fleet.viewer.set(Manner::Slow);
     let callers = fleet.callers();
     let refused = smol::block_on(async {
-        // The upstream takes 11 at once.
+        // The upstream accepts 11 concurrent requests.
         let sending: Vec<_> = (0..30)
             .map(|number| {
                 let request = format!("many-{number}");
@@ -170,7 +167,7 @@
         }
         refused
     });
-    let explanation = fleet.explanation(&refused.expect("one of them is refused"));
+    let explanation = fleet.explanation(&refused.expect("a request is refused"));
     assert!(
         explanation.contains("cause: status 503: it did not run"),
         "{explanation}"
@@ -201,17 +198,17 @@
 }
 
 #[test]
-fn verify_a_decision_from_old_knowledge_is_explained() {
+fn verify_a_decision_during_a_store_outage_is_explained() {
     let fleet = Fleet::start("explain-outage");
     fleet.store.set(Trouble::Silent);
     let lines = || std::fs::read_to_string(fleet.instance.log()).unwrap();
-    eventually("the outage is noticed", || {
+    wait_until("the outage is noticed", || {
         lines().contains("store-unreachable")
     });
-    // The zone's evacuation does not reach the instance, which goes on sending there.
+    // The instance does not learn of the evacuation and keeps sending to the zone.
     fleet.store.evacuate("khomas-a", true);
     let began = Instant::now();
-    eventually("its knowledge is old", || {
+    wait_until("its configuration is stale", || {
         began.elapsed() > Duration::from_secs(3)
     });
     assert_eq!(fleet.request("blind", true), Some(200));
