--- a/crates/foxtide/tests/imports.rs
+++ b/crates/foxtide/tests/imports.rs
@@ -1,6 +1,5 @@
-//! Imports have the vertical form of the Linux kernel's Rust guidelines: one
-//! item a line, and a `//` after the last, which makes rustfmt keep it.
-//! `.ci/imports && cargo fmt --all` brings all files into it.
+//! Checks that imports list one item per line and end with `//`, which makes
+//! rustfmt keep this form. `.ci/imports && cargo fmt --all` produces it.
 
 use std::fs;
 use std::path::{
@@ -8,18 +7,18 @@
     PathBuf, //
 };
 
-fn sources(folder: &Path, found: &mut Vec<PathBuf>) {
+fn collect_sources(folder: &Path, found: &mut Vec<PathBuf>) {
     for entry in fs::read_dir(folder).unwrap() {
         let path = entry.unwrap().path();
         if path.is_dir() {
-            sources(&path, found);
+            collect_sources(&path, found);
         } else if path.extension().is_some_and(|extension| extension == "rs") {
             found.push(path);
         }
     }
 }
 
-/// Returns the import statements that hold groups.
+/// Returns the import statements with brace groups.
 fn groups(text: &str) -> Vec<String> {
     let mut statements = Vec::new();
     let mut open: Option<String> = None;
@@ -41,7 +40,7 @@
     statements
 }
 
-/// Tells whether each group of a statement ends with an item and `//`.
+/// Returns whether each group of a statement ends with an item and `//`.
 fn is_vertical(statement: &str) -> bool {
     let lines: Vec<&str> = statement.lines().collect();
     let mut ends = (0..lines.len()).filter(|place| lines[*place].contains('}'));
@@ -49,7 +48,7 @@
 }
 
 #[test]
-fn verify_groups_are_told_apart() {
+fn verify_flat_and_vertical_groups_are_distinguished() {
     let flat = "use std::io::{Read, Write};\n";
     let vertical = "use std::io::{\n    Read,\n    Write, //\n};\n";
     assert_eq!(groups(flat).len(), 1);
@@ -62,7 +61,7 @@
 fn verify_imports_are_vertical() {
     let crates = Path::new(env!("CARGO_MANIFEST_DIR")).join("..");
     let mut files = Vec::new();
-    sources(&crates, &mut files);
+    collect_sources(&crates, &mut files);
     assert!(files.len() > 100, "{} files found", files.len());
     for file in files {
         let text = fs::read_to_string(&file).unwrap();
