--- a/crates/foxtide/tests/instance_list.rs
+++ b/crates/foxtide/tests/instance_list.rs
@@ -1,4 +1,4 @@
-//! An instance without seeds joins through the platform's list.
+//! An instance without seeds joins through the platform's list of instances.
 
 use foxtide::node::Node;
 use foxtide_config::Settings;
@@ -18,8 +18,8 @@
     Instant, //
 };
 
-const PATIENCE: Duration = Duration::from_secs(30);
-const POLL: Duration = Duration::from_millis(50);
+const TIMEOUT: Duration = Duration::from_secs(30);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 fn settings(name: &str, store: SocketAddr, list: SocketAddr) -> Settings {
     let any_port = serde_json::json!({"listen": "127.0.0.1:0"});
@@ -31,8 +31,8 @@
     Settings::parse(name, &text.to_string()).unwrap()
 }
 
-/// Returns how many instances an instance knows.
-async fn known(node: &Node) -> usize {
+/// Returns the number of instances that an instance knows.
+async fn known_instances(node: &Node) -> usize {
     let answer = http_call(node.admin_address(), Method::Get, "/v1/instances", &[], b"").await;
     let rows: serde_json::Value = serde_json::from_slice(&answer.unwrap().body).unwrap();
     rows.as_array().map_or(0, Vec::len)
@@ -56,12 +56,12 @@
         }]);
         let second = Node::start(&settings("k-2", store.address(), list.address())).unwrap();
         let started = Instant::now();
-        while known(&first).await < 2 || known(&second).await < 2 {
+        while known_instances(&first).await < 2 || known_instances(&second).await < 2 {
             assert!(
-                started.elapsed() < PATIENCE,
-                "waited in vain for the second to join"
+                started.elapsed() < TIMEOUT,
+                "timed out waiting for the second instance to join"
             );
-            smol::Timer::after(POLL).await;
+            smol::Timer::after(POLL_INTERVAL).await;
         }
         first.kill();
         second.kill();
