--- a/crates/foxtide/tests/platform.rs
+++ b/crates/foxtide/tests/platform.rs
@@ -1,5 +1,4 @@
-//! The real program on the platform's settings: command line, logs, metrics,
-//! signals.
+//! Runs the program with platform settings: command line, logs, metrics, signals.
 
 use foxtide_http::{
     BufferedStream,
@@ -22,13 +21,13 @@
     Stdio, //
 };
 
-/// The name of the variable that tells where the settings are, as the platform
-/// sets it; put together so that only the adapter spells it out.
+/// Returns the environment variable with the settings path. Joined from parts so
+/// that only the platform adapter contains the full name.
 fn settings_variable() -> String {
     ["FOXTIDE", "CONFIG"].join("_")
 }
 
-/// Settings with an own port for each listener and a store that is not there.
+/// Returns settings with free ports for all listeners and an unreachable store.
 fn settings(burst: u32) -> String {
     let name = ["node", "Name"].concat();
     let burst_name = ["retry", "Burst"].concat();
@@ -78,10 +77,10 @@
         }
     }
 
-    /// Returns the next line about an event.
-    fn await_event(&mut self, event: &str) -> Value {
+    /// Returns the next log line of an event.
+    fn wait_for_event(&mut self, event: &str) -> Value {
         loop {
-            let line = self.lines.next().expect("the process goes on").unwrap();
+            let line = self.lines.next().expect("the process still runs").unwrap();
             let line: Value = serde_json::from_str(&line).unwrap();
             if line["event"] == event {
                 return line;
@@ -117,17 +116,17 @@
 #[test]
 fn verify_signals_logs_and_metrics_of_the_program() {
     let mut process = Process::start("platform-signals.toml");
-    let started = process.await_event("process-started");
+    let started = process.wait_for_event("process-started");
     assert_eq!(started["number"], 1001);
     let callers = started["callers"].as_str().unwrap().to_owned();
     let metrics = started["metrics"].as_str().unwrap();
     let metrics = metrics.trim_start_matches("Some(").trim_end_matches(')');
-    let lost = process.await_event("store-unreachable");
+    let lost = process.wait_for_event("store-unreachable");
     assert!(lost["cause"].as_str().unwrap().contains("127.0.0.1:9"));
 
     let response = get(&callers, "/nothing/");
     assert_eq!(response.head.status, 503);
-    let failed = process.await_event("request-failed");
+    let failed = process.wait_for_event("request-failed");
     assert_eq!(failed["reason"], "no_configuration_yet");
     let text = String::from_utf8(get(metrics, "/metrics").body).unwrap();
     assert!(text.contains("foxtide_requests_total"), "{text}");
@@ -136,27 +135,27 @@
 
     fs::write(&process.settings, settings(50)).unwrap();
     process.signal("-HUP");
-    let reloaded = process.await_event("settings-reloaded");
+    let reloaded = process.wait_for_event("settings-reloaded");
     assert_eq!(reloaded["bounds_changed"], true);
     assert_eq!(reloaded["needs_restart"], false);
     fs::write(&process.settings, "nonsense").unwrap();
     process.signal("-HUP");
-    let rejected = process.await_event("settings-rejected");
+    let rejected = process.wait_for_event("settings-rejected");
     let cause = rejected["cause"].as_str().unwrap();
     assert!(cause.contains("platform-signals.toml"), "{cause}");
 
     process.signal("-TERM");
-    process.await_event("process-stopping");
-    process.await_event("process-stopped");
+    process.wait_for_event("process-stopping");
+    process.wait_for_event("process-stopped");
     assert!(process.child.wait().unwrap().success());
 }
 
 #[test]
-fn verify_a_reader_that_stops_reading_delays_nothing() {
+fn verify_unread_output_does_not_block_requests() {
     let mut process = Process::start("platform-unread.toml");
-    let started = process.await_event("process-started");
+    let started = process.wait_for_event("process-started");
     let callers: SocketAddr = started["callers"].as_str().unwrap().parse().unwrap();
-    // Each request is a line; the pipe holds a few hundred of them.
+    // Each request logs a line; the pipe buffers only a few hundred lines.
     smol::block_on(async {
         let mut stream = BufferedStream::connect(callers, None).await.unwrap();
         let request = "GET /nothing/ HTTP/1.1\r\nhost: a.example\r\n\r\n";
@@ -166,11 +165,11 @@
             assert_eq!(response.head.status, 503);
         }
     });
-    process.await_event("lines-left-out");
+    process.wait_for_event("lines-left-out");
 }
 
 #[test]
-fn verify_bad_settings_and_arguments_end_the_program_with_one_error() {
+fn verify_invalid_settings_and_arguments_fail_with_an_error() {
     let file = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join("platform-bad.toml");
     fs::write(&file, settings(60).replace("khomas-a\"", "Khomas A\"")).unwrap();
     let run = |file: Option<&PathBuf>, arguments: &[&str]| {
@@ -198,13 +197,13 @@
     assert!(error.contains("--platform"), "{error}");
 }
 
-/// Lines wait for whoever reads them; requests do not. Each line is written, left out
-/// to bound the volume, or dropped, and counted.
+/// Unread log lines must not block requests. Each line is written, left out to
+/// bound the volume, or dropped, and counted.
 #[test]
 fn verify_requests_do_not_wait_for_standard_output() {
     const REQUESTS: usize = 3_000;
     let mut process = Process::start("platform-unread.toml");
-    let started = process.await_event("process-started");
+    let started = process.wait_for_event("process-started");
     let callers: SocketAddr = started["callers"].as_str().unwrap().parse().unwrap();
     smol::block_on(async {
         let mut stream = BufferedStream::connect(callers, None).await.unwrap();
@@ -215,17 +214,21 @@
             assert_eq!(response.head.status, 503);
         }
     });
-    let mut told = 0;
-    while told < REQUESTS {
-        let line = process.lines.next().expect("the process goes on").unwrap();
+    let mut counted = 0;
+    while counted < REQUESTS {
+        let line = process
+            .lines
+            .next()
+            .expect("the process still runs")
+            .unwrap();
         let line: Value = serde_json::from_str(&line).unwrap();
         let count = |field: &str| line[field].as_u64().unwrap() as usize;
-        told += match line["event"].as_str().unwrap() {
+        counted += match line["event"].as_str().unwrap() {
             "request-failed" => 1,
             "lines-left-out" => count("failed"),
             "lines-dropped" => count("lines"),
             _ => 0,
         };
     }
-    assert_eq!(told, REQUESTS);
+    assert_eq!(counted, REQUESTS);
 }
