--- a/crates/foxtide/tests/time_line.rs
+++ b/crates/foxtide/tests/time_line.rs
@@ -1,4 +1,4 @@
-//! The time line outlives an instance that dies.
+//! Events of a killed instance remain available at its peers.
 
 use foxtide::node::Node;
 use foxtide_config::Settings;
@@ -18,8 +18,8 @@
     Instant, //
 };
 
-const PATIENCE: Duration = Duration::from_secs(30);
-const POLL: Duration = Duration::from_millis(50);
+const TIMEOUT: Duration = Duration::from_secs(30);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 fn settings(name: &str, zone: &str, store: SocketAddr, seeds: &[SocketAddr]) -> Settings {
     let any_port = serde_json::json!({"listen": "127.0.0.1:0"});
@@ -37,7 +37,7 @@
     serde_json::from_slice(&answer.unwrap().body).unwrap()
 }
 
-/// Asks until an instance's page shows an event; panics where it never does.
+/// Polls an instance's page until it shows an event. Panics after [`TIMEOUT`].
 async fn wait_for_event(node: &Node, query: &str, code: EventCode) -> Event {
     let started = Instant::now();
     loop {
@@ -45,27 +45,27 @@
         if let Some(event) = shown.into_iter().find(|event| event.code == code) {
             return event;
         }
-        assert!(started.elapsed() < PATIENCE, "waited in vain for {code}");
-        smol::Timer::after(POLL).await;
+        assert!(started.elapsed() < TIMEOUT, "timed out waiting for {code}");
+        smol::Timer::after(POLL_INTERVAL).await;
     }
 }
 
 #[test]
-fn verify_events_of_a_dead_instance_are_kept_by_its_peer() {
+fn verify_a_peer_stores_the_events_of_a_killed_instance() {
     smol::block_on(async {
         let store = StoreServer::start(StoreOptions::default()).await.unwrap();
         let store_address = store.address();
         let first = Node::start(&settings("k-1", "khomas-a", store_address, &[])).unwrap();
         let seeds = [first.peer_address()];
         let second = Node::start(&settings("k-2", "khomas-b", store_address, &seeds)).unwrap();
-        let kept = wait_for_event(&first, "instance=k-2", EventCode::ProcessStarted).await;
-        assert_eq!(kept.instance.as_str(), "k-2");
+        let stored = wait_for_event(&first, "instance=k-2", EventCode::ProcessStarted).await;
+        assert_eq!(stored.instance.as_str(), "k-2");
         second.kill();
         let failed = wait_for_event(&first, "instance=k-1", EventCode::MemberFailed).await;
-        assert_eq!(failed.fields.peer, Some(kept.instance.clone()));
-        let still = wait_for_event(&first, "instance=k-2", EventCode::ProcessStarted).await;
-        assert_eq!(still, kept);
-        assert!(failed.clock > kept.clock);
+        assert_eq!(failed.fields.peer, Some(stored.instance.clone()));
+        let stored_after = wait_for_event(&first, "instance=k-2", EventCode::ProcessStarted).await;
+        assert_eq!(stored_after, stored);
+        assert!(failed.clock > stored.clock);
         first.kill();
     });
 }
