--- a/crates/foxtide-config/src/change/rebase.rs
+++ b/crates/foxtide-config/src/change/rebase.rs
@@ -1,7 +1,7 @@
-//! Applying a change on top of one that came first.
+//! Rebases a conflicting change on the current document.
 
 use super::accept::{
-    Accepted,
+    AcceptedChange,
     ChangeRequest,
     accept,
     load,
@@ -17,23 +17,21 @@
 use foxtide_core::organisation::Organisation;
 use foxtide_core::store::Store;
 
-/// How often a change is applied anew before its conflict is reported.
-const TRIES: u32 = 5;
+/// Attempts before a conflict is reported.
+const REBASE_ATTEMPTS_MAX: u32 = 5;
 
-/// Has a change accepted, applying it on top of changes that came first as
-/// long as no field is changed by both.
-///
-/// The merged document is checked as any other before it is written.
+/// Accepts a change, rebasing it on other accepted changes unless both changed the same
+/// field. The merged document is validated before it is written.
 ///
 /// # Errors
 ///
-/// Fails as [`accept`] does.
+/// Fails like [`accept`].
 pub async fn accept_rebased<S: Store>(
     store: &S,
     request: ChangeRequest,
-) -> Result<Accepted, ChangeError> {
+) -> Result<AcceptedChange, ChangeError> {
     let mut request = request;
-    for _ in 1..TRIES {
+    for _ in 1..REBASE_ATTEMPTS_MAX {
         let conflict = match accept(store, request.clone()).await {
             Err(ChangeError::Conflict(conflict)) => conflict,
             other => return other,
@@ -51,7 +49,7 @@
     accept(store, request).await
 }
 
-/// Returns the current document with the change applied, if that can be.
+/// Applies the change to the current document, if possible.
 fn merge(
     ours: &[Difference],
     request: &ChangeRequest,
@@ -61,5 +59,5 @@
     let current = value_of(current);
     let theirs = diff(&base, &current);
     let merged = rebase(ours, &theirs, &current)?;
-    document::typed("merged document", merged).ok()
+    document::from_value("merged document", merged).ok()
 }
--- a/crates/foxtide-config/src/document.rs
+++ b/crates/foxtide-config/src/document.rs
@@ -1,5 +1,5 @@
-//! JSON with comments, read strictly: no duplicate keys, no unknown fields,
-//! and every complaint with its place.
+//! Strict parser of JSON with comments: rejects duplicate keys and unknown fields, and
+//! reports the position of errors.
 
 use crate::{
     Error,
@@ -21,7 +21,7 @@
 use std::collections::BTreeSet;
 use std::path::Path;
 
-/// What a file may hold beside plain JSON: comments and trailing commas.
+/// Extensions of JSON: only comments and trailing commas.
 const PARSE_OPTIONS: ParseOptions = ParseOptions {
     allow_comments: true,
     allow_loose_object_property_names: false,
@@ -39,16 +39,15 @@
 ///
 /// # Errors
 ///
-/// Fails where the file cannot be read, is larger than a value of the store
-/// may be, or is not UTF-8.
+/// Fails if the file cannot be read, is larger than the store accepts or is not UTF-8.
 pub fn read_text(path: &Path) -> Result<String> {
     let name = path.display().to_string();
     let bytes = std::fs::read(path).map_err(|error| Error::read(&name, error))?;
-    text_of(&name, bytes)
+    decode_text(&name, bytes)
 }
 
-/// Takes bytes as a text of acceptable size.
-pub(crate) fn text_of(name: &str, bytes: Vec<u8>) -> Result<String> {
+/// Decodes UTF-8 of at most [`VALUE_MAX_BYTES`].
+pub(crate) fn decode_text(name: &str, bytes: Vec<u8>) -> Result<String> {
     if bytes.len() > VALUE_MAX_BYTES {
         let size = format!("{} bytes, more than {VALUE_MAX_BYTES}", bytes.len());
         return Err(Error::read(name, size));
@@ -59,38 +58,37 @@
     })
 }
 
-/// Parses a text of JSON with comments into a value.
+/// Parses JSON with comments into a value.
 ///
 /// # Errors
 ///
-/// Fails with the line and column of a fault of syntax or of a key that
-/// stands twice in the same object.
+/// Fails with the line and column of a syntax error or a duplicate key.
 pub fn parse_value(name: &str, text: &str) -> Result<Value> {
     let collected = jsonc_parser::parse_to_ast(text, &CollectOptions::default(), &PARSE_OPTIONS)
-        .map_err(|error| syntax(name, &error))?;
+        .map_err(|error| syntax_error(name, &error))?;
     let Some(root) = collected.value else {
-        return Err(fault_at(name, text, 0, "the text is empty".to_owned()));
+        return Err(error_at(name, text, 0, "the document is empty".to_owned()));
     };
-    refuse_duplicates(name, text, &root)?;
-    jsonc_parser::parse_to_serde_value(text, &PARSE_OPTIONS).map_err(|error| syntax(name, &error))
+    reject_duplicate_keys(name, text, &root)?;
+    jsonc_parser::parse_to_serde_value(text, &PARSE_OPTIONS)
+        .map_err(|error| syntax_error(name, &error))
 }
 
-/// Parses a text of JSON with comments into a typed value.
+/// Parses JSON with comments into a typed value.
 ///
 /// # Errors
 ///
-/// Fails as [`parse_value`] does, and with the path of a field that is
-/// unknown, missing or out of its range.
+/// Fails like [`parse_value`], and with the path of an unknown, missing or invalid field.
 pub fn parse<T: DeserializeOwned>(name: &str, text: &str) -> Result<T> {
-    typed(name, parse_value(name, text)?)
+    from_value(name, parse_value(name, text)?)
 }
 
-/// Takes a plain value as a typed one.
+/// Converts a value to a typed one.
 ///
 /// # Errors
 ///
-/// Fails with the path of a field that is unknown, missing or out of range.
-pub fn typed<T: DeserializeOwned>(name: &str, value: Value) -> Result<T> {
+/// Fails with the path of an unknown, missing or invalid field.
+pub fn from_value<T: DeserializeOwned>(name: &str, value: Value) -> Result<T> {
     serde_path_to_error::deserialize(value).map_err(|error| {
         let field = error.path().to_string();
         let message = error.into_inner().to_string();
@@ -99,11 +97,11 @@
     })
 }
 
-/// Splits a message of serde's into the problem and what would be valid.
+/// Splits a message of serde into the problem and what is valid.
 fn split_message(message: &str) -> (&str, &str) {
     for separator in [", expected ", " is not "] {
         if let Some((problem, expected)) = message.split_once(separator) {
-            return (problem, in_words(expected));
+            return (problem, describe_type(expected));
         }
     }
     if message.starts_with("missing field") {
@@ -118,8 +116,8 @@
     (message, "see docs/SETTINGS.md")
 }
 
-/// Returns a type of the language as a reader of the file knows it.
-fn in_words(expected: &str) -> &str {
+/// Describes a Rust type in terms of JSON.
+fn describe_type(expected: &str) -> &str {
     match expected {
         "u8" | "u16" | "u32" | "u64" | "usize" => "a whole number, 0 or more, without a unit",
         "f64" => "a number, without a unit",
@@ -128,7 +126,7 @@
     }
 }
 
-fn syntax(name: &str, error: &ParseError) -> Error {
+fn syntax_error(name: &str, error: &ParseError) -> Error {
     Error::Syntax {
         file: name.to_owned(),
         line: error.line_display(),
@@ -137,7 +135,7 @@
     }
 }
 
-fn fault_at(name: &str, text: &str, offset: usize, problem: String) -> Error {
+fn error_at(name: &str, text: &str, offset: usize, problem: String) -> Error {
     let before = &text[..offset];
     let line_start = before.rfind('\n').map_or(0, |at| at + 1);
     Error::Syntax {
@@ -148,26 +146,26 @@
     }
 }
 
-fn refuse_duplicates(name: &str, text: &str, node: &Node<'_>) -> Result<()> {
+fn reject_duplicate_keys(name: &str, text: &str, node: &Node<'_>) -> Result<()> {
     match node {
-        Node::Object(object) => refuse_duplicates_of(name, text, object),
+        Node::Object(object) => reject_duplicate_keys_in(name, text, object),
         Node::Array(array) => array
             .elements
             .iter()
-            .try_for_each(|element| refuse_duplicates(name, text, element)),
+            .try_for_each(|element| reject_duplicate_keys(name, text, element)),
         _ => Ok(()),
     }
 }
 
-fn refuse_duplicates_of(name: &str, text: &str, object: &Object<'_>) -> Result<()> {
+fn reject_duplicate_keys_in(name: &str, text: &str, object: &Object<'_>) -> Result<()> {
     let mut seen = BTreeSet::new();
     for property in &object.properties {
         let key = property.name.as_str();
         if !seen.insert(key) {
-            let problem = format!("duplicate key `{key}`; each may stand once in an object");
-            return Err(fault_at(name, text, property.start(), problem));
+            let problem = format!("duplicate key `{key}`; keys of an object must be unique");
+            return Err(error_at(name, text, property.start(), problem));
         }
-        refuse_duplicates(name, text, &property.value)?;
+        reject_duplicate_keys(name, text, &property.value)?;
     }
     Ok(())
 }
--- a/crates/foxtide-config/src/store/http.rs
+++ b/crates/foxtide-config/src/store/http.rs
@@ -1,5 +1,5 @@
-//! [`Store`] over the published HTTP API of Consul's key-value store and
-//! sessions (developer.hashicorp.com/consul/api-docs/kv and /session).
+//! Implements [`Store`] over Consul's HTTP API of its key-value store and sessions
+//! (developer.hashicorp.com/consul/api-docs/kv and /session).
 
 use super::exchange::{
     self,
@@ -11,7 +11,7 @@
     KeyForm,
     SessionForm,
     SessionRequest,
-    duration_text,
+    format_duration,
     key_path, //
 };
 use foxtide_core::store::{
@@ -36,16 +36,15 @@
 const OK: u16 = 200;
 const NOT_FOUND: u16 = 404;
 
-/// A watch may be answered this part of its wait late: the store spreads the
-/// ends of waits over a sixteenth.
-const WATCH_SPREAD_DIVISOR: u32 = 16;
+/// The store adds up to a sixteenth of the wait to a blocking query, as jitter.
+const WAIT_JITTER_DIVISOR: u32 = 16;
 
-/// How the store is reached.
+/// Options of the client.
 #[derive(Clone, Copy, Debug)]
 pub struct HttpStoreOptions {
-    /// The store's address.
+    /// Address of the store.
     pub address: SocketAddr,
-    /// How long a call may take; a watch may wait longer by what was asked.
+    /// Timeout of a call; added to the wait of a blocking query.
     pub call_timeout: Duration,
 }
 
@@ -58,19 +57,19 @@
     }
 }
 
-/// The store, over HTTP.
+/// Client of the store over HTTP.
 #[derive(Clone, Debug)]
 pub struct HttpStore {
     options: HttpStoreOptions,
 }
 
 impl HttpStore {
-    /// Returns a client; it connects with each call.
+    /// Returns a client, which connects for each call.
     pub fn new(options: HttpStoreOptions) -> Self {
         Self { options }
     }
 
-    /// Returns the store's address.
+    /// Returns the address of the store.
     pub fn address(&self) -> SocketAddr {
         self.options.address
     }
@@ -97,31 +96,31 @@
         let step = call.step;
         let started = Instant::now();
         let (progress, result) = exchange::run(self.options.address, call).await;
-        count(step, started.elapsed(), &result);
+        record_metrics(step, started.elapsed(), &result);
         (progress, result)
     }
 
-    /// Makes a call that waits for a change.
-    async fn wait(&self, call: WaitingCall) -> (Progress, StoreResult<Answer>) {
+    /// Makes a blocking query.
+    async fn blocking_query(&self, call: BlockingQuery) -> (Progress, StoreResult<Answer>) {
         let wait = call.wait;
         let selection = call.selection;
         let query = format!(
             "{selection}index={}&wait={}",
             call.after,
-            duration_text(wait)
+            format_duration(wait)
         );
         let call = Call {
             step: call.step,
             method: Method::Get,
             target: format!("{}?{query}", call.path),
             body: Vec::new(),
-            timeout: wait + wait / WATCH_SPREAD_DIVISOR + self.options.call_timeout,
+            timeout: wait + wait / WAIT_JITTER_DIVISOR + self.options.call_timeout,
         };
         self.run(call).await
     }
 
-    /// Makes a call that answers `true` or `false`.
-    async fn decide(
+    /// Makes a call with a boolean answer.
+    async fn call_bool(
         &self,
         step: &'static str,
         method: Method,
@@ -144,21 +143,21 @@
     }
 }
 
-/// A call that waits for a change.
-struct WaitingCall {
+/// A call that blocks until a change or a timeout.
+struct BlockingQuery {
     step: &'static str,
-    /// The path of the key or of the prefix.
+    /// Path of the key or prefix.
     path: String,
-    /// The part of the query that says what below the path is meant.
+    /// Query parameters that select the result.
     selection: &'static str,
-    /// The index to wait on.
+    /// Index to wait on.
     after: StoreIndex,
-    /// How long the store waits.
+    /// Maximum wait of the store.
     wait: Duration,
 }
 
-/// Counts a call for the metrics.
-fn count(step: &'static str, took: Duration, result: &StoreResult<Answer>) {
+/// Records the outcome, duration and answer size of a call.
+fn record_metrics(step: &'static str, elapsed: Duration, result: &StoreResult<Answer>) {
     let outcome = match result {
         Ok(_) => "answered",
         Err(StoreError::NotSent { .. }) => "not_sent",
@@ -171,10 +170,10 @@
         .increment(answer_bytes as u64);
     metrics::counter!("foxtide_store_calls_total", "kind" => step, "outcome" => outcome)
         .increment(1);
-    metrics::histogram!("foxtide_store_call_seconds", "kind" => step).record(took.as_secs_f64());
+    metrics::histogram!("foxtide_store_call_seconds", "kind" => step).record(elapsed.as_secs_f64());
 }
 
-/// Takes the body of a successful answer apart.
+/// Decodes the body of a successful answer.
 fn decode<T: DeserializeOwned>(progress: &Progress, answer: Answer) -> StoreResult<T> {
     if answer.status != OK {
         return Err(progress.rejected(&answer));
@@ -183,7 +182,7 @@
         .map_err(|error| progress.unknown(format!("answer: {error}")))
 }
 
-/// Takes a listing apart; no keys are answered as "not found".
+/// Decodes a listing; the store answers 404 if there are no keys.
 fn decode_listing(progress: &Progress, answer: Answer) -> StoreResult<StoreListing> {
     let index = StoreIndex::new(answer.index.unwrap_or_default());
     if answer.status == NOT_FOUND {
@@ -202,8 +201,7 @@
 
 impl Store for HttpStore {
     async fn read(&self, key: &str) -> StoreResult<Option<StoreEntry>> {
-        // A read settles writes whose answer was lost, so that it may not be
-        // served by a server that has just lost its leadership.
+        // Reads resolve writes with an unknown outcome and must not be stale.
         let target = format!("{}?consistent", key_path(key));
         let (progress, result) = self.call("read", Method::Get, target, Vec::new()).await;
         let listing = decode_listing(&progress, result?)?;
@@ -222,14 +220,14 @@
         after: StoreIndex,
         wait: Duration,
     ) -> StoreResult<StoreListing> {
-        let call = WaitingCall {
+        let call = BlockingQuery {
             step: "watch",
             path: key_path(prefix),
             selection: "recurse&",
             after,
             wait,
         };
-        let (progress, result) = self.wait(call).await;
+        let (progress, result) = self.blocking_query(call).await;
         decode_listing(&progress, result?)
     }
 
@@ -239,14 +237,14 @@
         after: StoreIndex,
         wait: Duration,
     ) -> StoreResult<StoreListing> {
-        let call = WaitingCall {
+        let call = BlockingQuery {
             step: "watch_key",
             path: key_path(key),
             selection: "",
             after,
             wait,
         };
-        let (progress, result) = self.wait(call).await;
+        let (progress, result) = self.blocking_query(call).await;
         decode_listing(&progress, result?)
     }
 
@@ -256,14 +254,14 @@
         after: StoreIndex,
         wait: Duration,
     ) -> StoreResult<StoreNames> {
-        let call = WaitingCall {
+        let call = BlockingQuery {
             step: "watch_names",
             path: key_path(prefix),
             selection: "keys&",
             after,
             wait,
         };
-        let (progress, result) = self.wait(call).await;
+        let (progress, result) = self.blocking_query(call).await;
         let answer = result?;
         let index = StoreIndex::new(answer.index.unwrap_or_default());
         let keys = match answer.status {
@@ -275,19 +273,19 @@
 
     async fn write(&self, key: &str, value: Vec<u8>, expected: StoreIndex) -> StoreResult<bool> {
         let target = format!("{}?cas={expected}", key_path(key));
-        self.decide("write", Method::Put, target, value).await
+        self.call_bool("write", Method::Put, target, value).await
     }
 
     async fn delete(&self, key: &str, expected: StoreIndex) -> StoreResult<bool> {
         let target = format!("{}?cas={expected}", key_path(key));
-        self.decide("delete", Method::Delete, target, Vec::new())
+        self.call_bool("delete", Method::Delete, target, Vec::new())
             .await
     }
 
     async fn open_session(&self, name: &str, ttl: Duration) -> StoreResult<SessionId> {
         let request = SessionRequest {
             name: name.to_owned(),
-            ttl: duration_text(ttl),
+            ttl: format_duration(ttl),
             behavior: "release",
             lock_delay: "0s",
         };
@@ -313,18 +311,18 @@
 
     async fn close_session(&self, session: &SessionId) -> StoreResult<()> {
         let target = format!("/v1/session/destroy/{session}");
-        self.decide("close_session", Method::Put, target, Vec::new())
+        self.call_bool("close_session", Method::Put, target, Vec::new())
             .await
             .map(drop)
     }
 
     async fn acquire(&self, key: &str, value: Vec<u8>, session: &SessionId) -> StoreResult<bool> {
         let target = format!("{}?acquire={session}", key_path(key));
-        self.decide("acquire", Method::Put, target, value).await
+        self.call_bool("acquire", Method::Put, target, value).await
     }
 
     async fn release(&self, key: &str, value: Vec<u8>, session: &SessionId) -> StoreResult<bool> {
         let target = format!("{}?release={session}", key_path(key));
-        self.decide("release", Method::Put, target, value).await
+        self.call_bool("release", Method::Put, target, value).await
     }
 }
--- a/crates/foxtide-config/src/validate/places.rs
+++ b/crates/foxtide-config/src/validate/topology.rs
@@ -1,17 +1,17 @@
-//! Rules on regions and the links between them.
+//! Validates regions and links.
 
-use super::Check;
+use super::Validator;
 use crate::Result;
 use foxtide_core::ids::RegionId;
 use foxtide_core::organisation::Link;
 use std::fmt::Display;
 
-/// The longest delay of a link that is taken to be meant, in milliseconds.
+/// Maximum delay of a link, in milliseconds.
 const DELAY_MAX_MS: f64 = 10_000.0;
 
-impl Check<'_> {
+impl Validator<'_> {
     /// Checks regions and links.
-    pub(super) fn places(&self) -> Result<()> {
+    pub(super) fn topology(&self) -> Result<()> {
         self.regions()?;
         self.links()
     }
@@ -19,16 +19,16 @@
     fn regions(&self) -> Result<()> {
         let regions = &self.document.regions;
         if regions.is_empty() {
-            return self.fail("regions", "there is none", "one or more");
+            return self.fail("regions", "empty list", "one or more regions");
         }
-        self.unique("regions", regions.iter().map(|region| &region.region))?;
+        self.check_unique("regions", regions.iter().map(|region| &region.region))?;
         let zones = regions.iter().flat_map(|region| &region.availability_zones);
-        self.unique("regions[].availability_zones", zones)?;
+        self.check_unique("regions[].availability_zones", zones)?;
         for region in regions {
             let path = format!("regions[{}]", region.region);
             if region.availability_zones.is_empty() {
                 let field = format!("{path}.availability_zones");
-                return self.fail(field, "there is none", "one or more");
+                return self.fail(field, "empty list", "one or more zones");
             }
             if region.sold_rate_rps.get() <= 0.0 {
                 let field = format!("{path}.sold_rate_rps");
@@ -40,16 +40,20 @@
 
     fn links(&self) -> Result<()> {
         let links = &self.document.links;
-        self.unique("links", links.iter().map(Link::id))?;
+        self.check_unique("links", links.iter().map(Link::id))?;
         links.iter().try_for_each(|link| self.link(link))
     }
 
     fn link(&self, link: &Link) -> Result<()> {
         let path = format!("links[{}]", link.id());
-        self.known_region(format!("{path}.from"), &link.from)?;
-        self.known_region(format!("{path}.to"), &link.to)?;
+        self.require_region(format!("{path}.from"), &link.from)?;
+        self.require_region(format!("{path}.to"), &link.to)?;
         if link.from == link.to {
-            return self.fail(path, "both ends are the same", "two regions");
+            return self.fail(
+                path,
+                "both ends are the same region",
+                "two different regions",
+            );
         }
         if !(0.0..=DELAY_MAX_MS).contains(&link.delay_ms) {
             let expected = format!("milliseconds from 0 to {DELAY_MAX_MS}");
@@ -64,8 +68,8 @@
         Ok(())
     }
 
-    /// Fails where the document has no such region.
-    pub(super) fn known_region(&self, field: impl Display, region: &RegionId) -> Result<()> {
+    /// Fails if the document has no such region.
+    pub(super) fn require_region(&self, field: impl Display, region: &RegionId) -> Result<()> {
         if self.document.region(region).is_none() {
             let problem = format!("there is no region `{region}`");
             return self.fail(field, problem, self.known_regions());
@@ -73,8 +77,13 @@
         Ok(())
     }
 
-    /// Fails where no link leads from one region to another.
-    pub(super) fn joined(&self, field: impl Display, from: &RegionId, to: &RegionId) -> Result<()> {
+    /// Fails if there is no link from one region to another.
+    pub(super) fn require_link(
+        &self,
+        field: impl Display,
+        from: &RegionId,
+        to: &RegionId,
+    ) -> Result<()> {
         if self.document.link(from, to).is_none() {
             let problem = format!("no link {from}->{to}");
             return self.fail(field, problem, "a link in `links` for each direction");
--- a/crates/foxtide-config/tests/budget.rs
+++ b/crates/foxtide-config/tests/budget.rs
@@ -1,4 +1,4 @@
-//! The budget of calls to the store.
+//! Tests of the budget of calls to the store.
 
 use foxtide_config::store::CallClass;
 use foxtide_config::{
@@ -21,12 +21,12 @@
     Fleet {
         live_instances,
         watchers: live_instances,
-        watches: true,
+        is_watcher: true,
     }
 }
 
-/// Returns how many calls an instance gets through that always wants more.
-fn greedy(budget: &mut StoreBudget, class: CallClass, from: MonotonicTime, span_s: u64) -> u64 {
+/// Returns the calls of an instance that makes as many as permitted.
+fn max_calls(budget: &mut StoreBudget, class: CallClass, from: MonotonicTime, span_s: u64) -> u64 {
     let mut now = from;
     let mut made = 0;
     while now.since(from) < Duration::from_secs(span_s) {
@@ -39,17 +39,16 @@
 }
 
 proptest! {
-    /// Whatever the fleet's size: instances that always want more stay, in
-    /// sum, under the fleet's rate and one call each.
+    /// A fleet of any size must keep the fleet's rate, plus one call per instance.
     #[test]
     fn verify_the_fleets_sum_keeps_its_rate(instances in 1_u32..700, zones in 1_u32..16) {
         let span_s = 60;
         let start = MonotonicTime::ZERO;
         let watchers = instances.min(2 * zones);
-        let made = |watches| {
-            let fleet = Fleet { live_instances: instances, watchers, watches };
+        let made = |is_watcher| {
+            let fleet = Fleet { live_instances: instances, watchers, is_watcher };
             let mut budget = StoreBudget::new(OPTIONS, fleet, start);
-            greedy(&mut budget, CallClass::Read, start, span_s) as f64
+            max_calls(&mut budget, CallClass::Read, start, span_s) as f64
         };
         let others = f64::from(instances - watchers);
         let sum = made(true) * f64::from(watchers) + made(false) * others;
@@ -59,24 +58,24 @@
 }
 
 #[test]
-fn verify_new_instances_count_at_once_and_lost_ones_slowly() {
+fn verify_the_fleets_size_grows_at_once_and_shrinks_slowly() {
     let start = MonotonicTime::ZERO;
     let mut budget = StoreBudget::new(OPTIONS, fleet(10), start);
     budget.set_fleet(fleet(100), start);
-    let few = greedy(&mut budget, CallClass::Read, start, 60);
+    let few = max_calls(&mut budget, CallClass::Read, start, 60);
     assert!(few <= 60 * 4 + 20, "{few}");
     let later = start + Duration::from_secs(120);
     budget.set_fleet(fleet(10), later);
-    let still_few = greedy(&mut budget, CallClass::Read, later, 60);
+    let still_few = max_calls(&mut budget, CallClass::Read, later, 60);
     assert!(still_few <= 60 * 5 + 20, "{still_few}");
     let hour_later = later + Duration::from_secs(3_600);
     budget.set_fleet(fleet(10), hour_later);
-    let doubled = greedy(&mut budget, CallClass::Read, hour_later, 60);
+    let doubled = max_calls(&mut budget, CallClass::Read, hour_later, 60);
     assert!(doubled <= 60 * 9 + 60, "{doubled}");
 }
 
 #[test]
-fn verify_leases_go_before_other_writes() {
+fn verify_urgent_writes_have_reserved_tokens() {
     let start = MonotonicTime::ZERO;
     let mut budget = StoreBudget::new(OPTIONS, fleet(600), start);
     let filled = start + Duration::from_secs(600);
@@ -86,12 +85,12 @@
 }
 
 #[test]
-fn verify_no_saved_up_calls_meet_a_store_that_returns() {
+fn verify_the_first_answer_after_failures_discards_tokens() {
     let start = MonotonicTime::ZERO;
     let mut budget = StoreBudget::new(OPTIONS, fleet(10), start);
-    budget.answered(false, start);
+    budget.record_call(false, start);
     let back = start + Duration::from_secs(600);
-    budget.answered(true, back);
+    budget.record_call(true, back);
     assert!(budget.take(CallClass::Read, back));
     assert!(!budget.take(CallClass::Read, back));
 }
--- a/crates/foxtide-core/src/blocks/columns.rs
+++ b/crates/foxtide-core/src/blocks/columns.rs
@@ -1,16 +1,16 @@
-//! The compact table of one family.
+//! The in-memory table of the blocks of one address family.
 //!
-//! Blocks that are longer than half of the family's bits lie in the bucket of
-//! their first half, so that only the second half is kept of each, in columns:
-//! 4 bytes a v4 block and 6 a v6 block. The few wider blocks stand apart and
-//! are searched where no narrower one is found, which keeps the longest match.
+//! Blocks longer than half of the family's bits are grouped into buckets by the
+//! first half of their address. Only the second half is stored per block, in
+//! columns: 4 bytes per IPv4 block and 6 per IPv6 block. The few wider blocks are
+//! stored separately and searched only if no narrower block matches.
 
 use super::family::{
     Family,
     Prefix, //
 };
 use super::search::{
-    Sorted,
+    SortedPrefixes,
     longest_match, //
 };
 use super::{
@@ -30,15 +30,15 @@
 /// The table of one family.
 #[derive(Clone, Debug)]
 pub(super) struct Columns<F: Family> {
-    /// Blocks not longer than half of the bits.
+    /// Blocks of at most half of the bits.
     wide: Vec<Entry>,
-    /// The first halves that have longer blocks, ascending.
+    /// The first halves of addresses that have longer blocks, ascending.
     buckets: Vec<F::Half>,
-    /// Where each bucket begins in the columns; their end comes last.
-    begins: Vec<u32>,
-    /// The second halves of the longer blocks' first addresses.
+    /// The offset of each bucket in the columns, followed by their length.
+    offsets: Vec<u32>,
+    /// The second halves of the first addresses of longer blocks.
     starts: Vec<F::Half>,
-    /// How many bits of the second half are fixed.
+    /// The prefix lengths within the second half.
     lengths: Vec<u8>,
     sites: Vec<SiteIndex>,
     last: Option<Prefix>,
@@ -49,7 +49,7 @@
         Self {
             wide: Vec::new(),
             buckets: Vec::new(),
-            begins: vec![0],
+            offsets: vec![0],
             starts: Vec::new(),
             lengths: Vec::new(),
             sites: Vec::new(),
@@ -64,33 +64,33 @@
     lengths: &'a [u8],
 }
 
-impl<F: Family> Sorted for Bucket<'_, F> {
+impl<F: Family> SortedPrefixes for Bucket<'_, F> {
     fn count(&self) -> usize {
         self.starts.len()
     }
 
-    fn prefix(&self, place: usize) -> Prefix {
+    fn prefix(&self, index: usize) -> Prefix {
         Prefix {
-            start: self.starts[place].into(),
-            length: self.lengths[place],
+            start: self.starts[index].into(),
+            length: self.lengths[index],
         }
     }
 }
 
-impl Sorted for Vec<Entry> {
+impl SortedPrefixes for Vec<Entry> {
     fn count(&self) -> usize {
         self.len()
     }
 
-    fn prefix(&self, place: usize) -> Prefix {
-        self[place].prefix
+    fn prefix(&self, index: usize) -> Prefix {
+        self[index].prefix
     }
 }
 
 impl<F: Family> Columns<F> {
     const HALF_BITS: u8 = F::BITS / 2;
 
-    /// Returns an empty table with room for `blocks` blocks.
+    /// Creates an empty table with capacity for `blocks` blocks.
     pub(super) fn with_capacity(blocks: usize) -> Self {
         Self {
             starts: Vec::with_capacity(blocks),
@@ -100,7 +100,7 @@
         }
     }
 
-    /// Adds a block after all others.
+    /// Appends a block, which must be greater than all others.
     pub(super) fn push(&mut self, entry: Entry) -> BlocksResult<()> {
         if self.last.is_some_and(|last| last >= entry.prefix) {
             return Err(BlocksError::Order);
@@ -117,30 +117,30 @@
         let (bucket, start) = Self::split(entry.prefix.start)?;
         if self.buckets.last() != Some(&bucket) {
             self.buckets.push(bucket);
-            self.begins.push(0);
+            self.offsets.push(0);
         }
         self.starts.push(start);
         self.lengths.push(length);
         self.sites.push(entry.site);
         let end = u32::try_from(self.starts.len());
         let end = end.map_err(|_| BlocksError::decode("more than 2^32 blocks"))?;
-        if let Some(last) = self.begins.last_mut() {
+        if let Some(last) = self.offsets.last_mut() {
             *last = end;
         }
         Ok(())
     }
 
-    /// Gives back the room that was kept for more blocks.
+    /// Releases unused capacity.
     pub(super) fn shrink(&mut self) {
         self.wide.shrink_to_fit();
         self.buckets.shrink_to_fit();
-        self.begins.shrink_to_fit();
+        self.offsets.shrink_to_fit();
         self.starts.shrink_to_fit();
         self.lengths.shrink_to_fit();
         self.sites.shrink_to_fit();
     }
 
-    /// Returns the site of the longest block that holds an address.
+    /// Returns the site of the longest block that contains an address.
     pub(super) fn find(&self, address: u64) -> Option<SiteIndex> {
         let narrow = self.find_narrow(address);
         narrow.or_else(|| self.find_wide(address))
@@ -149,22 +149,21 @@
     fn find_narrow(&self, address: u64) -> Option<SiteIndex> {
         let (bucket, rest) = Self::split(address).ok()?;
         let number = self.buckets.binary_search(&bucket).ok()?;
-        let begin = self.begins[number] as usize;
-        let end = self.begins[number + 1] as usize;
+        let begin = self.offsets[number] as usize;
+        let end = self.offsets[number + 1] as usize;
         let blocks: Bucket<'_, F> = Bucket {
             starts: &self.starts[begin..end],
             lengths: &self.lengths[begin..end],
         };
-        let place = longest_match(&blocks, rest.into(), Self::HALF_BITS)?;
-        Some(self.sites[begin + place])
+        let index = longest_match(&blocks, rest.into(), Self::HALF_BITS)?;
+        Some(self.sites[begin + index])
     }
 
     fn find_wide(&self, address: u64) -> Option<SiteIndex> {
-        let place = longest_match(&self.wide, address, F::BITS)?;
-        Some(self.wide[place].site)
+        let index = longest_match(&self.wide, address, F::BITS)?;
+        Some(self.wide[index].site)
     }
 
-    /// Splits an address into its halves.
     fn split(address: u64) -> BlocksResult<(F::Half, F::Half)> {
         let mask = (1 << Self::HALF_BITS) - 1;
         let first = F::Half::try_from(address >> Self::HALF_BITS);
@@ -175,22 +174,21 @@
         }
     }
 
-    /// Returns the number of blocks.
     pub(super) fn len(&self) -> usize {
         self.wide.len() + self.starts.len()
     }
 
-    /// Returns the memory in use, in bytes.
+    /// Returns the allocated memory in bytes.
     pub(super) fn size_bytes(&self) -> usize {
         let halves = self.buckets.capacity() + self.starts.capacity();
         self.wide.capacity() * size_of::<Entry>()
             + halves * size_of::<F::Half>()
-            + self.begins.capacity() * size_of::<u32>()
+            + self.offsets.capacity() * size_of::<u32>()
             + self.lengths.capacity()
             + self.sites.capacity() * size_of::<SiteIndex>()
     }
 
-    /// Returns all blocks, ascending.
+    /// Returns all blocks in ascending order.
     pub(super) fn entries(&self) -> impl Iterator<Item = Entry> + '_ {
         let mut wide = self.wide.iter().copied().peekable();
         let mut narrow = self.narrow_entries().peekable();
@@ -205,19 +203,19 @@
         let bucket_of = self.buckets.iter().enumerate();
         bucket_of.flat_map(move |(number, bucket)| {
             let first: u64 = (*bucket).into();
-            let places = self.begins[number] as usize..self.begins[number + 1] as usize;
-            places.map(move |place| self.narrow_entry(first, place))
+            let indices = self.offsets[number] as usize..self.offsets[number + 1] as usize;
+            indices.map(move |index| self.narrow_entry(first, index))
         })
     }
 
-    fn narrow_entry(&self, bucket: u64, place: usize) -> Entry {
-        let rest: u64 = self.starts[place].into();
+    fn narrow_entry(&self, bucket: u64, index: usize) -> Entry {
+        let rest: u64 = self.starts[index].into();
         Entry {
             prefix: Prefix {
                 start: bucket << Self::HALF_BITS | rest,
-                length: Self::HALF_BITS + self.lengths[place],
+                length: Self::HALF_BITS + self.lengths[index],
             },
-            site: self.sites[place],
+            site: self.sites[index],
         }
     }
 }
--- a/crates/foxtide-core/src/blocks/manifest.rs
+++ b/crates/foxtide-core/src/blocks/manifest.rs
@@ -1,17 +1,16 @@
-//! What the store holds of a table.
+//! The manifest of a table of client blocks in the store.
 //!
-//! Chunks lie under the checksum of their bytes, so that a writer never
-//! changes a value that a reader may be at; the manifest, written last and by
-//! check-and-set, names those that make up the table. The latest changes lie
-//! in the manifest itself: an instance that has an older table needs nothing
-//! but the manifest, which the mesh spreads.
+//! Chunks are content-addressed by checksum, so that a writer never changes a
+//! value that is being read. The manifest, written last and by check-and-set,
+//! lists the chunks of the table. It also contains the latest deltas, so that an
+//! instance with an older table needs only the manifest.
 
 use super::codec::{
     ManifestMessage,
     PartMessage,
     SiteMessage,
-    open,
-    seal, //
+    verified_payload,
+    with_checksum, //
 };
 use super::{
     BlockCounts,
@@ -30,16 +29,16 @@
 /// The key of the manifest.
 pub const MANIFEST_KEY: &str = "foxtide/blocks/manifest";
 
-/// The beginning of the keys of chunks; their checksum follows.
+/// The prefix of the keys of chunks, followed by their checksum.
 pub const CHUNK_PREFIX: &str = "foxtide/blocks/chunks/";
 
-/// How many deltas a manifest holds before its chunks are written anew.
+/// The number of deltas at which the chunks are rewritten.
 const DELTAS_MAX: usize = 16;
 
-/// How large a manifest may get before its chunks are written anew.
+/// The size of the manifest above which the chunks are rewritten.
 const SIZE_MAX_BYTES: usize = 65_536;
 
-/// The XXH3 checksum of a value, shown as 16 hexadecimal digits.
+/// The XXH3 checksum of a value, displayed as 16 hexadecimal digits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Checksum(u64);
 
@@ -49,17 +48,17 @@
     }
 }
 
-/// One chunk of a table, by what it must be.
+/// A reference to a chunk of a table.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Part {
-    /// Its checksum.
+pub struct ChunkRef {
+    /// The chunk's checksum.
     pub checksum: Checksum,
-    /// Its size.
+    /// The chunk's size.
     pub size_bytes: u64,
 }
 
-impl Part {
-    /// Returns the part that a value makes.
+impl ChunkRef {
+    /// Creates a reference to the chunk with this value.
     pub fn of(value: &[u8]) -> Self {
         Self {
             checksum: Checksum(xxh3_64(value)),
@@ -67,16 +66,16 @@
         }
     }
 
-    /// Returns the key under which the value lies.
+    /// Returns the chunk's key in the store.
     pub fn key(&self) -> String {
         format!("{CHUNK_PREFIX}{}", self.checksum)
     }
 
-    /// Checks a value that was read under the key.
+    /// Verifies the value of the chunk.
     ///
     /// # Errors
     ///
-    /// Fails where it is not the value that the manifest names.
+    /// Fails if the checksum or the size differs.
     pub fn check(&self, value: &[u8]) -> BlocksResult<()> {
         if Self::of(value) == *self {
             return Ok(());
@@ -85,25 +84,25 @@
     }
 }
 
-/// Names what makes up a table.
+/// The description of a table in the store.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Manifest {
     /// The revision after the last delta.
     pub revision: u64,
-    /// The revision of the chunks, before any delta.
+    /// The revision of the chunks, without the deltas.
     pub base_revision: u64,
-    /// The blocks in the chunks.
+    /// The number of blocks in the chunks.
     pub base_blocks: BlockCounts,
-    /// The sites, in the order of their numbers.
+    /// The sites, in index order.
     pub sites: SiteTable,
     /// The chunks, in order.
-    pub chunks: Vec<Part>,
+    pub chunks: Vec<ChunkRef>,
     /// The deltas, in order.
     pub deltas: Vec<Delta>,
 }
 
 impl Manifest {
-    /// Returns the manifest of a whole table and the chunks to write first.
+    /// Creates the manifest of a table, and the chunks to write before it.
     pub fn of(table: &ClientBlocks) -> (Self, Vec<Vec<u8>>) {
         let values = table.chunks();
         let manifest = Self {
@@ -111,40 +110,39 @@
             base_revision: table.revision(),
             base_blocks: table.counts(),
             sites: table.sites().clone(),
-            chunks: values.iter().map(|value| Part::of(value)).collect(),
+            chunks: values.iter().map(|value| ChunkRef::of(value)).collect(),
             deltas: Vec::new(),
         };
         (manifest, values)
     }
 
-    /// Adds a delta.
+    /// Appends a delta.
     ///
     /// # Errors
     ///
-    /// Fails where the delta follows another revision.
+    /// Fails if the delta does not apply to the manifest's revision.
     pub fn add(&mut self, delta: Delta) -> BlocksResult<()> {
-        delta.check_follows(self.revision)?;
+        delta.check_base(self.revision)?;
         self.revision = delta.revision;
         self.deltas.push(delta);
         Ok(())
     }
 
-    /// Tells whether so many deltas have gathered that the chunks are to be
-    /// written anew.
+    /// Returns whether the deltas should be compacted into new chunks.
     ///
     /// # Errors
     ///
-    /// Fails as [`Manifest::encode`].
-    pub fn wants_rewrite(&self) -> BlocksResult<bool> {
+    /// Fails like [`Manifest::encode`].
+    pub fn needs_rewrite(&self) -> BlocksResult<bool> {
         let many = self.deltas.len() >= DELTAS_MAX;
         Ok(many || (!self.deltas.is_empty() && self.encode()?.len() > SIZE_MAX_BYTES))
     }
 
-    /// Returns the manifest as a value for the store.
+    /// Encodes the manifest as a value for the store.
     ///
     /// # Errors
     ///
-    /// Fails where a delta has a block twice or one longer than valid.
+    /// Fails if a block occurs twice in a delta or its prefix is too long.
     pub fn encode(&self) -> BlocksResult<Vec<u8>> {
         let deltas: BlocksResult<Vec<Vec<u8>>> = self.deltas.iter().map(Delta::encode).collect();
         let message = ManifestMessage {
@@ -156,16 +154,16 @@
             chunks: self.chunks.iter().map(to_part_message).collect(),
             deltas: deltas?,
         };
-        Ok(seal(message.encode_to_vec()))
+        Ok(with_checksum(message.encode_to_vec()))
     }
 
-    /// Reads a manifest that [`Manifest::encode`] made.
+    /// Decodes a manifest from the output of [`Manifest::encode`].
     ///
     /// # Errors
     ///
-    /// Fails where the bytes were changed or do not hold a manifest.
+    /// Fails if the checksum differs or the value is not a manifest.
     pub fn decode(value: &[u8]) -> BlocksResult<Self> {
-        let payload = open(value, "the manifest")?;
+        let payload = verified_payload(value, "the manifest")?;
         let message = ManifestMessage::decode(&payload[..]).map_err(BlocksError::decode)?;
         let sites: BlocksResult<Vec<Site>> = message.sites.into_iter().map(to_site).collect();
         let deltas = message.deltas.iter().map(|value| Delta::decode(value));
@@ -177,28 +175,28 @@
                 v6_blocks: usize::try_from(message.v6_blocks).unwrap_or(0),
             },
             sites: SiteTable::new(sites?)?,
-            chunks: message.chunks.into_iter().map(to_part).collect(),
+            chunks: message.chunks.into_iter().map(to_chunk_ref).collect(),
             deltas: deltas.collect::<BlocksResult<_>>()?,
         })
     }
 
-    /// Tells whether a table can be brought to this revision by deltas alone.
+    /// Returns whether the deltas alone can bring a table to this revision.
     ///
-    /// A revision names one content, for manifests are written by
-    /// check-and-set, so a table of the base's revision or later will do.
-    pub fn follows(&self, table: &ClientBlocks) -> bool {
-        let known = |delta: &Delta| delta.follows == table.revision();
+    /// Check-and-set makes the content of a revision unique, so that comparing
+    /// revisions suffices.
+    pub fn can_advance(&self, table: &ClientBlocks) -> bool {
+        let known = |delta: &Delta| delta.base_revision == table.revision();
         *table.sites() == self.sites
             && (table.revision() == self.revision || self.deltas.iter().any(known))
     }
 
-    /// Brings a table that [`Manifest::follows`] to this revision.
+    /// Applies the deltas to a table that satisfies [`Manifest::can_advance`].
     ///
     /// # Errors
     ///
-    /// Fails where the deltas do not follow each other or are not valid.
+    /// Fails if the deltas are not consecutive or invalid.
     pub fn advance(&self, table: &ClientBlocks) -> BlocksResult<ClientBlocks> {
-        let newer = |delta: &&Delta| delta.follows >= table.revision();
+        let newer = |delta: &&Delta| delta.base_revision >= table.revision();
         let deltas = self.deltas.iter().filter(newer).cloned().collect();
         table.apply(&Delta::combine(deltas, table.revision())?)
     }
@@ -207,15 +205,15 @@
     ///
     /// # Errors
     ///
-    /// Fails where a chunk is missing or wrong; the caller keeps its old table.
+    /// Fails if a chunk is missing or invalid.
     pub fn load(&self, chunks: impl IntoIterator<Item = Vec<u8>>) -> BlocksResult<ClientBlocks> {
         let sites = self.sites.clone();
         let mut builder = ClientBlocksBuilder::new(self.base_revision, sites, self.base_blocks);
         let mut values = chunks.into_iter();
-        for part in &self.chunks {
-            let missing = || BlocksError::decode(format!("{} is missing", part.key()));
+        for chunk in &self.chunks {
+            let missing = || BlocksError::decode(format!("{} is missing", chunk.key()));
             let value = values.next().ok_or_else(missing)?;
-            part.check(&value)?;
+            chunk.check(&value)?;
             builder.add_chunk(&value)?;
         }
         let table = builder.finish();
@@ -244,15 +242,15 @@
     })
 }
 
-fn to_part_message(part: &Part) -> PartMessage {
+fn to_part_message(chunk: &ChunkRef) -> PartMessage {
     PartMessage {
-        checksum: part.checksum.0,
-        size_bytes: part.size_bytes,
+        checksum: chunk.checksum.0,
+        size_bytes: chunk.size_bytes,
     }
 }
 
-fn to_part(message: PartMessage) -> Part {
-    Part {
+fn to_chunk_ref(message: PartMessage) -> ChunkRef {
+    ChunkRef {
         checksum: Checksum(message.checksum),
         size_bytes: message.size_bytes,
     }
--- a/crates/foxtide-core/src/lib.rs
+++ b/crates/foxtide-core/src/lib.rs
@@ -1,12 +1,12 @@
-//! Types and decisions of foxtide.
+//! Types and decision logic of foxtide, free of I/O.
 //!
-//! Everything here is pure: a decision takes its state, an input and the
-//! current time, and returns what is to be done. Clocks, randomness and I/O
-//! belong to the callers.
+//! A decision takes its state, an input and the current time, and returns the
+//! actions to take. Callers supply clocks, randomness and I/O.
 
 pub mod admission;
 pub mod blocks;
 pub mod choice;
+pub mod dissemination;
 pub mod errors;
 pub mod events;
 pub mod explain;
@@ -24,7 +24,6 @@
 pub mod registry;
 pub mod retry;
 pub mod routing;
-pub mod spreading;
 pub mod steering;
 pub mod store;
 pub mod time;
--- a/crates/foxtide-entry/src/entry.rs
+++ b/crates/foxtide-entry/src/entry.rs
@@ -1,27 +1,27 @@
-//! The request path of an instance: both listeners, from start to drain.
+//! Starts, serves and drains the caller and admin listeners.
 
 use crate::admin::AdminHandler;
-use crate::bounded::Bounded;
 use crate::callers::CallerHandler;
 use crate::clock::Clock;
+use crate::dependencies::{
+    Dependencies,
+    Directory, //
+};
 use crate::errors::Result;
 use crate::housekeeping::{
     Housekeeping,
-    keep_house, //
+    run_housekeeping, //
 };
+use crate::limiter::Limiter;
 use crate::options::EntryOptions;
-use crate::parts::{
-    Directory,
-    Parts, //
-};
 use crate::proxy::Proxy;
 use crate::serve::{
     Handler,
-    ServeState,
+    ListenerState,
     bind,
     serve_listener, //
 };
-use crate::time_limit::within;
+use crate::timeout::timeout;
 use crate::upstream::Pools;
 use foxtide_core::events::{
     EventCode,
@@ -41,23 +41,25 @@
 };
 use std::sync::Arc;
 
-/// The running request path of an instance.
+/// Running caller and admin listeners of an instance.
 ///
-/// Dropping it stops both listeners; [`Entry::drain`] comes first where
-/// nothing is to be cut.
+/// Dropping it closes both listeners; [`Entry::drain`] first lets requests
+/// finish.
 #[derive(Debug)]
-pub struct Entry<P: Parts> {
-    parts: Arc<P>,
+pub struct Entry<P: Dependencies> {
+    deps: Arc<P>,
     options: Arc<EntryOptions>,
-    callers: Arc<ServeState>,
-    operators: Arc<ServeState>,
+    callers: Arc<ListenerState>,
+    admin: Arc<ListenerState>,
     caller_address: SocketAddr,
     admin_address: SocketAddr,
     tasks: Vec<Task<()>>,
 }
 
-/// The sockets that an [`Entry`] serves, bound before anything else is
-/// started, so that peers can be told where callers connect.
+/// Bound sockets of an [`Entry`].
+///
+/// They are bound before anything else starts, so that peers learn the final
+/// caller address.
 #[derive(Debug)]
 pub struct Listeners {
     caller: Async<TcpListener>,
@@ -67,11 +69,11 @@
 }
 
 impl Listeners {
-    /// Binds the caller's and the operators' address.
+    /// Binds the caller and admin addresses.
     ///
     /// # Errors
     ///
-    /// Fails where an address cannot be bound.
+    /// Returns an error if an address cannot be bound.
     pub fn bind(caller_address: SocketAddr, admin_address: SocketAddr) -> Result<Self> {
         let caller = bind(caller_address)?;
         let admin = bind(admin_address)?;
@@ -83,64 +85,64 @@
         })
     }
 
-    /// Returns where callers connect.
+    /// Returns the address of the caller listener.
     pub fn caller_address(&self) -> SocketAddr {
         self.caller_address
     }
 }
 
-impl<P: Parts> Entry<P> {
+impl<P: Dependencies> Entry<P> {
     /// Binds both listeners and starts to serve.
     ///
     /// # Errors
     ///
-    /// Fails where an address cannot be bound.
+    /// Returns an error if an address cannot be bound.
     pub fn start(
         options: EntryOptions,
-        parts: Arc<P>,
+        deps: Arc<P>,
         executor: &Arc<Executor<'static>>,
     ) -> Result<Self> {
         let listeners = Listeners::bind(options.caller_address, options.admin_address)?;
-        Ok(Self::start_on(listeners, options, parts, executor))
+        Ok(Self::start_on(listeners, options, deps, executor))
     }
 
-    /// Starts to serve on listeners that are bound already.
+    /// Starts to serve on bound listeners.
     pub fn start_on(
         listeners: Listeners,
         options: EntryOptions,
-        parts: Arc<P>,
+        deps: Arc<P>,
         executor: &Arc<Executor<'static>>,
     ) -> Self {
         let options = Arc::new(options);
         let mut entry = Self {
             caller_address: listeners.caller_address,
             admin_address: listeners.admin_address,
-            callers: ServeState::new(&options.limits),
-            operators: ServeState::new(&options.limits),
-            parts,
+            callers: ListenerState::new(&options.limits),
+            admin: ListenerState::new(&options.limits),
+            deps,
             options,
             tasks: Vec::new(),
         };
-        entry.begin_decisions();
+        entry.first_tick();
         let proxy = entry.proxy(executor);
-        entry.keep_house(executor, &proxy);
+        entry.start_housekeeping(executor, &proxy);
         entry.serve_callers(executor, listeners.caller, proxy);
-        entry.serve_operators(executor, listeners.admin);
+        entry.serve_admin(executor, listeners.admin);
         entry
     }
 
     fn proxy(&self, executor: &Arc<Executor<'static>>) -> Proxy<P> {
         let options = &self.options;
-        let keys = Table::new(self.parts.owner().clone(), options.keys);
+        let keys = Table::new(self.deps.owner().clone(), options.keys);
         Proxy {
-            parts: Arc::clone(&self.parts),
+            deps: Arc::clone(&self.deps),
             options: Arc::clone(options),
             pools: Arc::new(Pools::new(options.pool.clone())),
             keys: Arc::new(Mutex::new(keys)),
             executor: Arc::downgrade(executor),
             callers: Arc::clone(&self.callers),
-            in_flight: Bounded::new(options.limits.in_flight),
-            waiting: Bounded::new(options.limits.waiting),
+            in_flight: Limiter::new(options.limits.in_flight),
+            waiting: Limiter::new(options.limits.waiting),
         }
     }
 
@@ -151,29 +153,28 @@
         proxy: Proxy<P>,
     ) {
         let handler = CallerHandler {
-            parts: Arc::clone(&self.parts),
+            deps: Arc::clone(&self.deps),
             options: Arc::clone(&self.options),
             proxy: Arc::new(proxy),
-            owner: self.parts.owner().to_string(),
+            owner: self.deps.owner().to_string(),
         };
         let state = Arc::clone(&self.callers);
         self.serve(executor, listener, handler, state);
     }
 
-    fn serve_operators(&mut self, executor: &Arc<Executor<'static>>, listener: Async<TcpListener>) {
+    fn serve_admin(&mut self, executor: &Arc<Executor<'static>>, listener: Async<TcpListener>) {
         let handler = AdminHandler {
-            parts: Arc::clone(&self.parts),
+            deps: Arc::clone(&self.deps),
             callers: Arc::clone(&self.callers),
         };
-        let state = Arc::clone(&self.operators);
+        let state = Arc::clone(&self.admin);
         self.serve(executor, listener, handler, state);
     }
 
-    /// Moves the decisions on once, so that what is configured already can be
-    /// served from the first caller on.
-    fn begin_decisions(&self) {
-        let clock = self.parts.clock();
-        self.parts.traffic().tick(clock.now(), clock.wall());
+    /// Runs the first tick, so that configured services can be served at once.
+    fn first_tick(&self) {
+        let clock = self.deps.clock();
+        self.deps.traffic().tick(clock.now(), clock.wall());
     }
 
     fn serve(
@@ -181,13 +182,13 @@
         executor: &Arc<Executor<'static>>,
         listener: Async<TcpListener>,
         handler: impl Handler,
-        state: Arc<ServeState>,
+        state: Arc<ListenerState>,
     ) {
-        let parts = Arc::clone(&self.parts);
+        let deps = Arc::clone(&self.deps);
         let limits = Arc::new(self.options.limits.clone());
         let on_error = move |error: &std::io::Error| {
             let fields = EventFields::detail(format!("cause={error}"));
-            parts.recorder().record(EventCode::ListenerFailed, fields);
+            deps.recorder().record(EventCode::ListenerFailed, fields);
         };
         let serving = serve_listener(
             listener,
@@ -200,48 +201,48 @@
         self.tasks.push(executor.spawn(serving));
     }
 
-    fn keep_house(&mut self, executor: &Arc<Executor<'static>>, proxy: &Proxy<P>) {
-        let (parts, options) = (Arc::clone(&self.parts), Arc::clone(&self.options));
+    fn start_housekeeping(&mut self, executor: &Arc<Executor<'static>>, proxy: &Proxy<P>) {
+        let (deps, options) = (Arc::clone(&self.deps), Arc::clone(&self.options));
         let (pools, keys) = (Arc::clone(&proxy.pools), Arc::clone(&proxy.keys));
         let callers = Arc::clone(&self.callers);
-        let housekeeping = Housekeeping::new(parts, options, pools, keys, callers);
-        let keeping = keep_house(housekeeping, Arc::clone(executor));
-        self.tasks.push(executor.spawn(keeping));
+        let housekeeping = Housekeeping::new(deps, options, pools, keys, callers);
+        let housekeeping = run_housekeeping(housekeeping, Arc::clone(executor));
+        self.tasks.push(executor.spawn(housekeeping));
     }
 
-    /// Returns where callers connect.
+    /// Returns the address of the caller listener.
     pub fn caller_address(&self) -> SocketAddr {
         self.caller_address
     }
 
-    /// Returns where operators connect.
+    /// Returns the address of the admin listener.
     pub fn admin_address(&self) -> SocketAddr {
         self.admin_address
     }
 
-    /// Returns how many connections of callers are open.
+    /// Returns the number of open caller connections.
     pub fn connections(&self) -> usize {
         self.callers.connections()
     }
 
-    /// Returns how many requests of callers are under way.
+    /// Returns the number of caller requests in progress.
     pub fn requests(&self) -> usize {
         self.callers.requests()
     }
 
-    /// Leaves: takes the instance out of look-ups, serves until callers'
-    /// answers have expired, then closes connections between answers and
-    /// returns once nothing is in flight.
+    /// Drains the caller listener.
     ///
-    /// The admin listener serves on.
+    /// Removes the instance from look-ups, serves until cached look-ups have
+    /// expired, then closes idle connections and waits for requests in
+    /// progress, for a limited time. The admin listener stays open.
     pub async fn drain(&self) {
         self.record(EventCode::ProcessStopping, String::new());
-        self.parts.directory().leave();
-        self.callers.leave();
+        self.deps.directory().leave();
+        self.callers.start_draining();
         Timer::after(self.options.lookup_ttl + self.options.drain.margin).await;
         self.callers.close();
         let finished = self.callers.finished();
-        match within(self.options.drain.in_flight_time, finished).await {
+        match timeout(self.options.drain.in_flight_time, finished).await {
             Ok(()) => self.record(EventCode::ProcessDrained, String::new()),
             Err(_) => {
                 let in_flight = format!("requests={}", self.requests());
@@ -251,18 +252,18 @@
     }
 
     fn record(&self, code: EventCode, detail: String) {
-        let recorder = self.parts.recorder();
+        let recorder = self.deps.recorder();
         recorder.record(code, EventFields::detail(detail));
     }
 }
 
-impl<P: Parts> Drop for Entry<P> {
+impl<P: Dependencies> Drop for Entry<P> {
     fn drop(&mut self) {
         self.callers.close();
-        self.operators.close();
+        self.admin.close();
     }
 }
 
-fn local_address(listener: &Async<TcpListener>, asked: SocketAddr) -> SocketAddr {
-    listener.get_ref().local_addr().unwrap_or(asked)
+fn local_address(listener: &Async<TcpListener>, requested: SocketAddr) -> SocketAddr {
+    listener.get_ref().local_addr().unwrap_or(requested)
 }
--- a/crates/foxtide-entry/src/housekeeping.rs
+++ b/crates/foxtide-entry/src/housekeeping.rs
@@ -1,11 +1,11 @@
-//! What is done in the background: decisions move on, upstreams are asked for
-//! their load, old connections are closed.
+//! Periodic background work: ticks, load polls, expiry of keys and idle
+//! connections.
 
 use crate::clock::Clock;
+use crate::dependencies::Dependencies;
 use crate::options::EntryOptions;
-use crate::parts::Parts;
 use crate::proxy::KeyTable;
-use crate::serve::ServeState;
+use crate::serve::ListenerState;
 use crate::traffic::{
     Poller,
     UpstreamChange, //
@@ -26,40 +26,38 @@
 
 const TICK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// How many ticks pass between two looks at idle connections.
 const TICKS_PER_PRUNE: u32 = 10;
 
 const CONNECTIONS: &str = "foxtide_connections";
 const REQUESTS: &str = "foxtide_requests_under_way";
 const KEYS: &str = "foxtide_idempotency_keys";
-const KEPT_ANSWERS_BYTES: &str = "foxtide_idempotency_answers_bytes";
+const STORED_ANSWERS_BYTES: &str = "foxtide_idempotency_answers_bytes";
 
-/// What the background work needs.
+/// State used by the background work.
 #[derive(Debug)]
 pub(crate) struct Housekeeping<P> {
-    parts: Arc<P>,
+    deps: Arc<P>,
     pools: Arc<Pools>,
     poller: Arc<Poller<P>>,
     keys: KeyTable,
-    callers: Arc<ServeState>,
+    callers: Arc<ListenerState>,
 }
 
-impl<P: Parts> Housekeeping<P> {
-    /// Returns the background work of an entry.
+impl<P: Dependencies> Housekeeping<P> {
     pub(crate) fn new(
-        parts: Arc<P>,
+        deps: Arc<P>,
         options: Arc<EntryOptions>,
         pools: Arc<Pools>,
         keys: KeyTable,
-        callers: Arc<ServeState>,
+        callers: Arc<ListenerState>,
     ) -> Self {
         let poller = Poller {
-            parts: Arc::clone(&parts),
+            deps: Arc::clone(&deps),
             pools: Arc::clone(&pools),
             options,
         };
         Self {
-            parts,
+            deps,
             pools,
             poller: Arc::new(poller),
             keys,
@@ -68,27 +66,27 @@
     }
 
     fn tick(&self, executor: &Executor<'static>) {
-        let (now, wall) = (self.parts.clock().now(), self.parts.clock().wall());
-        let traffic = self.parts.traffic();
+        let (now, wall) = (self.deps.clock().now(), self.deps.clock().wall());
+        let traffic = self.deps.traffic();
         traffic.tick(now, wall);
-        traffic.publish_views(self.parts.explainer(), now, wall);
-        for change in traffic.changes(now) {
+        traffic.publish_views(self.deps.explainer(), now, wall);
+        for change in traffic.status_changes(now) {
             self.record(change);
         }
         self.poller.start_due(executor);
     }
 
     fn prune(&self) {
-        let traffic = self.parts.traffic();
-        self.pools.prune(self.parts.clock().now());
-        self.pools.keep_only(&traffic.addresses());
-        self.tick_keys();
+        let traffic = self.deps.traffic();
+        self.pools.prune(self.deps.clock().now());
+        self.pools.retain(&traffic.addresses());
+        self.expire_keys();
         gauge!(CONNECTIONS).set(self.callers.connections() as f64);
         gauge!(REQUESTS).set(self.callers.requests() as f64);
     }
 
-    fn tick_keys(&self) {
-        let wall = self.parts.clock().wall();
+    fn expire_keys(&self) {
+        let wall = self.deps.clock().wall();
         let usage = {
             let mut keys = self.keys.lock();
             keys.tick(wall);
@@ -96,11 +94,11 @@
         };
         gauge!(KEYS, "state" => "running").set(usage.running as f64);
         gauge!(KEYS, "state" => "ended").set(usage.ended as f64);
-        gauge!(KEPT_ANSWERS_BYTES).set(usage.answers_size.get() as f64);
+        gauge!(STORED_ANSWERS_BYTES).set(usage.answers_size.get() as f64);
     }
 
     fn record(&self, change: UpstreamChange) {
-        let Some(code) = code_of(change.change.from, change.change.to) else {
+        let Some(code) = event_code(change.change.from, change.change.to) else {
             return;
         };
         let fields = EventFields {
@@ -111,12 +109,12 @@
             detail: format!("from={} to={}", change.change.from, change.change.to),
             ..EventFields::default()
         };
-        self.parts.recorder().record(code, fields);
+        self.deps.recorder().record(code, fields);
     }
 }
 
-/// Does the background work until it is dropped.
-pub(crate) async fn keep_house<P: Parts>(
+/// Runs the background work until the future is dropped.
+pub(crate) async fn run_housekeeping<P: Dependencies>(
     housekeeping: Housekeeping<P>,
     executor: Arc<Executor<'static>>,
 ) {
@@ -131,7 +129,7 @@
     }
 }
 
-fn code_of(from: UpstreamStatus, to: UpstreamStatus) -> Option<EventCode> {
+fn event_code(from: UpstreamStatus, to: UpstreamStatus) -> Option<EventCode> {
     match (from, to) {
         (_, UpstreamStatus::Leaving) => Some(EventCode::UpstreamDraining),
         (_, UpstreamStatus::Dead) => Some(EventCode::UpstreamUnreachable),
--- a/crates/foxtide-entry/src/lib.rs
+++ b/crates/foxtide-entry/src/lib.rs
@@ -1,28 +1,26 @@
-//! The request path of foxtide: look-ups, requests, operators' pages.
+//! HTTP entry of a foxtide instance: look-ups, proxied requests and admin pages.
 //!
-//! An instance has two listeners. Callers look up which instances to use and
-//! send requests, which go to an upstream; operators read pages. What the
-//! request path needs from the rest of the instance stands in [`Parts`]: one
-//! type that holds the tables of all organisations ([`TrafficTables`]), the
-//! directory of instances, clocks, the recorder of events and the operators'
-//! pages.
+//! An instance has two listeners. On the caller listener, callers look up which
+//! instances to use and send requests, which are forwarded to upstreams. On the
+//! admin listener, operators read pages. The entry uses the rest of the
+//! instance through [`Dependencies`].
 //!
-//! The rest of the instance calls [`TrafficTables::configure`] for each
-//! configuration that comes into force, [`TrafficTables::observe`] and
-//! [`TrafficTables::set_sharing`] for what the mesh knows, and sends
-//! [`TrafficTables::report`] to peers. The entry itself moves decisions on in
-//! time, polls upstreams and closes idle connections.
+//! The instance calls [`TrafficTables::configure`] for each new configuration
+//! and [`TrafficTables::observe`] and [`TrafficTables::set_sharing`] for
+//! updates from the mesh, and sends [`TrafficTables::report`] to its peers. The
+//! entry itself advances the traffic state, polls upstreams and closes idle
+//! connections.
 //!
 //! ```no_run
-//! # use foxtide_entry::{Entry, EntryOptions, Parts, Workers};
+//! # use foxtide_entry::{Entry, EntryOptions, Dependencies, Workers};
 //! # use std::sync::Arc;
-//! # async fn run<P: Parts>(parts: P) -> foxtide_entry::Result<()> {
+//! # async fn run<P: Dependencies>(deps: P) -> foxtide_entry::Result<()> {
 //! let workers = Workers::start(2)?;
 //! let options = EntryOptions {
 //!     caller_address: ([127, 0, 0, 1], 8080).into(),
 //!     ..EntryOptions::default()
 //! };
-//! let entry = Entry::start(options, Arc::new(parts), &workers.executor())?;
+//! let entry = Entry::start(options, Arc::new(deps), &workers.executor())?;
 //! entry.drain().await;
 //! # Ok(())
 //! # }
@@ -30,21 +28,21 @@
 
 mod admin;
 mod answer;
-mod bounded;
 mod callers;
 mod clock;
+mod dependencies;
 mod entry;
 mod errors;
-mod facts;
 mod housekeeping;
+mod limiter;
 mod lookup;
 mod options;
-mod parts;
 mod proxy;
+mod request_context;
 mod request_id;
 mod route;
 mod serve;
-mod time_limit;
+mod timeout;
 mod traffic;
 mod upstream;
 mod workers;
@@ -53,6 +51,13 @@
     Clock,
     SystemClock, //
 };
+pub use dependencies::{
+    Admin,
+    AdminPage,
+    Dependencies,
+    Directory,
+    ServingInstance, //
+};
 pub use entry::{
     Entry,
     Listeners, //
@@ -69,13 +74,6 @@
     PollOptions,
     PoolOptions, //
 };
-pub use parts::{
-    Admin,
-    AdminPage,
-    Directory,
-    Parts,
-    ServingInstance, //
-};
 pub use traffic::{
     SentCount,
     TrafficOptions,
--- a/crates/foxtide-entry/src/proxy/attempt.rs
+++ b/crates/foxtide-entry/src/proxy/attempt.rs
@@ -1,11 +1,11 @@
-//! How an attempt at an upstream ended.
+//! Results of attempts at upstreams.
 
 use crate::answer::Answer;
 use crate::errors::Step;
 use crate::upstream::{
     Failure,
     FailureKind,
-    says_draining, //
+    announces_drain, //
 };
 use foxtide_core::choice::{
     Completion,
@@ -22,25 +22,25 @@
 /// How an attempt ended.
 #[derive(Debug)]
 pub(crate) enum AttemptEnd {
-    /// A whole answer came that is the caller's.
+    /// Complete answer for the caller.
     Answered(Answer),
-    /// The upstream said that it did not run the request.
+    /// The upstream reported that it did not execute the request.
     Refused(Answer),
-    /// No whole answer came.
+    /// No complete answer.
     Failed(Failure),
 }
 
 impl AttemptEnd {
-    /// Sorts the result of an exchange.
+    /// Classifies the result of an exchange.
     pub(crate) fn of(result: Result<Answer, Failure>) -> Self {
         match result {
-            Ok(answer) if says_not_run(&answer) => Self::Refused(answer),
+            Ok(answer) if reports_not_run(&answer) => Self::Refused(answer),
             Ok(answer) => Self::Answered(answer),
             Err(failure) => Self::Failed(failure),
         }
     }
 
-    /// Returns what the request's next step rests on.
+    /// Returns the result on which retries are decided.
     pub(crate) fn result(&self) -> AttemptResult {
         match self {
             Self::Answered(answer) if answer.status.is_server_error() => AttemptResult::ServerError,
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Returns what to tell about the upstream.
+    /// Returns the completion to report to the balancer.
     pub(crate) fn completion(&self, latency: Duration) -> Completion {
         let headers = self.headers();
         let load = headers.and_then(|headers| headers.get(name::LOAD_METRICS));
@@ -64,7 +64,7 @@
             kind: self.completion_kind(),
             latency,
             load: load.and_then(|values| values.as_str().parse().ok()),
-            draining: headers.is_some_and(says_draining),
+            draining: headers.is_some_and(announces_drain),
         }
     }
 
@@ -81,7 +81,7 @@
         }
     }
 
-    /// Returns how the attempt is explained.
+    /// Returns the result as recorded in explanations.
     pub(crate) fn explained(&self) -> explain::AttemptResult {
         match self.result() {
             AttemptResult::Answered | AttemptResult::ServerError => {
@@ -101,11 +101,11 @@
     }
 }
 
-/// Tells whether an upstream says itself that it did not run the request.
-fn says_not_run(answer: &Answer) -> bool {
-    let said = answer.headers.get(name::OUTCOME);
+/// Returns whether an upstream reports that it did not execute the request.
+fn reports_not_run(answer: &Answer) -> bool {
+    let outcome = answer.headers.get(name::OUTCOME);
     answer.status == StatusCode::ServiceUnavailable
-        && said.is_some_and(|said| said.as_str() == Outcome::NotRun.as_str())
+        && outcome.is_some_and(|outcome| outcome.as_str() == Outcome::NotRun.as_str())
 }
 
 fn retry_after(headers: &Headers) -> Option<Duration> {
--- a/crates/foxtide-entry/src/proxy/hedged.rs
+++ b/crates/foxtide-entry/src/proxy/hedging.rs
@@ -1,20 +1,20 @@
-//! One attempt, and a second beside it where the first is slow.
+//! Runs attempts and hedges slow ones with a second attempt.
 
 use super::admission::Admitted;
 use super::attempt::AttemptEnd;
 use super::run::{
     Destination,
-    Ended,
+    EndedAttempt,
     Proxy,
     Run, //
 };
 use crate::answer::Answer;
 use crate::clock::Clock;
-use crate::parts::Parts;
-use crate::time_limit::within;
+use crate::dependencies::Dependencies;
+use crate::timeout::timeout;
 use crate::traffic::{
-    Choice,
-    Place, //
+    Slot,
+    SlotChoice, //
 };
 use crate::upstream::Failure;
 use foxtide_core::explain::{
@@ -36,22 +36,22 @@
 use std::pin::pin;
 use std::time::Duration;
 
-/// An attempt that holds its place.
+/// Attempt in progress, with its slot.
 struct Attempt {
     id: AttemptId,
     admitted: Admitted,
-    place: Place,
+    slot: Slot,
 }
 
-impl<P: Parts> Proxy<P> {
-    /// Runs an attempt to its end and decides what follows.
+impl<P: Dependencies> Proxy<P> {
+    /// Runs an attempt, hedged if allowed, and decides on the next step.
     pub(super) async fn attempt(
         &self,
         run: &mut Run<'_>,
         admitted: &Admitted,
-        place: Place,
-    ) -> (Ended, Step) {
-        let first = self.begin(run, admitted.clone(), place);
+        slot: Slot,
+    ) -> (EndedAttempt, Step) {
+        let first = self.begin(run, admitted.clone(), slot);
         match run.attempts.hedge_at() {
             None => {
                 let result = self.send(run, &first).await;
@@ -66,21 +66,21 @@
         run: &Run<'a>,
         attempt: &Attempt,
     ) -> impl Future<Output = Result<Answer, Failure>> + use<'a, P> {
-        let destination = Destination::of(&attempt.place);
-        self.exchange(run.facts, run.prepared, destination)
+        let destination = Destination::of(&attempt.slot);
+        self.exchange(run.context, run.prepared, destination)
     }
 
-    /// Runs an attempt and, where it is slow, a second beside it; the first
-    /// whole answer wins and the other attempt is cancelled.
+    /// Runs an attempt and, if it is slow, a second one in parallel. The first
+    /// complete answer wins and the other attempt is cancelled.
     async fn attempt_hedged(
         &self,
         run: &mut Run<'_>,
         first: Attempt,
         at: MonotonicTime,
-    ) -> (Ended, Step) {
+    ) -> (EndedAttempt, Step) {
         let mut first_result = pin!(self.send(run, &first));
-        let delay = at - self.parts.clock().now();
-        if let Ok(result) = within(delay, first_result.as_mut()).await {
+        let delay = at - self.deps.clock().now();
+        if let Ok(result) = timeout(delay, first_result.as_mut()).await {
             return self.end(run, first, result);
         }
         let Some(second) = self.begin_hedge(run, &first.admitted.region) else {
@@ -89,63 +89,67 @@
         };
         let second_result = pin!(self.send(run, &second));
         match select(first_result, second_result).await {
-            Either::Left((result, rest)) => self.settle(run, first, result, second, rest).await,
-            Either::Right((result, rest)) => self.settle(run, second, result, first, rest).await,
+            Either::Left((result, rest)) => {
+                self.finish_hedged(run, first, result, second, rest).await
+            }
+            Either::Right((result, rest)) => {
+                self.finish_hedged(run, second, result, first, rest).await
+            }
         }
     }
 
-    /// Begins a second attempt, where the upstreams of the first one's region
-    /// are idle enough, and the budget and the limits allow it now.
+    /// Begins a second attempt if the first region has spare capacity and the
+    /// retry budget and admission allow it.
     fn begin_hedge(&self, run: &mut Run<'_>, first_region: &RegionId) -> Option<Attempt> {
-        let facts = run.facts;
-        if !facts.service.region(first_region)?.has_spare_capacity() {
+        let context = run.context;
+        if !context.service.region(first_region)?.has_spare_capacity() {
             return None;
         }
-        let now = self.parts.clock().now();
-        if facts.service.hedge(&mut run.attempts, now) != Step::Hedge {
+        let now = self.deps.clock().now();
+        if context.service.hedge(&mut run.attempts, now) != Step::Hedge {
             return None;
         }
-        let admission = self.try_admit(facts, fastrand::f64(), Duration::ZERO, now);
+        let admission = self.try_admit(context, fastrand::f64(), Duration::ZERO, now);
         let Admission::Send { region, .. } = admission else {
             return None;
         };
-        let of_region = facts.service.region(&region)?;
-        let Choice::Taken(place) = of_region.take(&run.tried, now) else {
+        let region_traffic = context.service.region(&region)?;
+        let SlotChoice::Taken(slot) = region_traffic.take(&run.tried, now) else {
             return None;
         };
         let rule = Rule::Weighted;
-        Some(self.begin(run, Admitted { region, rule }, place))
+        Some(self.begin(run, Admitted { region, rule }, slot))
     }
 
-    /// Notes the end of one of two attempts; waits for the other where its
-    /// answer is still wanted, else drops it.
-    async fn settle(
+    /// Records the end of one of two attempts, then awaits the other or cancels
+    /// it.
+    async fn finish_hedged(
         &self,
         run: &mut Run<'_>,
         ended: Attempt,
         result: Result<Answer, Failure>,
         other: Attempt,
         other_result: impl Future<Output = Result<Answer, Failure>>,
-    ) -> (Ended, Step) {
+    ) -> (EndedAttempt, Step) {
         let (ended, step) = self.end(run, ended, result);
         if step == Step::Await {
             let result = other_result.await;
             return self.end(run, other, result);
         }
-        let upstream = other.place.upstream().upstream.clone();
+        let upstream = other.slot.upstream().upstream.clone();
         run.decision.add_attempt(upstream, AttemptResult::Cancelled);
         (ended, step)
     }
 
-    fn begin(&self, run: &mut Run<'_>, admitted: Admitted, place: Place) -> Attempt {
-        run.tried.push(place.upstream().upstream.clone());
+    fn begin(&self, run: &mut Run<'_>, admitted: Admitted, slot: Slot) -> Attempt {
+        run.tried.push(slot.upstream().upstream.clone());
         if let Some(claim) = run.claim {
-            claim.written();
+            claim.mark_written();
         }
         Attempt {
-            id: run.attempts.begin(self.parts.clock().now()),
+            id: run.attempts.begin(self.deps.clock().now()),
             admitted,
-            place,
+            slot,
         }
     }
 
@@ -154,12 +158,12 @@
         run: &mut Run<'_>,
         attempt: Attempt,
         result: Result<Answer, Failure>,
-    ) -> (Ended, Step) {
-        let mut ended = Ended {
+    ) -> (EndedAttempt, Step) {
+        let mut ended = EndedAttempt {
             id: attempt.id,
             end: AttemptEnd::of(result),
         };
-        let step = self.note_end(run, &attempt.admitted, attempt.place, &mut ended);
+        let step = self.finish_attempt(run, &attempt.admitted, attempt.slot, &mut ended);
         (ended, step)
     }
 }
--- a/crates/foxtide-entry/src/proxy/keyed.rs
+++ b/crates/foxtide-entry/src/proxy/keyed.rs
@@ -1,15 +1,15 @@
-//! Runs of requests with a key, which may outlive their callers.
+//! Runs keyed requests, which may continue after their caller disconnects.
 
-use super::keys::HeldClaim;
-use super::prepare::Prepared;
+use super::keys::ClaimGuard;
+use super::prepare::PreparedRequest;
 use super::run::Proxy;
 use crate::answer::{
     Answer,
     Refusal, //
 };
-use crate::facts::Facts;
-use crate::parts::Parts;
-use crate::serve::ServeState;
+use crate::dependencies::Dependencies;
+use crate::request_context::RequestContext;
+use crate::serve::ListenerState;
 use smol::{
     Executor,
     Task, //
@@ -23,19 +23,19 @@
     Weak, //
 };
 
-/// A run in a task of its own.
+/// Runs a keyed request in a task of its own.
 ///
-/// Dropped, because its caller went away, it ends the run only where no byte
-/// has gone out yet. Else the run goes on: its answer is kept for the caller,
-/// who would otherwise never learn whether it ran. A planned stop waits for it.
-struct OwnRun {
+/// If it is dropped because the caller disconnected, it is cancelled only if no
+/// byte has been sent. Otherwise it continues, so that its answer is stored for
+/// the caller's retry. Draining waits for it.
+struct DetachableRun {
     task: Option<Task<Result<Answer, Refusal>>>,
     written: Arc<AtomicBool>,
     executor: Weak<Executor<'static>>,
-    callers: Arc<ServeState>,
+    callers: Arc<ListenerState>,
 }
 
-impl Drop for OwnRun {
+impl Drop for DetachableRun {
     fn drop(&mut self) {
         let written = self.written.load(Ordering::Acquire);
         let (Some(task), Some(executor)) = (self.task.take(), self.executor.upgrade()) else {
@@ -44,55 +44,56 @@
         if !written {
             return;
         }
-        let counted = self.callers.begin_request();
+        let guard = self.callers.begin_request();
         let rest = async move {
             let _ = task.await;
-            drop(counted);
+            drop(guard);
         };
         executor.spawn(rest).detach();
     }
 }
 
-impl<P: Parts> Proxy<P> {
-    /// Runs a request whose key was given out.
+impl<P: Dependencies> Proxy<P> {
+    /// Runs a request that has claimed its key.
     ///
     /// # Errors
     ///
-    /// Fails where no upstream gave an answer.
+    /// Returns a refusal if no upstream answered.
     pub(super) async fn run_keyed(
         self: &Arc<Self>,
-        facts: Facts,
-        prepared: Prepared,
-        claim: HeldClaim,
+        context: RequestContext,
+        prepared: PreparedRequest,
+        claim: ClaimGuard,
     ) -> Result<Answer, Refusal> {
         let Some(executor) = self.executor.upgrade() else {
-            return self.run_claimed(&facts, &prepared, claim).await;
+            return self.run_claimed(&context, &prepared, claim).await;
         };
-        let written = claim.written_mark();
+        let written = claim.written_flag();
         let proxy = Arc::clone(self);
-        let task = executor.spawn(async move { proxy.run_claimed(&facts, &prepared, claim).await });
-        let mut run = OwnRun {
+        let task =
+            executor.spawn(async move { proxy.run_claimed(&context, &prepared, claim).await });
+        let mut run = DetachableRun {
             task: None,
             written,
             executor: Weak::clone(&self.executor),
             callers: Arc::clone(&self.callers),
         };
         let answered = run.task.insert(task).await;
-        // An ended task must not be waited for again.
+        // `drop` must not await the completed task again.
         run.task = None;
         answered
     }
 
     async fn run_claimed(
         &self,
-        facts: &Facts,
-        prepared: &Prepared,
-        claim: HeldClaim,
+        context: &RequestContext,
+        prepared: &PreparedRequest,
+        claim: ClaimGuard,
     ) -> Result<Answer, Refusal> {
-        let answered = self.run(facts, prepared, Some(&claim)).await;
+        let answered = self.run(context, prepared, Some(&claim)).await;
         match &answered {
             Ok(answer) => claim.finish(answer),
-            Err(refusal) => self.record_refusal(facts, refusal),
+            Err(refusal) => self.record_refusal(context, refusal),
         }
         answered
     }
--- a/crates/foxtide-entry/src/proxy/run.rs
+++ b/crates/foxtide-entry/src/proxy/run.rs
@@ -1,42 +1,42 @@
-//! Runs a request over its attempts.
+//! Runs a request through its attempts.
 
 use super::admission::{
-    Admitted,
-    Unplaced, //
+    AdmissionError,
+    Admitted, //
 };
 use super::attempt::AttemptEnd;
-use super::given_up::given_up;
+use super::give_up::give_up_refusal;
 use super::keys::{
-    HeldClaim,
+    ClaimGuard,
+    ImmediateAnswer,
     KeyTable,
     KeyedRequest,
-    Settled,
     begin, //
 };
-use super::prepare::Prepared;
+use super::prepare::PreparedRequest;
 use crate::answer::{
     Answer,
     AnswerBody,
     Refusal, //
 };
-use crate::bounded::Bounded;
 use crate::clock::Clock;
-use crate::facts::{
-    Facts,
+use crate::dependencies::Dependencies;
+use crate::limiter::Limiter;
+use crate::options::EntryOptions;
+use crate::request_context::{
+    RequestContext,
     Target, //
 };
-use crate::options::EntryOptions;
-use crate::parts::Parts;
 use crate::serve::{
-    Received,
-    ServeState, //
+    ListenerState,
+    ReceivedRequest, //
 };
-use crate::traffic::Place;
+use crate::traffic::Slot;
 use crate::upstream::{
     Failure,
     Freshness,
-    Naming,
     Pools,
+    RequestIdEcho,
     UpstreamRequest,
     exchange, //
 };
@@ -63,167 +63,163 @@
 };
 use std::time::Duration;
 
-/// Sends requests to upstreams.
+/// Forwards requests to upstreams.
 #[derive(Debug)]
 pub(crate) struct Proxy<P> {
-    /// What the request path works with.
-    pub(crate) parts: Arc<P>,
-    /// The settings.
+    pub(crate) deps: Arc<P>,
     pub(crate) options: Arc<EntryOptions>,
-    /// The connections to upstreams.
+    /// Idle connections to upstreams.
     pub(crate) pools: Arc<Pools>,
-    /// The idempotency keys of this process.
+    /// Idempotency keys that this process owns.
     pub(crate) keys: KeyTable,
-    /// What runs tasks. Weak, for tasks hold the proxy.
+    /// Executor of keyed runs; weak, because its tasks hold the proxy.
     pub(crate) executor: Weak<Executor<'static>>,
-    /// What a planned stop waits for.
-    pub(crate) callers: Arc<ServeState>,
-    /// The requests under way.
-    pub(crate) in_flight: Bounded,
-    /// Those of them that wait for room.
-    pub(crate) waiting: Bounded,
+    /// State of the caller listener, for which draining waits.
+    pub(crate) callers: Arc<ListenerState>,
+    /// Limits the requests in progress.
+    pub(crate) in_flight: Limiter,
+    /// Limits the requests that wait for admission or a slot.
+    pub(crate) waiting: Limiter,
 }
 
-/// A request on its way.
+/// Request in progress.
 pub(super) struct Run<'a> {
-    /// What is known of it.
-    pub(super) facts: &'a Facts,
-    /// What is sent.
-    pub(super) prepared: &'a Prepared,
-    /// The right to run its key, where it has one.
-    pub(super) claim: Option<&'a HeldClaim>,
-    /// Its attempts.
+    pub(super) context: &'a RequestContext,
+    pub(super) prepared: &'a PreparedRequest,
+    /// Claim of its key, if it has one.
+    pub(super) claim: Option<&'a ClaimGuard>,
     pub(super) attempts: Attempts,
-    /// The upstreams that it was sent to.
+    /// Upstreams that were tried.
     pub(super) tried: Vec<UpstreamId>,
-    /// Why it went where it did.
+    /// Decision record for explanations.
     pub(super) decision: Decision,
 }
 
-/// Where an attempt is sent.
+/// Upstream address of an attempt.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Destination {
-    /// The upstream's address.
     pub(super) address: SocketAddr,
-    /// How many connections may be open to it.
+    /// Maximum number of open connections to the upstream.
     pub(super) connection_limit: usize,
 }
 
 impl Destination {
-    /// Returns the destination of a place.
-    pub(super) fn of(place: &Place) -> Self {
+    pub(super) fn of(slot: &Slot) -> Self {
         Self {
-            address: place.upstream().address,
-            connection_limit: place.connection_limit(),
+            address: slot.upstream().address,
+            connection_limit: slot.connection_limit(),
         }
     }
 }
 
-/// An attempt that has ended.
-pub(super) struct Ended {
-    /// Which.
+/// Attempt that has ended.
+pub(super) struct EndedAttempt {
     pub(super) id: AttemptId,
-    /// How.
     pub(super) end: AttemptEnd,
 }
 
-impl<P: Parts> Proxy<P> {
+impl<P: Dependencies> Proxy<P> {
     /// Answers a request with an upstream's answer.
     ///
     /// # Errors
     ///
-    /// Fails where no upstream gave one.
+    /// Returns a refusal if no upstream answered.
     pub(crate) async fn answer(
         self: &Arc<Self>,
-        received: Received,
+        received: ReceivedRequest,
         target: Target,
         id: RequestId,
     ) -> Result<Answer, Refusal> {
-        let facts = Facts::of(&*self.parts, &self.options, &received, &target, id);
-        let facts = facts.map_err(|refusal| refusal.with_outcome(earlier_outcome(&received)))?;
-        let claim = match self.claim(&facts, &received, &target) {
+        let context = RequestContext::resolve(&*self.deps, &self.options, &received, &target, id);
+        let context =
+            context.map_err(|refusal| refusal.with_outcome(outcome_before_key_check(&received)))?;
+        let claim = match self.claim(&context, &received, &target) {
             Ok(claim) => claim,
-            Err(settled) => return self.answer_without_run(&facts, settled),
+            Err(immediate) => return self.answer_without_run(&context, immediate),
         };
-        let prepared = Prepared::new(received, &target, &facts.request).await;
-        let prepared = prepared.map_err(|_| unencodable())?;
+        let prepared = PreparedRequest::new(received, &target, &context.request).await;
+        let prepared = prepared.map_err(|_| not_encodable())?;
         if let Some(claim) = claim {
-            return self.run_keyed(facts, prepared, claim).await;
+            return self.run_keyed(context, prepared, claim).await;
         }
-        let answered = self.run(&facts, &prepared, None).await;
+        let answered = self.run(&context, &prepared, None).await;
         if let Err(refusal) = &answered {
-            self.record_refusal(&facts, refusal);
+            self.record_refusal(&context, refusal);
         }
         answered
     }
 
-    /// Decides about the key of a request that must not run twice.
+    /// Claims the key of a non-idempotent request, if it has one.
     ///
     /// # Errors
     ///
-    /// Fails with what the request gets where it is not run.
+    /// Returns the answer to a request that must not be executed.
     fn claim(
         &self,
-        facts: &Facts,
-        received: &Received,
+        context: &RequestContext,
+        received: &ReceivedRequest,
         target: &Target,
-    ) -> Result<Option<HeldClaim>, Settled> {
+    ) -> Result<Option<ClaimGuard>, ImmediateAnswer> {
         let key = received.head.head.headers.get(name::IDEMPOTENCY_KEY);
-        let Some(key) = key.filter(|_| !facts.terms.idempotent) else {
+        let Some(key) = key.filter(|_| !context.terms.idempotent) else {
             return Ok(None);
         };
         let request = KeyedRequest {
             received,
             target,
-            id: &facts.request,
+            id: &context.request,
             key: key.as_str(),
         };
-        begin(&*self.parts, &self.keys, request).map(Some)
+        begin(&*self.deps, &self.keys, request).map(Some)
     }
 
     pub(super) async fn run(
         &self,
-        facts: &Facts,
-        prepared: &Prepared,
-        claim: Option<&HeldClaim>,
+        context: &RequestContext,
+        prepared: &PreparedRequest,
+        claim: Option<&ClaimGuard>,
     ) -> Result<Answer, Refusal> {
-        let Some(_in_flight) = self.in_flight.enter(1) else {
+        let Some(_in_flight) = self.in_flight.try_acquire(1) else {
             let status = StatusCode::ServiceUnavailable;
             return Err(Refusal::not_run(status, "too-many-requests"));
         };
-        let retry = self.parts.traffic().options().retry.clone();
+        let retry = self.deps.traffic().options().retry.clone();
         let mut run = Run {
-            facts,
+            context,
             prepared,
             claim,
-            attempts: Attempts::new(facts.terms, retry),
+            attempts: Attempts::new(context.terms, retry),
             tried: Vec::new(),
-            decision: self.undecided(facts),
+            decision: self.new_decision(context),
         };
-        let received_at = self.parts.clock().now();
+        let received_at = self.deps.clock().now();
         let answered = self.run_attempts(&mut run).await;
-        let took = self.parts.clock().now() - received_at;
-        facts.service.metrics().seconds.record(took.as_secs_f64());
-        self.parts.explainer().record(run.decision);
+        let elapsed = self.deps.clock().now() - received_at;
+        context
+            .service
+            .metrics()
+            .seconds
+            .record(elapsed.as_secs_f64());
+        self.deps.explainer().record(run.decision);
         answered
     }
 
     async fn run_attempts(&self, run: &mut Run<'_>) -> Result<Answer, Refusal> {
         loop {
-            let (admitted, place) = match self.admit_and_place(run).await {
-                Ok(placed) => placed,
-                Err(unplaced) => {
-                    run.decision.redirect(unplaced.rule, None);
-                    return Err(unplaced.refusal.with_outcome(run.attempts.outcome()));
+            let (admitted, slot) = match self.admit_and_take_slot(run).await {
+                Ok(admitted) => admitted,
+                Err(error) => {
+                    run.decision.redirect(error.rule, None);
+                    return Err(error.refusal.with_outcome(run.attempts.outcome()));
                 }
             };
-            let (ended, step) = self.attempt(run, &admitted, place).await;
+            let (ended, step) = self.attempt(run, &admitted, slot).await;
             match step {
                 Step::Retry { after } => {
                     Timer::after(after).await;
                 }
                 Step::GiveUp(give_up) => {
-                    return Err(given_up(give_up, ended.end.result()));
+                    return Err(give_up_refusal(give_up, ended.end.result()));
                 }
                 Step::Answer(_) | Step::Await | Step::Hedge => {
                     return ended.end.into_answer(run.attempts.outcome());
@@ -232,87 +228,92 @@
         }
     }
 
-    async fn admit_and_place(&self, run: &mut Run<'_>) -> Result<(Admitted, Place), Unplaced> {
-        let admitted = self.admit(run.facts).await?;
+    async fn admit_and_take_slot(
+        &self,
+        run: &mut Run<'_>,
+    ) -> Result<(Admitted, Slot), AdmissionError> {
+        let admitted = self.admit(run.context).await?;
         let region = Some(admitted.region.clone());
         run.decision.redirect(admitted.rule, region);
-        let place = self.place(run.facts, &admitted.region, &run.tried).await?;
-        Ok((admitted, place))
+        let slot = self
+            .take_slot(run.context, &admitted.region, &run.tried)
+            .await?;
+        Ok((admitted, slot))
     }
 
     /// Sends one attempt and reads its answer.
     pub(super) async fn exchange(
         &self,
-        facts: &Facts,
-        prepared: &Prepared,
+        context: &RequestContext,
+        prepared: &PreparedRequest,
         destination: Destination,
     ) -> Result<Answer, Failure> {
         let address = destination.address;
-        let now = self.parts.clock().now();
-        let time_left = facts.terms.deadline - now;
+        let now = self.deps.clock().now();
+        let time_left = context.terms.deadline - now;
         let bytes = prepared.with_deadline(time_left);
         let request = UpstreamRequest {
             address,
-            method: facts.method,
-            request: facts.request.as_str(),
-            naming: Naming::AsBefore,
+            method: context.method,
+            request: context.request.as_str(),
+            request_id_echo: RequestIdEcho::RequiredIfSeen,
             bytes: &bytes,
-            freshness: freshness(facts),
+            freshness: freshness(context),
             time_left,
         };
-        let got = exchange(&self.pools, &self.options.limits, &request, now).await?;
-        if let Some(connection) = got.connection {
-            let now = self.parts.clock().now();
+        let received = exchange(&self.pools, &self.options.limits, &request, now).await?;
+        if let Some(connection) = received.connection {
+            let now = self.deps.clock().now();
             let limit = destination.connection_limit;
             self.pools.put(address, connection, limit, now);
         }
-        Ok(got.answer)
+        Ok(received.answer)
     }
 
-    /// Notes how an attempt ended and decides what follows.
-    pub(super) fn note_end(
+    /// Records how an attempt ended and decides on the next step.
+    pub(super) fn finish_attempt(
         &self,
         run: &mut Run<'_>,
         admitted: &Admitted,
-        place: Place,
-        ended: &mut Ended,
+        slot: Slot,
+        ended: &mut EndedAttempt,
     ) -> Step {
         let end = &mut ended.end;
-        let upstream = place.upstream().clone();
-        self.record_attempt(run.facts, admitted, &upstream, end);
-        let held = place.held();
-        end.give_back(place, held);
-        let now = self.parts.clock().now();
+        let upstream = slot.upstream().clone();
+        self.record_attempt(run.context, admitted, &upstream, end);
+        let held = slot.held();
+        end.release_slot(slot, held);
+        let now = self.deps.clock().now();
         if let AttemptEnd::Answered(_) = end {
-            run.facts.service.answered(held);
+            run.context.service.record_latency(held);
         }
         let result = end.result();
         if let Some(claim) = run.claim.filter(|_| result.is_not_run()) {
-            claim.proved_not_run();
+            claim.mark_not_run();
         }
         run.decision.add_attempt(upstream.upstream, end.explained());
-        let service = &run.facts.service;
+        let service = &run.context.service;
         let step = service.ended(&mut run.attempts, ended.id, result, now);
         let refused = matches!(result, AttemptResult::Refused { .. });
-        // One upstream that refuses says nothing of its region; a request for
-        // which nothing else could be found there does.
+        // A refusal counts against the region only if no other upstream could
+        // take the request.
         if refused && matches!(step, Step::GiveUp(_)) {
-            run.facts.traffic.refused_by(&admitted.region, now);
+            run.context.traffic.refused_by(&admitted.region, now);
         }
         step
     }
 }
 
 impl AttemptEnd {
-    /// Gives the place back, at the end of the body where that is still to come.
-    fn give_back(&mut self, place: Place, held: Duration) {
+    /// Releases the slot, after the body if that is streamed.
+    fn release_slot(&mut self, slot: Slot, held: Duration) {
         let completion = self.completion(held);
         match self {
             Self::Answered(Answer {
                 body: AnswerBody::Long(body),
                 ..
-            }) => body.hold(place, completion),
-            _ => place.finish(completion),
+            }) => body.hold(slot, completion),
+            _ => slot.finish(completion),
         }
     }
 
@@ -327,21 +328,21 @@
     }
 }
 
-/// Returns what is known of earlier copies of a request that is refused before
-/// its key is looked at: one of them may have run.
-fn earlier_outcome(received: &Received) -> Outcome {
+/// Returns the outcome of a request refused before its key is checked: an
+/// earlier copy of it may have been executed.
+fn outcome_before_key_check(received: &ReceivedRequest) -> Outcome {
     let key = received.head.head.headers.get(name::IDEMPOTENCY_KEY);
     key.map_or(Outcome::NotRun, |_| Outcome::Unknown)
 }
 
-fn unencodable() -> Refusal {
+fn not_encodable() -> Refusal {
     Refusal::not_run(StatusCode::BadRequest, "request-not-encodable")
 }
 
-/// A request that must not run twice is not sent over a connection that the
-/// upstream may be closing.
-fn freshness(facts: &Facts) -> Freshness {
-    if facts.terms.idempotent {
+/// Restricts non-idempotent requests to connections that the upstream is
+/// unlikely to be closing.
+fn freshness(context: &RequestContext) -> Freshness {
+    if context.terms.idempotent {
         Freshness::Any
     } else {
         Freshness::Recent
--- a/crates/foxtide-entry/src/facts.rs
+++ b/crates/foxtide-entry/src/request_context.rs
@@ -1,17 +1,18 @@
-//! What is known of a request before it is sent.
+//! Context of a request: its service, the terms of its attempts and its
+//! caller's region.
 
 use crate::answer::Refusal;
 use crate::clock::Clock;
+use crate::dependencies::{
+    Dependencies,
+    Directory, //
+};
 use crate::lookup::{
     unknown_organisation,
     unknown_service, //
 };
 use crate::options::EntryOptions;
-use crate::parts::{
-    Directory,
-    Parts, //
-};
-use crate::serve::Received;
+use crate::serve::ReceivedRequest;
 use crate::traffic::{
     OrganisationTraffic,
     ServiceTraffic, //
@@ -39,66 +40,62 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// What a request is for.
+/// Service and path that a request addresses.
 #[derive(Clone, Debug)]
 pub(crate) struct Target {
-    /// The organisation.
     pub(crate) organisation: OrganisationId,
-    /// The service.
     pub(crate) service: ServiceId,
-    /// The path at the upstream.
+    /// Path at the upstream.
     pub(crate) path: String,
 }
 
-/// What is known of a request before it is sent.
+/// Attributes of a request that are known before it is sent.
 #[derive(Clone, Debug)]
-pub(crate) struct Facts {
-    /// The identity of the request.
+pub(crate) struct RequestContext {
+    /// Request id.
     pub(crate) request: RequestId,
-    /// The organisation's name.
     pub(crate) organisation: OrganisationId,
-    /// The organisation's tables.
+    /// Traffic state of the organisation.
     pub(crate) traffic: Arc<OrganisationTraffic>,
-    /// The service's tables.
+    /// Traffic state of the service.
     pub(crate) service: Arc<ServiceTraffic>,
-    /// The region that its caller belongs to, where that is known.
+    /// Region of the caller, if known.
     pub(crate) origin: Option<RegionId>,
-    /// The method.
     pub(crate) method: Method,
-    /// What binds its attempts.
+    /// Terms that apply to all attempts.
     pub(crate) terms: RequestTerms,
 }
 
-impl Facts {
-    /// Collects what is known of a request.
+impl RequestContext {
+    /// Determines the context of a request.
     ///
     /// # Errors
     ///
-    /// Fails where the organisation or the service does not exist, or the
+    /// Returns a refusal if the organisation or service is unknown or the
     /// deadline is malformed.
-    pub(crate) fn of<P: Parts>(
-        parts: &P,
+    pub(crate) fn resolve<P: Dependencies>(
+        deps: &P,
         options: &EntryOptions,
-        received: &Received,
+        received: &ReceivedRequest,
         target: &Target,
         request: RequestId,
     ) -> Result<Self, Refusal> {
         if !options.serves(&target.organisation) {
             return Err(unknown_organisation());
         }
-        let traffic = parts.traffic().get(&target.organisation);
+        let traffic = deps.traffic().get(&target.organisation);
         let traffic = traffic.ok_or_else(unknown_organisation)?;
         let service = traffic.service(&target.service);
         let service = service.ok_or_else(unknown_service)?;
         let organisation = traffic.organisation();
         let contract = contract(&organisation, &target.service)?;
         let method = received.head.method;
-        let asked = asked_deadline(&received.head.head.headers)?;
-        let time = asked.unwrap_or_else(|| contract.deadline());
-        let deadline = parts.clock().now() + time.min(options.deadline_max);
+        let requested = requested_deadline(&received.head.head.headers)?;
+        let time = requested.unwrap_or_else(|| contract.deadline());
+        let deadline = deps.clock().now() + time.min(options.deadline_max);
         let idempotent = contract.is_idempotent(method.as_ref(), &target.path);
         Ok(Self {
-            origin: parts.directory().client_origin(received.peer.ip()),
+            origin: deps.directory().client_origin(received.peer.ip()),
             request,
             organisation: target.organisation.clone(),
             terms: service.terms(contract, idempotent, deadline),
@@ -108,7 +105,7 @@
         })
     }
 
-    /// Returns the fields of an event about this request.
+    /// Returns the event fields that identify this request.
     pub(crate) fn event_fields(&self) -> EventFields {
         EventFields {
             organisation: Some(self.organisation.clone()),
@@ -127,13 +124,13 @@
     Ok(&service.ok_or_else(unknown_service)?.contract)
 }
 
-fn asked_deadline(headers: &Headers) -> Result<Option<Duration>, Refusal> {
+fn requested_deadline(headers: &Headers) -> Result<Option<Duration>, Refusal> {
     let Some(values) = headers.get(name::DEADLINE_MS) else {
         return Ok(None);
     };
-    let asked_ms = values.as_str().parse();
+    let requested_ms = values.as_str().parse();
     let malformed = |_| Refusal::not_run(StatusCode::BadRequest, "malformed-deadline");
-    asked_ms
-        .map(|asked_ms| Some(Duration::from_millis(asked_ms)))
+    requested_ms
+        .map(|requested_ms| Some(Duration::from_millis(requested_ms)))
         .map_err(malformed)
 }
--- a/crates/foxtide-entry/src/serve/connection.rs
+++ b/crates/foxtide-entry/src/serve/connection.rs
@@ -1,22 +1,22 @@
-//! The life of one connection: request after request, answer after answer.
+//! Serves the requests of one connection in sequence.
 
 use super::request::{
-    NoRequest,
-    Received,
+    ReceiveError,
+    ReceivedRequest,
     receive, //
 };
-use super::state::ServeState;
+use super::state::ListenerState;
 use crate::answer::{
     Answer,
     Refusal, //
 };
 use crate::options::Limits;
-use crate::time_limit::within;
+use crate::timeout::timeout;
 use crate::upstream::LongBody;
 use foxtide_core::events::RequestId;
 use foxtide_http::{
     BufferedStream,
-    Quiet, //
+    IdleState, //
 };
 use http_types::Method;
 use smol::future::or;
@@ -25,34 +25,31 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// How much of a refused request is still read, so that its sender reads the
-/// answer before the connection is reset.
+/// Limit on the input that is discarded after a refusal; unread input would
+/// reset the connection before the peer reads the answer.
 const DISCARD_MAX_BYTES: usize = 256 * 1_024;
 const DISCARD_TIME: Duration = Duration::from_millis(500);
 
-/// Answers whole requests.
+/// Handles the requests of a listener.
 pub(crate) trait Handler: Send + Sync + 'static {
-    /// Answers a request.
-    fn handle(&self, request: Received) -> impl Future<Output = Answer> + Send;
+    fn handle(&self, request: ReceivedRequest) -> impl Future<Output = Answer> + Send;
 
-    /// Records that a caller went away before its answer came.
-    fn caller_gone(&self, caller: SocketAddr);
+    /// Records that a caller disconnected before its answer.
+    fn record_disconnect(&self, caller: SocketAddr);
 
-    /// Records a request that foxtide does not take and returns its identity.
-    fn bad_request(&self, caller: SocketAddr, refusal: &Refusal) -> RequestId;
+    /// Records a request that was rejected and returns its new id.
+    fn record_rejection(&self, caller: SocketAddr, refusal: &Refusal) -> RequestId;
 }
 
-/// A connection with what it shares with the others of its listener.
+/// Accepted connection.
 #[derive(Debug)]
-pub(crate) struct Wire {
-    /// The socket.
+pub(crate) struct Connection {
     pub(crate) stream: BufferedStream,
-    /// The other end.
+    /// Remote address.
     pub(crate) peer: SocketAddr,
-    /// What it may use up.
     pub(crate) limits: Arc<Limits>,
-    /// What all connections share.
-    pub(crate) state: Arc<ServeState>,
+    /// State shared by the connections of the listener.
+    pub(crate) state: Arc<ListenerState>,
 }
 
 /// Whether a connection stays open.
@@ -63,17 +60,16 @@
 }
 
 /// Serves a connection until it closes.
-pub(crate) async fn serve_connection(mut wire: Wire, handler: &impl Handler) {
-    while wire.await_request().await == Next::Request {
-        // Boxed, so that a connection takes the memory of a request only while
-        // there is one.
-        if Box::pin(wire.serve_one(handler)).await == Next::Close {
+pub(crate) async fn serve_connection(mut connection: Connection, handler: &impl Handler) {
+    while connection.await_request().await == Next::Request {
+        // Boxed, so that idle connections do not hold memory for a request.
+        if Box::pin(connection.serve_one(handler)).await == Next::Close {
             return;
         }
     }
 }
 
-impl Wire {
+impl Connection {
     /// Waits for the first byte of a request.
     async fn await_request(&mut self) -> Next {
         if !self.stream.buffered().is_empty() {
@@ -89,16 +85,16 @@
             self.state.closing().await;
             Next::Close
         };
-        let waited = within(self.limits.idle_time, or(arrived, closing)).await;
+        let waited = timeout(self.limits.idle_time, or(arrived, closing)).await;
         match waited {
             Ok(Next::Request) => Next::Request,
-            // A request that came at this very moment is still served.
-            _ if self.stream.quiet() == Quiet::No => self.last_fill().await,
+            // Serves a request that arrived at the same moment.
+            _ if self.stream.idle_state() == IdleState::Readable => self.read_pending().await,
             _ => Next::Close,
         }
     }
 
-    async fn last_fill(&mut self) -> Next {
+    async fn read_pending(&mut self) -> Next {
         match self.stream.fill().await {
             Ok(size_bytes) if size_bytes > 0 => Next::Request,
             _ => Next::Close,
@@ -107,30 +103,30 @@
 
     async fn serve_one(&mut self, handler: &impl Handler) -> Next {
         let state = Arc::clone(&self.state);
-        let _counted = state.begin_request();
+        let _guard = state.begin_request();
         let received = receive(&mut self.stream, &self.limits, &state, self.peer);
         let mut request = match received.await {
             Ok(request) => request,
-            Err(NoRequest::Gone) => return Next::Close,
-            Err(NoRequest::Refused(refusal)) => {
+            Err(ReceiveError::Disconnected) => return Next::Close,
+            Err(ReceiveError::Rejected(refusal)) => {
                 self.refuse(handler, &refusal).await;
                 return Next::Close;
             }
         };
-        let _room = request.room.take();
+        let _body_permit = request.body_permit.take();
         let method = request.head.method;
         let close = request.head.head.close;
         let answered = async { Some(handler.handle(request).await) };
-        let gone = async {
+        let disconnected = async {
             self.stream.closed_by_peer().await;
             None
         };
-        // Where the caller is gone the work for it is dropped.
-        let Some(mut answer) = or(answered, gone).await else {
-            handler.caller_gone(self.peer);
+        // Drops the work if the caller disconnects.
+        let Some(mut answer) = or(answered, disconnected).await else {
+            handler.record_disconnect(self.peer);
             return Next::Close;
         };
-        let close = close || self.state.is_leaving();
+        let close = close || self.state.is_draining();
         if close {
             answer.close();
         }
@@ -144,23 +140,23 @@
         };
         let sent = self.send_bytes(&encoded.bytes).await;
         match encoded.long_body {
-            Some(body) if sent == Next::Request => self.send_long(*body).await,
+            Some(body) if sent == Next::Request => self.send_streamed(*body).await,
             _ => sent,
         }
     }
 
     async fn send_bytes(&mut self, bytes: &[u8]) -> Next {
-        let written = within(self.limits.answer_time, self.stream.write_all(bytes)).await;
+        let written = timeout(self.limits.answer_time, self.stream.write_all(bytes)).await;
         match written {
             Ok(Ok(())) => Next::Request,
             _ => Next::Close,
         }
     }
 
-    /// Passes a long body on. Where it breaks the connection is closed short of
-    /// the length that the head states, or of the last chunk, so that the
-    /// caller knows (RFC 9112, section 8).
-    async fn send_long(&mut self, mut body: LongBody) -> Next {
+    /// Streams a body. If it fails, the connection closes before the stated
+    /// length or the last chunk, so that the caller detects the truncation (RFC
+    /// 9112, section 8).
+    async fn send_streamed(&mut self, mut body: LongBody) -> Next {
         loop {
             match body.next().await {
                 Ok(None) => return Next::Request,
@@ -170,7 +166,7 @@
                     }
                 }
                 Err(error) => {
-                    log::debug!("a long answer to {} broke: {error}", self.peer);
+                    log::debug!("streaming an answer to {} failed: {error}", self.peer);
                     return Next::Close;
                 }
             }
@@ -178,13 +174,13 @@
     }
 
     async fn refuse(&mut self, handler: &impl Handler, refusal: &Refusal) {
-        let request = handler.bad_request(self.peer, refusal);
+        let request = handler.record_rejection(self.peer, refusal);
         let mut answer = refusal.answer(request.as_str());
         answer.close();
         if self.send(answer, Method::Get).await == Next::Request {
-            self.stream.finish_sending();
+            self.stream.shutdown_write();
             let discarded = self.stream.discard(DISCARD_MAX_BYTES);
-            let _ = within(DISCARD_TIME, discarded).await;
+            let _ = timeout(DISCARD_TIME, discarded).await;
         }
     }
 }
--- a/crates/foxtide-entry/src/serve/request.rs
+++ b/crates/foxtide-entry/src/serve/request.rs
@@ -1,15 +1,15 @@
-//! A whole request as it was received.
+//! Receives complete requests.
 
-use super::state::ServeState;
+use super::state::ListenerState;
 use crate::answer::Refusal;
-use crate::bounded::Entered;
+use crate::limiter::Permit;
 use crate::options::{
     Limits,
     size, //
 };
-use crate::time_limit::{
+use crate::timeout::{
     Elapsed,
-    within, //
+    timeout, //
 };
 use foxtide_http::{
     BodyLength,
@@ -25,66 +25,64 @@
 
 const CONTINUE_ANSWER: &[u8] = b"HTTP/1.1 100 Continue\r\n\r\n";
 
-/// A whole request.
+/// Complete request.
 #[derive(Debug)]
-pub(crate) struct Received {
-    /// Its head.
+pub(crate) struct ReceivedRequest {
     pub(crate) head: RequestHead,
-    /// Its body.
     pub(crate) body: Vec<u8>,
-    /// Who sent it.
+    /// Remote address.
     pub(crate) peer: SocketAddr,
-    /// The room that its body takes, for as long as it is under way.
-    pub(crate) room: Option<Entered>,
+    /// Memory reserved for the body while the request is in progress.
+    pub(crate) body_permit: Option<Permit>,
 }
 
-/// Why a connection brought no request.
+/// Reason why no request was received.
 #[derive(Debug)]
-pub(crate) enum NoRequest {
-    /// The peer is gone; nothing can be answered.
-    Gone,
-    /// What came is answered with a refusal.
-    Refused(Refusal),
+pub(crate) enum ReceiveError {
+    /// The peer disconnected and cannot be answered.
+    Disconnected,
+    /// The request is answered with a refusal.
+    Rejected(Refusal),
 }
 
-/// Reads one whole request.
+/// Receives a complete request.
 ///
-/// Bodies are read whole before anything is sent on, so that a slow caller
-/// never holds a place at an upstream.
+/// The body is read completely before the request is forwarded, so that a slow
+/// caller does not hold a slot at an upstream.
 ///
 /// # Errors
 ///
-/// Fails where the peer sends none that foxtide takes, in the time it has.
+/// Returns an error if no acceptable request arrives in time.
 pub(crate) async fn receive(
     stream: &mut BufferedStream,
     limits: &Limits,
-    state: &ServeState,
+    state: &ListenerState,
     peer: SocketAddr,
-) -> Result<Received, NoRequest> {
-    let bytes = within(limits.head_time, read_head(stream, size(limits.head))).await;
-    let bytes = or_too_slow(bytes)?.ok_or(NoRequest::Gone)?;
-    let head = RequestHead::parse(&bytes).map_err(|error| refused(&error.into()))?;
-    let room = body_room(&head, limits, state)?;
+) -> Result<ReceivedRequest, ReceiveError> {
+    let bytes = timeout(limits.head_time, read_head(stream, size(limits.head))).await;
+    let bytes = flatten_timeout(bytes)?.ok_or(ReceiveError::Disconnected)?;
+    let head = RequestHead::parse(&bytes).map_err(|error| rejection(&error.into()))?;
+    let body_permit = reserve_body(&head, limits, state)?;
     if head.head.expects_continue && stream.buffered().is_empty() {
-        let asked = within(limits.head_time, stream.write_all(CONTINUE_ANSWER)).await;
-        or_too_slow(asked.map(|written| written.map_err(MessageError::from)))?;
+        let sent = timeout(limits.head_time, stream.write_all(CONTINUE_ANSWER)).await;
+        flatten_timeout(sent.map(|written| written.map_err(MessageError::from)))?;
     }
     let body = read_body(stream, head.head.length, size(limits.request_body));
-    let body = or_too_slow(within(limits.body_time, body).await)?;
-    Ok(Received {
+    let body = flatten_timeout(timeout(limits.body_time, body).await)?;
+    Ok(ReceivedRequest {
         head,
         body,
         peer,
-        room: Some(room),
+        body_permit: Some(body_permit),
     })
 }
 
-/// Takes room for a body, before any of it is read.
-fn body_room(
+/// Reserves memory for a body before reading it.
+fn reserve_body(
     head: &RequestHead,
     limits: &Limits,
-    state: &ServeState,
-) -> Result<Entered, NoRequest> {
+    state: &ListenerState,
+) -> Result<Permit, ReceiveError> {
     let longest = size(limits.request_body);
     let size_bytes = match head.head.length {
         BodyLength::None => 0,
@@ -94,33 +92,33 @@
         BodyLength::Chunked | BodyLength::UntilClose => longest,
     };
     let full = || Refusal::not_run(StatusCode::ServiceUnavailable, "too-many-bodies");
-    let room = state.body_room(size_bytes);
-    room.ok_or_else(|| NoRequest::Refused(full()))
+    let body_permit = state.reserve_body(size_bytes);
+    body_permit.ok_or_else(|| ReceiveError::Rejected(full()))
 }
 
-fn or_too_slow<T>(read: Result<Result<T, MessageError>, Elapsed>) -> Result<T, NoRequest> {
+fn flatten_timeout<T>(read: Result<Result<T, MessageError>, Elapsed>) -> Result<T, ReceiveError> {
     match read {
-        Ok(read) => read.map_err(|error| refused(&error)),
-        Err(Elapsed) => Err(NoRequest::Refused(Refusal::not_run(
+        Ok(read) => read.map_err(|error| rejection(&error)),
+        Err(Elapsed) => Err(ReceiveError::Rejected(Refusal::not_run(
             StatusCode::RequestTimeout,
             "request-too-slow",
         ))),
     }
 }
 
-fn refused(error: &MessageError) -> NoRequest {
+fn rejection(error: &MessageError) -> ReceiveError {
     let (status, reason) = match error {
-        MessageError::Io(_) => return NoRequest::Gone,
+        MessageError::Io(_) => return ReceiveError::Disconnected,
         MessageError::Truncated => (StatusCode::BadRequest, "request-cut"),
         MessageError::HeadTooLong => {
             let status = StatusCode::RequestHeaderFieldsTooLarge;
             (status, "head-too-long")
         }
         MessageError::BodyTooLong => (StatusCode::PayloadTooLarge, "body-too-long"),
-        // What follows a request is taken for the next one.
-        MessageError::Surplus => (StatusCode::BadRequest, "malformed-head"),
+        // Bytes after a request are read as the next one.
+        MessageError::TrailingBytes => (StatusCode::BadRequest, "malformed-head"),
         MessageError::BadChunk => (StatusCode::BadRequest, "malformed-chunk"),
-        MessageError::NoStatedEnd => (StatusCode::LengthRequired, "length-required"),
+        MessageError::UnknownLength => (StatusCode::LengthRequired, "length-required"),
         MessageError::Head(error) => match error {
             HeadError::Malformed => (StatusCode::BadRequest, "malformed-head"),
             HeadError::AmbiguousLength => (StatusCode::BadRequest, "ambiguous-length"),
@@ -128,9 +126,9 @@
                 let status = StatusCode::HttpVersionNotSupported;
                 (status, "version-not-supported")
             }
-            HeadError::Unknown => (StatusCode::NotImplemented, "method-not-known"),
+            HeadError::UnknownMethodOrStatus => (StatusCode::NotImplemented, "method-not-known"),
             HeadError::TransferCoding => (StatusCode::NotImplemented, "transfer-coding-not-known"),
         },
     };
-    NoRequest::Refused(Refusal::not_run(status, reason))
+    ReceiveError::Rejected(Refusal::not_run(status, reason))
 }
--- a/crates/foxtide-entry/src/traffic/poller.rs
+++ b/crates/foxtide-entry/src/traffic/poller.rs
@@ -1,4 +1,4 @@
-//! Asks upstreams for their load that were not heard of for a while.
+//! Polls the load of upstreams without recent reports.
 
 use super::region::RegionTraffic;
 use super::tables::TrafficTables;
@@ -7,18 +7,18 @@
     AnswerBody, //
 };
 use crate::clock::Clock;
+use crate::dependencies::Dependencies;
 use crate::errors::Step;
 use crate::options::EntryOptions;
-use crate::parts::Parts;
 use crate::request_id::new_request_id;
 use crate::upstream::{
     Failure,
     Freshness,
-    Naming,
     Pools,
+    RequestIdEcho,
     UpstreamRequest,
-    exchange,
-    says_draining, //
+    announces_drain,
+    exchange, //
 };
 use foxtide_core::choice::{
     LoadReport,
@@ -32,31 +32,28 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// The most idle connections to an upstream among which a poll's is kept.
+/// A poll keeps its connection only if fewer than this many are idle.
 const POLLED_CONNECTIONS: usize = 1;
 
-/// What polls work with.
+/// Sends load polls to upstreams.
 #[derive(Debug)]
 pub(crate) struct Poller<P> {
-    /// What the request path works with.
-    pub(crate) parts: Arc<P>,
-    /// The connections to upstreams.
+    pub(crate) deps: Arc<P>,
     pub(crate) pools: Arc<Pools>,
-    /// The settings.
     pub(crate) options: Arc<EntryOptions>,
 }
 
-/// An upstream that is to be asked.
+/// Poll that is due, with the region of its upstream.
 struct DuePoll {
     region: Arc<RegionTraffic>,
     poll: Poll,
 }
 
-impl<P: Parts> Poller<P> {
+impl<P: Dependencies> Poller<P> {
     /// Starts all polls that are due.
     pub(crate) fn start_due(self: &Arc<Self>, executor: &Executor<'static>) {
-        let now = self.parts.clock().now();
-        for due in self.parts.traffic().due_polls(now) {
+        let now = self.deps.clock().now();
+        for due in self.deps.traffic().due_polls(now) {
             let poller = Arc::clone(self);
             let polling = async move { poller.poll(due).await };
             executor.spawn(polling).detach();
@@ -65,17 +62,17 @@
 
     async fn poll(&self, due: DuePoll) {
         let address = due.poll.upstream().address;
-        let result = match self.ask(address).await {
+        let result = match self.request_load(address).await {
             Ok(answer) => read_report(answer),
             Err(failure) if failure.step == Step::Connect => PollResult::Unreachable,
             Err(_) => PollResult::TimedOut,
         };
-        let now = self.parts.clock().now();
+        let now = self.deps.clock().now();
         due.region
             .with_balancer(|balancer| balancer.finish_poll(due.poll, result, now));
     }
 
-    async fn ask(&self, address: SocketAddr) -> Result<Answer, Failure> {
+    async fn request_load(&self, address: SocketAddr) -> Result<Answer, Failure> {
         let id = new_request_id();
         let path = &self.options.poll.load_path;
         let bytes = format!(
@@ -87,15 +84,15 @@
             address,
             method: Method::Get,
             request: id.as_str(),
-            naming: Naming::Optional,
+            request_id_echo: RequestIdEcho::Optional,
             bytes: bytes.as_bytes(),
             freshness: Freshness::Any,
             time_left: self.options.poll.time,
         };
-        let now = self.parts.clock().now();
+        let now = self.deps.clock().now();
         let mut answered = exchange(&self.pools, &self.options.limits, &request, now).await?;
         if let Some(connection) = answered.connection.take() {
-            let now = self.parts.clock().now();
+            let now = self.deps.clock().now();
             self.pools.put(address, connection, POLLED_CONNECTIONS, now);
         }
         Ok(answered.answer)
@@ -111,7 +108,7 @@
     };
     PollResult::Answered {
         load: header.or_else(|| body.parse().ok()),
-        draining: says_draining(&answer.headers),
+        draining: announces_drain(&answer.headers),
     }
 }
 
--- a/crates/foxtide-entry/tests/hedging.rs
+++ b/crates/foxtide-entry/tests/hedging.rs
@@ -1,4 +1,4 @@
-//! A second attempt beside a slow one.
+//! Hedged attempts.
 
 mod support;
 
@@ -17,9 +17,9 @@
 };
 use std::time::Duration;
 use support::{
+    Harness,
     RawUpstream,
-    World,
-    latency_first,
+    prioritise_latency,
     read_message, //
 };
 
@@ -30,8 +30,8 @@
     let (cancelled, wait_cancelled) = channel();
     let cancelled = Mutex::new(cancelled);
     let hangs = Arc::new(AtomicBool::new(true));
-    // The first request to arrive anywhere gets no answer, the next one does.
-    let drive = move |mut stream: std::net::TcpStream, _| {
+    // Only the first request to arrive at either upstream gets no answer.
+    let serve = move |mut stream: std::net::TcpStream, _| {
         while read_message(&mut stream).is_some() {
             if hangs.swap(false, Ordering::SeqCst) {
                 let end = stream.read(&mut [0]);
@@ -42,12 +42,12 @@
             stream.write_all(HELLO).unwrap();
         }
     };
-    let drive = Arc::new(drive);
-    let other = Arc::clone(&drive);
-    let first = RawUpstream::start(move |stream, number| drive(stream, number));
-    let second = RawUpstream::start(move |stream, number| other(stream, number));
-    let world = World::start_as(&[first.address, second.address], latency_first);
-    let answer = world.caller().ask(&support::get("/slots"));
+    let serve = Arc::new(serve);
+    let serve_second = Arc::clone(&serve);
+    let first = RawUpstream::start(move |stream, number| serve(stream, number));
+    let second = RawUpstream::start(move |stream, number| serve_second(stream, number));
+    let harness = Harness::start_changed(&[first.address, second.address], prioritise_latency);
+    let answer = harness.caller().request(&support::get("/slots"));
     assert!(answer.ends_with("hello"), "{answer}");
     assert!(
         wait_cancelled
--- a/crates/foxtide-gateway/src/forward/attempt.rs
+++ b/crates/foxtide-gateway/src/forward/attempt.rs
@@ -158,7 +158,7 @@
     };
     let connected = or(BufferedStream::connect(registration.address, None), timed).await;
     let stream = connected?;
-    if let Err(error) = stream.limit_unacknowledged(UNACKNOWLEDGED_TIMEOUT) {
+    if let Err(error) = stream.set_user_timeout(UNACKNOWLEDGED_TIMEOUT) {
         log::debug!("cannot set the timeout of unacknowledged data: {error}");
     }
     Ok(stream)
@@ -202,7 +202,7 @@
         }
         shared.journal.stray_response(request.id(), upstream);
     }
-    Err(MessageError::Surplus)
+    Err(MessageError::TrailingBytes)
 }
 
 /// Tells whether a connection failed because sent data stayed unacknowledged.
--- a/crates/foxtide-gateway/tests/gateway/support/dialect.rs
+++ b/crates/foxtide-gateway/tests/gateway/support/dialect.rs
@@ -13,7 +13,7 @@
 use foxtide_http::{
     ForwardedRequest,
     ForwardedResponse,
-    Lines, //
+    HeaderLines, //
 };
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -23,7 +23,7 @@
 pub(crate) struct PlainDialect;
 
 impl Dialect for PlainDialect {
-    fn read_caller_headers(&self, lines: &Lines) -> CallerHeaders {
+    fn read_caller_headers(&self, lines: &HeaderLines) -> CallerHeaders {
         let time_left_ms = lines
             .text("time-left-ms")
             .and_then(|text| text.parse().ok());
@@ -35,7 +35,7 @@
         }
     }
 
-    fn write_forward_headers(&self, lines: &mut Lines, values: &ForwardHeaders<'_>) {
+    fn write_forward_headers(&self, lines: &mut HeaderLines, values: &ForwardHeaders<'_>) {
         lines.set("time-left-ms", &values.time_left.as_millis().to_string());
         lines.set("incarnation", values.upstream.as_str());
         if *values.caller == CallerIdentity::NotRequired {
@@ -79,7 +79,7 @@
     }
 }
 
-fn credentials(lines: &Lines) -> Credentials {
+fn credentials(lines: &HeaderLines) -> Credentials {
     match lines.text("key") {
         None => Credentials::Missing,
         Some(key) => key.parse().map_or(Credentials::Malformed, Credentials::Key),
--- a/crates/foxtide-mesh/src/load.rs
+++ b/crates/foxtide-mesh/src/load.rs
@@ -7,13 +7,13 @@
     datagram,
     read_load, //
 };
+use foxtide_core::dissemination::{
+    ClockReading,
+    LoadEnvelope,
+    LoadMessage, //
+};
 use foxtide_core::ids::InstanceId;
 use foxtide_core::membership::DATAGRAM_MAX_BYTES;
-use foxtide_core::spreading::{
-    LoadMessage,
-    LoadSend,
-    Moment, //
-};
 use foxtide_core::time::WallTime;
 use prost::Message as _;
 use std::net::SocketAddr;
@@ -29,8 +29,8 @@
 }
 
 /// Returns the current time on both clocks.
-pub(crate) fn moment(shared: &Shared) -> Moment {
-    Moment {
+pub(crate) fn moment(shared: &Shared) -> ClockReading {
+    ClockReading {
         monotonic: shared.now(),
         wall: wall_now(),
     }
@@ -65,12 +65,12 @@
 /// Merges the load table of a peer's snapshot.
 pub(crate) fn merge(shared: &Shared, load: &Load) {
     if let Ok(LoadMessage::Table(records)) = read_load(load) {
-        shared.state.lock().load.take_newer(records, wall_now());
+        shared.state.lock().load.merge_newer(records, wall_now());
     }
 }
 
-fn send_all(shared: &Shared, sends: Vec<LoadSend>) {
-    for LoadSend { to, message } in sends {
+fn send_all(shared: &Shared, sends: Vec<LoadEnvelope>) {
+    for LoadEnvelope { to, message } in sends {
         send(shared, to, message);
     }
 }
--- a/crates/foxtide/src/client_blocks.rs
+++ b/crates/foxtide/src/client_blocks.rs
@@ -21,12 +21,12 @@
     Manifest,
     Site, //
 };
+use foxtide_core::dissemination::Document;
 use foxtide_core::events::{
     EventCode,
     EventFields, //
 };
 use foxtide_core::ids::RegionId;
-use foxtide_core::spreading::Document;
 use foxtide_core::store::{
     Store,
     StoreError,
@@ -122,12 +122,12 @@
             }
             match self.watch_once(&mut after, &manifests).await {
                 Ok(()) => {
-                    backoff.succeeded();
+                    backoff.record_success();
                     Timer::after(WATCH_INTERVAL_MIN).await;
                 }
                 // The call was not sent, so the store's backoff is unchanged.
                 Err(StoreError::OverBudget { .. }) => drop(Timer::after(ROLE_CHECK_INTERVAL).await),
-                Err(_) => drop(Timer::after(backoff.failed(fastrand::f64())).await),
+                Err(_) => drop(Timer::after(backoff.record_failure(fastrand::f64())).await),
             }
         }
     }
@@ -210,12 +210,12 @@
                     self.reject(&cause);
                     break;
                 }
-                Timer::after(backoff.failed(fastrand::f64())).await;
+                Timer::after(backoff.record_failure(fastrand::f64())).await;
                 while let Ok(newer) = manifests.try_recv() {
                     manifest = newer;
                 }
             }
-            backoff.succeeded();
+            backoff.record_success();
         }
     }
 
@@ -224,7 +224,7 @@
             return Ok(());
         }
         let current = self.active.0.load_full();
-        let previous = current.filter(|blocks| manifest.follows(blocks));
+        let previous = current.filter(|blocks| manifest.can_advance(blocks));
         let blocks = match previous {
             Some(blocks) => advance(manifest.clone(), blocks).await?,
             None => self.load(manifest).await?,
--- a/crates/foxtide/src/configuration.rs
+++ b/crates/foxtide/src/configuration.rs
@@ -18,12 +18,12 @@
     WatchReport,
     change, //
 };
+use foxtide_core::dissemination::Document;
 use foxtide_core::events::{
     EventCode,
     EventFields, //
 };
 use foxtide_core::organisation::Organisation;
-use foxtide_core::spreading::Document;
 use foxtide_entry::{
     Clock,
     SystemClock,
@@ -88,7 +88,7 @@
         loop {
             if !store_read && store_retry_in.is_zero() {
                 store_read = self.read_store(&mut watch).await;
-                store_retry_in = backoff.failed(fastrand::f64());
+                store_retry_in = backoff.record_failure(fastrand::f64());
             }
             let joined = self.mesh.synchronised();
             let has_any = !self.tables.organisations().is_empty();
@@ -111,7 +111,7 @@
         &self,
         watch: &mut ConfigurationWatch<NodeStore, R>,
     ) -> bool {
-        match watch.read_now().await {
+        match watch.read_all().await {
             Ok(reports) => {
                 reports
                     .into_iter()
--- a/crates/foxtide/src/event_backup.rs
+++ b/crates/foxtide/src/event_backup.rs
@@ -1,8 +1,8 @@
 //! Backs up the events of the time line at peers, through mesh calls.
 
 use foxtide_core::events::backup::{
-    BackupPeer,
-    Parcel, //
+    BackupBatch,
+    BackupPeer, //
 };
 use foxtide_core::events::{
     EventCopies,
@@ -56,22 +56,22 @@
     }
 
     async fn send_due(&self) {
-        for parcel in self.time_line.poll(self.clock.now()) {
-            self.send_parcel(parcel).await;
+        for batch in self.time_line.poll(self.clock.now()) {
+            self.send_batch(batch).await;
         }
     }
 
     /// Sends events to one peer. Unacknowledged events become due again.
-    async fn send_parcel(&self, parcel: Parcel) {
+    async fn send_batch(&self, batch: BackupBatch) {
         let call = PeerCall {
-            copies: Some(parcel.copies),
+            copies: Some(batch.copies),
         };
         let bytes = call.encode_to_vec();
-        let Ok(answer) = self.mesh.call(&parcel.to, bytes, CALL_TIMEOUT).await else {
+        let Ok(answer) = self.mesh.call(&batch.to, bytes, CALL_TIMEOUT).await else {
             return;
         };
         if let Ok(ack) = EventCopiesAck::decode(&answer[..]) {
-            self.time_line.acknowledge(&parcel.to, ack);
+            self.time_line.acknowledge(&batch.to, ack);
         }
     }
 
--- a/crates/foxtide/src/store.rs
+++ b/crates/foxtide/src/store.rs
@@ -54,7 +54,7 @@
 }
 
 /// Counts the members that share the store's call rates.
-fn count_fleet(members: &[Member], watches: bool) -> Fleet {
+fn count_fleet(members: &[Member], is_watcher: bool) -> Fleet {
     let running = members.iter().filter(|member| member.state.is_running());
     let mut zone_counts: BTreeMap<&AvailabilityZoneId, usize> = BTreeMap::new();
     for member in running {
@@ -67,7 +67,7 @@
     Fleet {
         live_instances: saturating_u32(zone_counts.values().sum()),
         watchers: saturating_u32(watchers.sum()),
-        watches,
+        is_watcher,
     }
 }
 
