--- a/crates/foxtide/src/node/shared.rs
+++ b/crates/foxtide/src/node/shared.rs
@@ -5,7 +5,7 @@
     NodeOptions, //
 };
 use crate::client_blocks::{
-    ActiveBlocks,  //
+    ActiveBlocks,
     BlocksUpdater, //
 };
 use crate::configuration::ConfigurationUpdater;
@@ -69,11 +69,11 @@
 }
 
 impl Shared {
-    /// Opens everything that the parts share, the mesh among it.
+    /// Creates the shared components and starts the mesh.
     ///
     /// # Errors
     ///
-    /// Fails where the peer address cannot be bound.
+    /// Returns an error if the peer address cannot be bound.
     pub(super) fn open(
         settings: &Settings,
         caller_address: SocketAddr,
