--- a/crates/foxtide/src/node/shared.rs
+++ b/crates/foxtide/src/node/shared.rs
@@ -1,17 +1,17 @@
-//! What the parts of one instance have in common.
+//! Creates the shared components of an instance and its background tasks.
 
 use super::options::{
     self,
     NodeOptions, //
 };
 use crate::client_blocks::{
-    BlocksFollower,
-    BlocksInForce, //
+    ActiveBlocks,
+    BlocksUpdater, //
 };
-use crate::configuration::Configurations;
-use crate::copies::Copies;
+use crate::configuration::ConfigurationUpdater;
+use crate::event_backup::EventBackup;
 use crate::observer::Observer;
-use crate::pages::Pages;
+use crate::pages::AdminPages;
 use crate::promises::{
     PromiseSampler,
     Promises, //
@@ -22,7 +22,7 @@
     NodeStore, //
 };
 use crate::tables::Tables;
-use crate::traffic::TrafficFollower;
+use crate::traffic::TrafficUpdater;
 use crate::{
     instance_list,
     telemetry, //
@@ -50,17 +50,16 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// The time between two looks at the members and the announced drains.
-const MEMBERS_INTERVAL: Duration = Duration::from_millis(100);
+const MEMBERS_UPDATE_INTERVAL: Duration = Duration::from_millis(100);
 
-/// The tables and handles that the parts of one instance share.
+/// The tables and handles that the components of an instance share.
 #[derive(Clone, Debug)]
 pub(super) struct Shared {
     pub(super) tables: Arc<Tables>,
     pub(super) traffic: Arc<TrafficTables>,
     pub(super) mesh: MeshHandle,
     pub(super) store: Arc<NodeStore>,
-    pub(super) blocks: BlocksInForce,
+    pub(super) blocks: ActiveBlocks,
     pub(super) recorder: Recorder,
     pub(super) explainer: Explainer,
     pub(super) promises: Promises,
@@ -70,11 +69,11 @@
 }
 
 impl Shared {
-    /// Opens everything that the parts share, the mesh among it.
+    /// Creates the shared components and starts the mesh.
     ///
     /// # Errors
     ///
-    /// Fails where the peer address cannot be bound.
+    /// Returns an error if the peer address cannot be bound.
     pub(super) fn open(
         settings: &Settings,
         caller_address: SocketAddr,
@@ -93,7 +92,7 @@
             traffic: Arc::new(traffic),
             mesh,
             store: store::open(settings),
-            blocks: BlocksInForce::default(),
+            blocks: ActiveBlocks::default(),
             time_line: options::time_line(settings, &recorder, &clock),
             recorder,
             explainer: Explainer::default(),
@@ -103,9 +102,8 @@
         })
     }
 
-    /// Returns the operators' pages.
-    pub(super) fn pages(&self) -> Pages {
-        Pages {
+    pub(super) fn pages(&self) -> AdminPages {
+        AdminPages {
             tables: Arc::clone(&self.tables),
             time_line: self.time_line.clone(),
             explainer: self.explainer.clone(),
@@ -115,29 +113,29 @@
         }
     }
 
-    /// Starts all that goes on beside the request path.
+    /// Starts the background tasks.
     pub(super) fn start_tasks(&self, settings: &Settings, workers: &Workers) -> Vec<Task<()>> {
-        let copies = self.copies();
+        let backup = self.event_backup();
         let instance_list = settings.instance_list_address;
         vec![
-            workers.spawn(self.configurations(settings).run()),
-            workers.spawn(self.blocks_follower().run()),
-            workers.spawn(self.traffic_follower().run()),
-            workers.spawn(follow_members(self.clone())),
-            workers.spawn(store::follow_fleet(
+            workers.spawn(self.configuration_updater(settings).run()),
+            workers.spawn(self.blocks_updater().run()),
+            workers.spawn(self.traffic_updater().run()),
+            workers.spawn(update_members(self.clone())),
+            workers.spawn(store::update_budget(
                 Arc::clone(&self.store),
                 self.mesh.clone(),
             )),
-            workers.spawn(instance_list::follow(instance_list, self.mesh.clone())),
-            workers.spawn(self.sampler().run()),
+            workers.spawn(instance_list::poll(instance_list, self.mesh.clone())),
+            workers.spawn(self.promise_sampler().run()),
             workers.spawn(self.observer().run()),
-            workers.spawn(copies.clone().send()),
-            workers.spawn(copies.receive()),
+            workers.spawn(backup.clone().send()),
+            workers.spawn(backup.receive()),
         ]
     }
 
-    fn configurations(&self, settings: &Settings) -> Configurations {
-        Configurations {
+    fn configuration_updater(&self, settings: &Settings) -> ConfigurationUpdater {
+        ConfigurationUpdater {
             tables: Arc::clone(&self.tables),
             traffic: Arc::clone(&self.traffic),
             clock: self.clock,
@@ -150,17 +148,17 @@
         }
     }
 
-    fn blocks_follower(&self) -> BlocksFollower {
-        BlocksFollower {
-            in_force: self.blocks.clone(),
+    fn blocks_updater(&self) -> BlocksUpdater {
+        BlocksUpdater {
+            active: self.blocks.clone(),
             mesh: self.mesh.clone(),
             store: Arc::clone(&self.store),
             recorder: self.recorder.clone(),
         }
     }
 
-    fn traffic_follower(&self) -> TrafficFollower {
-        TrafficFollower {
+    fn traffic_updater(&self) -> TrafficUpdater {
+        TrafficUpdater {
             tables: Arc::clone(&self.tables),
             traffic: Arc::clone(&self.traffic),
             mesh: self.mesh.clone(),
@@ -170,7 +168,7 @@
         }
     }
 
-    fn sampler(&self) -> PromiseSampler {
+    fn promise_sampler(&self) -> PromiseSampler {
         PromiseSampler {
             promises: self.promises.clone(),
             tables: Arc::clone(&self.tables),
@@ -190,8 +188,8 @@
         }
     }
 
-    fn copies(&self) -> Copies {
-        Copies {
+    fn event_backup(&self) -> EventBackup {
+        EventBackup {
             time_line: self.time_line.clone(),
             mesh: self.mesh.clone(),
             clock: self.clock,
@@ -199,11 +197,11 @@
     }
 }
 
-/// Keeps the tables' members and the instances for look-ups up to date.
-async fn follow_members(shared: Shared) {
+/// Updates the members and the instances for look-ups.
+async fn update_members(shared: Shared) {
     loop {
         shared.tables.set_members(shared.mesh.members());
-        shared.tables.renew_instances(shared.clock.wall());
-        Timer::after(MEMBERS_INTERVAL).await;
+        shared.tables.update_instances(shared.clock.wall());
+        Timer::after(MEMBERS_UPDATE_INTERVAL).await;
     }
 }
--- a/crates/foxtide/src/tables.rs
+++ b/crates/foxtide/src/tables.rs
@@ -1,9 +1,7 @@
-//! What an instance knows: the configurations in force and the instances that
-//! callers may use.
+//! Shared tables of active configurations, members and available instances.
 //!
-//! Readers take a snapshot and never wait. Writers hold the one lock here,
-//! `writing`, while they build the next snapshot; nothing else is locked
-//! under it.
+//! Readers take a lock-free snapshot. Writers hold `write_lock` while they
+//! build the next snapshot; no other lock is taken under it.
 
 use arc_swap::ArcSwap;
 use foxtide_core::idempotency::OwnerId;
@@ -39,20 +37,20 @@
     organisations: ArcSwap<Organisations>,
     members: ArcSwap<Vec<Member>>,
     instances: ArcSwap<Arc<[ServingInstance]>>,
-    writing: Mutex<()>,
+    write_lock: Mutex<()>,
 }
 
-/// What became of a document that an instance was shown.
+/// The outcome of [`Tables::apply`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Applied {
-    /// It is newer than the one before it and now in force.
-    InForce,
-    /// The same or a newer revision is in force.
+pub enum ApplyOutcome {
+    /// The document was newer and is now active.
+    Applied,
+    /// The same or a newer revision is already active.
     NotNewer(Revision),
 }
 
 impl Tables {
-    /// Returns the tables of the instance `own`, which knows nothing yet.
+    /// Creates empty tables for the instance `own`.
     pub fn new(own: InstanceId) -> Self {
         Self {
             own,
@@ -60,23 +58,23 @@
             organisations: ArcSwap::default(),
             members: ArcSwap::default(),
             instances: ArcSwap::from_pointee(Vec::new().into()),
-            writing: Mutex::new(()),
+            write_lock: Mutex::new(()),
         }
     }
 
-    /// Puts a document into force if it is newer than the one in force.
-    pub fn apply(&self, document: Arc<Organisation>) -> Applied {
-        let _writing = self.writing.lock();
+    /// Activates a document if its revision is newer than the active one.
+    pub fn apply(&self, document: Arc<Organisation>) -> ApplyOutcome {
+        let _guard = self.write_lock.lock();
         let current = self.organisations.load();
         if let Some(known) = current.get(&document.organisation)
             && known.revision >= document.revision
         {
-            return Applied::NotNewer(known.revision);
+            return ApplyOutcome::NotNewer(known.revision);
         }
         let mut next = Organisations::clone(&current);
         next.insert(document.organisation.clone(), document);
         self.organisations.store(Arc::new(next));
-        Applied::InForce
+        ApplyOutcome::Applied
     }
 
     /// Returns the name of this instance.
@@ -84,37 +82,41 @@
         &self.own
     }
 
-    /// Takes over what the mesh believes of all members.
+    /// Sets the members as reported by the mesh.
     pub fn set_members(&self, members: Vec<Member>) {
         self.members.store(Arc::new(members));
     }
 
-    /// Returns what the mesh believes of all members.
+    /// Returns the members as last reported by the mesh.
     pub fn members(&self) -> Arc<Vec<Member>> {
         self.members.load_full()
     }
 
-    /// Chooses anew which instances callers may use at `wall`.
-    pub fn renew_instances(&self, wall: WallTime) {
-        let _writing = self.writing.lock();
+    /// Recomputes the instances that callers may use at `wall`.
+    pub fn update_instances(&self, wall: WallTime) {
+        let _guard = self.write_lock.lock();
         let organisations = self.organisations.load();
-        let drained = Drained::at(&organisations, wall);
+        let drained = DrainedPlaces::at(&organisations, wall);
         let members = self.members.load();
         let usable = |member: &&Member| {
             let own_leaving = member.instance == self.own && self.is_leaving();
             member.state.is_usable() && !own_leaving && !drained.covers(member)
         };
-        let chosen: Vec<ServingInstance> = members.iter().filter(usable).map(serving).collect();
+        let chosen: Vec<ServingInstance> = members
+            .iter()
+            .filter(usable)
+            .map(serving_instance)
+            .collect();
         let next: Arc<[ServingInstance]> = chosen.into();
         self.instances.store(Arc::new(next));
     }
 
-    /// Returns all configurations in force.
+    /// Returns all active configurations.
     pub fn organisations(&self) -> Arc<Organisations> {
         self.organisations.load_full()
     }
 
-    /// Returns the configuration of an organisation that is in force.
+    /// Returns the active configuration of an organisation.
     pub fn organisation(&self, id: &OrganisationId) -> Option<Arc<Organisation>> {
         self.organisations.load().get(id).cloned()
     }
@@ -124,7 +126,7 @@
         Arc::clone(&self.instances.load())
     }
 
-    /// Returns where callers reach an instance whose process is thought to run.
+    /// Returns the caller address of an instance that is running.
     pub fn address_of(&self, instance: &InstanceId) -> Option<SocketAddr> {
         let members = self.members.load();
         let member = members.iter().find(|member| member.instance == *instance);
@@ -132,25 +134,25 @@
         running.map(|member| member.caller_address)
     }
 
-    /// Notes that this instance leaves.
+    /// Marks this instance as leaving.
     pub fn set_leaving(&self) {
         self.leaving.store(true, Ordering::Release);
     }
 
-    /// Tells whether this instance leaves.
+    /// Returns whether this instance is leaving.
     pub fn is_leaving(&self) -> bool {
         self.leaving.load(Ordering::Acquire)
     }
 }
 
-/// The instances and zones that announced drains keep callers from.
+/// The instances and availability zones with an active drain.
 #[derive(Debug, Default)]
-struct Drained {
+struct DrainedPlaces {
     instances: Vec<InstanceId>,
     availability_zones: Vec<AvailabilityZoneId>,
 }
 
-impl Drained {
+impl DrainedPlaces {
     fn at(organisations: &Organisations, wall: WallTime) -> Self {
         let mut drained = Self::default();
         let drains = organisations.values().flat_map(|it| &it.drains);
@@ -170,7 +172,7 @@
     }
 }
 
-fn serving(member: &Member) -> ServingInstance {
+fn serving_instance(member: &Member) -> ServingInstance {
     ServingInstance {
         instance: member.instance.clone(),
         owner: OwnerId {
