--- a/crates/foxtide-gateway/src/forward/attempt.rs
+++ b/crates/foxtide-gateway/src/forward/attempt.rs
@@ -295,7 +295,7 @@
     }
     let is_success = (200..300).contains(&response.head.status);
     if headers.is_encoded || (is_success && !headers.is_signed) {
-        let cause = "the response is encoded or lacks the signature of the upstream".to_owned();
+        let cause = "the response is not the upstream's own".to_owned();
         return (AttemptEnd::Unknown { cause }, AttemptResult::Faulty);
     }
     let result = if response.head.status >= 500 {
