--- a/crates/foxtide-gateway/src/follow/intake.rs
+++ b/crates/foxtide-gateway/src/follow/intake.rs
@@ -4,7 +4,7 @@
 use super::start::Snapshot;
 use crate::dialect::Dialect;
 use crate::poison;
-use crate::relay::Relayed;
+use crate::relay::RelayedChanges;
 use crate::state::State;
 use crate::store::{
     Fact,
@@ -64,11 +64,11 @@
     }
 
     /// Takes in the quarantined requests that a peer knows and the store may lack.
-    pub(super) fn learn_quarantine(&self, relayed: &Relayed) {
+    pub(super) fn learn_quarantine(&self, changes: &RelayedChanges) {
         let now = self.shared.clock.now();
-        for &(fingerprint, entry) in &relayed.quarantine {
+        for &(fingerprint, entry) in &changes.quarantine {
             let poison = &self.shared.poison;
-            poison.learn(fingerprint, entry, &relayed.peer, now);
+            poison.learn(fingerprint, entry, &changes.peer, now);
         }
     }
 
@@ -93,17 +93,17 @@
 
     /// Starts from what a peer last knew of a store that is away: it serves callers
     /// as the peer does, and follows the store from there once it is back.
-    pub(super) fn adopt(&mut self, relayed: Relayed) {
-        log_event!(EventCode::StoreAdopted, index:% = relayed.index, records = relayed.records.len());
-        let reading = self.read(&relayed.records);
-        self.replace_quarantine(&reading, relayed.index);
+    pub(super) fn adopt(&mut self, changes: RelayedChanges) {
+        log_event!(EventCode::StoreAdopted, index:% = changes.index, records = changes.records.len());
+        let reading = self.read(&changes.records);
+        self.replace_quarantine(&reading, changes.index);
         let mut state = self.shared.state.lock();
-        state.log_mut().replace(&relayed.records, relayed.index);
+        state.log_mut().replace(&changes.records, changes.index);
         reading.note_configuration(&mut state);
         state.replace(reading.facts);
         state.store_failed();
-        self.index = Some(relayed.index);
-        self.known_at = Some(relayed.index);
+        self.index = Some(changes.index);
+        self.known_at = Some(changes.index);
         drop(state);
         self.shared.log_changed.notify(usize::MAX);
     }
--- a/crates/foxtide-gateway/src/follow/peers.rs
+++ b/crates/foxtide-gateway/src/follow/peers.rs
@@ -3,7 +3,7 @@
 use super::Follower;
 use crate::dialect::Dialect;
 use crate::relay::{
-    Question,
+    ChangesQuery,
     RelayError, //
 };
 use crate::store::FleetStore;
@@ -61,18 +61,18 @@
 
     /// Asks the nearest watcher that has not failed of late, and another one where it fails.
     pub(super) async fn ask_watchers(&mut self, watchers: &[SocketAddr]) -> Result<(), RelayError> {
-        let question = Question {
+        let query = ChangesQuery {
             after: self.index,
             wait: RELAY_WAIT,
-            reads_large: true,
+            fetches_large: true,
             announcement: self.announcement(),
-            ..Question::default()
+            ..ChangesQuery::default()
         };
         let mut asked = 0;
         loop {
             asked += 1;
-            let error = match self.ask_peer(watchers, &question).await {
-                Err(error) if !matches!(error, RelayError::Large { .. }) => error,
+            let error = match self.ask_peer(watchers, &query).await {
+                Err(error) if !matches!(error, RelayError::TooLarge { .. }) => error,
                 answered => return answered,
             };
             log_event!(EventCode::RelayLost, cause:% = error);
@@ -87,13 +87,13 @@
     /// instances are replaced also while the store is away. To others that could be
     /// older than what they know.
     pub(super) async fn ask_around(&mut self, peers: &[SocketAddr]) -> Result<(), RelayError> {
-        let question = Question {
+        let query = ChangesQuery {
             after: self.index,
             announcement: self.announcement(),
-            ..Question::default()
+            ..ChangesQuery::default()
         };
         if self.index.is_some() {
-            return self.ask_peer(peers, &question).await;
+            return self.ask_peer(peers, &query).await;
         }
         let ends_at = Instant::now() + ASK_AROUND_TIME;
         let knows_nothing = self.shared.state.lock().routes().is_none();
@@ -103,13 +103,13 @@
             &[false]
         };
         let mut answered = Err(RelayError::NoPeer);
-        for &takes_old in rounds {
+        for &accepts_stale in rounds {
             for _ in peers {
-                let question = Question {
-                    takes_old,
-                    ..question.clone()
+                let query = ChangesQuery {
+                    accepts_stale,
+                    ..query.clone()
                 };
-                answered = self.ask_peer(peers, &question).await;
+                answered = self.ask_peer(peers, &query).await;
                 if answered.is_ok() || Instant::now() > ends_at {
                     return answered;
                 }
@@ -141,24 +141,24 @@
     async fn ask_peer(
         &mut self,
         peers: &[SocketAddr],
-        question: &Question,
+        query: &ChangesQuery,
     ) -> Result<(), RelayError> {
-        let question = &self.with_version(question.clone());
-        let mut relayed = self.relay.ask(peers, question).await?;
-        self.learn_quarantine(&relayed);
-        self.peer_version = relayed.version;
-        let newer = relayed.configuration.take();
-        if question.announcement.is_some() {
+        let query = &self.with_version(query.clone());
+        let mut changes = self.relay.ask(peers, query).await?;
+        self.learn_quarantine(&changes);
+        self.peer_version = changes.version;
+        let newer = changes.configuration.take();
+        if query.announcement.is_some() {
             let mut state = self.shared.state.lock();
-            state.set_registrar_address(relayed.peer);
+            state.set_registrar_address(changes.peer);
         }
         metrics::counter!("foxtide_relay_reads_total").increment(1);
-        if !relayed.is_current {
-            self.adopt(relayed);
-        } else if relayed.is_everything {
-            self.replace(relayed.records, relayed.index);
+        if !changes.is_current {
+            self.adopt(changes);
+        } else if changes.is_full {
+            self.replace(changes.records, changes.index);
         } else {
-            self.apply(&relayed.records, relayed.index);
+            self.apply(&changes.records, changes.index);
         }
         if let Some(newer) = newer {
             self.take_newer(newer);
@@ -168,15 +168,15 @@
 
     /// Adds which configuration is in force here, and itself where the peer that answered
     /// last has an older one: it may have read a store that has lost it.
-    fn with_version(&self, question: Question) -> Question {
+    fn with_version(&self, query: ChangesQuery) -> ChangesQuery {
         let state = self.shared.state.lock();
         let version = state.version();
         let is_behind = 0 < self.peer_version && self.peer_version < version;
         let kept = state.unstored_configuration().filter(|_| is_behind);
-        Question {
+        ChangesQuery {
             version,
             configuration: kept.cloned(),
-            ..question
+            ..query
         }
     }
 }
--- a/crates/foxtide-gateway/src/follow/start.rs
+++ b/crates/foxtide-gateway/src/follow/start.rs
@@ -4,9 +4,9 @@
 use crate::dialect::Dialect;
 use crate::ledger::CallPurpose;
 use crate::relay::{
-    Question,
+    ChangesQuery,
     RelayError,
-    Relayed, //
+    RelayedChanges, //
 };
 use crate::store::{
     Changes,
@@ -150,11 +150,11 @@
         &mut self,
         old: &Snapshot,
     ) -> Result<Option<(Vec<Record>, StoreIndex)>, StoreError> {
-        if let Ok(relayed) = self.ask_watcher_of(old).await {
-            self.learn_quarantine(&relayed);
-            self.newer = relayed.configuration;
-            if !relayed.is_everything {
-                return Ok(Some((relayed.records, relayed.index)));
+        if let Ok(changes) = self.ask_watcher_of(old).await {
+            self.learn_quarantine(&changes);
+            self.newer = changes.configuration;
+            if !changes.is_full {
+                return Ok(Some((changes.records, changes.index)));
             }
         }
         self.shared.ledger.count(CallPurpose::Start, 1);
@@ -166,18 +166,18 @@
 
     /// Asks one of the watchers that a reading names for what has changed since. After
     /// all instances have lost power it knows nothing itself, so that no other is asked.
-    async fn ask_watcher_of(&mut self, old: &Snapshot) -> Result<Relayed, RelayError> {
+    async fn ask_watcher_of(&mut self, old: &Snapshot) -> Result<RelayedChanges, RelayError> {
         let watchers = self.watchers_of(old);
         if watchers.is_empty() {
             return Err(RelayError::NoPeer);
         }
-        let question = Question {
+        let query = ChangesQuery {
             after: Some(old.index),
-            reads_large: true,
+            fetches_large: true,
             version: self.version_of(old),
-            ..Question::default()
+            ..ChangesQuery::default()
         };
-        self.relay.ask(&watchers, &question).await
+        self.relay.ask(&watchers, &query).await
     }
 
     /// Returns the version of the configuration that a reading has brought; 0 for none.
--- a/crates/foxtide-gateway/src/membership.rs
+++ b/crates/foxtide-gateway/src/membership.rs
@@ -7,7 +7,7 @@
 use crate::dialect::Dialect;
 use crate::ledger::CallPurpose;
 use crate::relay::{
-    Question,
+    ChangesQuery,
     RelayClient,
     RelayError, //
 };
@@ -335,16 +335,16 @@
         let Some(registrar) = registrar else {
             return;
         };
-        let question = Question {
+        let query = ChangesQuery {
             after: Some(after),
-            reads_large: true,
+            fetches_large: true,
             announcement: Some(self.shared.member()),
             is_leaving: true,
-            ..Question::default()
+            ..ChangesQuery::default()
         };
-        let told = RelayClient::default().ask(&[registrar], &question).await;
+        let told = RelayClient::default().ask(&[registrar], &query).await;
         match told {
-            Ok(_) | Err(RelayError::Large { .. }) => {
+            Ok(_) | Err(RelayError::TooLarge { .. }) => {
                 log_event!(
                     EventCode::RecordWithdrawn,
                     registrar:% = registrar
--- a/crates/foxtide-gateway/src/relay/client.rs
+++ b/crates/foxtide-gateway/src/relay/client.rs
@@ -36,16 +36,16 @@
     Instant, //
 };
 
-/// How long a peer may take: a connection, a question and an answer between
+/// How long a peer may take: a connection, a query and an answer between
 /// the regions that are furthest apart are 220 ms.
-const PEER_TIME: Duration = Duration::from_millis(600);
+const EXCHANGE_TIMEOUT: Duration = Duration::from_millis(600);
 
 /// How long others are asked before a peer that did not answer: its lease has lapsed by
-/// then if it is dead. Each question to it in vain takes up to 1.6 s.
-const DEAD_TIME: Duration = Duration::from_secs(5);
+/// then if it is dead. Each query to it in vain takes up to 1.6 s.
+const UNRESPONSIVE_BACKOFF: Duration = Duration::from_secs(5);
 
 /// How long others are asked before a peer that the store does not answer.
-const NOT_CURRENT_TIME: Duration = Duration::from_millis(1_000);
+const NOT_CURRENT_BACKOFF: Duration = Duration::from_millis(1_000);
 
 /// Why a peer did not tell what has changed.
 #[derive(Debug, thiserror::Error)]
@@ -79,7 +79,7 @@
     },
     /// The changes are larger than a peer tells.
     #[error("peer {peer}: the changes are to be read from the store")]
-    Large {
+    TooLarge {
         /// The peer.
         peer: SocketAddr,
     },
@@ -93,16 +93,16 @@
 
 /// What is asked of a peer.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Question {
+pub(crate) struct ChangesQuery {
     /// The index up to which the asker knows the store; nothing where it is to be
     /// told everything.
     pub(crate) after: Option<StoreIndex>,
     /// How long the peer may wait for a change.
     pub(crate) wait: Duration,
     /// Whether the asker reads large changes from the store itself.
-    pub(crate) reads_large: bool,
+    pub(crate) fetches_large: bool,
     /// Whether the asker takes everything from one that the store does not answer.
-    pub(crate) takes_old: bool,
+    pub(crate) accepts_stale: bool,
     /// The asker, where the peer is to keep its record, or to remove it.
     pub(crate) announcement: Option<Member>,
     /// Whether the asker is leaving.
@@ -115,13 +115,13 @@
 
 /// What a peer knows of the store.
 #[derive(Debug)]
-pub(crate) struct Relayed {
+pub(crate) struct RelayedChanges {
     /// Who told it.
     pub(crate) peer: SocketAddr,
     /// Whether the store answers the peer, so that this is what it says now.
     pub(crate) is_current: bool,
     /// Whether the records are all that the store holds.
-    pub(crate) is_everything: bool,
+    pub(crate) is_full: bool,
     /// The records, in the order of their indices.
     pub(crate) records: Vec<Record>,
     /// The index at which they are complete.
@@ -157,24 +157,24 @@
     pub(crate) async fn ask(
         &mut self,
         peers: &[SocketAddr],
-        question: &Question,
-    ) -> Result<Relayed, RelayError> {
+        query: &ChangesQuery,
+    ) -> Result<RelayedChanges, RelayError> {
         let peer = self.choose(peers)?;
-        let kept = self.connected.take();
-        let frames = kept.and_then(|(kept, frames)| (kept == peer).then_some(frames));
-        let answered = exchange(peer, frames, question).await;
+        let reused = self.connected.take();
+        let frames = reused.and_then(|(reused, frames)| (reused == peer).then_some(frames));
+        let answered = exchange(peer, frames, query).await;
         if let Err(error) = &answered {
             self.avoid(peer, error);
         }
         let (response, frames) = answered?;
         self.connected = Some((peer, frames));
-        if response.is_large {
-            return Err(RelayError::Large { peer });
+        if response.is_too_large {
+            return Err(RelayError::TooLarge { peer });
         }
-        Ok(Relayed {
+        Ok(RelayedChanges {
             peer,
             is_current: response.is_current,
-            is_everything: response.is_everything,
+            is_full: response.is_full,
             records: response.records.into_iter().map(Record::from).collect(),
             index: StoreIndex::new(response.index).in_era(response.era),
             version: response.version,
@@ -197,8 +197,8 @@
     fn avoid(&mut self, peer: SocketAddr, error: &RelayError) {
         let now = Instant::now();
         let time = match error {
-            RelayError::NotCurrent { .. } => NOT_CURRENT_TIME,
-            _ => DEAD_TIME,
+            RelayError::NotCurrent { .. } => NOT_CURRENT_BACKOFF,
+            _ => UNRESPONSIVE_BACKOFF,
         };
         self.avoided.retain(|_, until| now < *until);
         self.avoided.insert(peer, now + time);
@@ -219,25 +219,25 @@
 async fn exchange(
     peer: SocketAddr,
     frames: Option<Frames>,
-    question: &Question,
+    query: &ChangesQuery,
 ) -> Result<(ChangesResponse, Frames), RelayError> {
     let late = async {
-        Timer::after(PEER_TIME + question.wait).await;
+        Timer::after(EXCHANGE_TIMEOUT + query.wait).await;
         Err(io::ErrorKind::TimedOut.into())
     };
     let request = ChangesRequest {
-        after: question.after.map(StoreIndex::get),
-        wait_ms: u32::try_from(question.wait.as_millis()).unwrap_or(u32::MAX),
-        reads_large: question.reads_large,
-        takes_old: question.takes_old,
-        announcement: question.announcement.as_ref().map(Into::into),
-        is_leaving: question.is_leaving,
-        after_era: question.after.map_or(0, StoreIndex::era),
-        version: question.version,
-        configuration: question.configuration.clone().map(Into::into),
+        after: query.after.map(StoreIndex::get),
+        wait_ms: u32::try_from(query.wait.as_millis()).unwrap_or(u32::MAX),
+        fetches_large: query.fetches_large,
+        accepts_stale: query.accepts_stale,
+        announcement: query.announcement.as_ref().map(Into::into),
+        is_leaving: query.is_leaving,
+        after_era: query.after.map_or(0, StoreIndex::era),
+        version: query.version,
+        configuration: query.configuration.clone().map(Into::into),
         reads_packed: true,
     };
-    let answered = or(converse(peer, frames, &request), late).await;
+    let answered = or(send_request(peer, frames, &request), late).await;
     let (bytes, frames) = answered.map_err(|source| RelayError::Io { peer, source })?;
     let response = ChangesResponse::decode(bytes.as_slice());
     let mut response = response.map_err(|source| RelayError::Format { peer, source })?;
@@ -245,14 +245,14 @@
         let unpacked = unpack(&packed);
         response.records = unpacked.map_err(|source| RelayError::Packing { peer, source })?;
     }
-    let is_old = question.takes_old && !response.records.is_empty();
-    if !response.is_current && !is_old {
+    let is_stale = query.accepts_stale && !response.records.is_empty();
+    if !response.is_current && !is_stale {
         return Err(RelayError::NotCurrent { peer });
     }
     Ok((response, frames))
 }
 
-async fn converse(
+async fn send_request(
     peer: SocketAddr,
     frames: Option<Frames>,
     request: &ChangesRequest,
--- a/crates/foxtide-gateway/src/relay/messages.rs
+++ b/crates/foxtide-gateway/src/relay/messages.rs
@@ -19,10 +19,10 @@
     pub(super) wait_ms: u32,
     /// Whether the asker reads large changes from the store itself.
     #[prost(bool, tag = "3")]
-    pub(super) reads_large: bool,
+    pub(super) fetches_large: bool,
     /// Whether the asker takes everything from one that the store does not answer.
     #[prost(bool, tag = "4")]
-    pub(super) takes_old: bool,
+    pub(super) accepts_stale: bool,
     /// The asker, where its record is to be kept, or removed.
     #[prost(message, optional, tag = "5")]
     pub(super) announcement: Option<MemberMessage>,
@@ -123,7 +123,7 @@
     pub(super) is_current: bool,
     /// Whether the records are all that the store holds.
     #[prost(bool, tag = "2")]
-    pub(super) is_everything: bool,
+    pub(super) is_full: bool,
     /// The index at which the records are complete.
     #[prost(uint64, tag = "3")]
     pub(super) index: u64,
@@ -133,7 +133,7 @@
     /// Whether there are records that the asker reads from the store itself; none is
     /// told then.
     #[prost(bool, tag = "5")]
-    pub(super) is_large: bool,
+    pub(super) is_too_large: bool,
     /// The era of the store in which `index` is.
     #[prost(uint64, tag = "6")]
     pub(super) era: u64,
--- a/crates/foxtide-gateway/src/relay/mod.rs
+++ b/crates/foxtide-gateway/src/relay/mod.rs
@@ -12,9 +12,9 @@
 mod server;
 
 pub(crate) use client::{
-    Question,
+    ChangesQuery,
     RelayClient,
     RelayError,
-    Relayed, //
+    RelayedChanges, //
 };
 pub(crate) use server::serve_peers;
--- a/crates/foxtide-gateway/src/relay/server.rs
+++ b/crates/foxtide-gateway/src/relay/server.rs
@@ -45,7 +45,7 @@
 const FRAME_MAX_BYTES: usize = 8 * 1_024 * 1_024;
 
 /// How long a peer may stay silent between two questions.
-const IDLE_TIME: Duration = Duration::from_secs(5);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// The longest wait for a change that a peer may ask for.
 const WAIT_MAX: Duration = Duration::from_secs(2);
@@ -72,7 +72,7 @@
                 let shared = Arc::clone(&shared);
                 let executor = Arc::clone(&shared.executor);
                 let serving = async move {
-                    if let Err(error) = serve_one(&shared, stream).await {
+                    if let Err(error) = serve_connection(&shared, stream).await {
                         log::debug!("peer {peer} was not answered: {error}");
                     }
                 };
@@ -86,41 +86,41 @@
     }
 }
 
-async fn serve_one<D: Dialect>(shared: &Shared<D>, stream: TcpStream) -> io::Result<()> {
+async fn serve_connection<D: Dialect>(shared: &Shared<D>, stream: TcpStream) -> io::Result<()> {
     stream.set_nodelay(true)?;
     let mut frames = frames(stream);
     loop {
         let late = async {
-            Timer::after(IDLE_TIME).await;
+            Timer::after(IDLE_TIMEOUT).await;
             None
         };
-        let Some(question) = or(frames.next(), late).await else {
+        let Some(frame) = or(frames.next(), late).await else {
             return Ok(());
         };
-        let request = ChangesRequest::decode(question?).map_err(io::Error::other)?;
-        take_in_asker(shared, &request);
-        take_in_configuration(shared, &request);
-        let mut response = answer_when_due(shared, &request).await;
+        let request = ChangesRequest::decode(frame?).map_err(io::Error::other)?;
+        update_record(shared, &request);
+        store_offered_configuration(shared, &request);
+        let mut response = wait_for_answer(shared, &request).await;
         let unstored = shared.poison.unstored().into_iter();
         response.quarantine = unstored
             .map(|(fingerprint, entry)| QuarantineMessage::new(fingerprint, entry))
             .collect();
-        let is_everything = response.is_everything;
+        let is_full = response.is_full;
         metrics::counter!("foxtide_relayed_total", "current" => response.is_current.to_string())
             .increment(1);
-        let bytes = packed(response, &request).encode_to_vec();
-        let sent = if is_everything {
+        let bytes = pack_records(response, &request).encode_to_vec();
+        let kind = if is_full {
             TrafficKind::Everything
         } else {
             TrafficKind::Changes
         };
-        shared.traffic.count(sent, bytes.len());
+        shared.traffic.count(kind, bytes.len());
         frames.send(Bytes::from(bytes)).await?;
     }
 }
 
 /// Packs the records of a response for an asker that reads them so.
-fn packed(mut response: ChangesResponse, request: &ChangesRequest) -> ChangesResponse {
+fn pack_records(mut response: ChangesResponse, request: &ChangesRequest) -> ChangesResponse {
     if !request.reads_packed {
         return response;
     }
@@ -133,7 +133,7 @@
 
 /// Keeps the asker's record, or removes it, where it asks for that. One that the store
 /// does not answer could not, and one that is stopping will not.
-fn take_in_asker<D: Dialect>(shared: &Shared<D>, request: &ChangesRequest) {
+fn update_record<D: Dialect>(shared: &Shared<D>, request: &ChangesRequest) {
     let Some(announcement) = &request.announcement else {
         return;
     };
@@ -155,7 +155,7 @@
 
 /// Keeps a configuration that the asker knows and that is newer than the one in force here,
 /// for the follower of the store to take in: the store may have lost it.
-fn take_in_configuration<D: Dialect>(shared: &Shared<D>, request: &ChangesRequest) {
+fn store_offered_configuration<D: Dialect>(shared: &Shared<D>, request: &ChangesRequest) {
     let Some(configuration) = &request.configuration else {
         return;
     };
@@ -166,7 +166,7 @@
 }
 
 /// Waits until there is something to tell, but no longer than the asker says.
-async fn answer_when_due<D: Dialect>(
+async fn wait_for_answer<D: Dialect>(
     shared: &Shared<D>,
     request: &ChangesRequest,
 ) -> ChangesResponse {
@@ -175,11 +175,11 @@
         loop {
             let changed = shared.log_changed.listen();
             let response = answer(shared, request);
-            let has_news = !response.is_current
-                || response.is_large
+            let has_changes = !response.is_current
+                || response.is_too_large
                 || response.configuration.is_some()
                 || !response.records.is_empty();
-            if has_news {
+            if has_changes {
                 return response;
             }
             changed.await;
@@ -200,9 +200,9 @@
     let state = shared.state.lock();
     let log = state.log();
     if !state.is_store_followed() {
-        return if request.takes_old {
+        return if request.accepts_stale {
             ChangesResponse {
-                is_everything: true,
+                is_full: true,
                 index: log.index().get(),
                 era: log.index().era(),
                 version: state.version(),
@@ -216,12 +216,12 @@
     }
     let after = request.position();
     let changes = after.and_then(|after| log.changes_after(after));
-    let is_everything = changes.is_none();
+    let is_full = changes.is_none();
     let records = changes.unwrap_or_else(|| log.all());
-    if request.reads_large && !are_told(&records) {
+    if request.fetches_large && !are_told(&records) {
         return ChangesResponse {
             is_current: true,
-            is_large: true,
+            is_too_large: true,
             ..ChangesResponse::default()
         };
     }
@@ -229,11 +229,11 @@
     let index = log.index().max(after.unwrap_or_default());
     ChangesResponse {
         is_current: true,
-        is_everything,
+        is_full,
         index: index.get(),
         era: index.era(),
         records: records.into_iter().map(Into::into).collect(),
-        is_large: false,
+        is_too_large: false,
         version: state.version(),
         configuration: configuration_for(&state, request),
         ..ChangesResponse::default()
@@ -243,6 +243,6 @@
 /// Returns the configuration in force for an asker whose own is older, where the store holds
 /// an older one too. Else the asker learns it as it learns everything.
 fn configuration_for(state: &State, request: &ChangesRequest) -> Option<RecordMessage> {
-    let kept = state.unstored_configuration()?;
-    (request.version < state.version()).then(|| kept.clone().into())
+    let unstored = state.unstored_configuration()?;
+    (request.version < state.version()).then(|| unstored.clone().into())
 }
