--- a/crates/foxtide-gateway/src/follow/mod.rs
+++ b/crates/foxtide-gateway/src/follow/mod.rs
@@ -5,7 +5,6 @@
 mod start;
 
 use crate::dialect::Dialect;
-use crate::ledger::CallPurpose;
 use crate::relay::{
     RelayClient,
     RelayError, //
@@ -15,6 +14,7 @@
     Changes,
     FleetStore, //
 };
+use crate::store_calls::CallPurpose;
 use foxtide_core::records::Record;
 use foxtide_core::registry::FollowerBackoff;
 use foxtide_core::store::{
@@ -89,7 +89,7 @@
         match follower.step().await {
             Ok(()) => {
                 follower.answered();
-                follower.shared.standstill.synced(began_at);
+                follower.shared.stall.synced(began_at);
                 // One that has begun asks at once that its record be kept.
                 if follower.index.is_some() && !(is_first && follower.is_follower()) {
                     Timer::at(started + follower.period()).await;
@@ -97,7 +97,7 @@
             }
             Err(error) => {
                 follower.failed(&error).await;
-                follower.shared.standstill.synced(began_at);
+                follower.shared.stall.synced(began_at);
                 Timer::after(follower.pause()).await;
             }
         }
@@ -179,7 +179,7 @@
         } else {
             CallPurpose::Following
         };
-        self.shared.ledger.count(purpose, 1);
+        self.shared.store_calls.count(purpose, 1);
         let shared = Arc::clone(&self.shared);
         let alarm = async { Err(shared.store_alarm.raised().await) };
         match or(self.wait_for_changes(index, wait), alarm).await? {
@@ -204,7 +204,7 @@
         if !is_cut || began_at.elapsed() > wait + CUT_MARGIN {
             return waited;
         }
-        self.shared.ledger.count(CallPurpose::Recovery, 1);
+        self.shared.store_calls.count(CallPurpose::Recovery, 1);
         self.store.changes(index, PROBE_WAIT).await
     }
 
--- a/crates/foxtide-gateway/src/follow/start.rs
+++ b/crates/foxtide-gateway/src/follow/start.rs
@@ -2,7 +2,6 @@
 
 use super::Follower;
 use crate::dialect::Dialect;
-use crate::ledger::CallPurpose;
 use crate::relay::{
     ChangesQuery,
     RelayError,
@@ -14,6 +13,7 @@
     FleetStore,
     Freshness, //
 };
+use crate::store_calls::CallPurpose;
 use foxtide_core::records::Record;
 use foxtide_core::registry::{
     Members,
@@ -80,7 +80,7 @@
         let mut snapshot = Snapshot::default();
         let mut after = String::new();
         for page in 0..PAGES_MAX {
-            self.shared.ledger.count(purpose, 1);
+            self.shared.store_calls.count(purpose, 1);
             let read = self.store.read_page(&after, freshness).await?;
             if page > 0 && snapshot.index.era() != read.index.era() {
                 // Nothing that follows could tell what the first pages have missed.
@@ -157,7 +157,7 @@
                 return Ok(Some((changes.records, changes.index)));
             }
         }
-        self.shared.ledger.count(CallPurpose::Start, 1);
+        self.shared.store_calls.count(CallPurpose::Start, 1);
         match self.store.changes(old.index, Duration::ZERO).await? {
             Changes::Followed { records, index } => Ok(Some((records, index))),
             Changes::Forgotten => Ok(None),
--- a/crates/foxtide-gateway/src/forward/attempt_loop.rs
+++ b/crates/foxtide-gateway/src/forward/attempt_loop.rs
@@ -102,7 +102,7 @@
                 Ok(target) => target,
                 Err(reply) => return reply,
             };
-            self.shared.catch_up().await;
+            self.shared.wait_until_synced().await;
             if let Some(reply) = self.recheck() {
                 return reply;
             }
--- a/crates/foxtide-gateway/src/forward/entry.rs
+++ b/crates/foxtide-gateway/src/forward/entry.rs
@@ -53,7 +53,7 @@
         trace.reason = refused.reason();
         return (refused.into(), trace);
     }
-    shared.catch_up().await;
+    shared.wait_until_synced().await;
     let sending = match poison::admit(shared, fingerprint).await {
         Ok(sending) => sending,
         Err(retry_after) => {
--- a/crates/foxtide-gateway/src/gateway.rs
+++ b/crates/foxtide-gateway/src/gateway.rs
@@ -9,7 +9,6 @@
 use crate::errors::Result;
 use crate::follow::follow;
 use crate::journal::Journal;
-use crate::ledger::StoreLedger;
 use crate::lifecycle::Lifecycle;
 use crate::listener::{
     Listener,
@@ -31,9 +30,10 @@
 use crate::quotas::Quotas;
 use crate::relay::serve_peers;
 use crate::shared::Shared;
-use crate::standstill::Standstill;
+use crate::stall::StallDetector;
 use crate::state::State;
 use crate::store::FleetStore;
+use crate::store_calls::StoreCalls;
 use crate::traffic::Traffic;
 use event_listener::Event;
 use foxtide_clock::SteadyClock;
@@ -65,7 +65,7 @@
 
 /// After how many rounds of housekeeping a line tells of the calls to the store: a
 /// line of each of 600 instances in 3 s is 200 a second.
-const LEDGER_ROUNDS: u32 = 6;
+const STORE_CALLS_LOG_ROUNDS: u32 = 6;
 
 /// A running instance.
 #[derive(Debug)]
@@ -115,11 +115,11 @@
             admission,
             quotas: Quotas::default(),
             poison: Poison::default(),
-            standstill: Standstill::default(),
+            stall: StallDetector::default(),
             body_memory: BodyMemory::new(body_memory),
             lifecycle: Lifecycle::default(),
             journal: Journal::new(clock),
-            ledger: StoreLedger::default(),
+            store_calls: StoreCalls::default(),
             traffic,
             store_alarm: StoreAlarm::default(),
             offered_configuration: Mutex::default(),
@@ -136,7 +136,7 @@
         tasks.push(executor.spawn(follow(Arc::clone(&shared), store.clone())));
         let keeper = keep_quarantine(Arc::clone(&shared), store.clone());
         tasks.push(executor.spawn(keeper));
-        tasks.push(executor.spawn(keep_house(Arc::clone(&shared))));
+        tasks.push(executor.spawn(run_housekeeping(Arc::clone(&shared))));
         let membership = executor.spawn(keep_membership(Arc::clone(&shared), store));
         Ok(Self {
             shared,
@@ -197,16 +197,16 @@
         // That takes up to 1.8 s; requests that came meanwhile, of callers with older
         // look-ups, end before the process does.
         self.shared.lifecycle.drained().await;
-        self.shared.ledger.tell();
+        self.shared.store_calls.log_summary();
     }
 }
 
-async fn keep_house<D: Dialect>(shared: Arc<Shared<D>>) {
+async fn run_housekeeping<D: Dialect>(shared: Arc<Shared<D>>) {
     for round in 1_u32.. {
         Timer::after(HOUSEKEEPING_PERIOD).await;
-        shared.beat();
-        if round.is_multiple_of(LEDGER_ROUNDS) {
-            shared.ledger.tell();
+        shared.heartbeat();
+        if round.is_multiple_of(STORE_CALLS_LOG_ROUNDS) {
+            shared.store_calls.log_summary();
             shared.traffic.report();
         }
         let now = shared.clock.now();
--- a/crates/foxtide-gateway/src/journal/mod.rs
+++ b/crates/foxtide-gateway/src/journal/mod.rs
@@ -4,8 +4,8 @@
 //! `docs/OPERATIONS.md` shows how to get from a request's identity to its
 //! cause. Lines about requests are bounded; those left out are counted.
 
-pub(crate) mod beliefs;
 mod labels;
 mod requests;
+pub(crate) mod state_changes;
 
 pub(crate) use requests::Journal;
--- a/crates/foxtide-gateway/src/journal/beliefs.rs
+++ b/crates/foxtide-gateway/src/journal/state_changes.rs
@@ -101,13 +101,13 @@
 }
 
 /// The store, or a peer, tells an older version than the one in force.
-pub(crate) fn configuration_kept(told: u64, in_force: Option<u64>) {
+pub(crate) fn older_configuration_ignored(offered: u64, in_force: Option<u64>) {
     let in_force = in_force.unwrap_or_default();
-    if told < in_force {
+    if offered < in_force {
         log_event!(
             EventCode::ConfigurationKept,
             version = in_force,
-            told = told
+            told = offered
         );
     }
 }
--- a/crates/foxtide-gateway/src/lib.rs
+++ b/crates/foxtide-gateway/src/lib.rs
@@ -17,7 +17,6 @@
 mod front;
 mod gateway;
 mod journal;
-mod ledger;
 mod lifecycle;
 mod listener;
 mod membership;
@@ -29,9 +28,10 @@
 mod quotas;
 mod relay;
 mod shared;
-mod standstill;
+mod stall;
 mod state;
 mod store;
+mod store_calls;
 mod traffic;
 
 pub use dialect::{
--- a/crates/foxtide-gateway/src/membership.rs
+++ b/crates/foxtide-gateway/src/membership.rs
@@ -5,7 +5,6 @@
 //! instances keep their own, each under a lease.
 
 use crate::dialect::Dialect;
-use crate::ledger::CallPurpose;
 use crate::relay::{
     ChangesQuery,
     RelayClient,
@@ -17,6 +16,7 @@
     LeaseId,
     RECORDS_MAX, //
 };
+use crate::store_calls::CallPurpose;
 use foxtide_core::registry::RecordChanges;
 use foxtide_core::store::StoreError;
 use foxtide_core::time::MonotonicTime;
@@ -188,7 +188,7 @@
         if !self.open.is_due(self.shared.clock.now()) {
             return Ok(());
         }
-        self.shared.ledger.count(CallPurpose::Record, 1);
+        self.shared.store_calls.count(CallPurpose::Record, 1);
         let opened = self.store.open_lease(LEASE_TTL).await;
         self.open.note(opened.is_ok(), self.shared.clock.now());
         let id = opened?;
@@ -217,7 +217,7 @@
         }
         lease.renew_at = self.shared.clock.now() + renew_pause();
         let id = lease.id;
-        self.shared.ledger.count(CallPurpose::Renewal, 1);
+        self.shared.store_calls.count(CallPurpose::Renewal, 1);
         if !self.store.renew(id).await? {
             self.lose_lease(id);
         }
@@ -255,7 +255,7 @@
         if changes.is_empty() || !self.write.is_due(now) {
             return Ok(());
         }
-        self.shared.ledger.count(CallPurpose::Record, 1);
+        self.shared.store_calls.count(CallPurpose::Record, 1);
         let written = self.store.write_records(&changes, lease.id).await;
         self.write.note(written.is_ok(), self.shared.clock.now());
         if !written? {
@@ -310,7 +310,7 @@
             return;
         };
         let keeps_others = !self.shared.state.lock().registrar_mut().is_empty();
-        self.shared.ledger.count(CallPurpose::Record, 1);
+        self.shared.store_calls.count(CallPurpose::Record, 1);
         let left = if keeps_others {
             let own = RecordChanges {
                 removed: vec![self.shared.options.place.instance.clone()],
--- a/crates/foxtide-gateway/src/poison/keeper.rs
+++ b/crates/foxtide-gateway/src/poison/keeper.rs
@@ -1,9 +1,9 @@
 //! Keeps the quarantine in the platform's store, which outlives all instances.
 
 use crate::dialect::Dialect;
-use crate::ledger::CallPurpose;
 use crate::shared::Shared;
 use crate::store::FleetStore;
+use crate::store_calls::CallPurpose;
 use foxtide_core::poison::{
     Fingerprint,
     StoredEntry, //
@@ -134,7 +134,7 @@
     store: &S,
     entry: &StoredEntry,
 ) -> StoreResult<bool> {
-    shared.ledger.count(CallPurpose::Quarantine, 1);
+    shared.store_calls.count(CallPurpose::Quarantine, 1);
     let written = store.write_quarantine(entry).await;
     written.inspect_err(|error| log_event!(EventCode::QuarantineCallFailed, cause:% = error))
 }
@@ -145,7 +145,7 @@
     fingerprint: Fingerprint,
 ) {
     for _ in 0..REMOVALS_MAX {
-        shared.ledger.count(CallPurpose::Quarantine, 1);
+        shared.store_calls.count(CallPurpose::Quarantine, 1);
         match store.remove_quarantine(fingerprint).await {
             Ok(()) => return,
             Err(error) => log_event!(EventCode::QuarantineCallFailed, cause:% = error),
--- a/crates/foxtide-gateway/src/poison/mod.rs
+++ b/crates/foxtide-gateway/src/poison/mod.rs
@@ -17,7 +17,7 @@
 };
 
 use crate::dialect::Dialect;
-use crate::journal::beliefs;
+use crate::journal::state_changes;
 use crate::shared::Shared;
 use crate::store::Fact;
 use foxtide_core::poison::{
@@ -112,7 +112,7 @@
         let is_new = quarantine.merge(fingerprint, entry, Origin::Peer, draw, now);
         drop(quarantine);
         if is_new {
-            beliefs::quarantine_learnt(fingerprint, entry, from);
+            state_changes::quarantine_learnt(fingerprint, entry, from);
         }
     }
 
@@ -125,7 +125,11 @@
                 Fact::Quarantined(stored) => {
                     let draw = fastrand::f64();
                     if self.quarantine.lock().merge_stored(stored, draw, now) {
-                        beliefs::quarantine_learnt(stored.fingerprint, stored.entry, &"store");
+                        state_changes::quarantine_learnt(
+                            stored.fingerprint,
+                            stored.entry,
+                            &"store",
+                        );
                         new.push(stored.fingerprint);
                     }
                 }
@@ -153,7 +157,7 @@
         let new = quarantine.sync_stored(&stored, is_restored, fastrand::f64(), now);
         drop(quarantine);
         for one in stored.iter().filter(|one| new.contains(&one.fingerprint)) {
-            beliefs::quarantine_learnt(one.fingerprint, one.entry, &"store");
+            state_changes::quarantine_learnt(one.fingerprint, one.entry, &"store");
         }
         new
     }
@@ -168,7 +172,7 @@
         let was_quarantined = self.quarantine.lock().release(fingerprint);
         self.suspects.lock().clear(fingerprint);
         if was_quarantined {
-            beliefs::request_released(fingerprint);
+            state_changes::request_released(fingerprint);
         }
     }
 
@@ -225,7 +229,7 @@
         false
     };
     let is_claimed = or(poison.keeper.claim(trial), late).await;
-    beliefs::trial_claimed(&trial, is_claimed);
+    state_changes::trial_claimed(&trial, is_claimed);
     if is_claimed {
         Ok(Sending::Once)
     } else {
--- a/crates/foxtide-gateway/src/poison/reports.rs
+++ b/crates/foxtide-gateway/src/poison/reports.rs
@@ -7,7 +7,7 @@
     UpstreamEndMessage, //
 };
 use crate::dialect::Dialect;
-use crate::journal::beliefs;
+use crate::journal::state_changes;
 use crate::shared::Shared;
 use foxtide_core::poison::{
     EndReport,
@@ -43,7 +43,7 @@
     // One under which this instance has seen an end before is likelier the cause than any
     // other, and few are.
     let is_reported = poison.was_reported(fingerprint) || poison.may_report(now);
-    beliefs::upstream_ended(&report, under_way, is_reported);
+    state_changes::upstream_ended(&report, under_way, is_reported);
     if !is_reported {
         return;
     }
@@ -125,7 +125,7 @@
         return;
     };
     let entry = QuarantineEntry { ends, trials: 0 };
-    beliefs::request_quarantined(report, ends);
+    state_changes::request_quarantined(report, ends);
     let draw = fastrand::f64();
     let fingerprint = report.fingerprint;
     let mut quarantine = shared.poison.quarantine.lock();
--- a/crates/foxtide-gateway/src/quotas/mod.rs
+++ b/crates/foxtide-gateway/src/quotas/mod.rs
@@ -10,7 +10,7 @@
 pub(crate) use ask::take_token;
 
 use crate::dialect::Dialect;
-use crate::journal::beliefs;
+use crate::journal::state_changes;
 use crate::shared::Shared;
 use crate::state::State;
 use foxtide_core::ids::OrganisationId;
@@ -131,7 +131,7 @@
         let logged_at = last_logged.get(&terms.organisation);
         if logged_at.is_none_or(|&logged_at| now - logged_at >= LOG_PERIOD) {
             last_logged.insert(terms.organisation.clone(), now);
-            beliefs::quota_reached(terms, refusal);
+            state_changes::quota_reached(terms, refusal);
         }
     }
 
--- a/crates/foxtide-gateway/src/shared.rs
+++ b/crates/foxtide-gateway/src/shared.rs
@@ -3,7 +3,6 @@
 use crate::admission::Admission;
 use crate::alarm::StoreAlarm;
 use crate::journal::Journal;
-use crate::ledger::StoreLedger;
 use crate::lifecycle::Lifecycle;
 use crate::memory::BodyMemory;
 use crate::options::{
@@ -13,8 +12,9 @@
 use crate::poison::Poison;
 use crate::pool::Pool;
 use crate::quotas::Quotas;
-use crate::standstill::Standstill;
+use crate::stall::StallDetector;
 use crate::state::State;
+use crate::store_calls::StoreCalls;
 use crate::traffic::Traffic;
 use event_listener::Event;
 use foxtide_clock::SteadyClock;
@@ -40,11 +40,11 @@
     pub(crate) admission: Admission,
     pub(crate) quotas: Quotas,
     pub(crate) poison: Poison,
-    pub(crate) standstill: Standstill,
+    pub(crate) stall: StallDetector,
     pub(crate) body_memory: BodyMemory,
     pub(crate) lifecycle: Lifecycle,
     pub(crate) journal: Journal,
-    pub(crate) ledger: StoreLedger,
+    pub(crate) store_calls: StoreCalls,
     pub(crate) traffic: Arc<Traffic>,
     pub(crate) store_alarm: StoreAlarm,
     /// A configuration that another instance knows and that is newer than the one in force
@@ -71,19 +71,19 @@
         }
     }
 
-    /// Records a heartbeat. Where the process has stood still, its state is read anew.
-    pub(crate) fn beat(&self) {
-        if let Some(time) = self.standstill.beat(self.clock.now()) {
+    /// Records a heartbeat. Where the process has stalled still, its state is read anew.
+    pub(crate) fn heartbeat(&self) {
+        if let Some(time) = self.stall.heartbeat(self.clock.now()) {
             log_event!(EventCode::StoodStill, time_ms = time.as_millis() as u64);
             self.store_alarm.raise();
         }
     }
 
-    /// Waits, after the process has stood still, until its state is in sync with the store.
-    pub(crate) async fn catch_up(&self) {
-        self.beat();
-        if !self.standstill.is_synced() {
-            self.standstill.wait().await;
+    /// Waits, after the process has stalled still, until its state is in sync with the store.
+    pub(crate) async fn wait_until_synced(&self) {
+        self.heartbeat();
+        if !self.stall.is_synced() {
+            self.stall.wait().await;
         }
     }
 
--- a/crates/foxtide-gateway/src/standstill.rs
+++ b/crates/foxtide-gateway/src/stall.rs
@@ -1,4 +1,4 @@
-//! Detects that the process has stood still, and delays requests until its state is in sync
+//! Detects that the process has stalled still, and delays requests until its state is in sync
 //! with the store again.
 //!
 //! A process that is frozen, or whose machine is suspended, resumes with stale state. Requests
@@ -12,39 +12,39 @@
 use std::time::Duration;
 
 /// From what gap between two heartbeats on, which come each 0.5 s, the process counts as having
-/// stood still; a busy one is late by less.
-const STANDSTILL_MIN: Duration = Duration::from_millis(1_500);
+/// stalled still; a busy one is late by less.
+const STALL_MIN: Duration = Duration::from_millis(1_500);
 
 /// How long a request waits for the state to be in sync, at most: where neither the store nor
 /// a peer answers in a few round trips, it is not known when one will.
 const SYNC_WAIT: Duration = Duration::from_millis(300);
 
-/// Whether the process has stood still since its state was last in sync.
+/// Whether the process has stalled still since its state was last in sync.
 #[derive(Debug, Default)]
-pub(crate) struct Standstill {
-    state: Mutex<StandstillState>,
+pub(crate) struct StallDetector {
+    state: Mutex<StallState>,
     synced: Event,
 }
 
 #[derive(Debug, Default)]
-struct StandstillState {
+struct StallState {
     /// The last heartbeat.
-    beat_at: MonotonicTime,
+    heartbeat_at: MonotonicTime,
     /// When the process resumed; nothing once its state is in sync.
     resumed_at: Option<MonotonicTime>,
 }
 
-impl Standstill {
-    /// Records a heartbeat; returns how long the process has just stood still, where it has.
-    pub(crate) fn beat(&self, now: MonotonicTime) -> Option<Duration> {
+impl StallDetector {
+    /// Records a heartbeat; returns how long the process has just stalled still, where it has.
+    pub(crate) fn heartbeat(&self, now: MonotonicTime) -> Option<Duration> {
         let mut state = self.state.lock();
-        let gap = now - state.beat_at;
-        state.beat_at = now;
-        let stood = (gap > STANDSTILL_MIN).then_some(gap);
-        if stood.is_some() {
+        let gap = now - state.heartbeat_at;
+        state.heartbeat_at = now;
+        let stalled = (gap > STALL_MIN).then_some(gap);
+        if stalled.is_some() {
             state.resumed_at = Some(now);
         }
-        stood
+        stalled
     }
 
     /// Records that an exchange with the store, or with peers in its place, has ended that began
@@ -92,28 +92,28 @@
     /// Guards against a thawed instance that sends requests by what it knew before.
     #[test]
     fn verify_after_a_standstill_only_later_exchanges_count() {
-        let standstill = Standstill::default();
+        let stall = StallDetector::default();
         for ms in (0..3_000).step_by(500) {
-            assert_eq!(standstill.beat(at(ms)), None);
+            assert_eq!(stall.heartbeat(at(ms)), None);
         }
         assert_eq!(
-            standstill.beat(at(7_000)),
+            stall.heartbeat(at(7_000)),
             Some(Duration::from_millis(4_500))
         );
-        assert!(!standstill.is_synced());
+        assert!(!stall.is_synced());
         // That exchange began before.
-        standstill.synced(at(2_900));
-        assert!(!standstill.is_synced());
-        standstill.synced(at(7_001));
-        assert!(standstill.is_synced());
-        assert_eq!(standstill.beat(at(7_500)), None);
+        stall.synced(at(2_900));
+        assert!(!stall.is_synced());
+        stall.synced(at(7_001));
+        assert!(stall.is_synced());
+        assert_eq!(stall.heartbeat(at(7_500)), None);
     }
 
     #[test]
     fn verify_the_wait_ends_where_nobody_answers() {
-        let standstill = Standstill::default();
-        standstill.beat(at(9_000));
-        smol::block_on(standstill.wait());
-        assert!(!standstill.is_synced());
+        let stall = StallDetector::default();
+        stall.heartbeat(at(9_000));
+        smol::block_on(stall.wait());
+        assert!(!stall.is_synced());
     }
 }
--- a/crates/foxtide-gateway/src/state/facts.rs
+++ b/crates/foxtide-gateway/src/state/facts.rs
@@ -1,7 +1,7 @@
 //! Applies the contents and changes of the store to the state.
 
 use super::State;
-use crate::journal::beliefs;
+use crate::journal::state_changes;
 use crate::store::Fact;
 use foxtide_core::ids::AvailabilityZoneId;
 use foxtide_core::registry::RegistryChange;
@@ -77,7 +77,7 @@
                 self.note_changes(&[change]);
             }
             Fact::Joined(member) => {
-                beliefs::member_joined(&member);
+                state_changes::member_joined(&member);
                 self.registrar.observe(&member, now);
                 self.members.join(member, now);
             }
@@ -86,7 +86,7 @@
                 self.registrar.observe_missing(&instance);
                 let phase = self.registry.phase();
                 let is_gone = self.members.leave(&instance, phase, now);
-                beliefs::member_left(&instance, is_gone);
+                state_changes::member_left(&instance, is_gone);
             }
             Fact::Evacuated(zone) => {
                 let mut evacuated = self.registry.evacuated().clone();
@@ -104,12 +104,12 @@
     fn configure(&mut self, document: RouteDocument) {
         let in_force = self.routes.as_ref().map(|routes| routes.version());
         if in_force.is_some_and(|version| version >= document.version) {
-            beliefs::configuration_kept(document.version, in_force);
+            state_changes::older_configuration_ignored(document.version, in_force);
             return;
         }
         let routes = RouteTable::new(document);
-        beliefs::organisations_in_force(&routes);
-        beliefs::configuration_in_force(routes.version(), in_force, routes.routes_count());
+        state_changes::organisations_in_force(&routes);
+        state_changes::configuration_in_force(routes.version(), in_force, routes.routes_count());
         self.homed.initialise(&routes, self.clock.now());
         self.routes = Some(Arc::new(routes));
     }
@@ -143,7 +143,7 @@
         if zones == *self.registry.evacuated() {
             return;
         }
-        beliefs::zones_evacuated(&zones);
+        state_changes::zones_evacuated(&zones);
         let cold = self.cold_duration_max();
         self.registry.set_evacuated(zones, cold, self.clock.now());
     }
@@ -156,7 +156,7 @@
 
     pub(super) fn note_changes(&mut self, changes: &[RegistryChange]) {
         for change in changes {
-            beliefs::registry_changed(change);
+            state_changes::registry_changed(change);
             if let RegistryChange::Left(upstream) | RegistryChange::Restarted(upstream) = change {
                 self.health.remove(upstream);
             }
--- a/crates/foxtide-gateway/src/state/mod.rs
+++ b/crates/foxtide-gateway/src/state/mod.rs
@@ -14,7 +14,7 @@
     PickRequest, //
 };
 
-use crate::journal::beliefs;
+use crate::journal::state_changes;
 use crate::options::{
     Bounds,
     GatewayOptions, //
@@ -287,7 +287,7 @@
             health.report(load, now);
         }
         if !was_ejected && health.is_ejected(now) {
-            beliefs::upstream_ejected(upstream, health.failure_share(), result);
+            state_changes::upstream_ejected(upstream, health.failure_share(), result);
         }
     }
 
--- a/crates/foxtide-gateway/src/state/placement.rs
+++ b/crates/foxtide-gateway/src/state/placement.rs
@@ -2,7 +2,7 @@
 
 use super::PickRequest;
 use super::homed::HomedTraffic;
-use crate::journal::beliefs;
+use crate::journal::state_changes;
 use crate::options::Place;
 use foxtide_core::ids::RegionId;
 use foxtide_core::placement::{
@@ -101,7 +101,7 @@
         };
         // A single region always serves all requests.
         if shares.len() > 1 && shares.iter().any(has_moved) {
-            beliefs::region_shares_changed(request.service, shares);
+            state_changes::region_shares_changed(request.service, shares);
             self.logged_shares = shares.clone();
         }
     }
--- a/crates/foxtide-gateway/src/state/stored.rs
+++ b/crates/foxtide-gateway/src/state/stored.rs
@@ -1,7 +1,7 @@
 //! Tracks the availability, restores and configuration of the store.
 
 use super::State;
-use crate::journal::beliefs;
+use crate::journal::state_changes;
 use foxtide_core::records::{
     Record,
     RecordLog, //
@@ -41,7 +41,7 @@
     /// Records a restore of the store from an older copy, as of `index`.
     pub(crate) fn store_restored(&mut self, index: StoreIndex) {
         let now = self.clock.now();
-        beliefs::store_restored(index);
+        state_changes::store_restored(index);
         self.registry.store_restored(now);
         self.evacuations_kept_until = Some(now + EVACUATION_GRACE);
         self.restorations += 1;
--- a/crates/foxtide-gateway/src/ledger.rs
+++ b/crates/foxtide-gateway/src/store_calls.rs
@@ -57,22 +57,22 @@
 
 /// The calls that an instance has made to the store.
 #[derive(Debug, Default)]
-pub(crate) struct StoreLedger {
+pub(crate) struct StoreCalls {
     /// Calls by purpose that no line has told yet, in the order of
     /// [`CallPurpose::ALL`].
-    untold: [AtomicU64; CallPurpose::ALL.len()],
+    unlogged: [AtomicU64; CallPurpose::ALL.len()],
 }
 
-impl StoreLedger {
+impl StoreCalls {
     /// Counts `calls` calls.
     pub(crate) fn count(&self, purpose: CallPurpose, calls: u32) {
-        self.untold[purpose as usize].fetch_add(calls.into(), Ordering::Relaxed);
+        self.unlogged[purpose as usize].fetch_add(calls.into(), Ordering::Relaxed);
         metrics::counter!("foxtide_store_calls_by_purpose_total", "purpose" => purpose.as_str())
             .increment(calls.into());
     }
 
     /// Writes a line about the calls since the last one, if there were any.
-    pub(crate) fn tell(&self) {
+    pub(crate) fn log_summary(&self) {
         let [
             start,
             start_old,
@@ -98,6 +98,6 @@
     }
 
     fn take(&self, purpose: CallPurpose) -> u64 {
-        self.untold[purpose as usize].swap(0, Ordering::Relaxed)
+        self.unlogged[purpose as usize].swap(0, Ordering::Relaxed)
     }
 }
