--- a/crates/foxtide-gateway/src/admission/server.rs
+++ b/crates/foxtide-gateway/src/admission/server.rs
@@ -50,9 +50,9 @@
     match datagram.body {
         Some(Body::QuotaQuestion(message)) => quotas::answer(shared, from, number, &message),
         Some(Body::QuotaAnswer(message)) => shared.quotas.deliver(number, message.answer()),
-        Some(Body::EndReport(message)) => poison::take_in_end(shared, from, &message),
-        Some(Body::Cleared(hash)) => poison::take_in_cleared(&shared.poison, hash),
-        Some(Body::Quarantine(message)) => poison::take_in_quarantine(shared, from, &message),
+        Some(Body::EndReport(message)) => poison::receive_end_report(shared, from, &message),
+        Some(Body::Cleared(hash)) => poison::receive_cleared(&shared.poison, hash),
+        Some(Body::Quarantine(message)) => poison::receive_quarantine(shared, from, &message),
         body => shared.admission.handle_slot_message(from, number, body),
     }
 }
--- a/crates/foxtide-gateway/src/follow/intake.rs
+++ b/crates/foxtide-gateway/src/follow/intake.rs
@@ -60,7 +60,7 @@
         let is_restored = self.is_restored(index);
         let known = &self.shared.poison;
         let new = known.replace(&reading.facts, is_restored, now);
-        poison::report_again(&self.shared, &new);
+        poison::resend_reports(&self.shared, &new);
     }
 
     /// Takes in the quarantined requests that a peer knows and the store may lack.
@@ -68,7 +68,7 @@
         let now = self.shared.clock.now();
         for &(fingerprint, entry) in &changes.quarantine {
             let poison = &self.shared.poison;
-            poison.learn(fingerprint, entry, &changes.peer, now);
+            poison.merge_from_peer(fingerprint, entry, &changes.peer, now);
         }
     }
 
@@ -113,7 +113,7 @@
         let reading = self.read(records);
         let now = self.shared.clock.now();
         let new = self.shared.poison.apply(&reading.facts, now);
-        poison::report_again(&self.shared, &new);
+        poison::resend_reports(&self.shared, &new);
         let mut state = self.shared.state.lock();
         self.note_era(&mut state, index);
         state.store_answered();
--- a/crates/foxtide-gateway/src/forward/attempt_loop.rs
+++ b/crates/foxtide-gateway/src/forward/attempt_loop.rs
@@ -22,7 +22,7 @@
 };
 use crate::poison::{
     self,
-    Sending, //
+    SendPermit, //
 };
 use crate::shared::Shared;
 use crate::state::{
@@ -69,7 +69,7 @@
     pub(super) home_regions: Vec<RegionId>,
     pub(super) fingerprint: Fingerprint,
     /// How often it may be sent.
-    pub(super) sending: Sending,
+    pub(super) permit: SendPermit,
     pub(super) caller: &'a CallerWatch,
     pub(super) service: &'a ServiceId,
     /// The object that determines the order of upstreams; `None` if it has none.
@@ -169,14 +169,19 @@
         if report.has_ended {
             let upstream = &pick.registration.upstream;
             let in_flight = self.shared.state.lock().in_flight(upstream);
-            poison::upstream_ended(self.shared, self.fingerprint, &pick.registration, in_flight);
+            poison::report_upstream_end(
+                self.shared,
+                self.fingerprint,
+                &pick.registration,
+                in_flight,
+            );
         }
         guard.end(&report);
         if let (Some(slot), AttemptResult::Answered { .. }) = (&mut slot, report.result) {
             slot.served();
         }
         if matches!(report.result, AttemptResult::Answered { .. }) {
-            poison::served(self.shared, self.fingerprint);
+            poison::record_served(self.shared, self.fingerprint);
         }
         report
     }
--- a/crates/foxtide-gateway/src/forward/entry.rs
+++ b/crates/foxtide-gateway/src/forward/entry.rs
@@ -54,8 +54,8 @@
         return (refused.into(), trace);
     }
     shared.wait_until_synced().await;
-    let sending = match poison::admit(shared, fingerprint).await {
-        Ok(sending) => sending,
+    let permit = match poison::admit(shared, fingerprint).await {
+        Ok(permit) => permit,
         Err(retry_after) => {
             trace.reason = QUARANTINED_REASON;
             return (Refusal::NotRun { retry_after }.into(), trace);
@@ -75,7 +75,7 @@
         route,
         home_regions,
         fingerprint,
-        sending,
+        permit,
         caller,
         service: &service,
         object,
--- a/crates/foxtide-gateway/src/forward/recheck.rs
+++ b/crates/foxtide-gateway/src/forward/recheck.rs
@@ -9,7 +9,7 @@
     Refusal,
     Reply, //
 };
-use crate::poison::Sending;
+use crate::poison::SendPermit;
 use foxtide_core::poison::RETRY_DELAY;
 use futures_lite::future::or;
 use smol::Timer;
@@ -60,11 +60,11 @@
 
     /// Returns the retry delay if the request is quarantined and the attempt is not its trial.
     fn quarantine_retry_after(&self) -> Option<Duration> {
-        if self.sending == Sending::Once && self.sent_attempts == 0 {
+        if self.permit == SendPermit::Trial && self.sent_attempts == 0 {
             return None;
         }
         let now = self.shared.clock.now();
-        self.shared.poison.held_for(self.fingerprint, now)
+        self.shared.poison.retry_delay(self.fingerprint, now)
     }
 
     /// Waits until a quarantine of the request can have become known, unless the caller
--- a/crates/foxtide-gateway/src/gateway.rs
+++ b/crates/foxtide-gateway/src/gateway.rs
@@ -24,7 +24,7 @@
 };
 use crate::poison::{
     Poison,
-    keep_quarantine, //
+    sync_quarantine, //
 };
 use crate::pool::Pool;
 use crate::quotas::Quotas;
@@ -134,8 +134,8 @@
             tasks.push(executor.spawn(accept(Arc::clone(&shared), listener)));
         }
         tasks.push(executor.spawn(follow(Arc::clone(&shared), store.clone())));
-        let keeper = keep_quarantine(Arc::clone(&shared), store.clone());
-        tasks.push(executor.spawn(keeper));
+        let quarantine = sync_quarantine(Arc::clone(&shared), store.clone());
+        tasks.push(executor.spawn(quarantine));
         tasks.push(executor.spawn(run_housekeeping(Arc::clone(&shared))));
         let membership = executor.spawn(keep_membership(Arc::clone(&shared), store));
         Ok(Self {
--- a/crates/foxtide-gateway/src/poison/mod.rs
+++ b/crates/foxtide-gateway/src/poison/mod.rs
@@ -1,20 +1,20 @@
 //! Finds the requests that end their upstreams, with the other instances, and keeps them
 //! from further upstreams.
 //!
-//! Locks: of those of [`Poison`] none is taken while another or the state is held.
+//! Locks: of those of [`Poison`] none is receiver while another or the state is held.
 
-mod keeper;
 mod reports;
+mod store_writer;
 
-pub(crate) use keeper::keep_quarantine;
 pub(crate) use reports::{
-    report_again,
-    served,
-    take_in_cleared,
-    take_in_end,
-    take_in_quarantine,
-    upstream_ended, //
+    receive_cleared,
+    receive_end_report,
+    receive_quarantine,
+    record_served,
+    report_upstream_end, //
+    resend_reports,
 };
+pub(crate) use store_writer::sync_quarantine;
 
 use crate::dialect::Dialect;
 use crate::journal::state_changes;
@@ -31,16 +31,16 @@
 };
 use foxtide_core::time::MonotonicTime;
 use futures_lite::future::or;
-use keeper::Keeper;
 use parking_lot::Mutex;
 use smol::Timer;
 use std::collections::HashMap;
 use std::fmt::Display;
 use std::time::Duration;
+use store_writer::StoreWriter;
 
 /// For how long an instance reports that a request was served under which it has seen an
 /// upstream end.
-const REPORTED_TIME: Duration = Duration::from_secs(60);
+const REPORTED_TTL: Duration = Duration::from_secs(60);
 
 /// The most requests that it remembers for that.
 const REPORTED_MAX: usize = 1_024;
@@ -54,7 +54,7 @@
 
 /// How long a request waits for the store's word on its trial. The trial is used up where the
 /// word comes later.
-const CLAIM_TIME: Duration = Duration::from_secs(1);
+const CLAIM_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// What an instance knows of requests that end their upstreams.
 #[derive(Debug, Default)]
@@ -65,23 +65,23 @@
     /// that they are served.
     reported: Mutex<HashMap<Fingerprint, MonotonicTime>>,
     /// The second of the last report, and how many were made in it.
-    pace: Mutex<(u64, u32)>,
-    keeper: Keeper,
+    report_rate: Mutex<(u64, u32)>,
+    store_writer: StoreWriter,
 }
 
 /// How a request may be sent that is not refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Sending {
+pub(crate) enum SendPermit {
     /// As any other.
-    Freely,
+    Unrestricted,
     /// Once, as the trial of a quarantined request.
-    Once,
+    Trial,
 }
 
 impl Poison {
     /// Returns when the caller of a quarantined request may come back; nothing for any other
     /// request.
-    pub(crate) fn held_for(
+    pub(crate) fn retry_delay(
         &self,
         fingerprint: Fingerprint,
         now: MonotonicTime,
@@ -100,7 +100,7 @@
     }
 
     /// Takes in an entry that a peer knows.
-    pub(crate) fn learn(
+    pub(crate) fn merge_from_peer(
         &self,
         fingerprint: Fingerprint,
         entry: QuarantineEntry,
@@ -179,22 +179,22 @@
     /// Tells whether an end may be reported now.
     fn may_report(&self, now: MonotonicTime) -> bool {
         let second = now.as_ms() / 1_000;
-        let mut pace = self.pace.lock();
-        if pace.0 != second {
-            *pace = (second, 0);
+        let mut report_rate = self.report_rate.lock();
+        if report_rate.0 != second {
+            *report_rate = (second, 0);
         }
-        pace.1 += 1;
-        pace.1 <= REPORTS_PER_S
+        report_rate.1 += 1;
+        report_rate.1 <= REPORTS_PER_S
     }
 
     fn was_reported(&self, fingerprint: Fingerprint) -> bool {
         self.reported.lock().contains_key(&fingerprint)
     }
 
-    fn note_reported(&self, fingerprint: Fingerprint, now: MonotonicTime) {
+    fn record_report(&self, fingerprint: Fingerprint, now: MonotonicTime) {
         let mut reported = self.reported.lock();
         if reported.len() < REPORTED_MAX {
-            reported.insert(fingerprint, now + REPORTED_TIME);
+            reported.insert(fingerprint, now + REPORTED_TTL);
         }
     }
 }
@@ -207,13 +207,13 @@
 pub(crate) async fn admit<D: Dialect>(
     shared: &Shared<D>,
     fingerprint: Fingerprint,
-) -> Result<Sending, Duration> {
+) -> Result<SendPermit, Duration> {
     let poison = &shared.poison;
     let now = shared.clock.now();
     let trial = {
         let mut quarantine = poison.quarantine.lock();
         match quarantine.status(fingerprint, now) {
-            QuarantineStatus::NotQuarantined => return Ok(Sending::Freely),
+            QuarantineStatus::NotQuarantined => return Ok(SendPermit::Unrestricted),
             QuarantineStatus::Quarantined(time) => return Err(time),
             QuarantineStatus::TrialDue => {
                 let trial = quarantine.next_trial(fingerprint, now);
@@ -225,13 +225,13 @@
         return Err(RETRY_AFTER_TRIAL);
     };
     let late = async {
-        Timer::after(CLAIM_TIME).await;
+        Timer::after(CLAIM_TIMEOUT).await;
         false
     };
-    let is_claimed = or(poison.keeper.claim(trial), late).await;
+    let is_claimed = or(poison.store_writer.claim(trial), late).await;
     state_changes::trial_claimed(&trial, is_claimed);
     if is_claimed {
-        Ok(Sending::Once)
+        Ok(SendPermit::Trial)
     } else {
         Err(RETRY_AFTER_TRIAL)
     }
--- a/crates/foxtide-gateway/src/poison/reports.rs
+++ b/crates/foxtide-gateway/src/poison/reports.rs
@@ -23,11 +23,11 @@
 
 /// After what pauses a datagram is sent again. Three in ten may be lost on a bad link; the
 /// first pause is shorter than the repeat of a request waits.
-const SEND_AGAIN_AFTER: [Duration; 2] = [Duration::from_millis(60), Duration::from_millis(90)];
+const RESEND_DELAYS: [Duration; 2] = [Duration::from_millis(60), Duration::from_millis(90)];
 
 /// Takes in that an upstream has ended while it worked on a request, beside which this
 /// instance had others there: `under_way`, that one among them.
-pub(crate) fn upstream_ended<D: Dialect>(
+pub(crate) fn report_upstream_end<D: Dialect>(
     shared: &Arc<Shared<D>>,
     fingerprint: Fingerprint,
     registration: &Registration,
@@ -47,7 +47,7 @@
     if !is_reported {
         return;
     }
-    poison.note_reported(fingerprint, now);
+    poison.record_report(fingerprint, now);
     let number = shared.admission.next_question_number();
     let datagram = Datagram::end_report(number, &report);
     send_to_aggregators(shared, fingerprint, &datagram);
@@ -57,7 +57,7 @@
 
 /// Reports the ends that this instance knows under requests which others have quarantined: it
 /// may have been cut off, and trials depend on how many there are.
-pub(crate) fn report_again<D: Dialect>(shared: &Arc<Shared<D>>, quarantined: &[Fingerprint]) {
+pub(crate) fn resend_reports<D: Dialect>(shared: &Arc<Shared<D>>, quarantined: &[Fingerprint]) {
     for &fingerprint in quarantined {
         let reports = shared.poison.suspects.lock().reports(fingerprint);
         for report in reports {
@@ -70,7 +70,7 @@
 
 /// Takes in that a request was served: where this instance has reported an end under it, or
 /// it is quarantined, it is not the cause.
-pub(crate) fn served<D: Dialect>(shared: &Arc<Shared<D>>, fingerprint: Fingerprint) {
+pub(crate) fn record_served<D: Dialect>(shared: &Arc<Shared<D>>, fingerprint: Fingerprint) {
     let poison = &shared.poison;
     let was_reported = poison.reported.lock().remove(&fingerprint).is_some();
     let is_quarantined = poison.quarantine.lock().contains(fingerprint);
@@ -79,7 +79,7 @@
     }
     if is_quarantined {
         poison.release(fingerprint);
-        poison.keeper.remove(fingerprint);
+        poison.store_writer.remove(fingerprint);
     }
     let number = shared.admission.next_question_number();
     let datagram = Datagram::cleared(number, fingerprint);
@@ -88,7 +88,7 @@
 }
 
 /// Takes in an upstream's end that another instance reports.
-pub(crate) fn take_in_end<D: Dialect>(
+pub(crate) fn receive_end_report<D: Dialect>(
     shared: &Arc<Shared<D>>,
     from: SocketAddr,
     message: &UpstreamEndMessage,
@@ -100,20 +100,20 @@
 }
 
 /// Takes in that another instance has had a request served under which it had reported an end.
-pub(crate) fn take_in_cleared(poison: &Poison, hash: u64) {
+pub(crate) fn receive_cleared(poison: &Poison, hash: u64) {
     let fingerprint = Fingerprint::from_hash(hash);
     poison.suspects.lock().clear(fingerprint);
 }
 
 /// Takes in that a request is quarantined.
-pub(crate) fn take_in_quarantine<D: Dialect>(
+pub(crate) fn receive_quarantine<D: Dialect>(
     shared: &Shared<D>,
     from: SocketAddr,
     message: &QuarantineMessage,
 ) {
     let now = shared.clock.now();
     let poison = &shared.poison;
-    poison.learn(message.fingerprint(), message.entry(), &from, now);
+    poison.merge_from_peer(message.fingerprint(), message.entry(), &from, now);
 }
 
 /// Counts an end, and tells the region's instances where its request is to be quarantined;
@@ -132,7 +132,7 @@
     let is_new = quarantine.merge(fingerprint, entry, Origin::Own, draw, now);
     drop(quarantine);
     if is_new {
-        shared.poison.keeper.write();
+        shared.poison.store_writer.write();
     }
     let own = shared.admission.address();
     let region = &shared.options.place.region;
@@ -145,7 +145,7 @@
     };
     let number = shared.admission.next_question_number();
     let datagram = Datagram::quarantine(number, fingerprint, entry);
-    send_repeatedly(shared, neighbours, datagram);
+    send_with_resends(shared, neighbours, datagram);
 }
 
 /// Sends a datagram to the aggregators of a request, but for this instance.
@@ -162,11 +162,11 @@
         let addresses = aggregators.iter().map(|member| member.datagram_address);
         addresses.filter(|address| *address != own).collect()
     };
-    send_repeatedly(shared, aggregators, datagram.clone());
+    send_with_resends(shared, aggregators, datagram.clone());
 }
 
 /// Sends a datagram several times: some are lost, and taking one in twice changes nothing.
-fn send_repeatedly<D: Dialect>(shared: &Arc<Shared<D>>, to: Vec<SocketAddr>, datagram: Datagram) {
+fn send_with_resends<D: Dialect>(shared: &Arc<Shared<D>>, to: Vec<SocketAddr>, datagram: Datagram) {
     let sender = Arc::clone(shared);
     let send_all = move || {
         for address in &to {
@@ -175,7 +175,7 @@
     };
     send_all();
     let again = async move {
-        for pause in SEND_AGAIN_AFTER {
+        for pause in RESEND_DELAYS {
             Timer::after(pause).await;
             send_all();
         }
--- a/crates/foxtide-gateway/src/poison/keeper.rs
+++ b/crates/foxtide-gateway/src/poison/store_writer.rs
@@ -29,18 +29,18 @@
 
 /// How often it is looked whether an entry is to be written that another instance has not
 /// written, or that the store has lost.
-const TICK: Duration = Duration::from_millis(500);
+const WRITE_CHECK_PERIOD: Duration = Duration::from_millis(500);
 
 /// The pause after a call that failed.
 const RETRY_PAUSE: Duration = Duration::from_millis(700);
 
 /// How often the removal of an entry is tried. Where all fail, the request is tried and
 /// served again after the next pause.
-const REMOVALS_MAX: u32 = 5;
+const REMOVAL_ATTEMPTS_MAX: u32 = 5;
 
 /// A change of the quarantine that the store has to agree to.
 #[derive(Debug)]
-enum Order {
+enum Command {
     /// An instance wants to send a quarantined request once.
     Claim(StoredEntry, Sender<bool>),
     /// A quarantined request was served.
@@ -49,58 +49,58 @@
     Write,
 }
 
-/// Takes orders from the requests that need the store.
+/// Takes commands from the requests that need the store.
 #[derive(Debug)]
-pub(super) struct Keeper {
-    orders: Sender<Order>,
-    taken: Receiver<Order>,
+pub(super) struct StoreWriter {
+    commands: Sender<Command>,
+    receiver: Receiver<Command>,
 }
 
-impl Default for Keeper {
+impl Default for StoreWriter {
     fn default() -> Self {
-        let (orders, taken) = unbounded();
-        Self { orders, taken }
+        let (commands, receiver) = unbounded();
+        Self { commands, receiver }
     }
 }
 
-impl Keeper {
+impl StoreWriter {
     /// Claims a trial; tells whether this instance has it.
     pub(super) async fn claim(&self, trial: StoredEntry) -> bool {
         let (answer, answered) = bounded(1);
-        let order = Order::Claim(trial, answer);
-        self.orders.try_send(order).is_ok() && answered.recv().await.unwrap_or(false)
+        let command = Command::Claim(trial, answer);
+        self.commands.try_send(command).is_ok() && answered.recv().await.unwrap_or(false)
     }
 
     /// Has entries written that are due, without waiting for the next look: an instance that
     /// starts now learns of them from the store alone.
     pub(super) fn write(&self) {
         // Fails only where the instance has ended.
-        let _ = self.orders.try_send(Order::Write);
+        let _ = self.commands.try_send(Command::Write);
     }
 
     /// Has an entry removed.
     pub(super) fn remove(&self, fingerprint: Fingerprint) {
         // Fails only where the instance has ended.
-        let _ = self.orders.try_send(Order::Remove(fingerprint));
+        let _ = self.commands.try_send(Command::Remove(fingerprint));
     }
 }
 
 /// Writes to the store what it lacks of the quarantine, for as long as the instance runs.
-pub(crate) async fn keep_quarantine<D: Dialect, S: FleetStore>(shared: Arc<Shared<D>>, store: S) {
-    let orders = shared.poison.keeper.taken.clone();
+pub(crate) async fn sync_quarantine<D: Dialect, S: FleetStore>(shared: Arc<Shared<D>>, store: S) {
+    let commands = shared.poison.store_writer.receiver.clone();
     loop {
         let tick = async {
-            Timer::after(TICK).await;
+            Timer::after(WRITE_CHECK_PERIOD).await;
             None
         };
-        match or(async { orders.recv().await.ok() }, tick).await {
-            Some(Order::Claim(trial, answer)) => {
+        match or(async { commands.recv().await.ok() }, tick).await {
+            Some(Command::Claim(trial, answer)) => {
                 let is_claimed = write(&shared, &store, &trial).await;
                 // Fails where the caller has left: the trial is not used then.
                 let _ = answer.send(matches!(is_claimed, Ok(true))).await;
             }
-            Some(Order::Remove(fingerprint)) => remove(&shared, &store, fingerprint).await,
-            Some(Order::Write) | None => write_due(&shared, &store).await,
+            Some(Command::Remove(fingerprint)) => remove(&shared, &store, fingerprint).await,
+            Some(Command::Write) | None => write_due(&shared, &store).await,
         }
     }
 }
@@ -144,7 +144,7 @@
     store: &S,
     fingerprint: Fingerprint,
 ) {
-    for _ in 0..REMOVALS_MAX {
+    for _ in 0..REMOVAL_ATTEMPTS_MAX {
         shared.store_calls.count(CallPurpose::Quarantine, 1);
         match store.remove_quarantine(fingerprint).await {
             Ok(()) => return,
