--- a/crates/foxtide-gateway/src/follow/intake.rs
+++ b/crates/foxtide-gateway/src/follow/apply.rs
@@ -29,42 +29,42 @@
     /// Takes in all that the store holds.
     pub(super) fn replace(&mut self, records: Vec<Record>, index: StoreIndex) {
         log_event!(EventCode::StoreRead, index:% = index, records = records.len());
-        let reading = self.read(&records);
-        self.replace_quarantine(&reading, index);
+        let parsed = self.parse(&records);
+        self.replace_quarantine(&parsed, index);
         let mut state = self.shared.state.lock();
-        self.note_era(&mut state, index);
+        self.record_era(&mut state, index);
         state.store_answered();
         state.log_mut().replace(&records, index);
-        reading.note_configuration(&mut state);
-        state.replace(reading.facts);
+        parsed.note_configuration(&mut state);
+        state.replace(parsed.facts);
         self.index = Some(index);
-        self.known_at = Some(index);
+        self.last_index = Some(index);
     }
 
     /// Notes where the store has come back from an older copy since it was last read.
-    fn note_era(&self, state: &mut State, index: StoreIndex) {
+    fn record_era(&self, state: &mut State, index: StoreIndex) {
         if self.is_restored(index) {
             state.store_restored(index);
         }
     }
 
     fn is_restored(&self, index: StoreIndex) -> bool {
-        let known = self.known_at;
+        let known = self.last_index;
         known.is_some_and(|known| known.era() < index.era())
     }
 
-    /// Takes in the quarantined requests of a whole reading; before all else, since the
+    /// Takes in the quarantined requests of a whole parsed; before all else, since the
     /// instance takes requests as soon as it knows the configuration.
-    fn replace_quarantine(&self, reading: &Reading, index: StoreIndex) {
+    fn replace_quarantine(&self, parsed: &ParsedRecords, index: StoreIndex) {
         let now = self.shared.clock.now();
         let is_restored = self.is_restored(index);
         let known = &self.shared.poison;
-        let new = known.replace(&reading.facts, is_restored, now);
+        let new = known.replace(&parsed.facts, is_restored, now);
         poison::resend_reports(&self.shared, &new);
     }
 
     /// Takes in the quarantined requests that a peer knows and the store may lack.
-    pub(super) fn learn_quarantine(&self, changes: &RelayedChanges) {
+    pub(super) fn merge_peer_quarantine(&self, changes: &RelayedChanges) {
         let now = self.shared.clock.now();
         for &(fingerprint, entry) in &changes.quarantine {
             let poison = &self.shared.poison;
@@ -72,60 +72,65 @@
         }
     }
 
-    /// Takes in a reading that was old, together with what has changed since.
-    pub(super) fn begin(&mut self, old: &Snapshot, changes: &[Record], index: StoreIndex) {
+    /// Takes in a parsed that was old, together with what has changed since.
+    pub(super) fn start_from_snapshot(
+        &mut self,
+        old: &Snapshot,
+        changes: &[Record],
+        index: StoreIndex,
+    ) {
         let mut log = RecordLog::default();
         log.replace(&old.records, old.index);
         log.append(changes, index);
         let records = log.all();
         log_event!(EventCode::StoreRead, index:% = index, records = records.len());
-        let reading = self.read(&records);
-        self.replace_quarantine(&reading, index);
+        let parsed = self.parse(&records);
+        self.replace_quarantine(&parsed, index);
         let mut state = self.shared.state.lock();
         state.store_answered();
         // Others that read the same old pages are told the changes alone.
         *state.log_mut() = log;
-        reading.note_configuration(&mut state);
-        state.replace(reading.facts);
+        parsed.note_configuration(&mut state);
+        state.replace(parsed.facts);
         self.index = Some(index);
-        self.known_at = Some(index);
+        self.last_index = Some(index);
     }
 
     /// Starts from what a peer last knew of a store that is away: it serves callers
     /// as the peer does, and follows the store from there once it is back.
-    pub(super) fn adopt(&mut self, changes: RelayedChanges) {
+    pub(super) fn adopt_peer_state(&mut self, changes: RelayedChanges) {
         log_event!(EventCode::StoreAdopted, index:% = changes.index, records = changes.records.len());
-        let reading = self.read(&changes.records);
-        self.replace_quarantine(&reading, changes.index);
+        let parsed = self.parse(&changes.records);
+        self.replace_quarantine(&parsed, changes.index);
         let mut state = self.shared.state.lock();
         state.log_mut().replace(&changes.records, changes.index);
-        reading.note_configuration(&mut state);
-        state.replace(reading.facts);
+        parsed.note_configuration(&mut state);
+        state.replace(parsed.facts);
         state.store_failed();
         self.index = Some(changes.index);
-        self.known_at = Some(changes.index);
+        self.last_index = Some(changes.index);
         drop(state);
         self.shared.log_changed.notify(usize::MAX);
     }
 
     /// Takes in what has changed.
     pub(super) fn apply(&mut self, records: &[Record], index: StoreIndex) {
-        let reading = self.read(records);
+        let parsed = self.parse(records);
         let now = self.shared.clock.now();
-        let new = self.shared.poison.apply(&reading.facts, now);
+        let new = self.shared.poison.apply(&parsed.facts, now);
         poison::resend_reports(&self.shared, &new);
         let mut state = self.shared.state.lock();
-        self.note_era(&mut state, index);
+        self.record_era(&mut state, index);
         state.store_answered();
         state.log_mut().append(records, index);
-        reading.note_configuration(&mut state);
-        state.apply(reading.facts);
+        parsed.note_configuration(&mut state);
+        state.apply(parsed.facts);
         self.index = Some(index);
-        self.known_at = Some(index);
+        self.last_index = Some(index);
     }
 
     /// Takes in a configuration that another instance has in force and the store has lost.
-    pub(super) fn take_newer(&mut self, record: Record) {
+    pub(super) fn apply_newer_configuration(&mut self, record: Record) {
         let Some(Fact::Configuration(document)) = self.store.fact(&record) else {
             return;
         };
@@ -140,41 +145,41 @@
     }
 
     /// Takes in what another instance has offered of this kind.
-    pub(super) fn take_offered(&mut self) {
+    pub(super) fn apply_offered_configuration(&mut self) {
         let offered = self.shared.offered_configuration.lock().take();
         if let Some(record) = offered {
-            self.take_newer(record);
+            self.apply_newer_configuration(record);
         }
     }
 
     pub(super) fn facts(&self, records: &[Record]) -> Vec<Fact> {
-        self.read(records).facts
+        self.parse(records).facts
     }
 
-    fn read(&self, records: &[Record]) -> Reading {
-        let mut reading = Reading::default();
+    fn parse(&self, records: &[Record]) -> ParsedRecords {
+        let mut parsed = ParsedRecords::default();
         for record in records {
             let Some(fact) = self.store.fact(record) else {
                 continue;
             };
             if let Fact::Configuration(document) = &fact {
-                reading.configuration = Some((document.version, record.clone()));
+                parsed.configuration = Some((document.version, record.clone()));
             }
-            reading.facts.push(fact);
+            parsed.facts.push(fact);
         }
-        reading
+        parsed
     }
 }
 
 /// What records mean.
 #[derive(Debug, Default)]
-struct Reading {
+struct ParsedRecords {
     facts: Vec<Fact>,
     /// The record of the configuration among them, with its version.
     configuration: Option<(u64, Record)>,
 }
 
-impl Reading {
+impl ParsedRecords {
     /// Notes what the store holds as the configuration.
     fn note_configuration(&self, state: &mut State) {
         if let Some((version, record)) = &self.configuration {
--- a/crates/foxtide-gateway/src/follow/mod.rs
+++ b/crates/foxtide-gateway/src/follow/mod.rs
@@ -1,6 +1,6 @@
 //! Follows the store: configuration, upstreams and instances.
 
-mod intake;
+mod apply;
 mod peers;
 mod start;
 
@@ -51,11 +51,11 @@
 
 /// How long it waits for a change while its last call failed: its answer tells
 /// that it is back.
-const PROBE_WAIT: Duration = Duration::from_millis(20);
+const RECOVERY_WAIT: Duration = Duration::from_millis(20);
 
 /// By how much a wait may end late and still count as cut, not as unanswered: a call
 /// gives up a second after its wait.
-const CUT_MARGIN: Duration = Duration::from_millis(500);
+const WAIT_END_MARGIN: Duration = Duration::from_millis(500);
 
 /// The first pause after a failed call, and the longest; each is jittered by a
 /// half. What has changed must be known 4 s after the store's return, 2.1 s of
@@ -63,10 +63,10 @@
 const RETRY_PAUSE_FIRST: Duration = Duration::from_millis(150);
 const RETRY_PAUSE_MAX: Duration = Duration::from_millis(400);
 
-/// How often the first reading fails before a peer is asked for everything, which
+/// How often the first parsed fails before a peer is asked for everything, which
 /// may be a megabyte. When a whole fleet starts, the store refuses what is above its
 /// rate for a moment.
-const START_FAILURES: u32 = 4;
+const START_FAILURES_BEFORE_PEERS: u32 = 4;
 
 /// Follows the store for as long as the instance runs.
 pub(crate) async fn follow<D: Dialect, S: FleetStore>(shared: Arc<Shared<D>>, store: S) {
@@ -75,20 +75,20 @@
         store,
         relay: RelayClient::default(),
         index: None,
-        known_at: None,
+        last_index: None,
         peer_version: 0,
-        newer: None,
+        newer_configuration: None,
         failures: 0,
         backoff: FollowerBackoff::default(),
     };
-    follower.spread_first_start().await;
+    follower.delay_first_start().await;
     loop {
         let started = Instant::now();
         let began_at = follower.shared.clock.now();
         let is_first = follower.index.is_none();
         match follower.step().await {
             Ok(()) => {
-                follower.answered();
+                follower.handle_success();
                 follower.shared.stall.synced(began_at);
                 // One that has begun asks at once that its record be kept.
                 if follower.index.is_some() && !(is_first && follower.is_follower()) {
@@ -96,7 +96,7 @@
                 }
             }
             Err(error) => {
-                follower.failed(&error).await;
+                follower.handle_failure(&error).await;
                 follower.shared.stall.synced(began_at);
                 Timer::after(follower.pause()).await;
             }
@@ -111,18 +111,18 @@
     /// Where to go on from; nothing where all has to be read.
     index: Option<StoreIndex>,
     /// Where it was last known; also while all has to be read.
-    known_at: Option<StoreIndex>,
-    /// The version that the peer had in force that answered last.
+    last_index: Option<StoreIndex>,
+    /// The version that the peer had in force that result last.
     peer_version: u64,
     /// A configuration that a peer has told at the start, where the store has lost it.
-    newer: Option<Record>,
+    newer_configuration: Option<Record>,
     failures: u32,
     backoff: FollowerBackoff,
 }
 
 impl<D: Dialect, S: FleetStore> Follower<D, S> {
     async fn step(&mut self) -> Result<(), StoreError> {
-        self.take_offered();
+        self.apply_offered_configuration();
         if self.index.is_some() && self.is_follower() {
             let watchers = self.watchers();
             match self.ask_watchers(&watchers).await {
@@ -170,7 +170,7 @@
 
     async fn read_changes(&mut self, index: StoreIndex) -> Result<(), StoreError> {
         let wait = if self.failures > 0 {
-            PROBE_WAIT
+            RECOVERY_WAIT
         } else {
             FOLLOW_WAIT
         };
@@ -200,15 +200,15 @@
     async fn wait_for_changes(&self, index: StoreIndex, wait: Duration) -> StoreResult<Changes> {
         let began_at = Instant::now();
         let waited = self.store.changes(index, wait).await;
-        let is_cut = matches!(waited, Err(StoreError::Unknown { .. }));
-        if !is_cut || began_at.elapsed() > wait + CUT_MARGIN {
+        let is_closed_early = matches!(waited, Err(StoreError::Unknown { .. }));
+        if !is_closed_early || began_at.elapsed() > wait + WAIT_END_MARGIN {
             return waited;
         }
         self.shared.store_calls.count(CallPurpose::Recovery, 1);
-        self.store.changes(index, PROBE_WAIT).await
+        self.store.changes(index, RECOVERY_WAIT).await
     }
 
-    fn answered(&mut self) {
+    fn handle_success(&mut self) {
         if self.failures > 0 {
             log_event!(EventCode::StoreReachable, failures = self.failures);
         }
@@ -216,17 +216,17 @@
     }
 
     /// Notes a failed call and asks a peer instead.
-    async fn failed(&mut self, error: &StoreError) {
+    async fn handle_failure(&mut self, error: &StoreError) {
         if self.failures == 0 {
             log_event!(EventCode::StoreUnreachable, cause:% = error);
         }
         self.failures += 1;
         self.set_followed(false);
-        if self.index.is_none() && self.failures < START_FAILURES {
+        if self.index.is_none() && self.failures < START_FAILURES_BEFORE_PEERS {
             return;
         }
         let peers = self.peers();
-        if let Err(error) = self.ask_around(&peers).await {
+        if let Err(error) = self.ask_peers(&peers).await {
             log::debug!("no peer tells what the store says: {error}");
             self.shared.state.lock().store_failed();
         }
--- a/crates/foxtide-gateway/src/follow/peers.rs
+++ b/crates/foxtide-gateway/src/follow/peers.rs
@@ -31,7 +31,7 @@
 
 /// How long a starting instance goes on from peer to peer before it asks the store
 /// again. A peer that lost power takes 0.6 s, one that runs a round trip.
-const ASK_AROUND_TIME: Duration = Duration::from_millis(800);
+const ASK_PEERS_TIMEOUT: Duration = Duration::from_millis(800);
 
 impl<D: Dialect, S: FleetStore> Follower<D, S> {
     /// Returns the watchers to be asked in place of the store, without those that have
@@ -54,9 +54,9 @@
 
     /// Returns this instance as one whose record a peer is to keep, where it is.
     fn announcement(&self) -> Option<Member> {
-        let is_turned_away = self.failures > 0;
-        let wants = self.shared.state.lock().wants_registrar(is_turned_away);
-        (wants && self.shared.is_ready()).then(|| self.shared.member())
+        let has_failed = self.failures > 0;
+        let needs_registrar = self.shared.state.lock().wants_registrar(has_failed);
+        (needs_registrar && self.shared.is_ready()).then(|| self.shared.member())
     }
 
     /// Asks the nearest watcher that has not failed of late, and another one where it fails.
@@ -73,7 +73,7 @@
             asked += 1;
             let error = match self.ask_peer(watchers, &query).await {
                 Err(error) if !matches!(error, RelayError::TooLarge { .. }) => error,
-                answered => return answered,
+                result => return result,
             };
             log_event!(EventCode::RelayLost, cause:% = error);
             if asked >= WATCHERS_ASKED_MAX.min(watchers.len()) {
@@ -86,7 +86,7 @@
     /// turn. One that has known nothing yet then asks each for what it last knew:
     /// instances are replaced also while the store is away. To others that could be
     /// older than what they know.
-    pub(super) async fn ask_around(&mut self, peers: &[SocketAddr]) -> Result<(), RelayError> {
+    pub(super) async fn ask_peers(&mut self, peers: &[SocketAddr]) -> Result<(), RelayError> {
         let query = ChangesQuery {
             after: self.index,
             announcement: self.announcement(),
@@ -95,27 +95,27 @@
         if self.index.is_some() {
             return self.ask_peer(peers, &query).await;
         }
-        let ends_at = Instant::now() + ASK_AROUND_TIME;
-        let knows_nothing = self.shared.state.lock().routes().is_none();
-        let rounds: &[bool] = if knows_nothing {
+        let ends_at = Instant::now() + ASK_PEERS_TIMEOUT;
+        let has_no_configuration = self.shared.state.lock().routes().is_none();
+        let rounds: &[bool] = if has_no_configuration {
             &[false, true]
         } else {
             &[false]
         };
-        let mut answered = Err(RelayError::NoPeer);
+        let mut result = Err(RelayError::NoPeer);
         for &accepts_stale in rounds {
             for _ in peers {
                 let query = ChangesQuery {
                     accepts_stale,
                     ..query.clone()
                 };
-                answered = self.ask_peer(peers, &query).await;
-                if answered.is_ok() || Instant::now() > ends_at {
-                    return answered;
+                result = self.ask_peer(peers, &query).await;
+                if result.is_ok() || Instant::now() > ends_at {
+                    return result;
                 }
             }
         }
-        answered
+        result
     }
 
     /// Returns the addresses of other instances that may know what the store
@@ -143,32 +143,32 @@
         peers: &[SocketAddr],
         query: &ChangesQuery,
     ) -> Result<(), RelayError> {
-        let query = &self.with_version(query.clone());
+        let query = &self.with_configuration(query.clone());
         let mut changes = self.relay.ask(peers, query).await?;
-        self.learn_quarantine(&changes);
+        self.merge_peer_quarantine(&changes);
         self.peer_version = changes.version;
-        let newer = changes.configuration.take();
+        let newer_configuration = changes.configuration.take();
         if query.announcement.is_some() {
             let mut state = self.shared.state.lock();
             state.set_registrar_address(changes.peer);
         }
         metrics::counter!("foxtide_relay_reads_total").increment(1);
         if !changes.is_current {
-            self.adopt(changes);
+            self.adopt_peer_state(changes);
         } else if changes.is_full {
             self.replace(changes.records, changes.index);
         } else {
             self.apply(&changes.records, changes.index);
         }
-        if let Some(newer) = newer {
-            self.take_newer(newer);
+        if let Some(newer_configuration) = newer_configuration {
+            self.apply_newer_configuration(newer_configuration);
         }
         Ok(())
     }
 
-    /// Adds which configuration is in force here, and itself where the peer that answered
+    /// Adds which configuration is in force here, and itself where the peer that result
     /// last has an older one: it may have read a store that has lost it.
-    fn with_version(&self, query: ChangesQuery) -> ChangesQuery {
+    fn with_configuration(&self, query: ChangesQuery) -> ChangesQuery {
         let state = self.shared.state.lock();
         let version = state.version();
         let is_behind = 0 < self.peer_version && self.peer_version < version;
--- a/crates/foxtide-gateway/src/follow/start.rs
+++ b/crates/foxtide-gateway/src/follow/start.rs
@@ -1,4 +1,4 @@
-//! The first reading of an instance that knows nothing, and later whole readings.
+//! The first parsed of an instance that knows nothing, and later whole readings.
 
 use super::Follower;
 use crate::dialect::Dialect;
@@ -31,13 +31,13 @@
 /// readings: the first of them become known meanwhile, and the others ask these instead
 /// of the store and need no lease of their own. No caller waits for a system that has
 /// never run.
-const FIRST_START_SPREAD: Duration = Duration::from_millis(3_000);
+const FIRST_START_JITTER: Duration = Duration::from_millis(3_000);
 
-/// The most pages of one reading: 500 keys each.
+/// The most pages of one parsed: 500 keys each.
 const PAGES_MAX: usize = 1_000;
 
 /// How long the pages after the first take an instance on a link of 20 Mbit/s.
-const READING_REST: Duration = Duration::from_millis(300);
+const REMAINING_PAGES_TIME: Duration = Duration::from_millis(300);
 
 /// All that the store holds, and where to go on from.
 #[derive(Debug, Default)]
@@ -50,19 +50,19 @@
 
 impl<D: Dialect, S: FleetStore> Follower<D, S> {
     /// Waits for a part of the time over which a whole system starts.
-    pub(super) async fn spread_first_start(&self) {
+    pub(super) async fn delay_first_start(&self) {
         if self.shared.options.is_first_start {
-            Timer::after(FIRST_START_SPREAD.mul_f64(fastrand::f64())).await;
+            Timer::after(FIRST_START_JITTER.mul_f64(fastrand::f64())).await;
         }
     }
 
     /// Reads all that the store holds.
     pub(super) async fn read_all(&mut self) -> Result<(), StoreError> {
-        let knows_nothing = self.shared.state.lock().routes().is_none();
-        if knows_nothing && self.start_from_old().await? {
+        let has_no_configuration = self.shared.state.lock().routes().is_none();
+        if has_no_configuration && self.start_from_stale().await? {
             return Ok(());
         }
-        let purpose = if knows_nothing {
+        let purpose = if has_no_configuration {
             CallPurpose::Start
         } else {
             CallPurpose::Recovery
@@ -104,7 +104,7 @@
                 break;
             }
             if page == 0 && purpose == CallPurpose::StartOld {
-                self.spread_reading(&snapshot).await;
+                self.delay_reading(&snapshot).await;
             }
         }
         Ok(snapshot)
@@ -112,7 +112,7 @@
 
     /// Waits so that instances that start together do not read at the same time; callers
     /// that come meanwhile are told when to come back.
-    async fn spread_reading(&self, first_page: &Snapshot) {
+    async fn delay_reading(&self, first_page: &Snapshot) {
         let facts = self.facts(&first_page.records);
         let is_member = |fact: &&Fact| matches!(fact, Fact::Joined(_));
         let instances = facts.iter().filter(is_member).count();
@@ -120,7 +120,7 @@
         self.shared
             .state
             .lock()
-            .expect_ready_after(wait + READING_REST);
+            .expect_ready_after(wait + REMAINING_PAGES_TIME);
         Timer::after(wait).await;
     }
 
@@ -129,30 +129,30 @@
     ///
     /// When a whole fleet starts, each instance reads some thousand registrations, which
     /// are four pages or more: at a tenth of the price these are 0.02 of the worth of a
-    /// day with two starts of 295 instances. Only one that knows nothing may begin so: to
+    /// day with two starts of 295 instances. Only one that knows nothing may start_from_snapshot so: to
     /// all others, old pages would bring back what has been in force before.
-    async fn start_from_old(&mut self) -> Result<bool, StoreError> {
+    async fn start_from_stale(&mut self) -> Result<bool, StoreError> {
         let old = self
             .read_pages(Freshness::MayBeOld, CallPurpose::StartOld)
             .await?;
         let Some((changes, index)) = self.changes_since(&old).await? else {
             return Ok(false);
         };
-        self.begin(&old, &changes, index);
-        if let Some(newer) = self.newer.take() {
-            self.take_newer(newer);
+        self.start_from_snapshot(&old, &changes, index);
+        if let Some(newer_configuration) = self.newer_configuration.take() {
+            self.apply_newer_configuration(newer_configuration);
         }
         Ok(true)
     }
 
-    /// Returns what has changed since a reading: a watcher tells it, or the store itself.
+    /// Returns what has changed since a parsed: a watcher tells it, or the store itself.
     async fn changes_since(
         &mut self,
         old: &Snapshot,
     ) -> Result<Option<(Vec<Record>, StoreIndex)>, StoreError> {
-        if let Ok(changes) = self.ask_watcher_of(old).await {
-            self.learn_quarantine(&changes);
-            self.newer = changes.configuration;
+        if let Ok(changes) = self.ask_listed_watcher(old).await {
+            self.merge_peer_quarantine(&changes);
+            self.newer_configuration = changes.configuration;
             if !changes.is_full {
                 return Ok(Some((changes.records, changes.index)));
             }
@@ -164,24 +164,24 @@
         }
     }
 
-    /// Asks one of the watchers that a reading names for what has changed since. After
+    /// Asks one of the watchers that a parsed names for what has changed since. After
     /// all instances have lost power it knows nothing itself, so that no other is asked.
-    async fn ask_watcher_of(&mut self, old: &Snapshot) -> Result<RelayedChanges, RelayError> {
-        let watchers = self.watchers_of(old);
+    async fn ask_listed_watcher(&mut self, old: &Snapshot) -> Result<RelayedChanges, RelayError> {
+        let watchers = self.listed_watchers(old);
         if watchers.is_empty() {
             return Err(RelayError::NoPeer);
         }
         let query = ChangesQuery {
             after: Some(old.index),
             fetches_large: true,
-            version: self.version_of(old),
+            version: self.configuration_version(old),
             ..ChangesQuery::default()
         };
         self.relay.ask(&watchers, &query).await
     }
 
-    /// Returns the version of the configuration that a reading has brought; 0 for none.
-    fn version_of(&self, old: &Snapshot) -> u64 {
+    /// Returns the version of the configuration that a parsed has brought; 0 for none.
+    fn configuration_version(&self, old: &Snapshot) -> u64 {
         let facts = self.facts(&old.records);
         let versions = facts.iter().filter_map(|fact| match fact {
             Fact::Configuration(document) => Some(document.version),
@@ -190,10 +190,10 @@
         versions.max().unwrap_or_default()
     }
 
-    /// Returns whom to ask for what has changed since a reading. Where all instances follow
+    /// Returns whom to ask for what has changed since a parsed. Where all instances follow
     /// the store themselves none is asked, unless the store has come back from a copy: only
     /// they know then what it has lost.
-    fn watchers_of(&self, old: &Snapshot) -> Vec<SocketAddr> {
+    fn listed_watchers(&self, old: &Snapshot) -> Vec<SocketAddr> {
         let place = &self.shared.options.place;
         let mut members = Members::default();
         for fact in self.facts(&old.records) {
