--- a/crates/foxtide-gateway/src/forward/request.rs
+++ b/crates/foxtide-gateway/src/forward/request.rs
@@ -5,7 +5,7 @@
     CallerIdentity,
     Credentials, //
 };
-use crate::memory::Reserved;
+use crate::memory::BodyReservation;
 use foxtide_core::ids::OrganisationId;
 use foxtide_core::placement::ObjectKey;
 use foxtide_core::poison::Fingerprint;
@@ -23,7 +23,7 @@
     pub(crate) head: ForwardedRequest,
     pub(crate) body: Vec<u8>,
     /// The reservation of the body's memory.
-    pub(crate) _memory: Reserved,
+    pub(crate) _memory: BodyReservation,
     /// The values of the caller's headers.
     pub(crate) headers: CallerHeaders,
     /// When the whole head had arrived.
--- a/crates/foxtide-gateway/src/front/receive.rs
+++ b/crates/foxtide-gateway/src/front/receive.rs
@@ -2,7 +2,7 @@
 
 use crate::memory::{
     BodyMemory,
-    Reserved, //
+    BodyReservation, //
 };
 use crate::outcome::Refusal;
 use foxtide_core::routing::CallerLimits;
@@ -65,7 +65,7 @@
     head: &ForwardedRequest,
     limits: &CallerLimits,
     memory: &BodyMemory,
-) -> Result<(Vec<u8>, Reserved), ReceiveError> {
+) -> Result<(Vec<u8>, BodyReservation), ReceiveError> {
     let stated_bytes = match head.length {
         BodyLength::Fixed { size_bytes } if size_bytes <= limits.body.get() => size_bytes,
         _ => 0,
@@ -80,7 +80,7 @@
     Ok((body, reserved))
 }
 
-fn reserve(memory: &BodyMemory, size_bytes: u64) -> Result<Reserved, ReceiveError> {
+fn reserve(memory: &BodyMemory, size_bytes: u64) -> Result<BodyReservation, ReceiveError> {
     let retry_after = MEMORY_RETRY_AFTER;
     let refused = ReceiveError::Refused(Refusal::NotRun { retry_after });
     memory.try_reserve(size_bytes).ok_or(refused)
--- a/crates/foxtide-gateway/src/gateway.rs
+++ b/crates/foxtide-gateway/src/gateway.rs
@@ -15,7 +15,7 @@
     accept,
     bind_peers, //
 };
-use crate::membership::keep_membership;
+use crate::membership::maintain_membership;
 use crate::memory::BodyMemory;
 use crate::options::{
     Addresses,
@@ -130,14 +130,14 @@
         let mut tasks = Vec::new();
         tasks.push(executor.spawn(serve_peers(Arc::clone(&shared), listeners.peers)));
         tasks.push(executor.spawn(serve_admission(Arc::clone(&shared))));
-        for listener in listeners.bound.into_values() {
+        for listener in listeners.callers.into_values() {
             tasks.push(executor.spawn(accept(Arc::clone(&shared), listener)));
         }
         tasks.push(executor.spawn(follow(Arc::clone(&shared), store.clone())));
         let quarantine = sync_quarantine(Arc::clone(&shared), store.clone());
         tasks.push(executor.spawn(quarantine));
         tasks.push(executor.spawn(run_housekeeping(Arc::clone(&shared))));
-        let membership = executor.spawn(keep_membership(Arc::clone(&shared), store));
+        let membership = executor.spawn(maintain_membership(Arc::clone(&shared), store));
         Ok(Self {
             shared,
             membership: Mutex::new(Some(membership)),
@@ -223,28 +223,30 @@
 }
 
 /// The callers' listeners, by the address that was asked for, and the peers'.
-struct Bound {
-    bound: BTreeMap<SocketAddr, Listener>,
+struct Listeners {
+    callers: BTreeMap<SocketAddr, Listener>,
     peers: TcpListener,
     peers_address: SocketAddr,
 }
 
-impl Bound {
-    fn address_of(&self, asked: SocketAddr) -> SocketAddr {
-        self.bound.get(&asked).map_or(asked, Listener::address)
+impl Listeners {
+    fn address_of(&self, requested: SocketAddr) -> SocketAddr {
+        self.callers
+            .get(&requested)
+            .map_or(requested, Listener::address)
     }
 }
 
-fn bind(addresses: &Addresses) -> Result<Bound> {
-    let mut bound = BTreeMap::new();
+fn bind(addresses: &Addresses) -> Result<Listeners> {
+    let mut callers = BTreeMap::new();
     for address in [addresses.callers, addresses.readiness, addresses.directory] {
-        if let std::collections::btree_map::Entry::Vacant(entry) = bound.entry(address) {
+        if let std::collections::btree_map::Entry::Vacant(entry) = callers.entry(address) {
             entry.insert(Listener::bind(address)?);
         }
     }
     let (peers, peers_address) = bind_peers(addresses.peers)?;
-    Ok(Bound {
-        bound,
+    Ok(Listeners {
+        callers,
         peers,
         peers_address,
     })
--- a/crates/foxtide-gateway/src/lifecycle.rs
+++ b/crates/foxtide-gateway/src/lifecycle.rs
@@ -18,11 +18,11 @@
 /// callers have looked up other instances by then, and the sooner the process
 /// ends the sooner its successor serves: a quarter in place of two fifths raised
 /// the worth of a day on which all instances restart twice from 0.76 to 0.80.
-const IDLE_CLOSE_PART: f64 = 0.25;
+const IDLE_CLOSE_FRACTION: f64 = 0.25;
 
 /// The part of the grace time in which all requests are taken, also those that
 /// might take longer than is left: callers have not yet been told to go.
-const TAKE_ALL_PART: f64 = 0.45;
+const ACCEPT_ALL_FRACTION: f64 = 0.45;
 
 /// What is left of the grace time when the process ends by itself.
 const GRACE_MARGIN: Duration = Duration::from_millis(400);
@@ -70,7 +70,7 @@
         };
         let passed = stop.began_at.elapsed();
         let left = stop.ends_after().saturating_sub(passed);
-        passed < stop.grace.mul_f64(TAKE_ALL_PART) || time < left
+        passed < stop.grace.mul_f64(ACCEPT_ALL_FRACTION) || time < left
     }
 
     /// Waits until the instance is stopping.
@@ -97,23 +97,23 @@
         let Some(stop) = self.stop.get() else {
             return;
         };
-        Timer::at(stop.began_at + stop.grace.mul_f64(IDLE_CLOSE_PART)).await;
+        Timer::at(stop.began_at + stop.grace.mul_f64(IDLE_CLOSE_FRACTION)).await;
         self.closes_idle.store(true, Ordering::SeqCst);
         self.changed.notify(usize::MAX);
         let none_open = self.until(|lifecycle| lifecycle.connections.load(Ordering::SeqCst) == 0);
-        let over = async {
+        let timeout = async {
             Timer::at(stop.began_at + stop.ends_after()).await;
         };
-        or(none_open, over).await;
+        or(none_open, timeout).await;
     }
 
-    async fn until(&self, holds: impl Fn(&Self) -> bool) {
+    async fn until(&self, condition: impl Fn(&Self) -> bool) {
         loop {
-            if holds(self) {
+            if condition(self) {
                 return;
             }
             let changed = self.changed.listen();
-            if holds(self) {
+            if condition(self) {
                 return;
             }
             changed.await;
--- a/crates/foxtide-gateway/src/membership.rs
+++ b/crates/foxtide-gateway/src/membership.rs
@@ -41,7 +41,7 @@
 const RENEW_PERIOD: Duration = Duration::from_millis(700);
 
 /// How often it is looked what is due.
-const TICK: Duration = Duration::from_millis(150);
+const CHECK_PERIOD: Duration = Duration::from_millis(150);
 
 /// How often records are written at most, and a lease is opened: the first change is
 /// written at once, and those that come after it while a fleet starts go into one write. A
@@ -50,11 +50,11 @@
 
 /// How long after a write the store's word on the own record is waited for before the
 /// record is written again: changes come within two periods of following.
-const SEEN_TIME: Duration = Duration::from_millis(2_000);
+const CONFIRMATION_TIME: Duration = Duration::from_millis(2_000);
 
 /// How long an instance is without a record before it keeps its own although others
 /// should do so. A watcher that has just died takes 1.6 s to be noticed.
-const UNKEPT_TIME: Duration = Duration::from_millis(3_000);
+const UNREGISTERED_MAX: Duration = Duration::from_millis(3_000);
 
 /// The first pause after a lease could not be opened or records not written, and the
 /// longest: a store that turns instances away for a while prices their calls as well.
@@ -62,37 +62,40 @@
 const RETRY_PAUSE_MAX: Duration = Duration::from_millis(3_000);
 
 /// How long the end of the own record may take at a stop.
-const LEAVE_TIME: Duration = Duration::from_millis(800);
+const LEAVE_TIMEOUT: Duration = Duration::from_millis(800);
 
 /// How long the records of neighbours are kept at a stop: each asks another instance
 /// within a second.
-const HAND_OVER_TIME: Duration = Duration::from_millis(1_800);
+const HAND_OVER_TIMEOUT: Duration = Duration::from_millis(1_800);
 
 /// Announces the instance until it is stopped, then withdraws it.
-pub(crate) async fn keep_membership<D: Dialect, S: FleetStore>(shared: Arc<Shared<D>>, store: S) {
+pub(crate) async fn maintain_membership<D: Dialect, S: FleetStore>(
+    shared: Arc<Shared<D>>,
+    store: S,
+) {
     let now = shared.clock.now();
     let mut membership = Membership {
         shared: Arc::clone(&shared),
         store,
         lease: None,
-        open: Pace::new(now),
-        write: Pace::new(now),
-        unkept_since: None,
+        open: CallSchedule::new(now),
+        write: CallSchedule::new(now),
+        unregistered_since: None,
     };
     let stopping = shared.lifecycle.stopping();
-    or(membership.keep(), stopping).await;
+    or(membership.run(), stopping).await;
     membership.withdraw().await;
 }
 
 /// When a call may be made again.
 #[derive(Clone, Copy, Debug)]
-struct Pace {
+struct CallSchedule {
     due_at: MonotonicTime,
     /// How often in turn it has failed.
     failures: u32,
 }
 
-impl Pace {
+impl CallSchedule {
     fn new(due_at: MonotonicTime) -> Self {
         Self {
             due_at,
@@ -105,7 +108,7 @@
     }
 
     /// Notes how a call ended.
-    fn note(&mut self, is_answered: bool, now: MonotonicTime) {
+    fn record_result(&mut self, is_answered: bool, now: MonotonicTime) {
         let pause = if is_answered {
             self.failures = 0;
             WRITE_PERIOD
@@ -136,52 +139,52 @@
     store: S,
     lease: Option<Lease>,
     /// When a lease may be opened.
-    open: Pace,
+    open: CallSchedule,
     /// When records may be written.
-    write: Pace,
+    write: CallSchedule,
     /// Since when nobody keeps the own record.
-    unkept_since: Option<MonotonicTime>,
+    unregistered_since: Option<MonotonicTime>,
 }
 
 impl<D: Dialect, S: FleetStore> Membership<D, S> {
-    async fn keep(&mut self) {
+    async fn run(&mut self) {
         loop {
             if let Err(error) = self.step().await {
                 self.shared.store_alarm.raise();
                 log_event!(EventCode::LeaseCallFailed, cause:% = error);
             }
-            Timer::after(TICK).await;
+            Timer::after(CHECK_PERIOD).await;
         }
     }
 
     async fn step(&mut self) -> Result<(), StoreError> {
-        let keeps_own = self.shared.is_ready() && self.keeps_own_record();
-        if keeps_own && self.lease.is_none() {
+        let writes_own = self.shared.is_ready() && self.should_write_own_record();
+        if writes_own && self.lease.is_none() {
             self.open_lease().await?;
         }
         self.renew().await?;
-        if !keeps_own {
-            self.drop_idle_lease();
+        if !writes_own {
+            self.drop_unused_lease();
         }
-        self.write_records(keeps_own).await
+        self.write_records(writes_own).await
     }
 
     /// Tells whether the own record is this instance's to keep: nobody else should, or
     /// nobody else has for a while.
-    fn keeps_own_record(&mut self) -> bool {
+    fn should_write_own_record(&mut self) -> bool {
         let state = self.shared.state.lock();
         let should_keep = state.should_keep_own_record();
-        let is_kept = state
+        let has_registrar = state
             .own_record()
             .is_some_and(|own| own.registrar.is_some());
         drop(state);
-        if should_keep || is_kept {
-            self.unkept_since = None;
+        if should_keep || has_registrar {
+            self.unregistered_since = None;
             return should_keep;
         }
         let now = self.shared.clock.now();
-        let since = *self.unkept_since.get_or_insert(now);
-        self.lease.is_some() || now - since > UNKEPT_TIME
+        let since = *self.unregistered_since.get_or_insert(now);
+        self.lease.is_some() || now - since > UNREGISTERED_MAX
     }
 
     async fn open_lease(&mut self) -> Result<(), StoreError> {
@@ -190,7 +193,8 @@
         }
         self.shared.store_calls.count(CallPurpose::Record, 1);
         let opened = self.store.open_lease(LEASE_TTL).await;
-        self.open.note(opened.is_ok(), self.shared.clock.now());
+        self.open
+            .record_result(opened.is_ok(), self.shared.clock.now());
         let id = opened?;
         let restorations = self.shared.state.lock().restorations();
         self.lease = Some(Lease {
@@ -209,7 +213,7 @@
         };
         if lease.restorations != restorations {
             let id = lease.id;
-            self.lose_lease(id);
+            self.handle_lease_loss(id);
             return Ok(());
         }
         if self.shared.clock.now() < lease.renew_at {
@@ -219,12 +223,12 @@
         let id = lease.id;
         self.shared.store_calls.count(CallPurpose::Renewal, 1);
         if !self.store.renew(id).await? {
-            self.lose_lease(id);
+            self.handle_lease_loss(id);
         }
         Ok(())
     }
 
-    fn lose_lease(&mut self, lease: LeaseId) {
+    fn handle_lease_loss(&mut self, lease: LeaseId) {
         log_event!(EventCode::LeaseLost, lease:% = lease);
         self.lease = None;
         self.shared.state.lock().registrar_mut().handle_lease_loss();
@@ -232,14 +236,14 @@
 
     /// Lets a lease lapse under which nothing stands any more; to end it would cost a
     /// call.
-    fn drop_idle_lease(&mut self) {
+    fn drop_unused_lease(&mut self) {
         if self.shared.state.lock().registrar_mut().is_empty() {
             self.lease = None;
         }
     }
 
-    /// Writes the own record, where `keeps_own`, and what has changed of neighbours'.
-    async fn write_records(&mut self, keeps_own: bool) -> Result<(), StoreError> {
+    /// Writes the own record, where `writes_own`, and what has changed of neighbours'.
+    async fn write_records(&mut self, writes_own: bool) -> Result<(), StoreError> {
         let now = self.shared.clock.now();
         let mut changes = {
             let mut state = self.shared.state.lock();
@@ -248,7 +252,7 @@
         let Some(lease) = self.lease else {
             return Ok(());
         };
-        let announces = keeps_own && self.is_own_record_due(&lease);
+        let announces = writes_own && self.is_own_record_due(&lease);
         if announces {
             changes.written.push(self.shared.member());
         }
@@ -257,9 +261,10 @@
         }
         self.shared.store_calls.count(CallPurpose::Record, 1);
         let written = self.store.write_records(&changes, lease.id).await;
-        self.write.note(written.is_ok(), self.shared.clock.now());
+        self.write
+            .record_result(written.is_ok(), self.shared.clock.now());
         if !written? {
-            self.lose_lease(lease.id);
+            self.handle_lease_loss(lease.id);
             return Ok(());
         }
         self.shared.state.lock().registrar_mut().confirm(&changes);
@@ -280,38 +285,38 @@
             return true;
         };
         let state = self.shared.state.lock();
-        self.shared.clock.now() - announced_at > SEEN_TIME
+        self.shared.clock.now() - announced_at > CONFIRMATION_TIME
             && state.own_record().is_none_or(|own| own.registrar.is_some())
     }
 
     async fn withdraw(&mut self) {
-        let late = async {
-            Timer::after(LEAVE_TIME).await;
+        let timeout = async {
+            Timer::after(LEAVE_TIMEOUT).await;
             log_event!(
                 EventCode::LeaseCallFailed,
                 cause = "no answer in time, the record lapses"
             );
         };
         let lease = self.lease.take();
-        or(self.leave(lease), late).await;
+        or(self.leave(lease), timeout).await;
         if let Some(lease) = lease {
-            let over = async {
-                Timer::after(HAND_OVER_TIME).await;
+            let timeout = async {
+                Timer::after(HAND_OVER_TIMEOUT).await;
             };
-            or(self.hand_over(lease), over).await;
+            or(self.hand_over(lease), timeout).await;
         }
     }
 
     /// Removes the own record, whoever keeps it: that another has taken it over is known
     /// a while later.
     async fn leave(&self, lease: Option<Lease>) {
-        self.tell_registrar().await;
+        self.notify_registrar().await;
         let Some(lease) = lease else {
             return;
         };
-        let keeps_others = !self.shared.state.lock().registrar_mut().is_empty();
+        let has_other_records = !self.shared.state.lock().registrar_mut().is_empty();
         self.shared.store_calls.count(CallPurpose::Record, 1);
-        let left = if keeps_others {
+        let left = if has_other_records {
             let own = RecordChanges {
                 removed: vec![self.shared.options.place.instance.clone()],
                 ..RecordChanges::default()
@@ -327,7 +332,7 @@
     }
 
     /// Asks the instance that keeps the own record to remove it.
-    async fn tell_registrar(&self) {
+    async fn notify_registrar(&self) {
         let (registrar, after) = {
             let state = self.shared.state.lock();
             (state.registrar_address(), state.log().index())
@@ -342,8 +347,8 @@
             is_leaving: true,
             ..ChangesQuery::default()
         };
-        let told = RelayClient::default().ask(&[registrar], &query).await;
-        match told {
+        let answer = RelayClient::default().ask(&[registrar], &query).await;
+        match answer {
             Ok(_) | Err(RelayError::TooLarge { .. }) => {
                 log_event!(
                     EventCode::RecordWithdrawn,
@@ -362,7 +367,7 @@
             if let Err(error) = self.renew().await {
                 log_event!(EventCode::LeaseCallFailed, cause:% = error);
             }
-            Timer::after(TICK).await;
+            Timer::after(CHECK_PERIOD).await;
         }
     }
 }
--- a/crates/foxtide-gateway/src/memory.rs
+++ b/crates/foxtide-gateway/src/memory.rs
@@ -16,7 +16,7 @@
 
 /// A part of the memory, given back when it is dropped.
 #[derive(Debug)]
-pub(crate) struct Reserved {
+pub(crate) struct BodyReservation {
     used_bytes: Arc<AtomicU64>,
     size_bytes: u64,
 }
@@ -31,8 +31,8 @@
     }
 
     /// Reserves memory for a body; nothing where there is not enough left.
-    pub(crate) fn try_reserve(&self, size_bytes: u64) -> Option<Reserved> {
-        let reserved = Reserved {
+    pub(crate) fn try_reserve(&self, size_bytes: u64) -> Option<BodyReservation> {
+        let reserved = BodyReservation {
             used_bytes: Arc::clone(&self.used_bytes),
             size_bytes,
         };
@@ -41,7 +41,7 @@
     }
 }
 
-impl Drop for Reserved {
+impl Drop for BodyReservation {
     fn drop(&mut self) {
         self.used_bytes.fetch_sub(self.size_bytes, Ordering::AcqRel);
     }
