--- a/crates/foxtide-gateway/src/admission/client.rs
+++ b/crates/foxtide-gateway/src/admission/client.rs
@@ -192,7 +192,7 @@
         Slot {
             admission: self,
             coordinator,
-            number: self.next_question_number(),
+            number: self.next_datagram_number(),
             answer: SlotAnswer::Notified,
             ending: Ending::NotServed,
         }
--- a/crates/foxtide-gateway/src/admission/mod.rs
+++ b/crates/foxtide-gateway/src/admission/mod.rs
@@ -153,8 +153,8 @@
         }
     }
 
-    /// Returns an unused number for a question.
-    pub(crate) fn next_question_number(&self) -> u64 {
+    /// Returns an unused number for a datagram.
+    pub(crate) fn next_datagram_number(&self) -> u64 {
         self.next_number.fetch_add(1, Ordering::Relaxed)
     }
 
--- a/crates/foxtide-gateway/src/admission/server.rs
+++ b/crates/foxtide-gateway/src/admission/server.rs
@@ -45,7 +45,7 @@
 }
 
 fn handle_datagram<D: Dialect>(shared: &Arc<Shared<D>>, from: SocketAddr, datagram: Datagram) {
-    shared.quotas.note_contact(from, shared.clock.now());
+    shared.quotas.record_contact(from, shared.clock.now());
     let number = datagram.number;
     match datagram.body {
         Some(Body::QuotaQuestion(message)) => quotas::answer(shared, from, number, &message),
--- a/crates/foxtide-gateway/src/datagram/mod.rs
+++ b/crates/foxtide-gateway/src/datagram/mod.rs
@@ -20,10 +20,10 @@
 use crate::traffic::TrafficKind;
 use std::time::Duration;
 
-/// A question, an answer or a notice.
+/// A request, an answer or a notice.
 #[derive(Clone, PartialEq, prost::Message)]
 pub(crate) struct Datagram {
-    /// The number of the request or question at the instance that asks.
+    /// The number of the request at the instance that asks.
     #[prost(fixed64, tag = "1")]
     pub(crate) number: u64,
     #[prost(oneof = "Body", tags = "2, 3, 4, 5, 6, 7, 8, 9, 10")]
@@ -48,7 +48,7 @@
     /// Asks for tokens of a quota.
     #[prost(message, tag = "6")]
     QuotaQuestion(QuotaQuestionMessage),
-    /// Answers a quota question.
+    /// Answers a quota request.
     #[prost(message, tag = "7")]
     QuotaAnswer(QuotaAnswerMessage),
     /// An upstream ended while it worked on a request.
@@ -96,7 +96,7 @@
     use prost::Message;
 
     fn samples() -> Vec<Datagram> {
-        let question = QuotaRequest {
+        let request = QuotaRequest {
             organisation: "acme".parse().unwrap(),
             priority: 2,
             wanted: 3,
@@ -107,7 +107,7 @@
             born_at: None,
         };
         vec![
-            Datagram::quota_question(1, &question),
+            Datagram::quota_request(1, &request),
             Datagram::quota_answer(2, QuotaAnswer::Granted { tokens: 4 }),
             Datagram::quota_answer(3, QuotaAnswer::NotCoordinator),
             Datagram::end_report(4, &report),
@@ -127,7 +127,7 @@
                 drop(message.request(from, datagram.number));
             }
             Some(Body::Answer(message)) => drop(message.answer()),
-            Some(Body::QuotaQuestion(message)) => drop(message.question()),
+            Some(Body::QuotaQuestion(message)) => drop(message.request()),
             Some(Body::QuotaAnswer(message)) => drop(message.answer()),
             Some(Body::EndReport(message)) => drop(message.report()),
             Some(Body::Quarantine(message)) => drop(message.entry()),
@@ -166,7 +166,7 @@
         }
         let wrong = UpstreamEndMessage::default();
         assert!(wrong.report().is_err());
-        assert!(QuotaQuestionMessage::default().question().is_err());
+        assert!(QuotaQuestionMessage::default().request().is_err());
         assert_eq!(
             QuotaAnswerMessage::default().answer(),
             QuotaAnswer::NotCoordinator
--- a/crates/foxtide-gateway/src/datagram/quota.rs
+++ b/crates/foxtide-gateway/src/datagram/quota.rs
@@ -11,7 +11,7 @@
 };
 use std::time::Duration;
 
-/// A question for tokens of a quota.
+/// A request for tokens of a quota.
 #[derive(Clone, PartialEq, prost::Message)]
 pub(crate) struct QuotaQuestionMessage {
     #[prost(string, tag = "1")]
@@ -22,7 +22,7 @@
     wanted: u32,
 }
 
-/// An answer to a quota question; empty if the sender does not coordinate the quota.
+/// An answer to a quota request; empty if the sender does not coordinate the quota.
 #[derive(Clone, PartialEq, prost::Message)]
 pub(crate) struct QuotaAnswerMessage {
     /// How many tokens are granted.
@@ -34,12 +34,12 @@
 }
 
 impl Datagram {
-    /// Returns the question for tokens of a quota.
-    pub(crate) fn quota_question(number: u64, question: &QuotaRequest) -> Self {
+    /// Returns the request for tokens of a quota.
+    pub(crate) fn quota_request(number: u64, request: &QuotaRequest) -> Self {
         let message = QuotaQuestionMessage {
-            organisation: question.organisation.to_string(),
-            priority: question.priority,
-            wanted: question.wanted,
+            organisation: request.organisation.to_string(),
+            priority: request.priority,
+            wanted: request.wanted,
         };
         Self {
             number,
@@ -47,7 +47,7 @@
         }
     }
 
-    /// Returns the answer to a question for tokens of a quota.
+    /// Returns the answer to a request for tokens of a quota.
     pub(crate) fn quota_answer(number: u64, answer: QuotaAnswer) -> Self {
         let message = match answer {
             QuotaAnswer::Granted { tokens } => QuotaAnswerMessage {
@@ -68,12 +68,12 @@
 }
 
 impl QuotaQuestionMessage {
-    /// Returns the question.
+    /// Returns the request.
     ///
     /// # Errors
     ///
     /// Fails if the name of the organisation is invalid.
-    pub(crate) fn question(&self) -> foxtide_core::Result<QuotaRequest> {
+    pub(crate) fn request(&self) -> foxtide_core::Result<QuotaRequest> {
         Ok(QuotaRequest {
             organisation: self.organisation.parse()?,
             priority: self.priority,
--- a/crates/foxtide-gateway/src/follow/apply.rs
+++ b/crates/foxtide-gateway/src/follow/apply.rs
@@ -35,7 +35,7 @@
         self.record_era(&mut state, index);
         state.store_answered();
         state.log_mut().replace(&records, index);
-        parsed.note_configuration(&mut state);
+        parsed.record_configuration(&mut state);
         state.replace(parsed.facts);
         self.index = Some(index);
         self.last_index = Some(index);
@@ -90,7 +90,7 @@
         state.store_answered();
         // Others that read the same old pages are told the changes alone.
         *state.log_mut() = log;
-        parsed.note_configuration(&mut state);
+        parsed.record_configuration(&mut state);
         state.replace(parsed.facts);
         self.index = Some(index);
         self.last_index = Some(index);
@@ -104,7 +104,7 @@
         self.replace_quarantine(&parsed, changes.index);
         let mut state = self.shared.state.lock();
         state.log_mut().replace(&changes.records, changes.index);
-        parsed.note_configuration(&mut state);
+        parsed.record_configuration(&mut state);
         state.replace(parsed.facts);
         state.store_failed();
         self.index = Some(changes.index);
@@ -123,7 +123,7 @@
         self.record_era(&mut state, index);
         state.store_answered();
         state.log_mut().append(records, index);
-        parsed.note_configuration(&mut state);
+        parsed.record_configuration(&mut state);
         state.apply(parsed.facts);
         self.index = Some(index);
         self.last_index = Some(index);
@@ -138,7 +138,7 @@
         if document.version > state.version() {
             let version = document.version;
             state.apply(vec![Fact::Configuration(document)]);
-            state.note_configuration(version, record, false);
+            state.record_configuration(version, record, false);
         }
         drop(state);
         self.shared.log_changed.notify(usize::MAX);
@@ -181,9 +181,9 @@
 
 impl ParsedRecords {
     /// Notes what the store holds as the configuration.
-    fn note_configuration(&self, state: &mut State) {
+    fn record_configuration(&self, state: &mut State) {
         if let Some((version, record)) = &self.configuration {
-            state.note_configuration(*version, record.clone(), true);
+            state.record_configuration(*version, record.clone(), true);
         }
     }
 }
--- a/crates/foxtide-gateway/src/forward/admit.rs
+++ b/crates/foxtide-gateway/src/forward/admit.rs
@@ -134,7 +134,7 @@
         self.trace.coordinator = instance.to_string();
         let began_at = Instant::now();
         let admitted = self.ask(pick, coordinator, patience).await;
-        self.note_wait(&admitted, began_at.elapsed());
+        self.record_wait(&admitted, began_at.elapsed());
         // The upstream may have been drained, evacuated or restarted during the wait.
         let is_granted = matches!(admitted, Admitted::Granted(_));
         if is_granted && !self.shared.state.lock().is_pick_valid(pick) {
@@ -187,7 +187,7 @@
         pick.registration.region == self.shared.options.place.region
     }
 
-    fn note_wait(&mut self, admitted: &Admitted<'_>, wait: Duration) {
+    fn record_wait(&mut self, admitted: &Admitted<'_>, wait: Duration) {
         let answer = match admitted {
             Admitted::Granted(slot) => slot.as_ref().map_or(SlotAnswer::NotAsked, Slot::answer),
             Admitted::Busy | Admitted::Refused { .. } | Admitted::PickAgain => SlotAnswer::Refused,
--- a/crates/foxtide-gateway/src/forward/attempt_loop.rs
+++ b/crates/foxtide-gateway/src/forward/attempt_loop.rs
@@ -202,7 +202,7 @@
                 self.sent_attempts += 1;
                 if is_other_incarnation {
                     let mut state = self.shared.state.lock();
-                    state.note_address_reused(&pick.registration);
+                    state.discard_reused_address(&pick.registration);
                 }
                 if self.failure.is_none() {
                     self.trace.reason = "upstream_refused";
--- a/crates/foxtide-gateway/src/forward/entry.rs
+++ b/crates/foxtide-gateway/src/forward/entry.rs
@@ -109,7 +109,7 @@
     let taken = quotas::take_token(shared, &terms.organisation, quota, priority).await;
     taken.inspect_err(|refusal| {
         let now = shared.clock.now();
-        shared.quotas.note_refusal(terms, refusal, now);
+        shared.quotas.record_refusal(terms, refusal, now);
     })
 }
 
--- a/crates/foxtide-gateway/src/poison/reports.rs
+++ b/crates/foxtide-gateway/src/poison/reports.rs
@@ -48,7 +48,7 @@
         return;
     }
     poison.record_report(fingerprint, now);
-    let number = shared.admission.next_question_number();
+    let number = shared.admission.next_datagram_number();
     let datagram = Datagram::end_report(number, &report);
     send_to_aggregators(shared, fingerprint, &datagram);
     // An instance knows its own ends whatever becomes of the aggregators.
@@ -61,7 +61,7 @@
     for &fingerprint in quarantined {
         let reports = shared.poison.suspects.lock().reports(fingerprint);
         for report in reports {
-            let number = shared.admission.next_question_number();
+            let number = shared.admission.next_datagram_number();
             let datagram = Datagram::end_report(number, &report);
             send_to_aggregators(shared, fingerprint, &datagram);
         }
@@ -81,7 +81,7 @@
         poison.release(fingerprint);
         poison.store_writer.remove(fingerprint);
     }
-    let number = shared.admission.next_question_number();
+    let number = shared.admission.next_datagram_number();
     let datagram = Datagram::cleared(number, fingerprint);
     send_to_aggregators(shared, fingerprint, &datagram);
     poison.suspects.lock().clear(fingerprint);
@@ -143,7 +143,7 @@
         let addresses = of_region.map(|member| member.datagram_address);
         addresses.filter(|address| *address != own).collect()
     };
-    let number = shared.admission.next_question_number();
+    let number = shared.admission.next_datagram_number();
     let datagram = Datagram::quarantine(number, fingerprint, entry);
     send_with_resends(shared, neighbours, datagram);
 }
--- a/crates/foxtide-gateway/src/quotas/answer.rs
+++ b/crates/foxtide-gateway/src/quotas/answer.rs
@@ -1,4 +1,4 @@
-//! Answers questions for tokens of quotas.
+//! Answers requests for tokens of quotas.
 
 use super::parts;
 use crate::datagram::{
@@ -20,36 +20,36 @@
 /// checks: other instances take over the quotas of one that the store has not heard for longer.
 const KNOWLEDGE_AGE_MAX: Duration = Duration::from_millis(3_500);
 
-/// Answers another instance's question.
+/// Answers another instance's request.
 pub(crate) fn answer<D: Dialect>(
     shared: &Shared<D>,
     from: SocketAddr,
     number: u64,
     message: &QuotaQuestionMessage,
 ) {
-    let question = match message.question() {
-        Ok(question) => question,
+    let request = match message.request() {
+        Ok(request) => request,
         Err(error) => {
-            log::debug!("invalid quota question from {from}: {error}");
+            log::debug!("invalid quota request from {from}: {error}");
             return;
         }
     };
-    let answer = answer_locally(shared, &question);
+    let answer = answer_locally(shared, &request);
     let datagram = Datagram::quota_answer(number, answer);
     shared.admission.send(from, &datagram);
 }
 
-/// Answers a question from this instance's part of the quota, if it has one.
+/// Answers a request from this instance's part of the quota, if it has one.
 pub(super) fn answer_locally<D: Dialect>(
     shared: &Shared<D>,
-    question: &QuotaRequest,
+    request: &QuotaRequest,
 ) -> QuotaAnswer {
     let now = shared.clock.now();
     let (parts, since) = {
         let state = shared.state.lock();
         let routes = state.routes();
-        let quota = routes.and_then(|routes| routes.quota(&question.organisation));
-        let Some(quota) = quota.filter(|_| is_active_coordinator(shared, &state, question, now))
+        let quota = routes.and_then(|routes| routes.quota(&request.organisation));
+        let Some(quota) = quota.filter(|_| is_active_coordinator(shared, &state, request, now))
         else {
             return QuotaAnswer::NotCoordinator;
         };
@@ -57,7 +57,7 @@
         (parts(shared, &state, quota), since)
     };
     let mut coordinator = shared.quotas.coordinator.lock();
-    coordinator.ask(question, &parts, since, now)
+    coordinator.ask(request, &parts, since, now)
 }
 
 /// Tells whether this instance hands out the quota of an organisation: it is the coordinator of
@@ -65,12 +65,12 @@
 fn is_active_coordinator<D: Dialect>(
     shared: &Shared<D>,
     state: &State,
-    question: &QuotaRequest,
+    request: &QuotaRequest,
     now: MonotonicTime,
 ) -> bool {
     let place = &shared.options.place;
     let members = state.members();
-    let coordinators = members.quota_coordinators(&question.organisation, &place.region);
+    let coordinators = members.quota_coordinators(&request.organisation, &place.region);
     let is_own = coordinators
         .first()
         .is_some_and(|member| member.instance == place.instance);
--- a/crates/foxtide-gateway/src/quotas/ask.rs
+++ b/crates/foxtide-gateway/src/quotas/ask.rs
@@ -30,9 +30,9 @@
 
 /// How often a coordinator of the own region is asked before it counts as unresponsive: single
 /// datagrams are lost.
-const QUESTIONS_OWN_REGION: u32 = 2;
+const REQUESTS_OWN_REGION: u32 = 2;
 
-/// How long a refusal by a coordinator of another region is reused: each further question would
+/// How long a refusal by a coordinator of another region is reused: each further request would
 /// delay the refusal by a round trip.
 const REFUSAL_TTL: Duration = Duration::from_millis(150);
 
@@ -50,7 +50,7 @@
 ///
 /// # Errors
 ///
-/// Fails if the quota is used up, or if coordinators do not answer and no spare token is left.
+/// Fails if the quota is used up, or if coordinators do not answer and no fallback token is left.
 pub(crate) async fn take_token<D: Dialect>(
     shared: &Shared<D>,
     organisation: &OrganisationId,
@@ -66,7 +66,7 @@
     if has_token {
         return Ok(());
     }
-    let question = QuotaRequest {
+    let request = QuotaRequest {
         organisation: organisation.clone(),
         priority,
         wanted,
@@ -75,7 +75,7 @@
     // quotas.
     let mut answers = CoordinatorAnswers::default();
     for source in sources(shared, organisation) {
-        let answer = ask(shared, source, &question).await;
+        let answer = ask(shared, source, &request).await;
         if let QuotaAnswer::Granted { tokens } = answer {
             let mut local_tokens = shared.quotas.local_tokens.lock();
             let local = local_tokens.entry(organisation.clone()).or_default();
@@ -84,7 +84,7 @@
         }
         answers.add(answer);
     }
-    if answers.has_unanswered && take_spare(shared, organisation, quota) {
+    if answers.has_unanswered && take_fallback_token(shared, organisation, quota) {
         return Ok(());
     }
     Err(answers.refusal())
@@ -135,9 +135,9 @@
 async fn ask<D: Dialect>(
     shared: &Shared<D>,
     source: Source,
-    question: &QuotaRequest,
+    request: &QuotaRequest,
 ) -> QuotaAnswer {
-    let answer = ask_source(shared, source, question).await;
+    let answer = ask_source(shared, source, request).await;
     let (answer_label, place) = (
         answer_label(answer),
         if source.is_own_region { "near" } else { "far" },
@@ -159,31 +159,31 @@
 async fn ask_source<D: Dialect>(
     shared: &Shared<D>,
     source: Source,
-    question: &QuotaRequest,
+    request: &QuotaRequest,
 ) -> Option<QuotaAnswer> {
     let quotas = &shared.quotas;
     let admission = &shared.admission;
     if source.address == admission.address() {
-        return Some(answer_locally(shared, question));
+        return Some(answer_locally(shared, request));
     }
     if admission.is_unresponsive(source.address) {
         return None;
     }
     let now = shared.clock.now();
-    if let Some(retry_after) = quotas.recent_refusal(&question.organisation, source.address, now) {
+    if let Some(retry_after) = quotas.recent_refusal(&request.organisation, source.address, now) {
         return Some(QuotaAnswer::Refused { retry_after });
     }
     let (times, time) = if source.is_own_region {
-        (QUESTIONS_OWN_REGION, admission.answer_time())
+        (REQUESTS_OWN_REGION, admission.answer_time())
     } else {
         (1, ANSWER_TIMEOUT_OTHER_REGION)
     };
-    let answer = exchange(shared, source.address, question, times, time).await;
+    let answer = exchange(shared, source.address, request, times, time).await;
     match answer {
         None => admission.mark_unresponsive(source.address),
         Some(QuotaAnswer::Refused { retry_after }) if !source.is_own_region => {
             let until = shared.clock.now() + REFUSAL_TTL;
-            let key = (question.organisation.clone(), source.address);
+            let key = (request.organisation.clone(), source.address);
             quotas
                 .recent_refusals
                 .lock()
@@ -194,18 +194,18 @@
     answer
 }
 
-/// Sends a question until it is answered, at most `times` times.
+/// Sends a request until it is answered, at most `times` times.
 async fn exchange<D: Dialect>(
     shared: &Shared<D>,
     coordinator: SocketAddr,
-    question: &QuotaRequest,
+    request: &QuotaRequest,
     times: u32,
     time: Duration,
 ) -> Option<QuotaAnswer> {
-    let number = shared.admission.next_question_number();
+    let number = shared.admission.next_datagram_number();
     let (answered, answers) = bounded(1);
     let _pending = Pending::new(shared, number, answered);
-    let datagram = Datagram::quota_question(number, question);
+    let datagram = Datagram::quota_request(number, request);
     for _ in 0..times {
         shared.admission.send(coordinator, &datagram);
         let late = async {
@@ -220,7 +220,7 @@
     None
 }
 
-/// An unanswered question; dropping it stops the wait for the answer.
+/// An unanswered request; dropping it stops the wait for the answer.
 struct Pending<'a, D> {
     shared: &'a Shared<D>,
     number: u64,
@@ -239,13 +239,17 @@
     }
 }
 
-fn take_spare<D: Dialect>(shared: &Shared<D>, organisation: &OrganisationId, quota: Quota) -> bool {
+fn take_fallback_token<D: Dialect>(
+    shared: &Shared<D>,
+    organisation: &OrganisationId,
+    quota: Quota,
+) -> bool {
     let (parts, instances) = {
         let state = shared.state.lock();
         (parts(shared, &state, quota), state.members().names())
     };
     let own = &shared.options.place.instance;
     let now = shared.clock.now();
-    let mut spare = shared.quotas.spare.lock();
-    spare.try_take(organisation, &parts, own, &instances, now)
+    let mut fallback_tokens = shared.quotas.fallback_tokens.lock();
+    fallback_tokens.try_take(organisation, &parts, own, &instances, now)
 }
--- a/crates/foxtide-gateway/src/quotas/mod.rs
+++ b/crates/foxtide-gateway/src/quotas/mod.rs
@@ -73,8 +73,8 @@
 pub(crate) struct Quotas {
     coordinator: Mutex<QuotaCoordinator>,
     local_tokens: Mutex<HashMap<OrganisationId, TokenCache>>,
-    spare: Mutex<FallbackTokens>,
-    /// Unanswered questions, by number.
+    fallback_tokens: Mutex<FallbackTokens>,
+    /// Unanswered requests, by number.
     pending: Mutex<HashMap<u64, Sender<QuotaAnswer>>>,
     /// When other instances last sent a datagram.
     last_contact: Mutex<HashMap<SocketAddr, MonotonicTime>>,
@@ -87,23 +87,23 @@
 
 impl Quotas {
     /// Records a datagram from another instance.
-    pub(crate) fn note_contact(&self, from: SocketAddr, now: MonotonicTime) {
+    pub(crate) fn record_contact(&self, from: SocketAddr, now: MonotonicTime) {
         self.last_contact.lock().insert(from, now);
     }
 
-    /// Delivers an answer to the question that waits for it, if any.
+    /// Delivers an answer to the request that waits for it, if any.
     pub(crate) fn deliver(&self, number: u64, answer: QuotaAnswer) {
         if let Some(waiting) = self.pending.lock().get(&number)
             && waiting.try_send(answer).is_err()
         {
-            log::debug!("dropped quota answer {number}: its question has ended");
+            log::debug!("dropped quota answer {number}: the request has ended");
         }
     }
 
     /// Drops expired entries.
     pub(crate) fn prune(&self, now: MonotonicTime) {
         self.coordinator.lock().prune(now);
-        self.spare.lock().prune(now);
+        self.fallback_tokens.lock().prune(now);
         self.local_tokens
             .lock()
             .retain(|_, tokens| !tokens.is_unused(LOCAL_TOKENS_TTL, now));
@@ -119,7 +119,7 @@
     }
 
     /// Counts a refusal, and logs it unless one was logged recently.
-    pub(crate) fn note_refusal(
+    pub(crate) fn record_refusal(
         &self,
         terms: &OrganisationTerms,
         refusal: &QuotaRefusal,
--- a/crates/foxtide-gateway/src/state/facts.rs
+++ b/crates/foxtide-gateway/src/state/facts.rs
@@ -47,10 +47,10 @@
             .map(|upstream| self.registry.remove_unreadable(upstream))
             .collect();
         changes.extend(self.registry.replace(registrations, now));
-        self.note_changes(&changes);
+        self.handle_registry_changes(&changes);
         self.registrar.observe_all(&members, now);
         self.members.replace(members, self.registry.phase(), now);
-        self.note_evacuated(evacuated);
+        self.handle_evacuated_zones(evacuated);
     }
 
     /// Applies changes in order.
@@ -66,15 +66,15 @@
             Fact::Configuration(document) => self.configure(document),
             Fact::Registered(registration) => {
                 let change = self.registry.register(registration, now);
-                self.note_changes(&[change]);
+                self.handle_registry_changes(&[change]);
             }
             Fact::UpstreamUnreadable(upstream) => {
                 let change = self.registry.remove_unreadable(&upstream);
-                self.note_changes(&[change]);
+                self.handle_registry_changes(&[change]);
             }
             Fact::Unregistered(upstream) => {
                 let change = self.registry.unregister(&upstream, now);
-                self.note_changes(&[change]);
+                self.handle_registry_changes(&[change]);
             }
             Fact::Joined(member) => {
                 state_changes::member_joined(&member);
@@ -91,12 +91,12 @@
             Fact::Evacuated(zone) => {
                 let mut evacuated = self.registry.evacuated().clone();
                 evacuated.insert(zone);
-                self.note_evacuated(evacuated);
+                self.handle_evacuated_zones(evacuated);
             }
             Fact::TakenBack(zone) => {
                 let mut evacuated = self.registry.evacuated().clone();
                 evacuated.remove(&zone);
-                self.note_evacuated(evacuated);
+                self.handle_evacuated_zones(evacuated);
             }
         }
     }
@@ -116,7 +116,7 @@
 
     /// Applies the set of evacuated zones. After a restore of the store, missing ones stay
     /// evacuated for a grace period.
-    fn note_evacuated(&mut self, mut zones: HashSet<AvailabilityZoneId>) {
+    fn handle_evacuated_zones(&mut self, mut zones: HashSet<AvailabilityZoneId>) {
         if self.evacuations_kept_until.is_some() {
             let missing = self.registry.evacuated().difference(&zones);
             self.missing_evacuations.extend(missing.cloned());
@@ -154,7 +154,7 @@
         longest.unwrap_or(COLD_DURATION_DEFAULT)
     }
 
-    pub(super) fn note_changes(&mut self, changes: &[RegistryChange]) {
+    pub(super) fn handle_registry_changes(&mut self, changes: &[RegistryChange]) {
         for change in changes {
             state_changes::registry_changed(change);
             if let RegistryChange::Left(upstream) | RegistryChange::Restarted(upstream) = change {
--- a/crates/foxtide-gateway/src/state/mod.rs
+++ b/crates/foxtide-gateway/src/state/mod.rs
@@ -237,7 +237,7 @@
     pub(crate) fn expire(&mut self) {
         let now = self.clock.now();
         let changes = self.registry.expire(now);
-        self.note_changes(&changes);
+        self.handle_registry_changes(&changes);
         self.members.expire(self.registry.phase(), now);
         self.drop_missing_evacuations(now);
         self.cold.prune(now);
@@ -309,10 +309,10 @@
     }
 
     /// Discards an incarnation whose address another one uses now.
-    pub(crate) fn note_address_reused(&mut self, registration: &Registration) {
+    pub(crate) fn discard_reused_address(&mut self, registration: &Registration) {
         let now = self.clock.now();
         let change = self.registry.discard(registration, now);
-        self.note_changes(&[change]);
+        self.handle_registry_changes(&[change]);
     }
 
     fn budget(&mut self, service: &ServiceId) -> &mut RetryBudget {
--- a/crates/foxtide-gateway/src/state/stored.rs
+++ b/crates/foxtide-gateway/src/state/stored.rs
@@ -65,7 +65,7 @@
     }
 
     /// Records a configuration that the store holds, or that another instance has in force.
-    pub(crate) fn note_configuration(&mut self, version: u64, record: Record, is_stored: bool) {
+    pub(crate) fn record_configuration(&mut self, version: u64, record: Record, is_stored: bool) {
         if is_stored {
             self.stored_version = version;
         }
