--- a/crates/foxtide-gateway/src/follow/mod.rs
+++ b/crates/foxtide-gateway/src/follow/mod.rs
@@ -184,7 +184,7 @@
         let alarm = async { Err(shared.store_alarm.raised().await) };
         match or(self.wait_for_changes(index, wait), alarm).await? {
             Changes::Followed { records, index } => self.apply(&records, index),
-            Changes::Forgotten => {
+            Changes::Compacted => {
                 log_event!(EventCode::StoreForgot, index:% = index);
                 self.index = None;
                 self.shared.state.lock().store_answered();
--- a/crates/foxtide-gateway/src/follow/start.rs
+++ b/crates/foxtide-gateway/src/follow/start.rs
@@ -103,7 +103,7 @@
             if is_last {
                 break;
             }
-            if page == 0 && purpose == CallPurpose::StartOld {
+            if page == 0 && purpose == CallPurpose::StartStale {
                 self.delay_reading(&snapshot).await;
             }
         }
@@ -133,7 +133,7 @@
     /// all others, old pages would bring back what has been in force before.
     async fn start_from_stale(&mut self) -> Result<bool, StoreError> {
         let old = self
-            .read_pages(Freshness::MayBeOld, CallPurpose::StartOld)
+            .read_pages(Freshness::MayBeStale, CallPurpose::StartStale)
             .await?;
         let Some((changes, index)) = self.changes_since(&old).await? else {
             return Ok(false);
@@ -160,7 +160,7 @@
         self.shared.store_calls.count(CallPurpose::Start, 1);
         match self.store.changes(old.index, Duration::ZERO).await? {
             Changes::Followed { records, index } => Ok(Some((records, index))),
-            Changes::Forgotten => Ok(None),
+            Changes::Compacted => Ok(None),
         }
     }
 
--- a/crates/foxtide-gateway/src/state/facts.rs
+++ b/crates/foxtide-gateway/src/state/facts.rs
@@ -35,7 +35,7 @@
                     evacuated.insert(zone);
                 }
                 Fact::UpstreamUnreadable(upstream) => unreadable.push(upstream),
-                Fact::TakenBack(_)
+                Fact::Reinstated(_)
                 | Fact::Unregistered(_)
                 | Fact::Left(_)
                 | Fact::Quarantined(_)
@@ -93,7 +93,7 @@
                 evacuated.insert(zone);
                 self.handle_evacuated_zones(evacuated);
             }
-            Fact::TakenBack(zone) => {
+            Fact::Reinstated(zone) => {
                 let mut evacuated = self.registry.evacuated().clone();
                 evacuated.remove(&zone);
                 self.handle_evacuated_zones(evacuated);
--- a/crates/foxtide-gateway/src/store.rs
+++ b/crates/foxtide-gateway/src/store.rs
@@ -35,7 +35,7 @@
     /// An availability zone is to get nothing.
     Evacuated(AvailabilityZoneId),
     /// An availability zone may get requests again.
-    TakenBack(AvailabilityZoneId),
+    Reinstated(AvailabilityZoneId),
     /// An upstream has registered itself.
     Registered(Registration),
     /// What stands under an upstream's name cannot be read.
@@ -59,7 +59,7 @@
     Current,
     /// It may be seconds old, and costs a tenth. What has changed since is to be followed
     /// before anything is decided from it.
-    MayBeOld,
+    MayBeStale,
 }
 
 /// A part of what the store holds.
@@ -84,7 +84,7 @@
         index: StoreIndex,
     },
     /// The store has forgotten them: all has to be read again.
-    Forgotten,
+    Compacted,
 }
 
 /// A lease on the store.
--- a/crates/foxtide-gateway/src/store_calls.rs
+++ b/crates/foxtide-gateway/src/store_calls.rs
@@ -18,7 +18,7 @@
     /// An instance that knows nothing reads what there is.
     Start,
     /// The same by pages that may be old, which the platform prices at a tenth.
-    StartOld,
+    StartStale,
     /// A lease is opened or ended, or a record is written or removed under one.
     Record,
     /// A lease is renewed, which the platform prices at a tenth.
@@ -34,7 +34,7 @@
 impl CallPurpose {
     const ALL: [Self; 7] = [
         Self::Start,
-        Self::StartOld,
+        Self::StartStale,
         Self::Record,
         Self::Renewal,
         Self::Following,
@@ -45,7 +45,7 @@
     const fn as_str(self) -> &'static str {
         match self {
             Self::Start => "start",
-            Self::StartOld => "start_old",
+            Self::StartStale => "start_old",
             Self::Record => "record",
             Self::Renewal => "renewal",
             Self::Following => "following",
--- a/crates/foxtide-gateway/tests/gateway/support/store.rs
+++ b/crates/foxtide-gateway/tests/gateway/support/store.rs
@@ -232,7 +232,7 @@
 impl Contents {
     fn page(&self, after: &str, freshness: Freshness) -> Page {
         let (present, index) = match (freshness, &self.old) {
-            (Freshness::MayBeOld, Some((present, index))) => (present, *index),
+            (Freshness::MayBeStale, Some((present, index))) => (present, *index),
             _ => (&self.present, self.index),
         };
         let mut later = present
@@ -293,7 +293,7 @@
                 Some(Fact::Unregistered(name()?.parse().ok()?))
             }
             None if record.key.starts_with("evacuated/") => {
-                Some(Fact::TakenBack(name()?.parse().ok()?))
+                Some(Fact::Reinstated(name()?.parse().ok()?))
             }
             None if record.key.starts_with("instance/") => Some(Fact::Left(name()?.parse().ok()?)),
             None if record.key.starts_with("quarantine/") => {
@@ -334,7 +334,7 @@
                 }
                 let is_of_another = index.era() != contents.era;
                 if is_of_another || index.get() < contents.forgotten {
-                    return Ok(Changes::Forgotten);
+                    return Ok(Changes::Compacted);
                 }
                 let newer = contents
                     .changes
