--- a/crates/foxtide-gateway/tests/gateway/admission.rs
+++ b/crates/foxtide-gateway/tests/gateway/admission.rs
@@ -45,7 +45,7 @@
     }
     let instances = ["edge-1", "edge-2"].map(|name| fleet.instance(name, "khomas-a"));
     for instance in &instances {
-        instance.knows_members(2);
+        instance.wait_for_members(2);
     }
     (fleet, instances, upstreams)
 }
@@ -116,9 +116,9 @@
 fn verify_requests_go_on_without_their_coordinator() {
     let fleet = Fleet::new();
     let upstreams = ["i-1", "i-2", "i-3", "i-4"].map(|name| fleet.upstream(name, "khomas-a"));
-    let first = fleet.impatient_instance("edge-1", "khomas-a");
+    let first = fleet.instance_with_default_timeouts("edge-1", "khomas-a");
     let second = fleet.instance("edge-2", "khomas-a");
-    first.knows_members(2);
+    first.wait_for_members(2);
     // Its lease is still valid, so it still counts as the coordinator.
     drop(second);
     for number in 0..16 {
--- a/crates/foxtide-gateway/tests/gateway/following.rs
+++ b/crates/foxtide-gateway/tests/gateway/following.rs
@@ -23,7 +23,7 @@
     assert_eq!(instance.get("/safe/", "request: r-1\r\n").head.status, 200);
     let two = fleet.upstream("i-2", "khomas-a");
     fleet.store.remove(&one.key());
-    fleet.store.forget();
+    fleet.store.compact();
     let is_moved = || {
         instance.get("/safe/", "request: r-2\r\n");
         !two.seen().is_empty()
@@ -52,14 +52,14 @@
     let upstream = fleet.upstream("i-1", "khomas-a");
     let instance = fleet.instance("edge-1", "khomas-a");
     assert_eq!(instance.get("/safe/", "request: r-1\r\n").head.status, 200);
-    fleet.store.set_away(true);
+    fleet.store.set_unavailable(true);
     let calls = fleet.store.calls();
     eventually("calls fail", || fleet.store.calls() > calls + 3);
     assert_eq!(instance.get("/safe/", "request: r-2\r\n").head.status, 200);
     assert_eq!(instance.get("/ready", "").head.status, 200);
     // The registration lapses while the store is away; the upstream returns.
     fleet.store.remove(&upstream.key());
-    fleet.store.set_away(false);
+    fleet.store.set_unavailable(false);
     let calls = fleet.store.calls();
     eventually("calls go on", || fleet.store.calls() > calls + 2);
     assert_eq!(instance.get("/safe/", "request: r-3\r\n").head.status, 200);
@@ -74,11 +74,11 @@
     let one = fleet.upstream("i-1", "khomas-a");
     let instance = fleet.instance("edge-1", "khomas-a");
     assert_eq!(instance.get("/safe/", "request: r-1\r\n").head.status, 200);
-    fleet.store.set_away(true);
+    fleet.store.set_unavailable(true);
     let calls = fleet.store.calls();
     eventually("calls fail", || fleet.store.calls() > calls + 1);
     fleet.store.remove(&one.key());
-    fleet.store.set_away(false);
+    fleet.store.set_unavailable(false);
     let is_gone = || instance.get("/safe/", "request: r-2\r\n").head.status == 503;
     eventually("the upstream is given up", is_gone);
 }
@@ -95,7 +95,7 @@
         String::from_utf8_lossy(&body).matches(':').count() == 2
     };
     eventually("the instances know each other", peers_known);
-    instance.store.set_turned_away(true);
+    instance.store.set_rejected(true);
     let zone = "khomas-a".parse().unwrap();
     fleet.store.put("evacuated/khomas-a", Fact::Evacuated(zone));
     let is_evacuated = || {
@@ -129,7 +129,7 @@
     let fleet = Fleet::new();
     let _upstream = fleet.upstream("i-1", "khomas-a");
     let peer = fleet.instance("edge-1", "khomas-a");
-    let instance = fleet.turned_away_instance("edge-2", "khomas-a", &peer);
+    let instance = fleet.rejected_instance("edge-2", "khomas-a", &peer);
     let is_served = || instance.get("/safe/", "request: r-1\r\n").head.status == 200;
     eventually("the instance serves", is_served);
 }
@@ -142,7 +142,7 @@
     let peer = fleet.instance("edge-1", "khomas-a");
     let silent = TcpListener::bind("127.0.0.1:0").unwrap();
     let peers = vec![silent.local_addr().unwrap(), peer.gateway().peer_address()];
-    let instance = fleet.turned_away_instance_asking("edge-2", "khomas-a", peers);
+    let instance = fleet.rejected_instance_with_peers("edge-2", "khomas-a", peers);
     let is_served = || instance.get("/safe/", "request: r-1\r\n").head.status == 200;
     eventually("the instance serves", is_served);
 }
@@ -154,14 +154,14 @@
     let fleet = Fleet::new();
     let _upstream = fleet.upstream("i-1", "khomas-a");
     let is_served = || {
-        fleet.store.set_away(true);
+        fleet.store.set_unavailable(true);
         let calls = fleet.store.calls();
-        let instance = fleet.starting_instance("edge-1", "khomas-a");
+        let instance = fleet.start_instance("edge-1", "khomas-a");
         eventually("the first reading fails", || fleet.store.calls() > calls);
         let mut caller = Caller::connect(instance.address());
         caller.send("GET /safe/ HTTP/1.1\r\nhost: a.example\r\nrequest: r-1\r\n\r\n");
         assert!(!instance.gateway().is_ready());
-        fleet.store.set_away(false);
+        fleet.store.set_unavailable(false);
         caller.read().head.status == 200
     };
     eventually("a request waits", is_served);
@@ -174,14 +174,14 @@
     let upstream = fleet.upstream("i-1", "khomas-a");
     let peer = fleet.instance("edge-1", "khomas-a");
     assert_eq!(peer.get("/safe/", "request: r-1\r\n").head.status, 200);
-    fleet.store.set_away(true);
-    let instance = fleet.turned_away_instance("edge-2", "khomas-a", &peer);
+    fleet.store.set_unavailable(true);
+    let instance = fleet.rejected_instance("edge-2", "khomas-a", &peer);
     let is_served = || instance.get("/safe/", "request: r-2\r\n").head.status == 200;
     eventually("the instance serves", is_served);
     // It follows the store from there once that is back.
-    instance.store.set_turned_away(false);
+    instance.store.set_rejected(false);
     fleet.store.remove(&upstream.key());
-    fleet.store.set_away(false);
+    fleet.store.set_unavailable(false);
     let is_gone = || instance.get("/safe/", "request: r-3\r\n").head.status == 503;
     eventually("the upstream is given up", is_gone);
 }
@@ -192,7 +192,7 @@
 fn verify_a_start_from_old_pages_begins_with_what_is_current() {
     let fleet = Fleet::new();
     let gone = fleet.upstream("i-1", "khomas-a");
-    fleet.store.keep_old();
+    fleet.store.snapshot_stale_reads();
     fleet.configure(7, vec![route("new", true)]);
     fleet.store.remove(&gone.key());
     let upstream = fleet.upstream("i-2", "khomas-a");
@@ -203,16 +203,16 @@
     assert!(gone.seen().is_empty());
 }
 
-/// What has changed since the old pages is forgotten: they bring back an upstream that
+/// What has changed since the old pages has been compacted: they bring back an upstream that
 /// has left, and an earlier configuration.
 #[test]
 fn verify_old_pages_whose_changes_are_forgotten_are_not_used() {
     let fleet = Fleet::new();
     let gone = fleet.upstream("i-1", "khomas-a");
-    fleet.store.keep_old();
+    fleet.store.snapshot_stale_reads();
     fleet.configure(7, vec![route("new", true)]);
     fleet.store.remove(&gone.key());
-    fleet.store.forget();
+    fleet.store.compact();
     let instance = fleet.instance("edge-1", "khomas-a");
     assert_eq!(instance.get("/safe/", "request: r-1\r\n").head.status, 404);
     assert_eq!(instance.get("/new/", "request: r-2\r\n").head.status, 503);
@@ -226,10 +226,10 @@
     let fleet = Fleet::new();
     let one = fleet.upstream("i-1", "khomas-a");
     let instance = fleet.instance("edge-1", "khomas-a");
-    fleet.store.keep_old();
+    fleet.store.snapshot_stale_reads();
     let two = fleet.upstream("i-2", "khomas-a");
     fleet.store.remove(&one.key());
-    fleet.store.forget();
+    fleet.store.compact();
     let is_moved = || {
         instance.get("/safe/", "request: r-1\r\n");
         !two.seen().is_empty()
--- a/crates/foxtide-gateway/tests/gateway/forwarding.rs
+++ b/crates/foxtide-gateway/tests/gateway/forwarding.rs
@@ -73,7 +73,7 @@
 #[test]
 fn verify_an_instance_without_a_configuration_sends_retry_after() {
     let fleet = Fleet::default();
-    let instance = fleet.starting_instance("edge-1", "khomas-a");
+    let instance = fleet.start_instance("edge-1", "khomas-a");
     let response = instance.get("/safe/", "request: r-1\r\n");
     assert_eq!(response.head.status, 503);
     assert!(response.head.lines.get("retry-after").is_some());
@@ -93,8 +93,8 @@
         assert!(response.head.lines.get("retry-after").is_some());
         assert!(response.head.lines.get("not-run").is_none());
         assert_eq!(one.seen().len() + two.seen().len(), 2);
-        one.always(Behaviour::WELL);
-        two.always(Behaviour::WELL);
+        one.always(Behaviour::SUCCESS);
+        two.always(Behaviour::SUCCESS);
         one.next(Behaviour::Full);
         assert_eq!(instance.get(path, "request: r-2\r\n").head.status, 200);
     }
@@ -108,7 +108,7 @@
     let instance = fleet.instance("edge-1", "khomas-a");
     // An instance that knows another one asks for slots.
     let _other = fleet.instance("edge-2", "khomas-a");
-    instance.knows_members(2);
+    instance.wait_for_members(2);
     for upstream in [&one, &two] {
         upstream.next(Behaviour::Full);
     }
@@ -200,7 +200,7 @@
         let lines = "request: r-1\r\ntime-left-ms: 100\r\n";
         assert_eq!(instance.get(path, lines).head.status, 504);
     }
-    eventually("the upstream sees the end", || upstream.gone() == 2);
+    eventually("the upstream sees the end", || upstream.cancelled() == 2);
 }
 
 #[test]
@@ -212,7 +212,7 @@
     caller.send("GET /safe/ HTTP/1.1\r\nhost: a.example\r\nrequest: r-1\r\n\r\n");
     eventually("the request arrives", || upstream.seen().len() == 1);
     drop(caller);
-    eventually("the upstream sees the end", || upstream.gone() == 1);
+    eventually("the upstream sees the end", || upstream.cancelled() == 1);
 
     let slow = Behaviour::Respond(200, "done", Duration::from_millis(300));
     upstream.next(slow);
@@ -221,7 +221,7 @@
     eventually("the request arrives", || upstream.seen().len() == 2);
     drop(caller);
     std::thread::sleep(Duration::from_millis(400));
-    assert_eq!(upstream.gone(), 1);
+    assert_eq!(upstream.cancelled(), 1);
 }
 
 #[test]
@@ -385,7 +385,7 @@
             assert_eq!(caller.read().head.status, 200);
         }
         let connections = upstream.connections();
-        upstream.always(Behaviour::WELL);
+        upstream.always(Behaviour::SUCCESS);
         upstream.next(Behaviour::Silent);
         let lines = "request: r-2\r\ntime-left-ms: 400\r\n";
         assert_eq!(instance.get(path, lines).head.status, 504, "{path}");
--- a/crates/foxtide-gateway/tests/gateway/many.rs
+++ b/crates/foxtide-gateway/tests/gateway/many.rs
@@ -29,11 +29,11 @@
         let fleet = Fleet::new();
         let zone = |number: usize| ["khomas-a", "erongo-a"][number % 2];
         let instances: Vec<Instance> = (0..INSTANCES)
-            .map(|number| fleet.starting_instance(&format!("edge-{number}"), zone(number)))
+            .map(|number| fleet.start_instance(&format!("edge-{number}"), zone(number)))
             .collect();
         for (number, instance) in instances.iter().enumerate() {
             let region = zone(number).strip_suffix("-a").unwrap();
-            instance.knows_members_of(region, INSTANCES / 2);
+            instance.wait_for_members_of(region, INSTANCES / 2);
         }
         Self { fleet, instances }
     }
@@ -98,7 +98,7 @@
     large.wait_for_watchers();
     // A pause of the machine sends a follower to the store as well.
     eventually("a cut sends no follower to the store", || {
-        large.fleet.store.cut_waits();
+        large.fleet.store.close_waits();
         large.followers_that_ask() == 0
     });
 }
@@ -113,7 +113,7 @@
     let is_watcher = |name: &str| registrars.get(name) == Some(&None);
     for instance in &large.instances {
         let name = instance.gateway().name().to_string();
-        instance.store.set_turned_away(is_watcher(&name));
+        instance.store.set_rejected(is_watcher(&name));
     }
     let is_follower = |one: &&Instance| one.gateway().name().to_string() == follower;
     let follower = large.instances.iter().find(is_follower).unwrap();
@@ -164,7 +164,7 @@
         let registrar = large.registrars().remove(&kept).flatten();
         registrar.is_some_and(|registrar| registrar != watcher)
     });
-    large.fleet.store.lapse(&watcher);
+    large.fleet.store.expire_lease(&watcher);
     eventually("all that live have a record", || {
         large.registrars().len() == INSTANCES - 1
     });
@@ -178,7 +178,7 @@
     let (kept, watcher) = large.followed_record();
     let mut leaving = large.remove_instance(&watcher);
     leaving.stop();
-    // Leases of this store never lapse: the records must have moved to other watchers or to
+    // Leases of this store never expire: the records must have moved to other watchers or to
     // their instances.
     eventually("others keep the records", || {
         let registrars = large.registrars();
@@ -195,7 +195,7 @@
     let large = LargeFleet::start();
     large.wait_for_watchers();
     let (kept, watcher) = large.followed_record();
-    large.fleet.store.lapse(&watcher);
+    large.fleet.store.expire_lease(&watcher);
     eventually("all records are back", || {
         large.registrars().contains_key(&kept) && large.registrars().len() == INSTANCES
     });
@@ -208,15 +208,15 @@
     let fleet = Fleet::new();
     let instances = ["edge-1", "edge-2"].map(|name| fleet.instance(name, "khomas-a"));
     for instance in &instances {
-        instance.knows_members(2);
+        instance.wait_for_members(2);
     }
-    instances[1].store.set_turned_away(true);
-    fleet.store.lapse("edge-2");
+    instances[1].store.set_rejected(true);
+    fleet.store.expire_lease("edge-2");
     let registrar = || fleet.store.registrars().remove("edge-2").flatten();
     eventually("its peer keeps it", || {
         registrar().as_deref() == Some("edge-1")
     });
-    instances[1].store.set_turned_away(false);
+    instances[1].store.set_rejected(false);
     eventually("it keeps itself", || {
         fleet.store.registrars().get("edge-2") == Some(&None)
     });
--- a/crates/foxtide-gateway/tests/gateway/organisations.rs
+++ b/crates/foxtide-gateway/tests/gateway/organisations.rs
@@ -205,7 +205,7 @@
     upstream.always(Behaviour::Silent);
     let [instance, other] = ["edge-1", "edge-2"].map(|name| fleet.instance(name, "khomas-a"));
     for instance in [&instance, &other] {
-        instance.knows_members(2);
+        instance.wait_for_members(2);
     }
     let send = |key: &str| {
         let mut caller = Caller::connect(instance.address());
@@ -293,7 +293,7 @@
     let upstream = fleet.upstream("i-1", "khomas-a");
     let instances = ["edge-1", "edge-2"].map(|name| fleet.instance(name, "khomas-a"));
     for instance in &instances {
-        instance.knows_members(2);
+        instance.wait_for_members(2);
     }
     let mut refused = 0;
     for number in 0..60 {
@@ -325,7 +325,7 @@
 #[test]
 fn verify_an_instance_without_a_configuration_refuses_no_key() {
     let fleet = Fleet::default();
-    let instance = fleet.starting_instance("edge-1", "khomas-a");
+    let instance = fleet.start_instance("edge-1", "khomas-a");
     let response = instance.get("/safe/", "request: r\r\nkey: k-1\r\n");
     assert_eq!(status(&response), 503);
 }
@@ -351,7 +351,7 @@
         send("one") == 503 && fleet.store.quarantined() == 1
     });
     for upstream in &upstreams {
-        upstream.always(Behaviour::WELL);
+        upstream.always(Behaviour::SUCCESS);
     }
     assert_eq!(send("two"), 200);
     assert_eq!(send("one"), 503);
--- a/crates/foxtide-gateway/tests/gateway/poison.rs
+++ b/crates/foxtide-gateway/tests/gateway/poison.rs
@@ -30,55 +30,55 @@
     }
     let instances = ["edge-1", "edge-2"].map(|name| fleet.instance(name, "khomas-a"));
     for instance in &instances {
-        instance.knows_members(2);
+        instance.wait_for_members(2);
     }
     (fleet, instances, upstreams)
 }
 
-fn ended(upstreams: &[FakeUpstream]) -> usize {
+fn ended_count(upstreams: &[FakeUpstream]) -> usize {
     let has_ended = |upstream: &&FakeUpstream| !upstream.seen().is_empty();
     upstreams.iter().filter(has_ended).count()
 }
 
 #[test]
 fn verify_a_request_under_which_upstreams_end_is_held_back_everywhere() {
-    verify_held_back(Duration::from_millis(50));
+    verify_quarantined(Duration::from_millis(50));
 }
 
 /// Faster than news travel, and than two ends count as two.
 #[test]
 fn verify_a_request_under_which_upstreams_end_at_once_is_held_back_everywhere() {
-    verify_held_back(Duration::ZERO);
+    verify_quarantined(Duration::ZERO);
 }
 
 /// Sends a request that ends its upstreams after `end_after` to both instances in turn.
-fn verify_held_back(end_after: Duration) {
+fn verify_quarantined(end_after: Duration) {
     let (_fleet, instances, upstreams) = fleet(&Behaviour::End(end_after));
-    let deadly = |instance: &Instance| instance.get("/safe/deadly", "request: r\r\nobject: o\r\n");
+    let send = |instance: &Instance| instance.get("/safe/deadly", "request: r\r\nobject: o\r\n");
     eventually("it is held back", || {
-        let responses = [deadly(&instances[0]), deadly(&instances[1])];
-        let is_held = |response: &foxtide_http::WholeResponse| {
+        let responses = [send(&instances[0]), send(&instances[1])];
+        let is_refused = |response: &foxtide_http::WholeResponse| {
             response.head.status == 503 && response.head.lines.get("retry-after").is_some()
         };
-        responses.iter().all(is_held)
+        responses.iter().all(is_refused)
     });
-    let before = ended(&upstreams);
+    let before = ended_count(&upstreams);
     assert!((2..=4).contains(&before), "{before}");
     for _ in 0..10 {
-        assert_eq!(deadly(&instances[0]).head.status, 503);
-        assert_eq!(deadly(&instances[1]).head.status, 503);
+        assert_eq!(send(&instances[0]).head.status, 503);
+        assert_eq!(send(&instances[1]).head.status, 503);
     }
-    assert_eq!(ended(&upstreams), before);
+    assert_eq!(ended_count(&upstreams), before);
     // The same object in other words is served.
     for upstream in &upstreams {
-        upstream.always(Behaviour::WELL);
+        upstream.always(Behaviour::SUCCESS);
     }
     let other = instances[0].get("/safe/other", "request: r\r\nobject: o\r\n");
     assert_eq!(other.head.status, 200);
 }
 
 /// Sends a request that ends its upstreams until both instances refuse it.
-fn send_until_refused(instances: &[Instance; 2]) {
+fn send_until_quarantined(instances: &[Instance; 2]) {
     eventually("it is held back", || {
         let mut responses = instances.iter().map(send_deadly);
         responses.all(|response| response.head.status == 503)
@@ -101,10 +101,10 @@
             upstream.always(Behaviour::End(Duration::from_millis(50)));
         }
         let names = ["edge-1", "edge-2", "edge-3"];
-        let started = names.map(|name| fleet.impatient_instance(name, "khomas-a"));
+        let started = names.map(|name| fleet.instance_with_default_timeouts(name, "khomas-a"));
         let mut instances = Vec::from(started);
         for instance in &instances {
-            instance.knows_members(3);
+            instance.wait_for_members(3);
         }
         drop(instances.remove(absent));
         // One that loses power leaves its record for as long as its lease lives.
@@ -113,8 +113,8 @@
             let refused = responses.filter(|response| response.head.status == 503);
             refused.count() == 2 && fleet.store.quarantined() == 1
         });
-        let ended = ended(&upstreams);
-        assert!(ended <= 4, "{absent}: {ended}");
+        let ended_count = ended_count(&upstreams);
+        assert!(ended_count <= 4, "{absent}: {ended_count}");
     }
 }
 
@@ -122,13 +122,13 @@
 #[test]
 fn verify_an_instance_that_starts_later_holds_back_what_the_others_do() {
     let (fleet, instances, upstreams) = fleet(&Behaviour::End(Duration::from_millis(50)));
-    send_until_refused(&instances);
-    let before = ended(&upstreams);
+    send_until_quarantined(&instances);
+    let before = ended_count(&upstreams);
     let later = fleet.instance("edge-3", "khomas-a");
     for _ in 0..5 {
         assert_eq!(send_deadly(&later).head.status, 503);
     }
-    assert_eq!(ended(&upstreams), before);
+    assert_eq!(ended_count(&upstreams), before);
 }
 
 /// Guards against an instance that sends a request as soon as it runs again, by what it knew
@@ -137,7 +137,7 @@
 fn verify_an_instance_that_stood_still_learns_the_verdict_before_it_sends() {
     let (fleet, instances, upstreams) = fleet(&Behaviour::End(Duration::from_millis(50)));
     let [first, second] = instances;
-    second.freeze(Duration::from_secs(3));
+    second.stall(Duration::from_secs(3));
     let parts: [&[u8]; 5] = [b"", b"GET", b"a.example", b"/safe/deadly", b""];
     let entry = StoredEntry {
         fingerprint: Fingerprint::new(&parts),
@@ -149,26 +149,26 @@
     eventually("the other one knows", || {
         send_deadly(&first).head.status == 503
     });
-    let before = ended(&upstreams);
+    let before = ended_count(&upstreams);
     assert_eq!(send_deadly(&second).head.status, 503);
-    assert_eq!(ended(&upstreams), before);
+    assert_eq!(ended_count(&upstreams), before);
 }
 
 /// Guards against a restart of all instances that forgets the verdict.
 #[test]
 fn verify_a_restart_of_all_instances_lets_no_held_request_through() {
     let (fleet, instances, upstreams) = fleet(&Behaviour::End(Duration::from_millis(50)));
-    send_until_refused(&instances);
-    let before = ended(&upstreams);
+    send_until_quarantined(&instances);
+    let before = ended_count(&upstreams);
     drop(instances);
     for name in ["edge-1", "edge-2"] {
-        fleet.store.lapse(name);
+        fleet.store.expire_lease(name);
     }
     let later = fleet.instance("edge-3", "khomas-a");
     for _ in 0..5 {
         assert_eq!(send_deadly(&later).head.status, 503);
     }
-    assert_eq!(ended(&upstreams), before);
+    assert_eq!(ended_count(&upstreams), before);
 }
 
 /// Guards against a store that comes back from an older copy, without the verdict, before all
@@ -176,37 +176,37 @@
 #[test]
 fn verify_an_older_store_and_a_restart_of_all_let_no_held_request_through() {
     let (fleet, instances, upstreams) = fleet(&Behaviour::End(Duration::from_millis(50)));
-    fleet.store.make_copy();
-    send_until_refused(&instances);
+    fleet.store.make_backup();
+    send_until_quarantined(&instances);
     eventually("the store holds the verdict", || {
         fleet.store.quarantined() == 1
     });
-    let before = ended(&upstreams);
-    fleet.store.restore_copy();
+    let before = ended_count(&upstreams);
+    fleet.store.restore_backup();
     assert_eq!(fleet.store.quarantined(), 0);
     eventually("it is written again", || fleet.store.quarantined() == 1);
     drop(instances);
     for name in ["edge-1", "edge-2"] {
-        fleet.store.lapse(name);
+        fleet.store.expire_lease(name);
     }
     let later = fleet.instance("edge-3", "khomas-a");
     assert_eq!(send_deadly(&later).head.status, 503);
-    assert_eq!(ended(&upstreams), before);
+    assert_eq!(ended_count(&upstreams), before);
 }
 
 /// Guards against an instance that starts while the store is away, from what a peer knows.
 #[test]
 fn verify_an_instance_that_starts_without_the_store_learns_the_verdict_from_a_peer() {
     let (fleet, instances, upstreams) = fleet(&Behaviour::End(Duration::from_millis(50)));
-    fleet.store.set_away(true);
-    send_until_refused(&instances);
+    fleet.store.set_unavailable(true);
+    send_until_quarantined(&instances);
     assert_eq!(fleet.store.quarantined(), 0);
-    let before = ended(&upstreams);
-    let later = fleet.turned_away_instance("edge-3", "khomas-a", &instances[0]);
+    let before = ended_count(&upstreams);
+    let later = fleet.rejected_instance("edge-3", "khomas-a", &instances[0]);
     eventually("it knows the configuration", || later.gateway().is_ready());
     assert_eq!(send_deadly(&later).head.status, 503);
-    assert_eq!(ended(&upstreams), before);
-    fleet.store.set_away(false);
+    assert_eq!(ended_count(&upstreams), before);
+    fleet.store.set_unavailable(false);
     eventually("the store holds the verdict", || {
         fleet.store.quarantined() == 1
     });
@@ -216,9 +216,9 @@
 #[test]
 fn verify_a_request_that_is_served_in_its_trial_is_let_through_everywhere() {
     let (fleet, instances, upstreams) = fleet(&Behaviour::End(Duration::from_millis(50)));
-    send_until_refused(&instances);
+    send_until_quarantined(&instances);
     for upstream in &upstreams {
-        upstream.always(Behaviour::WELL);
+        upstream.always(Behaviour::SUCCESS);
     }
     for instance in &instances {
         eventually("it is served", || send_deadly(instance).head.status == 200);
@@ -235,7 +235,7 @@
         assert_eq!(response.head.status, 502);
     }
     for upstream in &upstreams {
-        upstream.always(Behaviour::WELL);
+        upstream.always(Behaviour::SUCCESS);
     }
     eventually("upstreams are not ejected any more", || {
         let response = instances[0].get("/safe/x", "request: r\r\nobject: o\r\n");
--- a/crates/foxtide-gateway/tests/gateway/small_region.rs
+++ b/crates/foxtide-gateway/tests/gateway/small_region.rs
@@ -59,7 +59,7 @@
         let far = (3..3 + far).map(|number| fleet.upstream(&format!("i-{number}"), "khomas-a"));
         let far: Vec<FakeUpstream> = far.collect();
         let instance = fleet.instance("edge-1", "erongo-a");
-        instance.knows_members_of("erongo", 1);
+        instance.wait_for_members_of("erongo", 1);
         Self {
             _fleet: fleet,
             instance,
--- a/crates/foxtide-gateway/tests/gateway/stopping.rs
+++ b/crates/foxtide-gateway/tests/gateway/stopping.rs
@@ -13,7 +13,7 @@
 
 /// Sends a request that its upstream answers after `time`, and waits until it
 /// has arrived there: the instance does not end before.
-fn hold(instance: &Instance, upstream: &FakeUpstream, time: Duration) -> Caller {
+fn send_slow_request(instance: &Instance, upstream: &FakeUpstream, time: Duration) -> Caller {
     upstream.next(Behaviour::Respond(200, "late", time));
     let mut caller = Caller::connect(instance.address());
     caller.send("GET /once/ HTTP/1.1\r\nhost: a.example\r\nrequest: r-1\r\n\r\n");
@@ -32,7 +32,7 @@
         String::from_utf8_lossy(&body).matches(':').count() == count
     };
     eventually("both are named", || named(2));
-    let mut caller = hold(&instance, &upstream, Duration::from_millis(1_500));
+    let mut caller = send_slow_request(&instance, &upstream, Duration::from_millis(1_500));
     let address = instance.address();
     let stopping = std::thread::spawn(move || {
         instance.stop();
@@ -154,9 +154,9 @@
     let upstream = fleet.upstream("i-1", "khomas-a");
     let mut instance = fleet.instance("edge-1", "khomas-a");
     let neighbour = fleet.instance("edge-2", "khomas-a");
-    neighbour.knows_members(2);
-    neighbour.store.set_turned_away(true);
-    fleet.store.lapse("edge-2");
+    neighbour.wait_for_members(2);
+    neighbour.store.set_rejected(true);
+    fleet.store.expire_lease("edge-2");
     eventually("the instance keeps its neighbour's record", || {
         let registrar = fleet.store.registrars().remove("edge-2").flatten();
         registrar.as_deref() == Some("edge-1")
--- a/crates/foxtide-gateway/tests/gateway/support/fleet.rs
+++ b/crates/foxtide-gateway/tests/gateway/support/fleet.rs
@@ -44,11 +44,11 @@
 };
 
 /// How long a condition may take to hold before a test fails.
-const PATIENCE: Duration = Duration::from_secs(20);
+const CONDITION_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// Waits until a condition holds.
 pub(crate) fn eventually(what: &str, holds: impl Fn() -> bool) {
-    let ends_at = Instant::now() + PATIENCE;
+    let ends_at = Instant::now() + CONDITION_TIMEOUT;
     while !holds() {
         assert!(Instant::now() < ends_at, "never: {what}");
         std::thread::sleep(Duration::from_millis(5));
@@ -113,25 +113,25 @@
 
     /// Starts an instance and waits until it is ready.
     pub(crate) fn instance(&self, name: &str, zone: &str) -> Instance {
-        let instance = self.starting_instance(name, zone);
+        let instance = self.start_instance(name, zone);
         eventually("the instance is ready", || instance.gateway().is_ready());
         instance
     }
 
     /// Starts an instance that the store turns away and that knows one peer.
-    pub(crate) fn turned_away_instance(&self, name: &str, zone: &str, peer: &Instance) -> Instance {
-        self.turned_away_instance_asking(name, zone, vec![peer.gateway().peer_address()])
+    pub(crate) fn rejected_instance(&self, name: &str, zone: &str, peer: &Instance) -> Instance {
+        self.rejected_instance_with_peers(name, zone, vec![peer.gateway().peer_address()])
     }
 
     /// Starts an instance that the store turns away and that knows these peers.
-    pub(crate) fn turned_away_instance_asking(
+    pub(crate) fn rejected_instance_with_peers(
         &self,
         name: &str,
         zone: &str,
         seed_peers: Vec<SocketAddr>,
     ) -> Instance {
-        let store = self.store.for_another();
-        store.set_turned_away(true);
+        let store = self.store.client_for_another_instance();
+        store.set_rejected(true);
         let options = GatewayOptions {
             seed_peers,
             ..options(name, zone)
@@ -141,19 +141,22 @@
 
     /// Starts an instance that waits for coordinators for a short time only, and waits
     /// until it is ready.
-    pub(crate) fn impatient_instance(&self, name: &str, zone: &str) -> Instance {
+    pub(crate) fn instance_with_default_timeouts(&self, name: &str, zone: &str) -> Instance {
         let options = GatewayOptions {
             admission: AdmissionOptions::default(),
             ..options(name, zone)
         };
-        let instance = Instance::start(options, self.store.for_another());
+        let instance = Instance::start(options, self.store.client_for_another_instance());
         eventually("the instance is ready", || instance.gateway().is_ready());
         instance
     }
 
     /// Starts an instance.
-    pub(crate) fn starting_instance(&self, name: &str, zone: &str) -> Instance {
-        Instance::start(options(name, zone), self.store.for_another())
+    pub(crate) fn start_instance(&self, name: &str, zone: &str) -> Instance {
+        Instance::start(
+            options(name, zone),
+            self.store.client_for_another_instance(),
+        )
     }
 }
 
@@ -249,7 +252,7 @@
     }
 
     /// Lets the instance stand still for a while, from now on.
-    pub(crate) fn freeze(&self, time: Duration) {
+    pub(crate) fn stall(&self, time: Duration) {
         let (frozen, is_frozen) = std::sync::mpsc::channel();
         let standing = async move {
             let _ = frozen.send(());
@@ -270,12 +273,12 @@
     }
 
     /// Waits until the instance counts `count` instances as alive.
-    pub(crate) fn knows_members(&self, count: usize) {
-        self.knows_members_of("khomas", count);
+    pub(crate) fn wait_for_members(&self, count: usize) {
+        self.wait_for_members_of("khomas", count);
     }
 
     /// Waits until the instance directs callers of a region to `count` instances.
-    pub(crate) fn knows_members_of(&self, region: &str, count: usize) {
+    pub(crate) fn wait_for_members_of(&self, region: &str, count: usize) {
         eventually("the members are known", || {
             let response = self.get(&format!("/lookup?region={region}"), "");
             let text = String::from_utf8(response.body).unwrap();
--- a/crates/foxtide-gateway/tests/gateway/support/store.rs
+++ b/crates/foxtide-gateway/tests/gateway/support/store.rs
@@ -1,4 +1,4 @@
-//! A store in memory that can be away, turn instances away, and forget.
+//! A store in memory that can be away, turn instances away, and compact.
 
 use foxtide_core::poison::{
     Fingerprint,
@@ -48,29 +48,29 @@
 struct Contents {
     /// How often it has come back from an older copy.
     era: u64,
-    copy: Option<Copied>,
+    backup: Option<Backup>,
     index: u64,
     present: BTreeMap<String, Record>,
     changes: Vec<Record>,
-    /// Changes up to this index are forgotten.
-    forgotten: u64,
+    /// Changes up to this index are compacted.
+    compacted_index: u64,
     /// What the values stand for.
     facts: HashMap<Vec<u8>, Fact>,
     leases: HashMap<u64, Vec<String>>,
-    is_away: bool,
+    is_unavailable: bool,
     /// What readings show that may be old.
-    old: Option<(BTreeMap<String, Record>, u64)>,
+    stale: Option<(BTreeMap<String, Record>, u64)>,
     /// A key that is removed once the next page has been read.
     removed_after_page: Option<String>,
     calls: usize,
     longest_wait: Duration,
     /// How often all waits were cut.
-    cuts: usize,
+    closes: usize,
 }
 
 /// What it held when a copy was made.
 #[derive(Clone, Debug)]
-struct Copied {
+struct Backup {
     index: u64,
     present: BTreeMap<String, Record>,
     leases: HashMap<u64, Vec<String>>,
@@ -81,17 +81,17 @@
 #[derive(Clone, Debug, Default)]
 pub(crate) struct FakeStore {
     contents: Arc<Mutex<Contents>>,
-    is_turned_away: Arc<Mutex<bool>>,
+    is_rejected: Arc<Mutex<bool>>,
     /// Waits that this client has begun.
     waits: Arc<AtomicUsize>,
 }
 
 impl FakeStore {
     /// Returns a client for another instance.
-    pub(crate) fn for_another(&self) -> Self {
+    pub(crate) fn client_for_another_instance(&self) -> Self {
         Self {
             contents: Arc::clone(&self.contents),
-            is_turned_away: Arc::default(),
+            is_rejected: Arc::default(),
             waits: Arc::default(),
         }
     }
@@ -109,50 +109,50 @@
     }
 
     /// Makes a copy of what the store holds.
-    pub(crate) fn make_copy(&self) {
+    pub(crate) fn make_backup(&self) {
         let mut contents = self.contents.lock().unwrap();
-        let copy = Copied {
+        let backup = Backup {
             index: contents.index,
             present: contents.present.clone(),
             leases: contents.leases.clone(),
         };
-        contents.copy = Some(copy);
+        contents.backup = Some(backup);
     }
 
     /// Lets the store come back from its copy: all that was written since is gone.
-    pub(crate) fn restore_copy(&self) {
+    pub(crate) fn restore_backup(&self) {
         let mut contents = self.contents.lock().unwrap();
-        let copy = contents.copy.clone().expect("a copy was made");
+        let backup = contents.backup.clone().expect("a backup was made");
         contents.era += 1;
-        contents.index = copy.index;
-        contents.present = copy.present;
-        contents.leases = copy.leases;
+        contents.index = backup.index;
+        contents.present = backup.present;
+        contents.leases = backup.leases;
         contents.changes.clear();
-        contents.forgotten = 0;
-        contents.cuts += 1;
+        contents.compacted_index = 0;
+        contents.closes += 1;
     }
 
     /// Sets whether the store answers nobody.
-    pub(crate) fn set_away(&self, is_away: bool) {
-        self.contents.lock().unwrap().is_away = is_away;
+    pub(crate) fn set_unavailable(&self, is_unavailable: bool) {
+        self.contents.lock().unwrap().is_unavailable = is_unavailable;
     }
 
     /// Sets whether the store turns this client away.
-    pub(crate) fn set_turned_away(&self, is_turned_away: bool) {
-        *self.is_turned_away.lock().unwrap() = is_turned_away;
+    pub(crate) fn set_rejected(&self, is_rejected: bool) {
+        *self.is_rejected.lock().unwrap() = is_rejected;
     }
 
     /// Forgets all changes so far.
-    pub(crate) fn forget(&self) {
+    pub(crate) fn compact(&self) {
         let mut contents = self.contents.lock().unwrap();
-        contents.forgotten = contents.index;
+        contents.compacted_index = contents.index;
         contents.changes.clear();
     }
 
     /// Lets readings that may be old show what the store holds now.
-    pub(crate) fn keep_old(&self) {
+    pub(crate) fn snapshot_stale_reads(&self) {
         let mut contents = self.contents.lock().unwrap();
-        contents.old = Some((contents.present.clone(), contents.index));
+        contents.stale = Some((contents.present.clone(), contents.index));
     }
 
     /// Removes a key once the next page has been read.
@@ -161,8 +161,8 @@
     }
 
     /// Cuts all waits for changes, as a store does that drops its history.
-    pub(crate) fn cut_waits(&self) {
-        self.contents.lock().unwrap().cuts += 1;
+    pub(crate) fn close_waits(&self) {
+        self.contents.lock().unwrap().closes += 1;
     }
 
     /// Returns how many waits for changes this client has begun.
@@ -171,7 +171,7 @@
     }
 
     /// Lets the lease lapse under which an instance's record stands.
-    pub(crate) fn lapse(&self, instance: &str) {
+    pub(crate) fn expire_lease(&self, instance: &str) {
         let mut contents = self.contents.lock().unwrap();
         let key = format!("instance/{instance}");
         let holds = |(_, keys): &(&u64, &Vec<String>)| keys.contains(&key);
@@ -214,15 +214,15 @@
         self.contents.lock().unwrap().longest_wait
     }
 
-    fn enter(&self, step: &'static str) -> StoreResult<()> {
+    fn begin_call(&self, step: &'static str) -> StoreResult<()> {
         let mut contents = self.contents.lock().unwrap();
         contents.calls += 1;
-        if contents.is_away || *self.is_turned_away.lock().unwrap() {
+        if contents.is_unavailable || *self.is_rejected.lock().unwrap() {
             return Err(StoreError::Refused {
                 step,
                 peer: "store".to_owned(),
                 status: 503,
-                cause: "away".to_owned(),
+                cause: "unavailable".to_owned(),
             });
         }
         Ok(())
@@ -231,7 +231,7 @@
 
 impl Contents {
     fn page(&self, after: &str, freshness: Freshness) -> Page {
-        let (present, index) = match (freshness, &self.old) {
+        let (present, index) = match (freshness, &self.stale) {
             (Freshness::MayBeStale, Some((present, index))) => (present, *index),
             _ => (&self.present, self.index),
         };
@@ -239,7 +239,7 @@
             .values()
             .filter(|record| record.key.as_str() > after);
         let records = later.by_ref().take(PAGE_KEYS);
-        let records = records.map(|record| self.of_era(record)).collect();
+        let records = records.map(|record| self.with_era(record)).collect();
         Page {
             records,
             index: StoreIndex::new(index).in_era(self.era),
@@ -247,7 +247,7 @@
         }
     }
 
-    fn of_era(&self, record: &Record) -> Record {
+    fn with_era(&self, record: &Record) -> Record {
         Record {
             index: record.index.in_era(self.era),
             ..record.clone()
@@ -304,7 +304,7 @@
     }
 
     async fn read_page(&self, after: &str, freshness: Freshness) -> StoreResult<Page> {
-        self.enter("read")?;
+        self.begin_call("read")?;
         let mut contents = self.contents.lock().unwrap();
         let page = contents.page(after, freshness);
         if let Some(key) = contents.removed_after_page.take() {
@@ -315,17 +315,17 @@
 
     async fn changes(&self, index: StoreIndex, wait: Duration) -> StoreResult<Changes> {
         self.waits.fetch_add(1, Ordering::SeqCst);
-        let cuts = {
+        let closes = {
             let mut contents = self.contents.lock().unwrap();
             contents.longest_wait = contents.longest_wait.max(wait);
-            contents.cuts
+            contents.closes
         };
         let ends_at = Instant::now() + wait;
         loop {
-            self.enter("watch")?;
+            self.begin_call("watch")?;
             {
                 let contents = self.contents.lock().unwrap();
-                if contents.cuts > cuts {
+                if contents.closes > closes {
                     return Err(StoreError::Unknown {
                         step: "watch",
                         peer: "store".to_owned(),
@@ -333,7 +333,7 @@
                     });
                 }
                 let is_of_another = index.era() != contents.era;
-                if is_of_another || index.get() < contents.forgotten {
+                if is_of_another || index.get() < contents.compacted_index {
                     return Ok(Changes::Compacted);
                 }
                 let newer = contents
@@ -351,7 +351,7 @@
     }
 
     async fn open_lease(&self, _: Duration) -> StoreResult<LeaseId> {
-        self.enter("open_lease")?;
+        self.begin_call("open_lease")?;
         let mut contents = self.contents.lock().unwrap();
         contents.index += 1;
         let lease = contents.index;
@@ -360,7 +360,7 @@
     }
 
     async fn write_records(&self, changes: &RecordChanges, lease: LeaseId) -> StoreResult<bool> {
-        self.enter("write_records")?;
+        self.begin_call("write_records")?;
         assert!(changes.written.len() + changes.removed.len() <= RECORDS_MAX);
         let mut contents = self.contents.lock().unwrap();
         if !contents.leases.contains_key(&lease.0) {
@@ -382,12 +382,12 @@
     }
 
     async fn renew(&self, lease: LeaseId) -> StoreResult<bool> {
-        self.enter("renew_lease")?;
+        self.begin_call("renew_lease")?;
         Ok(self.contents.lock().unwrap().leases.contains_key(&lease.0))
     }
 
     async fn end_lease(&self, lease: LeaseId) -> StoreResult<()> {
-        self.enter("end_lease")?;
+        self.begin_call("end_lease")?;
         let mut contents = self.contents.lock().unwrap();
         for key in contents.leases.remove(&lease.0).unwrap_or_default() {
             contents.write(&key, None);
@@ -396,7 +396,7 @@
     }
 
     async fn write_quarantine(&self, entry: &StoredEntry) -> StoreResult<bool> {
-        self.enter("write_quarantine")?;
+        self.begin_call("write_quarantine")?;
         let mut contents = self.contents.lock().unwrap();
         let key = format!("quarantine/{}", entry.fingerprint);
         let present = contents.present.get(&key);
@@ -409,7 +409,7 @@
     }
 
     async fn remove_quarantine(&self, fingerprint: Fingerprint) -> StoreResult<()> {
-        self.enter("remove_quarantine")?;
+        self.begin_call("remove_quarantine")?;
         let mut contents = self.contents.lock().unwrap();
         contents.write(&format!("quarantine/{fingerprint}"), None);
         Ok(())
--- a/crates/foxtide-gateway/tests/gateway/support/upstream.rs
+++ b/crates/foxtide-gateway/tests/gateway/support/upstream.rs
@@ -31,7 +31,7 @@
 /// What an upstream does with a request.
 #[derive(Clone, Debug)]
 pub(crate) enum Behaviour {
-    /// Responds with this status and body after a while.
+    /// Responds with this status and body after a delay.
     Respond(u16, &'static str, Duration),
     /// Says that it is full and did not run the request.
     Full,
@@ -49,13 +49,13 @@
     Unframed,
     /// Reads the request and never responds.
     Silent,
-    /// Reads the request, ends after a time and takes no connection any more.
+    /// Reads the request, ends after a delay and takes no connection any more.
     End(Duration),
 }
 
 impl Behaviour {
     /// Responds well at once.
-    pub(crate) const WELL: Self = Self::Respond(200, "fine", Duration::ZERO);
+    pub(crate) const SUCCESS: Self = Self::Respond(200, "fine", Duration::ZERO);
 }
 
 /// What an upstream saw.
@@ -78,11 +78,11 @@
 #[derive(Debug, Default)]
 struct Shared {
     script: Mutex<VecDeque<Behaviour>>,
-    otherwise: Mutex<Option<Behaviour>>,
+    default_behaviour: Mutex<Option<Behaviour>>,
     seen: Mutex<Vec<Seen>>,
     connections: Mutex<usize>,
     ended: Event,
-    gone: Mutex<usize>,
+    cancelled: Mutex<usize>,
 }
 
 /// A running upstream; it ends when it is dropped.
@@ -141,7 +141,7 @@
 
     /// Sets what it does with requests that nothing else is set for.
     pub(crate) fn always(&self, behaviour: Behaviour) {
-        *self.shared.otherwise.lock().unwrap() = Some(behaviour);
+        *self.shared.default_behaviour.lock().unwrap() = Some(behaviour);
     }
 
     /// Returns what it saw.
@@ -155,8 +155,8 @@
     }
 
     /// Returns how many requests were broken off before their response.
-    pub(crate) fn gone(&self) -> usize {
-        *self.shared.gone.lock().unwrap()
+    pub(crate) fn cancelled(&self) -> usize {
+        *self.shared.cancelled.lock().unwrap()
     }
 
     /// Returns the availability zone in which it stands.
@@ -206,8 +206,10 @@
             key: line("key"),
         });
         let behaviour = shared.script.lock().unwrap().pop_front();
-        let otherwise = shared.otherwise.lock().unwrap().clone();
-        let behaviour = behaviour.or(otherwise).unwrap_or(Behaviour::WELL);
+        let default_behaviour = shared.default_behaviour.lock().unwrap().clone();
+        let behaviour = behaviour
+            .or(default_behaviour)
+            .unwrap_or(Behaviour::SUCCESS);
         if !respond(&shared, &mut stream, &request, behaviour).await {
             return;
         }
@@ -223,17 +225,17 @@
 ) -> bool {
     let signed = format!("request: {request}\r\nsignature: s-{request}\r\n");
     let text = match behaviour {
-        Behaviour::Respond(status, body, after) => {
-            let gone = async {
+        Behaviour::Respond(status, body, delay) => {
+            let cancelled = async {
                 stream.closed_by_peer().await;
                 true
             };
             let ready = async {
-                Timer::after(after).await;
+                Timer::after(delay).await;
                 false
             };
-            if smol::future::or(ready, gone).await {
-                *shared.gone.lock().unwrap() += 1;
+            if smol::future::or(ready, cancelled).await {
+                *shared.cancelled.lock().unwrap() += 1;
                 return false;
             }
             let length = body.len();
@@ -248,8 +250,8 @@
             "HTTP/1.1 421 x\r\nrequest: {request}\r\nother-incarnation: 1\r\ncontent-length: 0\r\n\r\n"
         ),
         Behaviour::Break => return false,
-        Behaviour::End(after) => {
-            Timer::after(after).await;
+        Behaviour::End(delay) => {
+            Timer::after(delay).await;
             shared.ended.notify(usize::MAX);
             return pending().await;
         }
@@ -272,7 +274,7 @@
         }
         Behaviour::Silent => {
             stream.closed_by_peer().await;
-            *shared.gone.lock().unwrap() += 1;
+            *shared.cancelled.lock().unwrap() += 1;
             return false;
         }
     };
