--- a/crates/foxtide-gateway/src/follow/apply.rs
+++ b/crates/foxtide-gateway/src/follow/apply.rs
@@ -1,4 +1,4 @@
-//! What was read of the store, taken into the state.
+//! Applies what was read from the store to the state.
 
 use super::Follower;
 use super::start::Snapshot;
@@ -26,7 +26,7 @@
         self.shared.log_changed.notify(usize::MAX);
     }
 
-    /// Takes in all that the store holds.
+    /// Replaces the state with the contents of the store.
     pub(super) fn replace(&mut self, records: Vec<Record>, index: StoreIndex) {
         log_event!(EventCode::StoreRead, index:% = index, records = records.len());
         let parsed = self.parse(&records);
@@ -41,7 +41,7 @@
         self.last_index = Some(index);
     }
 
-    /// Notes where the store has come back from an older copy since it was last read.
+    /// Records a restore of the store from a backup since the last read.
     fn record_era(&self, state: &mut State, index: StoreIndex) {
         if self.is_restored(index) {
             state.store_restored(index);
@@ -53,8 +53,8 @@
         known.is_some_and(|known| known.era() < index.era())
     }
 
-    /// Takes in the quarantined requests of a whole parsed; before all else, since the
-    /// instance takes requests as soon as it knows the configuration.
+    /// Replaces the quarantined requests. Runs first, since the instance accepts requests
+    /// as soon as it knows the configuration.
     fn replace_quarantine(&self, parsed: &ParsedRecords, index: StoreIndex) {
         let now = self.shared.clock.now();
         let is_restored = self.is_restored(index);
@@ -63,7 +63,7 @@
         poison::resend_reports(&self.shared, &new);
     }
 
-    /// Takes in the quarantined requests that a peer knows and the store may lack.
+    /// Merges the quarantined requests of a peer, which the store may lack.
     pub(super) fn merge_peer_quarantine(&self, changes: &RelayedChanges) {
         let now = self.shared.clock.now();
         for &(fingerprint, entry) in &changes.quarantine {
@@ -72,7 +72,7 @@
         }
     }
 
-    /// Takes in a parsed that was old, together with what has changed since.
+    /// Applies a stale snapshot together with the changes since.
     pub(super) fn start_from_snapshot(
         &mut self,
         old: &Snapshot,
@@ -88,7 +88,7 @@
         self.replace_quarantine(&parsed, index);
         let mut state = self.shared.state.lock();
         state.store_answered();
-        // Others that read the same old pages are told the changes alone.
+        // Instances that read the same stale pages get only the changes.
         *state.log_mut() = log;
         parsed.record_configuration(&mut state);
         state.replace(parsed.facts);
@@ -96,8 +96,7 @@
         self.last_index = Some(index);
     }
 
-    /// Starts from what a peer last knew of a store that is away: it serves callers
-    /// as the peer does, and follows the store from there once it is back.
+    /// Starts from the last known state of a peer while the store is unavailable.
     pub(super) fn adopt_peer_state(&mut self, changes: RelayedChanges) {
         log_event!(EventCode::StoreAdopted, index:% = changes.index, records = changes.records.len());
         let parsed = self.parse(&changes.records);
@@ -113,7 +112,7 @@
         self.shared.log_changed.notify(usize::MAX);
     }
 
-    /// Takes in what has changed.
+    /// Applies changes.
     pub(super) fn apply(&mut self, records: &[Record], index: StoreIndex) {
         let parsed = self.parse(records);
         let now = self.shared.clock.now();
@@ -129,7 +128,7 @@
         self.last_index = Some(index);
     }
 
-    /// Takes in a configuration that another instance has in force and the store has lost.
+    /// Applies a configuration that another instance uses and the store has lost.
     pub(super) fn apply_newer_configuration(&mut self, record: Record) {
         let Some(Fact::Configuration(document)) = self.store.fact(&record) else {
             return;
@@ -144,7 +143,7 @@
         self.shared.log_changed.notify(usize::MAX);
     }
 
-    /// Takes in what another instance has offered of this kind.
+    /// Applies the newer configuration that another instance has offered, if any.
     pub(super) fn apply_offered_configuration(&mut self) {
         let offered = self.shared.offered_configuration.lock().take();
         if let Some(record) = offered {
@@ -171,16 +170,16 @@
     }
 }
 
-/// What records mean.
+/// Facts parsed from records.
 #[derive(Debug, Default)]
 struct ParsedRecords {
     facts: Vec<Fact>,
-    /// The record of the configuration among them, with its version.
+    /// The version and the record of the configuration, if the records contain one.
     configuration: Option<(u64, Record)>,
 }
 
 impl ParsedRecords {
-    /// Notes what the store holds as the configuration.
+    /// Records the configuration that the store holds.
     fn record_configuration(&self, state: &mut State) {
         if let Some((version, record)) = &self.configuration {
             state.record_configuration(*version, record.clone(), true);
--- a/crates/foxtide-gateway/src/follow/mod.rs
+++ b/crates/foxtide-gateway/src/follow/mod.rs
@@ -1,4 +1,5 @@
-//! Follows the store: configuration, upstreams and instances.
+//! Keeps the state of the instance in sync with the store: configuration, upstreams and
+//! instances.
 
 mod apply;
 mod peers;
@@ -34,38 +35,29 @@
     Instant, //
 };
 
-/// The least time between two calls that follow changes: what happens between
-/// them comes with the next one, so that a busy store costs one call a period.
+/// The minimum time between two calls for changes; a busy store costs one call a period.
 const FOLLOW_PERIOD: Duration = Duration::from_millis(800);
 
-/// The same for one that follows the store for others in a large fleet: its calls are most
-/// of what the fleet makes at rest. Against 0.8 s this saves a quarter of them, 270 in 45 s
-/// of 295 instances, and a change is in force everywhere within 1.5 s of the 3 s that
-/// deployments of that size allow.
+/// The same for a watcher, whose calls are most of those of an idle fleet.
 const WATCHER_PERIOD: Duration = Duration::from_millis(1_200);
 
-/// How long the store waits for a change. A wait that begins while the store
-/// forgets its history may hear nothing of what was forgotten; it has to end
-/// within the time in which a change must be in force.
+/// How long the store waits for a change. A wait that begins during a compaction may miss
+/// changes, so it ends within the time in which a change must be in force.
 const FOLLOW_WAIT: Duration = Duration::from_millis(2_000);
 
-/// How long it waits for a change while its last call failed: its answer tells
-/// that it is back.
+/// How long the store waits for a change after a failed call: an early answer shows that
+/// the store is available again.
 const RECOVERY_WAIT: Duration = Duration::from_millis(20);
 
-/// By how much a wait may end late and still count as cut, not as unanswered: a call
-/// gives up a second after its wait.
+/// How late a wait may end and still count as closed by the store rather than timed out.
 const WAIT_END_MARGIN: Duration = Duration::from_millis(500);
 
-/// The first pause after a failed call, and the longest; each is jittered by a
-/// half. What has changed must be known 4 s after the store's return, 2.1 s of
-/// which are for registrations to return, and a call takes up to 1 s.
+/// The first and the longest pause after a failed call; each is jittered by half.
 const RETRY_PAUSE_FIRST: Duration = Duration::from_millis(150);
 const RETRY_PAUSE_MAX: Duration = Duration::from_millis(400);
 
-/// How often the first parsed fails before a peer is asked for everything, which
-/// may be a megabyte. When a whole fleet starts, the store refuses what is above its
-/// rate for a moment.
+/// How often the initial read fails before a peer is asked for a full copy: while a whole
+/// fleet starts, the store briefly rejects calls above its rate limit.
 const START_FAILURES_BEFORE_PEERS: u32 = 4;
 
 /// Follows the store for as long as the instance runs.
@@ -90,7 +82,7 @@
             Ok(()) => {
                 follower.handle_success();
                 follower.shared.stall.synced(began_at);
-                // One that has begun asks at once that its record be kept.
+                // A follower asks a watcher to register it right after the initial read.
                 if follower.index.is_some() && !(is_first && follower.is_follower()) {
                     Timer::at(started + follower.period()).await;
                 }
@@ -108,13 +100,13 @@
     shared: Arc<Shared<D>>,
     store: S,
     relay: RelayClient,
-    /// Where to go on from; nothing where all has to be read.
+    /// The index to continue from; `None` if everything has to be read.
     index: Option<StoreIndex>,
-    /// Where it was last known; also while all has to be read.
+    /// The last known index, also while everything has to be read.
     last_index: Option<StoreIndex>,
-    /// The version that the peer had in force that result last.
+    /// The configuration version of the peer that answered last.
     peer_version: u64,
-    /// A configuration that a peer has told at the start, where the store has lost it.
+    /// A configuration that a peer sent at startup and that the store has lost.
     newer_configuration: Option<Record>,
     failures: u32,
     backoff: FollowerBackoff,
@@ -141,7 +133,7 @@
         self.ask_store().await
     }
 
-    /// Asks the store itself, where that is due.
+    /// Calls the store unless the backoff forbids it.
     async fn ask_store(&mut self) -> Result<(), StoreError> {
         let now = self.shared.clock.now();
         let asks_others = self.index.is_some() && self.is_follower();
@@ -149,7 +141,7 @@
             return Err(StoreError::NotSent {
                 step: "watch",
                 peer: "store".to_owned(),
-                cause: "it did not answer a moment ago".to_owned(),
+                cause: "waiting after a failed call".to_owned(),
             });
         }
         let read = match self.index {
@@ -193,10 +185,10 @@
         Ok(())
     }
 
-    /// Waits for changes; where the store cuts the wait, asks again at once.
+    /// Waits for changes; retries at once if the store closes the wait.
     ///
-    /// A store that drops its history cuts all waits at the same moment. Were that told
-    /// as its failure, a watcher's followers would all ask the store themselves.
+    /// A store closes all waits when it compacts its history. If a watcher reported that as a
+    /// failure, all its followers would call the store themselves.
     async fn wait_for_changes(&self, index: StoreIndex, wait: Duration) -> StoreResult<Changes> {
         let began_at = Instant::now();
         let waited = self.store.changes(index, wait).await;
@@ -215,7 +207,7 @@
         self.failures = 0;
     }
 
-    /// Notes a failed call and asks a peer instead.
+    /// Records a failed call and asks a peer instead.
     async fn handle_failure(&mut self, error: &StoreError) {
         if self.failures == 0 {
             log_event!(EventCode::StoreUnreachable, cause:% = error);
@@ -227,7 +219,7 @@
         }
         let peers = self.peers();
         if let Err(error) = self.ask_peers(&peers).await {
-            log::debug!("no peer tells what the store says: {error}");
+            log::debug!("no peer returned the changes of the store: {error}");
             self.shared.state.lock().store_failed();
         }
     }
@@ -242,8 +234,8 @@
 
     fn pause(&self) -> Duration {
         if self.index.is_some() && self.is_follower() {
-            // Watchers notice the store's return; to ask them more often would take a
-            // fifth of the smallest instances' processor.
+            // Watchers detect that the store is back; polling them faster is costly for
+            // small instances.
             return FOLLOW_PERIOD.mul_f64(0.75 + 0.5 * fastrand::f64());
         }
         let doublings = self.failures.clamp(1, 6) - 1;
--- a/crates/foxtide-gateway/src/follow/peers.rs
+++ b/crates/foxtide-gateway/src/follow/peers.rs
@@ -1,4 +1,4 @@
-//! What is asked of other instances.
+//! Reads changes of the store from other instances.
 
 use super::Follower;
 use crate::dialect::Dialect;
@@ -21,21 +21,18 @@
     Instant, //
 };
 
-/// How long a peer waits for a change. One that is cut off is noticed soon
-/// after this.
+/// How long a peer waits for a change; bounds how late a lost peer is noticed.
 const RELAY_WAIT: Duration = Duration::from_millis(1_000);
 
-/// How many watchers are asked before the store itself. One that lost power takes
-/// 1.6 s to be noticed, and a change must be in force in 2.5 s.
+/// How many watchers are asked before the store itself.
 const WATCHERS_ASKED_MAX: usize = 2;
 
-/// How long a starting instance goes on from peer to peer before it asks the store
-/// again. A peer that lost power takes 0.6 s, one that runs a round trip.
+/// How long a starting instance asks further peers before it calls the store again.
 const ASK_PEERS_TIMEOUT: Duration = Duration::from_millis(800);
 
 impl<D: Dialect, S: FleetStore> Follower<D, S> {
-    /// Returns the watchers to be asked in place of the store, without those that have
-    /// failed of late.
+    /// Returns the addresses of the watchers without those that failed recently, nearest
+    /// first.
     pub(super) fn watchers(&self) -> Vec<SocketAddr> {
         let place = &self.shared.options.place;
         let state = self.shared.state.lock();
@@ -47,19 +44,19 @@
             .collect()
     }
 
-    /// Tells whether others follow the store for this instance.
+    /// Tells whether watchers follow the store for this instance.
     pub(super) fn is_follower(&self) -> bool {
         !self.shared.state.lock().should_keep_own_record()
     }
 
-    /// Returns this instance as one whose record a peer is to keep, where it is.
+    /// Returns the record of this instance if a peer should register it.
     fn announcement(&self) -> Option<Member> {
         let has_failed = self.failures > 0;
         let needs_registrar = self.shared.state.lock().wants_registrar(has_failed);
         (needs_registrar && self.shared.is_ready()).then(|| self.shared.member())
     }
 
-    /// Asks the nearest watcher that has not failed of late, and another one where it fails.
+    /// Asks the nearest watcher that has not failed recently, and another one if it fails.
     pub(super) async fn ask_watchers(&mut self, watchers: &[SocketAddr]) -> Result<(), RelayError> {
         let query = ChangesQuery {
             after: self.index,
@@ -82,10 +79,10 @@
         }
     }
 
-    /// Asks a peer what the store says. While all has to be read, each is asked in
-    /// turn. One that has known nothing yet then asks each for what it last knew:
-    /// instances are replaced also while the store is away. To others that could be
-    /// older than what they know.
+    /// Asks a peer for changes; asks all in turn if everything has to be read.
+    ///
+    /// Without a configuration, a second round accepts stale state, so that instances can
+    /// start while the store is unavailable. Otherwise it could be older than the own state.
     pub(super) async fn ask_peers(&mut self, peers: &[SocketAddr]) -> Result<(), RelayError> {
         let query = ChangesQuery {
             after: self.index,
@@ -118,8 +115,8 @@
         result
     }
 
-    /// Returns the addresses of other instances that may know what the store
-    /// says, those of the region first.
+    /// Returns the addresses of peers that may follow the store, nearest first; the seed
+    /// peers if none is known.
     pub(super) fn peers(&self) -> Vec<SocketAddr> {
         let options = &self.shared.options;
         let place = &options.place;
@@ -166,16 +163,16 @@
         Ok(())
     }
 
-    /// Adds which configuration is in force here, and itself where the peer that result
-    /// last has an older one: it may have read a store that has lost it.
+    /// Adds the version of the configuration in force, and the configuration itself if the
+    /// peer that answered last has an older one and the store has lost it.
     fn with_configuration(&self, query: ChangesQuery) -> ChangesQuery {
         let state = self.shared.state.lock();
         let version = state.version();
         let is_behind = 0 < self.peer_version && self.peer_version < version;
-        let kept = state.unstored_configuration().filter(|_| is_behind);
+        let unstored = state.unstored_configuration().filter(|_| is_behind);
         ChangesQuery {
             version,
-            configuration: kept.cloned(),
+            configuration: unstored.cloned(),
             ..query
         }
     }
--- a/crates/foxtide-gateway/src/follow/start.rs
+++ b/crates/foxtide-gateway/src/follow/start.rs
@@ -1,4 +1,4 @@
-//! The first parsed of an instance that knows nothing, and later whole readings.
+//! Reads the whole store: the initial read of an instance, and later full reads.
 
 use super::Follower;
 use crate::dialect::Dialect;
@@ -27,36 +27,34 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Over what time the instances of a system that starts for the first time spread their
-/// readings: the first of them become known meanwhile, and the others ask these instead
-/// of the store and need no lease of their own. No caller waits for a system that has
-/// never run.
+/// The time over which instances spread their initial reads when the system starts for the
+/// first time, so that the later ones can ask the earlier ones instead of the store.
 const FIRST_START_JITTER: Duration = Duration::from_millis(3_000);
 
-/// The most pages of one parsed: 500 keys each.
+/// The maximum number of pages of one read.
 const PAGES_MAX: usize = 1_000;
 
-/// How long the pages after the first take an instance on a link of 20 Mbit/s.
+/// The expected time to read the pages after the first on a slow link.
 const REMAINING_PAGES_TIME: Duration = Duration::from_millis(300);
 
-/// All that the store holds, and where to go on from.
+/// The contents of the store at an index.
 #[derive(Debug, Default)]
 pub(super) struct Snapshot {
-    /// What it holds.
+    /// The records of all keys.
     pub(super) records: Vec<Record>,
-    /// All changes after this index are still to be followed.
+    /// Changes after this index may be missing.
     pub(super) index: StoreIndex,
 }
 
 impl<D: Dialect, S: FleetStore> Follower<D, S> {
-    /// Waits for a part of the time over which a whole system starts.
+    /// Waits for a random time if the whole system starts for the first time.
     pub(super) async fn delay_first_start(&self) {
         if self.shared.options.is_first_start {
             Timer::after(FIRST_START_JITTER.mul_f64(fastrand::f64())).await;
         }
     }
 
-    /// Reads all that the store holds.
+    /// Reads the whole store.
     pub(super) async fn read_all(&mut self) -> Result<(), StoreError> {
         let has_no_configuration = self.shared.state.lock().routes().is_none();
         if has_no_configuration && self.start_from_stale().await? {
@@ -83,14 +81,14 @@
             self.shared.store_calls.count(purpose, 1);
             let read = self.store.read_page(&after, freshness).await?;
             if page > 0 && snapshot.index.era() != read.index.era() {
-                // Nothing that follows could tell what the first pages have missed.
+                // Changes of one era do not complete the pages of another.
                 return Err(StoreError::Unknown {
                     step: "read",
                     peer: "store".to_owned(),
-                    cause: "it came back from an older copy meanwhile".to_owned(),
+                    cause: "the store was restored from a backup during the read".to_owned(),
                 });
             }
-            // Pages are not of one moment: changes since the oldest are followed.
+            // Pages are read at different indices; changes are read from the oldest one.
             snapshot.index = match page {
                 0 => read.index,
                 _ => snapshot.index.min(read.index),
@@ -110,8 +108,8 @@
         Ok(snapshot)
     }
 
-    /// Waits so that instances that start together do not read at the same time; callers
-    /// that come meanwhile are told when to come back.
+    /// Delays the remaining pages, so that instances that start together do not read at the
+    /// same time, and announces when the instance will be ready.
     async fn delay_reading(&self, first_page: &Snapshot) {
         let facts = self.facts(&first_page.records);
         let is_member = |fact: &&Fact| matches!(fact, Fact::Joined(_));
@@ -124,13 +122,10 @@
         Timer::after(wait).await;
     }
 
-    /// Begins from pages that may be old and from what has changed since; tells whether
-    /// the changes could still be told.
+    /// Starts from stale pages, which are cheaper, and the changes since; returns `false` if
+    /// the changes have been compacted.
     ///
-    /// When a whole fleet starts, each instance reads some thousand registrations, which
-    /// are four pages or more: at a tenth of the price these are 0.02 of the worth of a
-    /// day with two starts of 295 instances. Only one that knows nothing may start_from_snapshot so: to
-    /// all others, old pages would bring back what has been in force before.
+    /// Only valid without prior state: stale pages would bring back outdated facts.
     async fn start_from_stale(&mut self) -> Result<bool, StoreError> {
         let old = self
             .read_pages(Freshness::MayBeStale, CallPurpose::StartStale)
@@ -145,7 +140,7 @@
         Ok(true)
     }
 
-    /// Returns what has changed since a parsed: a watcher tells it, or the store itself.
+    /// Returns the changes since a snapshot, from a watcher or from the store.
     async fn changes_since(
         &mut self,
         old: &Snapshot,
@@ -164,8 +159,8 @@
         }
     }
 
-    /// Asks one of the watchers that a parsed names for what has changed since. After
-    /// all instances have lost power it knows nothing itself, so that no other is asked.
+    /// Asks one of the watchers in a snapshot for the changes since. Only one is asked: after
+    /// a power loss of the whole fleet, none of them has any state.
     async fn ask_listed_watcher(&mut self, old: &Snapshot) -> Result<RelayedChanges, RelayError> {
         let watchers = self.listed_watchers(old);
         if watchers.is_empty() {
@@ -180,7 +175,7 @@
         self.relay.ask(&watchers, &query).await
     }
 
-    /// Returns the version of the configuration that a parsed has brought; 0 for none.
+    /// Returns the version of the configuration in a snapshot; 0 for none.
     fn configuration_version(&self, old: &Snapshot) -> u64 {
         let facts = self.facts(&old.records);
         let versions = facts.iter().filter_map(|fact| match fact {
@@ -190,9 +185,8 @@
         versions.max().unwrap_or_default()
     }
 
-    /// Returns whom to ask for what has changed since a parsed. Where all instances follow
-    /// the store themselves none is asked, unless the store has come back from a copy: only
-    /// they know then what it has lost.
+    /// Returns the addresses to ask for the changes since a snapshot: the watchers or, after
+    /// a restore from a backup, all instances, since only they know what the store has lost.
     fn listed_watchers(&self, old: &Snapshot) -> Vec<SocketAddr> {
         let place = &self.shared.options.place;
         let mut members = Members::default();
--- a/crates/foxtide-gateway/src/membership.rs
+++ b/crates/foxtide-gateway/src/membership.rs
@@ -1,8 +1,7 @@
-//! Announces the instance in the store for as long as it takes requests.
+//! Maintains the record of the instance in the store while it accepts requests.
 //!
-//! Where a few instances follow the store for the others, these also keep the others'
-//! records; the questions that are asked of them ask for that as well. All other
-//! instances keep their own, each under a lease.
+//! If watchers follow the store for the other instances, they also write the records of
+//! these, as their registrars. Any other instance writes its own record under a lease.
 
 use crate::dialect::Dialect;
 use crate::relay::{
@@ -29,46 +28,38 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// How long the lease lives without a renewal: callers are directed to an instance that
-/// lost power for no longer. The neighbours of one that keeps their records have noticed
-/// its death after 2.6 s and are with another by then, so that their records do not
-/// lapse with its lease.
+/// The time to live of the lease, which bounds how long callers are directed to a dead
+/// instance. Long enough for its neighbours to find another registrar.
 const LEASE_TTL: Duration = Duration::from_millis(3_000);
 
-/// How often the lease is renewed: three renewals may be lost. A renewal also tells
-/// whether the store can be reached, and those who follow the store for others are to
-/// learn that within a second.
+/// How often the lease is renewed; three renewals may be lost. A watcher also learns from
+/// a renewal whether the store is reachable.
 const RENEW_PERIOD: Duration = Duration::from_millis(700);
 
-/// How often it is looked what is due.
 const CHECK_PERIOD: Duration = Duration::from_millis(150);
 
-/// How often records are written at most, and a lease is opened: the first change is
-/// written at once, and those that come after it while a fleet starts go into one write. A
-/// caller is directed to a new instance that much later.
+/// The minimum time between two writes of records; batches changes while a fleet starts.
 const WRITE_PERIOD: Duration = Duration::from_millis(500);
 
-/// How long after a write the store's word on the own record is waited for before the
-/// record is written again: changes come within two periods of following.
+/// How long a written record may be missing from the followed changes before it is written
+/// again.
 const CONFIRMATION_TIME: Duration = Duration::from_millis(2_000);
 
-/// How long an instance is without a record before it keeps its own although others
-/// should do so. A watcher that has just died takes 1.6 s to be noticed.
+/// How long an instance goes without a registrar before it writes its own record.
 const UNREGISTERED_MAX: Duration = Duration::from_millis(3_000);
 
-/// The first pause after a lease could not be opened or records not written, and the
-/// longest: a store that turns instances away for a while prices their calls as well.
+/// The first and the longest pause after a failed call; rejected calls are priced too.
 const RETRY_PAUSE_FIRST: Duration = Duration::from_millis(700);
 const RETRY_PAUSE_MAX: Duration = Duration::from_millis(3_000);
 
-/// How long the end of the own record may take at a stop.
+/// How long the removal of the own record may take during a stop.
 const LEAVE_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// How long the records of neighbours are kept at a stop: each asks another instance
-/// within a second.
+/// How long the lease of neighbours' records is renewed during a stop; each finds another
+/// registrar within a second.
 const HAND_OVER_TIMEOUT: Duration = Duration::from_millis(1_800);
 
-/// Announces the instance until it is stopped, then withdraws it.
+/// Maintains the record of the instance until it is stopped, then removes it.
 pub(crate) async fn maintain_membership<D: Dialect, S: FleetStore>(
     shared: Arc<Shared<D>>,
     store: S,
@@ -87,11 +78,11 @@
     membership.withdraw().await;
 }
 
-/// When a call may be made again.
+/// When the next call is due, with exponential backoff after failures.
 #[derive(Clone, Copy, Debug)]
 struct CallSchedule {
     due_at: MonotonicTime,
-    /// How often in turn it has failed.
+    /// Consecutive failures.
     failures: u32,
 }
 
@@ -107,7 +98,7 @@
         now >= self.due_at
     }
 
-    /// Notes how a call ended.
+    /// Records how a call ended.
     fn record_result(&mut self, is_answered: bool, now: MonotonicTime) {
         let pause = if is_answered {
             self.failures = 0;
@@ -127,10 +118,10 @@
 struct Lease {
     id: LeaseId,
     renew_at: MonotonicTime,
-    /// When the own record was written under it, if it was.
+    /// When the own record was written under the lease.
     announced_at: Option<MonotonicTime>,
-    /// How often the store had come back from an older copy when it was opened. After that
-    /// it may be gone, or its number another's.
+    /// The restorations of the store when the lease was opened; after another one the lease
+    /// may be missing or its id reused.
     restorations: u64,
 }
 
@@ -138,11 +129,9 @@
     shared: Arc<Shared<D>>,
     store: S,
     lease: Option<Lease>,
-    /// When a lease may be opened.
     open: CallSchedule,
-    /// When records may be written.
     write: CallSchedule,
-    /// Since when nobody keeps the own record.
+    /// Since when the own record has no registrar.
     unregistered_since: Option<MonotonicTime>,
 }
 
@@ -169,8 +158,8 @@
         self.write_records(writes_own).await
     }
 
-    /// Tells whether the own record is this instance's to keep: nobody else should, or
-    /// nobody else has for a while.
+    /// Tells whether this instance writes its own record: no watcher is responsible for it,
+    /// or none has written it for a while.
     fn should_write_own_record(&mut self) -> bool {
         let state = self.shared.state.lock();
         let should_keep = state.should_keep_own_record();
@@ -234,15 +223,14 @@
         self.shared.state.lock().registrar_mut().handle_lease_loss();
     }
 
-    /// Lets a lease lapse under which nothing stands any more; to end it would cost a
-    /// call.
+    /// Lets a lease without records lapse; ending it would cost a call.
     fn drop_unused_lease(&mut self) {
         if self.shared.state.lock().registrar_mut().is_empty() {
             self.lease = None;
         }
     }
 
-    /// Writes the own record, where `writes_own`, and what has changed of neighbours'.
+    /// Writes changed records of neighbours and, if `writes_own`, the own record.
     async fn write_records(&mut self, writes_own: bool) -> Result<(), StoreError> {
         let now = self.shared.clock.now();
         let mut changes = {
@@ -279,7 +267,7 @@
         Ok(())
     }
 
-    /// Tells whether the own record was not written yet, or the store holds another one.
+    /// Tells whether the own record has not been written, or the store holds another one.
     fn is_own_record_due(&self, lease: &Lease) -> bool {
         let Some(announced_at) = lease.announced_at else {
             return true;
@@ -294,7 +282,7 @@
             Timer::after(LEAVE_TIMEOUT).await;
             log_event!(
                 EventCode::LeaseCallFailed,
-                cause = "no answer in time, the record lapses"
+                cause = "timeout while removing the record; it lapses"
             );
         };
         let lease = self.lease.take();
@@ -307,8 +295,7 @@
         }
     }
 
-    /// Removes the own record, whoever keeps it: that another has taken it over is known
-    /// a while later.
+    /// Removes the own record, also via the registrar, which may have taken it over.
     async fn leave(&self, lease: Option<Lease>) {
         self.notify_registrar().await;
         let Some(lease) = lease else {
@@ -331,7 +318,7 @@
         }
     }
 
-    /// Asks the instance that keeps the own record to remove it.
+    /// Asks the registrar to remove the own record.
     async fn notify_registrar(&self) {
         let (registrar, after) = {
             let state = self.shared.state.lock();
@@ -359,8 +346,8 @@
         }
     }
 
-    /// Keeps the lease until the neighbours whose records stand under it have found
-    /// another registrar.
+    /// Renews the lease until the neighbours with records under it have found another
+    /// registrar.
     async fn hand_over(&mut self, lease: Lease) {
         self.lease = Some(lease);
         while self.lease.is_some() && !self.shared.state.lock().registrar_mut().is_empty() {
@@ -372,7 +359,7 @@
     }
 }
 
-/// Returns the time to the next renewal; instances that start together spread.
+/// Returns the jittered time to the next renewal.
 fn renew_pause() -> Duration {
     RENEW_PERIOD.mul_f64(0.9 + 0.2 * fastrand::f64())
 }
