--- a/crates/foxtide-gateway/src/poison/mod.rs
+++ b/crates/foxtide-gateway/src/poison/mod.rs
@@ -1,7 +1,7 @@
-//! Finds the requests that end their upstreams, with the other instances, and keeps them
-//! from further upstreams.
+//! Detects requests that crash upstreams, together with the other instances, and
+//! quarantines them.
 //!
-//! Locks: of those of [`Poison`] none is receiver while another or the state is held.
+//! Locks: no lock of [`Poison`] is taken while another one or the state is locked.
 
 mod reports;
 mod store_writer;
@@ -38,49 +38,44 @@
 use std::time::Duration;
 use store_writer::StoreWriter;
 
-/// For how long an instance reports that a request was served under which it has seen an
-/// upstream end.
+/// How long after an end report the instance also reports that the request was served.
 const REPORTED_TTL: Duration = Duration::from_secs(60);
 
-/// The most requests that it remembers for that.
+/// The maximum number of requests remembered as reported.
 const REPORTED_MAX: usize = 1_024;
 
-/// The most ends that an instance reports in a second: a request that ends its upstreams
-/// needs three, and all those that are under way when a zone is lost need none.
+/// The maximum rate of end reports; bounds the datagrams sent when a zone fails.
 const REPORTS_PER_S: u32 = 20;
 
-/// When a caller is to come back whose request waits for another instance's trial.
+/// The retry delay while another instance runs the trial of a request.
 const RETRY_AFTER_TRIAL: Duration = Duration::from_secs(1);
 
-/// How long a request waits for the store's word on its trial. The trial is used up where the
-/// word comes later.
+/// How long a request waits for the claim of its trial; a later answer uses up the trial.
 const CLAIM_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// What an instance knows of requests that end their upstreams.
+/// The suspects and the quarantine of an instance.
 #[derive(Debug, Default)]
 pub(crate) struct Poison {
     suspects: Mutex<Suspects>,
     quarantine: Mutex<Quarantine>,
-    /// The requests under which this instance has reported an end, and until when it reports
-    /// that they are served.
+    /// Requests for which this instance has reported an end, with the expiry of the entry.
     reported: Mutex<HashMap<Fingerprint, MonotonicTime>>,
-    /// The second of the last report, and how many were made in it.
+    /// The second of the last report and the number of reports in it.
     report_rate: Mutex<(u64, u32)>,
     store_writer: StoreWriter,
 }
 
-/// How a request may be sent that is not refused.
+/// How an admitted request may be sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum SendPermit {
-    /// As any other.
+    /// Like any other request.
     Unrestricted,
     /// Once, as the trial of a quarantined request.
     Trial,
 }
 
 impl Poison {
-    /// Returns when the caller of a quarantined request may come back; nothing for any other
-    /// request.
+    /// Returns the retry delay of a quarantined request; `None` for any other request.
     pub(crate) fn retry_delay(
         &self,
         fingerprint: Fingerprint,
@@ -93,13 +88,12 @@
         }
     }
 
-    /// Returns the entries that the store is not known to hold, for peers that ask what it
-    /// holds.
+    /// Returns the entries that the store may lack, which are sent to peers.
     pub(crate) fn unstored(&self) -> Vec<(Fingerprint, QuarantineEntry)> {
         self.quarantine.lock().unstored()
     }
 
-    /// Takes in an entry that a peer knows.
+    /// Merges an entry of a peer.
     pub(crate) fn merge_from_peer(
         &self,
         fingerprint: Fingerprint,
@@ -116,8 +110,7 @@
         }
     }
 
-    /// Takes in what has changed in the store; returns the requests that are newly
-    /// quarantined.
+    /// Applies changes of the store; returns the newly quarantined requests.
     pub(crate) fn apply(&self, facts: &[Fact], now: MonotonicTime) -> Vec<Fingerprint> {
         let mut new = Vec::new();
         for fact in facts {
@@ -140,8 +133,8 @@
         new
     }
 
-    /// Takes in all that the store holds; `is_restored` where it has come back from an older
-    /// copy since it was last read. Returns the requests that are newly quarantined.
+    /// Syncs with the contents of the store; `is_restored` if it was restored from a backup
+    /// since the last read. Returns the newly quarantined requests.
     pub(crate) fn replace(
         &self,
         facts: &[Fact],
@@ -162,7 +155,7 @@
         new
     }
 
-    /// Forgets what is past.
+    /// Drops expired entries.
     pub(crate) fn prune(&self, now: MonotonicTime) {
         self.suspects.lock().prune(now);
         self.reported.lock().retain(|_, &mut until| now < until);
@@ -176,7 +169,7 @@
         }
     }
 
-    /// Tells whether an end may be reported now.
+    /// Counts an end report; tells whether the rate limit admits it.
     fn may_report(&self, now: MonotonicTime) -> bool {
         let second = now.as_ms() / 1_000;
         let mut report_rate = self.report_rate.lock();
@@ -199,11 +192,11 @@
     }
 }
 
-/// Decides how a request may be sent; claims the trial of a quarantined one where it is due.
+/// Decides how a request may be sent; claims the trial of a quarantined one if it is due.
 ///
 /// # Errors
 ///
-/// Fails with the time after which its caller may come back.
+/// Fails with the retry delay if the request is refused.
 pub(crate) async fn admit<D: Dialect>(
     shared: &Shared<D>,
     fingerprint: Fingerprint,
--- a/crates/foxtide-gateway/src/poison/reports.rs
+++ b/crates/foxtide-gateway/src/poison/reports.rs
@@ -1,4 +1,4 @@
-//! What instances tell each other of upstreams that end.
+//! Exchanges reports of ended upstreams with the other instances.
 
 use super::Poison;
 use crate::datagram::{
@@ -21,12 +21,12 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// After what pauses a datagram is sent again. Three in ten may be lost on a bad link; the
-/// first pause is shorter than the repeat of a request waits.
+/// The delays of the copies of a datagram, which compensate for loss. The first one is
+/// shorter than the delay of a retry.
 const RESEND_DELAYS: [Duration; 2] = [Duration::from_millis(60), Duration::from_millis(90)];
 
-/// Takes in that an upstream has ended while it worked on a request, beside which this
-/// instance had others there: `under_way`, that one among them.
+/// Reports that an upstream ended while it served a request; `under_way` requests of this
+/// instance were in flight there.
 pub(crate) fn report_upstream_end<D: Dialect>(
     shared: &Arc<Shared<D>>,
     fingerprint: Fingerprint,
@@ -40,8 +40,7 @@
         upstream: registration.upstream.clone(),
         born_at: registration.born_at,
     };
-    // One under which this instance has seen an end before is likelier the cause than any
-    // other, and few are.
+    // Not rate-limited if reported before: such a request is a likely cause.
     let is_reported = poison.was_reported(fingerprint) || poison.may_report(now);
     state_changes::upstream_ended(&report, under_way, is_reported);
     if !is_reported {
@@ -51,12 +50,12 @@
     let number = shared.admission.next_datagram_number();
     let datagram = Datagram::end_report(number, &report);
     send_to_aggregators(shared, fingerprint, &datagram);
-    // An instance knows its own ends whatever becomes of the aggregators.
+    // Aggregated locally too, in case the aggregators are unreachable.
     aggregate(shared, &report);
 }
 
-/// Reports the ends that this instance knows under requests which others have quarantined: it
-/// may have been cut off, and trials depend on how many there are.
+/// Resends the end reports for newly quarantined requests. This instance may have been
+/// disconnected, and the trials depend on the number of ends.
 pub(crate) fn resend_reports<D: Dialect>(shared: &Arc<Shared<D>>, quarantined: &[Fingerprint]) {
     for &fingerprint in quarantined {
         let reports = shared.poison.suspects.lock().reports(fingerprint);
@@ -68,8 +67,7 @@
     }
 }
 
-/// Takes in that a request was served: where this instance has reported an end under it, or
-/// it is quarantined, it is not the cause.
+/// Records that a request was served, which clears it if it was reported or quarantined.
 pub(crate) fn record_served<D: Dialect>(shared: &Arc<Shared<D>>, fingerprint: Fingerprint) {
     let poison = &shared.poison;
     let was_reported = poison.reported.lock().remove(&fingerprint).is_some();
@@ -87,7 +85,7 @@
     poison.suspects.lock().clear(fingerprint);
 }
 
-/// Takes in an upstream's end that another instance reports.
+/// Handles an end report of another instance.
 pub(crate) fn receive_end_report<D: Dialect>(
     shared: &Arc<Shared<D>>,
     from: SocketAddr,
@@ -95,17 +93,17 @@
 ) {
     match message.report() {
         Ok(report) => aggregate(shared, &report),
-        Err(error) => log::debug!("what {from} reports of an upstream is wrong: {error}"),
+        Err(error) => log::debug!("invalid end report from {from}: {error}"),
     }
 }
 
-/// Takes in that another instance has had a request served under which it had reported an end.
+/// Handles the notice that a reported request was served.
 pub(crate) fn receive_cleared(poison: &Poison, hash: u64) {
     let fingerprint = Fingerprint::from_hash(hash);
     poison.suspects.lock().clear(fingerprint);
 }
 
-/// Takes in that a request is quarantined.
+/// Handles the notice that a request is quarantined.
 pub(crate) fn receive_quarantine<D: Dialect>(
     shared: &Shared<D>,
     from: SocketAddr,
@@ -116,8 +114,8 @@
     poison.merge_from_peer(message.fingerprint(), message.entry(), &from, now);
 }
 
-/// Counts an end, and tells the region's instances where its request is to be quarantined;
-/// the aggregators of the other regions hear of the same ends.
+/// Counts an end; if its request is to be quarantined, notifies the instances of the region.
+/// The aggregators of the other regions receive the same reports.
 fn aggregate<D: Dialect>(shared: &Arc<Shared<D>>, report: &EndReport) {
     let now = shared.clock.now();
     let verdict = shared.poison.suspects.lock().report(report, now);
@@ -148,7 +146,7 @@
     send_with_resends(shared, neighbours, datagram);
 }
 
-/// Sends a datagram to the aggregators of a request, but for this instance.
+/// Sends a datagram to the aggregators of a request, except this instance.
 fn send_to_aggregators<D: Dialect>(
     shared: &Arc<Shared<D>>,
     fingerprint: Fingerprint,
@@ -165,7 +163,7 @@
     send_with_resends(shared, aggregators, datagram.clone());
 }
 
-/// Sends a datagram several times: some are lost, and taking one in twice changes nothing.
+/// Sends a datagram several times to compensate for loss; receiving it is idempotent.
 fn send_with_resends<D: Dialect>(shared: &Arc<Shared<D>>, to: Vec<SocketAddr>, datagram: Datagram) {
     let sender = Arc::clone(shared);
     let send_all = move || {
--- a/crates/foxtide-gateway/src/poison/store_writer.rs
+++ b/crates/foxtide-gateway/src/poison/store_writer.rs
@@ -1,4 +1,4 @@
-//! Keeps the quarantine in the platform's store, which outlives all instances.
+//! Writes the quarantine to the platform's store, where it survives a restart of all instances.
 
 use crate::dialect::Dialect;
 use crate::shared::Shared;
@@ -27,29 +27,27 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// How often it is looked whether an entry is to be written that another instance has not
-/// written, or that the store has lost.
+/// How often the quarantine is checked for entries that the store lacks.
 const WRITE_CHECK_PERIOD: Duration = Duration::from_millis(500);
 
-/// The pause after a call that failed.
 const RETRY_PAUSE: Duration = Duration::from_millis(700);
 
-/// How often the removal of an entry is tried. Where all fail, the request is tried and
-/// served again after the next pause.
+/// The maximum number of attempts to remove an entry; if all fail, the next trial of the
+/// request removes it.
 const REMOVAL_ATTEMPTS_MAX: u32 = 5;
 
-/// A change of the quarantine that the store has to agree to.
+/// A change of the quarantine in the store.
 #[derive(Debug)]
 enum Command {
-    /// An instance wants to send a quarantined request once.
+    /// Claims the trial of a quarantined request.
     Claim(StoredEntry, Sender<bool>),
-    /// A quarantined request was served.
+    /// Removes a request that was served.
     Remove(Fingerprint),
-    /// This instance has quarantined a request.
+    /// Writes the entries that are due.
     Write,
 }
 
-/// Takes commands from the requests that need the store.
+/// Queues commands for the task that writes to the store.
 #[derive(Debug)]
 pub(super) struct StoreWriter {
     commands: Sender<Command>,
@@ -64,28 +62,28 @@
 }
 
 impl StoreWriter {
-    /// Claims a trial; tells whether this instance has it.
+    /// Claims a trial; returns whether this instance got it.
     pub(super) async fn claim(&self, trial: StoredEntry) -> bool {
         let (answer, answered) = bounded(1);
         let command = Command::Claim(trial, answer);
         self.commands.try_send(command).is_ok() && answered.recv().await.unwrap_or(false)
     }
 
-    /// Has entries written that are due, without waiting for the next look: an instance that
-    /// starts now learns of them from the store alone.
+    /// Requests that due entries are written now rather than at the next check: a starting
+    /// instance knows only what the store holds.
     pub(super) fn write(&self) {
-        // Fails only where the instance has ended.
+        // Fails only after the instance has ended.
         let _ = self.commands.try_send(Command::Write);
     }
 
-    /// Has an entry removed.
+    /// Requests the removal of an entry.
     pub(super) fn remove(&self, fingerprint: Fingerprint) {
-        // Fails only where the instance has ended.
+        // Fails only after the instance has ended.
         let _ = self.commands.try_send(Command::Remove(fingerprint));
     }
 }
 
-/// Writes to the store what it lacks of the quarantine, for as long as the instance runs.
+/// Writes the quarantine to the store for as long as the instance runs.
 pub(crate) async fn sync_quarantine<D: Dialect, S: FleetStore>(shared: Arc<Shared<D>>, store: S) {
     let commands = shared.poison.store_writer.receiver.clone();
     loop {
@@ -96,7 +94,7 @@
         match or(async { commands.recv().await.ok() }, tick).await {
             Some(Command::Claim(trial, answer)) => {
                 let is_claimed = write(&shared, &store, &trial).await;
-                // Fails where the caller has left: the trial is not used then.
+                // Fails if the caller has disconnected; the trial is unused then.
                 let _ = answer.send(matches!(is_claimed, Ok(true))).await;
             }
             Some(Command::Remove(fingerprint)) => remove(&shared, &store, fingerprint).await,
@@ -120,7 +118,7 @@
         Timer::after(RETRY_PAUSE).await;
         return;
     }
-    // Where another has written it, the store's word on that is on its way.
+    // If another instance has written the entry, the follower will receive it.
     let now = shared.clock.now();
     shared
         .poison
