--- a/crates/foxtide-gateway/src/relay/client.rs
+++ b/crates/foxtide-gateway/src/relay/client.rs
@@ -1,4 +1,4 @@
-//! Asks peers for what has changed in the store.
+//! Queries peers for changes of the store.
 
 use super::messages::{
     ChangesRequest,
@@ -36,24 +36,22 @@
     Instant, //
 };
 
-/// How long a peer may take: a connection, a query and an answer between
-/// the regions that are furthest apart are 220 ms.
+/// The timeout of an exchange with a peer, including the connection.
 const EXCHANGE_TIMEOUT: Duration = Duration::from_millis(600);
 
-/// How long others are asked before a peer that did not answer: its lease has lapsed by
-/// then if it is dead. Each query to it in vain takes up to 1.6 s.
+/// How long a peer that did not answer is avoided; the lease of a dead one lapses meanwhile.
 const UNRESPONSIVE_BACKOFF: Duration = Duration::from_secs(5);
 
-/// How long others are asked before a peer that the store does not answer.
+/// How long a peer that does not follow the store is avoided.
 const NOT_CURRENT_BACKOFF: Duration = Duration::from_millis(1_000);
 
-/// Why a peer did not tell what has changed.
+/// An error of a query for changes.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum RelayError {
     /// No peer is known.
     #[error("no peer is known")]
     NoPeer,
-    /// The exchange failed.
+    /// The connection failed.
     #[error("peer {peer}: {source}")]
     Io {
         /// The peer.
@@ -61,7 +59,7 @@
         /// The system's error.
         source: io::Error,
     },
-    /// The answer cannot be read.
+    /// The response is malformed.
     #[error("peer {peer}: {source}")]
     Format {
         /// The peer.
@@ -69,7 +67,7 @@
         /// What is wrong.
         source: prost::DecodeError,
     },
-    /// The records of the answer cannot be unpacked.
+    /// The records of the response cannot be decompressed.
     #[error("peer {peer}: {source}")]
     Packing {
         /// The peer.
@@ -77,83 +75,78 @@
         /// What is wrong.
         source: UnpackError,
     },
-    /// The changes are larger than a peer tells.
-    #[error("peer {peer}: the changes are to be read from the store")]
+    /// The changes are too large for a relay and have to be read from the store.
+    #[error("peer {peer}: the changes are too large and must be read from the store")]
     TooLarge {
         /// The peer.
         peer: SocketAddr,
     },
-    /// The store does not answer the peer either.
-    #[error("peer {peer}: the store does not answer it either")]
+    /// The peer does not follow the store.
+    #[error("peer {peer}: the peer does not follow the store")]
     NotCurrent {
         /// The peer.
         peer: SocketAddr,
     },
 }
 
-/// What is asked of a peer.
+/// A query for changes.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ChangesQuery {
-    /// The index up to which the asker knows the store; nothing where it is to be
-    /// told everything.
+    /// The index up to which the client knows the store; `None` for everything.
     pub(crate) after: Option<StoreIndex>,
     /// How long the peer may wait for a change.
     pub(crate) wait: Duration,
-    /// Whether the asker reads large changes from the store itself.
+    /// Whether the client reads large changes from the store itself.
     pub(crate) fetches_large: bool,
-    /// Whether the asker takes everything from one that the store does not answer.
+    /// Whether the client accepts state from a peer that does not follow the store.
     pub(crate) accepts_stale: bool,
-    /// The asker, where the peer is to keep its record, or to remove it.
+    /// The client, if the peer should write or remove its record.
     pub(crate) announcement: Option<Member>,
-    /// Whether the asker is leaving.
+    /// Whether the record is to be removed.
     pub(crate) is_leaving: bool,
-    /// The version of the configuration that is in force at the asker; 0 for none.
+    /// The version of the client's configuration; 0 for none.
     pub(crate) version: u64,
-    /// The asker's configuration, where the one that the peer told last is older.
+    /// The client's configuration, if the peer last had an older one.
     pub(crate) configuration: Option<Record>,
 }
 
-/// What a peer knows of the store.
+/// Changes relayed by a peer.
 #[derive(Debug)]
 pub(crate) struct RelayedChanges {
-    /// Who told it.
+    /// The peer.
     pub(crate) peer: SocketAddr,
-    /// Whether the store answers the peer, so that this is what it says now.
+    /// Whether the peer follows the store, so that the changes are current.
     pub(crate) is_current: bool,
-    /// Whether the records are all that the store holds.
+    /// Whether the records are the whole contents of the store.
     pub(crate) is_full: bool,
-    /// The records, in the order of their indices.
+    /// The records in index order.
     pub(crate) records: Vec<Record>,
     /// The index at which they are complete.
     pub(crate) index: StoreIndex,
-    /// The version of the configuration that is in force at the peer; 0 for none.
+    /// The version of the peer's configuration; 0 for none.
     pub(crate) version: u64,
-    /// The peer's configuration, where the asker's is older and the records do not bring it.
+    /// The peer's configuration, if the client's is older and the store has lost the new one.
     pub(crate) configuration: Option<Record>,
     /// The quarantined requests that the store may lack.
     pub(crate) quarantine: Vec<(Fingerprint, QuarantineEntry)>,
 }
 
-/// Asks peers, one after the other as they fail.
+/// A client that queries one peer at a time and avoids those that failed.
 #[derive(Default)]
 pub(crate) struct RelayClient {
     /// The peer that answered last, and the connection to it.
     connected: Option<(SocketAddr, Frames)>,
-    /// Peers that failed, and until when others are asked before them.
+    /// Failed peers and until when they are avoided.
     avoided: HashMap<SocketAddr, Instant>,
 }
 
 impl RelayClient {
-    /// Asks one of `peers` for what has changed.
-    ///
-    /// The first that has not failed of late is, and where all have, the one whose failure
-    /// is longest ago. One that answered from further away is left for a nearer one as soon
-    /// as there is one: while a fleet starts, the first watchers stand in other zones, and
-    /// what they tell all day costs bytes between zones.
+    /// Queries one of `peers`, which are in order of distance: the first that has not failed
+    /// recently or, if all have, the one that is avoided for the shortest time.
     ///
     /// # Errors
     ///
-    /// Fails where the peer does not answer or cannot know.
+    /// Fails if the peer does not answer or does not follow the store.
     pub(crate) async fn ask(
         &mut self,
         peers: &[SocketAddr],
@@ -187,7 +180,7 @@
         })
     }
 
-    /// Tells whether a peer has failed of late.
+    /// Tells whether a peer has failed recently.
     pub(crate) fn is_avoided(&self, peer: SocketAddr) -> bool {
         self.avoided
             .get(&peer)
@@ -205,7 +198,7 @@
     }
 
     fn choose(&self, peers: &[SocketAddr]) -> Result<SocketAddr, RelayError> {
-        // `None` is less than any time; of equals the first is taken.
+        // `None` is less than any time; the first of equals is chosen.
         let avoided_until = |peer: &&SocketAddr| {
             let until = self.avoided.get(peer).copied();
             until.filter(|&until| Instant::now() < until)
@@ -215,7 +208,7 @@
     }
 }
 
-/// Asks one peer, on the connection given or on a new one.
+/// Queries one peer over the given connection or a new one.
 async fn exchange(
     peer: SocketAddr,
     frames: Option<Frames>,
@@ -282,16 +275,15 @@
         SocketAddr::from(([127, 0, 0, 1], port))
     }
 
-    /// Peers come in the order of their distance.
     #[test]
-    fn verify_the_nearest_peer_that_has_not_failed_of_late_is_asked() {
+    fn verify_the_nearest_peer_that_has_not_failed_recently_is_asked() {
         let peers = [peer(1), peer(2)];
         let mut client = RelayClient::default();
         assert_eq!(client.choose(&peers[1..]).unwrap(), peer(2));
         assert_eq!(client.choose(&peers).unwrap(), peer(1));
         client.avoid(peer(1), &RelayError::NoPeer);
         assert_eq!(client.choose(&peers).unwrap(), peer(2));
-        // Where all have failed, the one that is avoided for the shortest time is.
+        // All have failed: the one that is avoided for the shortest time is chosen.
         client.avoid(peer(2), &RelayError::NotCurrent { peer: peer(2) });
         assert_eq!(client.choose(&peers).unwrap(), peer(2));
         client.avoided.clear();
--- a/crates/foxtide-gateway/src/relay/messages.rs
+++ b/crates/foxtide-gateway/src/relay/messages.rs
@@ -1,5 +1,4 @@
-//! The messages between instances; the attributes are what a generator would
-//! have written from their schema.
+//! Protobuf messages of the relay between instances.
 
 use crate::datagram::QuarantineMessage;
 use foxtide_core::ids::InstanceId;
@@ -8,43 +7,43 @@
 use foxtide_core::store::StoreIndex;
 use std::net::AddrParseError;
 
-/// Asks for what has changed in the store.
+/// A query for changes of the store.
 #[derive(Clone, PartialEq, prost::Message)]
 pub(super) struct ChangesRequest {
-    /// The index up to which the asker knows the store.
+    /// The index up to which the client knows the store.
     #[prost(uint64, optional, tag = "1")]
     pub(super) after: Option<u64>,
-    /// How long the answer may wait for a change.
+    /// How long the response may wait for a change.
     #[prost(uint32, tag = "2")]
     pub(super) wait_ms: u32,
-    /// Whether the asker reads large changes from the store itself.
+    /// Whether the client reads large changes from the store itself.
     #[prost(bool, tag = "3")]
     pub(super) fetches_large: bool,
-    /// Whether the asker takes everything from one that the store does not answer.
+    /// Whether the client accepts state from a peer that does not follow the store.
     #[prost(bool, tag = "4")]
     pub(super) accepts_stale: bool,
-    /// The asker, where its record is to be kept, or removed.
+    /// The client, if its record is to be written or removed.
     #[prost(message, optional, tag = "5")]
     pub(super) announcement: Option<MemberMessage>,
-    /// Whether the asker is leaving.
+    /// Whether the record is to be removed.
     #[prost(bool, tag = "6")]
     pub(super) is_leaving: bool,
-    /// The era of the store in which `after` is.
+    /// The store era of `after`.
     #[prost(uint64, tag = "7")]
     pub(super) after_era: u64,
-    /// The version of the configuration that is in force at the asker; 0 for none.
+    /// The version of the client's configuration; 0 for none.
     #[prost(uint64, tag = "8")]
     pub(super) version: u64,
-    /// The asker's configuration, where the one it was last told is older.
+    /// The client's configuration, if the peer last had an older one.
     #[prost(message, optional, tag = "9")]
     pub(super) configuration: Option<RecordMessage>,
-    /// Whether the asker reads packed records; an older one does not.
+    /// Whether the client supports packed records; older versions do not.
     #[prost(bool, tag = "10")]
     pub(super) reads_packed: bool,
 }
 
 impl ChangesRequest {
-    /// Returns the position up to which the asker knows the store.
+    /// Returns the index up to which the client knows the store.
     pub(super) fn position(&self) -> Option<StoreIndex> {
         let after = self.after?;
         Some(StoreIndex::new(after).in_era(self.after_era))
@@ -85,11 +84,11 @@
 }
 
 impl MemberMessage {
-    /// Returns the instance as one whose record `registrar` keeps.
+    /// Returns the instance with `registrar` as the writer of its record.
     ///
     /// # Errors
     ///
-    /// Fails where a name or an address is not in its form.
+    /// Fails if a name or an address is malformed.
     pub(super) fn member(&self, registrar: &InstanceId) -> Result<Member, MemberMessageError> {
         Ok(Member {
             instance: self.instance.parse()?,
@@ -104,58 +103,57 @@
     }
 }
 
-/// What is wrong with the message of an instance.
+/// An error in the message of an instance.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum MemberMessageError {
-    /// A name is not in its form.
+    /// A name is malformed.
     #[error("{0}")]
     Name(#[from] foxtide_core::Error),
-    /// An address is not in its form.
+    /// An address is malformed.
     #[error("{0}")]
     Address(#[from] AddrParseError),
 }
 
-/// What has changed, or all that there is.
+/// Changes of the store, or its whole contents.
 #[derive(Clone, PartialEq, prost::Message)]
 pub(super) struct ChangesResponse {
-    /// Whether the store answers this instance itself.
+    /// Whether this instance follows the store.
     #[prost(bool, tag = "1")]
     pub(super) is_current: bool,
-    /// Whether the records are all that the store holds.
+    /// Whether the records are the whole contents of the store.
     #[prost(bool, tag = "2")]
     pub(super) is_full: bool,
     /// The index at which the records are complete.
     #[prost(uint64, tag = "3")]
     pub(super) index: u64,
-    /// The records, in the order of their indices.
+    /// The records in index order.
     #[prost(message, repeated, tag = "4")]
     pub(super) records: Vec<RecordMessage>,
-    /// Whether there are records that the asker reads from the store itself; none is
-    /// told then.
+    /// Whether the changes are too large, so that the client has to read them from the store
+    /// and `records` is empty.
     #[prost(bool, tag = "5")]
     pub(super) is_too_large: bool,
-    /// The era of the store in which `index` is.
+    /// The store era of `index`.
     #[prost(uint64, tag = "6")]
     pub(super) era: u64,
-    /// The version of the configuration that is in force here; 0 for none.
+    /// The version of the configuration in force at this instance; 0 for none.
     #[prost(uint64, tag = "7")]
     pub(super) version: u64,
-    /// The configuration, where the asker's is older and the records do not bring it: the
-    /// store may have lost it.
+    /// The configuration, if the client's is older and the store has lost the new one.
     #[prost(message, optional, tag = "8")]
     pub(super) configuration: Option<RecordMessage>,
-    /// The records, where they are packed; none stands outside then.
+    /// The packed records; `records` is empty then.
     #[prost(message, optional, tag = "9")]
     pub(super) packed: Option<Packed>,
-    /// The quarantined requests that the store is not known to hold.
+    /// The quarantined requests that the store may lack.
     #[prost(message, repeated, tag = "10")]
     pub(super) quarantine: Vec<QuarantineMessage>,
 }
 
-/// Records in bulk, compressed.
+/// Compressed records.
 #[derive(Clone, PartialEq, prost::Message)]
 pub(super) struct Packed {
-    /// Their size before.
+    /// The uncompressed size.
     #[prost(uint64, tag = "1")]
     pub(super) size_bytes: u64,
     /// The compressed bytes.
@@ -163,17 +161,17 @@
     pub(super) bytes: Vec<u8>,
 }
 
-/// A key of the store.
+/// A record of a key of the store.
 #[derive(Clone, PartialEq, prost::Message)]
 pub(super) struct RecordMessage {
     #[prost(string, tag = "1")]
     key: String,
-    /// Absent where the key was removed.
+    /// Absent if the key was removed.
     #[prost(bytes = "vec", optional, tag = "2")]
     value: Option<Vec<u8>>,
     #[prost(uint64, tag = "3")]
     index: u64,
-    /// The era of the store in which `index` is.
+    /// The store era of `index`.
     #[prost(uint64, tag = "4")]
     era: u64,
 }
--- a/crates/foxtide-gateway/src/relay/mod.rs
+++ b/crates/foxtide-gateway/src/relay/mod.rs
@@ -1,10 +1,9 @@
-//! What the store says, passed on between instances.
+//! Relays changes of the store between instances.
 //!
-//! In a large fleet a few instances of each region follow the store and the
-//! others ask them, so that the calls to the store grow with the regions. The
-//! store may also turn some instances away while it serves others; one that it
-//! turns away asks a peer. A peer answers only from what it has itself just
-//! read.
+//! In a large fleet a few instances of each region, the watchers, follow the store and the
+//! others query them, so that the calls to the store grow with the number of regions. An
+//! instance whose calls the store rejects also queries a peer. A peer answers only if it
+//! follows the store itself.
 
 mod client;
 mod messages;
--- a/crates/foxtide-gateway/src/relay/packing.rs
+++ b/crates/foxtide-gateway/src/relay/packing.rs
@@ -1,9 +1,7 @@
-//! Records in bulk, compressed.
+//! Compresses records in bulk.
 //!
-//! What changes in the store is told to each instance that does not follow it itself, and
-//! records are much alike: compressed they take less than a third. When a fleet of hundreds starts,
-//! the links of those that tell it are full for seconds without this, and a new version of
-//! the configuration waits behind.
+//! Records are similar and compress well, which keeps the links of watchers from saturating
+//! while a large fleet starts.
 
 use super::messages::{
     Packed,
@@ -16,37 +14,37 @@
 };
 use prost::Message;
 
-/// The least size that is compressed: below it a message fits into a packet or two.
+/// The minimum size that is compressed; smaller messages fit into a packet or two.
 const PACKED_MIN_BYTES: usize = 1_024;
 
-/// The largest size that is unpacked: everything that the store holds, as for messages.
+/// The maximum uncompressed size, above that of the whole store.
 const UNPACKED_MAX_BYTES: usize = 64 * 1_024 * 1_024;
 
-/// Records, as one message.
+/// The message that is compressed.
 #[derive(Clone, PartialEq, prost::Message)]
 struct RecordsMessage {
     #[prost(message, repeated, tag = "1")]
     records: Vec<RecordMessage>,
 }
 
-/// Why records cannot be unpacked.
+/// An error of unpacking records.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum UnpackError {
-    /// They are larger than any store holds.
-    #[error("{size_bytes} bytes unpacked; valid: up to {UNPACKED_MAX_BYTES}")]
+    /// The uncompressed size exceeds the maximum.
+    #[error("packed records of {size_bytes} bytes; valid: up to {UNPACKED_MAX_BYTES}")]
     TooLarge {
-        /// The size that is stated.
+        /// The uncompressed size in the message.
         size_bytes: u64,
     },
-    /// They were not compressed so.
+    /// The compressed data is malformed.
     #[error("{0}")]
     Compression(#[from] DecompressError),
-    /// They are no records.
+    /// The uncompressed message is malformed.
     #[error("{0}")]
     Format(#[from] prost::DecodeError),
 }
 
-/// Packs records, where that is worth it; else returns them as they are.
+/// Packs records; returns them unchanged if they are below the minimum size.
 pub(super) fn pack(records: Vec<RecordMessage>) -> Result<Packed, Vec<RecordMessage>> {
     let message = RecordsMessage { records };
     let size_bytes = message.encoded_len();
@@ -63,7 +61,7 @@
 ///
 /// # Errors
 ///
-/// Fails where they are too large, or not in their form.
+/// Fails if the records are too large or malformed.
 pub(super) fn unpack(packed: &Packed) -> Result<Vec<RecordMessage>, UnpackError> {
     let size_bytes = packed.size_bytes;
     let size = usize::try_from(size_bytes).unwrap_or(usize::MAX);
@@ -94,7 +92,7 @@
     }
 
     #[test]
-    fn verify_records_come_out_as_they_went_in_and_take_less() {
+    fn verify_packed_records_round_trip_and_are_smaller() {
         let records: Vec<RecordMessage> = (0..500).map(registration).collect();
         let packed = pack(records.clone()).unwrap();
         assert!(packed.bytes.len() * 3 < packed.size_bytes as usize);
@@ -103,7 +101,7 @@
     }
 
     #[test]
-    fn verify_what_was_not_packed_so_is_refused() {
+    fn verify_malformed_packed_records_are_rejected() {
         let packed = |size_bytes, bytes: &[u8]| Packed {
             size_bytes,
             bytes: bytes.to_vec(),
--- a/crates/foxtide-gateway/src/relay/server.rs
+++ b/crates/foxtide-gateway/src/relay/server.rs
@@ -1,4 +1,4 @@
-//! Tells peers what has changed in the store.
+//! Serves changes of the store to peers.
 
 use super::messages::{
     ChangesRequest,
@@ -40,23 +40,22 @@
     FuturesAsyncReadCompatExt, //
 };
 
-/// The largest message: everything that the store holds. A configuration may
-/// be a megabyte, and a thousand registrations are 300 KB.
+/// The maximum size of a message, which may hold the whole contents of the store.
 const FRAME_MAX_BYTES: usize = 8 * 1_024 * 1_024;
 
-/// How long a peer may stay silent between two questions.
+/// How long a connection may be idle between two queries.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// The longest wait for a change that a peer may ask for.
+/// The longest wait for a change that a client may request.
 const WAIT_MAX: Duration = Duration::from_secs(2);
 
-/// How long accepting pauses after a failure, such as too many open files.
+/// The pause after a failed accept, such as with too many open files.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 
 /// A stream of messages.
 pub(super) type Frames = Framed<Compat<TcpStream>, LengthDelimitedCodec>;
 
-/// Frames the messages on a stream.
+/// Returns a stream of length-delimited messages.
 pub(super) fn frames(stream: TcpStream) -> Frames {
     let codec = LengthDelimitedCodec::builder()
         .max_frame_length(FRAME_MAX_BYTES)
@@ -64,7 +63,7 @@
     Framed::new(stream.compat(), codec)
 }
 
-/// Answers peers, a question a connection.
+/// Accepts connections of peers and serves their queries.
 pub(crate) async fn serve_peers<D: Dialect>(shared: Arc<Shared<D>>, listener: TcpListener) {
     loop {
         match listener.accept().await {
@@ -73,7 +72,7 @@
                 let executor = Arc::clone(&shared.executor);
                 let serving = async move {
                     if let Err(error) = serve_connection(&shared, stream).await {
-                        log::debug!("peer {peer} was not answered: {error}");
+                        log::debug!("failed to serve peer {peer}: {error}");
                     }
                 };
                 executor.spawn(serving).detach();
@@ -119,7 +118,7 @@
     }
 }
 
-/// Packs the records of a response for an asker that reads them so.
+/// Packs the records of a response if the client supports that.
 fn pack_records(mut response: ChangesResponse, request: &ChangesRequest) -> ChangesResponse {
     if !request.reads_packed {
         return response;
@@ -131,8 +130,8 @@
     response
 }
 
-/// Keeps the asker's record, or removes it, where it asks for that. One that the store
-/// does not answer could not, and one that is stopping will not.
+/// Updates the record of the client if the request announces it. An instance that does not
+/// follow the store, or is stopping, only removes records.
 fn update_record<D: Dialect>(shared: &Shared<D>, request: &ChangesRequest) {
     let Some(announcement) = &request.announcement else {
         return;
@@ -140,7 +139,7 @@
     let member = match announcement.member(&shared.options.place.instance) {
         Ok(member) => member,
         Err(error) => {
-            log::debug!("what a peer says of itself cannot be read: {error}");
+            log::debug!("invalid announcement from a peer: {error}");
             return;
         }
     };
@@ -153,8 +152,8 @@
     }
 }
 
-/// Keeps a configuration that the asker knows and that is newer than the one in force here,
-/// for the follower of the store to take in: the store may have lost it.
+/// Stores the client's configuration for the follower if it is newer than the one in force;
+/// the store may have lost it.
 fn store_offered_configuration<D: Dialect>(shared: &Shared<D>, request: &ChangesRequest) {
     let Some(configuration) = &request.configuration else {
         return;
@@ -165,7 +164,7 @@
     }
 }
 
-/// Waits until there is something to tell, but no longer than the asker says.
+/// Waits for changes, for at most the time that the client requests.
 async fn wait_for_answer<D: Dialect>(
     shared: &Shared<D>,
     request: &ChangesRequest,
@@ -194,7 +193,7 @@
 
 fn answer<D: Dialect>(shared: &Shared<D>, request: &ChangesRequest) -> ChangesResponse {
     if shared.lifecycle.is_stopping() {
-        // The asker is to find another one while this one's lease still lives.
+        // The client has to find another peer before this instance's lease ends.
         return ChangesResponse::default();
     }
     let state = shared.state.lock();
@@ -225,7 +224,7 @@
             ..ChangesResponse::default()
         };
     }
-    // One that knows more than this log goes on from where it is.
+    // A client that is ahead of this log continues from its own index.
     let index = log.index().max(after.unwrap_or_default());
     ChangesResponse {
         is_current: true,
@@ -240,8 +239,7 @@
     }
 }
 
-/// Returns the configuration in force for an asker whose own is older, where the store holds
-/// an older one too. Else the asker learns it as it learns everything.
+/// Returns the configuration in force if both the client and the store have an older one.
 fn configuration_for(state: &State, request: &ChangesRequest) -> Option<RecordMessage> {
     let unstored = state.unstored_configuration()?;
     (request.version < state.version()).then(|| unstored.clone().into())
