--- a/crates/foxtide-gateway/src/journal/labels.rs
+++ b/crates/foxtide-gateway/src/journal/labels.rs
@@ -1,22 +1,21 @@
-//! The names of routes as labels of metrics, bounded in number.
+//! Bounds the number of routes that are used as metric labels.
 
 use parking_lot::Mutex;
 use std::collections::HashMap;
 use std::sync::Arc;
 
-/// The most routes that have a label of their own. Each takes a histogram; a
-/// configuration may have hundreds of routes of which few get requests.
+/// The maximum number of routes with their own label, each of which costs a histogram.
 const ROUTES_MAX: usize = 64;
 
-/// The label of all others.
+/// The label of all other routes.
 const OTHER: &str = "other";
 
-/// The routes that have a label.
+/// The routes with their own label.
 #[derive(Debug, Default)]
 pub(super) struct RouteLabels(Mutex<HashMap<String, Arc<str>>>);
 
 impl RouteLabels {
-    /// Returns the label of a route; the first ones that have requests get one.
+    /// Returns the label of a route; the first routes with requests get their own.
     pub(super) fn label(&self, route: &str) -> Arc<str> {
         let mut labels = self.0.lock();
         if let Some(label) = labels.get(route) {
--- a/crates/foxtide-gateway/src/journal/mod.rs
+++ b/crates/foxtide-gateway/src/journal/mod.rs
@@ -1,8 +1,7 @@
-//! One log line for each decision that touches a request or changes what the
-//! instance believes, and the metrics that go with it.
+//! Log lines and metrics for decisions about requests and for changes of the state.
 //!
-//! `docs/OPERATIONS.md` shows how to get from a request's identity to its
-//! cause. Lines about requests are bounded; those left out are counted.
+//! `docs/OPERATIONS.md` shows how to trace a request by its identity. Lines about requests
+//! are rate-limited; suppressed lines are counted.
 
 mod labels;
 mod requests;
--- a/crates/foxtide-gateway/src/journal/requests.rs
+++ b/crates/foxtide-gateway/src/journal/requests.rs
@@ -1,4 +1,4 @@
-//! Lines about requests, bounded, and the metrics that go with them.
+//! Rate-limited log lines and metrics about requests.
 
 use super::labels::RouteLabels;
 use crate::outcome::{
@@ -25,7 +25,7 @@
 use parking_lot::Mutex;
 use std::time::Duration;
 
-/// Writes the lines about requests.
+/// Logs requests within a budget of lines.
 #[derive(Debug)]
 pub(crate) struct Journal {
     clock: SteadyClock,
@@ -34,7 +34,7 @@
 }
 
 impl Journal {
-    /// Returns a journal whose budget fills from now on.
+    /// Returns a journal whose budget starts now.
     pub(crate) fn new(clock: SteadyClock) -> Self {
         Self {
             clock,
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Tells how many lines were left out since the last call, if any were.
+    /// Logs the number of lines suppressed since the last call, if any.
     pub(crate) fn summarise(&self) {
         let left_out = self.budget.lock().take_left_out();
         if left_out != LeftOut::default() {
@@ -55,7 +55,7 @@
         }
     }
 
-    /// A request has its reply.
+    /// Logs and counts a request that has its reply.
     pub(crate) fn request_ended(&self, trace: &RequestTrace, reply: &Reply, latency: Duration) {
         let status = reply.status();
         let source = match reply {
@@ -66,7 +66,7 @@
         let latency_ms = latency.as_secs_f64() * 1_000.0;
         let slot_wait_ms = trace.slot_wait.as_millis() as u64;
         let is_answered = status < 400;
-        // A late answer is a failure to those who ask after it.
+        // A late answer has the budget of failures.
         let kind = if is_answered && latency <= trace.latency_objective {
             LineKind::Answered
         } else {
@@ -126,7 +126,7 @@
         }
     }
 
-    /// An attempt at an upstream has ended without a response to deliver.
+    /// Logs and counts an attempt without a usable response.
     pub(crate) fn attempt_failed(
         &self,
         trace: &RequestTrace,
@@ -161,7 +161,7 @@
         }
     }
 
-    /// No upstream may get a request.
+    /// Logs that no upstream is eligible for a request.
     pub(crate) fn no_upstream(&self, request: &str, service: &ServiceId, reason: NoUpstream) {
         if self.has_room(LineKind::Step) {
             log_event!(
@@ -173,7 +173,7 @@
         }
     }
 
-    /// A response to another request came on a connection.
+    /// Logs a response that belongs to another request.
     pub(crate) fn stray_response(&self, request: &str, upstream: &UpstreamId) {
         if self.has_room(LineKind::Step) {
             log_event!(
@@ -184,7 +184,7 @@
         }
     }
 
-    /// A caller went away before its reply.
+    /// Logs and counts a caller that disconnected before its reply.
     pub(crate) fn caller_gone(&self, request: &str) {
         metrics::counter!("foxtide_callers_gone_total").increment(1);
         if self.has_room(LineKind::Failed) {
--- a/crates/foxtide-gateway/src/journal/state_changes.rs
+++ b/crates/foxtide-gateway/src/journal/state_changes.rs
@@ -1,4 +1,4 @@
-//! Lines about changes of what the instance believes.
+//! Log lines and metrics about changes of the instance's state.
 
 use crate::quotas::QuotaRefusal;
 use foxtide_core::ids::{
@@ -33,7 +33,7 @@
 use std::collections::HashSet;
 use std::fmt::Display;
 
-/// A new configuration is in force.
+/// Logs that a new configuration is in force.
 pub(crate) fn configuration_in_force(version: u64, before: Option<u64>, routes: usize) {
     metrics::gauge!("foxtide_configuration_version").set(version as f64);
     let before = before.unwrap_or_default();
@@ -45,7 +45,7 @@
     );
 }
 
-/// A request is quarantined: `ends` upstreams have ended under it.
+/// Logs a request that is quarantined after `ends` upstreams have ended.
 pub(crate) fn request_quarantined(report: &EndReport, ends: u32) {
     metrics::counter!("foxtide_requests_quarantined_total").increment(1);
     log_event!(
@@ -56,8 +56,7 @@
     );
 }
 
-/// An upstream has ended under a request, beside which this instance had others there:
-/// `under_way`, that one among them.
+/// Logs an upstream that ended while it served `under_way` requests of this instance.
 pub(crate) fn upstream_ended(report: &EndReport, under_way: u32, is_reported: bool) {
     metrics::counter!("foxtide_upstream_ends_total").increment(1);
     log_event!(
@@ -69,7 +68,7 @@
     );
 }
 
-/// This instance has learnt that a request is quarantined.
+/// Logs a quarantined request that was learnt from the store or a peer.
 pub(crate) fn quarantine_learnt(
     fingerprint: Fingerprint,
     entry: QuarantineEntry,
@@ -84,12 +83,12 @@
     );
 }
 
-/// This instance lets a request through that was quarantined.
+/// Logs a request that is no longer quarantined.
 pub(crate) fn request_released(fingerprint: Fingerprint) {
     log_event!(EventCode::RequestReleased, fingerprint:% = fingerprint);
 }
 
-/// This instance has asked for the trial of a quarantined request.
+/// Logs the claim of the trial of a quarantined request.
 pub(crate) fn trial_claimed(trial: &StoredEntry, is_claimed: bool) {
     log_event!(
         EventCode::TrialClaimed,
@@ -100,7 +99,7 @@
     );
 }
 
-/// The store, or a peer, tells an older version than the one in force.
+/// Logs an offered configuration that is older than the one in force.
 pub(crate) fn older_configuration_ignored(offered: u64, in_force: Option<u64>) {
     let in_force = in_force.unwrap_or_default();
     if offered < in_force {
@@ -112,13 +111,13 @@
     }
 }
 
-/// The store has come back from an older copy.
+/// Logs that the store was restored from a backup.
 pub(crate) fn store_restored(index: StoreIndex) {
     metrics::gauge!("foxtide_store_era").set(index.era() as f64);
     log_event!(EventCode::StoreRestored, era = index.era(), index:% = index);
 }
 
-/// A new configuration names organisations: keys that two of them hold are nobody's.
+/// Logs the organisations whose keys are disputed in a new configuration.
 pub(crate) fn organisations_in_force(routes: &RouteTable) {
     let Some(organisations) = routes.organisations() else {
         return;
@@ -133,7 +132,7 @@
     }
 }
 
-/// An organisation has used up its quota, as far as the coordinators tell.
+/// Logs that an organisation has used up its quota.
 pub(crate) fn quota_reached(organisation: &OrganisationTerms, refusal: &QuotaRefusal) {
     let quota = organisation.quota;
     let rate_rps = quota.map_or(0.0, |quota| quota.rate.get());
@@ -148,7 +147,7 @@
     );
 }
 
-/// The availability zones that get nothing have changed.
+/// Logs the set of evacuated availability zones.
 pub(crate) fn zones_evacuated(zones: &HashSet<AvailabilityZoneId>) {
     let mut names: Vec<&str> = zones.iter().map(AvailabilityZoneId::as_str).collect();
     names.sort_unstable();
@@ -156,7 +155,7 @@
     log_event!(EventCode::ZonesEvacuated, zones = zones.as_str());
 }
 
-/// The registered upstreams have changed.
+/// Logs a change of the registered upstreams.
 pub(crate) fn registry_changed(change: &RegistryChange) {
     match change {
         RegistryChange::None => {}
@@ -175,7 +174,7 @@
     }
 }
 
-/// An upstream is passed over for a while.
+/// Logs and counts the ejection of an upstream.
 pub(crate) fn upstream_ejected(upstream: &UpstreamId, failure_share: f64, result: AttemptResult) {
     metrics::counter!("foxtide_upstream_ejections_total").increment(1);
     log_event!(
@@ -186,7 +185,7 @@
     );
 }
 
-/// An instance has joined.
+/// Logs an instance that joined.
 pub(crate) fn member_joined(member: &Member) {
     log_event!(
         EventCode::MemberJoined,
@@ -195,7 +194,7 @@
     );
 }
 
-/// An instance's lease has ended.
+/// Logs an instance whose lease has ended; it is gone, or doubted for a while.
 pub(crate) fn member_left(instance: &InstanceId, is_gone: bool) {
     if is_gone {
         log_event!(EventCode::MemberLeft, instance = instance.as_str());
@@ -204,7 +203,7 @@
     }
 }
 
-/// The shares of its own region's requests that regions serve have changed.
+/// Logs the shares of requests that the regions serve.
 pub(crate) fn region_shares_changed(service: &ServiceId, shares: &RegionShares) {
     let shares = shares
         .iter()
