--- a/crates/foxtide-gateway/src/gateway.rs
+++ b/crates/foxtide-gateway/src/gateway.rs
@@ -1,4 +1,4 @@
-//! One instance: all its parts, from start to stop.
+//! Starts, runs and stops an instance.
 
 use crate::admission::{
     Admission,
@@ -56,15 +56,14 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// The part of the memory that callers' bodies may take: a body stands twice
-/// while it is sent on, and responses take as much.
+/// The divisor of the process memory for request bodies: a body is held twice while it is
+/// forwarded, and responses take as much.
 const BODY_MEMORY_DIVISOR: u64 = 6;
 
-/// How often idle connections are looked over and doubts are settled.
+/// How often expired state is dropped.
 const HOUSEKEEPING_PERIOD: Duration = Duration::from_millis(500);
 
-/// After how many rounds of housekeeping a line tells of the calls to the store: a
-/// line of each of 600 instances in 3 s is 200 a second.
+/// The rounds of housekeeping between two log lines about calls to the store.
 const STORE_CALLS_LOG_ROUNDS: u32 = 6;
 
 /// A running instance.
@@ -72,16 +71,16 @@
 pub struct Gateway<D> {
     shared: Arc<Shared<D>>,
     membership: Mutex<Option<Task<()>>>,
-    /// All that runs besides; ends with the instance.
+    /// The other tasks, which end with the instance.
     _tasks: Vec<Task<()>>,
 }
 
 impl<D: Dialect> Gateway<D> {
-    /// Starts an instance; it is ready once it has read the store.
+    /// Starts an instance, which is ready once it has read the store.
     ///
     /// # Errors
     ///
-    /// Fails where an address cannot be bound.
+    /// Fails if an address cannot be bound.
     pub fn start<S: FleetStore>(
         options: GatewayOptions,
         dialect: D,
@@ -150,22 +149,22 @@
         &self.shared.options.place.instance
     }
 
-    /// Returns where callers connect.
+    /// Returns the address for callers.
     pub fn caller_address(&self) -> SocketAddr {
         self.shared.addresses.callers
     }
 
-    /// Returns where readiness is asked for.
+    /// Returns the address for readiness checks.
     pub fn readiness_address(&self) -> SocketAddr {
         self.shared.addresses.readiness
     }
 
-    /// Returns where look-ups are asked for.
+    /// Returns the address for look-ups.
     pub fn directory_address(&self) -> SocketAddr {
         self.shared.addresses.directory
     }
 
-    /// Returns where other instances ask.
+    /// Returns the address for queries of other instances.
     pub fn peer_address(&self) -> SocketAddr {
         self.shared.addresses.peers
     }
@@ -175,13 +174,13 @@
         self.shared.is_ready()
     }
 
-    /// Sets what binds all instances together.
+    /// Sets the bounds that all instances share.
     pub fn set_bounds(&self, bounds: Bounds) {
         self.shared.state.lock().set_bounds(bounds);
     }
 
-    /// Stops gracefully: leaves the directory, serves until callers know, ends
-    /// what is in flight, and returns within the grace time.
+    /// Stops gracefully within the grace time: removes the instance from the directory and
+    /// drains its connections.
     pub async fn stop(&self) {
         let grace = self.shared.state.lock().bounds().grace;
         self.shared.lifecycle.stop(grace);
@@ -192,10 +191,9 @@
                 membership.await;
             }
         };
-        // The neighbours whose records it keeps find another instance meanwhile.
+        // Neighbours registered by this instance find another registrar meanwhile.
         zip(withdrawn, self.shared.lifecycle.drained()).await;
-        // That takes up to 1.8 s; requests that came meanwhile, of callers with older
-        // look-ups, end before the process does.
+        // Drains requests that arrived meanwhile from callers with older look-ups.
         self.shared.lifecycle.drained().await;
         self.shared.store_calls.log_summary();
     }
@@ -222,7 +220,7 @@
     }
 }
 
-/// The callers' listeners, by the address that was asked for, and the peers'.
+/// The listeners for callers, by requested address, and the listener for peers.
 struct Listeners {
     callers: BTreeMap<SocketAddr, Listener>,
     peers: TcpListener,
