--- a/crates/foxtide-gateway/src/alarm.rs
+++ b/crates/foxtide-gateway/src/alarm.rs
@@ -1,10 +1,10 @@
-//! The alarm that a call to the store has failed, or that the process has stood still.
+//! Interrupts waiting calls to the store after a failure or a stall.
 
 use event_listener::Event;
 use foxtide_core::store::StoreError;
 
-/// Tells the follower that another call to the store has failed, or that the process has
-/// stood still, so that it does not wait on a connection that may be dead.
+/// Signals that another call to the store has failed or that the process has stalled, so
+/// that the follower does not wait on a dead connection.
 #[derive(Debug, Default)]
 pub(crate) struct StoreAlarm(Event);
 
@@ -14,13 +14,13 @@
         self.0.notify(usize::MAX);
     }
 
-    /// Waits for the alarm and returns what it means for a waiting call.
+    /// Waits for the alarm and returns the error of the interrupted call.
     pub(crate) async fn raised(&self) -> StoreError {
         self.0.listen().await;
         StoreError::Unknown {
             step: "watch",
             peer: "store".to_owned(),
-            cause: "another call failed, or the process has stood still".to_owned(),
+            cause: "another call failed, or the process has stalled".to_owned(),
         }
     }
 }
--- a/crates/foxtide-gateway/src/shared.rs
+++ b/crates/foxtide-gateway/src/shared.rs
@@ -1,4 +1,4 @@
-//! What all tasks of an instance share.
+//! The state that all tasks of an instance share.
 
 use crate::admission::Admission;
 use crate::alarm::StoreAlarm;
@@ -47,16 +47,15 @@
     pub(crate) store_calls: StoreCalls,
     pub(crate) traffic: Arc<Traffic>,
     pub(crate) store_alarm: StoreAlarm,
-    /// A configuration that another instance knows and that is newer than the one in force
-    /// here.
+    /// A configuration from another instance that is newer than the one in force.
     pub(crate) offered_configuration: Mutex<Option<Record>>,
-    /// Notified when the log of records has changed or is no longer followed.
+    /// Notified when the record log has changed or the store is no longer followed.
     pub(crate) log_changed: Event,
     pub(crate) executor: Arc<Executor<'static>>,
 }
 
 impl<D> Shared<D> {
-    /// Returns what this instance announces of itself where it does so itself.
+    /// Returns the record of this instance, without a registrar.
     pub(crate) fn member(&self) -> Member {
         let place = &self.options.place;
         Member {
@@ -71,7 +70,7 @@
         }
     }
 
-    /// Records a heartbeat. Where the process has stalled still, its state is read anew.
+    /// Records a heartbeat; interrupts waits for the store after a stall.
     pub(crate) fn heartbeat(&self) {
         if let Some(time) = self.stall.heartbeat(self.clock.now()) {
             log_event!(EventCode::StoodStill, time_ms = time.as_millis() as u64);
@@ -79,7 +78,7 @@
         }
     }
 
-    /// Waits, after the process has stalled still, until its state is in sync with the store.
+    /// Waits after a stall until the state is in sync with the store.
     pub(crate) async fn wait_until_synced(&self) {
         self.heartbeat();
         if !self.stall.is_synced() {
@@ -87,8 +86,7 @@
         }
     }
 
-    /// Tells whether the instance takes requests: it knows the configuration
-    /// and is not stopping.
+    /// Tells whether the instance accepts requests: it has a configuration and is not stopping.
     pub(crate) fn is_ready(&self) -> bool {
         !self.lifecycle.is_stopping() && self.state.lock().routes().is_some()
     }
--- a/crates/foxtide-gateway/src/stall.rs
+++ b/crates/foxtide-gateway/src/stall.rs
@@ -1,8 +1,6 @@
-//! Detects that the process has stalled still, and delays requests until its state is in sync
-//! with the store again.
+//! Detects stalls of the process and delays requests until its state is in sync again.
 //!
-//! A process that is frozen, or whose machine is suspended, resumes with stale state. Requests
-//! that come at once would be sent by it.
+//! A process that is frozen, or whose machine is suspended, resumes with stale state.
 
 use event_listener::Event;
 use foxtide_core::time::MonotonicTime;
@@ -11,15 +9,13 @@
 use smol::Timer;
 use std::time::Duration;
 
-/// From what gap between two heartbeats on, which come each 0.5 s, the process counts as having
-/// stalled still; a busy one is late by less.
+/// The minimum gap between heartbeats that counts as a stall.
 const STALL_MIN: Duration = Duration::from_millis(1_500);
 
-/// How long a request waits for the state to be in sync, at most: where neither the store nor
-/// a peer answers in a few round trips, it is not known when one will.
+/// The maximum time that a request waits for the state to be in sync.
 const SYNC_WAIT: Duration = Duration::from_millis(300);
 
-/// Whether the process has stalled still since its state was last in sync.
+/// Tracks whether the process has stalled since its state was last in sync.
 #[derive(Debug, Default)]
 pub(crate) struct StallDetector {
     state: Mutex<StallState>,
@@ -28,14 +24,13 @@
 
 #[derive(Debug, Default)]
 struct StallState {
-    /// The last heartbeat.
     heartbeat_at: MonotonicTime,
-    /// When the process resumed; nothing once its state is in sync.
+    /// When the process resumed; `None` once its state is in sync.
     resumed_at: Option<MonotonicTime>,
 }
 
 impl StallDetector {
-    /// Records a heartbeat; returns how long the process has just stalled still, where it has.
+    /// Records a heartbeat; returns the duration of a stall that has just ended.
     pub(crate) fn heartbeat(&self, now: MonotonicTime) -> Option<Duration> {
         let mut state = self.state.lock();
         let gap = now - state.heartbeat_at;
@@ -47,8 +42,7 @@
         stalled
     }
 
-    /// Records that an exchange with the store, or with peers in its place, has ended that began
-    /// at `began_at`.
+    /// Records a completed exchange with the store or a peer that began at `began_at`.
     pub(crate) fn synced(&self, began_at: MonotonicTime) {
         let mut state = self.state.lock();
         if state.resumed_at.is_some_and(|resumed| resumed <= began_at) {
@@ -63,7 +57,7 @@
         self.state.lock().resumed_at.is_none()
     }
 
-    /// Waits until the state is in sync, for a short time.
+    /// Waits for a short time until the state is in sync.
     pub(crate) async fn wait(&self) {
         let synced = async {
             loop {
@@ -89,9 +83,9 @@
         MonotonicTime::from_ms(ms)
     }
 
-    /// Guards against a thawed instance that sends requests by what it knew before.
+    /// Guards against sending requests by stale state after a stall.
     #[test]
-    fn verify_after_a_standstill_only_later_exchanges_count() {
+    fn verify_only_exchanges_after_a_stall_count() {
         let stall = StallDetector::default();
         for ms in (0..3_000).step_by(500) {
             assert_eq!(stall.heartbeat(at(ms)), None);
@@ -101,7 +95,7 @@
             Some(Duration::from_millis(4_500))
         );
         assert!(!stall.is_synced());
-        // That exchange began before.
+        // This exchange began before the stall.
         stall.synced(at(2_900));
         assert!(!stall.is_synced());
         stall.synced(at(7_001));
@@ -110,7 +104,7 @@
     }
 
     #[test]
-    fn verify_the_wait_ends_where_nobody_answers() {
+    fn verify_the_wait_times_out_without_an_answer() {
         let stall = StallDetector::default();
         stall.heartbeat(at(9_000));
         smol::block_on(stall.wait());
