--- a/crates/foxtide-gateway/src/lib.rs
+++ b/crates/foxtide-gateway/src/lib.rs
@@ -1,10 +1,9 @@
-//! Requests routed by host and path to upstreams that register themselves.
+//! Routes requests by host and path to upstreams that register themselves.
 //!
-//! An instance takes requests from callers, finds the route by host and path,
-//! and forwards each to an upstream of the route's service. Routes, upstreams
-//! and the other instances are followed in the platform's store. What the
-//! platform calls things is hidden behind two traits: [`Dialect`] for headers
-//! and calls on the wire, [`FleetStore`] for the store.
+//! An instance accepts requests from callers, finds the route by host and path, and forwards
+//! each request to an upstream of the route's service. It follows routes, upstreams and other
+//! instances in the platform's store. Two traits abstract the platform: [`Dialect`] for the
+//! wire format, [`FleetStore`] for the store.
 
 mod admission;
 mod alarm;
--- a/crates/foxtide-gateway/src/options.rs
+++ b/crates/foxtide-gateway/src/options.rs
@@ -1,4 +1,4 @@
-//! Where an instance stands and what binds it.
+//! The options of an instance.
 
 use foxtide_core::ids::{
     AvailabilityZoneId,
@@ -15,41 +15,38 @@
 };
 use std::time::Duration;
 
-/// Everything that an instance is told at its start.
+/// The options of an instance.
 #[derive(Clone, Debug)]
 pub struct GatewayOptions {
-    /// The instance's place.
+    /// The instance's name and location.
     pub place: Place,
-    /// Its listeners.
+    /// The listen addresses.
     pub addresses: Addresses,
-    /// Peers to ask before the store has named any.
+    /// Peers to query before any is known from the store.
     pub seed_peers: Vec<SocketAddr>,
-    /// Whether the whole system starts for the first time, and not this instance alone.
+    /// Whether the whole system starts for the first time.
     pub is_first_start: bool,
     /// The memory of the process.
     pub memory: ByteSize,
-    /// The megabits a second of the machine's link; 0 where that is not known.
+    /// The link speed of the machine in Mbit/s; 0 if unknown.
     pub link_mbps: u32,
-    /// What binds all instances together.
+    /// The bounds that all instances share.
     pub bounds: Bounds,
-    /// How upstreams' coordinators are asked.
+    /// The timeouts for coordinators of upstreams.
     pub admission: AdmissionOptions,
 }
 
-/// How long an instance waits for the coordinators of upstreams.
+/// The timeouts for coordinators of upstreams.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AdmissionOptions {
-    /// How long a coordinator may take to answer before the request is sent without
-    /// its word.
+    /// How long a request waits for a coordinator's answer before it is sent without one.
     pub answer_time: Duration,
-    /// How long a coordinator that did not answer is not asked again.
+    /// How long a coordinator that did not answer is skipped.
     pub silent_time: Duration,
 }
 
 impl Default for AdmissionOptions {
-    /// A round trip within a region is 2 ms, and an instance that shares its core is
-    /// late by a few tens. A dead coordinator's lease lapses after 2.2 s, and each
-    /// question in vain delays a request by the answer's time.
+    /// Covers a round trip within a region and the delay of a busy instance.
     fn default() -> Self {
         Self {
             answer_time: Duration::from_millis(40),
@@ -58,7 +55,7 @@
     }
 }
 
-/// Where an instance stands, and the places that there are.
+/// The name and location of an instance, and the known availability zones.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Place {
     /// The instance's name.
@@ -77,7 +74,7 @@
         self.regions.get(zone)
     }
 
-    /// Returns the instance as one that asks others.
+    /// Returns the instance as a requester, for sorting by proximity.
     pub(crate) fn requester(&self) -> Requester<'_> {
         Requester {
             instance: &self.instance,
@@ -86,7 +83,6 @@
         }
     }
 
-    /// Returns the number of regions.
     pub(crate) fn regions_count(&self) -> usize {
         let mut regions: Vec<&RegionId> = self.regions.values().collect();
         regions.sort();
@@ -95,18 +91,18 @@
     }
 }
 
-/// The listeners of an instance.
+/// The listen addresses of an instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Addresses {
-    /// Where callers send requests.
+    /// For requests of callers.
     pub callers: SocketAddr,
-    /// Where the platform asks whether the instance is ready.
+    /// For readiness checks of the platform.
     pub readiness: SocketAddr,
-    /// Where callers look up instances; may be one of the others.
+    /// For look-ups of callers; may equal another address.
     pub directory: SocketAddr,
-    /// Where other instances ask; never one of the others.
+    /// For queries of other instances; never equals another address.
     pub peers: SocketAddr,
-    /// Where other instances send datagrams.
+    /// For datagrams of other instances.
     pub datagrams: SocketAddr,
 }
 
@@ -123,27 +119,26 @@
     }
 }
 
-/// Bounds that all instances keep together; the platform's settings set them.
+/// Bounds that all instances share, from the platform's settings.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Bounds {
-    /// The longest time to live of a look-up's answer.
+    /// The maximum time to live of an answer to a look-up.
     pub lookup_ttl_max: Duration,
     /// The time between the stop signal and the process's forced end.
     pub grace: Duration,
-    /// Repeats allowed for each request to a service.
+    /// Retries allowed per request to a service.
     pub retry_ratio: f64,
-    /// Repeats allowed on top of that in a window, by all instances.
+    /// Additional retries allowed in a window, by all instances.
     pub retry_burst: f64,
     /// The factor by which a cold upstream's rate may be exceeded.
     pub cold_overshoot: f64,
-    /// Requests a second to a cold upstream allowed on top of that.
+    /// Additional requests per second allowed to a cold upstream.
     pub cold_slack_rps: f64,
-    /// By how much organisations' quotas may be exceeded.
+    /// The allowed excess over organisations' quotas.
     pub quota: QuotaBounds,
 }
 
 impl Default for Bounds {
-    /// The bounds of today's deployments.
     fn default() -> Self {
         Self {
             lookup_ttl_max: Duration::from_secs(5),
--- a/crates/foxtide-gateway/src/store.rs
+++ b/crates/foxtide-gateway/src/store.rs
@@ -1,4 +1,4 @@
-//! What the gateway needs of the platform's store.
+//! The interface of the gateway to the platform's store.
 
 use foxtide_core::ids::{
     AvailabilityZoneId,
@@ -24,21 +24,21 @@
 use std::future::Future;
 use std::time::Duration;
 
-/// The most records that one write changes.
+/// The maximum number of records in one write.
 pub const RECORDS_MAX: usize = 32;
 
-/// Something that the store holds or has held.
+/// The meaning of a record, or of its removal.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Fact {
     /// A version of the configuration.
     Configuration(RouteDocument),
-    /// An availability zone is to get nothing.
+    /// An availability zone is evacuated and gets no requests.
     Evacuated(AvailabilityZoneId),
-    /// An availability zone may get requests again.
+    /// An availability zone is no longer evacuated.
     Reinstated(AvailabilityZoneId),
-    /// An upstream has registered itself.
+    /// An upstream is registered.
     Registered(Registration),
-    /// What stands under an upstream's name cannot be read.
+    /// The registration of an upstream is malformed.
     UpstreamUnreadable(UpstreamId),
     /// An upstream's registration has ended.
     Unregistered(UpstreamId),
@@ -52,42 +52,42 @@
     Released(Fingerprint),
 }
 
-/// How new a reading has to be.
+/// The required freshness of a read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Freshness {
-    /// It shows all changes that were acknowledged before it began.
+    /// Includes all changes that were acknowledged before the read began.
     Current,
-    /// It may be seconds old, and costs a tenth. What has changed since is to be followed
-    /// before anything is decided from it.
+    /// May be seconds old, and is cheaper. The changes since have to be applied before the
+    /// result is used.
     MayBeStale,
 }
 
-/// A part of what the store holds.
+/// A page of the contents of the store.
 #[derive(Clone, Debug, Default)]
 pub struct Page {
-    /// Keys and their values in the order of the keys; no record is of a removed key.
+    /// The records of present keys, in key order.
     pub records: Vec<Record>,
-    /// All changes to these keys after this index are still to be followed.
+    /// Changes to these keys after this index may be missing.
     pub index: StoreIndex,
     /// Whether there are keys after the last one.
     pub has_more: bool,
 }
 
-/// What has changed after an index.
+/// The changes after an index.
 #[derive(Clone, Debug)]
 pub enum Changes {
-    /// These changes, in their order.
+    /// The changes in order.
     Followed {
-        /// What is new.
+        /// The changed records.
         records: Vec<Record>,
-        /// Where to go on from.
+        /// The index to continue from.
         index: StoreIndex,
     },
-    /// The store has forgotten them: all has to be read again.
+    /// The changes have been compacted; the whole store has to be read again.
     Compacted,
 }
 
-/// A lease on the store.
+/// The id of a lease in the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LeaseId(pub u64);
 
@@ -101,15 +101,14 @@
 ///
 /// # Contract
 ///
-/// An implementer translates and decides nothing. Reads are linearizable but where the
-/// caller lets them be old; each call ends within a time that the implementer states. The caller paces its
-/// calls.
+/// An implementation only translates. Reads are linearizable unless they may be stale. Each
+/// call ends within a time that the implementation states. The caller paces its calls.
 pub trait FleetStore: Clone + Send + Sync + 'static {
-    /// Returns what a record means; nothing where it is none of the gateway's. One that
-    /// cannot be read, which is logged, ends what was registered under its key.
+    /// Returns the meaning of a record; `None` if it does not concern the gateway. A malformed
+    /// record is logged and ends the registration under its key.
     fn fact(&self, record: &Record) -> Option<Fact>;
 
-    /// Reads the first keys after `after`, of all that the store holds.
+    /// Reads the page of keys after `after`.
     fn read_page(
         &self,
         after: &str,
@@ -123,31 +122,31 @@
         wait: Duration,
     ) -> impl Future<Output = StoreResult<Changes>> + Send;
 
-    /// Takes a lease that lapses `ttl` after its last renewal.
+    /// Opens a lease that lapses `ttl` after its last renewal.
     fn open_lease(&self, ttl: Duration) -> impl Future<Output = StoreResult<LeaseId>> + Send;
 
-    /// Writes and removes records of instances, at most [`RECORDS_MAX`], all or none.
-    /// Those written stand for as long as the lease lives; tells whether it was there.
+    /// Writes and removes at most [`RECORDS_MAX`] records of instances atomically. Written
+    /// records last as long as the lease. Returns whether the lease existed.
     fn write_records(
         &self,
         changes: &RecordChanges,
         lease: LeaseId,
     ) -> impl Future<Output = StoreResult<bool>> + Send;
 
-    /// Renews a lease; tells whether it was there.
+    /// Renews a lease; returns whether it existed.
     fn renew(&self, lease: LeaseId) -> impl Future<Output = StoreResult<bool>> + Send;
 
-    /// Ends a lease, and with it what was announced under it.
+    /// Ends a lease and removes the records under it.
     fn end_lease(&self, lease: LeaseId) -> impl Future<Output = StoreResult<()>> + Send;
 
-    /// Writes what is known of a quarantined request where the last change of its key is at
-    /// the entry's index; tells whether it was.
+    /// Writes the entry of a quarantined request if the last change of its key is at the
+    /// entry's index; returns whether it was written.
     fn write_quarantine(
         &self,
         entry: &StoredEntry,
     ) -> impl Future<Output = StoreResult<bool>> + Send;
 
-    /// Removes a request from the quarantine, whether it is there or not.
+    /// Removes a request from the quarantine, if present.
     fn remove_quarantine(
         &self,
         fingerprint: Fingerprint,
--- a/crates/foxtide-gateway/src/store_calls.rs
+++ b/crates/foxtide-gateway/src/store_calls.rs
@@ -1,7 +1,6 @@
-//! Counts the calls to the store by what they are for.
+//! Counts the calls to the store by purpose, as a metric and in log lines.
 //!
-//! The platform prices each call and bounds their rate, so what causes them has to be
-//! seen: as a metric, and as a line that tells what has been called since the last one.
+//! The platform prices calls and limits their rate.
 
 use foxtide_events::{
     EventCode,
@@ -12,22 +11,22 @@
     Ordering, //
 };
 
-/// What a call to the store is for.
+/// The purpose of a call to the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum CallPurpose {
-    /// An instance that knows nothing reads what there is.
+    /// The initial read of an instance.
     Start,
-    /// The same by pages that may be old, which the platform prices at a tenth.
+    /// The initial read from stale pages, which is cheaper.
     StartStale,
-    /// A lease is opened or ended, or a record is written or removed under one.
+    /// Opening or ending a lease, or writing records under one.
     Record,
-    /// A lease is renewed, which the platform prices at a tenth.
+    /// The renewal of a lease.
     Renewal,
-    /// Changes are waited for.
+    /// A wait for changes.
     Following,
-    /// A call after one that failed, or after the store has forgotten its history.
+    /// A call after a failure or a compaction.
     Recovery,
-    /// A request is quarantined, tried again or let through.
+    /// A change of the quarantine.
     Quarantine,
 }
 
@@ -55,11 +54,10 @@
     }
 }
 
-/// The calls that an instance has made to the store.
+/// The number of calls to the store since the last log line.
 #[derive(Debug, Default)]
 pub(crate) struct StoreCalls {
-    /// Calls by purpose that no line has told yet, in the order of
-    /// [`CallPurpose::ALL`].
+    /// Calls by purpose, in the order of [`CallPurpose::ALL`].
     unlogged: [AtomicU64; CallPurpose::ALL.len()],
 }
 
@@ -71,7 +69,7 @@
             .increment(calls.into());
     }
 
-    /// Writes a line about the calls since the last one, if there were any.
+    /// Logs the calls since the last log line, if any.
     pub(crate) fn log_summary(&self) {
         let [
             start,
