--- a/crates/foxtide-gateway/src/directory.rs
+++ b/crates/foxtide-gateway/src/directory.rs
@@ -1,4 +1,4 @@
-//! Answers to callers who ask which instances to use.
+//! Answers look-ups of callers with the addresses of instances.
 
 use crate::dialect::{
     Dialect,
@@ -9,15 +9,13 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// How long an answer is good for. Callers notice by themselves when an
-/// instance is gone; this bounds how long they use one that is stopping.
+/// The time to live of an answer, which bounds how long callers use a stopping instance.
 const LOOKUP_TTL: Duration = Duration::from_secs(2);
 
-/// The most addresses of an answer.
+/// The maximum number of addresses in an answer.
 const ADDRESSES_MAX: usize = 64;
 
-/// Returns the body of the answer, or nothing where no instance is known that
-/// takes requests.
+/// Returns the body of the answer; `None` if no instance accepts requests.
 pub(crate) fn answer<D: Dialect>(shared: &Shared<D>, lookup: &Lookup) -> Option<Vec<u8>> {
     let addresses = addresses(shared, lookup);
     if addresses.is_empty() {
@@ -40,7 +38,7 @@
         .into_iter()
         .map(|member| member.caller_address)
         .collect();
-    // Until the store names instances, this one is the only one it knows.
+    // Until the store lists instances, only this one is known.
     if addresses.is_empty() && is_ready {
         addresses.push(shared.addresses.callers);
     }
--- a/crates/foxtide-gateway/src/lifecycle.rs
+++ b/crates/foxtide-gateway/src/lifecycle.rs
@@ -1,4 +1,4 @@
-//! Whether the instance is stopping, and when it may end.
+//! Tracks open connections and the graceful stop of the instance.
 
 use event_listener::Event;
 use futures_lite::future::or;
@@ -14,20 +14,18 @@
     Instant, //
 };
 
-/// The part of the grace time after which idle connections are closed. Most
-/// callers have looked up other instances by then, and the sooner the process
-/// ends the sooner its successor serves: a quarter in place of two fifths raised
-/// the worth of a day on which all instances restart twice from 0.76 to 0.80.
+/// The fraction of the grace time after which idle connections are closed. Most callers have
+/// looked up other instances by then.
 const IDLE_CLOSE_FRACTION: f64 = 0.25;
 
-/// The part of the grace time in which all requests are taken, also those that
-/// might take longer than is left: callers have not yet been told to go.
+/// The fraction of the grace time in which all requests are accepted, even those that may
+/// take longer than the time left: callers may not know of the stop yet.
 const ACCEPT_ALL_FRACTION: f64 = 0.45;
 
-/// What is left of the grace time when the process ends by itself.
+/// The time between the end of the process and the end of the grace time.
 const GRACE_MARGIN: Duration = Duration::from_millis(400);
 
-/// Counts what is open and tells of the stop.
+/// The open connections and the stop of an instance.
 #[derive(Debug, Default)]
 pub(crate) struct Lifecycle {
     is_stopping: AtomicBool,
@@ -37,19 +35,19 @@
     stop: OnceLock<Stop>,
 }
 
-/// When a stop began, and when it will be over.
+/// The begin and the grace time of a stop.
 #[derive(Clone, Copy, Debug)]
 struct Stop {
     began_at: Instant,
     grace: Duration,
 }
 
-/// A connection that counts as open until it is dropped.
+/// A guard that counts a connection as open until it is dropped.
 #[derive(Debug)]
 pub(crate) struct OpenConnection<'a>(&'a Lifecycle);
 
 impl Lifecycle {
-    /// Begins the stop, which is over after `grace`.
+    /// Begins a stop with this grace time.
     pub(crate) fn stop(&self, grace: Duration) {
         let began_at = Instant::now();
         self.stop.get_or_init(|| Stop { began_at, grace });
@@ -62,8 +60,8 @@
         self.is_stopping.load(Ordering::SeqCst)
     }
 
-    /// Tells whether a request that may take `time` is still to be taken: late in
-    /// a stop one that could not end before the process does is refused.
+    /// Tells whether a request that may take `time` is accepted; late in a stop, requests that
+    /// may outlast the process are refused.
     pub(crate) fn has_time_for(&self, time: Duration) -> bool {
         let Some(stop) = self.stop.get() else {
             return true;
@@ -78,7 +76,7 @@
         self.until(|lifecycle| lifecycle.is_stopping()).await;
     }
 
-    /// Waits until idle connections are to be closed.
+    /// Waits until idle connections have to be closed.
     pub(crate) async fn closing_idle(&self) {
         self.until(|lifecycle| lifecycle.closes_idle.load(Ordering::SeqCst))
             .await;
@@ -90,9 +88,8 @@
         OpenConnection(self)
     }
 
-    /// Waits until the stop is complete: idle connections are closed after a
-    /// part of the grace time, and the end comes when none is open or the
-    /// grace time is nearly over.
+    /// Closes idle connections after a fraction of the grace time, and waits until no
+    /// connection is open or the grace time is nearly over.
     pub(crate) async fn drained(&self) {
         let Some(stop) = self.stop.get() else {
             return;
@@ -122,7 +119,7 @@
 }
 
 impl Stop {
-    /// Returns the time after which the process ends whatever is open.
+    /// Returns the time after which the process ends even with open connections.
     fn ends_after(self) -> Duration {
         self.grace.saturating_sub(GRACE_MARGIN)
     }
--- a/crates/foxtide-gateway/src/memory.rs
+++ b/crates/foxtide-gateway/src/memory.rs
@@ -1,4 +1,4 @@
-//! A bound on the memory that callers' bodies take.
+//! Limits the memory that request bodies take.
 
 use foxtide_core::units::ByteSize;
 use std::sync::Arc;
@@ -7,14 +7,14 @@
     Ordering, //
 };
 
-/// The memory that bodies may take together.
+/// The memory available for request bodies.
 #[derive(Debug)]
 pub(crate) struct BodyMemory {
     used_bytes: Arc<AtomicU64>,
     max: ByteSize,
 }
 
-/// A part of the memory, given back when it is dropped.
+/// A reservation of memory, released when it is dropped.
 #[derive(Debug)]
 pub(crate) struct BodyReservation {
     used_bytes: Arc<AtomicU64>,
@@ -22,7 +22,7 @@
 }
 
 impl BodyMemory {
-    /// Returns a bound of which nothing is used.
+    /// Returns an unused limit.
     pub(crate) fn new(max: ByteSize) -> Self {
         Self {
             used_bytes: Arc::default(),
@@ -30,7 +30,7 @@
         }
     }
 
-    /// Reserves memory for a body; nothing where there is not enough left.
+    /// Reserves memory for a body; `None` if not enough is left.
     pub(crate) fn try_reserve(&self, size_bytes: u64) -> Option<BodyReservation> {
         let reserved = BodyReservation {
             used_bytes: Arc::clone(&self.used_bytes),
