--- a/crates/foxtide-gateway/tests/gateway/following.rs
+++ b/crates/foxtide-gateway/tests/gateway/following.rs
@@ -1,4 +1,4 @@
-//! What an instance knows, while the store is away, forgets, or turns it away.
+//! Tests following the store through outages, compactions and rejected calls.
 
 use crate::support::{
     Caller,
@@ -16,7 +16,7 @@
 use std::time::Duration;
 
 #[test]
-fn verify_a_forgotten_history_is_read_again_without_a_gap() {
+fn verify_the_store_is_read_again_after_a_compaction() {
     let fleet = Fleet::new();
     let one = fleet.upstream("i-1", "khomas-a");
     let instance = fleet.instance("edge-1", "khomas-a");
@@ -34,8 +34,8 @@
     assert_eq!(one.seen().len(), before);
 }
 
-/// A wait that begins while the store forgets its history may hear nothing until
-/// it ends; a change has to be in force 2.5 s after it was acknowledged.
+/// Guards against long waits: one that begins during a compaction may miss changes until it
+/// ends, and a change has to be in force 2.5 s after it was acknowledged.
 #[test]
 fn verify_no_wait_is_longer_than_a_change_may_take() {
     let fleet = Fleet::new();
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn verify_requests_go_on_while_the_store_is_away() {
+fn verify_requests_are_served_while_the_store_is_unavailable() {
     let fleet = Fleet::new();
     let upstream = fleet.upstream("i-1", "khomas-a");
     let instance = fleet.instance("edge-1", "khomas-a");
@@ -57,7 +57,7 @@
     eventually("calls fail", || fleet.store.calls() > calls + 3);
     assert_eq!(instance.get("/safe/", "request: r-2\r\n").head.status, 200);
     assert_eq!(instance.get("/ready", "").head.status, 200);
-    // The registration lapses while the store is away; the upstream returns.
+    // The registration lapses during the outage; the upstream registers again.
     fleet.store.remove(&upstream.key());
     fleet.store.set_unavailable(false);
     let calls = fleet.store.calls();
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn verify_a_registration_that_stays_away_after_an_outage_is_gone() {
+fn verify_a_registration_that_lapsed_in_an_outage_is_removed() {
     let fleet = Fleet::new();
     let one = fleet.upstream("i-1", "khomas-a");
     let instance = fleet.instance("edge-1", "khomas-a");
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn verify_an_instance_that_the_store_turns_away_learns_from_a_peer() {
+fn verify_an_instance_that_the_store_rejects_follows_a_peer() {
     let fleet = Fleet::new();
     let one = fleet.upstream("i-1", "khomas-a");
     let two = fleet.upstream("i-2", "erongo-a");
@@ -125,7 +125,7 @@
 }
 
 #[test]
-fn verify_an_instance_that_starts_while_it_is_turned_away_reads_from_a_peer() {
+fn verify_an_instance_that_the_store_rejects_at_startup_reads_from_a_peer() {
     let fleet = Fleet::new();
     let _upstream = fleet.upstream("i-1", "khomas-a");
     let peer = fleet.instance("edge-1", "khomas-a");
@@ -134,7 +134,7 @@
     eventually("the instance serves", is_served);
 }
 
-/// A peer whose connection takes the question and says nothing.
+/// Guards against waiting for a peer that accepts a connection and never answers.
 #[test]
 fn verify_a_silent_peer_is_passed_over() {
     let fleet = Fleet::new();
@@ -147,8 +147,8 @@
     eventually("the instance serves", is_served);
 }
 
-/// Callers come back at once after all instances have lost power, and each of them
-/// asks again only once.
+/// Guards against refusing callers that reconnect right after a restart of the fleet and
+/// retry only once.
 #[test]
 fn verify_a_request_right_after_a_start_waits_for_the_configuration() {
     let fleet = Fleet::new();
@@ -157,7 +157,7 @@
         fleet.store.set_unavailable(true);
         let calls = fleet.store.calls();
         let instance = fleet.start_instance("edge-1", "khomas-a");
-        eventually("the first reading fails", || fleet.store.calls() > calls);
+        eventually("the first read fails", || fleet.store.calls() > calls);
         let mut caller = Caller::connect(instance.address());
         caller.send("GET /safe/ HTTP/1.1\r\nhost: a.example\r\nrequest: r-1\r\n\r\n");
         assert!(!instance.gateway().is_ready());
@@ -167,9 +167,9 @@
     eventually("a request waits", is_served);
 }
 
-/// Instances are replaced also while the store is away.
+/// Guards against instances that cannot be replaced during an outage of the store.
 #[test]
-fn verify_an_instance_that_starts_while_the_store_is_away_begins_from_a_peer() {
+fn verify_an_instance_that_starts_during_an_outage_reads_from_a_peer() {
     let fleet = Fleet::new();
     let upstream = fleet.upstream("i-1", "khomas-a");
     let peer = fleet.instance("edge-1", "khomas-a");
@@ -178,7 +178,7 @@
     let instance = fleet.rejected_instance("edge-2", "khomas-a", &peer);
     let is_served = || instance.get("/safe/", "request: r-2\r\n").head.status == 200;
     eventually("the instance serves", is_served);
-    // It follows the store from there once that is back.
+    // It follows the store once that is available again.
     instance.store.set_rejected(false);
     fleet.store.remove(&upstream.key());
     fleet.store.set_unavailable(false);
@@ -186,10 +186,9 @@
     eventually("the upstream is given up", is_gone);
 }
 
-/// A start reads pages that may be seconds old. What has been in force since then is in
-/// force from the first request on.
+/// Guards against serving the first requests from stale pages without the changes since.
 #[test]
-fn verify_a_start_from_old_pages_begins_with_what_is_current() {
+fn verify_a_start_from_stale_pages_serves_the_current_state() {
     let fleet = Fleet::new();
     let gone = fleet.upstream("i-1", "khomas-a");
     fleet.store.snapshot_stale_reads();
@@ -203,10 +202,9 @@
     assert!(gone.seen().is_empty());
 }
 
-/// What has changed since the old pages has been compacted: they bring back an upstream that
-/// has left, and an earlier configuration.
+/// Guards against stale pages that bring back a removed upstream and an old configuration.
 #[test]
-fn verify_old_pages_whose_changes_are_forgotten_are_not_used() {
+fn verify_stale_pages_whose_changes_are_compacted_are_not_used() {
     let fleet = Fleet::new();
     let gone = fleet.upstream("i-1", "khomas-a");
     fleet.store.snapshot_stale_reads();
@@ -219,10 +217,9 @@
     assert!(gone.seen().is_empty());
 }
 
-/// One that has known the store reads what is current: old pages would bring back what
-/// was in force before.
+/// Guards against stale reads after a compaction, which would bring back outdated state.
 #[test]
-fn verify_a_forgotten_history_is_not_read_from_old_pages() {
+fn verify_no_stale_pages_are_read_after_a_compaction() {
     let fleet = Fleet::new();
     let one = fleet.upstream("i-1", "khomas-a");
     let instance = fleet.instance("edge-1", "khomas-a");
@@ -237,7 +234,7 @@
     eventually("the new upstream gets requests", is_moved);
 }
 
-/// Registers more upstreams than a page holds, and one whose key is the last.
+/// Registers more upstreams than fit in a page; returns the one with the last key.
 fn fleet_of_pages() -> (Fleet, FakeUpstream) {
     let fleet = Fleet::new();
     let last = fleet.upstream("i-99", "khomas-a");
@@ -261,8 +258,7 @@
     assert_eq!(last.seen().len(), 1);
 }
 
-/// Pages are not of one moment: what changed on the first while others were read has to
-/// be followed.
+/// Guards against missing a change to the first page while later pages are read.
 #[test]
 fn verify_changes_are_followed_from_the_oldest_page() {
     let (fleet, last) = fleet_of_pages();
--- a/crates/foxtide-gateway/tests/gateway/main.rs
+++ b/crates/foxtide-gateway/tests/gateway/main.rs
@@ -1,4 +1,4 @@
-//! An instance between stand-ins for store, upstreams and callers.
+//! Tests instances with a fake store, fake upstreams and test callers.
 
 mod admission;
 mod following;
--- a/crates/foxtide-gateway/tests/gateway/poison.rs
+++ b/crates/foxtide-gateway/tests/gateway/poison.rs
@@ -1,4 +1,4 @@
-//! Requests that end the upstreams that work on them.
+//! Tests the quarantine of requests that crash upstreams.
 
 use crate::support::{
     Behaviour,
@@ -19,7 +19,7 @@
 
 const UPSTREAMS: usize = 6;
 
-/// Two instances that know each other, and upstreams of which each does `behaviour`.
+/// Starts two instances that know each other, and upstreams with `behaviour`.
 fn fleet(behaviour: &Behaviour) -> (Fleet, [Instance; 2], Vec<FakeUpstream>) {
     let fleet = Fleet::new();
     let upstreams: Vec<FakeUpstream> = (0..UPSTREAMS)
@@ -41,13 +41,13 @@
 }
 
 #[test]
-fn verify_a_request_under_which_upstreams_end_is_held_back_everywhere() {
+fn verify_a_request_that_ends_upstreams_is_quarantined_everywhere() {
     verify_quarantined(Duration::from_millis(50));
 }
 
-/// Faster than news travel, and than two ends count as two.
+/// Guards against ends that follow each other faster than their reports arrive.
 #[test]
-fn verify_a_request_under_which_upstreams_end_at_once_is_held_back_everywhere() {
+fn verify_a_request_that_ends_upstreams_at_once_is_quarantined_everywhere() {
     verify_quarantined(Duration::ZERO);
 }
 
@@ -55,7 +55,7 @@
 fn verify_quarantined(end_after: Duration) {
     let (_fleet, instances, upstreams) = fleet(&Behaviour::End(end_after));
     let send = |instance: &Instance| instance.get("/safe/deadly", "request: r\r\nobject: o\r\n");
-    eventually("it is held back", || {
+    eventually("it is quarantined", || {
         let responses = [send(&instances[0]), send(&instances[1])];
         let is_refused = |response: &foxtide_http::WholeResponse| {
             response.head.status == 503 && response.head.lines.get("retry-after").is_some()
@@ -69,7 +69,7 @@
         assert_eq!(send(&instances[1]).head.status, 503);
     }
     assert_eq!(ended_count(&upstreams), before);
-    // The same object in other words is served.
+    // Another request for the same object is served.
     for upstream in &upstreams {
         upstream.always(Behaviour::SUCCESS);
     }
@@ -79,7 +79,7 @@
 
 /// Sends a request that ends its upstreams until both instances refuse it.
 fn send_until_quarantined(instances: &[Instance; 2]) {
-    eventually("it is held back", || {
+    eventually("it is quarantined", || {
         let mut responses = instances.iter().map(send_deadly);
         responses.all(|response| response.head.status == 503)
     });
@@ -89,9 +89,9 @@
     instance.get("/safe/deadly", "request: r\r\nobject: o\r\n")
 }
 
-/// Guards against a verdict that hangs on one instance, which is gone and still a member.
+/// Guards against a quarantine that depends on one instance, which is dead but a member.
 #[test]
-fn verify_a_request_is_held_back_whichever_instance_is_absent() {
+fn verify_a_request_is_quarantined_whichever_instance_is_absent() {
     for absent in 0..3 {
         let fleet = Fleet::new();
         let upstreams: Vec<FakeUpstream> = (0..UPSTREAMS)
@@ -107,8 +107,8 @@
             instance.wait_for_members(3);
         }
         drop(instances.remove(absent));
-        // One that loses power leaves its record for as long as its lease lives.
-        eventually("it is held back", || {
+        // The record of a dead instance remains until its lease lapses.
+        eventually("it is quarantined", || {
             let responses = instances.iter().map(send_deadly);
             let refused = responses.filter(|response| response.head.status == 503);
             refused.count() == 2 && fleet.store.quarantined() == 1
@@ -118,9 +118,9 @@
     }
 }
 
-/// Guards against an instance that starts after the verdict and sends the request on.
+/// Guards against an instance that starts later and forwards the request.
 #[test]
-fn verify_an_instance_that_starts_later_holds_back_what_the_others_do() {
+fn verify_an_instance_that_starts_later_knows_the_quarantine() {
     let (fleet, instances, upstreams) = fleet(&Behaviour::End(Duration::from_millis(50)));
     send_until_quarantined(&instances);
     let before = ended_count(&upstreams);
@@ -131,10 +131,9 @@
     assert_eq!(ended_count(&upstreams), before);
 }
 
-/// Guards against an instance that sends a request as soon as it runs again, by what it knew
-/// before it stood still.
+/// Guards against an instance that forwards requests by stale state after a stall.
 #[test]
-fn verify_an_instance_that_stood_still_learns_the_verdict_before_it_sends() {
+fn verify_a_stalled_instance_syncs_the_quarantine_before_it_forwards() {
     let (fleet, instances, upstreams) = fleet(&Behaviour::End(Duration::from_millis(50)));
     let [first, second] = instances;
     second.stall(Duration::from_secs(3));
@@ -154,9 +153,9 @@
     assert_eq!(ended_count(&upstreams), before);
 }
 
-/// Guards against a restart of all instances that forgets the verdict.
+/// Guards against losing the quarantine in a restart of all instances.
 #[test]
-fn verify_a_restart_of_all_instances_lets_no_held_request_through() {
+fn verify_the_quarantine_survives_a_restart_of_all_instances() {
     let (fleet, instances, upstreams) = fleet(&Behaviour::End(Duration::from_millis(50)));
     send_until_quarantined(&instances);
     let before = ended_count(&upstreams);
@@ -171,14 +170,14 @@
     assert_eq!(ended_count(&upstreams), before);
 }
 
-/// Guards against a store that comes back from an older copy, without the verdict, before all
-/// instances are restarted.
+/// Guards against losing the quarantine if the store is restored from a backup without it
+/// before all instances are restarted.
 #[test]
-fn verify_an_older_store_and_a_restart_of_all_let_no_held_request_through() {
+fn verify_the_quarantine_survives_a_restored_store_and_a_restart_of_all() {
     let (fleet, instances, upstreams) = fleet(&Behaviour::End(Duration::from_millis(50)));
     fleet.store.make_backup();
     send_until_quarantined(&instances);
-    eventually("the store holds the verdict", || {
+    eventually("the store holds the quarantined request", || {
         fleet.store.quarantined() == 1
     });
     let before = ended_count(&upstreams);
@@ -194,9 +193,9 @@
     assert_eq!(ended_count(&upstreams), before);
 }
 
-/// Guards against an instance that starts while the store is away, from what a peer knows.
+/// Guards against losing the quarantine in a start from a peer during an outage.
 #[test]
-fn verify_an_instance_that_starts_without_the_store_learns_the_verdict_from_a_peer() {
+fn verify_an_instance_that_starts_without_the_store_gets_the_quarantine_from_a_peer() {
     let (fleet, instances, upstreams) = fleet(&Behaviour::End(Duration::from_millis(50)));
     fleet.store.set_unavailable(true);
     send_until_quarantined(&instances);
@@ -207,14 +206,14 @@
     assert_eq!(send_deadly(&later).head.status, 503);
     assert_eq!(ended_count(&upstreams), before);
     fleet.store.set_unavailable(false);
-    eventually("the store holds the verdict", || {
+    eventually("the store holds the quarantined request", || {
         fleet.store.quarantined() == 1
     });
 }
 
-/// Upstreams that fail under everything for a while do not keep a request out for good.
+/// Guards against a permanent quarantine after upstreams failed for another cause.
 #[test]
-fn verify_a_request_that_is_served_in_its_trial_is_let_through_everywhere() {
+fn verify_a_request_that_is_served_in_its_trial_is_released_everywhere() {
     let (fleet, instances, upstreams) = fleet(&Behaviour::End(Duration::from_millis(50)));
     send_until_quarantined(&instances);
     for upstream in &upstreams {
@@ -223,12 +222,14 @@
     for instance in &instances {
         eventually("it is served", || send_deadly(instance).head.status == 200);
     }
-    eventually("the store has let it go", || fleet.store.quarantined() == 0);
+    eventually("the store drops the entry", || {
+        fleet.store.quarantined() == 0
+    });
 }
 
-/// A connection that ends while the upstream lives is no end of it.
+/// Guards against counting a closed connection as the end of a running upstream.
 #[test]
-fn verify_broken_connections_to_living_upstreams_hold_nothing_back() {
+fn verify_broken_connections_to_running_upstreams_quarantine_nothing() {
     let (_fleet, instances, upstreams) = fleet(&Behaviour::Break);
     for number in 0..20 {
         let response = instances[number % 2].get("/safe/x", "request: r\r\nobject: o\r\n");
--- a/crates/foxtide-gateway/tests/gateway/restored.rs
+++ b/crates/foxtide-gateway/tests/gateway/restored.rs
@@ -1,4 +1,4 @@
-//! A store that comes back from an older copy.
+//! Tests the restore of the store from a backup.
 
 use crate::support::{
     FakeUpstream,
@@ -14,8 +14,7 @@
 use foxtide_core::routing::Route;
 use foxtide_gateway::Fact;
 
-/// Two instances and one upstream; a copy of the store is made before the change that the
-/// test is of.
+/// Two instances and one upstream; the store is backed up before the tested change.
 struct RestoreTest {
     fleet: Fleet,
     upstream: FakeUpstream,
@@ -46,21 +45,21 @@
         instance.get(path, "request: r\r\n").head.status
     }
 
-    /// Waits until all instances have read what the store holds now.
+    /// Waits until all instances have read the current contents of the store.
     fn wait_for_all_reads(&self) {
-        let mark = self.fleet.upstream("mark", "khomas-a");
+        let marker = self.fleet.upstream("marker", "khomas-a");
         for instance in &self.instances {
-            eventually("the mark is used", || {
+            eventually("the marker upstream is used", || {
                 instance.get("/safe/", "request: r\r\n");
-                !mark.seen().is_empty()
+                !marker.seen().is_empty()
             });
         }
-        self.fleet.store.remove(&mark.key());
+        self.fleet.store.remove(&marker.key());
     }
 }
 
 #[test]
-fn verify_a_version_in_force_stays_and_is_told_to_one_that_starts() {
+fn verify_a_lost_version_stays_in_force_and_is_relayed_to_a_new_instance() {
     let test = RestoreTest::new();
     test.fleet
         .configure(5, RestoreTest::routes(&["safe", "once", "new"]));
@@ -75,10 +74,10 @@
         assert_eq!(RestoreTest::status(instance, "/new/"), 200);
     }
     let started = test.fleet.instance("edge-3", "khomas-a");
-    eventually("the lost version is told", || {
+    eventually("the lost version is relayed", || {
         RestoreTest::status(&started, "/new/") == 200
     });
-    // The operators write again; a newer version takes its place everywhere.
+    // A newer version replaces it everywhere.
     test.fleet
         .configure(6, RestoreTest::routes(&["safe", "once", "newest"]));
     for instance in test.instances.iter().chain([&started]) {
@@ -89,7 +88,7 @@
 }
 
 #[test]
-fn verify_instances_announce_themselves_again_and_nobody_is_taken_for_dead() {
+fn verify_instances_register_again_and_none_is_considered_dead() {
     let test = RestoreTest::new();
     let late = test.fleet.instance("edge-3", "khomas-a");
     for instance in &test.instances {
@@ -108,7 +107,7 @@
 }
 
 #[test]
-fn verify_an_upstream_that_was_leaving_gets_nothing_though_the_copy_shows_it_ready() {
+fn verify_a_draining_upstream_gets_no_requests_though_the_backup_shows_it_ready() {
     let test = RestoreTest::new();
     let other = test.fleet.upstream("i-2", "khomas-a");
     for instance in &test.instances {
@@ -117,14 +116,14 @@
             !other.seen().is_empty()
         });
     }
-    let leaving = Registration {
+    let draining = Registration {
         state: UpstreamState::Draining,
         ..test.upstream.registration()
     };
     let store = &test.fleet.store;
-    store.put(&test.upstream.key(), Fact::Registered(leaving));
+    store.put(&test.upstream.key(), Fact::Registered(draining));
     for instance in &test.instances {
-        eventually("the leaving upstream gets nothing", || {
+        eventually("the draining upstream gets no requests", || {
             let before = test.upstream.seen().len();
             for _ in 0..20 {
                 instance.get("/safe/", "request: r\r\n");
@@ -134,7 +133,7 @@
     }
     let before = test.upstream.seen().len();
     store.restore_backup();
-    // Of the lost registrations the living ones are written again.
+    // The running upstream registers again.
     test.fleet.register(&other);
     test.wait_for_all_reads();
     for instance in &test.instances {
@@ -146,7 +145,7 @@
 }
 
 #[test]
-fn verify_an_evacuation_that_is_missing_in_the_copy_stays_for_a_while() {
+fn verify_an_evacuation_that_is_missing_in_the_backup_stays_for_a_while() {
     let test = RestoreTest::new();
     let elsewhere = test.fleet.upstream("i-2", "erongo-a");
     test.fleet.store.make_backup();
@@ -154,7 +153,7 @@
     let key = "evacuated/khomas-a";
     test.fleet.store.put(key, Fact::Evacuated(zone));
     for instance in &test.instances {
-        eventually("the zone gets nothing", || {
+        eventually("the zone gets no requests", || {
             let before = test.upstream.seen().len();
             for _ in 0..20 {
                 instance.get("/safe/", "request: r\r\n");
@@ -164,12 +163,12 @@
     }
     let before = test.upstream.seen().len();
     test.fleet.store.restore_backup();
-    // The mark stands in the other region: this one's upstreams get nothing.
-    let mark = test.fleet.upstream("mark", "erongo-a");
+    // The marker upstream is in the other region, as this one is evacuated.
+    let marker = test.fleet.upstream("marker", "erongo-a");
     for instance in &test.instances {
-        eventually("the copy is read", || {
+        eventually("the backup is read", || {
             instance.get("/safe/", "request: r\r\n");
-            !mark.seen().is_empty()
+            !marker.seen().is_empty()
         });
     }
     for instance in &test.instances {
@@ -180,10 +179,10 @@
     assert_eq!(test.upstream.seen().len(), before);
 }
 
-/// A position of before means nothing to the store, also where the numbers have gone past
-/// it by the time of the next question.
+/// Guards against continuing from an index of before the restore, even if the new indices
+/// have passed it.
 #[test]
-fn verify_numbers_that_are_given_out_again_are_not_taken_for_the_old_ones() {
+fn verify_reused_indices_are_not_mistaken_for_the_old_ones() {
     let test = RestoreTest::new();
     let lost = test.fleet.upstream("i-lost", "khomas-a");
     eventually("it is used", || {
@@ -197,9 +196,9 @@
             .store
             .put(&key, Fact::UpstreamUnreadable("none".parse().unwrap()));
     }
-    // It does not come back: it is gone once that is known.
+    // The lost upstream does not register again.
     for instance in &test.instances {
-        eventually("it gets nothing", || {
+        eventually("it gets no requests", || {
             let before = lost.seen().len();
             for _ in 0..20 {
                 instance.get("/safe/", "request: r\r\n");
--- a/crates/foxtide-gateway/tests/gateway/stopping.rs
+++ b/crates/foxtide-gateway/tests/gateway/stopping.rs
@@ -1,4 +1,4 @@
-//! Planned stops: nothing is cut, nothing is read and left unanswered.
+//! Tests that a graceful stop answers every request that it reads.
 
 use crate::support::{
     Behaviour,
@@ -11,8 +11,7 @@
 };
 use std::time::Duration;
 
-/// Sends a request that its upstream answers after `time`, and waits until it
-/// has arrived there: the instance does not end before.
+/// Sends a request that its upstream answers after `time`, and waits until it arrives.
 fn send_slow_request(instance: &Instance, upstream: &FakeUpstream, time: Duration) -> Caller {
     upstream.next(Behaviour::Respond(200, "late", time));
     let mut caller = Caller::connect(instance.address());
@@ -22,23 +21,23 @@
 }
 
 #[test]
-fn verify_a_stop_cuts_nothing_and_leaves_the_directory() {
+fn verify_a_stop_drains_requests_and_leaves_the_directory() {
     let fleet = Fleet::new();
     let upstream = fleet.upstream("i-1", "khomas-a");
     let peer = fleet.instance("edge-1", "khomas-a");
     let mut instance = fleet.instance("edge-2", "khomas-a");
-    let named = |count: usize| {
+    let listed = |count: usize| {
         let body = peer.get("/lookup?region=khomas", "").body;
         String::from_utf8_lossy(&body).matches(':').count() == count
     };
-    eventually("both are named", || named(2));
+    eventually("both are listed", || listed(2));
     let mut caller = send_slow_request(&instance, &upstream, Duration::from_millis(1_500));
     let address = instance.address();
     let stopping = std::thread::spawn(move || {
         instance.stop();
         instance
     });
-    eventually("the directory forgets it", || named(1));
+    eventually("the directory drops it", || listed(1));
     assert_eq!(Caller::connect(address).get("/ready", "").head.status, 503);
     let response = caller.read();
     assert_eq!(response.body, b"late");
@@ -46,8 +45,8 @@
     stopping.join().unwrap();
 }
 
-/// A request that crosses the close of an idle connection must be reset unread:
-/// one that was read and not answered is lost.
+/// Guards against losing a request that races with the close of an idle connection: it has
+/// to be reset unread.
 #[test]
 fn verify_a_stop_reads_nothing_that_it_does_not_answer() {
     let fleet = Fleet::new();
@@ -61,7 +60,7 @@
         assert_eq!(response.head.status, 200);
     }
     let stopping = std::thread::spawn(move || instance.stop());
-    // Each sends at another moment around the close of its connection.
+    // Each caller sends at a different time around the close of its connection.
     for (number, caller) in callers.iter_mut().enumerate() {
         std::thread::sleep(Duration::from_millis(60));
         let request = format!("request: crossing-{number}\r\n");
@@ -83,21 +82,21 @@
     stopping.join().unwrap();
 }
 
-/// Callers that looked instances up before the stop still connect to this one.
+/// Guards against refusing callers that looked up instances before the stop.
 #[test]
 fn verify_a_connection_made_late_in_a_stop_gets_its_first_answer() {
     let fleet = Fleet::new();
     let upstream = fleet.upstream("i-1", "khomas-a");
     let mut instance = fleet.instance("edge-1", "khomas-a");
     let address = instance.address();
-    // A request that takes long keeps the instance from ending.
+    // A slow request keeps the instance running.
     upstream.next(Behaviour::Respond(
         200,
         "late",
         Duration::from_millis(2_000),
     ));
-    let mut holding = Caller::connect(address);
-    holding.send("GET /once/ HTTP/1.1\r\nhost: a.example\r\nrequest: r-1\r\n\r\n");
+    let mut slow_caller = Caller::connect(address);
+    slow_caller.send("GET /once/ HTTP/1.1\r\nhost: a.example\r\nrequest: r-1\r\n\r\n");
     eventually("the request arrives", || upstream.seen().len() == 1);
     let mut idle = Caller::connect(address);
     assert_eq!(idle.get("/safe/", "request: r-2\r\n").head.status, 200);
@@ -108,11 +107,11 @@
     let response = late.get("/safe/", "request: r-3\r\n");
     assert_eq!(response.head.status, 200);
     assert!(response.head.close);
-    assert_eq!(holding.read().body, b"late");
+    assert_eq!(slow_caller.read().body, b"late");
     stopping.join().unwrap();
 }
 
-/// A request that is taken late in a stop must not be cut by its end.
+/// Guards against requests that are accepted late in a stop and outlast the process.
 #[test]
 fn verify_a_request_that_could_not_end_before_the_stop_does_is_refused() {
     let fleet = Fleet::new();
@@ -124,8 +123,8 @@
         "late",
         Duration::from_millis(2_500),
     ));
-    let mut holding = Caller::connect(address);
-    holding.send("GET /once/ HTTP/1.1\r\nhost: a.example\r\nrequest: r-1\r\n\r\n");
+    let mut slow_caller = Caller::connect(address);
+    slow_caller.send("GET /once/ HTTP/1.1\r\nhost: a.example\r\nrequest: r-1\r\n\r\n");
     eventually("the request arrives", || upstream.seen().len() == 1);
     let stopping = std::thread::spawn(move || instance.stop());
     // The route's timeout is 5 s, the grace time 3 s.
@@ -138,18 +137,14 @@
     let response = Caller::connect(address).get("/once/", "request: r-3\r\n");
     assert_eq!(response.head.status, 503);
     assert_eq!(upstream.seen().len(), seen);
-    drop(holding);
+    drop(slow_caller);
     stopping.join().unwrap();
 }
 
-/// An instance that keeps a neighbour's record at the store hands it on for up to 1.8 s
-/// before it ends. Its connections were all closed before that, so that the stop took
-/// itself for complete, and ended with the record's withdrawal; a request that had come
-/// meanwhile, of a caller with an older look-up, was cut at its upstream. Seen twice in two
-/// plays of instances that stop while the store turns some of them away: each ended right
-/// after its withdrawal with a request of 0.1 s under way.
+/// Guards against ending the process while a request is in flight that arrived after the
+/// drain, during the handover of neighbours' records.
 #[test]
-fn verify_a_request_that_comes_while_records_are_handed_on_is_answered() {
+fn verify_a_request_that_arrives_during_the_handover_of_records_is_answered() {
     let fleet = Fleet::new();
     let upstream = fleet.upstream("i-1", "khomas-a");
     let mut instance = fleet.instance("edge-1", "khomas-a");
@@ -157,14 +152,14 @@
     neighbour.wait_for_members(2);
     neighbour.store.set_rejected(true);
     fleet.store.expire_lease("edge-2");
-    eventually("the instance keeps its neighbour's record", || {
+    eventually("the instance registers its neighbour", || {
         let registrar = fleet.store.registrars().remove("edge-2").flatten();
         registrar.as_deref() == Some("edge-1")
     });
     let address = instance.address();
     let mut idle = Caller::connect(address);
     assert_eq!(idle.get("/safe/", "request: r-1\r\n").head.status, 200);
-    // It ends with its process.
+    // The process ends once the stop returns.
     let stopping = std::thread::spawn(move || instance.stop());
     assert!(idle.is_ended(), "idle connections are closed");
     let time = Duration::from_millis(1_400);
@@ -176,5 +171,5 @@
     });
     stopping.join().unwrap();
     let body = answers.recv_timeout(Duration::from_secs(5));
-    assert_eq!(body.expect("what was read is answered"), b"late");
+    assert_eq!(body.expect("the request is answered"), b"late");
 }
--- a/crates/foxtide-gateway/tests/gateway/support/caller.rs
+++ b/crates/foxtide-gateway/tests/gateway/support/caller.rs
@@ -1,4 +1,4 @@
-//! A caller with one connection.
+//! A test caller with one connection.
 
 use foxtide_http::{
     BufferedStream,
@@ -8,12 +8,12 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// How a connection ended in place of a response.
+/// How a connection ended without a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum CallError {
-    /// It was reset: what was sent is unread.
+    /// The connection was reset; the request was not read.
     Reset,
-    /// What is sent is read and not answered.
+    /// The request was read but not answered.
     StillRead,
 }
 
@@ -24,13 +24,13 @@
 }
 
 impl Caller {
-    /// Connects.
+    /// Connects to an instance.
     pub(crate) fn connect(address: SocketAddr) -> Self {
         let stream = smol::block_on(BufferedStream::connect(address, None)).unwrap();
         Self { stream }
     }
 
-    /// Sends bytes as they are.
+    /// Sends raw text.
     pub(crate) fn send(&mut self, text: &str) {
         smol::block_on(self.stream.write_all(text.as_bytes())).unwrap();
     }
@@ -40,7 +40,7 @@
         smol::block_on(read_response(&mut self.stream, "GET", 1 << 20)).unwrap()
     }
 
-    /// Tells whether the instance has ended the connection.
+    /// Waits for data; tells whether the instance has closed the connection instead.
     pub(crate) fn is_ended(&mut self) -> bool {
         matches!(smol::block_on(self.stream.fill()), Ok(0) | Err(_))
     }
@@ -49,7 +49,7 @@
     ///
     /// # Errors
     ///
-    /// Fails where the connection ends without one.
+    /// Fails if the connection ends without a response.
     pub(crate) fn try_get(&mut self, path: &str, lines: &str) -> Result<WholeResponse, CallError> {
         let text = format!("GET {path} HTTP/1.1\r\nhost: a.example\r\n{lines}\r\n");
         let sent = smol::block_on(self.stream.write_all(text.as_bytes()));
@@ -60,8 +60,7 @@
         read.map_err(|_| self.end())
     }
 
-    /// Tells how a connection ended that brought no response: what is sent on
-    /// one that nobody reads is answered by a reset.
+    /// Returns how the connection ended: a write to a closed one is answered by a reset.
     fn end(&mut self) -> CallError {
         for _ in 0..2 {
             if smol::block_on(self.stream.write_all(b"x")).is_err() {
--- a/crates/foxtide-gateway/tests/gateway/support/dialect.rs
+++ b/crates/foxtide-gateway/tests/gateway/support/dialect.rs
@@ -1,4 +1,4 @@
-//! A plain dialect, other than the platform's.
+//! A simple dialect, independent of the platform's.
 
 use foxtide_core::placement::LoadReport;
 use foxtide_gateway::{
@@ -18,7 +18,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Headers with plain names.
+/// A dialect with unprefixed header names.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct PlainDialect;
 
--- a/crates/foxtide-gateway/tests/gateway/support/fleet.rs
+++ b/crates/foxtide-gateway/tests/gateway/support/fleet.rs
@@ -1,4 +1,4 @@
-//! Running instances.
+//! Starts instances on a fake store.
 
 use super::{
     Caller,
@@ -43,10 +43,10 @@
     Instant, //
 };
 
-/// How long a condition may take to hold before a test fails.
+/// How long a test waits for a condition.
 const CONDITION_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Waits until a condition holds.
+/// Waits until a condition holds; panics after a timeout.
 pub(crate) fn eventually(what: &str, holds: impl Fn() -> bool) {
     let ends_at = Instant::now() + CONDITION_TIMEOUT;
     while !holds() {
@@ -55,7 +55,7 @@
     }
 }
 
-/// A store with a configuration and upstreams, to start instances on.
+/// A fake store with a configuration, shared by the instances of a test.
 #[derive(Debug, Default)]
 pub(crate) struct Fleet {
     /// The store.
@@ -70,12 +70,12 @@
         fleet
     }
 
-    /// Puts a configuration in force.
+    /// Writes a configuration to the store.
     pub(crate) fn configure(&self, version: u64, routes: Vec<Route>) {
         self.configure_for(version, routes, None);
     }
 
-    /// Puts a configuration in force whose callers need the keys of organisations.
+    /// Writes a configuration with organisations, whose callers need keys.
     pub(crate) fn configure_for(
         &self,
         version: u64,
@@ -118,12 +118,12 @@
         instance
     }
 
-    /// Starts an instance that the store turns away and that knows one peer.
+    /// Starts an instance with one seed peer, whose calls the store rejects.
     pub(crate) fn rejected_instance(&self, name: &str, zone: &str, peer: &Instance) -> Instance {
         self.rejected_instance_with_peers(name, zone, vec![peer.gateway().peer_address()])
     }
 
-    /// Starts an instance that the store turns away and that knows these peers.
+    /// Starts an instance with these seed peers, whose calls the store rejects.
     pub(crate) fn rejected_instance_with_peers(
         &self,
         name: &str,
@@ -139,8 +139,8 @@
         Instance::start(options, store)
     }
 
-    /// Starts an instance that waits for coordinators for a short time only, and waits
-    /// until it is ready.
+    /// Starts an instance with the default timeouts for coordinators and waits until it is
+    /// ready.
     pub(crate) fn instance_with_default_timeouts(&self, name: &str, zone: &str) -> Instance {
         let options = GatewayOptions {
             admission: AdmissionOptions::default(),
@@ -207,7 +207,7 @@
             grace: Duration::from_secs(3),
             ..Bounds::default()
         },
-        // Long, so that what coordinators say decides on a busy machine as well.
+        // Long enough for coordinators to answer on a busy machine.
         admission: AdmissionOptions {
             answer_time: Duration::from_secs(10),
             ..AdmissionOptions::default()
@@ -219,7 +219,7 @@
 #[derive(Debug)]
 pub(crate) struct Instance {
     gateway: Option<Gateway<PlainDialect>>,
-    /// Its client of the store.
+    /// The store client of the instance.
     pub(crate) store: FakeStore,
     executor: Arc<Executor<'static>>,
     stop: Sender<()>,
@@ -232,7 +232,7 @@
         let (stop, stopped) = bounded::<()>(1);
         let running = Arc::clone(&executor);
         let thread = std::thread::spawn(move || {
-            // Fails once the sender is dropped, which is the stop as well.
+            // Fails once the sender is dropped, which also stops the instance.
             let _ = smol::block_on(running.run(stopped.recv()));
         });
         let shared = Arc::clone(&executor);
@@ -251,7 +251,7 @@
         self.gateway.as_ref().expect("the instance has not stopped")
     }
 
-    /// Lets the instance stand still for a while, from now on.
+    /// Blocks the instance's only thread for a while.
     pub(crate) fn stall(&self, time: Duration) {
         let (frozen, is_frozen) = std::sync::mpsc::channel();
         let standing = async move {
@@ -262,22 +262,22 @@
         is_frozen.recv().expect("the instance runs");
     }
 
-    /// Returns where callers connect.
+    /// Returns the address for callers.
     pub(crate) fn address(&self) -> SocketAddr {
         self.gateway().caller_address()
     }
 
-    /// Sends one request on a connection of its own.
+    /// Sends one request on a new connection.
     pub(crate) fn get(&self, path: &str, lines: &str) -> WholeResponse {
         Caller::connect(self.address()).get(path, lines)
     }
 
-    /// Waits until the instance counts `count` instances as alive.
+    /// Waits until the instance knows `count` instances.
     pub(crate) fn wait_for_members(&self, count: usize) {
         self.wait_for_members_of("khomas", count);
     }
 
-    /// Waits until the instance directs callers of a region to `count` instances.
+    /// Waits until look-ups for a region return `count` instances.
     pub(crate) fn wait_for_members_of(&self, region: &str, count: usize) {
         eventually("the members are known", || {
             let response = self.get(&format!("/lookup?region={region}"), "");
--- a/crates/foxtide-gateway/tests/gateway/support/mod.rs
+++ b/crates/foxtide-gateway/tests/gateway/support/mod.rs
@@ -1,4 +1,4 @@
-//! Stand-ins for the platform around a gateway: a store, upstreams, callers.
+//! Test doubles of the platform: a store, upstreams and callers.
 
 mod caller;
 mod dialect;
--- a/crates/foxtide-gateway/tests/gateway/support/store.rs
+++ b/crates/foxtide-gateway/tests/gateway/support/store.rs
@@ -1,4 +1,4 @@
-//! A store in memory that can be away, turn instances away, and compact.
+//! An in-memory store that can fail, reject clients, compact and restore a backup.
 
 use foxtide_core::poison::{
     Fingerprint,
@@ -38,15 +38,15 @@
     Instant, //
 };
 
-/// How often a waiting watch looks for changes.
+/// The polling period of waits for changes.
 const WATCH_STEP: Duration = Duration::from_millis(5);
 
-/// How many keys a page has; more than most tests write.
+/// The number of keys in a page; more than most tests write.
 const PAGE_KEYS: usize = 20;
 
 #[derive(Debug, Default)]
 struct Contents {
-    /// How often it has come back from an older copy.
+    /// The number of restores from a backup.
     era: u64,
     backup: Option<Backup>,
     index: u64,
@@ -54,21 +54,21 @@
     changes: Vec<Record>,
     /// Changes up to this index are compacted.
     compacted_index: u64,
-    /// What the values stand for.
+    /// The facts that the values represent.
     facts: HashMap<Vec<u8>, Fact>,
     leases: HashMap<u64, Vec<String>>,
     is_unavailable: bool,
-    /// What readings show that may be old.
+    /// The snapshot that stale reads return.
     stale: Option<(BTreeMap<String, Record>, u64)>,
     /// A key that is removed once the next page has been read.
     removed_after_page: Option<String>,
     calls: usize,
     longest_wait: Duration,
-    /// How often all waits were cut.
+    /// How often all waits were closed.
     closes: usize,
 }
 
-/// What it held when a copy was made.
+/// A backup of the contents.
 #[derive(Clone, Debug)]
 struct Backup {
     index: u64,
@@ -76,13 +76,12 @@
     leases: HashMap<u64, Vec<String>>,
 }
 
-/// One instance's client of the store; clones for other instances share what
-/// it holds.
+/// The store client of one instance; clients of other instances share the contents.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct FakeStore {
     contents: Arc<Mutex<Contents>>,
     is_rejected: Arc<Mutex<bool>>,
-    /// Waits that this client has begun.
+    /// The number of waits that this client has begun.
     waits: Arc<AtomicUsize>,
 }
 
@@ -108,7 +107,7 @@
         contents.write(key, None);
     }
 
-    /// Makes a copy of what the store holds.
+    /// Backs up the contents.
     pub(crate) fn make_backup(&self) {
         let mut contents = self.contents.lock().unwrap();
         let backup = Backup {
@@ -119,7 +118,7 @@
         contents.backup = Some(backup);
     }
 
-    /// Lets the store come back from its copy: all that was written since is gone.
+    /// Restores the backup; all later writes are lost.
     pub(crate) fn restore_backup(&self) {
         let mut contents = self.contents.lock().unwrap();
         let backup = contents.backup.clone().expect("a backup was made");
@@ -132,24 +131,24 @@
         contents.closes += 1;
     }
 
-    /// Sets whether the store answers nobody.
+    /// Sets whether the store fails all calls.
     pub(crate) fn set_unavailable(&self, is_unavailable: bool) {
         self.contents.lock().unwrap().is_unavailable = is_unavailable;
     }
 
-    /// Sets whether the store turns this client away.
+    /// Sets whether the store rejects the calls of this client.
     pub(crate) fn set_rejected(&self, is_rejected: bool) {
         *self.is_rejected.lock().unwrap() = is_rejected;
     }
 
-    /// Forgets all changes so far.
+    /// Compacts all changes so far.
     pub(crate) fn compact(&self) {
         let mut contents = self.contents.lock().unwrap();
         contents.compacted_index = contents.index;
         contents.changes.clear();
     }
 
-    /// Lets readings that may be old show what the store holds now.
+    /// Makes stale reads return the current contents from now on.
     pub(crate) fn snapshot_stale_reads(&self) {
         let mut contents = self.contents.lock().unwrap();
         contents.stale = Some((contents.present.clone(), contents.index));
@@ -160,7 +159,7 @@
         self.contents.lock().unwrap().removed_after_page = Some(key.to_owned());
     }
 
-    /// Cuts all waits for changes, as a store does that drops its history.
+    /// Closes all waits for changes, as a store does on compaction.
     pub(crate) fn close_waits(&self) {
         self.contents.lock().unwrap().closes += 1;
     }
@@ -170,7 +169,7 @@
         self.waits.load(Ordering::SeqCst)
     }
 
-    /// Lets the lease lapse under which an instance's record stands.
+    /// Expires the lease of an instance's record.
     pub(crate) fn expire_lease(&self, instance: &str) {
         let mut contents = self.contents.lock().unwrap();
         let key = format!("instance/{instance}");
@@ -182,7 +181,7 @@
         }
     }
 
-    /// Returns the instances that have a record, with those that keep it.
+    /// Returns the registered instances with their registrars.
     pub(crate) fn registrars(&self) -> BTreeMap<String, Option<String>> {
         let contents = self.contents.lock().unwrap();
         let values = contents.present.values();
@@ -197,7 +196,7 @@
         facts.filter_map(member).collect()
     }
 
-    /// Returns the number of quarantined requests that it holds.
+    /// Returns the number of quarantined requests.
     pub(crate) fn quarantined(&self) -> usize {
         let contents = self.contents.lock().unwrap();
         let keys = contents.present.keys();
@@ -209,7 +208,7 @@
         self.contents.lock().unwrap().calls
     }
 
-    /// Returns the longest wait for a change that was asked for.
+    /// Returns the longest requested wait for a change.
     pub(crate) fn longest_wait(&self) -> Duration {
         self.contents.lock().unwrap().longest_wait
     }
--- a/crates/foxtide-gateway/tests/gateway/support/upstream.rs
+++ b/crates/foxtide-gateway/tests/gateway/support/upstream.rs
@@ -1,4 +1,4 @@
-//! Upstreams that do as they are told.
+//! Upstreams with scripted behaviour.
 
 use event_listener::Event;
 use foxtide_core::registry::{
@@ -28,20 +28,20 @@
 };
 use std::time::Duration;
 
-/// What an upstream does with a request.
+/// The behaviour of an upstream on a request.
 #[derive(Clone, Debug)]
 pub(crate) enum Behaviour {
     /// Responds with this status and body after a delay.
     Respond(u16, &'static str, Duration),
-    /// Says that it is full and did not run the request.
+    /// Responds that it is full and did not run the request.
     Full,
-    /// Says that another incarnation has the address.
+    /// Responds that another incarnation has the address.
     OtherIncarnation,
     /// Reads the request and closes the connection.
     Break,
-    /// Sends half of the body that it states, then closes.
+    /// Sends half of the stated body, then closes the connection.
     Cut,
-    /// Responds without its signature.
+    /// Responds without a signature.
     Unsigned,
     /// Sends the response to another request, then the right one.
     Stray,
@@ -49,29 +49,29 @@
     Unframed,
     /// Reads the request and never responds.
     Silent,
-    /// Reads the request, ends after a delay and takes no connection any more.
+    /// Reads the request, then ends after a delay and accepts no more connections.
     End(Duration),
 }
 
 impl Behaviour {
-    /// Responds well at once.
+    /// Responds successfully at once.
     pub(crate) const SUCCESS: Self = Self::Respond(200, "fine", Duration::ZERO);
 }
 
-/// What an upstream saw.
+/// A request that an upstream received.
 #[derive(Clone, Debug)]
 pub(crate) struct Seen {
     /// The request's identity.
     pub(crate) request: String,
     /// The method, target and body.
     pub(crate) text: String,
-    /// The incarnation that was addressed.
+    /// The addressed incarnation.
     pub(crate) incarnation: String,
-    /// The time that was left.
+    /// The time left until the deadline.
     pub(crate) time_left_ms: u64,
-    /// The organisation that was named.
+    /// The organisation in the request.
     pub(crate) organisation: String,
-    /// The key that came with it.
+    /// The caller's key in the request.
     pub(crate) key: String,
 }
 
@@ -96,7 +96,7 @@
 }
 
 impl FakeUpstream {
-    /// Starts an upstream that responds well.
+    /// Starts an upstream that responds successfully.
     pub(crate) fn start(name: &str, zone: &str) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
@@ -114,7 +114,7 @@
             loop {
                 let accepted = async { Some(listener.accept().await) };
                 let Some(accepted) = smol::future::or(accepted, &mut ended).await else {
-                    // Whoever sees a connection close finds nobody at the address.
+                    // The listener closes first, so that reconnects are refused.
                     drop(listener);
                     drop(tasks);
                     return;
@@ -134,42 +134,42 @@
         }
     }
 
-    /// Sets what it does with the next request; several queue up.
+    /// Queues the behaviour for a request.
     pub(crate) fn next(&self, behaviour: Behaviour) {
         self.shared.script.lock().unwrap().push_back(behaviour);
     }
 
-    /// Sets what it does with requests that nothing else is set for.
+    /// Sets the behaviour for requests beyond the queue.
     pub(crate) fn always(&self, behaviour: Behaviour) {
         *self.shared.default_behaviour.lock().unwrap() = Some(behaviour);
     }
 
-    /// Returns what it saw.
+    /// Returns the received requests.
     pub(crate) fn seen(&self) -> Vec<Seen> {
         self.shared.seen.lock().unwrap().clone()
     }
 
-    /// Returns how many connections were made to it.
+    /// Returns the number of accepted connections.
     pub(crate) fn connections(&self) -> usize {
         *self.shared.connections.lock().unwrap()
     }
 
-    /// Returns how many requests were broken off before their response.
+    /// Returns the number of requests cancelled before their response.
     pub(crate) fn cancelled(&self) -> usize {
         *self.shared.cancelled.lock().unwrap()
     }
 
-    /// Returns the availability zone in which it stands.
+    /// Returns the availability zone.
     pub(crate) fn zone(&self) -> &str {
         &self.zone
     }
 
-    /// Returns its key in the store.
+    /// Returns the key in the store.
     pub(crate) fn key(&self) -> String {
         format!("upstream/{}", self.name)
     }
 
-    /// Returns what it registers.
+    /// Returns the registration.
     pub(crate) fn registration(&self) -> Registration {
         Registration {
             upstream: self.name.parse().unwrap(),
@@ -216,7 +216,7 @@
     }
 }
 
-/// Does what is set; tells whether the connection stays open.
+/// Responds to a request; tells whether the connection stays open.
 async fn respond(
     shared: &Shared,
     stream: &mut BufferedStream,
