--- a/crates/foxtide-gateway/src/follow/apply.rs
+++ b/crates/foxtide-gateway/src/follow/apply.rs
@@ -75,12 +75,12 @@
     /// Applies a stale snapshot together with the changes since.
     pub(super) fn start_from_snapshot(
         &mut self,
-        old: &Snapshot,
+        snapshot: &Snapshot,
         changes: &[Record],
         index: StoreIndex,
     ) {
         let mut log = RecordLog::default();
-        log.replace(&old.records, old.index);
+        log.replace(&snapshot.records, snapshot.index);
         log.append(changes, index);
         let records = log.all();
         log_event!(EventCode::StoreRead, index:% = index, records = records.len());
--- a/crates/foxtide-gateway/src/follow/start.rs
+++ b/crates/foxtide-gateway/src/follow/start.rs
@@ -127,13 +127,13 @@
     ///
     /// Only valid without prior state: stale pages would bring back outdated facts.
     async fn start_from_stale(&mut self) -> Result<bool, StoreError> {
-        let old = self
+        let snapshot = self
             .read_pages(Freshness::MayBeStale, CallPurpose::StartStale)
             .await?;
-        let Some((changes, index)) = self.changes_since(&old).await? else {
+        let Some((changes, index)) = self.changes_since(&snapshot).await? else {
             return Ok(false);
         };
-        self.start_from_snapshot(&old, &changes, index);
+        self.start_from_snapshot(&snapshot, &changes, index);
         if let Some(newer_configuration) = self.newer_configuration.take() {
             self.apply_newer_configuration(newer_configuration);
         }
@@ -143,9 +143,9 @@
     /// Returns the changes since a snapshot, from a watcher or from the store.
     async fn changes_since(
         &mut self,
-        old: &Snapshot,
+        snapshot: &Snapshot,
     ) -> Result<Option<(Vec<Record>, StoreIndex)>, StoreError> {
-        if let Ok(changes) = self.ask_listed_watcher(old).await {
+        if let Ok(changes) = self.ask_listed_watcher(snapshot).await {
             self.merge_peer_quarantine(&changes);
             self.newer_configuration = changes.configuration;
             if !changes.is_full {
@@ -153,7 +153,7 @@
             }
         }
         self.shared.store_calls.count(CallPurpose::Start, 1);
-        match self.store.changes(old.index, Duration::ZERO).await? {
+        match self.store.changes(snapshot.index, Duration::ZERO).await? {
             Changes::Followed { records, index } => Ok(Some((records, index))),
             Changes::Compacted => Ok(None),
         }
@@ -161,23 +161,26 @@
 
     /// Asks one of the watchers in a snapshot for the changes since. Only one is asked: after
     /// a power loss of the whole fleet, none of them has any state.
-    async fn ask_listed_watcher(&mut self, old: &Snapshot) -> Result<RelayedChanges, RelayError> {
-        let watchers = self.listed_watchers(old);
+    async fn ask_listed_watcher(
+        &mut self,
+        snapshot: &Snapshot,
+    ) -> Result<RelayedChanges, RelayError> {
+        let watchers = self.listed_watchers(snapshot);
         if watchers.is_empty() {
             return Err(RelayError::NoPeer);
         }
         let query = ChangesQuery {
-            after: Some(old.index),
+            after: Some(snapshot.index),
             fetches_large: true,
-            version: self.configuration_version(old),
+            version: self.configuration_version(snapshot),
             ..ChangesQuery::default()
         };
         self.relay.ask(&watchers, &query).await
     }
 
     /// Returns the version of the configuration in a snapshot; 0 for none.
-    fn configuration_version(&self, old: &Snapshot) -> u64 {
-        let facts = self.facts(&old.records);
+    fn configuration_version(&self, snapshot: &Snapshot) -> u64 {
+        let facts = self.facts(&snapshot.records);
         let versions = facts.iter().filter_map(|fact| match fact {
             Fact::Configuration(document) => Some(document.version),
             _ => None,
@@ -187,10 +190,10 @@
 
     /// Returns the addresses to ask for the changes since a snapshot: the watchers or, after
     /// a restore from a backup, all instances, since only they know what the store has lost.
-    fn listed_watchers(&self, old: &Snapshot) -> Vec<SocketAddr> {
+    fn listed_watchers(&self, snapshot: &Snapshot) -> Vec<SocketAddr> {
         let place = &self.shared.options.place;
         let mut members = Members::default();
-        for fact in self.facts(&old.records) {
+        for fact in self.facts(&snapshot.records) {
             match fact {
                 Fact::Joined(member) if member.instance != place.instance => {
                     members.join(member, self.shared.clock.now());
@@ -199,7 +202,7 @@
             }
         }
         let mut watchers = members.watchers(&place.region);
-        if watchers.is_empty() && old.index.era() > 0 {
+        if watchers.is_empty() && snapshot.index.era() > 0 {
             watchers = members.all().collect();
         }
         Members::sort_by_proximity(&mut watchers, &place.requester());
