--- a/crates/foxtide-config/src/instance_list.rs
+++ b/crates/foxtide-config/src/instance_list.rs
@@ -1,7 +1,6 @@
-//! The platform's list of instances, a hint for joining the fleet.
+//! Reads the platform's list of instances.
 //!
-//! The list lags, so that it adds addresses to ask and takes none away; who is
-//! live is the membership's matter.
+//! The list may be stale and only provides addresses for joining the mesh.
 
 use crate::store::{
     Call,
@@ -13,50 +12,49 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Where the list is read.
-const PATH: &str = "/v1/instances";
+const LIST_PATH: &str = "/v1/instances";
 
 const OK: u16 = 200;
 
-/// What is needed of a line of the list; the rest is the platform's.
+/// Used fields of an instance in the list.
 #[derive(Debug, Deserialize)]
-struct Line {
+struct ListedInstance {
     peer_address: SocketAddr,
 }
 
-/// Why the list could not be read.
+/// An error of reading the list.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("list of instances {peer}: {cause}")]
-pub struct ListError {
+pub struct InstanceListError {
     peer: SocketAddr,
     cause: String,
 }
 
-/// Reads the addresses at which the listed instances talk to one another.
+/// Reads the peer addresses of the listed instances.
 ///
 /// # Errors
 ///
-/// Fails where no whole answer comes within `timeout` or it is no such list.
+/// Fails if no valid list is received within `timeout`.
 pub async fn read_instance_list(
     list: SocketAddr,
     timeout: Duration,
-) -> Result<Vec<SocketAddr>, ListError> {
+) -> Result<Vec<SocketAddr>, InstanceListError> {
     let call = Call {
         step: "read list",
         method: Method::Get,
-        target: PATH.to_owned(),
+        target: LIST_PATH.to_owned(),
         body: Vec::new(),
         timeout,
     };
     let (_, result) = exchange(list, call).await;
-    let failed = |cause| ListError { peer: list, cause };
+    let failed = |cause| InstanceListError { peer: list, cause };
     let answer = result.map_err(|error| failed(cause_of(error)))?;
     if answer.status != OK {
         return Err(failed(format!("status {}", answer.status)));
     }
-    let lines: Result<Vec<Line>, _> = serde_json::from_slice(&answer.body);
-    let lines = lines.map_err(|error| failed(error.to_string()))?;
-    Ok(lines.into_iter().map(|line| line.peer_address).collect())
+    let listed: Result<Vec<ListedInstance>, _> = serde_json::from_slice(&answer.body);
+    let listed = listed.map_err(|error| failed(error.to_string()))?;
+    Ok(listed.into_iter().map(|one| one.peer_address).collect())
 }
 
 fn cause_of(error: StoreError) -> String {
@@ -64,6 +62,6 @@
         StoreError::NotSent { cause, .. }
         | StoreError::Unknown { cause, .. }
         | StoreError::Refused { cause, .. } => cause,
-        StoreError::OverBudget { .. } => "held back".to_owned(),
+        StoreError::OverBudget { .. } => "call budget exceeded".to_owned(),
     }
 }
--- a/crates/foxtide-config/tests/support/mod.rs
+++ b/crates/foxtide-config/tests/support/mod.rs
@@ -1,11 +1,11 @@
-//! What the tests of this crate share.
+//! Fixtures of this crate's tests.
 
 use foxtide_config::change::{
     self,
-    Accepted,
+    AcceptedChange,
     ChangeError,
     ChangeRequest,
-    Stored, //
+    StoredDocument, //
 };
 use foxtide_config::template::Parameters;
 use foxtide_config::{
@@ -28,11 +28,11 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// Long enough to never end a call that is answered.
-pub(crate) const PATIENT: Duration = Duration::from_secs(20);
+/// Longer than any answered call.
+pub(crate) const LONG_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Short enough to end a call that is never answered.
-pub(crate) const IMPATIENT: Duration = Duration::from_millis(100);
+/// Short, for calls that are never answered.
+pub(crate) const SHORT_TIMEOUT: Duration = Duration::from_millis(100);
 
 pub(crate) fn example(path: &str) -> PathBuf {
     let root = PathBuf::from(env!("CARGO_MANIFEST_DIR"));
@@ -63,18 +63,17 @@
     })
 }
 
-/// Returns a client whose first request never reaches the store; the
-/// connection is closed after it was read.
-pub(crate) async fn behind_a_proxy_that_swallows_one_request(server: &StoreServer) -> HttpStore {
+/// Returns a client behind a proxy that drops the first request and its connection.
+pub(crate) async fn client_behind_proxy_dropping_one_request(server: &StoreServer) -> HttpStore {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
     let address = listener.local_addr().expect("bound");
     let target = server.address();
     smol::spawn(async move {
-        let (mut swallowed, _) = listener.accept().await.expect("a connection");
+        let (mut dropped, _) = listener.accept().await.expect("a connection");
         let mut request = vec![0; 65_536];
-        let received = swallowed.read(&mut request).await.expect("a request");
+        let received = dropped.read(&mut request).await.expect("a request");
         assert!(received > 0);
-        drop(swallowed);
+        drop(dropped);
         loop {
             let (caller, _) = listener.accept().await.expect("a connection");
             let store = TcpStream::connect(target).await.expect("the store");
@@ -86,11 +85,11 @@
     .detach();
     HttpStore::new(HttpStoreOptions {
         address,
-        call_timeout: PATIENT,
+        call_timeout: LONG_TIMEOUT,
     })
 }
 
-pub(crate) fn request(base: Option<Stored>, document: Organisation) -> ChangeRequest {
+pub(crate) fn request(base: Option<StoredDocument>, document: Organisation) -> ChangeRequest {
     ChangeRequest {
         base,
         document,
@@ -99,20 +98,24 @@
     }
 }
 
-/// Puts the example into the store and returns it as stored.
-pub(crate) async fn create(store: &HttpStore) -> Stored {
+/// Stores the example's document and returns it.
+pub(crate) async fn create(store: &HttpStore) -> StoredDocument {
     let request = request(None, document());
     change::accept(store, request).await.expect("accepted");
     load(store).await
 }
 
-pub(crate) async fn load(store: &HttpStore) -> Stored {
+pub(crate) async fn load(store: &HttpStore) -> StoredDocument {
     let stored = change::load(store, &organisation_id()).await;
     stored.expect("readable").expect("there")
 }
 
-/// Returns the document with another deadline for a service.
-pub(crate) fn with_deadline(stored: &Stored, service: usize, deadline_ms: u32) -> Organisation {
+/// Returns the document with another deadline of a service.
+pub(crate) fn with_deadline(
+    stored: &StoredDocument,
+    service: usize,
+    deadline_ms: u32,
+) -> Organisation {
     let mut document = stored.document.clone();
     document.services[service].contract.deadline_ms = deadline_ms;
     document
@@ -120,10 +123,10 @@
 
 pub(crate) async fn set_deadline(
     store: &HttpStore,
-    base: &Stored,
+    base: &StoredDocument,
     service: usize,
     deadline_ms: u32,
-) -> Result<Accepted, ChangeError> {
+) -> Result<AcceptedChange, ChangeError> {
     let document = with_deadline(base, service, deadline_ms);
     change::accept(store, request(Some(base.clone()), document)).await
 }
--- a/crates/foxtide-core/src/spreading/mod.rs
+++ b/crates/foxtide-core/src/dissemination/mod.rs
@@ -1,4 +1,4 @@
-//! How documents and load figures reach every instance.
+//! Dissemination of configuration documents and load figures to all instances.
 
 mod configuration;
 mod fetch;
@@ -14,10 +14,10 @@
     FetchQueue, //
 };
 pub use load::{
+    ClockReading,
+    LoadAggregator,
+    LoadEnvelope,
     LoadMessage,
     LoadOptions,
-    LoadRecord,
-    LoadSend,
-    LoadSpreader,
-    Moment, //
+    LoadRecord, //
 };
--- a/crates/foxtide-core/src/events/filter.rs
+++ b/crates/foxtide-core/src/events/filter.rs
@@ -1,4 +1,4 @@
-//! Which events a reader asks for.
+//! Filters of events.
 
 use super::{
     Event,
@@ -19,14 +19,14 @@
 };
 use std::str::FromStr;
 
-/// A choice of events; the default passes all.
+/// A filter of events; the default matches all.
 #[derive(Clone, Debug, Default)]
 pub struct EventFilter {
     /// Only events of this code.
     pub code: Option<EventCode>,
-    /// Only events of this level or worse.
+    /// Only events of at least this severity.
     pub level: Option<Level>,
-    /// Only events at this instance.
+    /// Only events of this instance.
     pub instance: Option<InstanceId>,
     /// Only events of this organisation.
     pub organisation: Option<OrganisationId>,
@@ -36,19 +36,18 @@
     pub region: Option<RegionId>,
     /// Only events of this request.
     pub request: Option<RequestId>,
-    /// Only events at this time or later.
+    /// Only events since this time.
     pub since_us: Option<WallTime>,
-    /// At most this many, the latest.
+    /// The maximum number of events; the latest are selected.
     pub limit: Option<usize>,
 }
 
 impl EventFilter {
-    /// Sets one field from its text, as in the query of `/v1/events`. Other
-    /// names are passed over.
+    /// Sets a field from a query parameter of `/v1/events`; unknown names are ignored.
     ///
     /// # Errors
     ///
-    /// Fails where the text is not valid for the field.
+    /// Fails if the text is invalid for the field.
     pub fn set(&mut self, name: &str, text: &str) -> Result<()> {
         match name {
             "code" => self.code = Some(text.parse()?),
@@ -58,34 +57,33 @@
             "service" => self.service = Some(text.parse()?),
             "region" => self.region = Some(text.parse()?),
             "request" => self.request = Some(text.parse()?),
-            "since_us" => self.since_us = Some(WallTime::from_us(number(text)?)),
-            "limit" => self.limit = Some(number(text)?),
+            "since_us" => self.since_us = Some(WallTime::from_us(parse_number(text)?)),
+            "limit" => self.limit = Some(parse_number(text)?),
             _ => {}
         }
         Ok(())
     }
 
-    /// Tells whether an event is asked for.
-    pub fn passes(&self, event: &Event) -> bool {
+    /// Returns whether an event matches the filter.
+    pub fn matches(&self, event: &Event) -> bool {
         let fields = &event.fields;
-        self.passes_kind(event)
-            && wanted(&self.instance, Some(&event.instance))
-            && wanted(&self.organisation, fields.organisation.as_ref())
-            && wanted(&self.service, fields.service.as_ref())
-            && wanted(&self.region, fields.region.as_ref())
-            && wanted(&self.request, fields.request.as_ref())
+        self.matches_code_and_time(event)
+            && matches_field(&self.instance, Some(&event.instance))
+            && matches_field(&self.organisation, fields.organisation.as_ref())
+            && matches_field(&self.service, fields.service.as_ref())
+            && matches_field(&self.region, fields.region.as_ref())
+            && matches_field(&self.request, fields.request.as_ref())
     }
 
-    fn passes_kind(&self, event: &Event) -> bool {
-        wanted(&self.code, Some(&event.code))
+    fn matches_code_and_time(&self, event: &Event) -> bool {
+        matches_field(&self.code, Some(&event.code))
             && self.level.is_none_or(|least| event.code.level() <= least)
             && self.since_us.is_none_or(|at| event.clock.wall_us >= at)
     }
 
-    /// Returns the events that pass, oldest first; the latest
-    /// [`EventFilter::limit`] of them.
+    /// Returns the latest [`EventFilter::limit`] matching events, the oldest first.
     pub fn select<'a>(&self, events: impl Iterator<Item = &'a Event>) -> Vec<Event> {
-        let passing = events.filter(|event| self.passes(event));
+        let passing = events.filter(|event| self.matches(event));
         let mut selected: Vec<Event> = passing.cloned().collect();
         selected.sort_by_key(|event| event.clock);
         let limit = self.limit.unwrap_or(usize::MAX);
@@ -94,12 +92,12 @@
     }
 }
 
-fn number<T: FromStr>(text: &str) -> Result<T> {
+fn parse_number<T: FromStr>(text: &str) -> Result<T> {
     let parsed = text.parse();
     parsed.map_err(|_| Error::parse(text, "a whole number, 0 or more"))
 }
 
-fn wanted<T: PartialEq>(wanted: &Option<T>, value: Option<&T>) -> bool {
+fn matches_field<T: PartialEq>(wanted: &Option<T>, value: Option<&T>) -> bool {
     match wanted {
         Some(wanted) => value == Some(wanted),
         None => true,
--- a/crates/foxtide-core/tests/blocks.rs
+++ b/crates/foxtide-core/tests/blocks.rs
@@ -1,4 +1,4 @@
-//! Client blocks against a plain model, and what arrives damaged.
+//! Client blocks compared with a reference model, and invalid input.
 
 use foxtide_core::blocks::{
     Block,
@@ -52,14 +52,14 @@
     site.map(|site| site.site.to_string())
 }
 
-/// The model: all blocks, looked through one by one.
-fn naive(blocks: &BTreeMap<IpNet, SiteIndex>, client: IpAddr) -> Option<SiteIndex> {
+/// The reference model of a look-up.
+fn linear_search(blocks: &BTreeMap<IpNet, SiteIndex>, client: IpAddr) -> Option<SiteIndex> {
     let holding = blocks.iter().filter(|(net, _)| net.contains(&client));
     let longest = holding.max_by_key(|(net, _)| net.prefix_len());
     longest.map(|(_, site)| *site)
 }
 
-/// Addresses from few bits, so that blocks lie in each other.
+/// Generates addresses from few values, so that blocks nest.
 fn v4_address() -> impl Strategy<Value = Ipv4Addr> {
     let octet = prop::sample::select(vec![0u8, 1, 2, 127, 128, 255]);
     prop::array::uniform4(octet).prop_map(Ipv4Addr::from)
@@ -100,7 +100,7 @@
 }
 
 fn assert_same(table: &ClientBlocks, model: &BTreeMap<IpNet, SiteIndex>, client: IpAddr) {
-    let expected = naive(model, client).and_then(|site| table.sites().get(site));
+    let expected = linear_search(model, client).and_then(|site| table.sites().get(site));
     assert_eq!(table.site_of(client), expected, "{client}");
 }
 
@@ -136,10 +136,10 @@
         let removed: Vec<_> = removed.into_iter().filter(|net| !changed.contains_key(net)).collect();
         model.retain(|net, _| !removed.contains(net));
         model.extend(changed);
-        let delta = Delta { follows: 1, revision: 2, set, removed };
+        let delta = Delta { base_revision: 1, revision: 2, set, removed };
         manifest.add(delta.clone()).unwrap();
         let manifest = Manifest::decode(&manifest.encode().unwrap()).unwrap();
-        prop_assert!(manifest.follows(&base));
+        prop_assert!(manifest.can_advance(&base));
         prop_assert_eq!(manifest.advance(&base).unwrap().revision(), 2);
         let loaded = manifest.load(values).unwrap();
         let applied = base.apply(&delta).unwrap();
@@ -150,9 +150,9 @@
         }
     }
 
-    /// Whatever bytes come, reading them ends in an error or in a table.
+    /// Decoding arbitrary bytes yields an error or a table.
     #[test]
-    fn verify_damaged_chunks_do_no_harm(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
+    fn verify_arbitrary_bytes_never_panic(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
         let _ = ClientBlocksBuilder::new(1, sites(), BlockCounts::default()).add_chunk(&bytes);
         let _ = Delta::decode(&bytes);
         let _ = Manifest::decode(&bytes);
@@ -196,7 +196,7 @@
 }
 
 #[test]
-fn verify_damage_is_found() {
+fn verify_changed_bytes_are_rejected() {
     let table = ClientBlocks::new(1, sites(), &[block("10.0.0.0/8", 1)]).unwrap();
     let (manifest, values) = Manifest::of(&table);
     let mut damaged = values[0].clone();
@@ -225,7 +225,7 @@
 fn verify_delta_of_another_revision_is_refused() {
     let table = ClientBlocks::new(5, sites(), &[]).unwrap();
     let delta = Delta {
-        follows: 4,
+        base_revision: 4,
         revision: 5,
         ..Delta::default()
     };
@@ -233,20 +233,20 @@
     assert!(matches!(
         error,
         BlocksError::Revision {
-            follows: 4,
+            base_revision: 4,
             revision: 5
         }
     ));
 }
 
 #[test]
-fn verify_missed_deltas_are_caught_up_with() {
+fn verify_a_manifest_advances_over_missed_deltas() {
     let mut table = ClientBlocks::new(1, sites(), &[block("10.0.0.0/8", 1)]).unwrap();
     let first = table.clone();
     let (mut manifest, _) = Manifest::of(&table);
     for site in 2..20u8 {
         let delta = Delta {
-            follows: manifest.revision,
+            base_revision: manifest.revision,
             revision: manifest.revision + 1,
             set: vec![block("10.0.0.0/8", site)],
             removed: vec![block("11.0.0.0/8", 0).net],
@@ -255,16 +255,13 @@
         table = manifest.advance(&table).unwrap();
         assert_eq!(table.revision(), manifest.revision);
     }
-    let caught_up = manifest.advance(&first).unwrap();
-    assert_eq!(
-        site_name(&caught_up, "10.1.1.1").as_deref(),
-        Some("site-19")
-    );
-    assert!(manifest.wants_rewrite().unwrap());
+    let advanced = manifest.advance(&first).unwrap();
+    assert_eq!(site_name(&advanced, "10.1.1.1").as_deref(), Some("site-19"));
+    assert!(manifest.needs_rewrite().unwrap());
     let (rewritten, _) = Manifest::of(&table);
-    assert!(rewritten.follows(&table));
-    assert!(!rewritten.follows(&first));
-    assert!(!rewritten.wants_rewrite().unwrap());
+    assert!(rewritten.can_advance(&table));
+    assert!(!rewritten.can_advance(&first));
+    assert!(!rewritten.needs_rewrite().unwrap());
 }
 
 #[test]
--- a/crates/foxtide-entry/src/admin.rs
+++ b/crates/foxtide-entry/src/admin.rs
@@ -1,19 +1,19 @@
-//! The listener for operators.
+//! HTTP pages for operators: health, readiness and admin pages.
 
 use crate::answer::{
     Answer,
     Refusal, //
 };
 use crate::callers::record_rejected;
-use crate::parts::{
+use crate::dependencies::{
     Admin,
-    Parts, //
+    Dependencies, //
 };
 use crate::request_id::new_request_id;
 use crate::serve::{
     Handler,
-    Received,
-    ServeState, //
+    ListenerState,
+    ReceivedRequest, //
 };
 use foxtide_core::events::RequestId;
 use http_types::{
@@ -25,17 +25,16 @@
 
 const PLAIN: &str = "text/plain; charset=utf-8";
 
-/// Answers operators.
+/// Handles requests on the admin listener.
 #[derive(Debug)]
 pub(crate) struct AdminHandler<P> {
-    /// What the request path works with.
-    pub(crate) parts: Arc<P>,
-    /// The state of the caller listener.
-    pub(crate) callers: Arc<ServeState>,
+    pub(crate) deps: Arc<P>,
+    /// State of the caller listener, on which readiness depends.
+    pub(crate) callers: Arc<ListenerState>,
 }
 
-impl<P: Parts> AdminHandler<P> {
-    fn page(&self, request: &Received) -> Answer {
+impl<P: Dependencies> AdminHandler<P> {
+    fn page(&self, request: &ReceivedRequest) -> Answer {
         if !matches!(request.head.method, Method::Get | Method::Head) {
             return refused(StatusCode::MethodNotAllowed, "method-not-allowed");
         }
@@ -43,7 +42,7 @@
         match url.path() {
             "/healthz" => plain(StatusCode::Ok, "ok\n"),
             "/readyz" => self.readiness(),
-            path => match self.parts.admin().page(path, url.query()) {
+            path => match self.deps.admin().page(path, url.query()) {
                 Some(page) => Answer::new(StatusCode::Ok, page.content_type, page.body),
                 None => refused(StatusCode::NotFound, "unknown-page"),
             },
@@ -51,9 +50,9 @@
     }
 
     fn readiness(&self) -> Answer {
-        if self.callers.is_leaving() {
+        if self.callers.is_draining() {
             plain(StatusCode::ServiceUnavailable, "draining\n")
-        } else if !self.parts.admin().is_ready() {
+        } else if !self.deps.admin().is_ready() {
             plain(StatusCode::ServiceUnavailable, "no configuration\n")
         } else {
             plain(StatusCode::Ok, "ready\n")
@@ -69,14 +68,14 @@
     Refusal::not_run(status, reason).answer(new_request_id().as_str())
 }
 
-impl<P: Parts> Handler for AdminHandler<P> {
-    async fn handle(&self, request: Received) -> Answer {
+impl<P: Dependencies> Handler for AdminHandler<P> {
+    async fn handle(&self, request: ReceivedRequest) -> Answer {
         self.page(&request)
     }
 
-    fn caller_gone(&self, _caller: SocketAddr) {}
+    fn record_disconnect(&self, _caller: SocketAddr) {}
 
-    fn bad_request(&self, caller: SocketAddr, refusal: &Refusal) -> RequestId {
-        record_rejected(&*self.parts, caller, refusal)
+    fn record_rejection(&self, caller: SocketAddr, refusal: &Refusal) -> RequestId {
+        record_rejected(&*self.deps, caller, refusal)
     }
 }
--- a/crates/foxtide-entry/src/callers.rs
+++ b/crates/foxtide-entry/src/callers.rs
@@ -1,14 +1,14 @@
-//! The listener for callers.
+//! Requests on the caller listener: look-ups and requests for services.
 
 use crate::answer::{
     Answer,
     Refusal, //
 };
-use crate::facts::Target;
+use crate::dependencies::Dependencies;
 use crate::lookup::lookup;
 use crate::options::EntryOptions;
-use crate::parts::Parts;
 use crate::proxy::Proxy;
+use crate::request_context::Target;
 use crate::request_id::{
     new_request_id,
     request_id, //
@@ -16,7 +16,7 @@
 use crate::route::Route;
 use crate::serve::{
     Handler,
-    Received, //
+    ReceivedRequest, //
 };
 use foxtide_core::events::{
     EventCode,
@@ -31,21 +31,18 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// Answers callers.
+/// Handles requests on the caller listener.
 #[derive(Debug)]
 pub(crate) struct CallerHandler<P> {
-    /// What the request path works with.
-    pub(crate) parts: Arc<P>,
-    /// The settings.
+    pub(crate) deps: Arc<P>,
     pub(crate) options: Arc<EntryOptions>,
-    /// What sends requests to upstreams.
     pub(crate) proxy: Arc<Proxy<P>>,
-    /// The name of this process in idempotency keys.
+    /// Owner id of this process in idempotency keys, sent in each answer.
     pub(crate) owner: String,
 }
 
-impl<P: Parts> CallerHandler<P> {
-    async fn answer(&self, request: Received, id: RequestId) -> Result<Answer, Refusal> {
+impl<P: Dependencies> CallerHandler<P> {
+    async fn answer(&self, request: ReceivedRequest, id: RequestId) -> Result<Answer, Refusal> {
         match Route::parse(request.head.url.path()) {
             Route::Lookup if request.head.method != Method::Get => Err(Refusal::not_run(
                 StatusCode::MethodNotAllowed,
@@ -53,7 +50,7 @@
             )),
             Route::Lookup => {
                 let url = &request.head.url;
-                lookup(&*self.parts, &self.options, url, request.peer, id)
+                lookup(&*self.deps, &self.options, url, request.peer, id)
             }
             Route::Service {
                 organisation,
@@ -72,8 +69,8 @@
     }
 }
 
-impl<P: Parts> Handler for CallerHandler<P> {
-    async fn handle(&self, request: Received) -> Answer {
+impl<P: Dependencies> Handler for CallerHandler<P> {
+    async fn handle(&self, request: ReceivedRequest) -> Answer {
         let id = request_id(&request.head.head.headers);
         let answer = self.answer(request, id.clone()).await;
         let mut answer = answer.unwrap_or_else(|refusal| refusal.answer(id.as_str()));
@@ -82,20 +79,20 @@
         answer
     }
 
-    fn caller_gone(&self, caller: SocketAddr) {
+    fn record_disconnect(&self, caller: SocketAddr) {
         let fields = EventFields::detail(format!("caller={caller}"));
-        let recorder = self.parts.recorder();
+        let recorder = self.deps.recorder();
         recorder.record(EventCode::RequestCancelled, fields);
     }
 
-    fn bad_request(&self, caller: SocketAddr, refusal: &Refusal) -> RequestId {
-        record_rejected(&*self.parts, caller, refusal)
+    fn record_rejection(&self, caller: SocketAddr, refusal: &Refusal) -> RequestId {
+        record_rejected(&*self.deps, caller, refusal)
     }
 }
 
-/// Records a request that foxtide does not take and returns its identity.
-pub(crate) fn record_rejected<P: Parts>(
-    parts: &P,
+/// Records a request that was rejected before routing and returns its new id.
+pub(crate) fn record_rejected<P: Dependencies>(
+    deps: &P,
     caller: SocketAddr,
     refusal: &Refusal,
 ) -> RequestId {
@@ -105,6 +102,6 @@
         detail: format!("caller={caller} reason={}", refusal.reason),
         ..EventFields::default()
     };
-    parts.recorder().record(EventCode::RequestRejected, fields);
+    deps.recorder().record(EventCode::RequestRejected, fields);
     request
 }
--- a/crates/foxtide-entry/src/proxy/keys.rs
+++ b/crates/foxtide-entry/src/proxy/keys.rs
@@ -1,6 +1,6 @@
-//! Requests with an idempotency key: at most one run, whatever is retried.
+//! Idempotency keys: a request with a key is executed at most once.
 //!
-//! Locks: one, around the table, never held while a task waits.
+//! The only lock guards the key table and is never held across an await.
 
 use crate::answer::{
     Answer,
@@ -8,12 +8,12 @@
     Refusal, //
 };
 use crate::clock::Clock;
-use crate::facts::Target;
-use crate::parts::{
-    Directory,
-    Parts, //
+use crate::dependencies::{
+    Dependencies,
+    Directory, //
 };
-use crate::serve::Received;
+use crate::request_context::Target;
+use crate::serve::ReceivedRequest;
 use foxtide_core::events::{
     EventCode,
     RequestId, //
@@ -44,64 +44,63 @@
 };
 use std::time::Duration;
 
-/// About what the headers of a kept answer take.
-const KEPT_HEADERS_BYTES: u64 = 512;
+/// Approximate size of the headers of a stored answer.
+const STORED_HEADERS_BYTES: u64 = 512;
 
-/// The keys of this process.
-pub(crate) type KeyTable = Arc<Mutex<Table<Kept>>>;
+/// Idempotency keys that this process owns.
+pub(crate) type KeyTable = Arc<Mutex<Table<StoredAnswer>>>;
 
-/// An upstream's answer, kept to be given again.
+/// Answer of an upstream, stored for replay.
 #[derive(Clone, Debug)]
-pub(crate) struct Kept(Arc<KeptParts>);
+pub(crate) struct StoredAnswer(Arc<StoredAnswerParts>);
 
 #[derive(Debug)]
-struct KeptParts {
+struct StoredAnswerParts {
     status: StatusCode,
     headers: Headers,
     body: Vec<u8>,
 }
 
-/// What a request with a key gets without a run.
+/// Answer to a keyed request that is not executed.
 #[derive(Debug)]
-pub(super) struct Settled {
-    /// Its answer.
+pub(super) struct ImmediateAnswer {
     pub(super) answer: Result<Answer, Refusal>,
-    /// What happened.
+    /// Event to record.
     pub(super) code: EventCode,
-    /// The rule that decided.
+    /// Rule that decided.
     pub(super) rule: Rule,
 }
 
-/// The right to run a key; given back when it is dropped.
-pub(super) struct HeldClaim {
+/// Claim to execute a keyed request, abandoned on drop.
+pub(super) struct ClaimGuard {
     table: KeyTable,
     claim: Option<Claim>,
     written: Arc<AtomicBool>,
 }
 
-impl ReplayableAnswer for Kept {
+impl ReplayableAnswer for StoredAnswer {
     fn size(&self) -> ByteSize {
-        ByteSize::from_bytes(self.0.body.len() as u64 + KEPT_HEADERS_BYTES)
+        ByteSize::from_bytes(self.0.body.len() as u64 + STORED_HEADERS_BYTES)
     }
 }
 
-impl Kept {
+impl StoredAnswer {
     fn size_of(answer: &Answer) -> ByteSize {
         let body_bytes = match &answer.body {
             AnswerBody::Whole(bytes) => bytes.len() as u64,
             AnswerBody::Absent { .. } => 0,
             AnswerBody::Long(_) => return ByteSize::from_bytes(u64::MAX),
         };
-        ByteSize::from_bytes(body_bytes + KEPT_HEADERS_BYTES)
+        ByteSize::from_bytes(body_bytes + STORED_HEADERS_BYTES)
     }
 
     fn of(answer: &Answer) -> Self {
         let body = match &answer.body {
             AnswerBody::Whole(bytes) => bytes.clone(),
-            // A long body is too large to be kept.
+            // A long body is too large to be stored.
             AnswerBody::Absent { .. } | AnswerBody::Long(_) => Vec::new(),
         };
-        Self(Arc::new(KeptParts {
+        Self(Arc::new(StoredAnswerParts {
             status: answer.status,
             headers: answer.headers.clone(),
             body,
@@ -119,45 +118,45 @@
     }
 }
 
-impl HeldClaim {
-    /// Notes that the first byte is about to go out.
-    pub(super) fn written(&self) {
+impl ClaimGuard {
+    /// Records that the first byte is about to be sent.
+    pub(super) fn mark_written(&self) {
         if let Some(claim) = &self.claim {
             self.table.lock().mark_written(claim);
         }
         self.written.store(true, Ordering::Release);
     }
 
-    /// Returns what tells whether a byte may have gone out.
-    pub(super) fn written_mark(&self) -> Arc<AtomicBool> {
+    /// Returns the flag that tells whether a byte may have been sent.
+    pub(super) fn written_flag(&self) -> Arc<AtomicBool> {
         Arc::clone(&self.written)
     }
 
-    /// Notes that the upstream provably ran nothing.
-    pub(super) fn proved_not_run(&self) {
+    /// Records that the upstream provably did not execute the request.
+    pub(super) fn mark_not_run(&self) {
         if let Some(claim) = &self.claim {
             self.table.lock().mark_not_run(claim);
         }
         self.written.store(false, Ordering::Release);
     }
 
-    /// Keeps the whole answer.
+    /// Completes the claim and stores the answer if it fits.
     pub(super) fn finish(mut self, answer: &Answer) {
         let Some(claim) = self.claim.take() else {
             return;
         };
-        // Copied outside of the lock, and not at all where it is too large.
-        let keeps = self.table.lock().can_store(Kept::size_of(answer));
-        let kept = keeps.then(|| Kept::of(answer));
+        // Copied without holding the lock, and only if it fits.
+        let storable = self.table.lock().can_store(StoredAnswer::size_of(answer));
+        let stored = storable.then(|| StoredAnswer::of(answer));
         let mut table = self.table.lock();
-        match kept {
-            Some(kept) => table.finish(claim, kept),
+        match stored {
+            Some(stored) => table.finish(claim, stored),
             None => table.finish_without_answer(claim),
         }
     }
 }
 
-impl Drop for HeldClaim {
+impl Drop for ClaimGuard {
     fn drop(&mut self) {
         if let Some(claim) = self.claim.take() {
             self.table.lock().abandon(claim);
@@ -165,50 +164,51 @@
     }
 }
 
-/// A request with a key.
+/// Request with an idempotency key.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct KeyedRequest<'a> {
-    /// The request.
-    pub(super) received: &'a Received,
-    /// What it is for.
+    pub(super) received: &'a ReceivedRequest,
     pub(super) target: &'a Target,
-    /// Its identity.
+    /// Request id.
     pub(super) id: &'a RequestId,
-    /// The key as it was sent.
+    /// Key as sent by the caller.
     pub(super) key: &'a str,
 }
 
-/// Decides about a request with a key: gives out the right to run it, or what
-/// it gets without a run.
-pub(super) fn begin<P: Parts>(
-    parts: &P,
+/// Claims the key of a request, or returns the answer to a request that must
+/// not be executed.
+pub(super) fn begin<P: Dependencies>(
+    deps: &P,
     table: &KeyTable,
     request: KeyedRequest<'_>,
-) -> Result<HeldClaim, Settled> {
+) -> Result<ClaimGuard, ImmediateAnswer> {
     let key: IdempotencyKey = request
         .key
         .parse()
-        .map_err(|error| Settled::malformed(&error))?;
+        .map_err(|error| ImmediateAnswer::malformed(&error))?;
     let fingerprint = request.fingerprint();
-    let wall: WallTime = parts.clock().wall();
+    let wall: WallTime = deps.clock().wall();
     let begun = table.lock().begin(&key, fingerprint, wall);
     match begun {
-        Begin::Run(claim) => Ok(HeldClaim {
+        Begin::Run(claim) => Ok(ClaimGuard {
             table: Arc::clone(table),
             claim: Some(claim),
             written: Arc::default(),
         }),
-        Begin::Replay(kept) => Err(Settled::replayed(&kept)),
-        Begin::InProgress { retry_after } => Err(Settled::in_progress(retry_after)),
-        Begin::Refuse(refusal) => Err(Settled::refused(refusal.reason, refusal.retry_after)),
-        Begin::Elsewhere => Err(elsewhere(parts, request, &key)),
+        Begin::Replay(stored) => Err(ImmediateAnswer::replayed(&stored)),
+        Begin::InProgress { retry_after } => Err(ImmediateAnswer::in_progress(retry_after)),
+        Begin::Refuse(refusal) => Err(ImmediateAnswer::refused(
+            refusal.reason,
+            refusal.retry_after,
+        )),
+        Begin::Elsewhere => Err(redirect_to_owner(deps, request, &key)),
     }
 }
 
-impl Settled {
-    fn replayed(kept: &Kept) -> Self {
+impl ImmediateAnswer {
+    fn replayed(stored: &StoredAnswer) -> Self {
         Self {
-            answer: Ok(kept.answer()),
+            answer: Ok(stored.answer()),
             code: EventCode::KeyReplayed,
             rule: Rule::KeyReplayed,
         }
@@ -282,7 +282,7 @@
         ])
     }
 
-    /// Returns the request's URL at another instance.
+    /// Returns the URL of the request at another instance.
     fn location(&self, address: SocketAddr) -> String {
         let url = &self.received.head.url;
         let query = url.query().map(|query| format!("?{query}"));
@@ -291,21 +291,25 @@
     }
 }
 
-/// Sends the caller to the instance that owns its key.
-fn elsewhere<P: Parts>(parts: &P, request: KeyedRequest<'_>, key: &IdempotencyKey) -> Settled {
-    let Some(address) = parts.directory().address_of(&key.owner().instance) else {
-        return Settled::refused(RefusalReason::OwnerGone, None);
+/// Redirects the caller to the instance that owns its key.
+fn redirect_to_owner<P: Dependencies>(
+    deps: &P,
+    request: KeyedRequest<'_>,
+    key: &IdempotencyKey,
+) -> ImmediateAnswer {
+    let Some(address) = deps.directory().address_of(&key.owner().instance) else {
+        return ImmediateAnswer::refused(RefusalReason::OwnerGone, None);
     };
     let refusal = Refusal {
         status: StatusCode::TemporaryRedirect,
-        // Only the owner knows whether the key was run before.
+        // Only the owner knows whether the request was executed.
         outcome: Outcome::Unknown,
         reason: "key-of-other-instance",
         retry_after: Duration::ZERO,
     };
     let mut answer = refusal.answer(request.id.as_str());
     answer.insert(name::LOCATION, &request.location(address));
-    Settled {
+    ImmediateAnswer {
         answer: Ok(answer),
         code: EventCode::KeyRedirected,
         rule: Rule::KeyOwner,
--- a/crates/foxtide-entry/src/proxy/mod.rs
+++ b/crates/foxtide-entry/src/proxy/mod.rs
@@ -1,14 +1,15 @@
-//! Sends requests to upstreams and decides what follows from each attempt.
+//! Forwards requests to upstreams, with admission, retries, hedging and
+//! idempotency keys.
 
 mod admission;
 mod attempt;
-mod given_up;
-mod hedged;
-mod journal;
+mod give_up;
+mod hedging;
 mod keyed;
 mod keys;
-mod place;
 mod prepare;
+mod queue;
+mod recording;
 mod run;
 
 pub(crate) use keys::KeyTable;
--- a/crates/foxtide-entry/src/proxy/journal.rs
+++ b/crates/foxtide-entry/src/proxy/recording.rs
@@ -1,17 +1,17 @@
-//! Tells what became of requests: events and explanations.
+//! Records events and explained decisions of requests.
 
 use super::admission::Admitted;
 use super::attempt::AttemptEnd;
-use super::keys::Settled;
+use super::keys::ImmediateAnswer;
 use super::run::Proxy;
 use crate::answer::{
     Answer,
     Refusal, //
 };
 use crate::clock::Clock;
+use crate::dependencies::Dependencies;
 use crate::errors::Step;
-use crate::facts::Facts;
-use crate::parts::Parts;
+use crate::request_context::RequestContext;
 use crate::upstream::{
     Failure,
     FailureKind, //
@@ -28,24 +28,24 @@
 use foxtide_core::organisation::Upstream;
 use foxtide_core::outcome::Outcome;
 
-impl<P: Parts> Proxy<P> {
-    /// Returns the decision on a request, before it is taken.
-    pub(super) fn undecided(&self, facts: &Facts) -> Decision {
-        let view = facts.service.view();
-        let wall = self.parts.clock().wall();
+impl<P: Dependencies> Proxy<P> {
+    /// Returns the initial decision record of a request.
+    pub(super) fn new_decision(&self, context: &RequestContext) -> Decision {
+        let view = context.service.view();
+        let wall = self.deps.clock().wall();
         let decision = Decision::new(DecisionKind::Request, Rule::NoUpstream, view, None, wall);
-        decision.with_request(&facts.request)
+        decision.with_request(&context.request)
     }
 
-    /// Records what failed in an attempt.
+    /// Counts an attempt and records an event if it failed.
     pub(super) fn record_attempt(
         &self,
-        facts: &Facts,
+        context: &RequestContext,
         admitted: &Admitted,
         upstream: &Upstream,
         end: &AttemptEnd,
     ) {
-        let metrics = facts.service.metrics();
+        let metrics = context.service.metrics();
         metrics.attempts.increment(1);
         let AttemptEnd::Failed(failure) = end else {
             return;
@@ -55,44 +55,44 @@
             region: Some(admitted.region.clone()),
             upstream: Some(upstream.upstream.clone()),
             detail: failure.to_string(),
-            ..facts.event_fields()
+            ..context.event_fields()
         };
-        self.parts.recorder().record(failure_code(failure), fields);
+        self.deps.recorder().record(failure_code(failure), fields);
     }
 
-    /// Tells what a request with a key gets without a run.
+    /// Records and returns the answer to a keyed request that is not executed.
     ///
     /// # Errors
     ///
-    /// Fails where that is a refusal.
+    /// Returns the refusal if that is the answer.
     pub(super) fn answer_without_run(
         &self,
-        facts: &Facts,
-        settled: Settled,
+        context: &RequestContext,
+        immediate: ImmediateAnswer,
     ) -> Result<Answer, Refusal> {
-        let mut decision = self.undecided(facts);
-        decision.redirect(settled.rule, None);
-        self.parts.explainer().record(decision);
-        if let Err(refusal) = &settled.answer {
-            facts.service.metrics().refused(refusal.outcome);
+        let mut decision = self.new_decision(context);
+        decision.redirect(immediate.rule, None);
+        self.deps.explainer().record(decision);
+        if let Err(refusal) = &immediate.answer {
+            context.service.metrics().refused(refusal.outcome);
         }
-        let recorder = self.parts.recorder();
-        recorder.record(settled.code, facts.event_fields());
-        settled.answer
+        let recorder = self.deps.recorder();
+        recorder.record(immediate.code, context.event_fields());
+        immediate.answer
     }
 
     /// Records that a request was given up.
-    pub(super) fn record_refusal(&self, facts: &Facts, refusal: &Refusal) {
-        facts.service.metrics().refused(refusal.outcome);
+    pub(super) fn record_refusal(&self, context: &RequestContext, refusal: &Refusal) {
+        context.service.metrics().refused(refusal.outcome);
         let code = match refusal.outcome {
             Outcome::NotRun => EventCode::RequestNotRun,
             Outcome::Unknown | Outcome::Done => EventCode::RequestUnknown,
         };
         let fields = EventFields {
             detail: format!("reason={}", refusal.reason),
-            ..facts.event_fields()
+            ..context.event_fields()
         };
-        self.parts.recorder().record(code, fields);
+        self.deps.recorder().record(code, fields);
     }
 }
 
--- a/crates/foxtide-entry/src/serve/state.rs
+++ b/crates/foxtide-entry/src/serve/state.rs
@@ -1,9 +1,8 @@
-//! What all connections of a listener share: how many there are, and whether
-//! the instance leaves.
+//! State shared by the connections of a listener: counts, limits and draining.
 
-use crate::bounded::{
-    Bounded,
-    Entered, //
+use crate::limiter::{
+    Limiter,
+    Permit, //
 };
 use crate::options::{
     Limits,
@@ -22,114 +21,111 @@
 };
 use std::time::Duration;
 
-const FINISH_POLL: Duration = Duration::from_millis(5);
+const FINISH_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// The shared state of a listener's connections.
+/// State shared by the connections of a listener.
 #[derive(Debug)]
-pub(crate) struct ServeState {
+pub(crate) struct ListenerState {
     connections: AtomicUsize,
     requests: AtomicUsize,
-    leaving: AtomicBool,
-    closing: Closing,
-    /// What the bodies of requests take, in bytes.
-    bodies: Bounded,
+    draining: AtomicBool,
+    closing: CloseSignal,
+    /// Limits the total size of request bodies, in bytes.
+    bodies: Limiter,
 }
 
-/// A signal to all connections; it is given by closing a channel.
+/// Signal to all connections, given by closing the channel.
 #[derive(Debug)]
-struct Closing {
+struct CloseSignal {
     sender: Sender<()>,
     receiver: Receiver<()>,
 }
 
-/// One thing under way; it is counted until this is dropped.
+/// Counts a connection or request until it is dropped.
 #[derive(Debug)]
-pub(crate) struct Counted {
-    state: Arc<ServeState>,
-    counter: fn(&ServeState) -> &AtomicUsize,
+pub(crate) struct CountGuard {
+    state: Arc<ListenerState>,
+    counter: fn(&ListenerState) -> &AtomicUsize,
 }
 
-impl Drop for Counted {
+impl Drop for CountGuard {
     fn drop(&mut self) {
         (self.counter)(&self.state).fetch_sub(1, Ordering::AcqRel);
     }
 }
 
-impl ServeState {
-    /// Returns the state of a listener that serves.
+impl ListenerState {
     pub(crate) fn new(limits: &Limits) -> Arc<Self> {
         let (sender, receiver) = bounded(1);
         Arc::new(Self {
             connections: AtomicUsize::new(0),
             requests: AtomicUsize::new(0),
-            leaving: AtomicBool::new(false),
-            closing: Closing { sender, receiver },
-            bodies: Bounded::new(size(limits.request_bodies)),
+            draining: AtomicBool::new(false),
+            closing: CloseSignal { sender, receiver },
+            bodies: Limiter::new(size(limits.request_bodies)),
         })
     }
 
-    /// Counts a further connection, unless there are `limit` already.
-    pub(crate) fn open_connection(self: &Arc<Self>, limit: usize) -> Option<Counted> {
-        let counted = self.count(|state| &state.connections);
+    /// Counts a connection, unless `limit` are open already.
+    pub(crate) fn open_connection(self: &Arc<Self>, limit: usize) -> Option<CountGuard> {
+        let guard = self.count(|state| &state.connections);
         let within = self.connections.load(Ordering::Acquire) <= limit;
-        within.then_some(counted)
+        within.then_some(guard)
     }
 
-    /// Takes room for a request's body, if there is.
-    pub(crate) fn body_room(&self, size_bytes: usize) -> Option<Entered> {
-        self.bodies.enter(size_bytes)
+    /// Reserves memory for a request body.
+    pub(crate) fn reserve_body(&self, size_bytes: usize) -> Option<Permit> {
+        self.bodies.try_acquire(size_bytes)
     }
 
-    /// Counts a request until its answer was sent, or until it ended without
-    /// its caller.
-    pub(crate) fn begin_request(self: &Arc<Self>) -> Counted {
+    /// Counts a request in progress until the guard is dropped.
+    pub(crate) fn begin_request(self: &Arc<Self>) -> CountGuard {
         self.count(|state| &state.requests)
     }
 
-    fn count(self: &Arc<Self>, counter: fn(&Self) -> &AtomicUsize) -> Counted {
+    fn count(self: &Arc<Self>, counter: fn(&Self) -> &AtomicUsize) -> CountGuard {
         counter(self).fetch_add(1, Ordering::AcqRel);
-        Counted {
+        CountGuard {
             state: Arc::clone(self),
             counter,
         }
     }
 
-    /// Returns how many connections are open.
+    /// Returns the number of open connections.
     pub(crate) fn connections(&self) -> usize {
         self.connections.load(Ordering::Acquire)
     }
 
-    /// Returns how many requests are under way.
+    /// Returns the number of requests in progress.
     pub(crate) fn requests(&self) -> usize {
         self.requests.load(Ordering::Acquire)
     }
 
-    /// Makes every further answer tell its caller to close the connection.
-    pub(crate) fn leave(&self) {
-        self.leaving.store(true, Ordering::Release);
+    /// Makes every further answer announce that the connection closes.
+    pub(crate) fn start_draining(&self) {
+        self.draining.store(true, Ordering::Release);
     }
 
-    /// Tells whether the instance leaves.
-    pub(crate) fn is_leaving(&self) -> bool {
-        self.leaving.load(Ordering::Acquire)
+    pub(crate) fn is_draining(&self) -> bool {
+        self.draining.load(Ordering::Acquire)
     }
 
-    /// Makes connections close as soon as no request is under way on them.
+    /// Closes connections once they have no request in progress.
     pub(crate) fn close(&self) {
         self.closing.sender.close();
     }
 
-    /// Waits until connections are to close.
+    /// Waits for [`Self::close`].
     pub(crate) async fn closing(&self) {
         // Nothing is ever sent; receiving fails once the channel is closed.
         let _ = self.closing.receiver.recv().await;
     }
 
-    /// Waits until no connection is open and no request is under way, such as
-    /// one that goes on without its caller.
+    /// Waits until no connection is open and no request is in progress,
+    /// including requests whose caller has disconnected.
     pub(crate) async fn finished(&self) {
         while self.connections() > 0 || self.requests() > 0 {
-            smol::Timer::after(FINISH_POLL).await;
+            smol::Timer::after(FINISH_POLL_INTERVAL).await;
         }
     }
 }
--- a/crates/foxtide-entry/tests/support/mod.rs
+++ b/crates/foxtide-entry/tests/support/mod.rs
@@ -1,6 +1,6 @@
-//! An entry over raw sockets: fakes that answer byte for byte as a test says.
+//! Test harness: an entry with callers and fake upstreams on raw sockets.
 
-#![allow(dead_code)] // Each test file uses its part.
+#![allow(dead_code)] // Each test file uses a part of it.
 
 use foxtide_core::events::{
     Event,
@@ -14,7 +14,7 @@
     RegionId, //
 };
 use foxtide_core::organisation::{
-    Home,
+    HomeRegion,
     Link,
     Organisation,
     Priority, //
@@ -25,10 +25,10 @@
     Admin,
     AdminPage,
     Clock,
+    Dependencies,
     Directory,
     Entry,
     EntryOptions,
-    Parts,
     ServingInstance,
     SystemClock,
     TrafficOptions,
@@ -66,13 +66,16 @@
 
 pub(crate) const ANY_PORT: SocketAddr =
     SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::LOCALHOST), 0);
-const PATIENCE: Duration = Duration::from_secs(10);
+const WAIT_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Waits for a condition; panics where it never comes.
+/// Waits for a condition; panics after [`WAIT_TIMEOUT`].
 pub(crate) fn wait_until(what: &str, condition: impl Fn() -> bool) {
     let started = Instant::now();
     while !condition() {
-        assert!(started.elapsed() < PATIENCE, "waited in vain for {what}");
+        assert!(
+            started.elapsed() < WAIT_TIMEOUT,
+            "timed out waiting for {what}"
+        );
         std::thread::sleep(Duration::from_millis(1));
     }
 }
@@ -100,25 +103,26 @@
     }
 }
 
-/// An upstream whose every connection a closure drives.
+/// Fake upstream whose connections are served by a closure.
 pub(crate) struct RawUpstream {
     pub(crate) address: SocketAddr,
     pub(crate) connections: Arc<AtomicUsize>,
 }
 
 impl RawUpstream {
-    /// Starts an upstream; `drive` gets each connection and its number from 1 on.
-    pub(crate) fn start(drive: impl Fn(TcpStream, usize) + Send + Sync + 'static) -> Self {
+    /// Starts an upstream; `serve` gets each connection and its number,
+    /// starting at 1.
+    pub(crate) fn start(serve: impl Fn(TcpStream, usize) + Send + Sync + 'static) -> Self {
         let listener = TcpListener::bind(ANY_PORT).unwrap();
         let address = listener.local_addr().unwrap();
         let connections = Arc::new(AtomicUsize::new(0));
         let count = Arc::clone(&connections);
-        let drive = Arc::new(drive);
+        let serve = Arc::new(serve);
         std::thread::spawn(move || {
             for stream in listener.incoming() {
                 let number = count.fetch_add(1, Ordering::SeqCst) + 1;
-                let drive = Arc::clone(&drive);
-                std::thread::spawn(move || drive(stream.unwrap(), number));
+                let serve = Arc::clone(&serve);
+                std::thread::spawn(move || serve(stream.unwrap(), number));
             }
         });
         Self {
@@ -137,20 +141,20 @@
     }
 }
 
-/// The parts of a test's entry.
-pub(crate) struct TestParts {
+/// Dependencies of a test entry.
+pub(crate) struct TestDependencies {
     traffic: TrafficTables,
     clock: SystemClock,
     recorder: Recorder,
     explainer: Explainer,
     owner: OwnerId,
-    pub(crate) left: AtomicBool,
+    pub(crate) has_left: AtomicBool,
     instances: Arc<[ServingInstance]>,
     /// The region that all callers belong to.
     pub(crate) origin: Mutex<Option<RegionId>>,
 }
 
-impl Parts for TestParts {
+impl Dependencies for TestDependencies {
     type Directory = Self;
     type Clock = SystemClock;
     type Admin = Self;
@@ -184,9 +188,9 @@
     }
 }
 
-impl Directory for TestParts {
+impl Directory for TestDependencies {
     fn instances(&self) -> Arc<[ServingInstance]> {
-        if self.left.load(Ordering::SeqCst) {
+        if self.has_left.load(Ordering::SeqCst) {
             return Arc::new([]);
         }
         Arc::clone(&self.instances)
@@ -207,11 +211,11 @@
     }
 
     fn leave(&self) {
-        self.left.store(true, Ordering::SeqCst);
+        self.has_left.store(true, Ordering::SeqCst);
     }
 }
 
-impl Admin for TestParts {
+impl Admin for TestDependencies {
     fn page(&self, path: &str, _query: Option<&str>) -> Option<AdminPage> {
         (path == "/metrics").then(|| AdminPage {
             content_type: "text/plain",
@@ -224,7 +228,7 @@
     }
 }
 
-impl TestParts {
+impl TestDependencies {
     fn new() -> Self {
         let instance: ServingInstance = ServingInstance {
             instance: "entry-1".parse().unwrap(),
@@ -252,14 +256,14 @@
             recorder: Recorder::new(instance.instance.clone(), RecorderOptions::default()),
             explainer: Explainer::default(),
             owner: instance.owner.clone(),
-            left: AtomicBool::new(false),
+            has_left: AtomicBool::new(false),
             instances: Arc::new([other, instance]),
             origin: Mutex::default(),
         }
     }
 }
 
-/// Moves the second upstream into a region of its own, another home.
+/// Moves the second upstream to a second region, which becomes another home.
 pub(crate) fn with_second_region(organisation: &mut Organisation) {
     let mut region = organisation.regions[0].clone();
     region.region = "erongo".parse().unwrap();
@@ -275,7 +279,7 @@
     service.upstreams[1].availability_zone = region.availability_zones[0].clone();
     let share = Share::clamped(0.5);
     service.contract.homes[0].share = share;
-    service.contract.homes.push(Home {
+    service.contract.homes.push(HomeRegion {
         region: region.region.clone(),
         share,
     });
@@ -283,27 +287,26 @@
     organisation.links.push(link);
 }
 
-/// A running entry with its parts.
-pub(crate) struct World {
-    pub(crate) entry: Arc<Entry<TestParts>>,
-    pub(crate) parts: Arc<TestParts>,
+/// Running entry with its dependencies.
+pub(crate) struct Harness {
+    pub(crate) entry: Arc<Entry<TestDependencies>>,
+    pub(crate) deps: Arc<TestDependencies>,
     pub(crate) workers: Workers,
 }
 
-impl World {
-    /// Starts an entry before these upstreams.
+impl Harness {
+    /// Starts an entry with these upstreams.
     pub(crate) fn start(upstreams: &[SocketAddr]) -> Self {
         Self::start_with(upstreams, EntryOptions::default())
     }
 
-    /// Starts an entry before these upstreams, with these options but for the
-    /// ports.
+    /// Starts an entry with these upstreams and options, on free ports.
     pub(crate) fn start_with(upstreams: &[SocketAddr], options: EntryOptions) -> Self {
         Self::start_organisation(organisation(upstreams), options)
     }
 
-    /// Starts an entry before these upstreams, the organisation changed.
-    pub(crate) fn start_as(upstreams: &[SocketAddr], change: fn(&mut Organisation)) -> Self {
+    /// Starts an entry with these upstreams and a changed organisation.
+    pub(crate) fn start_changed(upstreams: &[SocketAddr], change: fn(&mut Organisation)) -> Self {
         let mut organisation = organisation(upstreams);
         change(&mut organisation);
         Self::start_organisation(organisation, EntryOptions::default())
@@ -315,14 +318,14 @@
             admin_address: ANY_PORT,
             ..options
         };
-        let parts = Arc::new(TestParts::new());
-        let now = parts.clock.now();
-        parts.traffic.configure(&Arc::new(organisation), now);
+        let deps = Arc::new(TestDependencies::new());
+        let now = deps.clock.now();
+        deps.traffic.configure(&Arc::new(organisation), now);
         let workers = Workers::start(2).unwrap();
-        let entry = Entry::start(options, Arc::clone(&parts), &workers.executor()).unwrap();
+        let entry = Entry::start(options, Arc::clone(&deps), &workers.executor()).unwrap();
         Self {
             entry: Arc::new(entry),
-            parts,
+            deps,
             workers,
         }
     }
@@ -339,7 +342,7 @@
 
     /// Returns the recorded events of this code.
     pub(crate) fn recorded(&self, code: EventCode) -> Vec<Event> {
-        let mut events = self.parts.recorder.select(&EventFilter::default());
+        let mut events = self.deps.recorder.select(&EventFilter::default());
         events.retain(|event| event.code == code);
         events
     }
@@ -353,27 +356,27 @@
 impl Caller {
     pub(crate) fn connect(address: SocketAddr) -> Self {
         let stream = TcpStream::connect(address).unwrap();
-        stream.set_read_timeout(Some(PATIENCE)).unwrap();
+        stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
         Self { stream }
     }
 
     pub(crate) fn send(&mut self, text: &str) {
-        // What is refused early may reset the connection under a long request.
+        // An early refusal may reset the connection during a long request.
         let _ = self.stream.write_all(text.as_bytes());
     }
 
-    /// Reads one answer; nothing where the connection closed first.
+    /// Reads one answer; `None` if the connection closed first.
     pub(crate) fn answer(&mut self) -> Option<String> {
         read_message(&mut self.stream)
     }
 
     /// Sends a request and reads its answer.
-    pub(crate) fn ask(&mut self, text: &str) -> String {
+    pub(crate) fn request(&mut self, text: &str) -> String {
         self.send(text);
         self.answer().expect("an answer")
     }
 
-    /// Tells whether the entry has closed the connection.
+    /// Returns whether the entry has closed the connection.
     pub(crate) fn is_closed(&mut self) -> bool {
         matches!(self.stream.read(&mut [0]), Ok(0))
             || matches!(self.stream.take_error(), Ok(Some(_)))
@@ -385,7 +388,7 @@
     format!("GET /hamutenya/viewer{path} HTTP/1.1\r\nhost: x\r\n\r\n")
 }
 
-/// Returns a `POST` to the viewer service, which must not run twice.
+/// Returns a non-idempotent `POST` to the viewer service.
 pub(crate) fn post(path: &str, body: &str) -> String {
     format!(
         "POST /hamutenya/viewer{path} HTTP/1.1\r\nhost: x\r\ncontent-length: {}\r\n\r\n{body}",
@@ -393,7 +396,7 @@
     )
 }
 
-/// Asserts that an answer has this status and this outcome.
+/// Asserts that an answer is a refusal with this status and outcome.
 pub(crate) fn assert_refused(answer: &str, status: u16, outcome: &str) {
     assert!(
         answer.starts_with(&format!("HTTP/1.1 {status} ")),
@@ -406,8 +409,8 @@
     assert!(answer.contains("retry-after: "), "{answer}");
 }
 
-/// Makes the services weigh latency most, so that their reads are hedged.
-pub(crate) fn latency_first(organisation: &mut Organisation) {
+/// Gives latency priority, so that idempotent requests are hedged.
+pub(crate) fn prioritise_latency(organisation: &mut Organisation) {
     for service in &mut organisation.services {
         service.contract.priority = Priority::Latency;
     }
--- a/crates/foxtide-gateway/src/dialect.rs
+++ b/crates/foxtide-gateway/src/dialect.rs
@@ -12,7 +12,7 @@
 use foxtide_http::{
     ForwardedRequest,
     ForwardedResponse,
-    Lines, //
+    HeaderLines, //
 };
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -26,11 +26,11 @@
 /// whole heads, and forwards the lines that it leaves in them.
 pub trait Dialect: Send + Sync + 'static {
     /// Reads the headers of a caller's request.
-    fn read_caller_headers(&self, lines: &Lines) -> CallerHeaders;
+    fn read_caller_headers(&self, lines: &HeaderLines) -> CallerHeaders;
 
     /// Writes the headers of a forwarded request, and removes the caller's credentials wherever
     /// callers need a key.
-    fn write_forward_headers(&self, lines: &mut Lines, values: &ForwardHeaders<'_>);
+    fn write_forward_headers(&self, lines: &mut HeaderLines, values: &ForwardHeaders<'_>);
 
     /// Reads the headers of an upstream's response.
     fn read_upstream_headers(&self, head: &ForwardedResponse) -> UpstreamHeaders;
--- a/crates/foxtide-gateway/src/front/connection.rs
+++ b/crates/foxtide-gateway/src/front/connection.rs
@@ -26,7 +26,7 @@
 use foxtide_core::time::MonotonicTime;
 use foxtide_http::{
     BufferedStream,
-    Quiet, //
+    IdleState, //
 };
 use futures_lite::future::or;
 use smol::Timer;
@@ -133,9 +133,9 @@
     /// Nothing more is read: a request that crosses the close is reset unread, so that its
     /// caller knows that it did not run.
     async fn close_idle(&mut self) -> Next {
-        match self.stream.quiet() {
-            Quiet::No => fill(&mut self.stream).await,
-            Quiet::Yes => Next::Close,
+        match self.stream.idle_state() {
+            IdleState::Readable => fill(&mut self.stream).await,
+            IdleState::Idle => Next::Close,
         }
     }
 
@@ -315,7 +315,7 @@
     /// Shuts down the sending half and discards received data, so that the reply is read before
     /// the connection is reset.
     async fn linger(&mut self) {
-        self.stream.finish_sending();
+        self.stream.shutdown_write();
         let late = async {
             Timer::after(DISCARD_TIMEOUT).await;
         };
--- a/crates/foxtide-gateway/src/front/receive.rs
+++ b/crates/foxtide-gateway/src/front/receive.rs
@@ -124,8 +124,8 @@
         MessageError::HeadTooLong => ReceiveError::Refused(Refusal::HeadTooLong),
         MessageError::BodyTooLong => ReceiveError::Refused(Refusal::BodyTooLong),
         MessageError::BadChunk
-        | MessageError::Surplus
-        | MessageError::NoStatedEnd
+        | MessageError::TrailingBytes
+        | MessageError::UnknownLength
         | MessageError::Head(_) => ReceiveError::Refused(Refusal::BadRequest),
     }
 }
--- a/crates/foxtide-gateway/src/relay/server.rs
+++ b/crates/foxtide-gateway/src/relay/server.rs
@@ -12,7 +12,7 @@
 use crate::state::State;
 use crate::traffic::TrafficKind;
 use bytes::Bytes;
-use foxtide_core::records::are_told;
+use foxtide_core::records::fit_relay_limit;
 use foxtide_events::{
     EventCode,
     log_event, //
@@ -217,7 +217,7 @@
     let changes = after.and_then(|after| log.changes_after(after));
     let is_full = changes.is_none();
     let records = changes.unwrap_or_else(|| log.all());
-    if request.fetches_large && !are_told(&records) {
+    if request.fetches_large && !fit_relay_limit(&records) {
         return ChangesResponse {
             is_current: true,
             is_too_large: true,
--- a/crates/foxtide-mesh/src/calls.rs
+++ b/crates/foxtide-mesh/src/calls.rs
@@ -1,4 +1,4 @@
-//! Calls from instance to instance on behalf of the program.
+//! Remote calls between instances, made for the application above the mesh.
 
 use crate::errors::{
     CallError,
@@ -16,26 +16,26 @@
 use smol::channel::Sender;
 use std::time::Duration;
 
-/// A peer's call, to be answered once.
+/// A call received from a peer.
 #[derive(Debug)]
 pub struct IncomingCall {
-    /// Who calls.
+    /// The calling instance.
     pub from: InstanceId,
-    /// What it sent.
+    /// The payload of the call.
     pub bytes: Vec<u8>,
-    answer: Sender<Vec<u8>>,
+    response: Sender<Vec<u8>>,
 }
 
 impl IncomingCall {
-    /// Answers the call. A call that is dropped instead is `unknown` to its
-    /// caller.
-    pub fn answer(self, bytes: Vec<u8>) {
-        // Where the caller is gone nobody waits for the answer.
-        let _ = self.answer.try_send(bytes);
+    /// Sends the response. Dropping the call instead makes it fail at the
+    /// caller with [`CallError::Unknown`].
+    pub fn respond(self, bytes: Vec<u8>) {
+        // Fails only if the caller has disconnected.
+        let _ = self.response.try_send(bytes);
     }
 }
 
-/// Calls a peer.
+/// Sends a call to a peer and waits for its response.
 pub(crate) async fn call(
     shared: &Shared,
     target: &InstanceId,
@@ -43,14 +43,14 @@
     deadline: Duration,
 ) -> Result<Vec<u8>, CallError> {
     let member = shared.state.lock().membership.member(target).cloned();
-    let member = member.ok_or_else(|| CallError::not_sent(target, "no such member"))?;
+    let member = member.ok_or_else(|| CallError::not_sent(target, "not a known member"))?;
     let request = request::Body::Call(CallRequest {
         target: target.to_string(),
         bytes,
     });
-    match streams::ask(shared, member.peer_address, request, deadline).await {
+    match streams::send_request(shared, member.peer_address, request, deadline).await {
         Ok(response::Body::Call(response)) => read_response(target, response),
-        Ok(_) => Err(CallError::unknown(target, "not the answer to a call")),
+        Ok(_) => Err(CallError::unknown(target, "not a call response")),
         Err(error @ Error::Connect { .. }) => Err(CallError::not_sent(target, error)),
         Err(error) => Err(CallError::unknown(target, error)),
     }
@@ -58,35 +58,37 @@
 
 fn read_response(target: &InstanceId, response: CallResponse) -> Result<Vec<u8>, CallError> {
     match response {
-        CallResponse { taken: false, .. } => Err(CallError::not_sent(target, "not taken")),
         CallResponse {
-            finished: false, ..
-        } => Err(CallError::unknown(target, "not finished")),
+            accepted: false, ..
+        } => Err(CallError::not_sent(target, "not accepted by the peer")),
+        CallResponse {
+            completed: false, ..
+        } => Err(CallError::unknown(target, "not completed by the peer")),
         CallResponse { bytes, .. } => Ok(bytes),
     }
 }
 
-/// Hands a peer's call to the program and waits for its answer.
-pub(crate) async fn answer(
+/// Queues a peer's call for the application and waits for its response.
+pub(crate) async fn handle_call(
     shared: &Shared,
     sender: &str,
     call: CallRequest,
 ) -> Option<response::Body> {
     let mut response = CallResponse::default();
     let from = sender.parse().ok();
-    let meant = call.target == shared.instance.as_str();
-    if let Some(from) = from.filter(|_| meant) {
-        let (answer, answered) = smol::channel::bounded(1);
+    let is_target = call.target == shared.instance.as_str();
+    if let Some(from) = from.filter(|_| is_target) {
+        let (response_sender, response_receiver) = smol::channel::bounded(1);
         let call = IncomingCall {
             from,
             bytes: call.bytes,
-            answer,
+            response: response_sender,
         };
-        response.taken = shared.calls.0.try_send(call).is_ok();
-        if response.taken
-            && let Ok(bytes) = answered.recv().await
+        response.accepted = shared.calls.0.try_send(call).is_ok();
+        if response.accepted
+            && let Ok(bytes) = response_receiver.recv().await
         {
-            response.finished = true;
+            response.completed = true;
             response.bytes = bytes;
         }
     }
--- a/crates/foxtide-mesh/src/errors.rs
+++ b/crates/foxtide-mesh/src/errors.rs
@@ -1,4 +1,4 @@
-//! What can go wrong between two processes.
+//! Errors of the mesh.
 
 use foxtide_core::ids::InstanceId;
 use std::io;
@@ -7,40 +7,40 @@
 /// The result of a fallible operation of this crate.
 pub type Result<T> = std::result::Result<T, Error>;
 
-/// What went wrong, at which step and with which peer.
+/// An error of the mesh, by step and address.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// A socket of this instance cannot be opened.
-    #[error("listen on {address}: {source}")]
+    /// Opening a listening socket failed.
+    #[error("cannot listen on {address}: {source}")]
     Listen {
-        /// The address that was asked for.
+        /// The requested address.
         address: SocketAddr,
-        /// What the system said.
+        /// The operating system error.
         source: io::Error,
     },
-    /// A peer cannot be connected to; nothing was sent.
-    #[error("connect to {peer}: {source}")]
+    /// Connecting to a peer failed; nothing was sent.
+    #[error("cannot connect to {peer}: {source}")]
     Connect {
         /// The peer's address.
         peer: SocketAddr,
-        /// What the system said.
+        /// The operating system error.
         source: io::Error,
     },
-    /// An exchange with a peer broke off after something was sent.
-    #[error("exchange with {peer}: {source}")]
+    /// An exchange with a peer failed after data may have been sent.
+    #[error("exchange with {peer} failed: {source}")]
     Exchange {
         /// The peer's address.
         peer: SocketAddr,
-        /// What the system said.
+        /// The operating system error.
         source: io::Error,
     },
-    /// A peer's answer cannot be read or does not fit the request.
-    #[error("answer of {peer}: {problem}")]
-    Answer {
+    /// The response of a peer is malformed or does not match the request.
+    #[error("invalid response from {peer}: {reason}")]
+    InvalidResponse {
         /// The peer's address.
         peer: SocketAddr,
-        /// What is wrong with it.
-        problem: &'static str,
+        /// Why the response is invalid.
+        reason: &'static str,
     },
 }
 
@@ -57,8 +57,8 @@
         Self::Exchange { peer, source }
     }
 
-    pub(crate) fn answer(peer: SocketAddr, problem: &'static str) -> Self {
-        Self::Answer { peer, problem }
+    pub(crate) fn invalid(peer: SocketAddr, reason: &'static str) -> Self {
+        Self::InvalidResponse { peer, reason }
     }
 
     pub(crate) fn timed_out() -> io::Error {
@@ -66,40 +66,40 @@
     }
 }
 
-/// Why a call to a peer has no answer.
+/// An error of a call to a peer.
 #[derive(Debug, thiserror::Error)]
 pub enum CallError {
-    /// The peer cannot have begun the call: no byte of it was sent, or the
-    /// peer said that it did not take it.
-    #[error("call to {instance} not sent: {problem}")]
+    /// The peer did not start the call: nothing was sent, or the peer did not
+    /// accept it.
+    #[error("call to {instance} was not sent: {reason}")]
     NotSent {
-        /// Whom the call was for.
+        /// The instance that was called.
         instance: InstanceId,
-        /// What stood in the way.
-        problem: String,
+        /// Why the call was not sent or not accepted.
+        reason: String,
     },
-    /// The call may have been carried out.
-    #[error("call to {instance} has no answer: {problem}")]
+    /// No valid response arrived; the peer may have executed the call.
+    #[error("outcome of the call to {instance} is unknown: {reason}")]
     Unknown {
-        /// Whom the call was for.
+        /// The instance that was called.
         instance: InstanceId,
-        /// What happened to the answer.
-        problem: String,
+        /// Why there is no valid response.
+        reason: String,
     },
 }
 
 impl CallError {
-    pub(crate) fn not_sent(instance: &InstanceId, problem: impl ToString) -> Self {
+    pub(crate) fn not_sent(instance: &InstanceId, reason: impl ToString) -> Self {
         Self::NotSent {
             instance: instance.clone(),
-            problem: problem.to_string(),
+            reason: reason.to_string(),
         }
     }
 
-    pub(crate) fn unknown(instance: &InstanceId, problem: impl ToString) -> Self {
+    pub(crate) fn unknown(instance: &InstanceId, reason: impl ToString) -> Self {
         Self::Unknown {
             instance: instance.clone(),
-            problem: problem.to_string(),
+            reason: reason.to_string(),
         }
     }
 }
--- a/crates/foxtide-mesh/src/streams.rs
+++ b/crates/foxtide-mesh/src/streams.rs
@@ -1,4 +1,4 @@
-//! Requests to peers and answers to theirs, over streams.
+//! Request and response exchanges with peers over TCP.
 
 use crate::errors::{
     Error,
@@ -44,86 +44,90 @@
     FuturesAsyncReadCompatExt, //
 };
 
-/// The largest message over a stream: a document and its surroundings.
+/// Maximum size of a message; must exceed the largest document.
 const FRAME_MAX_BYTES: usize = 2 * 1_024 * 1_024;
 
-/// A peer that asks for nothing for so long is disconnected.
-const IDLE_MAX: Duration = Duration::from_secs(60);
+/// Time without a request after which a connection is closed.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Wait after a failed accept, so that a broken socket does not spin.
-const FAILURE_PAUSE: Duration = Duration::from_millis(20);
+/// Delay after a failed accept, to avoid a busy loop on a broken socket.
+const ERROR_BACKOFF: Duration = Duration::from_millis(20);
 
-/// A stream of messages.
-type Frames = Framed<Compat<TcpStream>, LengthDelimitedCodec>;
+/// A TCP stream with length-delimited messages.
+type FramedStream = Framed<Compat<TcpStream>, LengthDelimitedCodec>;
 
-fn frames(stream: TcpStream) -> Frames {
+fn framed(stream: TcpStream) -> FramedStream {
     let codec = LengthDelimitedCodec::builder()
         .max_frame_length(FRAME_MAX_BYTES)
         .new_codec();
     Framed::new(stream.compat(), codec)
 }
 
-/// Waits for `future`, but no longer than `limit`.
-pub(crate) async fn within<T>(
-    limit: Duration,
+/// Waits for `future` for at most `timeout`.
+pub(crate) async fn with_timeout<T>(
+    timeout: Duration,
     future: impl Future<Output = io::Result<T>>,
 ) -> io::Result<T> {
     let timer = async {
-        smol::Timer::after(limit).await;
+        smol::Timer::after(timeout).await;
         Err(Error::timed_out())
     };
     smol::future::or(future, timer).await
 }
 
-/// Sends a request to a peer and returns its answer.
+/// Sends a request to a peer and returns the body of its response.
 ///
 /// # Errors
 ///
-/// Fails with [`Error::Connect`] where nothing was sent, and otherwise where
-/// no answer came that can be read.
-pub(crate) async fn ask(
+/// Fails with [`Error::Connect`] if nothing was sent, with [`Error::Exchange`] if
+/// no response arrived, and with [`Error::InvalidResponse`] if it is invalid.
+pub(crate) async fn send_request(
     shared: &Shared,
     peer: SocketAddr,
     body: request::Body,
-    limit: Duration,
+    timeout: Duration,
 ) -> Result<response::Body> {
-    if !shared.options.faults.connects(shared.address, peer) {
+    if !shared.options.faults.is_reachable(shared.address, peer) {
         return Err(Error::connect(peer, Error::timed_out()));
     }
-    let connect_limit = limit.min(shared.options.connect_timeout);
-    let stream = within(connect_limit, TcpStream::connect(peer)).await;
+    let connect_timeout = timeout.min(shared.options.connect_timeout);
+    let stream = with_timeout(connect_timeout, TcpStream::connect(peer)).await;
     let stream = stream.map_err(|source| Error::connect(peer, source))?;
-    // Without it a small request may wait for the peer's delayed answer.
+    // Nagle's algorithm would delay small requests.
     let _ = stream.set_nodelay(true);
     let request = Request {
         header: Some(shared.header()),
         body: Some(body),
     };
-    let mut frames = frames(stream);
-    let exchange = converse(shared, &mut frames, &request);
-    let response = within(limit, exchange).await;
+    let mut frames = framed(stream);
+    let exchange = round_trip(shared, &mut frames, &request);
+    let response = with_timeout(timeout, exchange).await;
     let response = response.map_err(|source| Error::exchange(peer, source))?;
-    let header = response.header.ok_or(Error::answer(peer, "no header"))?;
-    let checked = shared.state.lock().guard.check(&header);
+    let header = response.header.ok_or(Error::invalid(peer, "no header"))?;
+    let checked = shared.state.lock().validator.check(&header);
     checked.map_err(|rejection| {
         shared.reject(peer, rejection);
-        Error::answer(peer, rejection.name())
+        Error::invalid(peer, rejection.name())
     })?;
     shared.observe_clock(&header);
-    response.body.ok_or(Error::answer(peer, "refused"))
+    response.body.ok_or(Error::invalid(peer, "no body"))
 }
 
-async fn converse(shared: &Shared, frames: &mut Frames, request: &Request) -> io::Result<Response> {
+async fn round_trip(
+    shared: &Shared,
+    frames: &mut FramedStream,
+    request: &Request,
+) -> io::Result<Response> {
     let bytes = request.encode_to_vec();
     shared.traffic.sent_stream(bytes.len() as u64);
     frames.send(Bytes::from(bytes)).await?;
-    let answer = frames.next().await;
-    let answer = answer.ok_or(io::ErrorKind::UnexpectedEof)??;
-    shared.traffic.received_stream(answer.len() as u64);
-    Ok(Response::decode(answer.freeze())?)
+    let bytes = frames.next().await;
+    let bytes = bytes.ok_or(io::ErrorKind::UnexpectedEof)??;
+    shared.traffic.received_stream(bytes.len() as u64);
+    Ok(Response::decode(bytes.freeze())?)
 }
 
-/// Accepts connections of peers for as long as the task lives.
+/// Accepts connections from peers until the task is cancelled.
 pub(crate) async fn accept(shared: Arc<Shared>, listener: TcpListener) {
     loop {
         match listener.accept().await {
@@ -132,19 +136,19 @@
                 smol::spawn(serve(shared, stream, peer)).detach();
             }
             Err(error) => {
-                log::debug!("accept at {}: {error}", shared.address);
-                smol::Timer::after(FAILURE_PAUSE).await;
+                log::debug!("accept failed on {}: {error}", shared.address);
+                smol::Timer::after(ERROR_BACKOFF).await;
             }
         }
     }
 }
 
-/// Answers the requests of one connection.
+/// Responds to the requests of one connection.
 async fn serve(shared: Weak<Shared>, stream: TcpStream, peer: SocketAddr) {
     let _ = stream.set_nodelay(true);
-    let mut frames = frames(stream);
+    let mut frames = framed(stream);
     loop {
-        let next = within(IDLE_MAX, async { Ok(frames.next().await) }).await;
+        let next = with_timeout(IDLE_TIMEOUT, async { Ok(frames.next().await) }).await;
         let Ok(Some(Ok(bytes))) = next else {
             return;
         };
@@ -152,8 +156,8 @@
             return;
         };
         shared.traffic.received_stream(bytes.len() as u64);
-        let response = match admit(&shared, &bytes) {
-            Ok(request) => answer(&shared, request).await,
+        let response = match decode_request(&shared, &bytes) {
+            Ok(request) => handle_request(&shared, request).await,
             Err(rejection) => {
                 shared.reject(peer, rejection);
                 None
@@ -171,20 +175,22 @@
     }
 }
 
-/// Reads a request and checks that it is to be answered.
-fn admit(shared: &Shared, bytes: &[u8]) -> std::result::Result<Request, Rejection> {
+/// Decodes a request and validates its header.
+fn decode_request(shared: &Shared, bytes: &[u8]) -> std::result::Result<Request, Rejection> {
     let request = Request::decode(bytes).map_err(|_| Rejection::Malformed)?;
     let header = request.header.as_ref().ok_or(Rejection::Malformed)?;
-    shared.state.lock().guard.check(header)?;
+    shared.state.lock().validator.check(header)?;
     shared.observe_clock(header);
     Ok(request)
 }
 
-async fn answer(shared: &Arc<Shared>, request: Request) -> Option<response::Body> {
+async fn handle_request(shared: &Arc<Shared>, request: Request) -> Option<response::Body> {
     let sender = request.header?.sender;
     match request.body? {
-        request::Body::Synchronise(theirs) => join::answer(shared, &sender, &theirs),
-        request::Body::Fetch(fetch) => documents::answer(shared, &fetch),
-        request::Body::Call(call) => calls::answer(shared, &sender, call).await,
+        request::Body::Synchronise(snapshot) => {
+            join::handle_synchronise(shared, &sender, &snapshot)
+        }
+        request::Body::Fetch(fetch) => documents::handle_fetch(shared, &fetch),
+        request::Body::Call(call) => calls::handle_call(shared, &sender, call).await,
     }
 }
--- a/crates/foxtide-testing/src/scenario/spread.rs
+++ b/crates/foxtide-testing/src/scenario/spread.rs
@@ -10,6 +10,7 @@
     ORGANISATION_PREFIX,
     decode, //
 };
+use foxtide_core::dissemination::Document;
 use foxtide_core::ids::InstanceId;
 use foxtide_core::membership::{
     Announcement,
@@ -18,7 +19,6 @@
     Role,
     Rumour, //
 };
-use foxtide_core::spreading::Document;
 use foxtide_core::store::Store;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -141,7 +141,7 @@
 
     fn announced(&mut self, place: usize, announcement: &Announcement, by: SocketAddr) {
         let process = self.instances[place].process.as_ref();
-        let wanted = process.is_some_and(|process| process.documents.wants(announcement));
+        let wanted = process.is_some_and(|process| process.documents.is_newer(announcement));
         let Some(peer) = self.at_address(by).filter(|_| wanted) else {
             return;
         };
