--- a/crates/foxtide-config/tests/http_store.rs
+++ b/crates/foxtide-config/tests/http_store.rs
@@ -183,7 +183,7 @@
     use smol::io::{
         AsyncReadExt,
         AsyncWriteExt, //
-};
+    };
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     smol::spawn(async move {
--- a/crates/foxtide-core/src/steering/decide.rs
+++ b/crates/foxtide-core/src/steering/decide.rs
@@ -6,7 +6,7 @@
 };
 use super::destinations::{
     LimitExhausted, //
-    LimitKind, //
+    LimitKind,      //
 };
 use super::engine::Steering;
 use super::service::{
--- a/crates/foxtide-core/src/steering/engine.rs
+++ b/crates/foxtide-core/src/steering/engine.rs
@@ -5,7 +5,7 @@
 use super::known_instances::KnownInstances;
 use super::name_index::{
     NameIndex, //
-    NamedRow, //
+    NamedRow,  //
 };
 use super::options::SteeringOptions;
 use super::service::ServiceState;
--- a/crates/foxtide-core/src/steering/flows.rs
+++ b/crates/foxtide-core/src/steering/flows.rs
@@ -3,7 +3,7 @@
 use super::destinations::Destinations;
 use super::name_index::{
     NameIndex, //
-    NamedRow, //
+    NamedRow,  //
 };
 use super::options::SteeringOptions;
 use super::planned::PlannedRows;
--- a/crates/foxtide-core/src/steering/service.rs
+++ b/crates/foxtide-core/src/steering/service.rs
@@ -16,7 +16,7 @@
     FreeCapacity,
     SpillLimit,
     redistribute_unusable, //
-    spill, //
+    spill,                 //
 };
 use crate::limits::Claim;
 use crate::organisation::Service;
--- a/crates/foxtide-gateway/src/datagram/mod.rs
+++ b/crates/foxtide-gateway/src/datagram/mod.rs
@@ -88,11 +88,11 @@
         EndReport,
         Fingerprint,
         QuarantineEntry, //
-};
+    };
     use foxtide_core::quota::{
         QuotaAnswer,
         QuotaRequest, //
-};
+    };
     use prost::Message;
 
     fn samples() -> Vec<Datagram> {
--- a/crates/foxtide-gateway/src/journal/requests.rs
+++ b/crates/foxtide-gateway/src/journal/requests.rs
@@ -25,32 +25,32 @@
 use parking_lot::Mutex;
 use std::time::Duration;
 
-/// Logs requests within a budget of lines.
+/// Logs requests, limited in rate.
 #[derive(Debug)]
 pub(crate) struct Journal {
     clock: SteadyClock,
-    budget: Mutex<LogRateLimiter>,
+    rate_limiter: Mutex<LogRateLimiter>,
     routes: RouteLabels,
 }
 
 impl Journal {
-    /// Returns a journal whose budget starts now.
+    /// Returns a journal without suppressed lines.
     pub(crate) fn new(clock: SteadyClock) -> Self {
         Self {
             clock,
-            budget: Mutex::new(LogRateLimiter::new(clock.now())),
+            rate_limiter: Mutex::new(LogRateLimiter::new(clock.now())),
             routes: RouteLabels::default(),
         }
     }
 
     /// Logs the number of lines suppressed since the last call, if any.
     pub(crate) fn summarise(&self) {
-        let left_out = self.budget.lock().take_suppressed();
-        if left_out != SuppressedLines::default() {
+        let suppressed = self.rate_limiter.lock().take_suppressed();
+        if suppressed != SuppressedLines::default() {
             log_event!(
                 EventCode::LinesLeftOut,
-                answered = left_out.answered,
-                failed = left_out.failed
+                answered = suppressed.answered,
+                failed = suppressed.failed
             );
         }
     }
@@ -66,14 +66,14 @@
         let latency_ms = latency.as_secs_f64() * 1_000.0;
         let slot_wait_ms = trace.slot_wait.as_millis() as u64;
         let is_answered = status < 400;
-        // A late answer has the budget of failures.
+        // Late answers count against the limit for failures.
         let kind = if is_answered && latency <= trace.latency_objective {
             LineKind::Answered
         } else {
             LineKind::Failed
         };
         let objective_ms = trace.latency_objective.as_millis() as u64;
-        if !self.has_room(kind) {
+        if !self.may_log(kind) {
             return;
         }
         if is_answered {
@@ -142,7 +142,7 @@
             AttemptEnd::TimedOut => ("timed_out", "no response in time"),
         };
         metrics::counter!("foxtide_attempts_failed_total", "outcome" => outcome).increment(1);
-        if self.has_room(LineKind::Step) {
+        if self.may_log(LineKind::Step) {
             log_event!(
                 EventCode::AttemptFailed,
                 request = trace.request.as_str(),
@@ -163,7 +163,7 @@
 
     /// Logs that no upstream is eligible for a request.
     pub(crate) fn no_upstream(&self, request: &str, service: &ServiceId, reason: NoUpstream) {
-        if self.has_room(LineKind::Step) {
+        if self.may_log(LineKind::Step) {
             log_event!(
                 EventCode::RequestUnplaced,
                 request = request,
@@ -175,7 +175,7 @@
 
     /// Logs a response that belongs to another request.
     pub(crate) fn stray_response(&self, request: &str, upstream: &UpstreamId) {
-        if self.has_room(LineKind::Step) {
+        if self.may_log(LineKind::Step) {
             log_event!(
                 EventCode::ResponseStray,
                 request = request,
@@ -187,14 +187,14 @@
     /// Logs and counts a caller that disconnected before its reply.
     pub(crate) fn caller_gone(&self, request: &str) {
         metrics::counter!("foxtide_callers_gone_total").increment(1);
-        if self.has_room(LineKind::Failed) {
+        if self.may_log(LineKind::Failed) {
             log_event!(EventCode::RequestCancelled, request = request);
         }
     }
 
-    fn has_room(&self, kind: LineKind) -> bool {
+    fn may_log(&self, kind: LineKind) -> bool {
         let now = self.clock.now();
-        self.budget.lock().try_take(kind, now)
+        self.rate_limiter.lock().try_take(kind, now)
     }
 
     fn count_request(
--- a/crates/foxtide-gateway/src/poison/mod.rs
+++ b/crates/foxtide-gateway/src/poison/mod.rs
@@ -12,7 +12,7 @@
     receive_quarantine,
     record_served,
     report_upstream_end, //
-    resend_reports, //
+    resend_reports,      //
 };
 pub(crate) use store_writer::sync_quarantine;
 
--- a/crates/foxtide-mesh/src/wire/convert.rs
+++ b/crates/foxtide-mesh/src/wire/convert.rs
@@ -229,7 +229,7 @@
         Membership,
         MembershipOptions,
         Output, //
-};
+    };
     use foxtide_core::time::MonotonicTime;
     use prost::Message as _;
 
--- a/crates/foxtide-mesh/src/wire/load/mod.rs
+++ b/crates/foxtide-mesh/src/wire/load/mod.rs
@@ -90,24 +90,24 @@
     use foxtide_core::dissemination::{
         LoadMessage,
         LoadRecord, //
-};
+    };
     use foxtide_core::ids::{
         RegionId,
         ServiceId, //
-};
+    };
     use foxtide_core::limits::{
         Claim,
         LimitUse, //
-};
+    };
     use foxtide_core::steering::{
         RegionView,
         ServiceView, //
-};
+    };
     use foxtide_core::time::WallTime;
     use foxtide_core::units::{
         RequestRate,
         Share, //
-};
+    };
 
     fn record() -> LoadRecord {
         let region: RegionId = "khomas".parse().unwrap();
--- a/crates/foxtide-testing/src/scenario/trace.rs
+++ b/crates/foxtide-testing/src/scenario/trace.rs
@@ -124,7 +124,7 @@
         Deserializer,
         Serializer,
         de::Error, //
-};
+    };
     use std::fmt::Display;
     use std::str::FromStr;
 
--- a/crates/foxtide/src/client_blocks.rs
+++ b/crates/foxtide/src/client_blocks.rs
@@ -271,7 +271,7 @@
     use foxtide_core::blocks::{
         Block,
         SiteTable, //
-};
+    };
 
     fn site(name: &str, region: &str, alternatives: &[&str]) -> Site {
         let alternatives = alternatives.iter().map(|name| name.parse().unwrap());
--- a/crates/foxtide/src/member_events.rs
+++ b/crates/foxtide/src/member_events.rs
@@ -129,7 +129,7 @@
         Joining,
         Leaving,
         Suspect, //
-};
+    };
     let same_process = before.is_none_or(|before| before.process == now.process);
     if !same_process && now.state.is_usable() {
         return Some(EventCode::MemberReplaced);
@@ -190,7 +190,7 @@
             Dead,
             Leaving,
             Suspect, //
-};
+        };
         let mut events = MemberEvents::default();
         let three = |one, two| {
             let steady = member("khomas-3", Alive);
@@ -217,7 +217,7 @@
         use MemberState::{
             Alive,
             Dead, //
-};
+        };
         let mut events = MemberEvents::default();
         let both = |state| [member("khomas-1", Alive), member("oshana-1", state)];
         events.look(&both(Alive));
