--- a/crates/foxtide-gateway/src/lifecycle.rs
+++ b/crates/foxtide-gateway/src/lifecycle.rs
@@ -35,7 +35,7 @@
     stop: OnceLock<Stop>,
 }
 
-/// The begin and the grace time of a stop.
+/// The start and the grace time of a stop.
 #[derive(Clone, Copy, Debug)]
 struct Stop {
     began_at: Instant,
