--- a/crates/foxtide-gateway/src/gateway.rs
+++ b/crates/foxtide-gateway/src/gateway.rs
@@ -1,4 +1,4 @@
-//! One instance: all its parts, from start to stop.
+//! Starts, runs and stops an instance.
 
 use crate::admission::{
     Admission,
@@ -9,14 +9,13 @@
 use crate::errors::Result;
 use crate::follow::follow;
 use crate::journal::Journal;
-use crate::ledger::StoreLedger;
 use crate::lifecycle::Lifecycle;
 use crate::listener::{
     Listener,
     accept,
     bind_peers, //
 };
-use crate::membership::keep_membership;
+use crate::membership::maintain_membership;
 use crate::memory::BodyMemory;
 use crate::options::{
     Addresses,
@@ -25,15 +24,16 @@
 };
 use crate::poison::{
     Poison,
-    keep_quarantine, //
+    sync_quarantine, //
 };
 use crate::pool::Pool;
 use crate::quotas::Quotas;
 use crate::relay::serve_peers;
 use crate::shared::Shared;
-use crate::standstill::Standstill;
+use crate::stall::StallDetector;
 use crate::state::State;
 use crate::store::FleetStore;
+use crate::store_calls::StoreCalls;
 use crate::traffic::Traffic;
 use event_listener::Event;
 use foxtide_clock::SteadyClock;
@@ -56,32 +56,31 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// The part of the memory that callers' bodies may take: a body stands twice
-/// while it is sent on, and responses take as much.
+/// The divisor of the process memory for request bodies: a body is held twice while it is
+/// forwarded, and responses take as much.
 const BODY_MEMORY_DIVISOR: u64 = 6;
 
-/// How often idle connections are looked over and doubts are settled.
+/// How often expired state is dropped.
 const HOUSEKEEPING_PERIOD: Duration = Duration::from_millis(500);
 
-/// After how many rounds of housekeeping a line tells of the calls to the store: a
-/// line of each of 600 instances in 3 s is 200 a second.
-const LEDGER_ROUNDS: u32 = 6;
+/// The rounds of housekeeping between two log lines about calls to the store.
+const STORE_CALLS_LOG_ROUNDS: u32 = 6;
 
 /// A running instance.
 #[derive(Debug)]
 pub struct Gateway<D> {
     shared: Arc<Shared<D>>,
     membership: Mutex<Option<Task<()>>>,
-    /// All that runs besides; ends with the instance.
+    /// The other tasks, which end with the instance.
     _tasks: Vec<Task<()>>,
 }
 
 impl<D: Dialect> Gateway<D> {
-    /// Starts an instance; it is ready once it has read the store.
+    /// Starts an instance, which is ready once it has read the store.
     ///
     /// # Errors
     ///
-    /// Fails where an address cannot be bound.
+    /// Fails if an address cannot be bound.
     pub fn start<S: FleetStore>(
         options: GatewayOptions,
         dialect: D,
@@ -115,11 +114,11 @@
             admission,
             quotas: Quotas::default(),
             poison: Poison::default(),
-            standstill: Standstill::default(),
+            stall: StallDetector::default(),
             body_memory: BodyMemory::new(body_memory),
             lifecycle: Lifecycle::default(),
             journal: Journal::new(clock),
-            ledger: StoreLedger::default(),
+            store_calls: StoreCalls::default(),
             traffic,
             store_alarm: StoreAlarm::default(),
             offered_configuration: Mutex::default(),
@@ -130,14 +129,14 @@
         let mut tasks = Vec::new();
         tasks.push(executor.spawn(serve_peers(Arc::clone(&shared), listeners.peers)));
         tasks.push(executor.spawn(serve_admission(Arc::clone(&shared))));
-        for listener in listeners.bound.into_values() {
+        for listener in listeners.callers.into_values() {
             tasks.push(executor.spawn(accept(Arc::clone(&shared), listener)));
         }
         tasks.push(executor.spawn(follow(Arc::clone(&shared), store.clone())));
-        let keeper = keep_quarantine(Arc::clone(&shared), store.clone());
-        tasks.push(executor.spawn(keeper));
-        tasks.push(executor.spawn(keep_house(Arc::clone(&shared))));
-        let membership = executor.spawn(keep_membership(Arc::clone(&shared), store));
+        let quarantine = sync_quarantine(Arc::clone(&shared), store.clone());
+        tasks.push(executor.spawn(quarantine));
+        tasks.push(executor.spawn(run_housekeeping(Arc::clone(&shared))));
+        let membership = executor.spawn(maintain_membership(Arc::clone(&shared), store));
         Ok(Self {
             shared,
             membership: Mutex::new(Some(membership)),
@@ -150,22 +149,22 @@
         &self.shared.options.place.instance
     }
 
-    /// Returns where callers connect.
+    /// Returns the address for callers.
     pub fn caller_address(&self) -> SocketAddr {
         self.shared.addresses.callers
     }
 
-    /// Returns where readiness is asked for.
+    /// Returns the address for readiness checks.
     pub fn readiness_address(&self) -> SocketAddr {
         self.shared.addresses.readiness
     }
 
-    /// Returns where look-ups are asked for.
+    /// Returns the address for look-ups.
     pub fn directory_address(&self) -> SocketAddr {
         self.shared.addresses.directory
     }
 
-    /// Returns where other instances ask.
+    /// Returns the address for queries of other instances.
     pub fn peer_address(&self) -> SocketAddr {
         self.shared.addresses.peers
     }
@@ -175,13 +174,13 @@
         self.shared.is_ready()
     }
 
-    /// Sets what binds all instances together.
+    /// Sets the bounds that all instances share.
     pub fn set_bounds(&self, bounds: Bounds) {
         self.shared.state.lock().set_bounds(bounds);
     }
 
-    /// Stops gracefully: leaves the directory, serves until callers know, ends
-    /// what is in flight, and returns within the grace time.
+    /// Stops gracefully within the grace time: removes the instance from the directory and
+    /// drains its connections.
     pub async fn stop(&self) {
         let grace = self.shared.state.lock().bounds().grace;
         self.shared.lifecycle.stop(grace);
@@ -192,21 +191,20 @@
                 membership.await;
             }
         };
-        // The neighbours whose records it keeps find another instance meanwhile.
+        // Neighbours registered by this instance find another registrar meanwhile.
         zip(withdrawn, self.shared.lifecycle.drained()).await;
-        // That takes up to 1.8 s; requests that came meanwhile, of callers with older
-        // look-ups, end before the process does.
+        // Drains requests that arrived meanwhile from callers with older look-ups.
         self.shared.lifecycle.drained().await;
-        self.shared.ledger.tell();
+        self.shared.store_calls.log_summary();
     }
 }
 
-async fn keep_house<D: Dialect>(shared: Arc<Shared<D>>) {
+async fn run_housekeeping<D: Dialect>(shared: Arc<Shared<D>>) {
     for round in 1_u32.. {
         Timer::after(HOUSEKEEPING_PERIOD).await;
-        shared.beat();
-        if round.is_multiple_of(LEDGER_ROUNDS) {
-            shared.ledger.tell();
+        shared.heartbeat();
+        if round.is_multiple_of(STORE_CALLS_LOG_ROUNDS) {
+            shared.store_calls.log_summary();
             shared.traffic.report();
         }
         let now = shared.clock.now();
@@ -222,29 +220,31 @@
     }
 }
 
-/// The callers' listeners, by the address that was asked for, and the peers'.
-struct Bound {
-    bound: BTreeMap<SocketAddr, Listener>,
+/// The listeners for callers, by requested address, and the listener for peers.
+struct Listeners {
+    callers: BTreeMap<SocketAddr, Listener>,
     peers: TcpListener,
     peers_address: SocketAddr,
 }
 
-impl Bound {
-    fn address_of(&self, asked: SocketAddr) -> SocketAddr {
-        self.bound.get(&asked).map_or(asked, Listener::address)
+impl Listeners {
+    fn address_of(&self, requested: SocketAddr) -> SocketAddr {
+        self.callers
+            .get(&requested)
+            .map_or(requested, Listener::address)
     }
 }
 
-fn bind(addresses: &Addresses) -> Result<Bound> {
-    let mut bound = BTreeMap::new();
+fn bind(addresses: &Addresses) -> Result<Listeners> {
+    let mut callers = BTreeMap::new();
     for address in [addresses.callers, addresses.readiness, addresses.directory] {
-        if let std::collections::btree_map::Entry::Vacant(entry) = bound.entry(address) {
+        if let std::collections::btree_map::Entry::Vacant(entry) = callers.entry(address) {
             entry.insert(Listener::bind(address)?);
         }
     }
     let (peers, peers_address) = bind_peers(addresses.peers)?;
-    Ok(Bound {
-        bound,
+    Ok(Listeners {
+        callers,
         peers,
         peers_address,
     })
--- a/crates/foxtide-gateway/src/poison/mod.rs
+++ b/crates/foxtide-gateway/src/poison/mod.rs
@@ -1,23 +1,23 @@
-//! Finds the requests that end their upstreams, with the other instances, and keeps them
-//! from further upstreams.
+//! Detects requests that crash upstreams, together with the other instances, and
+//! quarantines them.
 //!
-//! Locks: of those of [`Poison`] none is taken while another or the state is held.
+//! Locks: no lock of [`Poison`] is taken while another one or the state is locked.
 
-mod keeper;
 mod reports;
+mod store_writer;
 
-pub(crate) use keeper::keep_quarantine;
 pub(crate) use reports::{
-    report_again,
-    served,
-    take_in_cleared,
-    take_in_end,
-    take_in_quarantine,
-    upstream_ended, //
+    receive_cleared,
+    receive_end_report,
+    receive_quarantine,
+    record_served,
+    report_upstream_end, //
+    resend_reports,      //
 };
+pub(crate) use store_writer::sync_quarantine;
 
 use crate::dialect::Dialect;
-use crate::journal::beliefs;
+use crate::journal::state_changes;
 use crate::shared::Shared;
 use crate::store::Fact;
 use foxtide_core::poison::{
@@ -31,57 +31,52 @@
 };
 use foxtide_core::time::MonotonicTime;
 use futures_lite::future::or;
-use keeper::Keeper;
 use parking_lot::Mutex;
 use smol::Timer;
 use std::collections::HashMap;
 use std::fmt::Display;
 use std::time::Duration;
+use store_writer::StoreWriter;
 
-/// For how long an instance reports that a request was served under which it has seen an
-/// upstream end.
-const REPORTED_TIME: Duration = Duration::from_secs(60);
+/// How long after an end report the instance also reports that the request was served.
+const REPORTED_TTL: Duration = Duration::from_secs(60);
 
-/// The most requests that it remembers for that.
+/// The maximum number of requests remembered as reported.
 const REPORTED_MAX: usize = 1_024;
 
-/// The most ends that an instance reports in a second: a request that ends its upstreams
-/// needs three, and all those that are under way when a zone is lost need none.
+/// The maximum rate of end reports; bounds the datagrams sent when a zone fails.
 const REPORTS_PER_S: u32 = 20;
 
-/// When a caller is to come back whose request waits for another instance's trial.
+/// The retry delay while another instance runs the trial of a request.
 const RETRY_AFTER_TRIAL: Duration = Duration::from_secs(1);
 
-/// How long a request waits for the store's word on its trial. The trial is used up where the
-/// word comes later.
-const CLAIM_TIME: Duration = Duration::from_secs(1);
+/// How long a request waits for the claim of its trial; a later answer uses up the trial.
+const CLAIM_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// What an instance knows of requests that end their upstreams.
+/// The suspects and the quarantine of an instance.
 #[derive(Debug, Default)]
 pub(crate) struct Poison {
     suspects: Mutex<Suspects>,
     quarantine: Mutex<Quarantine>,
-    /// The requests under which this instance has reported an end, and until when it reports
-    /// that they are served.
+    /// Requests for which this instance has reported an end, with the expiry of the entry.
     reported: Mutex<HashMap<Fingerprint, MonotonicTime>>,
-    /// The second of the last report, and how many were made in it.
-    pace: Mutex<(u64, u32)>,
-    keeper: Keeper,
+    /// The second of the last report and the number of reports in it.
+    report_rate: Mutex<(u64, u32)>,
+    store_writer: StoreWriter,
 }
 
-/// How a request may be sent that is not refused.
+/// How an admitted request may be sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Sending {
-    /// As any other.
-    Freely,
+pub(crate) enum SendPermit {
+    /// Like any other request.
+    Unrestricted,
     /// Once, as the trial of a quarantined request.
-    Once,
+    Trial,
 }
 
 impl Poison {
-    /// Returns when the caller of a quarantined request may come back; nothing for any other
-    /// request.
-    pub(crate) fn held_for(
+    /// Returns the retry delay of a quarantined request; `None` for any other request.
+    pub(crate) fn retry_delay(
         &self,
         fingerprint: Fingerprint,
         now: MonotonicTime,
@@ -93,14 +88,13 @@
         }
     }
 
-    /// Returns the entries that the store is not known to hold, for peers that ask what it
-    /// holds.
+    /// Returns the entries that the store may lack, which are sent to peers.
     pub(crate) fn unstored(&self) -> Vec<(Fingerprint, QuarantineEntry)> {
         self.quarantine.lock().unstored()
     }
 
-    /// Takes in an entry that a peer knows.
-    pub(crate) fn learn(
+    /// Merges an entry of a peer.
+    pub(crate) fn merge_from_peer(
         &self,
         fingerprint: Fingerprint,
         entry: QuarantineEntry,
@@ -112,12 +106,11 @@
         let is_new = quarantine.merge(fingerprint, entry, Origin::Peer, draw, now);
         drop(quarantine);
         if is_new {
-            beliefs::quarantine_learnt(fingerprint, entry, from);
+            state_changes::quarantine_learnt(fingerprint, entry, from);
         }
     }
 
-    /// Takes in what has changed in the store; returns the requests that are newly
-    /// quarantined.
+    /// Applies changes of the store; returns the newly quarantined requests.
     pub(crate) fn apply(&self, facts: &[Fact], now: MonotonicTime) -> Vec<Fingerprint> {
         let mut new = Vec::new();
         for fact in facts {
@@ -125,7 +118,11 @@
                 Fact::Quarantined(stored) => {
                     let draw = fastrand::f64();
                     if self.quarantine.lock().merge_stored(stored, draw, now) {
-                        beliefs::quarantine_learnt(stored.fingerprint, stored.entry, &"store");
+                        state_changes::quarantine_learnt(
+                            stored.fingerprint,
+                            stored.entry,
+                            &"store",
+                        );
                         new.push(stored.fingerprint);
                     }
                 }
@@ -136,8 +133,8 @@
         new
     }
 
-    /// Takes in all that the store holds; `is_restored` where it has come back from an older
-    /// copy since it was last read. Returns the requests that are newly quarantined.
+    /// Syncs with the contents of the store; `is_restored` if it was restored from a backup
+    /// since the last read. Returns the newly quarantined requests.
     pub(crate) fn replace(
         &self,
         facts: &[Fact],
@@ -153,12 +150,12 @@
         let new = quarantine.sync_stored(&stored, is_restored, fastrand::f64(), now);
         drop(quarantine);
         for one in stored.iter().filter(|one| new.contains(&one.fingerprint)) {
-            beliefs::quarantine_learnt(one.fingerprint, one.entry, &"store");
+            state_changes::quarantine_learnt(one.fingerprint, one.entry, &"store");
         }
         new
     }
 
-    /// Forgets what is past.
+    /// Drops expired entries.
     pub(crate) fn prune(&self, now: MonotonicTime) {
         self.suspects.lock().prune(now);
         self.reported.lock().retain(|_, &mut until| now < until);
@@ -168,48 +165,48 @@
         let was_quarantined = self.quarantine.lock().release(fingerprint);
         self.suspects.lock().clear(fingerprint);
         if was_quarantined {
-            beliefs::request_released(fingerprint);
+            state_changes::request_released(fingerprint);
         }
     }
 
-    /// Tells whether an end may be reported now.
+    /// Counts an end report; tells whether the rate limit admits it.
     fn may_report(&self, now: MonotonicTime) -> bool {
         let second = now.as_ms() / 1_000;
-        let mut pace = self.pace.lock();
-        if pace.0 != second {
-            *pace = (second, 0);
+        let mut report_rate = self.report_rate.lock();
+        if report_rate.0 != second {
+            *report_rate = (second, 0);
         }
-        pace.1 += 1;
-        pace.1 <= REPORTS_PER_S
+        report_rate.1 += 1;
+        report_rate.1 <= REPORTS_PER_S
     }
 
     fn was_reported(&self, fingerprint: Fingerprint) -> bool {
         self.reported.lock().contains_key(&fingerprint)
     }
 
-    fn note_reported(&self, fingerprint: Fingerprint, now: MonotonicTime) {
+    fn record_report(&self, fingerprint: Fingerprint, now: MonotonicTime) {
         let mut reported = self.reported.lock();
         if reported.len() < REPORTED_MAX {
-            reported.insert(fingerprint, now + REPORTED_TIME);
+            reported.insert(fingerprint, now + REPORTED_TTL);
         }
     }
 }
 
-/// Decides how a request may be sent; claims the trial of a quarantined one where it is due.
+/// Decides how a request may be sent; claims the trial of a quarantined one if it is due.
 ///
 /// # Errors
 ///
-/// Fails with the time after which its caller may come back.
+/// Fails with the retry delay if the request is refused.
 pub(crate) async fn admit<D: Dialect>(
     shared: &Shared<D>,
     fingerprint: Fingerprint,
-) -> Result<Sending, Duration> {
+) -> Result<SendPermit, Duration> {
     let poison = &shared.poison;
     let now = shared.clock.now();
     let trial = {
         let mut quarantine = poison.quarantine.lock();
         match quarantine.status(fingerprint, now) {
-            QuarantineStatus::NotQuarantined => return Ok(Sending::Freely),
+            QuarantineStatus::NotQuarantined => return Ok(SendPermit::Unrestricted),
             QuarantineStatus::Quarantined(time) => return Err(time),
             QuarantineStatus::TrialDue => {
                 let trial = quarantine.next_trial(fingerprint, now);
@@ -221,13 +218,13 @@
         return Err(RETRY_AFTER_TRIAL);
     };
     let late = async {
-        Timer::after(CLAIM_TIME).await;
+        Timer::after(CLAIM_TIMEOUT).await;
         false
     };
-    let is_claimed = or(poison.keeper.claim(trial), late).await;
-    beliefs::trial_claimed(&trial, is_claimed);
+    let is_claimed = or(poison.store_writer.claim(trial), late).await;
+    state_changes::trial_claimed(&trial, is_claimed);
     if is_claimed {
-        Ok(Sending::Once)
+        Ok(SendPermit::Trial)
     } else {
         Err(RETRY_AFTER_TRIAL)
     }
--- a/crates/foxtide-gateway/src/state/facts.rs
+++ b/crates/foxtide-gateway/src/state/facts.rs
@@ -1,7 +1,7 @@
 //! Applies the contents and changes of the store to the state.
 
 use super::State;
-use crate::journal::beliefs;
+use crate::journal::state_changes;
 use crate::store::Fact;
 use foxtide_core::ids::AvailabilityZoneId;
 use foxtide_core::registry::RegistryChange;
@@ -35,7 +35,7 @@
                     evacuated.insert(zone);
                 }
                 Fact::UpstreamUnreadable(upstream) => unreadable.push(upstream),
-                Fact::TakenBack(_)
+                Fact::Reinstated(_)
                 | Fact::Unregistered(_)
                 | Fact::Left(_)
                 | Fact::Quarantined(_)
@@ -47,10 +47,10 @@
             .map(|upstream| self.registry.remove_unreadable(upstream))
             .collect();
         changes.extend(self.registry.replace(registrations, now));
-        self.note_changes(&changes);
+        self.handle_registry_changes(&changes);
         self.registrar.observe_all(&members, now);
         self.members.replace(members, self.registry.phase(), now);
-        self.note_evacuated(evacuated);
+        self.handle_evacuated_zones(evacuated);
     }
 
     /// Applies changes in order.
@@ -66,18 +66,18 @@
             Fact::Configuration(document) => self.configure(document),
             Fact::Registered(registration) => {
                 let change = self.registry.register(registration, now);
-                self.note_changes(&[change]);
+                self.handle_registry_changes(&[change]);
             }
             Fact::UpstreamUnreadable(upstream) => {
                 let change = self.registry.remove_unreadable(&upstream);
-                self.note_changes(&[change]);
+                self.handle_registry_changes(&[change]);
             }
             Fact::Unregistered(upstream) => {
                 let change = self.registry.unregister(&upstream, now);
-                self.note_changes(&[change]);
+                self.handle_registry_changes(&[change]);
             }
             Fact::Joined(member) => {
-                beliefs::member_joined(&member);
+                state_changes::member_joined(&member);
                 self.registrar.observe(&member, now);
                 self.members.join(member, now);
             }
@@ -86,17 +86,17 @@
                 self.registrar.observe_missing(&instance);
                 let phase = self.registry.phase();
                 let is_gone = self.members.leave(&instance, phase, now);
-                beliefs::member_left(&instance, is_gone);
+                state_changes::member_left(&instance, is_gone);
             }
             Fact::Evacuated(zone) => {
                 let mut evacuated = self.registry.evacuated().clone();
                 evacuated.insert(zone);
-                self.note_evacuated(evacuated);
+                self.handle_evacuated_zones(evacuated);
             }
-            Fact::TakenBack(zone) => {
+            Fact::Reinstated(zone) => {
                 let mut evacuated = self.registry.evacuated().clone();
                 evacuated.remove(&zone);
-                self.note_evacuated(evacuated);
+                self.handle_evacuated_zones(evacuated);
             }
         }
     }
@@ -104,19 +104,19 @@
     fn configure(&mut self, document: RouteDocument) {
         let in_force = self.routes.as_ref().map(|routes| routes.version());
         if in_force.is_some_and(|version| version >= document.version) {
-            beliefs::configuration_kept(document.version, in_force);
+            state_changes::older_configuration_ignored(document.version, in_force);
             return;
         }
         let routes = RouteTable::new(document);
-        beliefs::organisations_in_force(&routes);
-        beliefs::configuration_in_force(routes.version(), in_force, routes.routes_count());
+        state_changes::organisations_in_force(&routes);
+        state_changes::configuration_in_force(routes.version(), in_force, routes.routes_count());
         self.homed.initialise(&routes, self.clock.now());
         self.routes = Some(Arc::new(routes));
     }
 
     /// Applies the set of evacuated zones. After a restore of the store, missing ones stay
     /// evacuated for a grace period.
-    fn note_evacuated(&mut self, mut zones: HashSet<AvailabilityZoneId>) {
+    fn handle_evacuated_zones(&mut self, mut zones: HashSet<AvailabilityZoneId>) {
         if self.evacuations_kept_until.is_some() {
             let missing = self.registry.evacuated().difference(&zones);
             self.missing_evacuations.extend(missing.cloned());
@@ -143,7 +143,7 @@
         if zones == *self.registry.evacuated() {
             return;
         }
-        beliefs::zones_evacuated(&zones);
+        state_changes::zones_evacuated(&zones);
         let cold = self.cold_duration_max();
         self.registry.set_evacuated(zones, cold, self.clock.now());
     }
@@ -154,9 +154,9 @@
         longest.unwrap_or(COLD_DURATION_DEFAULT)
     }
 
-    pub(super) fn note_changes(&mut self, changes: &[RegistryChange]) {
+    pub(super) fn handle_registry_changes(&mut self, changes: &[RegistryChange]) {
         for change in changes {
-            beliefs::registry_changed(change);
+            state_changes::registry_changed(change);
             if let RegistryChange::Left(upstream) | RegistryChange::Restarted(upstream) = change {
                 self.health.remove(upstream);
             }
