--- a/crates/foxtidectl/src/commands/explain/decisions.rs
+++ b/crates/foxtidectl/src/commands/explain/decisions.rs
@@ -15,14 +15,14 @@
 use std::fmt::Write;
 
 /// Asks all instances for explanations and shows those that there are.
-pub(super) async fn ask(session: &Session, query: &str, what: &str) -> Result<Report, Failure> {
+pub(super) async fn explain(session: &Session, query: &str, what: &str) -> Result<Report, Failure> {
     let addresses = admin::all_addresses(&session.options().admin).await?;
     let answers = admin::ask_all(&addresses, &format!("/v1/explain?{query}")).await?;
     let mut text = String::new();
     let mut found = Vec::new();
     for (address, page) in &answers.pages {
         for explanation in page.as_array().into_iter().flatten() {
-            text.push_str(&in_words(&address.to_string(), explanation));
+            text.push_str(&describe(&address.to_string(), explanation));
             found.push(json!({"asked": address, "explanation": explanation}));
         }
     }
@@ -31,14 +31,14 @@
         let _ = writeln!(text, "not asked: {silent}");
     }
     if found.is_empty() {
-        let problem = format!("{}no instance remembers {what}", note(&text));
+        let problem = format!("{}no instance remembers {what}", preceding_lines(&text));
         let advice = "instances keep the latest only; ask soon after, or see `foxtidectl timeline`";
         return Err(Failure::refused(problem, advice));
     }
     Ok(Report::new(text, json!(found)))
 }
 
-fn note(text: &str) -> String {
+fn preceding_lines(text: &str) -> String {
     match text.is_empty() {
         true => String::new(),
         false => format!("{}\n", text.trim_end()),
@@ -46,8 +46,8 @@
 }
 
 /// Returns an explanation as a few lines.
-fn in_words(asked: &str, explanation: &Value) -> String {
-    let field = |name: &str| plain(explanation.get(name));
+fn describe(asked: &str, explanation: &Value) -> String {
+    let field = |name: &str| value_text(explanation.get(name));
     let at = explanation.get("at_us").and_then(Value::as_u64);
     let at = at.map_or("-".to_owned(), |us| utc(WallTime::from_us(us)));
     let mut text = format!(
@@ -58,43 +58,52 @@
         field("region"),
         field("view_age_ms"),
     );
-    for attempt in list(explanation, "attempts") {
-        let (upstream, result) = (plain(attempt.get("upstream")), plain(attempt.get("result")));
+    for attempt in array_field(explanation, "attempts") {
+        let (upstream, result) = (
+            value_text(attempt.get("upstream")),
+            value_text(attempt.get("result")),
+        );
         // Writing to a string cannot fail.
         let _ = writeln!(text, "  attempt at {upstream}: {result}");
     }
     for candidate in explanation
         .get("view")
         .into_iter()
-        .flat_map(|view| list(view, "candidates"))
+        .flat_map(|view| array_field(view, "candidates"))
     {
-        text.push_str(&candidate_in_words(candidate));
+        text.push_str(&describe_candidate(candidate));
     }
     text
 }
 
 /// Returns one candidate with the figures that it was judged by.
-fn candidate_in_words(candidate: &Value) -> String {
+fn describe_candidate(candidate: &Value) -> String {
     let name = candidate.get("name").and_then(Value::as_object);
     let name = name
         .into_iter()
         .flatten()
-        .map(|(kind, name)| format!("{kind} {}", plain(Some(name))));
-    let figures = list(candidate, "figures").map(|figure| {
-        let (kind, value) = (plain(figure.get("kind")), plain(figure.get("value")));
-        format!("{kind} {value} ({} ms old)", plain(figure.get("age_ms")))
+        .map(|(kind, name)| format!("{kind} {}", value_text(Some(name))));
+    let figures = array_field(candidate, "figures").map(|figure| {
+        let (kind, value) = (
+            value_text(figure.get("kind")),
+            value_text(figure.get("value")),
+        );
+        format!(
+            "{kind} {value} ({} ms old)",
+            value_text(figure.get("age_ms"))
+        )
     });
     let name: Vec<String> = name.collect();
     let figures: Vec<String> = figures.collect();
     let excluded = match candidate.get("excluded") {
-        Some(reason) => format!(", excluded: {}", plain(Some(reason))),
+        Some(reason) => format!(", excluded: {}", value_text(Some(reason))),
         None => String::new(),
     };
     let (name, figures) = (name.join(" "), figures.join(", "));
     format!("  candidate {name}: {figures}{excluded}\n")
 }
 
-fn list<'a>(value: &'a Value, field: &str) -> impl Iterator<Item = &'a Value> {
+fn array_field<'a>(value: &'a Value, field: &str) -> impl Iterator<Item = &'a Value> {
     value
         .get(field)
         .and_then(Value::as_array)
@@ -102,7 +111,7 @@
         .flatten()
 }
 
-fn plain(value: Option<&Value>) -> String {
+fn value_text(value: Option<&Value>) -> String {
     match value {
         None => "-".to_owned(),
         Some(Value::String(text)) => text.clone(),
--- a/crates/foxtidectl/src/commands/explain/request/cause.rs
+++ b/crates/foxtidectl/src/commands/explain/request/cause.rs
@@ -1,31 +1,31 @@
 //! From the lines about a request to its cause.
 
-use super::story::Story;
+use super::trace::RequestTrace;
 use crate::commands::lines::LogLine;
 
 /// The age from which knowledge of the store is old, in milliseconds: an instance
 /// asks it, or a peer, each 0.8 s and waits 2 s at most.
-const OLD_KNOWLEDGE_MS: f64 = 3_000.0;
+const STALE_STORE_DATA_MS: f64 = 3_000.0;
 
 /// Returns why a request ended as it did.
-pub(super) fn in_words(story: &Story<'_>) -> String {
-    let Some(end) = story.end() else {
+pub(super) fn describe(trace: &RequestTrace<'_>) -> String {
+    let Some(end) = trace.end() else {
         return "its end is not in these lines: the instance was killed, or the line was left out"
             .to_owned();
     };
     match end.event.as_str() {
         "request-cancelled" => "its caller went away before the reply".to_owned(),
-        "request-answered" => answered(story, end),
-        _ => failed(story, end),
+        "request-answered" => answered(trace, end),
+        _ => failed(trace, end),
     }
 }
 
-fn failed(story: &Story<'_>, end: &LogLine) -> String {
+fn failed(trace: &RequestTrace<'_>, end: &LogLine) -> String {
     let status = end.field("status");
     let reason = match end.field("reason").as_str() {
         "upstream_refused" => format!(
             "it did not run: each upstream that was asked had no room ({})",
-            occupancies(story)
+            occupancies(trace)
         ),
         "no_slot_in_time" => format!(
             "it did not run: it waited {:.0} ms for a slot of upstream {}, and none was expected \
@@ -36,7 +36,7 @@
         ),
         "upstreams_unreachable" => format!(
             "it did not run: no connection could be made ({})",
-            causes(story)
+            causes(trace)
         ),
         "upstreams_cold" => "it did not run: the upstreams that are left have just started and \
                              had their part of requests"
@@ -44,7 +44,7 @@
         "no_upstream_registered" => "it did not run: no upstream of the service is registered \
                                      where the route may be served"
             .to_owned(),
-        "upstreams_tried" => format!("it did not run anywhere ({})", causes(story)),
+        "upstreams_tried" => format!("it did not run anywhere ({})", causes(trace)),
         "time_up_before_sending" => "it did not run: its time passed between attempts".to_owned(),
         "no_configuration_yet" => "it did not run: the instance had just started and had not \
                                    read the configuration"
@@ -57,13 +57,13 @@
             .to_owned(),
         "response_lost" => format!(
             "it may have run: the response was lost ({}){}",
-            causes(story),
-            resent(end)
+            causes(trace),
+            no_retry_note(end)
         ),
         "time_up_at_upstream" => format!(
             "it may have run: upstream {} did not respond within the time limit{}",
             end.field("upstream"),
-            resent(end)
+            no_retry_note(end)
         ),
         "upstream_error" => format!("upstream {} responded with an error", end.field("upstream")),
         "no_route" => format!(
@@ -96,11 +96,11 @@
         "caller_too_slow" => "the caller took too long to send it".to_owned(),
         other => format!("{other}; docs/OPERATIONS.md lists the reasons"),
     };
-    format!("status {status}: {reason}{}", outage(story, end))
+    format!("status {status}: {reason}{}", outage_note(trace, end))
 }
 
 /// An answered request is explained where it came late or went elsewhere.
-fn answered(story: &Story<'_>, end: &LogLine) -> String {
+fn answered(trace: &RequestTrace<'_>, end: &LogLine) -> String {
     let upstream = end.field("upstream");
     let latency_ms = end.number("latency_ms").unwrap_or_default();
     let objective_ms = end.number("objective_ms").unwrap_or(f64::MAX);
@@ -110,11 +110,11 @@
             ", later than the {objective_ms:.0} ms it is to take"
         ));
     }
-    let attempts = story.failed_attempts().count();
+    let attempts = trace.failed_attempts().count();
     if attempts > 0 {
         text.push_str(&format!(
             "; {attempts} attempts before it failed ({})",
-            causes(story)
+            causes(trace)
         ));
     }
     if end.number("rank").is_some_and(|rank| rank > 0.0) {
@@ -129,23 +129,23 @@
             "; {occupancy} requests were at the upstream before it"
         ));
     }
-    if let Some(evacuated) = story.belief("zones-evacuated") {
+    if let Some(evacuated) = trace.latest_state_event("zones-evacuated") {
         let zones = evacuated.field("zones");
         if zones != "-" {
             text.push_str(&format!("; availability zones that get nothing: {zones}"));
         }
     }
-    text.push_str(&outage(story, end));
+    text.push_str(&outage_note(trace, end));
     text
 }
 
 /// Tells of an outage of the store that the decisions rested on.
-fn outage(story: &Story<'_>, end: &LogLine) -> String {
+fn outage_note(trace: &RequestTrace<'_>, end: &LogLine) -> String {
     let age_ms = end.number("knowledge_age_ms").unwrap_or_default();
-    if age_ms < OLD_KNOWLEDGE_MS {
+    if age_ms < STALE_STORE_DATA_MS {
         return String::new();
     }
-    let since = match story.belief("store-unreachable") {
+    let since = match trace.latest_state_event("store-unreachable") {
         Some(lost) => format!(" (lost at {}: {})", lost.time(), lost.field("cause")),
         None => String::new(),
     };
@@ -153,31 +153,31 @@
     format!("; the instance decided by what the store said {age_s:.1} s before{since}")
 }
 
-fn resent(end: &LogLine) -> &'static str {
+fn no_retry_note(end: &LogLine) -> &'static str {
     match end.is("is_idempotent") {
         Some(false) => "; it was not sent again since it must not run twice",
         _ => "",
     }
 }
 
-fn occupancies(story: &Story<'_>) -> String {
+fn occupancies(trace: &RequestTrace<'_>) -> String {
     let of_attempt = |line: &LogLine| {
         let (upstream, occupancy) = (line.field("upstream"), line.field("occupancy"));
         format!("{upstream} had {occupancy} requests")
     };
-    let attempts: Vec<String> = story.failed_attempts().map(of_attempt).collect();
+    let attempts: Vec<String> = trace.failed_attempts().map(of_attempt).collect();
     attempts.join(", ")
 }
 
-fn causes(story: &Story<'_>) -> String {
+fn causes(trace: &RequestTrace<'_>) -> String {
     let of_attempt =
         |line: &LogLine| format!("{}: {}", line.field("upstream"), line.field("cause"));
-    let attempts: Vec<String> = story.failed_attempts().map(of_attempt).collect();
+    let attempts: Vec<String> = trace.failed_attempts().map(of_attempt).collect();
     attempts.join(", ")
 }
 
 /// Returns one line as people read it.
-pub(super) fn line_in_words(line: &LogLine) -> String {
+pub(super) fn describe_line(line: &LogLine) -> String {
     let field = |name: &str| line.field(name);
     match line.event.as_str() {
         "attempt-failed" => format!(
--- a/crates/foxtidectl/src/commands/explain/request/mod.rs
+++ b/crates/foxtidectl/src/commands/explain/request/mod.rs
@@ -1,8 +1,8 @@
 //! `foxtidectl explain request`.
 
 mod cause;
-mod story;
-mod told;
+mod report;
+mod trace;
 
 use super::decisions;
 use crate::commands::lines;
@@ -11,7 +11,7 @@
 use crate::session::Session;
 use argh::FromArgs;
 use foxtide_core::events::RequestId;
-use story::Story;
+use trace::RequestTrace;
 
 /// Explain where a request went
 #[derive(Debug, FromArgs)]
@@ -32,11 +32,11 @@
     pub(super) async fn run(self, session: &Session) -> Result<Report, Failure> {
         if self.lines.is_empty() {
             let id: RequestId = self.id.parse()?;
-            return decisions::ask(session, &format!("request={id}"), "that request").await;
+            return decisions::explain(session, &format!("request={id}"), "that request").await;
         }
         let lines = lines::read(&self.lines)?.events;
-        match Story::of(&self.id, &lines) {
-            Some(story) => Ok(told::report(&story)),
+        match RequestTrace::collect(&self.id, &lines) {
+            Some(trace) => Ok(report::report(&trace)),
             None => Err(Failure::refused(
                 format!("no line of {} tells of request {}", lines.len(), self.id),
                 "give the lines of all instances; look for lines-left-out (F1011) and \
--- a/crates/foxtidectl/src/commands/explain/request/told.rs
+++ b/crates/foxtidectl/src/commands/explain/request/report.rs
@@ -1,7 +1,7 @@
-//! A request's story, for people and for programs.
+//! A request's trace, for people and for programs.
 
 use super::cause;
-use super::story::Story;
+use super::trace::RequestTrace;
 use crate::commands::lines::LogLine;
 use crate::report::Report;
 use serde_json::{
@@ -10,18 +10,22 @@
 };
 use std::fmt::Write;
 
-/// Returns the report of a story.
-pub(super) fn report(story: &Story<'_>) -> Report {
-    let cause = cause::in_words(story);
-    let mut text = format!("request {}\ncause: {cause}\n", story.id);
-    append(&mut text, "what happened to it:", &story.own);
-    append(&mut text, "what the instance believed:", &story.beliefs);
+/// Returns the report of a trace.
+pub(super) fn report(trace: &RequestTrace<'_>) -> Report {
+    let cause = cause::describe(trace);
+    let mut text = format!("request {}\ncause: {cause}\n", trace.id);
+    append(&mut text, "what happened to it:", &trace.request_lines);
+    append(
+        &mut text,
+        "what the instance believed:",
+        &trace.instance_state,
+    );
     let json_of = |lines: &[&LogLine]| lines.iter().map(|line| line.json()).collect::<Value>();
     let json = json!({
-        "request": story.id,
+        "request": trace.id,
         "cause": cause,
-        "lines": json_of(&story.own),
-        "beliefs": json_of(&story.beliefs),
+        "lines": json_of(&trace.request_lines),
+        "beliefs": json_of(&trace.instance_state),
     });
     Report::new(text, json)
 }
@@ -35,7 +39,7 @@
             "  {} {} {}",
             line.time(),
             line.instance(),
-            cause::line_in_words(line)
+            cause::describe_line(line)
         );
     }
 }
