--- a/crates/foxtidectl/src/commands/losses/mod.rs
+++ b/crates/foxtidectl/src/commands/losses/mod.rs
@@ -1,11 +1,11 @@
 //! `foxtidectl losses`: where and when requests were late, refused or failed, and why.
 
-mod calls;
-mod objects;
+mod object_history;
 mod organisations;
 mod plot;
+mod report;
+mod store_calls;
 mod tally;
-mod told;
 
 use super::lines;
 use crate::failure::Failure;
@@ -47,7 +47,7 @@
             ));
         }
         let lines = lines::read(&self.lines)?;
-        let tally = Tally::of(&lines.events, self.window_s);
+        let tally = Tally::from_events(&lines.events, self.window_s);
         if let Some(svg) = &self.svg {
             plot::plot(svg, &tally).map_err(|error| {
                 Failure::refused(
@@ -56,6 +56,6 @@
                 )
             })?;
         }
-        Ok(told::report(&tally, &lines.unreadable))
+        Ok(report::report(&tally, &lines.unreadable))
     }
 }
--- a/crates/foxtidectl/src/commands/losses/object_history.rs
+++ b/crates/foxtidectl/src/commands/losses/object_history.rs
@@ -18,13 +18,18 @@
 
 /// The upstreams that served each object, as far as lines tell.
 #[derive(Debug, Default)]
-pub(super) struct Objects {
+pub(super) struct ObjectHistory {
     upstreams: HashMap<(String, String), HashSet<String>>,
 }
 
-impl Objects {
+impl ObjectHistory {
     /// Takes in that an upstream served an object of a service.
-    pub(super) fn serve(&mut self, service: &str, object: &str, upstream: &str) -> Arrival {
+    pub(super) fn record_service(
+        &mut self,
+        service: &str,
+        object: &str,
+        upstream: &str,
+    ) -> Arrival {
         let key = (service.to_owned(), object.to_owned());
         let upstreams = self.upstreams.entry(key).or_default();
         let is_first = upstreams.is_empty();
--- a/crates/foxtidectl/src/commands/losses/organisations.rs
+++ b/crates/foxtidectl/src/commands/losses/organisations.rs
@@ -9,7 +9,7 @@
 use std::collections::BTreeMap;
 
 /// The most organisations that are named: those that lost most.
-const NAMED_MAX: usize = 20;
+const LISTED_MAX: usize = 20;
 
 /// The requests of one organisation.
 #[derive(Clone, Copy, Debug, Default, serde::Serialize)]
@@ -59,10 +59,10 @@
         rows.sort_by_key(|(_, counts)| std::cmp::Reverse(counts.over_quota + counts.lost));
         let headings = ["organisation", "answered", "over quota", "lost"];
         let mut table = Table::with_columns(headings.into_iter().map(str::to_owned));
-        for (organisation, counts) in rows.into_iter().take(NAMED_MAX) {
-            let figures = [counts.answered, counts.over_quota, counts.lost];
+        for (organisation, counts) in rows.into_iter().take(LISTED_MAX) {
+            let values = [counts.answered, counts.over_quota, counts.lost];
             let cells = std::iter::once(organisation.clone());
-            table.cells(cells.chain(figures.map(|figure| figure.to_string())));
+            table.cells(cells.chain(values.map(|value| value.to_string())));
         }
         format!(
             "\nby organisation, those that lost most\n{}turned away without a known key: {}\n",
@@ -72,7 +72,7 @@
     }
 
     /// Returns all organisations.
-    pub(super) fn in_json(&self) -> Value {
+    pub(super) fn to_json(&self) -> Value {
         json!({"by_name": self.counts, "without_key": self.without_key})
     }
 }
--- a/crates/foxtidectl/src/commands/losses/plot.rs
+++ b/crates/foxtidectl/src/commands/losses/plot.rs
@@ -32,19 +32,20 @@
 pub(super) fn plot(path: &Path, tally: &Tally) -> Result<(), Box<dyn Error>> {
     let windows = tally.by_window();
     let length = windows.keys().next_back().map_or(1, |&last| last + 1);
-    let per_second = |figure: &dyn Fn(&Counts) -> f64| -> Vec<f64> {
-        let of_window = |window| windows.get(&window).map_or(0.0, figure) / tally.window_s;
-        (0..length).map(of_window).collect()
+    let per_second = |value_of: &dyn Fn(&Counts) -> f64| -> Vec<f64> {
+        let rate = |window| windows.get(&window).map_or(0.0, value_of) / tally.window_s;
+        (0..length).map(rate).collect()
     };
-    let curve = |name: &str, figure: &dyn Fn(&Counts) -> f64| (name.to_owned(), per_second(figure));
-    let ends = [
+    let curve =
+        |name: &str, value_of: &dyn Fn(&Counts) -> f64| (name.to_owned(), per_second(value_of));
+    let outcomes = [
         curve("in time", &|counts| counts.in_time as f64),
         curve("late", &|counts| counts.late as f64),
         curve("refused", &|counts| counts.refused as f64),
         curve("failed", &|counts| counts.failed as f64),
     ];
     let waits = [curve("waiting for slots", &|counts| counts.slot_wait_s)];
-    let regions: Vec<Curve> = regions_of(&windows)
+    let regions: Vec<Curve> = busiest_regions(&windows)
         .into_iter()
         .map(|region| {
             curve(&region, &|counts| {
@@ -56,7 +57,7 @@
     area.fill(&WHITE)?;
     let parts = area.split_evenly((3, 1));
     let charts = [
-        ("requests a second, by their end", &ends[..]),
+        ("requests a second, by their end", &outcomes[..]),
         ("requests that wait for a slot", &waits[..]),
         ("requests a second, by the region of the upstream", &regions),
     ];
@@ -68,7 +69,7 @@
 }
 
 /// Returns the regions that got most requests.
-fn regions_of(windows: &BTreeMap<u64, Counts>) -> BTreeSet<String> {
+fn busiest_regions(windows: &BTreeMap<u64, Counts>) -> BTreeSet<String> {
     let mut sums: BTreeMap<&String, u64> = BTreeMap::new();
     for (region, count) in windows.values().flat_map(|counts| &counts.regions) {
         *sums.entry(region).or_default() += count;
--- a/crates/foxtidectl/src/commands/losses/report.rs
+++ b/crates/foxtidectl/src/commands/losses/report.rs
@@ -2,7 +2,7 @@
 
 use super::tally::{
     Counts,
-    Key,
+    GroupKey,
     Tally, //
 };
 use crate::commands::lines::Unreadable;
@@ -18,7 +18,7 @@
 use std::fmt::Write;
 
 /// How many lines that cannot be read are named; all are counted.
-const UNREADABLE_NAMED_MAX: usize = 10;
+const UNREADABLE_LISTED_MAX: usize = 10;
 
 /// Returns the report of a tally.
 pub(super) fn report(tally: &Tally, unreadable: &[Unreadable]) -> Report {
@@ -32,16 +32,16 @@
     ));
     text.push_str("\nby window, from second\n");
     text.push_str(&table(["second"], windows.iter(), |&window| {
-        vec![second(tally, window)]
+        vec![window_start(tally, window)]
     }));
     text.push_str(&reasons(&routes));
     text.push_str(&tally.organisations.text());
     text.push_str(&tally.calls.text(tally.window_s));
-    text.push_str(&caveats(tally, unreadable));
-    Report::new(text, in_json(tally, unreadable))
+    text.push_str(&footer(tally, unreadable));
+    Report::new(text, to_json(tally, unreadable))
 }
 
-fn second(tally: &Tally, window: u64) -> String {
+fn window_start(tally: &Tally, window: u64) -> String {
     format!("{:.0}", window as f64 * tally.window_s)
 }
 
@@ -50,7 +50,7 @@
     rows: impl Iterator<Item = (&'a K, &'a Counts)>,
     cells_of: impl Fn(&K) -> Vec<String>,
 ) -> String {
-    let figures = [
+    let columns = [
         "in time",
         "late",
         "refused",
@@ -65,17 +65,17 @@
         "moved",
         "oldest ms",
     ];
-    let headings = names.into_iter().chain(figures).map(str::to_owned);
+    let headings = names.into_iter().chain(columns).map(str::to_owned);
     let mut table = Table::with_columns(headings);
     for (key, counts) in rows {
         let mut cells = cells_of(key);
-        cells.extend(figures_of(counts));
+        cells.extend(count_cells(counts));
         table.cells(cells.into_iter());
     }
     table.text()
 }
 
-fn figures_of(counts: &Counts) -> [String; 13] {
+fn count_cells(counts: &Counts) -> [String; 13] {
     [
         counts.in_time.to_string(),
         counts.late.to_string(),
@@ -105,24 +105,24 @@
 }
 
 /// What the sums leave out; writing to a string cannot fail.
-fn caveats(tally: &Tally, unreadable: &[Unreadable]) -> String {
+fn footer(tally: &Tally, unreadable: &[Unreadable]) -> String {
     let mut text = format!("\ncallers that left: {}\n", tally.cancelled);
-    let (answered, others) = tally.left_out;
+    let (answered, others) = tally.lines_omitted;
     let _ = writeln!(
         text,
         "lines that instances left out: {answered} of requests answered in time, {others} of \
          others; dropped: {}",
-        tally.dropped
+        tally.lines_dropped
     );
     let _ = writeln!(text, "lines that are no events: {}", unreadable.len());
-    for line in unreadable.iter().take(UNREADABLE_NAMED_MAX) {
+    for line in unreadable.iter().take(UNREADABLE_LISTED_MAX) {
         let _ = writeln!(text, "  {}:{}: {}", line.file, line.number, line.cause);
     }
     text
 }
 
-fn in_json(tally: &Tally, unreadable: &[Unreadable]) -> Value {
-    let row = |(key, counts): (&Key, &Counts)| {
+fn to_json(tally: &Tally, unreadable: &[Unreadable]) -> Value {
+    let row = |(key, counts): (&GroupKey, &Counts)| {
         json!({
             "service": key.service,
             "route": key.route,
@@ -134,13 +134,13 @@
         |line: &Unreadable| json!({"file": line.file, "line": line.number, "cause": line.cause});
     json!({
         "window_s": tally.window_s,
-        "begins_s": tally.begins_s,
+        "begins_s": tally.start_s,
         "rows": tally.counts.iter().map(row).collect::<Value>(),
-        "organisations": tally.organisations.in_json(),
-        "store_calls": tally.calls.in_json(),
+        "organisations": tally.organisations.to_json(),
+        "store_calls": tally.calls.to_json(),
         "callers_left": tally.cancelled,
-        "lines_left_out": {"answered": tally.left_out.0, "others": tally.left_out.1},
-        "lines_dropped": tally.dropped,
+        "lines_left_out": {"answered": tally.lines_omitted.0, "others": tally.lines_omitted.1},
+        "lines_dropped": tally.lines_dropped,
         "unreadable": unreadable.iter().map(named).collect::<Value>(),
     })
 }
--- a/crates/foxtidectl/src/commands/losses/store_calls.rs
+++ b/crates/foxtidectl/src/commands/losses/store_calls.rs
@@ -21,11 +21,11 @@
 
 /// Calls by window, in the order of [`PURPOSES`].
 #[derive(Debug, Default)]
-pub(super) struct Calls {
+pub(super) struct StoreCalls {
     windows: BTreeMap<u64, [u64; PURPOSES.len()]>,
 }
 
-impl Calls {
+impl StoreCalls {
     /// Adds the calls that a line tells of.
     pub(super) fn add(&mut self, line: &LogLine, window: u64) {
         let calls = self.windows.entry(window).or_default();
@@ -51,7 +51,7 @@
     }
 
     /// Returns the sums of all windows.
-    pub(super) fn in_json(&self) -> Value {
+    pub(super) fn to_json(&self) -> Value {
         let sums = PURPOSES.into_iter().zip(self.sum());
         sums.map(|(purpose, calls)| (purpose.to_owned(), json!(calls)))
             .collect()
--- a/crates/foxtidectl/src/commands/losses/tally.rs
+++ b/crates/foxtidectl/src/commands/losses/tally.rs
@@ -1,11 +1,11 @@
 //! How requests and attempts ended, by service, route and window of time.
 
-use super::calls::Calls;
-use super::objects::{
+use super::object_history::{
     Arrival,
-    Objects, //
+    ObjectHistory, //
 };
 use super::organisations::Organisations;
+use super::store_calls::StoreCalls;
 use crate::commands::lines::LogLine;
 use std::collections::BTreeMap;
 
@@ -15,7 +15,7 @@
 /// How long an attempt that an upstream refused may take without having waited there,
 /// in milliseconds: a new connection and an exchange between the regions that are
 /// furthest apart.
-const REFUSED_AT_ONCE_MS: f64 = 250.0;
+const IMMEDIATE_REFUSAL_MAX_MS: f64 = 250.0;
 
 /// The requests of one service and route in one window.
 #[derive(Clone, Debug, Default, serde::Serialize)]
@@ -54,7 +54,7 @@
 
 /// What is counted together.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(super) struct Key {
+pub(super) struct GroupKey {
     pub(super) service: String,
     pub(super) route: String,
     pub(super) window: u64,
@@ -63,35 +63,35 @@
 /// All counts.
 #[derive(Debug, Default)]
 pub(super) struct Tally {
-    pub(super) counts: BTreeMap<Key, Counts>,
+    pub(super) counts: BTreeMap<GroupKey, Counts>,
     /// The length of a window in seconds.
     pub(super) window_s: f64,
     /// When the first window begins, in seconds since 1970.
-    pub(super) begins_s: f64,
+    pub(super) start_s: f64,
     /// Requests whose callers left.
     pub(super) cancelled: u64,
     /// Lines that instances left out: of requests that were answered in time, and of
     /// others.
-    pub(super) left_out: (u64, u64),
+    pub(super) lines_omitted: (u64, u64),
     /// Lines that were dropped since standard output was not read.
-    pub(super) dropped: u64,
+    pub(super) lines_dropped: u64,
     /// The calls to the store.
-    pub(super) calls: Calls,
+    pub(super) calls: StoreCalls,
     /// How the requests of each organisation ended.
     pub(super) organisations: Organisations,
-    objects: Objects,
+    objects: ObjectHistory,
 }
 
 impl Tally {
     /// Counts events, which are in the order of their times.
-    pub(super) fn of(events: &[LogLine], window_s: f64) -> Self {
+    pub(super) fn from_events(events: &[LogLine], window_s: f64) -> Self {
         let mut tally = Self {
             window_s,
-            begins_s: events.first().map_or(0.0, LogLine::time_s),
+            start_s: events.first().map_or(0.0, LogLine::time_s),
             ..Self::default()
         };
         for event in events {
-            tally.take_in(event);
+            tally.add_event(event);
         }
         tally
     }
@@ -102,15 +102,15 @@
     }
 
     /// Returns the sums of all that have a part of the key in common.
-    pub(super) fn sums<K: Ord>(&self, key_of: impl Fn(&Key) -> K) -> BTreeMap<K, Counts> {
+    pub(super) fn sums<K: Ord>(&self, group_of: impl Fn(&GroupKey) -> K) -> BTreeMap<K, Counts> {
         let mut sums: BTreeMap<K, Counts> = BTreeMap::new();
         for (key, counts) in &self.counts {
-            sums.entry(key_of(key)).or_default().add(counts);
+            sums.entry(group_of(key)).or_default().add(counts);
         }
         sums
     }
 
-    fn take_in(&mut self, line: &LogLine) {
+    fn add_event(&mut self, line: &LogLine) {
         if matches!(line.event.as_str(), "request-answered" | "request-failed") {
             self.organisations.add(line);
         }
@@ -120,14 +120,14 @@
             "attempt-failed" => self.attempt_failed(line),
             "request-cancelled" => self.cancelled += 1,
             "lines-left-out" => {
-                self.left_out.0 += count(line, "answered");
-                self.left_out.1 += count(line, "failed");
+                self.lines_omitted.0 += number_field(line, "answered");
+                self.lines_omitted.1 += number_field(line, "failed");
             }
             "store-calls" => {
                 let window = self.window_of(line);
                 self.calls.add(line, window);
             }
-            "lines-dropped" => self.dropped += count(line, "lines"),
+            "lines-dropped" => self.lines_dropped += number_field(line, "lines"),
             _ => {}
         }
     }
@@ -138,7 +138,7 @@
             Arrival::Known
         } else {
             let (service, upstream) = (line.field("service"), line.field("upstream"));
-            self.objects.serve(&service, &object, &upstream)
+            self.objects.record_service(&service, &object, &upstream)
         };
         let counts = self.counts_of(line);
         let latency_ms = line.number("latency_ms").unwrap_or_default();
@@ -153,7 +153,7 @@
             Arrival::First => counts.objects_first += 1,
             Arrival::Moved => counts.objects_moved += 1,
         }
-        counts.decided_by(line);
+        counts.add_decision(line);
     }
 
     fn failed(&mut self, line: &LogLine) {
@@ -164,7 +164,7 @@
             counts.failed += 1;
         }
         *counts.reasons.entry(line.field("reason")).or_default() += 1;
-        counts.decided_by(line);
+        counts.add_decision(line);
     }
 
     fn attempt_failed(&mut self, line: &LogLine) {
@@ -172,7 +172,7 @@
         let took_ms = line.number("took_ms").unwrap_or_default();
         match line.field("outcome").as_str() {
             "timed_out" => counts.attempts_cut += 1,
-            "not_run" if took_ms > REFUSED_AT_ONCE_MS => counts.attempts_refused_late += 1,
+            "not_run" if took_ms > IMMEDIATE_REFUSAL_MAX_MS => counts.attempts_refused_late += 1,
             "not_run" => counts.attempts_refused += 1,
             "unknown" => counts.attempts_lost += 1,
             _ => return,
@@ -181,12 +181,12 @@
     }
 
     fn window_of(&self, line: &LogLine) -> u64 {
-        let window = (line.time_s() - self.begins_s) / self.window_s;
+        let window = (line.time_s() - self.start_s) / self.window_s;
         window.max(0.0) as u64
     }
 
     fn counts_of(&mut self, line: &LogLine) -> &mut Counts {
-        let key = Key {
+        let key = GroupKey {
             service: line.field("service"),
             route: line.field("route"),
             window: self.window_of(line),
@@ -196,7 +196,7 @@
 }
 
 impl Counts {
-    fn decided_by(&mut self, line: &LogLine) {
+    fn add_decision(&mut self, line: &LogLine) {
         let age_ms = line.number("knowledge_age_ms").unwrap_or_default();
         self.knowledge_age_max_ms = self.knowledge_age_max_ms.max(age_ms);
         self.slot_wait_s += line.number("slot_wait_ms").unwrap_or_default() / 1_000.0;
@@ -230,6 +230,6 @@
     }
 }
 
-fn count(line: &LogLine, field: &str) -> u64 {
+fn number_field(line: &LogLine, field: &str) -> u64 {
     line.number(field).unwrap_or_default() as u64
 }
