--- a/crates/foxtidectl/src/commands/explain/request/cause.rs
+++ b/crates/foxtidectl/src/commands/explain/request/cause.rs
@@ -1,7 +1,7 @@
 //! From the lines about a request to its cause.
 
 use super::trace::RequestTrace;
-use crate::commands::lines::LogLine;
+use crate::commands::log_lines::LogLine;
 
 /// The age from which knowledge of the store is old, in milliseconds: an instance
 /// asks it, or a peer, each 0.8 s and waits 2 s at most.
@@ -21,8 +21,8 @@
 }
 
 fn failed(trace: &RequestTrace<'_>, end: &LogLine) -> String {
-    let status = end.field("status");
-    let reason = match end.field("reason").as_str() {
+    let status = end.text("status");
+    let reason = match end.text("reason").as_str() {
         "upstream_refused" => format!(
             "it did not run: each upstream that was asked had no room ({})",
             occupancies(trace)
@@ -31,8 +31,8 @@
             "it did not run: it waited {:.0} ms for a slot of upstream {}, and none was expected \
              in its time (coordinator {})",
             end.number("slot_wait_ms").unwrap_or_default(),
-            end.field("upstream"),
-            end.field("coordinator")
+            end.text("upstream"),
+            end.text("coordinator")
         ),
         "upstreams_unreachable" => format!(
             "it did not run: no connection could be made ({})",
@@ -62,34 +62,34 @@
         ),
         "time_up_at_upstream" => format!(
             "it may have run: upstream {} did not respond within the time limit{}",
-            end.field("upstream"),
+            end.text("upstream"),
             no_retry_note(end)
         ),
-        "upstream_error" => format!("upstream {} responded with an error", end.field("upstream")),
+        "upstream_error" => format!("upstream {} responded with an error", end.text("upstream")),
         "no_route" => format!(
             "version {} of the configuration has no route for it",
-            end.field("version")
+            end.text("version")
         ),
         "key_missing" => "its caller showed no key, and its route is not public".to_owned(),
         "key_unreadable" => "its caller showed something else than one key".to_owned(),
         "key_unknown" => format!(
             "no organisation holds its caller's key in version {}",
-            end.field("version")
+            end.text("version")
         ),
         "key_changed_hands" => {
             "its caller's key went to another organisation while it waited".to_owned()
         }
         "quota_reached" => format!(
             "it did not run: organisation {} had used up its quota",
-            end.field("organisation")
+            end.text("organisation")
         ),
         "no_common_home" => format!(
             "it did not run: its route and organisation {} have no home in common",
-            end.field("organisation")
+            end.text("organisation")
         ),
         "ends_its_upstreams" => format!(
             "it did not run: upstreams end under requests of its content ({}), which are held back",
-            end.field("fingerprint")
+            end.text("fingerprint")
         ),
         "malformed" => "the request cannot be understood".to_owned(),
         "head_too_long" | "body_too_long" => "the request is longer than the limits".to_owned(),
@@ -101,7 +101,7 @@
 
 /// An answered request is explained where it came late or went elsewhere.
 fn answered(trace: &RequestTrace<'_>, end: &LogLine) -> String {
-    let upstream = end.field("upstream");
+    let upstream = end.text("upstream");
     let latency_ms = end.number("latency_ms").unwrap_or_default();
     let objective_ms = end.number("objective_ms").unwrap_or(f64::MAX);
     let mut text = format!("answered by upstream {upstream} after {latency_ms:.0} ms");
@@ -130,7 +130,7 @@
         ));
     }
     if let Some(evacuated) = trace.latest_state_event("zones-evacuated") {
-        let zones = evacuated.field("zones");
+        let zones = evacuated.text("zones");
         if zones != "-" {
             text.push_str(&format!("; availability zones that get nothing: {zones}"));
         }
@@ -146,7 +146,7 @@
         return String::new();
     }
     let since = match trace.latest_state_event("store-unreachable") {
-        Some(lost) => format!(" (lost at {}: {})", lost.time(), lost.field("cause")),
+        Some(lost) => format!(" (lost at {}: {})", lost.time(), lost.text("cause")),
         None => String::new(),
     };
     let age_s = age_ms / 1_000.0;
@@ -154,7 +154,7 @@
 }
 
 fn no_retry_note(end: &LogLine) -> &'static str {
-    match end.is("is_idempotent") {
+    match end.boolean("is_idempotent") {
         Some(false) => "; it was not sent again since it must not run twice",
         _ => "",
     }
@@ -162,7 +162,7 @@
 
 fn occupancies(trace: &RequestTrace<'_>) -> String {
     let of_attempt = |line: &LogLine| {
-        let (upstream, occupancy) = (line.field("upstream"), line.field("occupancy"));
+        let (upstream, occupancy) = (line.text("upstream"), line.text("occupancy"));
         format!("{upstream} had {occupancy} requests")
     };
     let attempts: Vec<String> = trace.failed_attempts().map(of_attempt).collect();
@@ -170,15 +170,14 @@
 }
 
 fn causes(trace: &RequestTrace<'_>) -> String {
-    let of_attempt =
-        |line: &LogLine| format!("{}: {}", line.field("upstream"), line.field("cause"));
+    let of_attempt = |line: &LogLine| format!("{}: {}", line.text("upstream"), line.text("cause"));
     let attempts: Vec<String> = trace.failed_attempts().map(of_attempt).collect();
     attempts.join(", ")
 }
 
 /// Returns one line as people read it.
 pub(super) fn describe_line(line: &LogLine) -> String {
-    let field = |name: &str| line.field(name);
+    let field = |name: &str| line.text(name);
     match line.event.as_str() {
         "attempt-failed" => format!(
             "attempt at {} in {}, place {} of the object's order, {} requests there: {}, {}",
--- a/crates/foxtidectl/src/commands/explain/request/mod.rs
+++ b/crates/foxtidectl/src/commands/explain/request/mod.rs
@@ -5,7 +5,7 @@
 mod trace;
 
 use super::decisions;
-use crate::commands::lines;
+use crate::commands::log_lines;
 use crate::failure::Failure;
 use crate::report::Report;
 use crate::session::Session;
@@ -34,7 +34,7 @@
             let id: RequestId = self.id.parse()?;
             return decisions::explain(session, &format!("request={id}"), "that request").await;
         }
-        let lines = lines::read(&self.lines)?.events;
+        let lines = log_lines::read(&self.lines)?.events;
         match RequestTrace::collect(&self.id, &lines) {
             Some(trace) => Ok(report::report(&trace)),
             None => Err(Failure::refused(
--- a/crates/foxtidectl/src/commands/explain/request/report.rs
+++ b/crates/foxtidectl/src/commands/explain/request/report.rs
@@ -2,7 +2,7 @@
 
 use super::cause;
 use super::trace::RequestTrace;
-use crate::commands::lines::LogLine;
+use crate::commands::log_lines::LogLine;
 use crate::report::Report;
 use serde_json::{
     Value,
--- a/crates/foxtidectl/src/commands/explain/request/trace.rs
+++ b/crates/foxtidectl/src/commands/explain/request/trace.rs
@@ -1,6 +1,6 @@
 //! What the lines of all instances tell of one request.
 
-use crate::commands::lines::LogLine;
+use crate::commands::log_lines::LogLine;
 
 /// How far back an event about an upstream still tells of a request, in seconds:
 /// the longest time for which an upstream is passed over, and the longest time
@@ -23,12 +23,12 @@
     pub(super) fn collect(id: &'a str, lines: &'a [LogLine]) -> Option<Self> {
         let request_lines: Vec<&LogLine> = lines
             .iter()
-            .filter(|line| line.holds("request", id))
+            .filter(|line| line.has_text("request", id))
             .collect();
         let last = *request_lines.last()?;
         let earlier: Vec<&LogLine> = lines
             .iter()
-            .filter(|line| line.instance() == last.instance() && last.seconds_after(line) >= 0.0)
+            .filter(|line| line.instance() == last.instance() && last.seconds_since(line) >= 0.0)
             .collect();
         let instance_state = instance_state(&request_lines, last, &earlier);
         Some(Self {
@@ -80,12 +80,12 @@
     state.extend(latest(&["relay-lost"]));
     let is_of_upstream = |line: &&&LogLine| {
         line.event.starts_with("upstream-")
-            && last.seconds_after(line) <= UPSTREAM_EVENT_MAX_AGE_S
+            && last.seconds_since(line) <= UPSTREAM_EVENT_MAX_AGE_S
             && request_lines
                 .iter()
-                .any(|line_of_request| line_of_request.field("upstream") == line.field("upstream"))
+                .any(|line_of_request| line_of_request.text("upstream") == line.text("upstream"))
     };
     state.extend(earlier.iter().filter(is_of_upstream).copied());
-    state.sort_by(|one, other| one.seconds_after(other).total_cmp(&0.0));
+    state.sort_by(|one, other| one.seconds_since(other).total_cmp(&0.0));
     state
 }
--- a/crates/foxtidectl/src/commands/lines.rs
+++ b/crates/foxtidectl/src/commands/log_lines.rs
@@ -19,7 +19,7 @@
 const STANDARD_INPUT: &str = "-";
 
 /// What stands for the instance in lines that do not name it.
-const UNNAMED: &str = "-";
+const UNKNOWN_INSTANCE: &str = "-";
 
 /// One event as an instance wrote it.
 #[derive(Clone, Debug, Deserialize)]
@@ -39,7 +39,7 @@
 impl LogLine {
     /// Returns the instance that wrote the line.
     pub(crate) fn instance(&self) -> &str {
-        self.instance.as_deref().unwrap_or(UNNAMED)
+        self.instance.as_deref().unwrap_or(UNKNOWN_INSTANCE)
     }
 
     /// Returns the seconds since 1970 by the instance's clock.
@@ -48,7 +48,7 @@
     }
 
     /// Returns the seconds from `earlier` to this line, by the instances' clocks.
-    pub(crate) fn seconds_after(&self, earlier: &Self) -> f64 {
+    pub(crate) fn seconds_since(&self, earlier: &Self) -> f64 {
         self.time_s - earlier.time_s
     }
 
@@ -58,7 +58,7 @@
     }
 
     /// Returns a field as text; `-` where it is missing or empty.
-    pub(crate) fn field(&self, name: &str) -> String {
+    pub(crate) fn text(&self, name: &str) -> String {
         match self.fields.get(name) {
             None | Some(Value::Null) => "-".to_owned(),
             Some(Value::String(text)) if text.is_empty() => "-".to_owned(),
@@ -73,12 +73,12 @@
     }
 
     /// Returns a field that holds a yes or no.
-    pub(crate) fn is(&self, name: &str) -> Option<bool> {
+    pub(crate) fn boolean(&self, name: &str) -> Option<bool> {
         self.fields.get(name).and_then(Value::as_bool)
     }
 
     /// Tells whether a field holds a text.
-    pub(crate) fn holds(&self, name: &str, text: &str) -> bool {
+    pub(crate) fn has_text(&self, name: &str, text: &str) -> bool {
         self.fields.get(name).and_then(Value::as_str) == Some(text)
     }
 
@@ -94,16 +94,16 @@
 
 /// The events of files, in the order of their times, and what else they hold.
 #[derive(Debug, Default)]
-pub(crate) struct Lines {
+pub(crate) struct LogLines {
     /// The events.
     pub(crate) events: Vec<LogLine>,
     /// Lines that are no events: files may hold what other programs wrote.
-    pub(crate) unreadable: Vec<Unreadable>,
+    pub(crate) unreadable: Vec<UnreadableLine>,
 }
 
 /// A line that is no event.
 #[derive(Debug)]
-pub(crate) struct Unreadable {
+pub(crate) struct UnreadableLine {
     /// The file.
     pub(crate) file: String,
     /// The line's number, from 1.
@@ -117,14 +117,14 @@
 /// # Errors
 ///
 /// Fails where a file cannot be read or holds no event at all.
-pub(crate) fn read(files: &[String]) -> Result<Lines, Failure> {
-    let mut lines = Lines::default();
+pub(crate) fn read(files: &[String]) -> Result<LogLines, Failure> {
+    let mut lines = LogLines::default();
     for file in files {
         let before = lines.events.len();
         let read = match file.as_str() {
-            STANDARD_INPUT => collect(file, io::stdin().lock(), &mut lines),
+            STANDARD_INPUT => read_lines(file, io::stdin().lock(), &mut lines),
             path => File::open(path)
-                .and_then(|opened| collect(path, BufReader::new(opened), &mut lines)),
+                .and_then(|opened| read_lines(path, BufReader::new(opened), &mut lines)),
         };
         read.map_err(|error| {
             Failure::refused(format!("{file}: {error}"), "give a file that can be read")
@@ -143,11 +143,11 @@
     Ok(lines)
 }
 
-fn collect(file: &str, reader: impl BufRead, lines: &mut Lines) -> io::Result<()> {
+fn read_lines(file: &str, reader: impl BufRead, lines: &mut LogLines) -> io::Result<()> {
     for (index, line) in reader.lines().enumerate() {
         match parse(&line?) {
             Ok(event) => lines.events.push(event),
-            Err(error) => lines.unreadable.push(Unreadable {
+            Err(error) => lines.unreadable.push(UnreadableLine {
                 file: file.to_owned(),
                 number: index + 1,
                 cause: error.to_string(),
--- a/crates/foxtidectl/src/commands/losses/mod.rs
+++ b/crates/foxtidectl/src/commands/losses/mod.rs
@@ -7,7 +7,7 @@
 mod store_calls;
 mod tally;
 
-use super::lines;
+use super::log_lines;
 use crate::failure::Failure;
 use crate::report::Report;
 use argh::FromArgs;
@@ -46,7 +46,7 @@
                 "valid: a number of seconds above 0",
             ));
         }
-        let lines = lines::read(&self.lines)?;
+        let lines = log_lines::read(&self.lines)?;
         let tally = Tally::from_events(&lines.events, self.window_s);
         if let Some(svg) = &self.svg {
             plot::plot(svg, &tally).map_err(|error| {
--- a/crates/foxtidectl/src/commands/losses/organisations.rs
+++ b/crates/foxtidectl/src/commands/losses/organisations.rs
@@ -1,6 +1,6 @@
 //! How the requests of each organisation ended.
 
-use crate::commands::lines::LogLine;
+use crate::commands::log_lines::LogLine;
 use crate::report::Table;
 use serde_json::{
     Value,
@@ -32,18 +32,18 @@
 impl Organisations {
     /// Adds the end of a request.
     pub(super) fn add(&mut self, line: &LogLine) {
-        if line.field("reason").starts_with("key_") {
+        if line.text("reason").starts_with("key_") {
             self.without_key += 1;
             return;
         }
-        let organisation = line.field("organisation");
+        let organisation = line.text("organisation");
         if matches!(organisation.as_str(), "" | "-") {
             return;
         }
         let counts = self.counts.entry(organisation).or_default();
         if line.event == "request-answered" {
             counts.answered += 1;
-        } else if line.holds("reason", "quota_reached") {
+        } else if line.has_text("reason", "quota_reached") {
             counts.over_quota += 1;
         } else {
             counts.lost += 1;
--- a/crates/foxtidectl/src/commands/losses/report.rs
+++ b/crates/foxtidectl/src/commands/losses/report.rs
@@ -5,7 +5,7 @@
     GroupKey,
     Tally, //
 };
-use crate::commands::lines::Unreadable;
+use crate::commands::log_lines::UnreadableLine;
 use crate::report::{
     Report,
     Table, //
@@ -21,7 +21,7 @@
 const UNREADABLE_LISTED_MAX: usize = 10;
 
 /// Returns the report of a tally.
-pub(super) fn report(tally: &Tally, unreadable: &[Unreadable]) -> Report {
+pub(super) fn report(tally: &Tally, unreadable: &[UnreadableLine]) -> Report {
     let routes = tally.sums(|key| (key.service.clone(), key.route.clone()));
     let windows = tally.by_window();
     let mut text = String::from("by service and route\n");
@@ -105,7 +105,7 @@
 }
 
 /// What the sums leave out; writing to a string cannot fail.
-fn footer(tally: &Tally, unreadable: &[Unreadable]) -> String {
+fn footer(tally: &Tally, unreadable: &[UnreadableLine]) -> String {
     let mut text = format!("\ncallers that left: {}\n", tally.cancelled);
     let (answered, others) = tally.lines_omitted;
     let _ = writeln!(
@@ -121,7 +121,7 @@
     text
 }
 
-fn to_json(tally: &Tally, unreadable: &[Unreadable]) -> Value {
+fn to_json(tally: &Tally, unreadable: &[UnreadableLine]) -> Value {
     let row = |(key, counts): (&GroupKey, &Counts)| {
         json!({
             "service": key.service,
@@ -130,8 +130,7 @@
             "counts": counts,
         })
     };
-    let named =
-        |line: &Unreadable| json!({"file": line.file, "line": line.number, "cause": line.cause});
+    let named = |line: &UnreadableLine| json!({"file": line.file, "line": line.number, "cause": line.cause});
     json!({
         "window_s": tally.window_s,
         "begins_s": tally.start_s,
--- a/crates/foxtidectl/src/commands/losses/store_calls.rs
+++ b/crates/foxtidectl/src/commands/losses/store_calls.rs
@@ -1,6 +1,6 @@
 //! The calls to the store, by what they were for and by window of time.
 
-use crate::commands::lines::LogLine;
+use crate::commands::log_lines::LogLine;
 use crate::report::Table;
 use serde_json::{
     Value,
--- a/crates/foxtidectl/src/commands/losses/tally.rs
+++ b/crates/foxtidectl/src/commands/losses/tally.rs
@@ -6,7 +6,7 @@
 };
 use super::organisations::Organisations;
 use super::store_calls::StoreCalls;
-use crate::commands::lines::LogLine;
+use crate::commands::log_lines::LogLine;
 use std::collections::BTreeMap;
 
 /// The status of a request that did not run.
@@ -133,11 +133,11 @@
     }
 
     fn answered(&mut self, line: &LogLine) {
-        let object = line.field("object");
+        let object = line.text("object");
         let arrival = if object == "-" {
             Arrival::Known
         } else {
-            let (service, upstream) = (line.field("service"), line.field("upstream"));
+            let (service, upstream) = (line.text("service"), line.text("upstream"));
             self.objects.record_service(&service, &object, &upstream)
         };
         let counts = self.counts_of(line);
@@ -158,19 +158,19 @@
 
     fn failed(&mut self, line: &LogLine) {
         let counts = self.counts_of(line);
-        if line.number("status") == Some(NOT_RUN_STATUS) && line.holds("source", "instance") {
+        if line.number("status") == Some(NOT_RUN_STATUS) && line.has_text("source", "instance") {
             counts.refused += 1;
         } else {
             counts.failed += 1;
         }
-        *counts.reasons.entry(line.field("reason")).or_default() += 1;
+        *counts.reasons.entry(line.text("reason")).or_default() += 1;
         counts.add_decision(line);
     }
 
     fn attempt_failed(&mut self, line: &LogLine) {
         let counts = self.counts_of(line);
         let took_ms = line.number("took_ms").unwrap_or_default();
-        match line.field("outcome").as_str() {
+        match line.text("outcome").as_str() {
             "timed_out" => counts.attempts_cut += 1,
             "not_run" if took_ms > IMMEDIATE_REFUSAL_MAX_MS => counts.attempts_refused_late += 1,
             "not_run" => counts.attempts_refused += 1,
@@ -187,8 +187,8 @@
 
     fn counts_of(&mut self, line: &LogLine) -> &mut Counts {
         let key = GroupKey {
-            service: line.field("service"),
-            route: line.field("route"),
+            service: line.text("service"),
+            route: line.text("route"),
             window: self.window_of(line),
         };
         self.counts.entry(key).or_default()
@@ -200,7 +200,7 @@
         let age_ms = line.number("knowledge_age_ms").unwrap_or_default();
         self.knowledge_age_max_ms = self.knowledge_age_max_ms.max(age_ms);
         self.slot_wait_s += line.number("slot_wait_ms").unwrap_or_default() / 1_000.0;
-        let region = line.field("region");
+        let region = line.text("region");
         if region != "-" {
             *self.regions.entry(region).or_default() += 1;
         }
--- a/crates/foxtidectl/src/commands/mod.rs
+++ b/crates/foxtidectl/src/commands/mod.rs
@@ -5,7 +5,7 @@
 pub(crate) mod drain;
 pub(crate) mod explain;
 pub(crate) mod instances;
-pub(crate) mod lines;
+pub(crate) mod log_lines;
 pub(crate) mod losses;
 pub(crate) mod movement;
 pub(crate) mod organisation;
