--- a/crates/foxtidectl/src/admin.rs
+++ b/crates/foxtidectl/src/admin.rs
@@ -20,21 +20,21 @@
 use std::time::Duration;
 
 /// How long an instance may take to answer.
-const TIMEOUT: Duration = Duration::from_secs(3);
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// Where the instances that an instance knows are told.
-const INSTANCES_PAGE: &str = "/v1/instances";
+const INSTANCES_PATH: &str = "/v1/instances";
 
 /// The field of an instance that holds its admin address.
 const ADMIN_FIELD: &str = "admin_address";
 
 /// What the instances answered.
 #[derive(Debug)]
-pub(crate) struct Answers {
+pub(crate) struct Responses {
     /// The answers, with who gave them.
     pub(crate) pages: Vec<(SocketAddr, Value)>,
     /// Why others gave none.
-    pub(crate) silent: Vec<String>,
+    pub(crate) errors: Vec<String>,
 }
 
 /// Asks one instance after the other until one answers.
@@ -42,15 +42,15 @@
 /// # Errors
 ///
 /// Fails where none is given or none answers.
-pub(crate) async fn ask_any(addresses: &[SocketAddr], page: &str) -> Result<Value, Failure> {
-    let mut problems = Vec::new();
+pub(crate) async fn fetch_any(addresses: &[SocketAddr], path: &str) -> Result<Value, Failure> {
+    let mut errors = Vec::new();
     for address in addresses {
-        match get(*address, page).await {
+        match get(*address, path).await {
             Ok(value) => return Ok(value),
-            Err(problem) => problems.push(problem),
+            Err(error) => errors.push(error),
         }
     }
-    Err(nobody(&problems))
+    Err(no_response(&errors))
 }
 
 /// Asks all instances at the same time.
@@ -58,29 +58,29 @@
 /// # Errors
 ///
 /// Fails where none answers.
-pub(crate) async fn ask_all(addresses: &[SocketAddr], page: &str) -> Result<Answers, Failure> {
-    let mut answers = Answers {
+pub(crate) async fn fetch_all(addresses: &[SocketAddr], path: &str) -> Result<Responses, Failure> {
+    let mut responses = Responses {
         pages: Vec::new(),
-        silent: Vec::new(),
+        errors: Vec::new(),
     };
     let tasks: Vec<_> = addresses
         .iter()
         .map(|address| {
-            let (address, page) = (*address, page.to_owned());
-            smol::spawn(async move { (address, get(address, &page).await) })
+            let (address, path) = (*address, path.to_owned());
+            smol::spawn(async move { (address, get(address, &path).await) })
         })
         .collect();
     let mut results = stream::iter(tasks).then(|task| task).boxed();
     while let Some((address, result)) = results.next().await {
         match result {
-            Ok(value) => answers.pages.push((address, value)),
-            Err(problem) => answers.silent.push(problem),
+            Ok(value) => responses.pages.push((address, value)),
+            Err(error) => responses.errors.push(error),
         }
     }
-    if answers.pages.is_empty() {
-        return Err(nobody(&answers.silent));
+    if responses.pages.is_empty() {
+        return Err(no_response(&responses.errors));
     }
-    Ok(answers)
+    Ok(responses)
 }
 
 /// Returns the admin addresses of all instances: those given, and those that
@@ -90,7 +90,7 @@
 ///
 /// Fails where none answers.
 pub(crate) async fn all_addresses(given: &[SocketAddr]) -> Result<Vec<SocketAddr>, Failure> {
-    let instances = ask_any(given, INSTANCES_PAGE).await?;
+    let instances = fetch_any(given, INSTANCES_PATH).await?;
     let listed = instances.as_array().into_iter().flatten();
     let known = listed.filter_map(|one| one.get(ADMIN_FIELD)?.as_str()?.parse().ok());
     let mut addresses: BTreeSet<SocketAddr> = known.collect();
@@ -98,48 +98,50 @@
     Ok(addresses.into_iter().collect())
 }
 
-fn nobody(problems: &[String]) -> Failure {
-    if problems.is_empty() {
+fn no_response(errors: &[String]) -> Failure {
+    if errors.is_empty() {
         return Failure::no_instance(
             "no instance is named",
             "name one with --admin ADDRESS before the command",
         );
     }
     Failure::no_instance(
-        problems.join("\n"),
+        errors.join("\n"),
         "check --admin, that an instance is running there, and that it is of this version",
     )
 }
 
 /// Gets a page of one instance as JSON.
-async fn get(address: SocketAddr, page: &str) -> Result<Value, String> {
+async fn get(address: SocketAddr, path: &str) -> Result<Value, String> {
     let expired = async {
-        Timer::after(TIMEOUT).await;
-        Err(format!("no answer within {} s", TIMEOUT.as_secs()))
+        Timer::after(RESPONSE_TIMEOUT).await;
+        Err(format!("no answer within {} s", RESPONSE_TIMEOUT.as_secs()))
     };
-    let result = exchange(address, page).or(expired).await;
-    result.map_err(|cause| format!("instance {address}, {page}: {cause}"))
+    let result = exchange(address, path).or(expired).await;
+    result.map_err(|cause| format!("instance {address}, {path}: {cause}"))
 }
 
-async fn exchange(address: SocketAddr, page: &str) -> Result<Value, String> {
-    let url = Url::parse(&format!("http://{address}{page}")).map_err(text)?;
+async fn exchange(address: SocketAddr, path: &str) -> Result<Value, String> {
+    let url = Url::parse(&format!("http://{address}{path}")).map_err(error_text)?;
     let mut request = Request::new(Method::Get, url);
     request.insert_header("connection", "close");
-    let stream = TcpStream::connect(address).await.map_err(text)?;
-    let mut response = async_h1::connect(stream, request).await.map_err(text)?;
-    let stated_bytes = response
+    let stream = TcpStream::connect(address).await.map_err(error_text)?;
+    let mut response = async_h1::connect(stream, request)
+        .await
+        .map_err(error_text)?;
+    let content_length = response
         .header(CONTENT_LENGTH)
         .and_then(|values| values.as_str().parse::<usize>().ok());
-    let body = response.body_bytes().await.map_err(text)?;
-    if stated_bytes.is_some_and(|stated| stated != body.len()) {
+    let body = response.body_bytes().await.map_err(error_text)?;
+    if content_length.is_some_and(|length| length != body.len()) {
         return Err(format!("answer cut off after {} bytes", body.len()));
     }
     if !response.status().is_success() {
         return Err(format!("status {}", response.status()));
     }
-    serde_json::from_slice(&body).map_err(text)
+    serde_json::from_slice(&body).map_err(error_text)
 }
 
-fn text(error: impl std::fmt::Display) -> String {
+fn error_text(error: impl std::fmt::Display) -> String {
     error.to_string()
 }
--- a/crates/foxtidectl/src/write.rs
+++ b/crates/foxtidectl/src/change_document.rs
@@ -16,7 +16,7 @@
 
 /// A change that a command asks for.
 #[derive(Debug)]
-pub(crate) struct Edit {
+pub(crate) struct DocumentChange {
     /// What it started from.
     pub(crate) base: Option<Stored>,
     /// The document after it.
@@ -26,15 +26,15 @@
 }
 
 /// Shows a change and, where the operator said `--yes`, has it accepted.
-pub(crate) async fn apply(session: &Session, edit: Edit) -> Result<Report, Failure> {
-    refuse_stale(session, edit.base.as_ref())?;
+pub(crate) async fn apply(session: &Session, edit: DocumentChange) -> Result<Report, Failure> {
+    check_revision(session, edit.base.as_ref())?;
     change::check(&edit.document)?;
     let differences = change::differences(edit.base.as_ref(), &edit.document);
     if differences.is_empty() {
-        return Ok(unchanged(&edit));
+        return Ok(unchanged_report(&edit));
     }
     if !session.options().yes {
-        return Ok(shown(&edit, &differences));
+        return Ok(preview_report(&edit, &differences));
     }
     let request = ChangeRequest {
         base: edit.base,
@@ -46,11 +46,11 @@
         true => change::accept_rebased(session.store(), request).await?,
         false => change::accept(session.store(), request).await?,
     };
-    Ok(written(&accepted, &differences))
+    Ok(accepted_report(&accepted, &differences))
 }
 
 /// Refuses a change by an operator who has seen another revision.
-fn refuse_stale(session: &Session, base: Option<&Stored>) -> Result<(), Failure> {
+fn check_revision(session: &Session, base: Option<&Stored>) -> Result<(), Failure> {
     let Some(seen) = session.options().revision else {
         return Ok(());
     };
@@ -68,7 +68,7 @@
     Err(Failure::conflict(problem, advice))
 }
 
-fn unchanged(edit: &Edit) -> Report {
+fn unchanged_report(edit: &DocumentChange) -> Report {
     let revision = edit
         .base
         .as_ref()
@@ -80,17 +80,17 @@
     )
 }
 
-fn shown(edit: &Edit, differences: &[Difference]) -> Report {
+fn preview_report(edit: &DocumentChange, differences: &[Difference]) -> Report {
     let base = edit.base.as_ref().map(|base| base.document.revision);
     let option = base.map_or(String::new(), |revision| format!(" --revision {revision}"));
     let text = format!(
         "{}\nNot written. Add --yes{option} before the command to write it.",
-        listed(differences)
+        difference_lines(differences)
     );
     Report::new(text, json!({"written": false, "differences": differences}))
 }
 
-fn written(accepted: &change::Accepted, differences: &[Difference]) -> Report {
+fn accepted_report(accepted: &change::Accepted, differences: &[Difference]) -> Report {
     let document = &accepted.document;
     let (organisation, revision) = (&document.organisation, document.revision);
     let how = match accepted.settled {
@@ -99,7 +99,7 @@
     };
     let text = format!(
         "{}\nAccepted: {organisation} {revision}, change {}{how}.",
-        listed(differences),
+        difference_lines(differences),
         document.change_id
     );
     let json = json!({
@@ -114,7 +114,7 @@
 }
 
 /// Returns the differences, one a line.
-pub(crate) fn listed(differences: &[Difference]) -> String {
+pub(crate) fn difference_lines(differences: &[Difference]) -> String {
     let lines = differences
         .iter()
         .map(|difference| format!("{difference}\n"));
--- a/crates/foxtidectl/src/commands/drain/start.rs
+++ b/crates/foxtidectl/src/commands/drain/start.rs
@@ -2,13 +2,13 @@
 
 use super::in_words;
 use crate::admin;
+use crate::change_document::{
+    self,
+    DocumentChange, //
+};
 use crate::failure::Failure;
 use crate::report::Report;
 use crate::session::Session;
-use crate::write::{
-    self,
-    Edit, //
-};
 use argh::FromArgs;
 use foxtide_core::ids::DrainId;
 use foxtide_core::organisation::{
@@ -50,12 +50,12 @@
         known_instance(session, &target).await?;
         let base = session.load(&self.organisation).await?;
         let document = self.announced(session, &base.document, &target)?;
-        let edit = Edit {
+        let edit = DocumentChange {
             base: Some(base),
             document,
             summary: format!("drain {}", in_words(&target)),
         };
-        write::apply(session, edit).await
+        change_document::apply(session, edit).await
     }
 
     fn target(&self) -> Result<DrainTarget, Failure> {
@@ -109,7 +109,7 @@
     if admin.is_empty() {
         return Ok(());
     }
-    let page = admin::ask_any(admin, "/v1/instances").await?;
+    let page = admin::fetch_any(admin, "/v1/instances").await?;
     let rows = page.as_array().into_iter().flatten();
     let known: Vec<&str> = rows
         .filter_map(|row| row.get("instance")?.as_str())
--- a/crates/foxtidectl/src/commands/drain/stop.rs
+++ b/crates/foxtidectl/src/commands/drain/stop.rs
@@ -1,12 +1,12 @@
 //! `foxtidectl drain stop`.
 
+use crate::change_document::{
+    self,
+    DocumentChange, //
+};
 use crate::failure::Failure;
 use crate::report::Report;
 use crate::session::Session;
-use crate::write::{
-    self,
-    Edit, //
-};
 use argh::FromArgs;
 
 /// Take a drain back: what left takes new work again
@@ -30,11 +30,11 @@
         document
             .drains
             .retain(|drain| drain.id.as_str() != self.drain);
-        let edit = Edit {
+        let edit = DocumentChange {
             base: Some(base),
             document,
             summary: format!("stop drain {}", self.drain),
         };
-        write::apply(session, edit).await
+        change_document::apply(session, edit).await
     }
 }
--- a/crates/foxtidectl/src/commands/explain/decisions.rs
+++ b/crates/foxtidectl/src/commands/explain/decisions.rs
@@ -17,16 +17,16 @@
 /// Asks all instances for explanations and shows those that there are.
 pub(super) async fn explain(session: &Session, query: &str, what: &str) -> Result<Report, Failure> {
     let addresses = admin::all_addresses(&session.options().admin).await?;
-    let answers = admin::ask_all(&addresses, &format!("/v1/explain?{query}")).await?;
+    let responses = admin::fetch_all(&addresses, &format!("/v1/explain?{query}")).await?;
     let mut text = String::new();
     let mut found = Vec::new();
-    for (address, page) in &answers.pages {
+    for (address, page) in &responses.pages {
         for explanation in page.as_array().into_iter().flatten() {
             text.push_str(&describe(&address.to_string(), explanation));
             found.push(json!({"asked": address, "explanation": explanation}));
         }
     }
-    for silent in &answers.silent {
+    for silent in &responses.errors {
         // Writing to a string cannot fail.
         let _ = writeln!(text, "not asked: {silent}");
     }
--- a/crates/foxtidectl/src/commands/instances.rs
+++ b/crates/foxtidectl/src/commands/instances.rs
@@ -17,7 +17,7 @@
 impl Instances {
     /// Asks the first instance that answers.
     pub(crate) async fn run(self, session: &Session) -> Result<Report, Failure> {
-        let page = admin::ask_any(&session.options().admin, "/v1/instances").await?;
+        let page = admin::fetch_any(&session.options().admin, "/v1/instances").await?;
         Ok(Report::new(Table::of_objects(&page).text(), page))
     }
 }
--- a/crates/foxtidectl/src/commands/movement/pause.rs
+++ b/crates/foxtidectl/src/commands/movement/pause.rs
@@ -1,12 +1,12 @@
 //! `foxtidectl move pause`.
 
+use crate::change_document::{
+    self,
+    DocumentChange, //
+};
 use crate::failure::Failure;
 use crate::report::Report;
 use crate::session::Session;
-use crate::write::{
-    self,
-    Edit, //
-};
 use argh::FromArgs;
 use foxtide_core::organisation::{
     Organisation,
@@ -32,12 +32,12 @@
         let mut document = base.document.clone();
         let movement = find(&mut document, &self.movement)?;
         movement.paused_us = movement.paused_us.or(Some(session.now()));
-        let edit = Edit {
+        let edit = DocumentChange {
             base: Some(base),
             document,
             summary: format!("pause move {}", self.movement),
         };
-        write::apply(session, edit).await
+        change_document::apply(session, edit).await
     }
 }
 
--- a/crates/foxtidectl/src/commands/movement/resume.rs
+++ b/crates/foxtidectl/src/commands/movement/resume.rs
@@ -1,13 +1,13 @@
 //! `foxtidectl move resume`.
 
 use super::pause::find;
+use crate::change_document::{
+    self,
+    DocumentChange, //
+};
 use crate::failure::Failure;
 use crate::report::Report;
 use crate::session::Session;
-use crate::write::{
-    self,
-    Edit, //
-};
 use argh::FromArgs;
 use foxtide_core::organisation::PlannedMove;
 use foxtide_core::time::WallTime;
@@ -31,12 +31,12 @@
         let base = session.load(&self.organisation).await?;
         let mut document = base.document.clone();
         resume(find(&mut document, &self.movement)?, session.now());
-        let edit = Edit {
+        let edit = DocumentChange {
             base: Some(base),
             document,
             summary: format!("resume move {}", self.movement),
         };
-        write::apply(session, edit).await
+        change_document::apply(session, edit).await
     }
 }
 
--- a/crates/foxtidectl/src/commands/movement/start.rs
+++ b/crates/foxtidectl/src/commands/movement/start.rs
@@ -1,12 +1,12 @@
 //! `foxtidectl move start`.
 
+use crate::change_document::{
+    self,
+    DocumentChange, //
+};
 use crate::failure::Failure;
 use crate::report::Report;
 use crate::session::Session;
-use crate::write::{
-    self,
-    Edit, //
-};
 use argh::FromArgs;
 use foxtide_core::ids::{
     MoveId,
@@ -84,12 +84,12 @@
         if !is_under_way(&document, &movement)? {
             document.moves.push(movement);
         }
-        let edit = Edit {
+        let edit = DocumentChange {
             base: Some(base),
             document,
             summary,
         };
-        write::apply(session, edit).await
+        change_document::apply(session, edit).await
     }
 }
 
--- a/crates/foxtidectl/src/commands/organisation/create.rs
+++ b/crates/foxtidectl/src/commands/organisation/create.rs
@@ -1,13 +1,13 @@
 //! `foxtidectl organisation create`.
 
 use super::parameters;
+use crate::change_document::{
+    self,
+    DocumentChange, //
+};
 use crate::failure::Failure;
 use crate::report::Report;
 use crate::session::Session;
-use crate::write::{
-    self,
-    Edit, //
-};
 use argh::FromArgs;
 use foxtide_config::{
     Template,
@@ -45,12 +45,12 @@
             return refuse_existing(session, &stored, &document);
         }
         let summary = format!("create from {} v{}", template.template, template.version);
-        let edit = Edit {
+        let edit = DocumentChange {
             base: None,
             document,
             summary,
         };
-        write::apply(session, edit).await
+        change_document::apply(session, edit).await
     }
 }
 
--- a/crates/foxtidectl/src/commands/organisation/diff.rs
+++ b/crates/foxtidectl/src/commands/organisation/diff.rs
@@ -1,10 +1,10 @@
 //! `foxtidectl organisation diff`.
 
 use super::parameters;
+use crate::change_document::difference_lines;
 use crate::failure::Failure;
 use crate::report::Report;
 use crate::session::Session;
-use crate::write::listed;
 use argh::FromArgs;
 use foxtide_config::{
     Template,
@@ -56,7 +56,7 @@
         let differences = change::differences(Some(&stored), &document);
         let text = match differences.is_empty() {
             true => format!("No difference to {}.", stored.document.revision),
-            false => listed(&differences),
+            false => difference_lines(&differences),
         };
         Ok(Report::new(text, json!(differences)))
     }
--- a/crates/foxtidectl/src/commands/organisation/edit.rs
+++ b/crates/foxtidectl/src/commands/organisation/edit.rs
@@ -1,10 +1,10 @@
 //! `foxtidectl organisation edit`.
 
 use super::parameters;
+use crate::change_document;
 use crate::failure::Failure;
 use crate::report::Report;
 use crate::session::Session;
-use crate::write;
 use argh::FromArgs;
 use foxtide_config::Template;
 use foxtide_config::change::Stored;
@@ -42,12 +42,12 @@
         let given = self.parameters(&template, &base.document)?;
         let fresh = template.instantiate(&base.document.organisation, &given)?;
         let document = kept(&base, fresh);
-        let edit = write::Edit {
+        let edit = change_document::DocumentChange {
             base: Some(base),
             document,
             summary: self.summary(&template),
         };
-        write::apply(session, edit).await
+        change_document::apply(session, edit).await
     }
 
     /// Returns the parameters as they are to be.
--- a/crates/foxtidectl/src/commands/promises.rs
+++ b/crates/foxtidectl/src/commands/promises.rs
@@ -58,20 +58,20 @@
             None => "/v1/promises".to_owned(),
         };
         let addresses = admin::all_addresses(&session.options().admin).await?;
-        let answers = admin::ask_all(&addresses, &page).await?;
+        let responses = admin::fetch_all(&addresses, &page).await?;
         let mut measured: Vec<Measured> = Vec::new();
-        for (address, page) in answers.pages {
+        for (address, page) in responses.pages {
             let rows: Vec<Measured> = document::typed(&format!("instance {address}"), page)?;
             measured.extend(rows);
         }
         let kept = over_all(measured);
         let mut text = shown(&kept);
-        for silent in &answers.silent {
+        for silent in &responses.errors {
             text.push_str(&format!("missing: {silent}\n"));
         }
         Ok(Report::new(
             text,
-            json!({"promises": kept, "missing": answers.silent}),
+            json!({"promises": kept, "missing": responses.errors}),
         ))
     }
 }
--- a/crates/foxtidectl/src/commands/timeline.rs
+++ b/crates/foxtidectl/src/commands/timeline.rs
@@ -110,10 +110,10 @@
 
 async fn gather(given: &[SocketAddr], filter: &EventFilter) -> Result<Gathered, Failure> {
     let addresses = admin::all_addresses(given).await?;
-    let answers = admin::ask_all(&addresses, &page(filter)).await?;
+    let responses = admin::fetch_all(&addresses, &page(filter)).await?;
     let mut sources = Vec::new();
-    let mut silent = answers.silent;
-    for (address, value) in answers.pages {
+    let mut silent = responses.errors;
+    for (address, value) in responses.pages {
         let (events, unknown) = events_of(address, value);
         sources.push(events);
         if unknown > 0 {
--- a/crates/foxtidectl/src/lib.rs
+++ b/crates/foxtidectl/src/lib.rs
@@ -3,13 +3,13 @@
 
 mod admin;
 mod arguments;
+mod change_document;
 mod commands;
 mod exit;
 mod failure;
 mod options;
 mod report;
 mod session;
-mod write;
 
 pub use exit::ExitStatus;
 
