--- a/crates/foxtidectl/src/commands/blocks/change.rs
+++ b/crates/foxtidectl/src/commands/blocks/change.rs
@@ -1,10 +1,10 @@
 //! `foxtidectl blocks set` and `foxtidectl blocks remove`.
 
 use super::{
-    accepted,
-    only_shown,
-    site_index,
-    stored, //
+    accepted_report,
+    preview_report,
+    require_manifest,
+    site_index, //
 };
 use crate::failure::Failure;
 use crate::report::Report;
@@ -38,34 +38,34 @@
 impl Set {
     /// Writes the change.
     pub(super) async fn run(self, session: &Session) -> Result<Report, Failure> {
-        let net = parse(&self.block)?;
-        let base = stored(session).await?;
+        let net = parse_block(&self.block)?;
+        let base = require_manifest(session).await?;
         let site = site_index(&base.manifest.sites, &self.site)?;
         if !session.options().yes {
-            return Ok(only_shown(&format!("+ {net} -> {}", self.site)));
+            return Ok(preview_report(&format!("+ {net} -> {}", self.site)));
         }
         let set = vec![Block { net, site }];
         let published = blocks::change(session.store(), &base, set, Vec::new()).await?;
-        Ok(accepted(&published))
+        Ok(accepted_report(&published))
     }
 }
 
 impl Remove {
     /// Writes the change.
     pub(super) async fn run(self, session: &Session) -> Result<Report, Failure> {
-        let net = parse(&self.block)?;
-        let base = stored(session).await?;
+        let net = parse_block(&self.block)?;
+        let base = require_manifest(session).await?;
         if !session.options().yes {
-            return Ok(only_shown(&format!("- {net}")));
+            return Ok(preview_report(&format!("- {net}")));
         }
         let published = blocks::change(session.store(), &base, Vec::new(), vec![net]).await?;
-        Ok(accepted(&published))
+        Ok(accepted_report(&published))
     }
 }
 
 /// Reads a block; one with bits set beyond its length is refused, for it may
 /// be meant otherwise.
-fn parse(text: &str) -> Result<IpNet, Failure> {
+fn parse_block(text: &str) -> Result<IpNet, Failure> {
     let net: Option<IpNet> = text.parse().ok();
     net.filter(|net| net.trunc() == *net).ok_or_else(|| {
         let problem = format!("`{text}` is not a block");
--- a/crates/foxtidectl/src/commands/blocks/find.rs
+++ b/crates/foxtidectl/src/commands/blocks/find.rs
@@ -1,6 +1,6 @@
 //! `foxtidectl blocks find`.
 
-use super::stored;
+use super::require_manifest;
 use crate::failure::Failure;
 use crate::report::Report;
 use crate::session::Session;
@@ -21,7 +21,7 @@
 impl Find {
     /// Reads the table and looks the address up.
     pub(super) async fn run(self, session: &Session) -> Result<Report, Failure> {
-        let manifest = stored(session).await?.manifest;
+        let manifest = require_manifest(session).await?.manifest;
         let table = load_table(session.store(), &manifest).await?;
         let client = self.client;
         let Some(site) = table.site_of(client) else {
--- a/crates/foxtidectl/src/commands/blocks/load.rs
+++ b/crates/foxtidectl/src/commands/blocks/load.rs
@@ -1,8 +1,8 @@
 //! `foxtidectl blocks load`.
 
 use super::{
-    accepted,
-    only_shown,
+    accepted_report,
+    preview_report,
     site_index, //
 };
 use crate::failure::Failure;
@@ -57,10 +57,10 @@
         if !session.options().yes {
             let count = sites.sites().len();
             let text = format!("{} blocks, {count} sites", list.len());
-            return Ok(only_shown(&text));
+            return Ok(preview_report(&text));
         }
         let base = blocks::load_manifest(session.store()).await?;
         let published = blocks::replace(session.store(), base.as_ref(), sites, &list).await?;
-        Ok(accepted(&published))
+        Ok(accepted_report(&published))
     }
 }
--- a/crates/foxtidectl/src/commands/blocks/mod.rs
+++ b/crates/foxtidectl/src/commands/blocks/mod.rs
@@ -52,7 +52,7 @@
 }
 
 /// Reads the manifest, which must be there.
-async fn stored(session: &Session) -> Result<StoredManifest, Failure> {
+async fn require_manifest(session: &Session) -> Result<StoredManifest, Failure> {
     let stored = blocks::load_manifest(session.store()).await?;
     let missing = || Failure::refused("there are no client blocks", "see `foxtidectl blocks load`");
     stored.ok_or_else(missing)
@@ -68,7 +68,7 @@
 }
 
 /// Tells what was accepted.
-fn accepted(published: &PublishedBlocks) -> Report {
+fn accepted_report(published: &PublishedBlocks) -> Report {
     let revision = published.manifest.revision;
     let how = match published.settled {
         true => " (the answer was lost; found by reading)",
@@ -81,7 +81,7 @@
 }
 
 /// Tells what would be written.
-fn only_shown(text: &str) -> Report {
+fn preview_report(text: &str) -> Report {
     let text = format!("{text}\nNot written. Add --yes before the command to write it.");
     Report::new(text, json!({"written": false}))
 }
--- a/crates/foxtidectl/src/commands/blocks/show.rs
+++ b/crates/foxtidectl/src/commands/blocks/show.rs
@@ -1,6 +1,6 @@
 //! `foxtidectl blocks show`.
 
-use super::stored;
+use super::require_manifest;
 use crate::failure::Failure;
 use crate::report::{
     Report,
@@ -22,7 +22,7 @@
 impl Show {
     /// Reads the manifest.
     pub(super) async fn run(self, session: &Session) -> Result<Report, Failure> {
-        let manifest = stored(session).await?.manifest;
+        let manifest = require_manifest(session).await?.manifest;
         let text = format!("{}\n{}", summary(&manifest), sites(&manifest));
         let json = json!({
             "revision": manifest.revision,
--- a/crates/foxtidectl/src/commands/drain/mod.rs
+++ b/crates/foxtidectl/src/commands/drain/mod.rs
@@ -38,7 +38,7 @@
 }
 
 /// Tells what a drain takes out of service.
-fn in_words(target: &DrainTarget) -> String {
+fn describe(target: &DrainTarget) -> String {
     match target {
         DrainTarget::Upstream { service, upstream } => format!("upstream {service}/{upstream}"),
         DrainTarget::AvailabilityZone(zone) => format!("availability zone {zone}"),
--- a/crates/foxtidectl/src/commands/drain/start.rs
+++ b/crates/foxtidectl/src/commands/drain/start.rs
@@ -1,6 +1,6 @@
 //! `foxtidectl drain start`.
 
-use super::in_words;
+use super::describe;
 use crate::admin;
 use crate::change_document::{
     self,
@@ -47,13 +47,13 @@
     /// Adds the drain to the document.
     pub(super) async fn run(self, session: &Session) -> Result<Report, Failure> {
         let target = self.target()?;
-        known_instance(session, &target).await?;
+        check_instance_exists(session, &target).await?;
         let base = session.load(&self.organisation).await?;
-        let document = self.announced(session, &base.document, &target)?;
+        let document = self.with_drain(session, &base.document, &target)?;
         let edit = DocumentChange {
             base: Some(base),
             document,
-            summary: format!("drain {}", in_words(&target)),
+            summary: format!("drain {}", describe(&target)),
         };
         change_document::apply(session, edit).await
     }
@@ -67,7 +67,7 @@
             zone,
             region,
         ) {
-            (Some(text), None, None, None) => upstream(text),
+            (Some(text), None, None, None) => parse_upstream(text),
             (None, Some(name), None, None) => Ok(DrainTarget::Instance(name.parse()?)),
             (None, None, Some(name), None) => Ok(DrainTarget::AvailabilityZone(name.parse()?)),
             (None, None, None, Some(name)) => Ok(DrainTarget::Region(name.parse()?)),
@@ -80,7 +80,7 @@
 
     /// Returns the document with the drain; the same document where the target
     /// is being drained already, so that the command can be run again.
-    fn announced(
+    fn with_drain(
         &self,
         session: &Session,
         document: &Organisation,
@@ -91,7 +91,7 @@
             return Ok(changed);
         }
         changed.drains.push(Drain {
-            id: id_of(target)?,
+            id: drain_id(target)?,
             target: target.clone(),
             start_us: session.now() + Duration::from_secs(self.in_s.into()),
         });
@@ -101,7 +101,7 @@
 
 /// Refuses an instance that nobody knows, where instances can be asked: the
 /// document does not hold them, and a wrong name would do nothing.
-async fn known_instance(session: &Session, target: &DrainTarget) -> Result<(), Failure> {
+async fn check_instance_exists(session: &Session, target: &DrainTarget) -> Result<(), Failure> {
     let admin = &session.options().admin;
     let DrainTarget::Instance(wanted) = target else {
         return Ok(());
@@ -124,7 +124,7 @@
     ))
 }
 
-fn upstream(text: &str) -> Result<DrainTarget, Failure> {
+fn parse_upstream(text: &str) -> Result<DrainTarget, Failure> {
     let Some((service, upstream)) = text.split_once('/') else {
         let problem = format!("--upstream: `{text}` names no service");
         return Err(Failure::refused(
@@ -139,7 +139,7 @@
 }
 
 /// Returns the drain's name: the same for the same target.
-fn id_of(target: &DrainTarget) -> Result<DrainId, Failure> {
+fn drain_id(target: &DrainTarget) -> Result<DrainId, Failure> {
     let name = match target {
         DrainTarget::Upstream { service, upstream } => format!("{service}-{upstream}"),
         DrainTarget::AvailabilityZone(zone) => format!("zone-{zone}"),
--- a/crates/foxtidectl/src/commands/drain/status.rs
+++ b/crates/foxtidectl/src/commands/drain/status.rs
@@ -1,6 +1,6 @@
 //! `foxtidectl drain status`.
 
-use super::in_words;
+use super::describe;
 use crate::failure::Failure;
 use crate::report::{
     Report,
@@ -34,9 +34,9 @@
         for drain in &document.drains {
             table.row([
                 drain.id.to_string(),
-                in_words(&drain.target),
+                describe(&drain.target),
                 state(drain, now),
-                remaining(&document, drain),
+                remaining_upstreams(&document, drain),
             ]);
         }
         Ok(Report::new(table.text(), json!(document.drains)))
@@ -51,17 +51,17 @@
 }
 
 /// Tells how many upstreams of each touched service are left.
-fn remaining(document: &Organisation, drain: &Drain) -> String {
-    let touched = document.services.iter().filter_map(|service| {
+fn remaining_upstreams(document: &Organisation, drain: &Drain) -> String {
+    let affected = document.services.iter().filter_map(|service| {
         let all = service.upstreams.len();
         let leaving = service
             .upstreams
             .iter()
             .filter(|upstream| match &drain.target {
                 DrainTarget::Upstream {
-                    service: of,
-                    upstream: id,
-                } => *of == service.service && *id == upstream.upstream,
+                    service: drained_service,
+                    upstream: drained_upstream,
+                } => *drained_service == service.service && *drained_upstream == upstream.upstream,
                 DrainTarget::AvailabilityZone(zone) => *zone == upstream.availability_zone,
                 DrainTarget::Region(region) => *region == upstream.region,
                 DrainTarget::Instance(_) => false,
@@ -69,5 +69,5 @@
         let leaving = leaving.count();
         (leaving > 0).then(|| format!("{} {}/{all}", service.service, all - leaving))
     });
-    touched.collect::<Vec<String>>().join(", ")
+    affected.collect::<Vec<String>>().join(", ")
 }
--- a/crates/foxtidectl/src/commands/explain/decisions.rs
+++ b/crates/foxtidectl/src/commands/explain/decisions.rs
@@ -19,23 +19,23 @@
     let addresses = admin::all_addresses(&session.options().admin).await?;
     let responses = admin::fetch_all(&addresses, &format!("/v1/explain?{query}")).await?;
     let mut text = String::new();
-    let mut found = Vec::new();
+    let mut explanations = Vec::new();
     for (address, page) in &responses.pages {
         for explanation in page.as_array().into_iter().flatten() {
             text.push_str(&describe(&address.to_string(), explanation));
-            found.push(json!({"asked": address, "explanation": explanation}));
+            explanations.push(json!({"asked": address, "explanation": explanation}));
         }
     }
-    for silent in &responses.errors {
+    for error in &responses.errors {
         // Writing to a string cannot fail.
-        let _ = writeln!(text, "not asked: {silent}");
+        let _ = writeln!(text, "not asked: {error}");
     }
-    if found.is_empty() {
+    if explanations.is_empty() {
         let problem = format!("{}no instance remembers {what}", preceding_lines(&text));
         let advice = "instances keep the latest only; ask soon after, or see `foxtidectl timeline`";
         return Err(Failure::refused(problem, advice));
     }
-    Ok(Report::new(text, json!(found)))
+    Ok(Report::new(text, json!(explanations)))
 }
 
 fn preceding_lines(text: &str) -> String {
--- a/crates/foxtidectl/src/commands/movement/demand.rs
+++ b/crates/foxtidectl/src/commands/movement/demand.rs
@@ -23,18 +23,18 @@
     let shares = forecast::shares(document, movement, end);
     let regions = document.regions.iter().zip(shares);
     for (region, share) in regions.filter(|(region, _)| region.region != movement.from) {
-        let brought = RequestRate::clamped(share * demand.get());
+        let moved_rate = RequestRate::clamped(share * demand.get());
         let link = document.link(&movement.from, &region.region);
-        let on_link = link.map_or(RequestRate::ZERO, |link| link.sold_rate_rps);
-        let sold = if on_link < region.sold_rate_rps {
-            on_link
+        let link_rate = link.map_or(RequestRate::ZERO, |link| link.sold_rate_rps);
+        let sold_rate = if link_rate < region.sold_rate_rps {
+            link_rate
         } else {
             region.sold_rate_rps
         };
-        if brought > sold {
+        if moved_rate > sold_rate {
             let problem = format!(
-                "the move sends {:.0}rps from {} to {}, where {sold} are sold",
-                brought.get(),
+                "the move sends {:.0}rps from {} to {}, where {sold_rate} are sold",
+                moved_rate.get(),
                 movement.from,
                 region.region
             );
--- a/crates/foxtidectl/src/commands/movement/pause.rs
+++ b/crates/foxtidectl/src/commands/movement/pause.rs
@@ -30,7 +30,7 @@
     pub(super) async fn run(self, session: &Session) -> Result<Report, Failure> {
         let base = session.load(&self.organisation).await?;
         let mut document = base.document.clone();
-        let movement = find(&mut document, &self.movement)?;
+        let movement = find_move(&mut document, &self.movement)?;
         movement.paused_us = movement.paused_us.or(Some(session.now()));
         let edit = DocumentChange {
             base: Some(base),
@@ -42,7 +42,7 @@
 }
 
 /// Returns the move of this name.
-pub(super) fn find<'a>(
+pub(super) fn find_move<'a>(
     document: &'a mut Organisation,
     name: &str,
 ) -> Result<&'a mut PlannedMove, Failure> {
--- a/crates/foxtidectl/src/commands/movement/plan.rs
+++ b/crates/foxtidectl/src/commands/movement/plan.rs
@@ -2,7 +2,7 @@
 
 use super::start::{
     MoveArguments,
-    planned, //
+    build_move, //
 };
 use super::{
     demand,
@@ -25,7 +25,7 @@
 use std::time::Duration;
 
 /// How many points of time a plan shows.
-const POINTS: u32 = 5;
+const PLAN_STEPS: u32 = 5;
 
 /// Show what a move would do; writes nothing
 #[derive(Debug, FromArgs)]
@@ -65,25 +65,25 @@
             to: self.to,
             share: self.share,
             pace: self.pace,
-            start_in: Duration::ZERO,
+            start_delay: Duration::ZERO,
         };
-        let movement = planned(session, &base.document, &arguments)?;
+        let movement = build_move(session, &base.document, &arguments)?;
         let mut document = base.document;
         document.moves.push(movement.clone());
         change::check(&document)?;
         if let Some(demand) = self.demand {
             demand::check(&document, &movement, demand)?;
         }
-        Ok(course(&document, &movement))
+        Ok(plan_report(&document, &movement))
     }
 }
 
-fn course(document: &Organisation, movement: &PlannedMove) -> Report {
+fn plan_report(document: &Organisation, movement: &PlannedMove) -> Report {
     let whole = forecast::duration(document, movement);
     let regions = document.regions.iter().map(|one| one.region.to_string());
     let mut table = Table::with_columns(std::iter::once("after".to_owned()).chain(regions));
-    for point in 0..=POINTS {
-        let after = whole * point / POINTS;
+    for step in 0..=PLAN_STEPS {
+        let after = whole * step / PLAN_STEPS;
         let shares = forecast::shares(document, movement, movement.start_us + after);
         let cells = shares.iter().map(|share| format!("{share:.3}"));
         let time = format!("{:.0} s", after.as_secs_f64());
--- a/crates/foxtidectl/src/commands/movement/resume.rs
+++ b/crates/foxtidectl/src/commands/movement/resume.rs
@@ -1,6 +1,6 @@
 //! `foxtidectl move resume`.
 
-use super::pause::find;
+use super::pause::find_move;
 use crate::change_document::{
     self,
     DocumentChange, //
@@ -30,7 +30,7 @@
     pub(super) async fn run(self, session: &Session) -> Result<Report, Failure> {
         let base = session.load(&self.organisation).await?;
         let mut document = base.document.clone();
-        resume(find(&mut document, &self.movement)?, session.now());
+        resume(find_move(&mut document, &self.movement)?, session.now());
         let edit = DocumentChange {
             base: Some(base),
             document,
--- a/crates/foxtidectl/src/commands/movement/start.rs
+++ b/crates/foxtidectl/src/commands/movement/start.rs
@@ -20,7 +20,7 @@
 
 /// The default time until a move starts: longer than an accepted change takes
 /// to be in force on every instance.
-const START_IN_S: u32 = 20;
+const DEFAULT_START_DELAY_S: u32 = 20;
 
 /// Start moving a part of a region's traffic to another region
 #[derive(Debug, FromArgs)]
@@ -45,7 +45,7 @@
     #[argh(option)]
     pace: Option<String>,
     /// start it in this many seconds, default 20
-    #[argh(option, default = "START_IN_S")]
+    #[argh(option, default = "DEFAULT_START_DELAY_S")]
     in_s: u32,
 }
 
@@ -63,7 +63,7 @@
     /// How fast.
     pub(super) pace: Option<String>,
     /// The time until it starts.
-    pub(super) start_in: Duration,
+    pub(super) start_delay: Duration,
 }
 
 impl Start {
@@ -76,12 +76,12 @@
             to: self.to,
             share: self.share,
             pace: self.pace,
-            start_in: Duration::from_secs(self.in_s.into()),
+            start_delay: Duration::from_secs(self.in_s.into()),
         };
-        let movement = planned(session, &base.document, &arguments)?;
-        let summary = in_words(&movement);
+        let movement = build_move(session, &base.document, &arguments)?;
+        let summary = describe(&movement);
         let mut document = base.document.clone();
-        if !is_under_way(&document, &movement)? {
+        if !is_in_progress(&document, &movement)? {
             document.moves.push(movement);
         }
         let edit = DocumentChange {
@@ -94,7 +94,7 @@
 }
 
 /// Returns the move that the arguments describe.
-pub(super) fn planned(
+pub(super) fn build_move(
     session: &Session,
     document: &Organisation,
     arguments: &MoveArguments,
@@ -114,19 +114,19 @@
         None => found.contract.shift_cap_share_per_s,
     };
     Ok(PlannedMove {
-        id: id_of(arguments)?,
+        id: move_id(arguments)?,
         service,
         from: arguments.from.parse()?,
         to: arguments.to.parse()?,
         share: arguments.share.parse()?,
         pace_share_per_s,
-        start_us: session.now() + arguments.start_in,
+        start_us: session.now() + arguments.start_delay,
         paused_us: None,
     })
 }
 
 /// Returns the move's name: the same for the same service and regions.
-fn id_of(arguments: &MoveArguments) -> Result<MoveId, Failure> {
+fn move_id(arguments: &MoveArguments) -> Result<MoveId, Failure> {
     let MoveArguments {
         service, from, to, ..
     } = arguments;
@@ -135,7 +135,7 @@
 
 /// Tells whether the same move is in the document already, so that the command
 /// can be run again.
-fn is_under_way(document: &Organisation, movement: &PlannedMove) -> Result<bool, Failure> {
+fn is_in_progress(document: &Organisation, movement: &PlannedMove) -> Result<bool, Failure> {
     let Some(known) = document.moves.iter().find(|known| known.id == movement.id) else {
         return Ok(false);
     };
@@ -148,7 +148,7 @@
     Err(Failure::refused(problem, advice))
 }
 
-fn in_words(movement: &PlannedMove) -> String {
+fn describe(movement: &PlannedMove) -> String {
     let PlannedMove {
         service,
         from,
--- a/crates/foxtidectl/src/commands/organisation/create.rs
+++ b/crates/foxtidectl/src/commands/organisation/create.rs
@@ -42,7 +42,7 @@
         let given = parameters::collect(&template, self.parameters.as_deref(), &self.set)?;
         let document = template.instantiate(&name, &given)?;
         if let Some(stored) = change::load(session.store(), &name).await? {
-            return refuse_existing(session, &stored, &document);
+            return check_existing(session, &stored, &document);
         }
         let summary = format!("create from {} v{}", template.template, template.version);
         let edit = DocumentChange {
@@ -56,7 +56,7 @@
 
 /// Takes a repeated command as done where the organisation is what it would
 /// make; else refuses.
-fn refuse_existing(
+fn check_existing(
     _session: &Session,
     stored: &change::Stored,
     document: &foxtide_core::organisation::Organisation,
--- a/crates/foxtidectl/src/commands/organisation/edit.rs
+++ b/crates/foxtidectl/src/commands/organisation/edit.rs
@@ -41,7 +41,7 @@
         let base = session.load(&self.organisation).await?;
         let given = self.parameters(&template, &base.document)?;
         let fresh = template.instantiate(&base.document.organisation, &given)?;
-        let document = kept(&base, fresh);
+        let document = with_moves_and_drains(&base, fresh);
         let edit = change_document::DocumentChange {
             base: Some(base),
             document,
@@ -102,7 +102,7 @@
 
 /// Returns the new document with the moves and drains of the current one,
 /// which no template holds.
-fn kept(base: &Stored, fresh: Organisation) -> Organisation {
+fn with_moves_and_drains(base: &Stored, fresh: Organisation) -> Organisation {
     Organisation {
         moves: base.document.moves.clone(),
         drains: base.document.drains.clone(),
--- a/crates/foxtidectl/src/commands/promises.rs
+++ b/crates/foxtidectl/src/commands/promises.rs
@@ -27,7 +27,7 @@
 
 /// A promise as one instance measures it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-struct Measured {
+struct Measurement {
     organisation: String,
     promise: String,
     service: Option<String>,
@@ -41,9 +41,9 @@
 
 /// A promise over all instances that answered: the worst of them counts.
 #[derive(Debug, Serialize)]
-struct Kept {
+struct PromiseSummary {
     #[serde(flatten)]
-    worst: Measured,
+    worst: Measurement,
     /// At how many instances it was not kept.
     broken_at: usize,
     /// At how many instances it was measured.
@@ -59,52 +59,54 @@
         };
         let addresses = admin::all_addresses(&session.options().admin).await?;
         let responses = admin::fetch_all(&addresses, &page).await?;
-        let mut measured: Vec<Measured> = Vec::new();
+        let mut measurements: Vec<Measurement> = Vec::new();
         for (address, page) in responses.pages {
-            let rows: Vec<Measured> = document::typed(&format!("instance {address}"), page)?;
-            measured.extend(rows);
+            let rows: Vec<Measurement> = document::typed(&format!("instance {address}"), page)?;
+            measurements.extend(rows);
         }
-        let kept = over_all(measured);
-        let mut text = shown(&kept);
-        for silent in &responses.errors {
-            text.push_str(&format!("missing: {silent}\n"));
+        let summaries = summarise(measurements);
+        let mut text = summary_table(&summaries);
+        for error in &responses.errors {
+            text.push_str(&format!("missing: {error}\n"));
         }
         Ok(Report::new(
             text,
-            json!({"promises": kept, "missing": responses.errors}),
+            json!({"promises": summaries, "missing": responses.errors}),
         ))
     }
 }
 
 /// Joins what the instances measured; broken promises come first.
-fn over_all(measured: Vec<Measured>) -> Vec<Kept> {
-    let mut joined: BTreeMap<[String; 4], Kept> = BTreeMap::new();
-    for one in measured {
+fn summarise(measurements: Vec<Measurement>) -> Vec<PromiseSummary> {
+    let mut summaries_by_key: BTreeMap<[String; 4], PromiseSummary> = BTreeMap::new();
+    for measurement in measurements {
         let name = |part: &Option<String>| part.clone().unwrap_or_else(|| "-".to_owned());
         let key = [
-            one.organisation.clone(),
-            one.promise.clone(),
-            name(&one.service),
-            name(&one.region),
+            measurement.organisation.clone(),
+            measurement.promise.clone(),
+            name(&measurement.service),
+            name(&measurement.region),
         ];
-        let kept = joined.entry(key).or_insert_with(|| Kept {
-            worst: one.clone(),
-            broken_at: 0,
-            measured_at: 0,
-        });
-        kept.measured_at += 1;
-        kept.broken_at += usize::from(!one.held);
-        if one.worst_of_limit > kept.worst.worst_of_limit {
-            kept.worst = one;
+        let summary = summaries_by_key
+            .entry(key)
+            .or_insert_with(|| PromiseSummary {
+                worst: measurement.clone(),
+                broken_at: 0,
+                measured_at: 0,
+            });
+        summary.measured_at += 1;
+        summary.broken_at += usize::from(!measurement.held);
+        if measurement.worst_of_limit > summary.worst.worst_of_limit {
+            summary.worst = measurement;
         }
     }
-    let mut kept: Vec<Kept> = joined.into_values().collect();
-    kept.sort_by_key(|one| std::cmp::Reverse(one.broken_at));
-    kept
+    let mut summaries: Vec<PromiseSummary> = summaries_by_key.into_values().collect();
+    summaries.sort_by_key(|one| std::cmp::Reverse(one.broken_at));
+    summaries
 }
 
-fn shown(kept: &[Kept]) -> String {
-    if kept.is_empty() {
+fn summary_table(summaries: &[PromiseSummary]) -> String {
+    if summaries.is_empty() {
         return "Nothing was measured yet: no traffic.\n".to_owned();
     }
     let heading = [
@@ -118,18 +120,18 @@
         "kept",
     ];
     let mut table = Table::new(heading);
-    for one in kept {
-        table.row(cells(one));
+    for summary in summaries {
+        table.row(cells(summary));
     }
     table.text()
 }
 
-fn cells(kept: &Kept) -> [String; 8] {
-    let worst = &kept.worst;
+fn cells(summary: &PromiseSummary) -> [String; 8] {
+    let worst = &summary.worst;
     let name = |part: &Option<String>| part.clone().unwrap_or_else(|| "-".to_owned());
-    let verdict = match kept.broken_at {
+    let verdict = match summary.broken_at {
         0 => "yes".to_owned(),
-        broken => format!("NO, at {broken} of {} instances", kept.measured_at),
+        broken => format!("NO, at {broken} of {} instances", summary.measured_at),
     };
     [
         worst.organisation.clone(),
--- a/crates/foxtidectl/src/commands/timeline.rs
+++ b/crates/foxtidectl/src/commands/timeline.rs
@@ -37,7 +37,7 @@
 
 /// How far behind the newest shown event `--follow` still takes others in:
 /// they may come from slower instances.
-const FOLLOW_BACK: Duration = Duration::from_secs(10);
+const FOLLOW_LOOKBACK: Duration = Duration::from_secs(10);
 
 /// Show the events of all instances in one causal order
 #[derive(Debug, FromArgs)]
@@ -73,20 +73,20 @@
         session: &Session,
         output: &mut dyn Write,
     ) -> Result<Report, Failure> {
-        let given = &session.options().admin;
+        let admin_addresses = &session.options().admin;
         let mut filter = self.filter();
         if self.follow {
-            return follow(given, filter, session.json(), output).await;
+            return follow(admin_addresses, filter, session.json(), output).await;
         }
         filter.limit = Some(self.limit);
-        let gathered = gather(given, &filter).await?;
-        let mut text: String = gathered.events.iter().map(line).collect();
-        for silent in &gathered.silent {
-            text.push_str(&format!("missing: {silent}\n"));
+        let fetched = fetch_events(admin_addresses, &filter).await?;
+        let mut text: String = fetched.events.iter().map(event_line).collect();
+        for error in &fetched.errors {
+            text.push_str(&format!("missing: {error}\n"));
         }
         Ok(Report::new(
             text,
-            json!({"events": gathered.events, "missing": gathered.silent}),
+            json!({"events": fetched.events, "missing": fetched.errors}),
         ))
     }
 
@@ -103,34 +103,37 @@
 }
 
 /// The events of all instances that answered.
-struct Gathered {
+struct FetchedEvents {
     events: Vec<Event>,
-    silent: Vec<String>,
+    errors: Vec<String>,
 }
 
-async fn gather(given: &[SocketAddr], filter: &EventFilter) -> Result<Gathered, Failure> {
-    let addresses = admin::all_addresses(given).await?;
-    let responses = admin::fetch_all(&addresses, &page(filter)).await?;
+async fn fetch_events(
+    admin_addresses: &[SocketAddr],
+    filter: &EventFilter,
+) -> Result<FetchedEvents, Failure> {
+    let addresses = admin::all_addresses(admin_addresses).await?;
+    let responses = admin::fetch_all(&addresses, &events_path(filter)).await?;
     let mut sources = Vec::new();
-    let mut silent = responses.errors;
+    let mut errors = responses.errors;
     for (address, value) in responses.pages {
-        let (events, unknown) = events_of(address, value);
+        let (events, unknown) = parse_events(address, value);
         sources.push(events);
         if unknown > 0 {
             let what = format!("{unknown} event(s) of kinds that this version does not know");
-            silent.push(format!("instance {address}: {what}"));
+            errors.push(format!("instance {address}: {what}"));
         }
     }
     let events = merge(sources);
-    Ok(Gathered {
+    Ok(FetchedEvents {
         events: filter.select(events.iter()),
-        silent,
+        errors,
     })
 }
 
 /// Returns the events of a page, and how many cannot be read: an instance may
 /// be of another version.
-fn events_of(address: SocketAddr, page: Value) -> (Vec<Event>, usize) {
+fn parse_events(address: SocketAddr, page: Value) -> (Vec<Event>, usize) {
     let name = format!("instance {address}");
     let Value::Array(listed) = page else {
         return (Vec::new(), 1);
@@ -145,11 +148,11 @@
 }
 
 /// Returns the page to ask for; the instances filter as well, to send less.
-fn page(filter: &EventFilter) -> String {
-    let mut page = "/v1/events?".to_owned();
+fn events_path(filter: &EventFilter) -> String {
+    let mut path = "/v1/events?".to_owned();
     let mut add = |name: &str, value: Option<String>| {
         if let Some(value) = value {
-            page.push_str(&format!("{name}={value}&"));
+            path.push_str(&format!("{name}={value}&"));
         }
     };
     add(
@@ -168,11 +171,11 @@
         filter.since_us.map(|since| since.as_us().to_string()),
     );
     add("limit", filter.limit.map(|limit| limit.to_string()));
-    page.trim_end_matches(['&', '?']).to_owned()
+    path.trim_end_matches(['&', '?']).to_owned()
 }
 
 /// Returns an event as a line.
-fn line(event: &Event) -> String {
+fn event_line(event: &Event) -> String {
     let Event {
         clock, instance, ..
     } = event;
@@ -182,7 +185,7 @@
 
 /// Shows new events until the output is closed.
 async fn follow(
-    given: &[SocketAddr],
+    admin_addresses: &[SocketAddr],
     filter: EventFilter,
     json: bool,
     output: &mut dyn Write,
@@ -190,14 +193,16 @@
     let mut filter = filter;
     let mut shown: HashSet<(HybridTime, InstanceId)> = HashSet::new();
     loop {
-        let gathered = gather(given, &filter).await?;
-        for event in &gathered.events {
-            if shown.insert((event.clock, event.instance.clone())) && !show(event, json, output) {
+        let fetched = fetch_events(admin_addresses, &filter).await?;
+        for event in &fetched.events {
+            if shown.insert((event.clock, event.instance.clone()))
+                && !write_event(event, json, output)
+            {
                 return Ok(Report::new(String::new(), Value::Null));
             }
         }
         if let Some(newest) = shown.iter().map(|(clock, _)| clock.wall_us).max() {
-            let oldest = newest.saturating_sub(FOLLOW_BACK);
+            let oldest = newest.saturating_sub(FOLLOW_LOOKBACK);
             filter.since_us = Some(oldest);
             shown.retain(|(clock, _)| clock.wall_us >= oldest);
         }
@@ -206,10 +211,10 @@
 }
 
 /// Writes an event. Tells whether the output still takes any.
-fn show(event: &Event, json: bool, output: &mut dyn Write) -> bool {
+fn write_event(event: &Event, json: bool, output: &mut dyn Write) -> bool {
     let text = match json {
         true => format!("{}\n", json!(event)),
-        false => line(event),
+        false => event_line(event),
     };
     output.write_all(text.as_bytes()).is_ok() && output.flush().is_ok()
 }
--- a/crates/foxtidectl/src/failure.rs
+++ b/crates/foxtidectl/src/failure.rs
@@ -78,7 +78,7 @@
         match error {
             ChangeError::Invalid(error) => error.into(),
             ChangeError::Absent(_) => Self::refused(error, "see `foxtidectl organisation list`"),
-            ChangeError::Conflict(conflict) => conflicting(&conflict),
+            ChangeError::Conflict(conflict) => conflict_failure(&conflict),
             ChangeError::Unsettled { .. } => Self::new(
                 ExitStatus::Unsettled,
                 error,
@@ -124,10 +124,10 @@
     }
 }
 
-fn conflicting(conflict: &Conflict) -> Failure {
+fn conflict_failure(conflict: &Conflict) -> Failure {
     let mut problem = format!("not accepted: {}\n", conflict.in_words());
-    append(&mut problem, "the accepted change:", &conflict.theirs);
-    append(&mut problem, "this change:", &conflict.ours);
+    append_differences(&mut problem, "the accepted change:", &conflict.theirs);
+    append_differences(&mut problem, "this change:", &conflict.ours);
     let advice = if conflict.contested.is_empty() {
         "add --rebase to apply this change on top of the accepted one"
     } else {
@@ -136,7 +136,7 @@
     Failure::conflict(problem, advice)
 }
 
-fn append(text: &mut String, title: &str, differences: &[Difference]) {
+fn append_differences(text: &mut String, title: &str, differences: &[Difference]) {
     let _ = writeln!(text, "{title}");
     for difference in differences {
         let _ = writeln!(text, "  {difference}");
