--- a/crates/foxtidectl/src/admin.rs
+++ b/crates/foxtidectl/src/admin.rs
@@ -1,4 +1,4 @@
-//! Questions to the instances' admin listeners.
+//! HTTP client for the admin listeners of instances.
 
 use crate::failure::Failure;
 use futures_lite::FutureExt;
@@ -19,29 +19,27 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// How long an instance may take to answer.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Where the instances that an instance knows are told.
+/// Path that lists the instances known to an instance.
 const INSTANCES_PATH: &str = "/v1/instances";
 
-/// The field of an instance that holds its admin address.
-const ADMIN_FIELD: &str = "admin_address";
+const ADMIN_ADDRESS_FIELD: &str = "admin_address";
 
-/// What the instances answered.
+/// The responses of several instances to one request.
 #[derive(Debug)]
 pub(crate) struct Responses {
-    /// The answers, with who gave them.
+    /// JSON bodies with the address of the instance that sent them.
     pub(crate) pages: Vec<(SocketAddr, Value)>,
-    /// Why others gave none.
+    /// Errors of the instances that sent no valid response.
     pub(crate) errors: Vec<String>,
 }
 
-/// Asks one instance after the other until one answers.
+/// Fetches a page from the first instance that responds, trying them in order.
 ///
 /// # Errors
 ///
-/// Fails where none is given or none answers.
+/// Returns an error if no address is given or no instance responds.
 pub(crate) async fn fetch_any(addresses: &[SocketAddr], path: &str) -> Result<Value, Failure> {
     let mut errors = Vec::new();
     for address in addresses {
@@ -53,11 +51,11 @@
     Err(no_response(&errors))
 }
 
-/// Asks all instances at the same time.
+/// Fetches a page from all instances concurrently.
 ///
 /// # Errors
 ///
-/// Fails where none answers.
+/// Returns an error if no instance responds.
 pub(crate) async fn fetch_all(addresses: &[SocketAddr], path: &str) -> Result<Responses, Failure> {
     let mut responses = Responses {
         pages: Vec::new(),
@@ -83,16 +81,16 @@
     Ok(responses)
 }
 
-/// Returns the admin addresses of all instances: those given, and those that
-/// the first to answer knows of.
+/// Returns the given admin addresses and those known to the first instance that
+/// responds.
 ///
 /// # Errors
 ///
-/// Fails where none answers.
+/// Returns an error if no instance responds.
 pub(crate) async fn all_addresses(given: &[SocketAddr]) -> Result<Vec<SocketAddr>, Failure> {
     let instances = fetch_any(given, INSTANCES_PATH).await?;
     let listed = instances.as_array().into_iter().flatten();
-    let known = listed.filter_map(|one| one.get(ADMIN_FIELD)?.as_str()?.parse().ok());
+    let known = listed.filter_map(|one| one.get(ADMIN_ADDRESS_FIELD)?.as_str()?.parse().ok());
     let mut addresses: BTreeSet<SocketAddr> = known.collect();
     addresses.extend(given);
     Ok(addresses.into_iter().collect())
@@ -111,7 +109,7 @@
     )
 }
 
-/// Gets a page of one instance as JSON.
+/// Fetches a page of one instance as JSON.
 async fn get(address: SocketAddr, path: &str) -> Result<Value, String> {
     let expired = async {
         Timer::after(RESPONSE_TIMEOUT).await;
--- a/crates/foxtidectl/src/arguments.rs
+++ b/crates/foxtidectl/src/arguments.rs
@@ -1,4 +1,4 @@
-//! The command line's form.
+//! Command-line parsing.
 
 use crate::ExitStatus;
 use crate::commands::blocks::BlocksCommand;
@@ -18,12 +18,10 @@
 use std::io::Write;
 use std::net::SocketAddr;
 
-/// The command line taken apart.
+/// The parsed command line.
 #[derive(Debug)]
 pub(crate) struct Arguments {
-    /// The options.
     pub(crate) options: Options,
-    /// The command.
     pub(crate) command: Command,
 }
 
@@ -59,31 +57,19 @@
     command: Command,
 }
 
-/// The commands.
 #[derive(Debug, FromArgs)]
 #[argh(subcommand)]
 pub(crate) enum Command {
-    /// Works on organisations.
     Organisation(OrganisationCommand),
-    /// Works on drains.
     Drain(DrainCommand),
-    /// Works on moves.
     Move(MoveCommand),
-    /// Works on client blocks.
     Blocks(BlocksCommand),
-    /// Shows templates.
     Template(TemplateCommand),
-    /// Checks a file.
     Check(Check),
-    /// Shows the instances.
     Instances(Instances),
-    /// Shows the promises.
     Promises(Promises),
-    /// Explains decisions.
     Explain(ExplainCommand),
-    /// Sums up what requests lost.
     Losses(Losses),
-    /// Shows the time line.
     TimeLine(TimeLine),
 }
 
@@ -95,18 +81,18 @@
     std::env::var("USER").unwrap_or_else(|_| "unknown".to_owned())
 }
 
-/// Help that was asked for, or that a wrong command line calls for.
+/// The requested help, or the usage error of an invalid command line.
 #[derive(Debug)]
 pub(crate) struct Help {
     text: String,
-    asked_for: bool,
+    is_requested: bool,
 }
 
 impl Help {
     /// Prints the help and returns the exit status.
     pub(crate) fn print(&self, output: &mut dyn Write, errors: &mut dyn Write) -> ExitStatus {
-        // Help that cannot be written leaves only the exit status.
-        if self.asked_for {
+        // Write errors are ignored: the exit status still reports the result.
+        if self.is_requested {
             let _ = writeln!(output, "{}", self.text.trim_end());
             return ExitStatus::Done;
         }
@@ -116,16 +102,16 @@
     }
 }
 
-/// Takes the command line apart.
+/// Parses the command line.
 ///
 /// # Errors
 ///
-/// Returns the help to print instead.
+/// Returns the text to print if the command line is invalid or asks for help.
 pub(crate) fn parse(name: &str, arguments: &[String]) -> Result<Arguments, Help> {
     let arguments: Vec<&str> = arguments.iter().map(String::as_str).collect();
     let line = CommandLine::from_args(&[name], &arguments).map_err(|exit| Help {
         text: exit.output,
-        asked_for: exit.status.is_ok(),
+        is_requested: exit.status.is_ok(),
     })?;
     let options = Options {
         store: line.store,
--- a/crates/foxtidectl/src/change_document.rs
+++ b/crates/foxtidectl/src/change_document.rs
@@ -1,4 +1,4 @@
-//! How every command changes a document: show the difference, check, write.
+//! Validates, previews and writes changes to an organisation's document.
 
 use crate::failure::Failure;
 use crate::report::Report;
@@ -14,33 +14,33 @@
 use serde_json::json;
 use std::fmt::Write;
 
-/// A change that a command asks for.
+/// A change requested by a command.
 #[derive(Debug)]
 pub(crate) struct DocumentChange {
-    /// What it started from.
+    /// The stored document before the change; `None` for a new organisation.
     pub(crate) base: Option<Stored>,
-    /// The document after it.
+    /// The document after the change.
     pub(crate) document: Organisation,
-    /// What it does, in one line.
+    /// A one-line summary for the history.
     pub(crate) summary: String,
 }
 
-/// Shows a change and, where the operator said `--yes`, has it accepted.
-pub(crate) async fn apply(session: &Session, edit: DocumentChange) -> Result<Report, Failure> {
-    check_revision(session, edit.base.as_ref())?;
-    change::check(&edit.document)?;
-    let differences = change::differences(edit.base.as_ref(), &edit.document);
+/// Validates and previews a change and, with `--yes`, writes it.
+pub(crate) async fn apply(session: &Session, requested: DocumentChange) -> Result<Report, Failure> {
+    check_revision(session, requested.base.as_ref())?;
+    change::check(&requested.document)?;
+    let differences = change::differences(requested.base.as_ref(), &requested.document);
     if differences.is_empty() {
-        return Ok(unchanged_report(&edit));
+        return Ok(unchanged_report(&requested));
     }
     if !session.options().yes {
-        return Ok(preview_report(&edit, &differences));
+        return Ok(preview_report(&requested, &differences));
     }
     let request = ChangeRequest {
-        base: edit.base,
-        document: edit.document,
+        base: requested.base,
+        document: requested.document,
         author: session.options().author.clone(),
-        summary: edit.summary,
+        summary: requested.summary,
     };
     let accepted = match session.options().rebase {
         true => change::accept_rebased(session.store(), request).await?,
@@ -49,7 +49,7 @@
     Ok(accepted_report(&accepted, &differences))
 }
 
-/// Refuses a change by an operator who has seen another revision.
+/// Returns a conflict unless the document is at the revision given with `--revision`.
 fn check_revision(session: &Session, base: Option<&Stored>) -> Result<(), Failure> {
     let Some(seen) = session.options().revision else {
         return Ok(());
@@ -68,8 +68,8 @@
     Err(Failure::conflict(problem, advice))
 }
 
-fn unchanged_report(edit: &DocumentChange) -> Report {
-    let revision = edit
+fn unchanged_report(requested: &DocumentChange) -> Report {
+    let revision = requested
         .base
         .as_ref()
         .map_or(Revision::ZERO, |base| base.document.revision);
@@ -80,8 +80,8 @@
     )
 }
 
-fn preview_report(edit: &DocumentChange, differences: &[Difference]) -> Report {
-    let base = edit.base.as_ref().map(|base| base.document.revision);
+fn preview_report(requested: &DocumentChange, differences: &[Difference]) -> Report {
+    let base = requested.base.as_ref().map(|base| base.document.revision);
     let option = base.map_or(String::new(), |revision| format!(" --revision {revision}"));
     let text = format!(
         "{}\nNot written. Add --yes{option} before the command to write it.",
@@ -93,12 +93,12 @@
 fn accepted_report(accepted: &change::Accepted, differences: &[Difference]) -> Report {
     let document = &accepted.document;
     let (organisation, revision) = (&document.organisation, document.revision);
-    let how = match accepted.settled {
+    let note = match accepted.settled {
         true => " (the answer was lost; found by reading)",
         false => "",
     };
     let text = format!(
-        "{}\nAccepted: {organisation} {revision}, change {}{how}.",
+        "{}\nAccepted: {organisation} {revision}, change {}{note}.",
         difference_lines(differences),
         document.change_id
     );
@@ -113,7 +113,7 @@
     Report::new(text, json)
 }
 
-/// Returns the differences, one a line.
+/// Formats the differences, one per line.
 pub(crate) fn difference_lines(differences: &[Difference]) -> String {
     let lines = differences
         .iter()
--- a/crates/foxtidectl/src/commands/instances.rs
+++ b/crates/foxtidectl/src/commands/instances.rs
@@ -1,4 +1,4 @@
-//! `foxtidectl instances`.
+//! `foxtidectl instances`: the instances known to one of them.
 
 use crate::admin;
 use crate::failure::Failure;
@@ -15,9 +15,9 @@
 pub(crate) struct Instances {}
 
 impl Instances {
-    /// Asks the first instance that answers.
+    /// Lists the instances known to the first instance that responds.
     pub(crate) async fn run(self, session: &Session) -> Result<Report, Failure> {
         let page = admin::fetch_any(&session.options().admin, "/v1/instances").await?;
-        Ok(Report::new(Table::of_objects(&page).text(), page))
+        Ok(Report::new(Table::from_objects(&page).text(), page))
     }
 }
--- a/crates/foxtidectl/src/exit.rs
+++ b/crates/foxtidectl/src/exit.rs
@@ -1,4 +1,4 @@
-//! What the command's exit status means.
+//! Exit statuses of `foxtidectl`.
 
 use std::process::ExitCode;
 
@@ -6,19 +6,19 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u8)]
 pub enum ExitStatus {
-    /// It was done, or there was nothing to do.
+    /// The command succeeded or had nothing to change.
     Done = 0,
-    /// The input or the change is invalid, or was refused: nothing changed.
+    /// The input or the change is invalid or was refused; nothing changed.
     Refused = 1,
-    /// The command line cannot be understood: nothing changed.
+    /// The command line is invalid; nothing changed.
     Usage = 2,
-    /// Somebody else's change came first: nothing changed.
+    /// A concurrent change was accepted first; nothing changed.
     Conflict = 3,
-    /// The change may or may not have taken effect; run it again.
+    /// Whether the change took effect is unknown; the command can be run again.
     Unsettled = 4,
-    /// The store was not reached: nothing changed.
+    /// The store is unreachable; nothing changed.
     StoreUnreachable = 5,
-    /// No instance answered.
+    /// No instance responded.
     InstanceUnreachable = 6,
 }
 
--- a/crates/foxtidectl/src/failure.rs
+++ b/crates/foxtidectl/src/failure.rs
@@ -1,4 +1,4 @@
-//! Failures of commands, with what to do next.
+//! Command errors with an exit status and advice for the operator.
 
 use crate::ExitStatus;
 use foxtide_config::blocks::BlocksChangeError;
@@ -23,17 +23,17 @@
 }
 
 impl Failure {
-    /// Returns a failure whose cause is the operator's input.
+    /// Returns a failure caused by invalid input or a refused change.
     pub(crate) fn refused(problem: impl Display, advice: impl Display) -> Self {
         Self::new(ExitStatus::Refused, problem, advice)
     }
 
-    /// Returns a failure because of somebody else's change.
+    /// Returns a failure caused by a concurrent change.
     pub(crate) fn conflict(problem: impl Display, advice: impl Display) -> Self {
         Self::new(ExitStatus::Conflict, problem, advice)
     }
 
-    /// Returns a failure because no instance answered.
+    /// Returns a failure caused by no instance responding.
     pub(crate) fn no_instance(problem: impl Display, advice: impl Display) -> Self {
         Self::new(ExitStatus::InstanceUnreachable, problem, advice)
     }
@@ -48,7 +48,7 @@
 
     /// Prints the failure and returns the exit status.
     pub(crate) fn print(&self, errors: &mut dyn Write) -> ExitStatus {
-        // A complaint that cannot be written leaves only the exit status.
+        // Write errors are ignored: the exit status still reports the failure.
         let _ = writeln!(errors, "error: {}", self.problem.trim_end());
         let _ = writeln!(errors, "next: {}", self.advice);
         self.status
--- a/crates/foxtidectl/src/lib.rs
+++ b/crates/foxtidectl/src/lib.rs
@@ -1,5 +1,5 @@
-//! The operators' command line of foxtide, as a library so that tests can run
-//! it in their own process.
+//! Command-line tool for operators of foxtide, as a library so that tests can run
+//! it in process.
 
 mod admin;
 mod arguments;
@@ -22,12 +22,11 @@
 use session::Session;
 use std::io::Write;
 
-/// The command's name in its own help.
-const NAME: &str = "foxtidectl";
+const PROGRAM_NAME: &str = "foxtidectl";
 
-/// Runs one command; results go to `output`, complaints to `errors`.
+/// Runs one command, writing results to `output` and errors to `errors`.
 pub fn run(arguments: &[String], output: &mut dyn Write, errors: &mut dyn Write) -> ExitStatus {
-    let arguments = match arguments::parse(NAME, arguments) {
+    let arguments = match arguments::parse(PROGRAM_NAME, arguments) {
         Ok(arguments) => arguments,
         Err(help) => return help.print(output, errors),
     };
--- a/crates/foxtidectl/src/main.rs
+++ b/crates/foxtidectl/src/main.rs
@@ -1,4 +1,4 @@
-//! The operators' command line.
+//! Entry point of the `foxtidectl` binary.
 
 use std::process::ExitCode;
 
--- a/crates/foxtidectl/src/options.rs
+++ b/crates/foxtidectl/src/options.rs
@@ -1,23 +1,22 @@
-//! The options that all commands share.
+//! Global options, shared by all commands.
 
 use foxtide_core::units::Revision;
 use std::net::SocketAddr;
 
-/// The options that stand before the command.
+/// The options that precede the command.
 #[derive(Clone, Debug)]
 pub(crate) struct Options {
-    /// The store's address.
     pub(crate) store: SocketAddr,
-    /// The admin addresses of instances to ask.
+    /// The admin addresses of instances to query.
     pub(crate) admin: Vec<SocketAddr>,
     /// Whether results are printed as JSON.
     pub(crate) json: bool,
-    /// Whether a change is written, not only shown.
+    /// Whether a change is written instead of only previewed.
     pub(crate) yes: bool,
-    /// Whether a change may be applied on top of one that came first.
+    /// Whether a change may be rebased onto a concurrent one.
     pub(crate) rebase: bool,
-    /// The revision that the operator has seen.
+    /// The revision that the change is expected to be based on.
     pub(crate) revision: Option<Revision>,
-    /// Who makes the change.
+    /// The author recorded with a change.
     pub(crate) author: String,
 }
--- a/crates/foxtidectl/src/report.rs
+++ b/crates/foxtidectl/src/report.rs
@@ -1,4 +1,4 @@
-//! What a command has to say, for people and for programs.
+//! Command results as text and as JSON.
 
 use crate::ExitStatus;
 use foxtide_core::time::WallTime;
@@ -9,7 +9,7 @@
     UNIX_EPOCH, //
 };
 
-/// The result of a command, in both forms.
+/// The result of a command as text and as JSON.
 #[derive(Debug)]
 pub(crate) struct Report {
     text: String,
@@ -17,7 +17,6 @@
 }
 
 impl Report {
-    /// Returns a report of success.
     pub(crate) fn new(text: impl Into<String>, json: Value) -> Self {
         Self {
             text: text.into(),
@@ -25,7 +24,7 @@
         }
     }
 
-    /// Prints the report in the form that was asked for.
+    /// Prints the report as JSON or text and returns the exit status.
     pub(crate) fn print(
         &self,
         json: bool,
@@ -54,31 +53,31 @@
 }
 
 impl Table {
-    /// Returns a table with this heading.
+    /// Returns an empty table with a fixed number of columns.
     pub(crate) fn new<const N: usize>(heading: [&str; N]) -> Self {
         Self::with_columns(heading.into_iter().map(str::to_owned))
     }
 
-    /// Returns a table with these headings.
+    /// Returns an empty table with these headings.
     pub(crate) fn with_columns(headings: impl Iterator<Item = String>) -> Self {
         Self {
             rows: vec![headings.map(|heading| heading.to_uppercase()).collect()],
         }
     }
 
-    /// Adds a row of as many cells as there are headings.
+    /// Adds a row, which must have one cell per heading.
     pub(crate) fn cells(&mut self, cells: impl Iterator<Item = String>) {
         self.rows.push(cells.collect());
     }
 
-    /// Adds a row.
+    /// Adds a row with a fixed number of cells.
     pub(crate) fn row<const N: usize>(&mut self, cells: [String; N]) {
         self.cells(cells.into_iter());
     }
 
-    /// Returns the table of a list of JSON objects: a column for each field
-    /// that any of them has.
-    pub(crate) fn of_objects(list: &Value) -> Self {
+    /// Returns the table of a list of JSON objects, with a column for each field
+    /// that occurs in any of them.
+    pub(crate) fn from_objects(list: &Value) -> Self {
         let objects: Vec<&Value> = list.as_array().into_iter().flatten().collect();
         let mut columns: Vec<&String> = Vec::new();
         for key in objects
@@ -101,7 +100,7 @@
         Self { rows }
     }
 
-    /// Returns the table's text.
+    /// Formats the table with aligned columns.
     pub(crate) fn text(&self) -> String {
         let columns = self.rows.first().map_or(0, Vec::len);
         let widths: Vec<usize> = (0..columns).map(|column| self.width(column)).collect();
@@ -115,7 +114,7 @@
     }
 }
 
-/// Returns a JSON value as a cell shows it.
+/// Formats a JSON value as a cell; `-` if it is missing or null.
 fn cell(value: Option<&Value>) -> String {
     match value {
         None | Some(Value::Null) => "-".to_owned(),
@@ -132,7 +131,7 @@
     format!("{}\n", padded.join("  ").trim_end())
 }
 
-/// Returns a time as people read it, in UTC.
+/// Formats a time as RFC 3339 in UTC.
 pub(crate) fn utc(time: WallTime) -> String {
     let since_epoch = Duration::from_micros(time.as_us());
     match UNIX_EPOCH.checked_add(since_epoch) {
--- a/crates/foxtidectl/src/session.rs
+++ b/crates/foxtidectl/src/session.rs
@@ -1,4 +1,4 @@
-//! What all commands share: the store and the options.
+//! Store client and options shared by all commands.
 
 use crate::failure::Failure;
 use crate::options::Options;
@@ -18,7 +18,7 @@
     UNIX_EPOCH, //
 };
 
-/// One run of the command line.
+/// The context of one command.
 #[derive(Debug)]
 pub(crate) struct Session {
     options: Options,
@@ -26,7 +26,7 @@
 }
 
 impl Session {
-    /// Returns the session of these options.
+    /// Creates a session with a client of the configured store.
     pub(crate) fn new(options: &Options) -> Self {
         let store = HttpStore::new(HttpStoreOptions {
             address: options.store,
@@ -38,29 +38,27 @@
         }
     }
 
-    /// Returns the options.
     pub(crate) fn options(&self) -> &Options {
         &self.options
     }
 
-    /// Tells whether results are printed as JSON.
+    /// Returns whether results are printed as JSON.
     pub(crate) fn json(&self) -> bool {
         self.options.json
     }
 
-    /// Returns the store.
     pub(crate) fn store(&self) -> &HttpStore {
         &self.store
     }
 
-    /// Reads an organisation's document, which must be there.
+    /// Loads an organisation's document; fails if it does not exist.
     pub(crate) async fn load(&self, name: &str) -> Result<Stored, Failure> {
         let organisation: OrganisationId = name.parse()?;
         let stored = change::load(&self.store, &organisation).await?;
         stored.ok_or_else(|| ChangeError::Absent(organisation).into())
     }
 
-    /// Returns the wall clock's time.
+    /// Returns the current wall-clock time.
     pub(crate) fn now(&self) -> WallTime {
         let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH);
         let us = since_epoch.unwrap_or_default().as_micros();
