--- a/crates/foxtidectl/src/commands/explain/decisions.rs
+++ b/crates/foxtidectl/src/commands/explain/decisions.rs
@@ -1,4 +1,4 @@
-//! Explanations as people read them.
+//! Fetches explanations from instances and formats them.
 
 use crate::admin;
 use crate::failure::Failure;
@@ -14,7 +14,7 @@
 };
 use std::fmt::Write;
 
-/// Asks all instances for explanations and shows those that there are.
+/// Fetches the matching explanations from all instances and reports them.
 pub(super) async fn explain(session: &Session, query: &str, what: &str) -> Result<Report, Failure> {
     let addresses = admin::all_addresses(&session.options().admin).await?;
     let responses = admin::fetch_all(&addresses, &format!("/v1/explain?{query}")).await?;
@@ -31,27 +31,27 @@
         let _ = writeln!(text, "not asked: {error}");
     }
     if explanations.is_empty() {
-        let problem = format!("{}no instance remembers {what}", preceding_lines(&text));
+        let problem = format!("{}no instance remembers {what}", with_line_break(&text));
         let advice = "instances keep the latest only; ask soon after, or see `foxtidectl timeline`";
         return Err(Failure::refused(problem, advice));
     }
     Ok(Report::new(text, json!(explanations)))
 }
 
-fn preceding_lines(text: &str) -> String {
+fn with_line_break(text: &str) -> String {
     match text.is_empty() {
         true => String::new(),
         false => format!("{}\n", text.trim_end()),
     }
 }
 
-/// Returns an explanation as a few lines.
-fn describe(asked: &str, explanation: &Value) -> String {
+/// Formats an explanation as several lines.
+fn describe(admin_address: &str, explanation: &Value) -> String {
     let field = |name: &str| value_text(explanation.get(name));
     let at = explanation.get("at_us").and_then(Value::as_u64);
     let at = at.map_or("-".to_owned(), |us| utc(WallTime::from_us(us)));
     let mut text = format!(
-        "{} {}: {}\n  at {at} by {asked}, region {}, figures {} ms old\n",
+        "{} {}: {}\n  at {at} by {admin_address}, region {}, figures {} ms old\n",
         field("kind"),
         field("rule"),
         field("because"),
@@ -76,7 +76,7 @@
     text
 }
 
-/// Returns one candidate with the figures that it was judged by.
+/// Formats a candidate with the values that were compared.
 fn describe_candidate(candidate: &Value) -> String {
     let name = candidate.get("name").and_then(Value::as_object);
     let name = name
--- a/crates/foxtidectl/src/commands/explain/lookup.rs
+++ b/crates/foxtidectl/src/commands/explain/lookup.rs
@@ -1,4 +1,4 @@
-//! `foxtidectl explain lookup`.
+//! `foxtidectl explain lookup`: explains the latest look-ups of a service.
 
 use super::decisions;
 use crate::failure::Failure;
@@ -19,7 +19,7 @@
 }
 
 impl Lookup {
-    /// Asks all instances.
+    /// Queries all instances.
     pub(super) async fn run(self, session: &Session) -> Result<Report, Failure> {
         let Self {
             organisation,
--- a/crates/foxtidectl/src/commands/explain/mod.rs
+++ b/crates/foxtidectl/src/commands/explain/mod.rs
@@ -1,4 +1,4 @@
-//! `foxtidectl explain …`: why a look-up or a request went where it did.
+//! `foxtidectl explain …`: explains routing decisions.
 
 mod decisions;
 mod lookup;
--- a/crates/foxtidectl/src/commands/explain/request/cause.rs
+++ b/crates/foxtidectl/src/commands/explain/request/cause.rs
@@ -1,13 +1,13 @@
-//! From the lines about a request to its cause.
+//! Explains the outcome of a request from its log lines.
 
 use super::trace::RequestTrace;
 use crate::commands::log_lines::LogLine;
 
-/// The age from which knowledge of the store is old, in milliseconds: an instance
-/// asks it, or a peer, each 0.8 s and waits 2 s at most.
+/// The age in milliseconds from which data of the store counts as stale. Instances poll the
+/// store or a peer every 0.8 s with a timeout of 2 s.
 const STALE_STORE_DATA_MS: f64 = 3_000.0;
 
-/// Returns why a request ended as it did.
+/// Returns the cause of a request's outcome.
 pub(super) fn describe(trace: &RequestTrace<'_>) -> String {
     let Some(end) = trace.end() else {
         return "its end is not in these lines: the instance was killed, or the line was left out"
@@ -99,7 +99,7 @@
     format!("status {status}: {reason}{}", outage_note(trace, end))
 }
 
-/// An answered request is explained where it came late or went elsewhere.
+/// Describes an answered request, including delays, retries and a changed upstream.
 fn answered(trace: &RequestTrace<'_>, end: &LogLine) -> String {
     let upstream = end.text("upstream");
     let latency_ms = end.number("latency_ms").unwrap_or_default();
@@ -139,7 +139,7 @@
     text
 }
 
-/// Tells of an outage of the store that the decisions rested on.
+/// Returns a note if the request was decided on stale data of the store.
 fn outage_note(trace: &RequestTrace<'_>, end: &LogLine) -> String {
     let age_ms = end.number("knowledge_age_ms").unwrap_or_default();
     if age_ms < STALE_STORE_DATA_MS {
@@ -175,7 +175,7 @@
     attempts.join(", ")
 }
 
-/// Returns one line as people read it.
+/// Formats one line of a trace.
 pub(super) fn describe_line(line: &LogLine) -> String {
     let field = |name: &str| line.text(name);
     match line.event.as_str() {
--- a/crates/foxtidectl/src/commands/explain/request/mod.rs
+++ b/crates/foxtidectl/src/commands/explain/request/mod.rs
@@ -1,4 +1,4 @@
-//! `foxtidectl explain request`.
+//! `foxtidectl explain request`: explains how one request was handled.
 
 mod cause;
 mod report;
@@ -28,7 +28,7 @@
 }
 
 impl Request {
-    /// Reads the lines that were given, or asks all instances.
+    /// Explains the request from the given log lines or, without any, from the instances.
     pub(super) async fn run(self, session: &Session) -> Result<Report, Failure> {
         if self.lines.is_empty() {
             let id: RequestId = self.id.parse()?;
--- a/crates/foxtidectl/src/commands/explain/request/report.rs
+++ b/crates/foxtidectl/src/commands/explain/request/report.rs
@@ -1,4 +1,4 @@
-//! A request's trace, for people and for programs.
+//! Formats the trace of a request as text and JSON.
 
 use super::cause;
 use super::trace::RequestTrace;
@@ -10,12 +10,11 @@
 };
 use std::fmt::Write;
 
-/// Returns the report of a trace.
 pub(super) fn report(trace: &RequestTrace<'_>) -> Report {
     let cause = cause::describe(trace);
     let mut text = format!("request {}\ncause: {cause}\n", trace.id);
-    append(&mut text, "what happened to it:", &trace.request_lines);
-    append(
+    append_lines(&mut text, "what happened to it:", &trace.request_lines);
+    append_lines(
         &mut text,
         "what the instance believed:",
         &trace.instance_state,
@@ -30,7 +29,7 @@
     Report::new(text, json)
 }
 
-fn append(text: &mut String, title: &str, lines: &[&LogLine]) {
+fn append_lines(text: &mut String, title: &str, lines: &[&LogLine]) {
     // Writing to a string cannot fail.
     let _ = writeln!(text, "{title}");
     for line in lines {
--- a/crates/foxtidectl/src/commands/explain/request/trace.rs
+++ b/crates/foxtidectl/src/commands/explain/request/trace.rs
@@ -1,25 +1,24 @@
-//! What the lines of all instances tell of one request.
+//! Collects the log lines of all instances that concern one request.
 
 use crate::commands::log_lines::LogLine;
 
-/// How far back an event about an upstream still tells of a request, in seconds:
-/// the longest time for which an upstream is passed over, and the longest time
-/// limit of a request.
+/// The maximum age of a relevant upstream event in seconds, which covers the longest
+/// ejection of an upstream and the longest request timeout.
 const UPSTREAM_EVENT_MAX_AGE_S: f64 = 16.0;
 
-/// A request, and what the instance that had it believed.
+/// The log lines of a request and the state of the instance that handled it.
 #[derive(Debug)]
 pub(super) struct RequestTrace<'a> {
-    /// Its identity.
+    /// The request id.
     pub(super) id: &'a str,
-    /// The lines that name the request, in their order.
+    /// The lines with the request's id, ordered by time.
     pub(super) request_lines: Vec<&'a LogLine>,
-    /// What the instance believed when the request ended.
+    /// Events that show the state of the instance when the request ended.
     pub(super) instance_state: Vec<&'a LogLine>,
 }
 
 impl<'a> RequestTrace<'a> {
-    /// Returns what `lines` tell of a request; nothing where none names it.
+    /// Collects the lines of a request; `None` if no line has its id.
     pub(super) fn collect(id: &'a str, lines: &'a [LogLine]) -> Option<Self> {
         let request_lines: Vec<&LogLine> = lines
             .iter()
@@ -38,7 +37,7 @@
         })
     }
 
-    /// Returns the line that tells how the request ended.
+    /// Returns the line that records the end of the request.
     pub(super) fn end(&self) -> Option<&LogLine> {
         let is_end = |line: &&&LogLine| {
             matches!(
@@ -49,21 +48,21 @@
         self.request_lines.iter().rev().find(is_end).copied()
     }
 
-    /// Returns the attempts that brought no response to deliver.
+    /// Returns the failed attempts.
     pub(super) fn failed_attempts(&self) -> impl Iterator<Item = &LogLine> {
         let lines = self.request_lines.iter().copied();
         lines.filter(|line| line.event == "attempt-failed")
     }
 
-    /// Returns the latest belief of a kind.
+    /// Returns the latest state event with this name.
     pub(super) fn latest_state_event(&self, event: &str) -> Option<&LogLine> {
         let events = self.instance_state.iter().rev();
         events.copied().find(|line| line.event == event)
     }
 }
 
-/// Returns the latest configuration and evacuation, the state of the store, and
-/// what became of the request's upstreams shortly before its end.
+/// Returns the latest events about the configuration, evacuated zones and the store, and
+/// the events of the request's upstreams shortly before its end.
 fn instance_state<'a>(
     request_lines: &[&LogLine],
     last: &LogLine,
@@ -83,7 +82,7 @@
             && last.seconds_since(line) <= UPSTREAM_EVENT_MAX_AGE_S
             && request_lines
                 .iter()
-                .any(|line_of_request| line_of_request.text("upstream") == line.text("upstream"))
+                .any(|request_line| request_line.text("upstream") == line.text("upstream"))
     };
     state.extend(earlier.iter().filter(is_of_upstream).copied());
     state.sort_by(|one, other| one.seconds_since(other).total_cmp(&0.0));
--- a/crates/foxtidectl/src/commands/log_lines.rs
+++ b/crates/foxtidectl/src/commands/log_lines.rs
@@ -1,4 +1,4 @@
-//! The structured lines that instances write.
+//! Reads the structured log lines of instances.
 
 use crate::failure::Failure;
 use crate::report::utc;
@@ -15,49 +15,47 @@
     BufReader, //
 };
 
-/// What stands for standard input in place of a file.
+/// The file name that selects standard input.
 const STANDARD_INPUT: &str = "-";
 
-/// What stands for the instance in lines that do not name it.
+/// The instance name of lines without one.
 const UNKNOWN_INSTANCE: &str = "-";
 
-/// One event as an instance wrote it.
+/// One event logged by an instance.
 #[derive(Clone, Debug, Deserialize)]
 pub(crate) struct LogLine {
-    /// Seconds since 1970 by the instance's clock.
+    /// Unix time in seconds by the instance's clock.
     time_s: f64,
-    /// The event's name.
     pub(crate) event: String,
-    /// The instance's name.
     #[serde(default)]
     instance: Option<String>,
-    /// What else the line holds.
+    /// All other fields.
     #[serde(flatten)]
     fields: Map<String, Value>,
 }
 
 impl LogLine {
-    /// Returns the instance that wrote the line.
+    /// Returns the name of the instance that wrote the line; `-` if it is missing.
     pub(crate) fn instance(&self) -> &str {
         self.instance.as_deref().unwrap_or(UNKNOWN_INSTANCE)
     }
 
-    /// Returns the seconds since 1970 by the instance's clock.
+    /// Returns the Unix time in seconds by the instance's clock.
     pub(crate) fn time_s(&self) -> f64 {
         self.time_s
     }
 
-    /// Returns the seconds from `earlier` to this line, by the instances' clocks.
+    /// Returns the seconds from `earlier` to this line by the instances' clocks.
     pub(crate) fn seconds_since(&self, earlier: &Self) -> f64 {
         self.time_s - earlier.time_s
     }
 
-    /// Returns the time as people read it.
+    /// Formats the time as RFC 3339 in UTC.
     pub(crate) fn time(&self) -> String {
         utc(WallTime::from_us((self.time_s.max(0.0) * 1e6) as u64))
     }
 
-    /// Returns a field as text; `-` where it is missing or empty.
+    /// Returns a field as text; `-` if it is missing or empty.
     pub(crate) fn text(&self, name: &str) -> String {
         match self.fields.get(name) {
             None | Some(Value::Null) => "-".to_owned(),
@@ -67,17 +65,17 @@
         }
     }
 
-    /// Returns a field that holds a number.
+    /// Returns a numeric field.
     pub(crate) fn number(&self, name: &str) -> Option<f64> {
         self.fields.get(name).and_then(Value::as_f64)
     }
 
-    /// Returns a field that holds a yes or no.
+    /// Returns a boolean field.
     pub(crate) fn boolean(&self, name: &str) -> Option<bool> {
         self.fields.get(name).and_then(Value::as_bool)
     }
 
-    /// Tells whether a field holds a text.
+    /// Returns whether a field is equal to `text`.
     pub(crate) fn has_text(&self, name: &str, text: &str) -> bool {
         self.fields.get(name).and_then(Value::as_str) == Some(text)
     }
@@ -92,31 +90,30 @@
     }
 }
 
-/// The events of files, in the order of their times, and what else they hold.
+/// The events of log files and the lines that could not be parsed.
 #[derive(Debug, Default)]
 pub(crate) struct LogLines {
-    /// The events.
+    /// The events, ordered by time.
     pub(crate) events: Vec<LogLine>,
-    /// Lines that are no events: files may hold what other programs wrote.
+    /// Lines that are not events; files may contain output of other programs.
     pub(crate) unreadable: Vec<UnreadableLine>,
 }
 
-/// A line that is no event.
+/// A line that is not an event.
 #[derive(Debug)]
 pub(crate) struct UnreadableLine {
-    /// The file.
     pub(crate) file: String,
-    /// The line's number, from 1.
+    /// The line number, starting at 1.
     pub(crate) number: usize,
-    /// Why it cannot be read.
+    /// The parse error.
     pub(crate) cause: String,
 }
 
-/// Reads files of lines.
+/// Reads log files.
 ///
 /// # Errors
 ///
-/// Fails where a file cannot be read or holds no event at all.
+/// Returns an error if a file cannot be read or contains no event.
 pub(crate) fn read(files: &[String]) -> Result<LogLines, Failure> {
     let mut lines = LogLines::default();
     for file in files {
@@ -157,8 +154,7 @@
     Ok(())
 }
 
-/// Reads a line; where a log collector has put a time and a name before it, from its first
-/// brace on.
+/// Parses a line, skipping any prefix that a log collector added before the first brace.
 fn parse(line: &str) -> serde_json::Result<LogLine> {
     let whole = serde_json::from_str(line);
     match line.find('{') {
--- a/crates/foxtidectl/src/commands/mod.rs
+++ b/crates/foxtidectl/src/commands/mod.rs
@@ -1,4 +1,4 @@
-//! The commands, one module each.
+//! The subcommands, one module each.
 
 pub(crate) mod blocks;
 pub(crate) mod check;
