--- a/crates/foxtidectl/src/commands/losses/mod.rs
+++ b/crates/foxtidectl/src/commands/losses/mod.rs
@@ -1,4 +1,4 @@
-//! `foxtidectl losses`: where and when requests were late, refused or failed, and why.
+//! `foxtidectl losses`: summarises late, refused and failed requests from log lines.
 
 mod object_history;
 mod organisations;
@@ -32,7 +32,7 @@
 }
 
 impl Losses {
-    /// Reads the lines and sums them up.
+    /// Reads the log lines and reports their summary.
     pub(crate) fn run(self) -> Result<Report, Failure> {
         if self.lines.is_empty() {
             return Err(Failure::refused(
--- a/crates/foxtidectl/src/commands/losses/organisations.rs
+++ b/crates/foxtidectl/src/commands/losses/organisations.rs
@@ -1,4 +1,4 @@
-//! How the requests of each organisation ended.
+//! Counts the outcomes of requests by organisation.
 
 use crate::commands::log_lines::LogLine;
 use crate::report::Table;
@@ -8,29 +8,29 @@
 };
 use std::collections::BTreeMap;
 
-/// The most organisations that are named: those that lost most.
+/// The maximum number of organisations in the table, those with most losses first.
 const LISTED_MAX: usize = 20;
 
-/// The requests of one organisation.
+/// Outcomes of the requests of one organisation.
 #[derive(Clone, Copy, Debug, Default, serde::Serialize)]
 struct Counts {
     answered: u64,
-    /// Refused since its quota was used up.
+    /// Refused because the quota was exhausted.
     over_quota: u64,
-    /// Refused or failed for another reason.
+    /// Refused or failed for any other reason.
     lost: u64,
 }
 
-/// The requests by organisation.
+/// Outcomes of requests by organisation.
 #[derive(Debug, Default)]
 pub(super) struct Organisations {
     counts: BTreeMap<String, Counts>,
-    /// Requests whose callers showed no key that is known.
+    /// Requests refused for a missing or invalid caller key.
     without_key: u64,
 }
 
 impl Organisations {
-    /// Adds the end of a request.
+    /// Adds the outcome of a request.
     pub(super) fn add(&mut self, line: &LogLine) {
         if line.text("reason").starts_with("key_") {
             self.without_key += 1;
@@ -50,7 +50,7 @@
         }
     }
 
-    /// Returns the table of those that lost most; nothing where no line names one.
+    /// Formats a table of the organisations with most losses; empty if there are no requests.
     pub(super) fn text(&self) -> String {
         if self.counts.is_empty() && self.without_key == 0 {
             return String::new();
@@ -71,7 +71,7 @@
         )
     }
 
-    /// Returns all organisations.
+    /// Returns the counts of all organisations.
     pub(super) fn to_json(&self) -> Value {
         json!({"by_name": self.counts, "without_key": self.without_key})
     }
--- a/crates/foxtidectl/src/commands/losses/plot.rs
+++ b/crates/foxtidectl/src/commands/losses/plot.rs
@@ -1,4 +1,4 @@
-//! How requests ended and where they were sent, over time, as a picture.
+//! Draws request outcomes, slot waits and regions over time as SVG.
 
 use super::tally::{
     Counts,
@@ -15,20 +15,19 @@
 
 const SIZE_PX: (u32, u32) = (900, 900);
 
-/// The most regions that are drawn.
+/// The maximum number of regions drawn.
 const REGIONS_MAX: usize = 8;
 
-/// A line of a chart: its name, and its value in each window.
+/// A curve of a chart: its name and its value in each window.
 type Curve = (String, Vec<f64>);
 
 type Area<'a> = DrawingArea<SVGBackend<'a>, Shift>;
 
-/// Draws how requests ended, how long they waited for slots, and the regions that got them,
-/// one below the other.
+/// Draws three charts, one below the other: request outcomes, slot waits and regions.
 ///
 /// # Errors
 ///
-/// Fails where the file cannot be written.
+/// Returns an error if the file cannot be written.
 pub(super) fn plot(path: &Path, tally: &Tally) -> Result<(), Box<dyn Error>> {
     let windows = tally.by_window();
     let length = windows.keys().next_back().map_or(1, |&last| last + 1);
@@ -68,7 +67,7 @@
     Ok(())
 }
 
-/// Returns the regions that got most requests.
+/// Returns the regions with the most requests.
 fn busiest_regions(windows: &BTreeMap<u64, Counts>) -> BTreeSet<String> {
     let mut sums: BTreeMap<&String, u64> = BTreeMap::new();
     for (region, count) in windows.values().flat_map(|counts| &counts.regions) {
--- a/crates/foxtidectl/src/commands/losses/report.rs
+++ b/crates/foxtidectl/src/commands/losses/report.rs
@@ -1,4 +1,4 @@
-//! The sums, for people and for programs.
+//! Formats the counts as text and JSON.
 
 use super::tally::{
     Counts,
@@ -17,10 +17,9 @@
 use std::collections::BTreeMap;
 use std::fmt::Write;
 
-/// How many lines that cannot be read are named; all are counted.
+/// The maximum number of unreadable lines listed; all are counted.
 const UNREADABLE_LISTED_MAX: usize = 10;
 
-/// Returns the report of a tally.
 pub(super) fn report(tally: &Tally, unreadable: &[UnreadableLine]) -> Report {
     let routes = tally.sums(|key| (key.service.clone(), key.route.clone()));
     let windows = tally.by_window();
@@ -36,7 +35,7 @@
     }));
     text.push_str(&reasons(&routes));
     text.push_str(&tally.organisations.text());
-    text.push_str(&tally.calls.text(tally.window_s));
+    text.push_str(&tally.store_calls.text(tally.window_s));
     text.push_str(&footer(tally, unreadable));
     Report::new(text, to_json(tally, unreadable))
 }
@@ -104,7 +103,7 @@
     format!("\nby reason\n{}", table.text())
 }
 
-/// What the sums leave out; writing to a string cannot fail.
+/// Formats the counts of lines and requests missing from the tables.
 fn footer(tally: &Tally, unreadable: &[UnreadableLine]) -> String {
     let mut text = format!("\ncallers that left: {}\n", tally.cancelled);
     let (answered, others) = tally.lines_omitted;
@@ -130,16 +129,16 @@
             "counts": counts,
         })
     };
-    let named = |line: &UnreadableLine| json!({"file": line.file, "line": line.number, "cause": line.cause});
+    let unreadable_row = |line: &UnreadableLine| json!({"file": line.file, "line": line.number, "cause": line.cause});
     json!({
         "window_s": tally.window_s,
         "begins_s": tally.start_s,
         "rows": tally.counts.iter().map(row).collect::<Value>(),
         "organisations": tally.organisations.to_json(),
-        "store_calls": tally.calls.to_json(),
+        "store_calls": tally.store_calls.to_json(),
         "callers_left": tally.cancelled,
         "lines_left_out": {"answered": tally.lines_omitted.0, "others": tally.lines_omitted.1},
         "lines_dropped": tally.lines_dropped,
-        "unreadable": unreadable.iter().map(named).collect::<Value>(),
+        "unreadable": unreadable.iter().map(unreadable_row).collect::<Value>(),
     })
 }
--- a/crates/foxtidectl/src/commands/losses/store_calls.rs
+++ b/crates/foxtidectl/src/commands/losses/store_calls.rs
@@ -1,4 +1,4 @@
-//! The calls to the store, by what they were for and by window of time.
+//! Counts calls to the store by purpose and time window.
 
 use crate::commands::log_lines::LogLine;
 use crate::report::Table;
@@ -8,7 +8,7 @@
 };
 use std::collections::BTreeMap;
 
-/// What calls are for, as the fields of the lines are named.
+/// The purposes of calls, as named in the log lines.
 const PURPOSES: [&str; 7] = [
     "start",
     "start_old",
@@ -19,14 +19,14 @@
     "quarantine",
 ];
 
-/// Calls by window, in the order of [`PURPOSES`].
+/// Calls by window; counts are in the order of [`PURPOSES`].
 #[derive(Debug, Default)]
 pub(super) struct StoreCalls {
     windows: BTreeMap<u64, [u64; PURPOSES.len()]>,
 }
 
 impl StoreCalls {
-    /// Adds the calls that a line tells of.
+    /// Adds the counts of a line.
     pub(super) fn add(&mut self, line: &LogLine, window: u64) {
         let calls = self.windows.entry(window).or_default();
         for (count, purpose) in calls.iter_mut().zip(PURPOSES) {
@@ -34,8 +34,7 @@
         }
     }
 
-    /// Returns the table, with a row for all windows; nothing where no line told of
-    /// calls.
+    /// Formats a table with a final row of totals; empty if there are no counts.
     pub(super) fn text(&self, window_s: f64) -> String {
         if self.windows.is_empty() {
             return String::new();
@@ -45,19 +44,19 @@
         for (&window, calls) in &self.windows {
             table.cells(row(format!("{:.0}", window as f64 * window_s), calls));
         }
-        table.cells(row("all".to_owned(), &self.sum()));
+        table.cells(row("all".to_owned(), &self.totals()));
         let text = table.text();
         format!("\ncalls to the store, told up to 3 s after they were made\n{text}")
     }
 
-    /// Returns the sums of all windows.
+    /// Returns the totals of all windows.
     pub(super) fn to_json(&self) -> Value {
-        let sums = PURPOSES.into_iter().zip(self.sum());
+        let sums = PURPOSES.into_iter().zip(self.totals());
         sums.map(|(purpose, calls)| (purpose.to_owned(), json!(calls)))
             .collect()
     }
 
-    fn sum(&self) -> [u64; PURPOSES.len()] {
+    fn totals(&self) -> [u64; PURPOSES.len()] {
         let mut sum = [0; PURPOSES.len()];
         for calls in self.windows.values() {
             for (sum, calls) in sum.iter_mut().zip(calls) {
--- a/crates/foxtidectl/src/commands/losses/tally.rs
+++ b/crates/foxtidectl/src/commands/losses/tally.rs
@@ -1,8 +1,8 @@
-//! How requests and attempts ended, by service, route and window of time.
+//! Counts the outcomes of requests and attempts by service, route and time window.
 
 use super::object_history::{
-    Arrival,
-    ObjectHistory, //
+    ObjectHistory,
+    Placement, //
 };
 use super::organisations::Organisations;
 use super::store_calls::StoreCalls;
@@ -12,47 +12,46 @@
 /// The status of a request that did not run.
 const NOT_RUN_STATUS: f64 = 503.0;
 
-/// How long an attempt that an upstream refused may take without having waited there,
-/// in milliseconds: a new connection and an exchange between the regions that are
-/// furthest apart.
+/// The longest duration of an immediate refusal in milliseconds: a new connection and a
+/// round trip between the most distant regions. Slower refusals waited at the upstream.
 const IMMEDIATE_REFUSAL_MAX_MS: f64 = 250.0;
 
-/// The requests of one service and route in one window.
+/// Counts of one service and route in one window.
 #[derive(Clone, Debug, Default, serde::Serialize)]
 pub(super) struct Counts {
     /// Answered within the latency objective.
     pub(super) in_time: u64,
-    /// Answered later.
+    /// Answered after the latency objective.
     pub(super) late: u64,
-    /// Refused: they did not run.
+    /// Refused without having run.
     pub(super) refused: u64,
-    /// Failed, or their outcome is unknown.
+    /// Failed or with unknown outcome.
     pub(super) failed: u64,
     /// Refusals and failures by reason.
     pub(super) reasons: BTreeMap<String, u64>,
-    /// Attempts that were cut by a limit of time.
+    /// Attempts that timed out.
     pub(super) attempts_cut: u64,
-    /// Attempts that an upstream refused after they had waited there.
+    /// Attempts refused by an upstream after a wait.
     pub(super) attempts_refused_late: u64,
-    /// Attempts that an upstream refused at once.
+    /// Attempts refused by an upstream immediately.
     pub(super) attempts_refused: u64,
-    /// Attempts whose answer was lost or wrong.
+    /// Attempts whose response was lost or invalid.
     pub(super) attempts_lost: u64,
-    /// Seconds that attempts in vain spent at upstreams, waits there included.
+    /// Seconds spent at upstreams by failed attempts, including waits.
     pub(super) vain_s: f64,
-    /// Seconds that requests waited for slots.
+    /// Seconds spent waiting for slots.
     pub(super) slot_wait_s: f64,
-    /// Requests of objects that no upstream had served before.
+    /// Requests for objects that no upstream had served before.
     pub(super) objects_first: u64,
-    /// Requests of objects that another upstream had served before.
+    /// Requests for objects that only other upstreams had served before.
     pub(super) objects_moved: u64,
-    /// Requests by the region of their last upstream.
+    /// Requests by region of the last upstream.
     pub(super) regions: BTreeMap<String, u64>,
-    /// The oldest knowledge that decided a request, in milliseconds.
+    /// The maximum age of the store's data used to route a request, in milliseconds.
     pub(super) knowledge_age_max_ms: f64,
 }
 
-/// What is counted together.
+/// The key by which events are grouped.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct GroupKey {
     pub(super) service: String,
@@ -60,30 +59,27 @@
     pub(super) window: u64,
 }
 
-/// All counts.
+/// The counts of all log lines.
 #[derive(Debug, Default)]
 pub(super) struct Tally {
     pub(super) counts: BTreeMap<GroupKey, Counts>,
-    /// The length of a window in seconds.
+    /// The window length in seconds.
     pub(super) window_s: f64,
-    /// When the first window begins, in seconds since 1970.
+    /// Unix time in seconds at the start of the first window.
     pub(super) start_s: f64,
-    /// Requests whose callers left.
+    /// Requests cancelled by their callers.
     pub(super) cancelled: u64,
-    /// Lines that instances left out: of requests that were answered in time, and of
-    /// others.
+    /// Lines omitted by instances: of requests answered in time, and of others.
     pub(super) lines_omitted: (u64, u64),
-    /// Lines that were dropped since standard output was not read.
+    /// Lines dropped because standard output was blocked.
     pub(super) lines_dropped: u64,
-    /// The calls to the store.
-    pub(super) calls: StoreCalls,
-    /// How the requests of each organisation ended.
+    pub(super) store_calls: StoreCalls,
     pub(super) organisations: Organisations,
     objects: ObjectHistory,
 }
 
 impl Tally {
-    /// Counts events, which are in the order of their times.
+    /// Counts events, which must be ordered by time.
     pub(super) fn from_events(events: &[LogLine], window_s: f64) -> Self {
         let mut tally = Self {
             window_s,
@@ -96,12 +92,12 @@
         tally
     }
 
-    /// Returns the sums of each window.
+    /// Returns the totals of each window.
     pub(super) fn by_window(&self) -> BTreeMap<u64, Counts> {
         self.sums(|key| key.window)
     }
 
-    /// Returns the sums of all that have a part of the key in common.
+    /// Returns the totals of each group, where `group_of` derives the group from the key.
     pub(super) fn sums<K: Ord>(&self, group_of: impl Fn(&GroupKey) -> K) -> BTreeMap<K, Counts> {
         let mut sums: BTreeMap<K, Counts> = BTreeMap::new();
         for (key, counts) in &self.counts {
@@ -125,7 +121,7 @@
             }
             "store-calls" => {
                 let window = self.window_of(line);
-                self.calls.add(line, window);
+                self.store_calls.add(line, window);
             }
             "lines-dropped" => self.lines_dropped += number_field(line, "lines"),
             _ => {}
@@ -134,8 +130,8 @@
 
     fn answered(&mut self, line: &LogLine) {
         let object = line.text("object");
-        let arrival = if object == "-" {
-            Arrival::Known
+        let placement = if object == "-" {
+            Placement::Known
         } else {
             let (service, upstream) = (line.text("service"), line.text("upstream"));
             self.objects.record_service(&service, &object, &upstream)
@@ -148,10 +144,10 @@
         } else {
             counts.late += 1;
         }
-        match arrival {
-            Arrival::Known => {}
-            Arrival::First => counts.objects_first += 1,
-            Arrival::Moved => counts.objects_moved += 1,
+        match placement {
+            Placement::Known => {}
+            Placement::First => counts.objects_first += 1,
+            Placement::Moved => counts.objects_moved += 1,
         }
         counts.add_decision(line);
     }
@@ -206,7 +202,7 @@
         }
     }
 
-    /// Adds what was counted elsewhere.
+    /// Adds the counts of another group.
     pub(super) fn add(&mut self, other: &Self) {
         self.in_time += other.in_time;
         self.late += other.late;
