--- a/crates/foxtidectl/src/commands/blocks/change.rs
+++ b/crates/foxtidectl/src/commands/blocks/change.rs
@@ -1,4 +1,4 @@
-//! `foxtidectl blocks set` and `foxtidectl blocks remove`.
+//! `foxtidectl blocks set` and `foxtidectl blocks remove`: change single client blocks.
 
 use super::{
     accepted_report,
@@ -36,7 +36,7 @@
 }
 
 impl Set {
-    /// Writes the change.
+    /// Assigns the block to the site.
     pub(super) async fn run(self, session: &Session) -> Result<Report, Failure> {
         let net = parse_block(&self.block)?;
         let base = require_manifest(session).await?;
@@ -51,7 +51,7 @@
 }
 
 impl Remove {
-    /// Writes the change.
+    /// Removes the block from the table.
     pub(super) async fn run(self, session: &Session) -> Result<Report, Failure> {
         let net = parse_block(&self.block)?;
         let base = require_manifest(session).await?;
@@ -63,8 +63,8 @@
     }
 }
 
-/// Reads a block; one with bits set beyond its length is refused, for it may
-/// be meant otherwise.
+/// Parses a block. Bits set beyond the prefix length are an error: the intended block is
+/// ambiguous.
 fn parse_block(text: &str) -> Result<IpNet, Failure> {
     let net: Option<IpNet> = text.parse().ok();
     net.filter(|net| net.trunc() == *net).ok_or_else(|| {
--- a/crates/foxtidectl/src/commands/blocks/find.rs
+++ b/crates/foxtidectl/src/commands/blocks/find.rs
@@ -1,4 +1,4 @@
-//! `foxtidectl blocks find`.
+//! `foxtidectl blocks find`: the site of a client address.
 
 use super::require_manifest;
 use crate::failure::Failure;
@@ -19,7 +19,7 @@
 }
 
 impl Find {
-    /// Reads the table and looks the address up.
+    /// Loads the table and looks up the address.
     pub(super) async fn run(self, session: &Session) -> Result<Report, Failure> {
         let manifest = require_manifest(session).await?.manifest;
         let table = load_table(session.store(), &manifest).await?;
--- a/crates/foxtidectl/src/commands/blocks/load.rs
+++ b/crates/foxtidectl/src/commands/blocks/load.rs
@@ -1,4 +1,4 @@
-//! `foxtidectl blocks load`.
+//! `foxtidectl blocks load`: replaces all sites and client blocks.
 
 use super::{
     accepted_report,
@@ -35,7 +35,7 @@
     file: String,
 }
 
-/// What the file holds.
+/// The content of a blocks file.
 #[derive(Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct BlocksFile {
@@ -44,7 +44,7 @@
 }
 
 impl Load {
-    /// Writes the table.
+    /// Replaces the table by that of the file.
     pub(super) async fn run(self, session: &Session) -> Result<Report, Failure> {
         let text = document::read_text(Path::new(&self.file))?;
         let file: BlocksFile = document::parse(&self.file, &text)?;
--- a/crates/foxtidectl/src/commands/blocks/mod.rs
+++ b/crates/foxtidectl/src/commands/blocks/mod.rs
@@ -51,14 +51,14 @@
     }
 }
 
-/// Reads the manifest, which must be there.
+/// Loads the manifest; fails if it does not exist.
 async fn require_manifest(session: &Session) -> Result<StoredManifest, Failure> {
     let stored = blocks::load_manifest(session.store()).await?;
     let missing = || Failure::refused("there are no client blocks", "see `foxtidectl blocks load`");
     stored.ok_or_else(missing)
 }
 
-/// Returns the number of a site.
+/// Returns the index of a site.
 fn site_index(sites: &SiteTable, name: &str) -> Result<SiteIndex, Failure> {
     let found = sites.index_of(&name.parse()?);
     found.ok_or_else(|| {
@@ -67,20 +67,18 @@
     })
 }
 
-/// Tells what was accepted.
 fn accepted_report(published: &PublishedBlocks) -> Report {
     let revision = published.manifest.revision;
-    let how = match published.settled {
+    let note = match published.settled {
         true => " (the answer was lost; found by reading)",
         false => "",
     };
     Report::new(
-        format!("Accepted: client blocks r{revision}{how}."),
+        format!("Accepted: client blocks r{revision}{note}."),
         json!({"written": true, "revision": revision, "settled": published.settled}),
     )
 }
 
-/// Tells what would be written.
 fn preview_report(text: &str) -> Report {
     let text = format!("{text}\nNot written. Add --yes before the command to write it.");
     Report::new(text, json!({"written": false}))
--- a/crates/foxtidectl/src/commands/blocks/show.rs
+++ b/crates/foxtidectl/src/commands/blocks/show.rs
@@ -1,4 +1,4 @@
-//! `foxtidectl blocks show`.
+//! `foxtidectl blocks show`: the sites and the size of the table.
 
 use super::require_manifest;
 use crate::failure::Failure;
@@ -20,7 +20,7 @@
 pub(super) struct Show {}
 
 impl Show {
-    /// Reads the manifest.
+    /// Loads the manifest and prints its sites and sizes.
     pub(super) async fn run(self, session: &Session) -> Result<Report, Failure> {
         let manifest = require_manifest(session).await?.manifest;
         let text = format!("{}\n{}", summary(&manifest), sites(&manifest));
--- a/crates/foxtidectl/src/commands/drain/mod.rs
+++ b/crates/foxtidectl/src/commands/drain/mod.rs
@@ -37,7 +37,7 @@
     }
 }
 
-/// Tells what a drain takes out of service.
+/// Formats the target of a drain.
 fn describe(target: &DrainTarget) -> String {
     match target {
         DrainTarget::Upstream { service, upstream } => format!("upstream {service}/{upstream}"),
--- a/crates/foxtidectl/src/commands/drain/start.rs
+++ b/crates/foxtidectl/src/commands/drain/start.rs
@@ -1,4 +1,4 @@
-//! `foxtidectl drain start`.
+//! `foxtidectl drain start`: announces a drain.
 
 use super::describe;
 use crate::admin;
@@ -78,8 +78,8 @@
         }
     }
 
-    /// Returns the document with the drain; the same document where the target
-    /// is being drained already, so that the command can be run again.
+    /// Returns the document with the drain added, or unchanged if the target is
+    /// already drained, which makes the command idempotent.
     fn with_drain(
         &self,
         session: &Session,
@@ -99,8 +99,8 @@
     }
 }
 
-/// Refuses an instance that nobody knows, where instances can be asked: the
-/// document does not hold them, and a wrong name would do nothing.
+/// Refuses a target instance that is unknown to the first admin listener that responds.
+/// Documents do not list instances, so a misspelt name would have no effect.
 async fn check_instance_exists(session: &Session, target: &DrainTarget) -> Result<(), Failure> {
     let admin = &session.options().admin;
     let DrainTarget::Instance(wanted) = target else {
@@ -138,7 +138,7 @@
     })
 }
 
-/// Returns the drain's name: the same for the same target.
+/// Derives the drain's id from its target.
 fn drain_id(target: &DrainTarget) -> Result<DrainId, Failure> {
     let name = match target {
         DrainTarget::Upstream { service, upstream } => format!("{service}-{upstream}"),
--- a/crates/foxtidectl/src/commands/drain/status.rs
+++ b/crates/foxtidectl/src/commands/drain/status.rs
@@ -1,4 +1,4 @@
-//! `foxtidectl drain status`.
+//! `foxtidectl drain status`: lists the announced drains.
 
 use super::describe;
 use crate::failure::Failure;
@@ -26,7 +26,7 @@
 }
 
 impl Status {
-    /// Lists the drains with their state by the clock.
+    /// Lists the drains with their state at the current time.
     pub(super) async fn run(self, session: &Session) -> Result<Report, Failure> {
         let document = session.load(&self.organisation).await?.document;
         let now = session.now();
@@ -50,7 +50,7 @@
     format!("since {} s", (now - drain.start_us).as_secs())
 }
 
-/// Tells how many upstreams of each touched service are left.
+/// Formats the number of remaining upstreams of each affected service.
 fn remaining_upstreams(document: &Organisation, drain: &Drain) -> String {
     let affected = document.services.iter().filter_map(|service| {
         let all = service.upstreams.len();
--- a/crates/foxtidectl/src/commands/drain/stop.rs
+++ b/crates/foxtidectl/src/commands/drain/stop.rs
@@ -1,4 +1,4 @@
-//! `foxtidectl drain stop`.
+//! `foxtidectl drain stop`: removes an announced drain.
 
 use crate::change_document::{
     self,
@@ -22,8 +22,8 @@
 }
 
 impl Stop {
-    /// Removes the drain; one that is gone already is no error, so that the
-    /// command can be run again.
+    /// Removes the drain. A missing drain is not an error, which makes the command
+    /// idempotent.
     pub(super) async fn run(self, session: &Session) -> Result<Report, Failure> {
         let base = session.load(&self.organisation).await?;
         let mut document = base.document.clone();
--- a/crates/foxtidectl/src/commands/movement/demand.rs
+++ b/crates/foxtidectl/src/commands/movement/demand.rs
@@ -1,4 +1,4 @@
-//! Whether a move's traffic fits what was sold.
+//! Checks the traffic of a move against the sold rates.
 
 use super::forecast;
 use crate::failure::Failure;
@@ -8,12 +8,11 @@
 };
 use foxtide_core::units::RequestRate;
 
-/// Checks that the traffic which a move brings in the end fits the link and
+/// Checks that the traffic of a completed move fits the sold rates of the link and of
 /// the receiving region.
 ///
-/// `demand` is the service's traffic that arrives in the giving region. What
-/// other services send is not known here; the instances hold the limits
-/// whatever the plan says.
+/// `demand` is the service's traffic that arrives in the source region. Traffic of other
+/// services is not included; instances enforce the limits in any case.
 pub(super) fn check(
     document: &Organisation,
     movement: &PlannedMove,
--- a/crates/foxtidectl/src/commands/movement/forecast.rs
+++ b/crates/foxtidectl/src/commands/movement/forecast.rs
@@ -1,4 +1,4 @@
-//! What a move will do, and when: the instances' own computation.
+//! Predicts the course of a move with the computation that the instances use.
 
 use foxtide_core::organisation::{
     Organisation,
@@ -11,8 +11,8 @@
 use foxtide_core::time::WallTime;
 use std::time::Duration;
 
-/// Returns how much of the giving region's traffic moves in a second: the
-/// instances keep a margin below the shift cap.
+/// Returns the share of the source region's traffic that moves per second, limited to
+/// the shift cap less the instances' safety margin.
 pub(super) fn pace_per_s(document: &Organisation, planned: &PlannedMove) -> f64 {
     let pace = planned.pace_share_per_s.get();
     let service = document.service(&planned.service);
@@ -20,7 +20,7 @@
     pace.min(cap * SteeringOptions::default().shift_cap_factor)
 }
 
-/// Returns how long a move takes from its start to its end.
+/// Returns the time from the start of a move to its end.
 pub(super) fn duration(document: &Organisation, planned: &PlannedMove) -> Duration {
     Duration::from_secs_f64(planned.share.get() / pace_per_s(document, planned))
 }
@@ -35,8 +35,8 @@
         .min(moving_s * pace_per_s(document, planned))
 }
 
-/// Returns which part of the giving region's traffic each region serves at a
-/// time, in the order of the document's regions.
+/// Returns the share of the source region's traffic that each region serves at a time,
+/// in the order of the document's regions.
 pub(super) fn shares(document: &Organisation, planned: &PlannedMove, at: WallTime) -> Vec<f64> {
     let factor = SteeringOptions::default().shift_cap_factor;
     let rows = PlannedRows::new(document, &planned.from, factor);
--- a/crates/foxtidectl/src/commands/movement/pause.rs
+++ b/crates/foxtidectl/src/commands/movement/pause.rs
@@ -1,4 +1,4 @@
-//! `foxtidectl move pause`.
+//! `foxtidectl move pause`: holds a move at its current position.
 
 use crate::change_document::{
     self,
@@ -26,7 +26,7 @@
 }
 
 impl Pause {
-    /// Sets the time of the pause; a move that is paused stays as it is.
+    /// Records the time of the pause; a move that is already paused is unchanged.
     pub(super) async fn run(self, session: &Session) -> Result<Report, Failure> {
         let base = session.load(&self.organisation).await?;
         let mut document = base.document.clone();
@@ -41,7 +41,7 @@
     }
 }
 
-/// Returns the move of this name.
+/// Returns the move with this id.
 pub(super) fn find_move<'a>(
     document: &'a mut Organisation,
     name: &str,
--- a/crates/foxtidectl/src/commands/movement/plan.rs
+++ b/crates/foxtidectl/src/commands/movement/plan.rs
@@ -1,4 +1,4 @@
-//! `foxtidectl move plan`.
+//! `foxtidectl move plan`: previews the course of a move.
 
 use super::start::{
     MoveArguments,
@@ -24,7 +24,7 @@
 use serde_json::json;
 use std::time::Duration;
 
-/// How many points of time a plan shows.
+/// The number of steps in the table of a plan.
 const PLAN_STEPS: u32 = 5;
 
 /// Show what a move would do; writes nothing
@@ -56,7 +56,7 @@
 }
 
 impl Plan {
-    /// Checks the move against the document in force and shows its course.
+    /// Validates the move against the stored document and prints its course.
     pub(super) async fn run(self, session: &Session) -> Result<Report, Failure> {
         let base = session.load(&self.organisation).await?;
         let arguments = MoveArguments {
--- a/crates/foxtidectl/src/commands/movement/resume.rs
+++ b/crates/foxtidectl/src/commands/movement/resume.rs
@@ -1,4 +1,4 @@
-//! `foxtidectl move resume`.
+//! `foxtidectl move resume`: continues a paused move.
 
 use super::pause::find_move;
 use crate::change_document::{
@@ -25,8 +25,8 @@
 }
 
 impl Resume {
-    /// Shifts the start by the length of the pause, so that the position goes
-    /// on from where it was.
+    /// Shifts the start time by the length of the pause, so that the move continues
+    /// from its position.
     pub(super) async fn run(self, session: &Session) -> Result<Report, Failure> {
         let base = session.load(&self.organisation).await?;
         let mut document = base.document.clone();
@@ -40,10 +40,9 @@
     }
 }
 
-/// Lets a move go on from the position that it has.
+/// Resumes a move at its current position.
 ///
-/// An instance that learns of it late is behind for as long; it follows under
-/// the shift cap.
+/// Instances that receive the change late catch up within the shift cap.
 fn resume(movement: &mut PlannedMove, now: WallTime) {
     if let Some(paused) = movement.paused_us.take() {
         let moved_for = paused.since(movement.start_us);
--- a/crates/foxtidectl/src/commands/movement/start.rs
+++ b/crates/foxtidectl/src/commands/movement/start.rs
@@ -1,4 +1,4 @@
-//! `foxtidectl move start`.
+//! `foxtidectl move start`: schedules a move.
 
 use crate::change_document::{
     self,
@@ -18,8 +18,8 @@
 };
 use std::time::Duration;
 
-/// The default time until a move starts: longer than an accepted change takes
-/// to be in force on every instance.
+/// The default delay before a move starts, longer than a change takes to reach all
+/// instances.
 const DEFAULT_START_DELAY_S: u32 = 20;
 
 /// Start moving a part of a region's traffic to another region
@@ -49,20 +49,19 @@
     in_s: u32,
 }
 
-/// A move as the command line describes it.
+/// A move as given on the command line.
 #[derive(Debug)]
 pub(super) struct MoveArguments {
-    /// The service.
     pub(super) service: String,
-    /// The region that gives.
+    /// The source region.
     pub(super) from: String,
-    /// The region that takes.
+    /// The receiving region.
     pub(super) to: String,
-    /// The part that moves.
+    /// The share of the source region's traffic.
     pub(super) share: String,
-    /// How fast.
+    /// The share that moves per second; the contract's shift cap by default.
     pub(super) pace: Option<String>,
-    /// The time until it starts.
+    /// The delay before the move starts.
     pub(super) start_delay: Duration,
 }
 
@@ -93,7 +92,7 @@
     }
 }
 
-/// Returns the move that the arguments describe.
+/// Builds the move from the arguments.
 pub(super) fn build_move(
     session: &Session,
     document: &Organisation,
@@ -125,7 +124,7 @@
     })
 }
 
-/// Returns the move's name: the same for the same service and regions.
+/// Derives the move's id from its service and regions.
 fn move_id(arguments: &MoveArguments) -> Result<MoveId, Failure> {
     let MoveArguments {
         service, from, to, ..
@@ -133,8 +132,8 @@
     Ok(format!("{service}-{from}-{to}").parse()?)
 }
 
-/// Tells whether the same move is in the document already, so that the command
-/// can be run again.
+/// Returns whether the document already contains the same move, which makes the command
+/// idempotent.
 fn is_in_progress(document: &Organisation, movement: &PlannedMove) -> Result<bool, Failure> {
     let Some(known) = document.moves.iter().find(|known| known.id == movement.id) else {
         return Ok(false);
--- a/crates/foxtidectl/src/commands/movement/status.rs
+++ b/crates/foxtidectl/src/commands/movement/status.rs
@@ -1,4 +1,4 @@
-//! `foxtidectl move status`.
+//! `foxtidectl move status`: lists the moves and their positions.
 
 use super::forecast;
 use crate::failure::Failure;
@@ -28,7 +28,7 @@
 }
 
 impl Status {
-    /// Lists the moves with their position by the clock.
+    /// Lists the moves with their position at the current time.
     pub(super) async fn run(self, session: &Session) -> Result<Report, Failure> {
         let document = session.load(&self.organisation).await?.document;
         let now = session.now();
