--- a/crates/foxtidectl/src/commands/check.rs
+++ b/crates/foxtidectl/src/commands/check.rs
@@ -1,4 +1,4 @@
-//! `foxtidectl check`.
+//! `foxtidectl check`: validates a file without writing anything.
 
 use crate::failure::Failure;
 use crate::report::Report;
@@ -17,7 +17,7 @@
 };
 use std::path::Path;
 
-/// The name that a template is tried with.
+/// The organisation name used to instantiate a template for validation.
 const TRIAL_NAME: &str = "trial";
 
 /// Check a settings file, a template or an organisation's document
@@ -29,7 +29,7 @@
     file: String,
 }
 
-/// What a file holds, told by a field that only this kind has.
+/// The kind of a file, detected by a field that only this kind has.
 enum Kind {
     Settings,
     Template,
@@ -37,7 +37,7 @@
 }
 
 impl Check {
-    /// Finds out what the file holds and checks it.
+    /// Detects the kind of the file and validates it.
     pub(crate) fn run(self) -> Result<Report, Failure> {
         let text = document::read_text(Path::new(&self.file))?;
         let value = document::parse_value(&self.file, &text)?;
@@ -78,8 +78,7 @@
     Ok(format!("settings of instance {}", settings.instance))
 }
 
-/// Checks a template and, where all parameters have defaults, the document
-/// that they make.
+/// Checks a template and, if all parameters have defaults, the resulting document.
 fn template(name: &str, text: &str) -> Result<String, Failure> {
     let template = Template::parse(name, text)?;
     let title = format!("template {} v{}", template.template, template.version);
--- a/crates/foxtidectl/src/commands/organisation/create.rs
+++ b/crates/foxtidectl/src/commands/organisation/create.rs
@@ -1,4 +1,4 @@
-//! `foxtidectl organisation create`.
+//! `foxtidectl organisation create`: creates an organisation from a template.
 
 use super::parameters;
 use crate::change_document::{
@@ -35,7 +35,7 @@
 }
 
 impl Create {
-    /// Makes the document and has it accepted.
+    /// Instantiates the template and writes the document.
     pub(super) async fn run(self, session: &Session) -> Result<Report, Failure> {
         let name: OrganisationId = self.organisation.parse()?;
         let template = Template::load(Path::new(&self.template))?;
@@ -54,8 +54,8 @@
     }
 }
 
-/// Takes a repeated command as done where the organisation is what it would
-/// make; else refuses.
+/// Succeeds if the existing organisation is identical to the requested one, which makes
+/// the command idempotent, and refuses otherwise.
 fn check_existing(
     _session: &Session,
     stored: &change::Stored,
--- a/crates/foxtidectl/src/commands/organisation/diff.rs
+++ b/crates/foxtidectl/src/commands/organisation/diff.rs
@@ -1,4 +1,4 @@
-//! `foxtidectl organisation diff`.
+//! `foxtidectl organisation diff`: compares an organisation with a template.
 
 use super::parameters;
 use crate::change_document::difference_lines;
@@ -33,7 +33,7 @@
 }
 
 impl Diff {
-    /// Shows the differences; writes nothing.
+    /// Prints the differences without writing.
     pub(super) async fn run(self, session: &Session) -> Result<Report, Failure> {
         let template = Template::load(Path::new(&self.template))?;
         let stored = session.load(&self.organisation).await?;
--- a/crates/foxtidectl/src/commands/organisation/edit.rs
+++ b/crates/foxtidectl/src/commands/organisation/edit.rs
@@ -1,4 +1,4 @@
-//! `foxtidectl organisation edit`.
+//! `foxtidectl organisation edit`: changes template parameters.
 
 use super::parameters;
 use crate::change_document;
@@ -35,7 +35,7 @@
 }
 
 impl Edit {
-    /// Makes the changed document and has it accepted.
+    /// Instantiates the template with the changed parameters and writes the document.
     pub(super) async fn run(self, session: &Session) -> Result<Report, Failure> {
         let template = Template::load(Path::new(&self.template))?;
         let base = session.load(&self.organisation).await?;
@@ -50,7 +50,7 @@
         change_document::apply(session, edit).await
     }
 
-    /// Returns the parameters as they are to be.
+    /// Returns the parameters after the change.
     fn parameters(
         &self,
         template: &Template,
@@ -64,7 +64,7 @@
         Ok(parameters)
     }
 
-    /// Returns the parameters given so far, if this is the right template.
+    /// Returns the current parameters if the template matches the organisation's.
     fn current_parameters(
         &self,
         template: &Template,
@@ -100,8 +100,8 @@
     }
 }
 
-/// Returns the new document with the moves and drains of the current one,
-/// which no template holds.
+/// Returns the new document with the moves and drains of the current one, which are not
+/// part of templates.
 fn with_moves_and_drains(base: &Stored, fresh: Organisation) -> Organisation {
     Organisation {
         moves: base.document.moves.clone(),
--- a/crates/foxtidectl/src/commands/organisation/history.rs
+++ b/crates/foxtidectl/src/commands/organisation/history.rs
@@ -1,4 +1,4 @@
-//! `foxtidectl organisation history`.
+//! `foxtidectl organisation history`: lists the accepted changes.
 
 use crate::failure::Failure;
 use crate::report::{
@@ -20,7 +20,7 @@
 }
 
 impl History {
-    /// Shows the changes that the document remembers.
+    /// Prints the changes recorded in the document, newest first.
     pub(super) async fn run(self, session: &Session) -> Result<Report, Failure> {
         let document = session.load(&self.organisation).await?.document;
         let mut table = Table::new(["revision", "written", "author", "summary", "change"]);
--- a/crates/foxtidectl/src/commands/organisation/list.rs
+++ b/crates/foxtidectl/src/commands/organisation/list.rs
@@ -1,4 +1,4 @@
-//! `foxtidectl organisation list`.
+//! `foxtidectl organisation list`: lists the organisations.
 
 use crate::failure::Failure;
 use crate::report::{
@@ -22,7 +22,7 @@
 pub(super) struct List {}
 
 impl List {
-    /// Lists all organisations of the store.
+    /// Lists all organisations in the store.
     pub(super) async fn run(self, session: &Session) -> Result<Report, Failure> {
         let stored = change::load_all(session.store()).await?;
         let heading = [
--- a/crates/foxtidectl/src/commands/organisation/parameters.rs
+++ b/crates/foxtidectl/src/commands/organisation/parameters.rs
@@ -1,4 +1,4 @@
-//! Parameters as they are given on the command line.
+//! Template parameters given on the command line.
 
 use crate::failure::Failure;
 use foxtide_config::Template;
@@ -6,10 +6,10 @@
 use foxtide_config::template::Parameters;
 use std::path::Path;
 
-/// What complaints about `--set` name as their place.
+/// The source named in errors about `--set`.
 const SOURCE: &str = "--set";
 
-/// Collects the parameters of a file and of `--set`, the latter winning.
+/// Collects the parameters of a file and of `--set`; the latter takes precedence.
 pub(super) fn collect(
     template: &Template,
     file: Option<&str>,
--- a/crates/foxtidectl/src/commands/organisation/show.rs
+++ b/crates/foxtidectl/src/commands/organisation/show.rs
@@ -1,4 +1,4 @@
-//! `foxtidectl organisation show`.
+//! `foxtidectl organisation show`: prints an organisation.
 
 use crate::failure::Failure;
 use crate::report::{
@@ -23,7 +23,7 @@
 }
 
 impl Show {
-    /// Shows the document in force; as JSON, the whole of it.
+    /// Prints a summary of the stored document, or all of it as JSON.
     pub(super) async fn run(self, session: &Session) -> Result<Report, Failure> {
         let document = session.load(&self.organisation).await?.document;
         let text = [
--- a/crates/foxtidectl/src/commands/promises.rs
+++ b/crates/foxtidectl/src/commands/promises.rs
@@ -1,4 +1,4 @@
-//! `foxtidectl promises`.
+//! `foxtidectl promises`: the worst measurement of each promise over all instances.
 
 use crate::admin;
 use crate::failure::Failure;
@@ -25,7 +25,7 @@
     organisation: Option<String>,
 }
 
-/// A promise as one instance measures it.
+/// A promise as measured by one instance.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 struct Measurement {
     organisation: String,
@@ -39,19 +39,19 @@
     held: bool,
 }
 
-/// A promise over all instances that answered: the worst of them counts.
+/// The worst measurement of a promise over all instances that responded.
 #[derive(Debug, Serialize)]
 struct PromiseSummary {
     #[serde(flatten)]
     worst: Measurement,
-    /// At how many instances it was not kept.
+    /// The number of instances that measured a violation.
     broken_at: usize,
-    /// At how many instances it was measured.
+    /// The number of instances that measured the promise.
     measured_at: usize,
 }
 
 impl Promises {
-    /// Asks all instances.
+    /// Collects the measurements of all instances.
     pub(crate) async fn run(self, session: &Session) -> Result<Report, Failure> {
         let page = match &self.organisation {
             Some(name) => format!("/v1/promises?organisation={name}"),
@@ -76,7 +76,7 @@
     }
 }
 
-/// Joins what the instances measured; broken promises come first.
+/// Groups the measurements by promise, most violations first.
 fn summarise(measurements: Vec<Measurement>) -> Vec<PromiseSummary> {
     let mut summaries_by_key: BTreeMap<[String; 4], PromiseSummary> = BTreeMap::new();
     for measurement in measurements {
--- a/crates/foxtidectl/src/commands/template/list.rs
+++ b/crates/foxtidectl/src/commands/template/list.rs
@@ -1,4 +1,4 @@
-//! `foxtidectl template list`.
+//! `foxtidectl template list`: lists the templates in a directory.
 
 use crate::failure::Failure;
 use crate::report::{
@@ -16,8 +16,8 @@
     PathBuf, //
 };
 
-/// How the name of a template's file ends.
-const FILE_ENDING: &str = "template.jsonc";
+/// The suffix of template file names.
+const FILE_SUFFIX: &str = "template.jsonc";
 
 /// List the templates in a directory and the directories in it
 #[derive(Debug, FromArgs)]
@@ -58,7 +58,7 @@
     Ok(Template::parse(&path.display().to_string(), &text)?)
 }
 
-/// Returns the templates' files in a directory and one level below.
+/// Returns the template files in a directory and its direct subdirectories.
 fn files(directory: &Path) -> Result<Vec<PathBuf>, Failure> {
     let mut found = Vec::new();
     for path in entries(directory)? {
@@ -83,5 +83,5 @@
 
 fn is_template(path: &Path) -> bool {
     let name = path.file_name().and_then(|name| name.to_str());
-    name.is_some_and(|name| name.ends_with(FILE_ENDING))
+    name.is_some_and(|name| name.ends_with(FILE_SUFFIX))
 }
--- a/crates/foxtidectl/src/commands/template/show.rs
+++ b/crates/foxtidectl/src/commands/template/show.rs
@@ -1,4 +1,4 @@
-//! `foxtidectl template show`.
+//! `foxtidectl template show`: prints the parameters of a template.
 
 use crate::failure::Failure;
 use crate::report::{
--- a/crates/foxtidectl/src/commands/timeline.rs
+++ b/crates/foxtidectl/src/commands/timeline.rs
@@ -1,4 +1,4 @@
-//! `foxtidectl timeline`.
+//! `foxtidectl timeline`: the merged events of all instances.
 
 use crate::admin;
 use crate::failure::Failure;
@@ -32,11 +32,11 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// How often `--follow` asks.
+/// The polling interval of `--follow`.
 const FOLLOW_PERIOD: Duration = Duration::from_secs(1);
 
-/// How far behind the newest shown event `--follow` still takes others in:
-/// they may come from slower instances.
+/// How much older than the newest event shown an event may be to appear with
+/// `--follow`; events of slower instances arrive late.
 const FOLLOW_LOOKBACK: Duration = Duration::from_secs(10);
 
 /// Show the events of all instances in one causal order
@@ -102,7 +102,7 @@
     }
 }
 
-/// The events of all instances that answered.
+/// The events of the instances that responded, and the errors of the others.
 struct FetchedEvents {
     events: Vec<Event>,
     errors: Vec<String>,
@@ -131,8 +131,8 @@
     })
 }
 
-/// Returns the events of a page, and how many cannot be read: an instance may
-/// be of another version.
+/// Parses the events of a page and counts those that are invalid, for example from
+/// another version.
 fn parse_events(address: SocketAddr, page: Value) -> (Vec<Event>, usize) {
     let name = format!("instance {address}");
     let Value::Array(listed) = page else {
@@ -147,7 +147,7 @@
     (events, unknown)
 }
 
-/// Returns the page to ask for; the instances filter as well, to send less.
+/// Returns the path of the events page with the filter as its query.
 fn events_path(filter: &EventFilter) -> String {
     let mut path = "/v1/events?".to_owned();
     let mut add = |name: &str, value: Option<String>| {
@@ -174,7 +174,6 @@
     path.trim_end_matches(['&', '?']).to_owned()
 }
 
-/// Returns an event as a line.
 fn event_line(event: &Event) -> String {
     let Event {
         clock, instance, ..
@@ -183,7 +182,7 @@
     format!("{time}+{} {instance} {event}\n", clock.counter)
 }
 
-/// Shows new events until the output is closed.
+/// Prints new events until the output is closed.
 async fn follow(
     admin_addresses: &[SocketAddr],
     filter: EventFilter,
@@ -210,7 +209,7 @@
     }
 }
 
-/// Writes an event. Tells whether the output still takes any.
+/// Writes an event and returns whether the output is still open.
 fn write_event(event: &Event, json: bool, output: &mut dyn Write) -> bool {
     let text = match json {
         true => format!("{}\n", json!(event)),
