--- a/crates/foxtidectl/tests/blocks.rs
+++ b/crates/foxtidectl/tests/blocks.rs
@@ -1,4 +1,4 @@
-//! Client blocks at the command line.
+//! Checks the `blocks` commands.
 
 #[allow(dead_code)]
 mod support;
@@ -10,7 +10,7 @@
     example, //
 };
 
-fn done(outcome: Outcome) -> String {
+fn successful_output(outcome: Outcome) -> String {
     assert_eq!(outcome.status, ExitStatus::Done, "{outcome:?}");
     outcome.output
 }
@@ -18,13 +18,13 @@
 fn with_blocks() -> Operator {
     let operator = Operator::new();
     let file = example("hamutenya/blocks.jsonc");
-    let output = done(operator.run(&["--yes", "blocks", "load", &file]));
+    let output = successful_output(operator.run(&["--yes", "blocks", "load", &file]));
     assert!(output.contains("client blocks r1"), "{output}");
     operator
 }
 
 fn find(operator: &Operator, client: &str) -> String {
-    done(operator.run(&["blocks", "find", client]))
+    successful_output(operator.run(&["blocks", "find", client]))
 }
 
 #[test]
@@ -34,13 +34,13 @@
     assert!(find(&operator, "2001:db8:20::7").contains("region erongo"));
     assert!(find(&operator, "192.0.2.1").contains("in no block"));
     let set = ["blocks", "set", "10.20.7.0/24", "ondangwa"];
-    assert!(done(operator.run(&set)).contains("Not written"));
+    assert!(successful_output(operator.run(&set)).contains("Not written"));
     assert!(find(&operator, "10.20.7.1").contains("region erongo"));
-    done(operator.run(&[&["--yes"][..], &set].concat()));
+    successful_output(operator.run(&[&["--yes"][..], &set].concat()));
     assert!(find(&operator, "10.20.7.1").contains("region oshana (r2)"));
-    done(operator.run(&["--yes", "blocks", "remove", "10.20.0.0/16"]));
+    successful_output(operator.run(&["--yes", "blocks", "remove", "10.20.0.0/16"]));
     assert!(find(&operator, "10.20.1.1").contains("region khomas (r3)"));
-    let shown = done(operator.run(&["blocks", "show"]));
+    let shown = successful_output(operator.run(&["blocks", "show"]));
     assert!(shown.contains("3 v4 and 2 v6 blocks in 2 chunks of r1, 2 changes since"));
 }
 
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn verify_without_blocks_the_operator_is_told_what_to_do() {
+fn verify_missing_blocks_are_reported_with_advice() {
     let outcome = Operator::new().run(&["blocks", "show"]);
     assert_eq!(outcome.status, ExitStatus::Refused);
     assert!(
--- a/crates/foxtidectl/tests/explain_lines.rs
+++ b/crates/foxtidectl/tests/explain_lines.rs
@@ -1,4 +1,4 @@
-//! A request explained from the structured lines of instances.
+//! Checks explanations of requests from log lines.
 
 use foxtidectl::ExitStatus;
 use std::path::PathBuf;
@@ -38,21 +38,21 @@
 }
 
 #[test]
-fn verify_a_refusal_names_what_the_upstreams_had_to_do() {
+fn verify_a_refusal_names_the_load_of_the_upstreams() {
     let (status, text) = explain("refused.log", LINES, "full");
     assert_eq!(status, ExitStatus::Done);
     let cause = "cause: status 503: it did not run: each upstream that was asked had no room \
                  (i-1 had 15 requests, i-2 had 17 requests)";
     assert!(text.contains(cause), "{text}");
     assert!(text.contains("configuration version 4 in force"), "{text}");
-    // What other instances believed, and of other upstreams, is left out.
+    // Events of other instances and other upstreams are omitted.
     assert!(!text.contains("version 5"), "{text}");
     assert!(!text.contains("i-9"), "{text}");
     assert_eq!(text.matches("upstream-ejected i-1").count(), 1, "{text}");
 }
 
 #[test]
-fn verify_an_unknown_outcome_says_why_it_was_not_sent_again() {
+fn verify_an_unknown_outcome_explains_the_missing_retry() {
     let (_, text) = explain("lost.log", LINES, "lost");
     assert!(
         text.contains("it may have run: the response was lost (i-1: reset)"),
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn verify_a_request_without_an_end_is_told_as_such() {
+fn verify_a_request_without_an_end_is_reported() {
     let (status, text) = explain("open.log", LINES, "open");
     assert_eq!(status, ExitStatus::Done);
     assert!(text.contains("its end is not in these lines"), "{text}");
@@ -105,7 +105,7 @@
 }
 
 #[test]
-fn verify_a_refusal_for_want_of_a_slot_names_the_wait_and_the_coordinator() {
+fn verify_a_refusal_without_a_slot_names_the_wait_and_the_coordinator() {
     let (_, text) = explain("unslotted.log", LINES, "unslotted");
     let cause = "cause: status 503: it did not run: it waited 310 ms for a slot of upstream i-2, \
                  and none was expected in its time (coordinator edge-2)";
--- a/crates/foxtidectl/tests/instances.rs
+++ b/crates/foxtidectl/tests/instances.rs
@@ -1,4 +1,4 @@
-//! Commands that ask the instances.
+//! Checks commands that query instances.
 
 #[allow(dead_code)]
 mod support;
@@ -18,26 +18,26 @@
 use std::net::SocketAddr;
 use support::run;
 
-/// Starts an instance's admin listener with these pages.
-async fn instance(pages: HashMap<&'static str, Value>) -> SocketAddr {
+/// Starts an admin listener that serves these pages.
+async fn start_admin_listener(pages: HashMap<&'static str, Value>) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
     let address = listener.local_addr().expect("bound");
     smol::spawn(async move {
         loop {
             let (connection, _) = listener.accept().await.expect("a connection");
             let pages = pages.clone();
-            let answered = async_h1::accept(connection, |request: Request| {
+            let served = async_h1::accept(connection, |request: Request| {
                 let page = pages.get(request.url().path()).cloned();
-                async move { Ok(answer(page)) }
+                async move { Ok(page_response(page)) }
             });
-            answered.await.expect("a request");
+            served.await.expect("a request");
         }
     })
     .detach();
     address
 }
 
-fn answer(page: Option<Value>) -> Response {
+fn page_response(page: Option<Value>) -> Response {
     let Some(page) = page else {
         return Response::new(StatusCode::NotFound);
     };
@@ -63,10 +63,10 @@
     })
 }
 
-/// Starts two instances, of which the first knows the other's admin address.
+/// Starts two admin listeners, the first of which lists the second, and returns its address.
 fn two_instances() -> SocketAddr {
     smol::block_on(async {
-        let second = instance(HashMap::from([
+        let second = start_admin_listener(HashMap::from([
             ("/v1/promises", json!([promise(1.2, false)])),
             (
                 "/v1/events",
@@ -78,7 +78,7 @@
         ]));
         let second = second.await;
         let listed = json!([{"instance": "b", "admin_address": second, "state": "alive"}]);
-        let first = instance(HashMap::from([
+        let first = start_admin_listener(HashMap::from([
             ("/v1/instances", listed),
             ("/v1/promises", json!([promise(0.4, true)])),
             (
@@ -102,7 +102,7 @@
     })
 }
 
-fn ask(first: SocketAddr, arguments: &[&str]) -> String {
+fn run_with_admin(first: SocketAddr, arguments: &[&str]) -> String {
     let first = first.to_string();
     let mut all = vec!["--admin", &first];
     all.extend(arguments);
@@ -112,9 +112,9 @@
 }
 
 #[test]
-fn verify_the_time_line_merges_all_instances_in_causal_order() {
+fn verify_the_timeline_merges_all_instances_in_causal_order() {
     let first = two_instances();
-    let lines = ask(first, &["timeline"]);
+    let lines = run_with_admin(first, &["timeline"]);
     let order = ["F1002", "F2002", "F5003", "F4008"].map(|code| lines.find(code));
     assert!(order.is_sorted() && order[0].is_some(), "{lines}");
 }
@@ -122,7 +122,7 @@
 #[test]
 fn verify_events_of_another_version_do_not_hide_the_others() {
     let first = two_instances();
-    let lines = ask(first, &["timeline"]);
+    let lines = run_with_admin(first, &["timeline"]);
     assert!(
         lines.contains("1 event(s) of kinds that this version does not know"),
         "{lines}"
@@ -131,14 +131,14 @@
 }
 
 #[test]
-fn verify_the_time_line_is_filtered() {
+fn verify_the_timeline_is_filtered() {
     let first = two_instances();
-    let lines = ask(first, &["timeline", "--organisation", "kluisdepot"]);
+    let lines = run_with_admin(first, &["timeline", "--organisation", "kluisdepot"]);
     assert!(
         lines.contains("F4008") && !lines.contains("hamutenya"),
         "{lines}"
     );
-    let lines = ask(first, &["timeline", "--kind", "F5003"]);
+    let lines = run_with_admin(first, &["timeline", "--kind", "F5003"]);
     assert!(
         lines.contains("upstream-ejected") && !lines.contains("F2002"),
         "{lines}"
@@ -148,14 +148,14 @@
 #[test]
 fn verify_instances_that_do_not_answer_are_named() {
     let first = two_instances();
-    let lines = ask(first, &["--admin", "127.0.0.1:1", "timeline"]);
+    let lines = run_with_admin(first, &["--admin", "127.0.0.1:1", "timeline"]);
     assert!(lines.contains("missing: instance 127.0.0.1:1"), "{lines}");
 }
 
 #[test]
 fn verify_a_request_is_explained() {
     let first = two_instances();
-    let text = ask(first, &["explain", "request", "r1"]);
+    let text = run_with_admin(first, &["explain", "request", "r1"]);
     assert!(text.contains("spill: the home is full"), "{text}");
     assert!(text.contains("attempt at viewer-1: answered"), "{text}");
     let excluded = "candidate upstream viewer-2: slots 4.0 (0 ms old), excluded: draining";
@@ -165,7 +165,7 @@
 #[test]
 fn verify_instances_are_listed() {
     let first = two_instances();
-    let instances = ask(first, &["instances"]);
+    let instances = run_with_admin(first, &["instances"]);
     assert!(instances.contains("ADMIN ADDRESS"), "{instances}");
 }
 
@@ -197,9 +197,9 @@
 }
 
 #[test]
-fn verify_a_promise_that_one_instance_breaks_is_broken() {
+fn verify_a_promise_broken_at_one_instance_is_reported_as_broken() {
     let first = two_instances();
-    let promises = ask(first, &["promises"]);
+    let promises = run_with_admin(first, &["promises"]);
     assert!(promises.contains("NO, at 1 of 2 instances"), "{promises}");
     assert!(promises.contains("120 %"), "{promises}");
 }
--- a/crates/foxtidectl/tests/losses.rs
+++ b/crates/foxtidectl/tests/losses.rs
@@ -1,11 +1,11 @@
-//! What requests lost, summed up from the structured lines of instances.
+//! Checks the summary of request outcomes from log lines.
 
 use foxtidectl::ExitStatus;
 use serde_json::Value;
 use std::path::PathBuf;
 
-/// Two windows of 2 s: an object that moves, an attempt that is cut, one that is
-/// refused after a wait, a refusal, a failure, and lines that are no events.
+/// Two windows of 2 s with a moved object, a timeout, refusals after a wait and at once,
+/// a failure and lines that are not events.
 const LINES: &str = r#"
 {"event":"process-started","instance":"edge-1","time_s":100.0,"number":1001}
 {"event":"request-answered","instance":"edge-1","time_s":100.5,"number":5030,"request":"a","status":200,"route":"r","service":"viewer","object":"0a","upstream":"i-1","attempts":1,"rank":0,"slot":"granted","slot_wait_ms":20,"knowledge_age_ms":100,"objective_ms":600,"latency_ms":300.0}
@@ -22,11 +22,11 @@
 {"time_s":
 "#;
 
-fn losses(name: &str, lines: &str, more: &[&str]) -> (ExitStatus, String) {
+fn losses(name: &str, lines: &str, options: &[&str]) -> (ExitStatus, String) {
     let file = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(name);
     std::fs::write(&file, lines).unwrap();
     let file = file.display().to_string();
-    let mut arguments: Vec<String> = more.iter().map(|&word| word.to_owned()).collect();
+    let mut arguments: Vec<String> = options.iter().map(|&word| word.to_owned()).collect();
     arguments.extend(["losses", "--lines", &file].map(str::to_owned));
     let (mut output, mut errors) = (Vec::new(), Vec::new());
     let status = foxtidectl::run(&arguments, &mut output, &mut errors);
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn verify_programs_get_every_window_and_every_unreadable_line() {
+fn verify_json_contains_every_window_and_every_unreadable_line() {
     let (_, text) = losses("losses-json.log", LINES, &["--json"]);
     let json: Value = serde_json::from_str(&text).unwrap();
     assert_eq!(json["rows"].as_array().unwrap().len(), 3);
@@ -55,7 +55,7 @@
     assert_eq!(json["lines_dropped"], 3);
 }
 
-/// The lines of a start, and of an outage in the window after it.
+/// Calls of a start, and of a store outage in the next window.
 const CALLS: &str = r#"
 {"event":"store-calls","instance":"edge-1","time_s":100.0,"number":7011,"start":4,"start_old":5,"record":2,"renewal":3,"following":2,"recovery":0}
 {"event":"store-calls","instance":"edge-2","time_s":101.0,"number":7011,"start":4,"record":2,"renewal":4,"following":0,"recovery":0}
@@ -73,14 +73,13 @@
     assert_eq!(json["store_calls"]["recovery"], 9);
 }
 
-/// Collectors put a time and the machine's name before each line.
 #[test]
-fn verify_lines_of_a_collector_are_read() {
+fn verify_prefixes_of_log_collectors_are_skipped() {
     let lines = CALLS.replace("{\"event\"", "2026-03-01T10:00:00Z edge-1 {\"event\"");
     let (_, text) = losses("losses-collector.log", &lines, &["--json"]);
     let json: Value = serde_json::from_str(&text).unwrap();
     assert_eq!(json["store_calls"]["start"], 8);
-    // The empty line at the beginning is none.
+    // The empty first line is not an event.
     assert_eq!(json["unreadable"].as_array().unwrap().len(), 1);
 }
 
@@ -107,7 +106,7 @@
     );
 }
 
-/// Two organisations, of which one is over its quota, and a caller without a key.
+/// Two organisations, one of them over its quota, and a caller with an unknown key.
 const ORGANISATIONS: &str = r#"
 {"event":"request-answered","instance":"edge-1","time_s":100.0,"number":5030,"request":"a","status":200,"route":"r","organisation":"calm","service":"viewer","object":"","upstream":"i-1","objective_ms":600,"latency_ms":300.0}
 {"event":"request-failed","instance":"edge-1","time_s":100.1,"number":5031,"request":"b","status":429,"source":"instance","reason":"quota_reached","route":"r","organisation":"hot","service":""}
@@ -128,9 +127,8 @@
     assert_eq!(json["organisations"]["by_name"]["calm"]["answered"], 1);
 }
 
-/// Two regions and two ends; a file that can't be written is named.
 #[test]
-fn verify_a_picture_shows_ends_and_regions_over_time() {
+fn verify_the_chart_shows_outcomes_and_regions_over_time() {
     let lines = r#"
 {"event":"request-answered","instance":"edge-1","time_s":100.0,"number":5030,"request":"a","status":200,"route":"r","region":"khomas","service":"viewer","object":"","upstream":"i-1","objective_ms":600,"latency_ms":300.0,"slot_wait_ms":20}
 {"event":"request-answered","instance":"edge-1","time_s":102.5,"number":5030,"request":"b","status":200,"route":"r","region":"erongo","service":"viewer","object":"","upstream":"i-2","objective_ms":600,"latency_ms":900.0,"slot_wait_ms":0}
@@ -147,9 +145,9 @@
         (status, String::from_utf8(errors).unwrap())
     };
     assert_eq!(draw(&name).0, ExitStatus::Done);
-    let picture = std::fs::read_to_string(&svg).unwrap();
+    let chart = std::fs::read_to_string(&svg).unwrap();
     for word in ["in time", "late", "waiting for slots", "khomas", "erongo"] {
-        assert!(picture.contains(word), "{word} in {picture}");
+        assert!(chart.contains(word), "{word} in {chart}");
     }
     let (status, errors) = draw("/nowhere/losses.svg");
     assert_eq!(status, ExitStatus::Refused);
--- a/crates/foxtidectl/tests/malformed_inputs.rs
+++ b/crates/foxtidectl/tests/malformed_inputs.rs
@@ -1,5 +1,5 @@
-//! Malformed inputs: each gives one clear error with its place and what would
-//! be valid, and changes nothing.
+//! Checks that malformed input gives one error with its location and valid values, and
+//! changes nothing.
 
 #[allow(dead_code)]
 mod support;
@@ -7,7 +7,7 @@
 use foxtidectl::ExitStatus;
 use std::fmt::Write;
 use support::{
-    KEY,
+    DOCUMENT_KEY,
     Operator,
     example,
     file, //
@@ -36,13 +36,13 @@
   "document": {"shift_cap_share_per_s": {"$parameter": "cap"}}
 }"#;
 
-/// A malformed file and what is wrong with it.
+/// A malformed file, named after its fault.
 struct BadFile {
     name: &'static str,
     content: Vec<u8>,
 }
 
-/// Returns a text with a part replaced, which must be there.
+/// Replaces a part of a text; panics if it is missing.
 fn replaced(text: &str, part: &str, by: &str) -> Vec<u8> {
     assert!(text.contains(part), "{part}");
     text.replacen(part, by, 1).into_bytes()
@@ -173,7 +173,7 @@
     ]
 }
 
-/// A refused command on an organisation that exists.
+/// A command that must be refused, named after its fault.
 struct BadCommand {
     name: &'static str,
     arguments: Vec<String>,
@@ -308,8 +308,8 @@
     ]
 }
 
-/// Returns the complaint without what differs between runs.
-fn stable(text: &str, server: &Operator) -> String {
+/// Replaces the parts of an error that differ between runs.
+fn normalised(text: &str, server: &Operator) -> String {
     let address = server.server.address().to_string();
     let directory = env!("CARGO_TARGET_TMPDIR");
     let examples = example("");
@@ -319,7 +319,7 @@
     text.replace(&examples, "examples/")
 }
 
-fn record(
+fn record_error(
     snapshot: &mut String,
     name: &str,
     operator: &Operator,
@@ -331,7 +331,7 @@
     let count = |part: &str| outcome.errors.matches(part).count();
     assert_eq!(count("error: "), 1, "{name}: {}", outcome.errors);
     assert_eq!(count("next: "), 1, "{name}: {}", outcome.errors);
-    let errors = stable(&outcome.errors, operator);
+    let errors = normalised(&outcome.errors, operator);
     writeln!(snapshot, "# {name} ({:?})\n{errors}", outcome.status).expect("written");
     outcome.status
 }
@@ -343,7 +343,7 @@
     for bad in bad_settings().into_iter().chain(bad_templates()) {
         let name = format!("{}.jsonc", bad.name.replace(' ', "-"));
         let path = file(&name, &bad.content);
-        let status = record(&mut snapshot, bad.name, &operator, &["check", &path]);
+        let status = record_error(&mut snapshot, bad.name, &operator, &["check", &path]);
         assert_eq!(status, ExitStatus::Refused, "{}", bad.name);
     }
     insta::assert_snapshot!(snapshot);
@@ -352,13 +352,13 @@
 #[test]
 fn verify_malformed_commands_give_one_clear_error_and_change_nothing() {
     let operator = Operator::with_example();
-    let before = operator.server.value(KEY);
+    let before = operator.server.value(DOCUMENT_KEY);
     let mut snapshot = String::new();
     for bad in bad_edits().into_iter().chain(bad_drains_and_moves()) {
         let mut arguments = vec!["--yes"];
         arguments.extend(bad.arguments.iter().map(String::as_str));
-        record(&mut snapshot, bad.name, &operator, &arguments);
-        assert_eq!(operator.server.value(KEY), before, "{}", bad.name);
+        record_error(&mut snapshot, bad.name, &operator, &arguments);
+        assert_eq!(operator.server.value(DOCUMENT_KEY), before, "{}", bad.name);
     }
     insta::assert_snapshot!(snapshot);
 }
@@ -394,10 +394,10 @@
     ];
     let mut snapshot = String::new();
     for (name, value) in values {
-        operator.server.set_value(KEY, value.clone());
+        operator.server.set_value(DOCUMENT_KEY, value.clone());
         let arguments = ["--yes", "drain", "start", "hamutenya", "--region", "khomas"];
-        record(&mut snapshot, name, &operator, &arguments);
-        assert_eq!(operator.server.value(KEY), Some(value), "{name}");
+        record_error(&mut snapshot, name, &operator, &arguments);
+        assert_eq!(operator.server.value(DOCUMENT_KEY), Some(value), "{name}");
     }
     insta::assert_snapshot!(snapshot);
 }
--- a/crates/foxtidectl/tests/operations.rs
+++ b/crates/foxtidectl/tests/operations.rs
@@ -1,4 +1,4 @@
-//! Commands of an operator's day, with two operators and a store that fails.
+//! Checks changes of documents, including concurrent changes and store failures.
 
 #[allow(dead_code)]
 mod support;
@@ -6,20 +6,20 @@
 use foxtide_testing::Availability;
 use foxtidectl::ExitStatus;
 use support::{
-    KEY,
+    DOCUMENT_KEY,
     Operator,
     Outcome,
+    drop_responses_after,
     example,
-    run,
-    swallow_after, //
+    run, //
 };
 
-fn done(outcome: Outcome) -> String {
+fn successful_output(outcome: Outcome) -> String {
     assert_eq!(outcome.status, ExitStatus::Done, "{outcome:?}");
     outcome.output
 }
 
-/// Sets a deadline of the first service.
+/// Sets the deadline of the service `viewer`.
 fn set_deadline(operator: &Operator, options: &[&str], deadline: &str) -> Outcome {
     let template = example("hamutenya/template.jsonc");
     let setting = format!("viewer_deadline_ms={deadline}");
@@ -39,8 +39,8 @@
 #[test]
 fn verify_a_change_is_shown_before_it_is_written() {
     let operator = Operator::with_example();
-    let before = operator.server.value(KEY);
-    let output = done(set_deadline(&operator, &[], "900ms"));
+    let before = operator.server.value(DOCUMENT_KEY);
+    let output = successful_output(set_deadline(&operator, &[], "900ms"));
     assert!(
         output.contains("~ services[viewer].contract.deadline_ms: 2000 -> 900"),
         "{output}"
@@ -49,8 +49,8 @@
         output.contains("Not written. Add --yes --revision r1"),
         "{output}"
     );
-    assert_eq!(operator.server.value(KEY), before);
-    done(set_deadline(
+    assert_eq!(operator.server.value(DOCUMENT_KEY), before);
+    successful_output(set_deadline(
         &operator,
         &["--yes", "--revision", "r1"],
         "900ms",
@@ -62,9 +62,9 @@
 }
 
 #[test]
-fn verify_a_stale_operator_sees_what_was_changed_meanwhile() {
+fn verify_a_stale_revision_is_refused_with_the_later_changes() {
     let operator = Operator::with_example();
-    done(set_deadline(&operator, &["--yes"], "900"));
+    successful_output(set_deadline(&operator, &["--yes"], "900"));
     let outcome = set_deadline(&operator, &["--yes", "--revision", "r1"], "800");
     assert_eq!(outcome.status, ExitStatus::Conflict);
     assert!(
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn verify_drains_can_be_started_twice_and_taken_back() {
+fn verify_drains_can_be_started_twice_and_stopped() {
     let operator = Operator::with_example();
     let start = [
         "--yes",
@@ -90,30 +90,37 @@
         "--upstream",
         "viewer/viewer-3",
     ];
-    done(operator.run(&start));
-    let again = done(operator.run(&start));
+    successful_output(operator.run(&start));
+    let again = successful_output(operator.run(&start));
     assert!(again.contains("Nothing to change"), "{again}");
-    let status = done(operator.run(&["drain", "status", "hamutenya"]));
+    let status = successful_output(operator.run(&["drain", "status", "hamutenya"]));
     assert!(status.contains("viewer-viewer-3"), "{status}");
     assert!(status.contains("viewer 11/12"), "{status}");
-    done(operator.run(&["--yes", "drain", "stop", "hamutenya", "viewer-viewer-3"]));
+    successful_output(operator.run(&["--yes", "drain", "stop", "hamutenya", "viewer-viewer-3"]));
     assert_eq!(operator.stored()["drains"], serde_json::json!([]));
 }
 
 #[test]
-fn verify_drains_of_everything_are_refused() {
+fn verify_draining_all_upstreams_is_refused() {
     let operator = Operator::with_example();
     for region in ["khomas", "erongo"] {
-        done(operator.run(&["--yes", "drain", "start", "hamutenya", "--region", region]));
+        successful_output(operator.run(&[
+            "--yes",
+            "drain",
+            "start",
+            "hamutenya",
+            "--region",
+            region,
+        ]));
     }
-    let before = operator.server.value(KEY);
+    let before = operator.server.value(DOCUMENT_KEY);
     let last = operator.run(&["--yes", "drain", "start", "hamutenya", "--region", "oshana"]);
     assert_eq!(last.status, ExitStatus::Refused);
     assert!(
         last.errors.contains("no upstream of `viewer` is left"),
         "{last:?}"
     );
-    assert_eq!(operator.server.value(KEY), before);
+    assert_eq!(operator.server.value(DOCUMENT_KEY), before);
 }
 
 #[test]
@@ -134,16 +141,16 @@
         all.extend(figures);
         operator.run(&all)
     };
-    let plan = done(with(&["move", "plan", "hamutenya"]));
+    let plan = successful_output(with(&["move", "plan", "hamutenya"]));
     assert!(
         plan.contains("0.5 of khomas's traffic of viewer moves to erongo"),
         "{plan}"
     );
     assert_eq!(operator.stored()["moves"], serde_json::json!([]));
-    done(with(&["--yes", "move", "start", "hamutenya"]));
-    let again = done(with(&["--yes", "move", "start", "hamutenya"]));
+    successful_output(with(&["--yes", "move", "start", "hamutenya"]));
+    let again = successful_output(with(&["--yes", "move", "start", "hamutenya"]));
     assert!(again.contains("Nothing to change"), "{again}");
-    done(operator.run(&[
+    successful_output(operator.run(&[
         "--yes",
         "move",
         "pause",
@@ -151,7 +158,7 @@
         "viewer-khomas-erongo",
     ]));
     assert!(operator.stored()["moves"][0]["paused_us"].is_u64());
-    done(operator.run(&[
+    successful_output(operator.run(&[
         "--yes",
         "move",
         "resume",
@@ -159,12 +166,12 @@
         "viewer-khomas-erongo",
     ]));
     assert!(operator.stored()["moves"][0]["paused_us"].is_null());
-    let status = done(operator.run(&["move", "status", "hamutenya"]));
+    let status = successful_output(operator.run(&["move", "status", "hamutenya"]));
     assert!(status.contains("viewer-khomas-erongo"), "{status}");
 }
 
 #[test]
-fn verify_a_plan_is_held_against_what_was_sold() {
+fn verify_a_plan_is_checked_against_the_sold_rates() {
     let operator = Operator::with_example();
     let plan = |demand| {
         let figures = [
@@ -181,7 +188,7 @@
         all.extend(figures);
         operator.run(&all)
     };
-    done(plan("700rps"));
+    successful_output(plan("700rps"));
     let refused = plan("900rps");
     assert_eq!(refused.status, ExitStatus::Refused);
     assert!(
@@ -193,7 +200,7 @@
 }
 
 #[test]
-fn verify_moves_together_keep_the_cap() {
+fn verify_concurrent_moves_share_the_shift_cap() {
     let operator = Operator::with_example();
     let start = |from, pace| {
         let figures = [
@@ -212,26 +219,33 @@
         all.extend(figures);
         operator.run(&all)
     };
-    done(start("khomas", "0.012/s"));
+    successful_output(start("khomas", "0.012/s"));
     let refused = start("erongo", "0.012/s");
     assert_eq!(refused.status, ExitStatus::Refused);
     assert!(
         refused.errors.contains("together with 1 other move"),
         "{refused:?}"
     );
-    done(start("erongo", "0.008/s"));
+    successful_output(start("erongo", "0.008/s"));
 }
 
 #[test]
 fn verify_edits_keep_moves_and_drains() {
     let operator = Operator::with_example();
-    done(operator.run(&["--yes", "drain", "start", "hamutenya", "--region", "khomas"]));
-    done(set_deadline(&operator, &["--yes"], "900"));
+    successful_output(operator.run(&[
+        "--yes",
+        "drain",
+        "start",
+        "hamutenya",
+        "--region",
+        "khomas",
+    ]));
+    successful_output(set_deadline(&operator, &["--yes"], "900"));
     assert_eq!(operator.stored()["drains"][0]["drain"], "region-khomas");
 }
 
 #[test]
-fn verify_a_newer_template_is_taken_over_on_request_only() {
+fn verify_a_newer_template_is_applied_only_on_request() {
     let operator = Operator::with_example();
     let text = std::fs::read_to_string(example("hamutenya/template.jsonc")).unwrap();
     let text = text
@@ -253,28 +267,28 @@
     );
     let mut upgrade = edit.to_vec();
     upgrade.push("--upgrade");
-    let output = done(operator.run(&upgrade));
+    let output = successful_output(operator.run(&upgrade));
     assert!(output.contains("deadline_ms: 2000 -> 1500"), "{output}");
     assert_eq!(operator.stored()["template"]["version"], 2);
 }
 
 #[test]
-fn verify_history_tells_who_did_what() {
+fn verify_history_lists_authors_and_changes() {
     let operator = Operator::with_example();
-    done(set_deadline(&operator, &["--yes"], "900"));
-    let history = done(operator.run(&["organisation", "history", "hamutenya"]));
+    successful_output(set_deadline(&operator, &["--yes"], "900"));
+    let history = successful_output(operator.run(&["organisation", "history", "hamutenya"]));
     assert!(history.contains("set viewer_deadline_ms=900"), "{history}");
     assert!(history.contains("create from hamutenya v1"), "{history}");
-    let json = done(operator.run(&["--json", "organisation", "history", "hamutenya"]));
+    let json = successful_output(operator.run(&["--json", "organisation", "history", "hamutenya"]));
     let json: serde_json::Value = serde_json::from_str(&json).unwrap();
     assert_eq!(json[0]["author"], "ndapewa");
 }
 
 #[test]
-fn verify_a_lost_answer_is_told_as_accepted() {
+fn verify_a_change_with_a_lost_answer_is_reported_as_accepted() {
     let operator = Operator::with_example();
     operator.server.lose_answers(1);
-    let output = done(set_deadline(&operator, &["--yes"], "900"));
+    let output = successful_output(set_deadline(&operator, &["--yes"], "900"));
     assert!(
         output.contains("the answer was lost; found by reading"),
         "{output}"
@@ -283,7 +297,7 @@
 }
 
 #[test]
-fn verify_a_store_that_is_away_is_told() {
+fn verify_an_unreachable_store_is_reported() {
     let operator = Operator::with_example();
     smol::block_on(operator.server.set_availability(Availability::Refusing));
     let outcome = set_deadline(&operator, &["--yes"], "900");
@@ -295,10 +309,10 @@
 }
 
 #[test]
-fn verify_a_write_in_doubt_is_told_and_can_be_run_again() {
+fn verify_an_unsettled_write_is_reported_and_can_be_repeated() {
     let operator = Operator::with_example();
-    // The document is read, then no request is answered any more.
-    let proxy = smol::block_on(swallow_after(1, operator.server.address())).to_string();
+    // Only the read of the document is answered.
+    let proxy = smol::block_on(drop_responses_after(1, operator.server.address())).to_string();
     let template = example("hamutenya/template.jsonc");
     let edit = [
         "organisation",
@@ -317,8 +331,8 @@
         outcome.errors.contains("run the same command again"),
         "{outcome:?}"
     );
-    done(set_deadline(&operator, &["--yes"], "900"));
-    let again = done(set_deadline(&operator, &["--yes"], "900"));
+    successful_output(set_deadline(&operator, &["--yes"], "900"));
+    let again = successful_output(set_deadline(&operator, &["--yes"], "900"));
     assert!(again.contains("Nothing to change: r2"), "{again}");
 }
 
@@ -326,12 +340,12 @@
 fn verify_a_write_whose_answers_are_all_lost_is_found_by_reading() {
     let operator = Operator::with_example();
     operator.server.set_answer_loss_probability(1.0);
-    let output = done(set_deadline(&operator, &["--yes"], "900"));
+    let output = successful_output(set_deadline(&operator, &["--yes"], "900"));
     assert!(output.contains("found by reading"), "{output}");
 }
 
 #[test]
-fn verify_commands_without_an_instance_are_told() {
+fn verify_commands_without_an_instance_are_refused() {
     for arguments in [
         &["instances"][..],
         &["promises"],
--- a/crates/foxtidectl/tests/support/mod.rs
+++ b/crates/foxtidectl/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! A store and an operator at the command line.
+//! Runs `foxtidectl` in process against a test store.
 
 use foxtide_testing::{
     StoreOptions,
@@ -14,10 +14,10 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// The key of the organisation that the tests work on.
-pub(crate) const KEY: &str = "foxtide/organisations/hamutenya";
+/// The store key of the document used by the tests.
+pub(crate) const DOCUMENT_KEY: &str = "foxtide/organisations/hamutenya";
 
-/// What a command printed, and how it ended.
+/// The exit status and output of a command.
 #[derive(Debug)]
 pub(crate) struct Outcome {
     pub(crate) status: ExitStatus,
@@ -25,7 +25,7 @@
     pub(crate) errors: String,
 }
 
-/// An operator with a store.
+/// An operator with a test store.
 pub(crate) struct Operator {
     pub(crate) server: StoreServer,
 }
@@ -38,7 +38,7 @@
         }
     }
 
-    /// Returns an operator whose store holds the example.
+    /// Returns an operator whose store contains the example organisation.
     pub(crate) fn with_example() -> Self {
         let operator = Self::new();
         let template = example("hamutenya/template.jsonc");
@@ -64,23 +64,23 @@
 
     /// Returns the stored document as JSON.
     pub(crate) fn stored(&self) -> serde_json::Value {
-        let value = self.server.value(KEY).expect("there");
+        let value = self.server.value(DOCUMENT_KEY).expect("a stored document");
         serde_json::from_slice(&value).expect("JSON")
     }
 }
 
-/// Starts a proxy that passes this many connections on to the store and closes
-/// all later ones after it has read their request.
-pub(crate) async fn swallow_after(passed: usize, store: SocketAddr) -> SocketAddr {
+/// Starts a proxy that forwards this many connections to the store and closes later ones
+/// after reading their request.
+pub(crate) async fn drop_responses_after(forwarded: usize, store: SocketAddr) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
     let address = listener.local_addr().expect("bound");
     smol::spawn(async move {
-        for _ in 0..passed {
+        for _ in 0..forwarded {
             let (caller, _) = listener.accept().await.expect("a connection");
             let store = TcpStream::connect(store).await.expect("the store");
-            let there = smol::io::copy(caller.clone(), store.clone());
-            let back = smol::io::copy(store, caller);
-            smol::spawn(async { there.or(back).await }).detach();
+            let upload = smol::io::copy(caller.clone(), store.clone());
+            let download = smol::io::copy(store, caller);
+            smol::spawn(async { upload.or(download).await }).detach();
         }
         loop {
             let (mut caller, _) = listener.accept().await.expect("a connection");
@@ -92,7 +92,6 @@
     address
 }
 
-/// Runs a command.
 pub(crate) fn run(arguments: &[&str]) -> Outcome {
     let arguments: Vec<String> = arguments.iter().map(|one| (*one).to_owned()).collect();
     let mut output = Vec::new();
@@ -105,14 +104,14 @@
     }
 }
 
-/// Returns an example's path.
+/// Returns the path of an example file.
 pub(crate) fn example(path: &str) -> String {
     let root = PathBuf::from(env!("CARGO_MANIFEST_DIR"));
     let path = root.join("../../examples").join(path);
     path.to_str().expect("UTF-8").to_owned()
 }
 
-/// Writes a file for a test and returns its path.
+/// Writes a temporary file and returns its path.
 pub(crate) fn file(name: &str, content: &[u8]) -> String {
     let path = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(name);
     std::fs::write(&path, content).expect("written");
