--- a/crates/foxtidectl/src/change_document.rs
+++ b/crates/foxtidectl/src/change_document.rs
@@ -51,20 +51,21 @@
 
 /// Returns a conflict unless the document is at the revision given with `--revision`.
 fn check_revision(session: &Session, base: Option<&Stored>) -> Result<(), Failure> {
-    let Some(seen) = session.options().revision else {
+    let Some(expected) = session.options().revision else {
         return Ok(());
     };
     let current = base.map_or(Revision::ZERO, |base| base.document.revision);
-    if current == seen {
+    if current == expected {
         return Ok(());
     }
-    let mut problem = format!("not accepted: {current} is in force, not {seen}");
+    let mut problem = format!("not accepted: the current revision is {current}, not {expected}");
     let history = base.map_or(&[][..], |base| &base.document.history);
-    for change in history.iter().filter(|change| change.revision > seen) {
+    for change in history.iter().filter(|change| change.revision > expected) {
         let (revision, author, summary) = (change.revision, &change.author, &change.summary);
         let _ = write!(problem, "\n  {revision} {author}: {summary}");
     }
-    let advice = format!("look at the changes, then run it again with --revision {current}");
+    let advice =
+        format!("review the changes, then run the command again with --revision {current}");
     Err(Failure::conflict(problem, advice))
 }
 
--- a/crates/foxtidectl/src/commands/drain/start.rs
+++ b/crates/foxtidectl/src/commands/drain/start.rs
@@ -72,7 +72,7 @@
             (None, None, Some(name), None) => Ok(DrainTarget::AvailabilityZone(name.parse()?)),
             (None, None, None, Some(name)) => Ok(DrainTarget::Region(name.parse()?)),
             _ => Err(Failure::refused(
-                "a drain has exactly one target",
+                "a drain needs exactly one target",
                 "give one of --upstream, --instance, --availability-zone and --region",
             )),
         }
@@ -126,7 +126,7 @@
 
 fn parse_upstream(text: &str) -> Result<DrainTarget, Failure> {
     let Some((service, upstream)) = text.split_once('/') else {
-        let problem = format!("--upstream: `{text}` names no service");
+        let problem = format!("--upstream: `{text}` has no service name");
         return Err(Failure::refused(
             problem,
             "write it as --upstream SERVICE/UPSTREAM",
--- a/crates/foxtidectl/src/commands/organisation/create.rs
+++ b/crates/foxtidectl/src/commands/organisation/create.rs
@@ -69,7 +69,7 @@
         );
         return Ok(Report::new(text, serde_json::json!({"written": false})));
     }
-    let problem = format!("organisation `{}` exists already", document.organisation);
+    let problem = format!("organisation `{}` already exists", document.organisation);
     let advice = "change it with `foxtidectl organisation edit`";
     Err(Failure::refused(problem, advice))
 }
--- a/crates/foxtidectl/src/commands/organisation/edit.rs
+++ b/crates/foxtidectl/src/commands/organisation/edit.rs
@@ -79,10 +79,10 @@
             return Ok(used.parameters.clone());
         }
         let problem = format!(
-            "the organisation was made from {} v{}, the file holds {} v{}",
+            "the organisation uses template {} v{}, but the file contains {} v{}",
             used.name, used.version, template.template, template.version
         );
-        let advice = "give the file of that version, or --upgrade to take this one over";
+        let advice = "use the file of that version, or add --upgrade to apply this one";
         Err(Failure::refused(problem, advice))
     }
 
