--- a/crates/foxtide-config/src/watch/seen.rs
+++ b/crates/foxtide-config/src/watch/delivered.rs
@@ -1,4 +1,4 @@
-//! What has been told already, so that only newer documents are.
+//! Tracks reported documents, so that each revision is reported once.
 
 use super::WatchReport;
 use crate::change;
@@ -12,22 +12,22 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// What has been told already.
+/// Indices and revisions that were reported.
 #[derive(Debug, Default)]
-pub(super) struct Seen {
+pub(super) struct DeliveredVersions {
     indices: BTreeMap<String, StoreIndex>,
     revisions: BTreeMap<OrganisationId, Revision>,
 }
 
-impl Seen {
-    /// Takes an entry. Returns what is new in it.
-    pub(super) fn take(&mut self, entry: &StoreEntry) -> Option<WatchReport> {
+impl DeliveredVersions {
+    /// Records an entry and returns a report if it is new.
+    pub(super) fn update(&mut self, entry: &StoreEntry) -> Option<WatchReport> {
         let previous = self.indices.insert(entry.key.clone(), entry.index);
         if previous == Some(entry.index) {
             return None;
         }
         match change::decode(&entry.key, &entry.value) {
-            Ok(document) => self.newer(document),
+            Ok(document) => self.report_if_newer(document),
             Err(error) => Some(WatchReport::Invalid {
                 key: entry.key.clone(),
                 cause: error.to_string(),
@@ -35,7 +35,7 @@
         }
     }
 
-    fn newer(&mut self, document: Organisation) -> Option<WatchReport> {
+    fn report_if_newer(&mut self, document: Organisation) -> Option<WatchReport> {
         let known = self.revisions.get(&document.organisation);
         if known.is_some_and(|known| *known >= document.revision) {
             return None;
--- a/crates/foxtide-config/tests/blocks.rs
+++ b/crates/foxtide-config/tests/blocks.rs
@@ -1,5 +1,4 @@
-//! Client blocks in the store: two operators at once, lost answers, chunks
-//! that are written anew.
+//! Tests of client blocks in the store: conflicts, lost answers and rewritten chunks.
 
 #[allow(dead_code)]
 mod support;
@@ -27,7 +26,7 @@
 use foxtide_core::store::Store;
 use foxtide_core::time::MonotonicTime;
 use support::{
-    PATIENT,
+    LONG_TIMEOUT,
     client,
     server, //
 };
@@ -72,10 +71,10 @@
 }
 
 #[test]
-fn verify_a_table_and_its_changes_are_read_back() {
+fn verify_a_changed_table_is_read_back() {
     smol::block_on(async {
         let server = server().await;
-        let store = client(&server, PATIENT);
+        let store = client(&server, LONG_TIMEOUT);
         let base = replace(&store).await;
         let accepted = set(&store, &base, "10.1.0.0/16").await.unwrap();
         assert!(!accepted.settled);
@@ -89,10 +88,10 @@
 }
 
 #[test]
-fn verify_the_second_of_two_operators_is_refused() {
+fn verify_the_second_of_two_concurrent_changes_is_refused() {
     smol::block_on(async {
         let server = server().await;
-        let store = client(&server, PATIENT);
+        let store = client(&server, LONG_TIMEOUT);
         let base = replace(&store).await;
         set(&store, &base, "10.1.0.0/16").await.unwrap();
         let error = set(&store, &base, "10.2.0.0/16").await.unwrap_err();
@@ -105,7 +104,7 @@
 fn verify_a_lost_answer_is_settled_by_reading() {
     smol::block_on(async {
         let server = server().await;
-        let store = client(&server, PATIENT);
+        let store = client(&server, LONG_TIMEOUT);
         let base = replace(&store).await;
         server.lose_answers(1);
         let accepted = set(&store, &base, "10.1.0.0/16").await.unwrap();
@@ -115,10 +114,10 @@
 }
 
 #[test]
-fn verify_lost_answers_of_chunks_are_written_again() {
+fn verify_chunk_writes_with_lost_answers_are_repeated() {
     smol::block_on(async {
         let server = server().await;
-        let store = client(&server, PATIENT);
+        let store = client(&server, LONG_TIMEOUT);
         server.set_answer_loss_probability(0.3);
         let first = [block("10.0.0.0/8", "windhoek")];
         let mut tries = 0;
@@ -143,10 +142,10 @@
 }
 
 #[test]
-fn verify_many_changes_write_the_chunks_anew_and_delete_the_old_ones() {
+fn verify_many_changes_rewrite_the_chunks_and_delete_old_ones() {
     smol::block_on(async {
         let server = server().await;
-        let store = client(&server, PATIENT);
+        let store = client(&server, LONG_TIMEOUT);
         let mut base = replace(&store).await;
         for number in 0..20 {
             set(&store, &base, &format!("10.{number}.0.0/16"))
@@ -166,7 +165,7 @@
 fn verify_a_damaged_chunk_is_refused() {
     smol::block_on(async {
         let server = server().await;
-        let store = client(&server, PATIENT);
+        let store = client(&server, LONG_TIMEOUT);
         let manifest = replace(&store).await.manifest;
         server.set_value(&manifest.chunks[0].key(), "not a chunk");
         let error = blocks::load_table(&store, &manifest).await.unwrap_err();
@@ -178,7 +177,7 @@
 fn verify_a_load_waits_for_its_call_budget() {
     smol::block_on(async {
         let server = server().await;
-        let store = client(&server, PATIENT);
+        let store = client(&server, LONG_TIMEOUT);
         let first = [
             block("10.0.0.0/8", "windhoek"),
             block("2001:db8::/32", "walvis"),
@@ -192,7 +191,7 @@
             fleet_reads_per_s: 4.0,
             ..BudgetOptions::default()
         };
-        // A new bucket holds one call: the second chunk has to wait.
+        // A new bucket has one token, so reading the second chunk must wait.
         let budget = StoreBudget::new(options, Fleet::default(), MonotonicTime::ZERO);
         let budgeted = BudgetedStore::new(store, "store", budget);
         let table = blocks::load_table(&budgeted, &manifest).await.unwrap();
--- a/crates/foxtide-core/src/blocks/delta.rs
+++ b/crates/foxtide-core/src/blocks/delta.rs
@@ -4,8 +4,8 @@
     ColumnsMessage,
     ColumnsWriter,
     DeltaMessage,
-    open,
-    seal, //
+    verified_payload,
+    with_checksum, //
 };
 use super::family::{
     Family,
@@ -25,27 +25,27 @@
 use prost::Message;
 use std::collections::HashMap;
 
-/// A change from one revision of a table to the next.
+/// A change of a table from one revision to a later one.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Delta {
-    /// The revision that is changed.
-    pub follows: u64,
+    /// The revision that the delta applies to.
+    pub base_revision: u64,
     /// The revision after the change.
     pub revision: u64,
-    /// Blocks that are added or get another site.
+    /// Blocks to add or to assign to another site.
     pub set: Vec<Block>,
-    /// Blocks that are taken out; one that is not there is passed over.
+    /// Blocks to remove; unknown ones are ignored.
     pub removed: Vec<IpNet>,
 }
 
-/// One changed block: its new site, or none where it is taken out.
+/// A changed block with its new site, or `None` if it is removed.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Change {
     pub(super) prefix: Prefix,
     pub(super) site: Option<SiteIndex>,
 }
 
-/// A delta's changes, checked, each family ascending.
+/// The validated changes of a delta, in ascending order per family.
 #[derive(Debug, Default)]
 pub(super) struct SortedDelta {
     pub(super) v4: Vec<Change>,
@@ -84,16 +84,16 @@
 }
 
 impl Delta {
-    /// Returns one delta that does what several do one after the other.
+    /// Combines consecutive deltas into one.
     ///
     /// # Errors
     ///
-    /// Fails where one does not follow the one before.
-    pub(super) fn combine(deltas: Vec<Self>, follows: u64) -> BlocksResult<Self> {
-        let mut revision = follows;
+    /// Fails if a delta does not apply to the revision of the previous one.
+    pub(super) fn combine(deltas: Vec<Self>, base_revision: u64) -> BlocksResult<Self> {
+        let mut revision = base_revision;
         let mut changes: HashMap<IpNet, Option<SiteIndex>> = HashMap::new();
         for delta in deltas {
-            delta.check_follows(revision)?;
+            delta.check_base(revision)?;
             revision = delta.revision;
             let set = delta
                 .set
@@ -103,7 +103,7 @@
             changes.extend(delta.removed.into_iter().map(|net| (net, None)));
         }
         let mut combined = Self {
-            follows,
+            base_revision,
             revision,
             ..Self::default()
         };
@@ -116,22 +116,22 @@
         Ok(combined)
     }
 
-    /// Fails where the delta does not follow a revision.
-    pub(super) fn check_follows(&self, revision: u64) -> BlocksResult<()> {
-        if self.follows == revision {
+    /// Fails if the delta does not apply to `revision`.
+    pub(super) fn check_base(&self, revision: u64) -> BlocksResult<()> {
+        if self.base_revision == revision {
             return Ok(());
         }
         Err(BlocksError::Revision {
-            follows: self.follows,
+            base_revision: self.base_revision,
             revision,
         })
     }
 
-    /// Returns the delta as a value for the store.
+    /// Encodes the delta as a value for the store.
     ///
     /// # Errors
     ///
-    /// Fails where a block is given twice or is longer than valid.
+    /// Fails if a block occurs twice or its prefix is too long.
     pub fn encode(&self) -> BlocksResult<Vec<u8>> {
         let set = self.set.iter().map(|block| (block.net, Some(block.site)));
         let removed = self.removed.iter().map(|net| (*net, None));
@@ -142,26 +142,26 @@
         sort(&mut sorted.v4)?;
         sort(&mut sorted.v6)?;
         let message = DeltaMessage {
-            follows: self.follows,
+            follows: self.base_revision,
             revision: self.revision,
             set_v4: Some(columns::<V4>(&sorted.v4, true)),
             set_v6: Some(columns::<V6>(&sorted.v6, true)),
             removed_v4: Some(columns::<V4>(&sorted.v4, false)),
             removed_v6: Some(columns::<V6>(&sorted.v6, false)),
         };
-        Ok(seal(message.encode_to_vec()))
+        Ok(with_checksum(message.encode_to_vec()))
     }
 
-    /// Reads a delta that [`Delta::encode`] made.
+    /// Decodes a delta from the output of [`Delta::encode`].
     ///
     /// # Errors
     ///
-    /// Fails where the bytes were changed or do not hold a delta.
+    /// Fails if the checksum differs or the value is not a delta.
     pub fn decode(bytes: &[u8]) -> BlocksResult<Self> {
-        let payload = open(bytes, "a delta")?;
+        let payload = verified_payload(bytes, "a delta")?;
         let message = DeltaMessage::decode(&payload[..]).map_err(BlocksError::decode)?;
         let mut delta = Self {
-            follows: message.follows,
+            base_revision: message.follows,
             revision: message.revision,
             ..Self::default()
         };
@@ -176,7 +176,7 @@
     }
 }
 
-/// Returns the changes that set a block, or those that take one out.
+/// Encodes either the changes that set a block or those that remove one.
 fn columns<F: Family>(changes: &[Change], set: bool) -> ColumnsMessage {
     let mut writer = ColumnsWriter::<F>::new();
     for change in changes.iter().filter(|change| change.site.is_some() == set) {
--- a/crates/foxtide-core/src/spreading/load/spreader.rs
+++ b/crates/foxtide-core/src/dissemination/load/aggregator.rs
@@ -1,8 +1,8 @@
-//! The rounds in which sums go up and the table comes down.
+//! Sums load up the tree and distributes the table of all regions down it.
 
 use super::options::LoadOptions;
 use super::record::LoadRecord;
-use super::tree::Place;
+use super::tree::TreePosition;
 use crate::ids::{
     InstanceId,
     OrganisationId,
@@ -15,66 +15,65 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Intervals for which the sum of an instance that moved to another parent is
-/// kept: by then the new parent's sum has arrived.
+/// The number of intervals for which the sum of a child that moved to another
+/// parent is kept, until the new parent's sum arrives.
 const MOVED_INTERVALS: u32 = 2;
 
-/// Intervals after a change of the tree for which a region's limits are held.
+/// The number of intervals after a change of the tree for which changes of a
+/// region's limits are constrained.
 const CHANGED_INTERVALS: u32 = 3;
 
-/// Records that travel together.
+/// A message between instances.
 #[derive(Clone, Debug, PartialEq)]
 pub enum LoadMessage {
-    /// The sum over the sender and all below it.
+    /// The sum over the sender's subtree.
     Sum(Vec<LoadRecord>),
     /// Sums of whole regions.
     Table(Vec<LoadRecord>),
 }
 
-/// A message to send.
+/// A message and its recipient.
 #[derive(Clone, Debug, PartialEq)]
-pub struct LoadSend {
-    /// Where to.
+pub struct LoadEnvelope {
+    /// The recipient's address.
     pub to: SocketAddr,
-    /// What.
+    /// The message.
     pub message: LoadMessage,
 }
 
-/// An instance's own report.
 #[derive(Clone, Debug)]
 struct OwnReport {
     report: InstanceReport,
     made_at: WallTime,
 }
 
-/// The last sum of an instance below.
+/// The latest sum of a child.
 #[derive(Clone, Debug)]
 struct ChildSum {
     records: Vec<LoadRecord>,
     received_at: WallTime,
 }
 
-/// What a record tells of.
-type Subject = (OrganisationId, RegionId);
+type RecordKey = (OrganisationId, RegionId);
 
-/// Spreads the load of one instance and holds what it knows of all.
+/// Aggregates the load of all instances; the state of one instance.
 #[derive(Clone, Debug)]
-pub struct LoadSpreader {
+pub struct LoadAggregator {
     pub(super) options: LoadOptions,
     pub(super) own: Member,
-    pub(super) table: BTreeMap<Subject, LoadRecord>,
+    pub(super) table: BTreeMap<RecordKey, LoadRecord>,
     reports: BTreeMap<OrganisationId, OwnReport>,
     children: BTreeMap<InstanceId, ChildSum>,
-    place: Place,
-    place_version: Option<u64>,
+    position: TreePosition,
+    members_version: Option<u64>,
     claims_held_until: WallTime,
     sharers_held_until: WallTime,
     summed_at: WallTime,
-    told_at: WallTime,
+    broadcast_at: WallTime,
 }
 
-impl LoadSpreader {
-    /// Returns the state of an instance that knows nothing yet.
+impl LoadAggregator {
+    /// Creates an aggregator with an empty table.
     pub fn new(own: Member, options: LoadOptions) -> Self {
         Self {
             options,
@@ -82,80 +81,81 @@
             table: BTreeMap::new(),
             reports: BTreeMap::new(),
             children: BTreeMap::new(),
-            place: Place::default(),
-            place_version: None,
+            position: TreePosition::default(),
+            members_version: None,
             claims_held_until: WallTime::ZERO,
             sharers_held_until: WallTime::ZERO,
             summed_at: WallTime::ZERO,
-            told_at: WallTime::ZERO,
+            broadcast_at: WallTime::ZERO,
         }
     }
 
-    /// Sets what this instance reports for an organisation.
+    /// Sets this instance's report for an organisation.
     pub fn publish(&mut self, organisation: OrganisationId, report: InstanceReport, now: WallTime) {
         let made_at = now;
         self.reports
             .insert(organisation, OwnReport { report, made_at });
     }
 
-    /// Takes the members in; `version` changes whenever they do.
+    /// Updates the tree for the members; `version` changes whenever they do.
     pub fn observe<'a>(
         &mut self,
         members: impl Iterator<Item = &'a Member>,
         version: u64,
         now: WallTime,
     ) {
-        if self.place_version == Some(version) {
+        if self.members_version == Some(version) {
             return;
         }
-        self.place_version = Some(version);
-        let place = Place::new(&self.own, members, self.options.fan_out);
-        if place == self.place {
+        self.members_version = Some(version);
+        let position = TreePosition::new(&self.own, members, self.options.fan_out);
+        if position == self.position {
             return;
         }
-        if place.is_root() && !self.place.is_root() {
+        if position.is_root() && !self.position.is_root() {
             self.claims_held_until = now + self.options.view.claim_hold;
         }
         let changed_hold = self.interval() * CHANGED_INTERVALS;
         self.claims_held_until = self.claims_held_until.max(now + changed_hold);
         self.sharers_held_until = now + changed_hold;
-        self.place = place;
+        self.position = position;
     }
 
-    /// Returns the time between two rounds.
+    /// Returns the interval between rounds.
     pub fn interval(&self) -> Duration {
         let records = self.table.values();
         let table_bytes = records.map(LoadRecord::size_bytes).sum();
         self.options.interval(table_bytes)
     }
 
-    /// Sends what is due. Levels take their turns within each interval of the
-    /// wall clock, the lowest first, so that a sum reaches the root soon after
-    /// its reports were made.
-    pub fn tick(&mut self, now: WallTime) -> Vec<LoadSend> {
-        let levels_below = self.place.depth_max - self.place.depth;
-        let sum_phase = self.options.hop * levels_below;
-        let told_phase = sum_phase + self.options.far_hop;
+    /// Returns the messages that are due.
+    ///
+    /// Within each interval of the wall clock the levels of the tree send in
+    /// sequence, the lowest first, so that sums reach the root with little delay.
+    pub fn tick(&mut self, now: WallTime) -> Vec<LoadEnvelope> {
+        let levels_below = self.position.depth_max - self.position.depth;
+        let sum_phase = self.options.level_delay * levels_below;
+        let broadcast_phase = sum_phase + self.options.inter_region_delay;
         let mut sends = Vec::new();
         if self.is_due(self.summed_at, sum_phase, now) {
             self.summed_at = now;
             self.send_sum(now, &mut sends);
         }
-        if self.place.is_root() && self.is_due(self.told_at, told_phase, now) {
-            self.told_at = now;
+        if self.position.is_root() && self.is_due(self.broadcast_at, broadcast_phase, now) {
+            self.broadcast_at = now;
             let table = self.table.values().cloned().collect();
-            self.tell_children(&LoadMessage::Table(table), &mut sends);
+            self.send_to_children(&LoadMessage::Table(table), &mut sends);
         }
         sends
     }
 
-    /// Takes a message of `sender` in and passes on what is new.
+    /// Handles a message of `sender` and returns the messages that forward it.
     pub fn receive(
         &mut self,
         sender: &InstanceId,
         message: LoadMessage,
         now: WallTime,
-    ) -> Vec<LoadSend> {
+    ) -> Vec<LoadEnvelope> {
         let mut sends = Vec::new();
         match message {
             LoadMessage::Sum(mut records) => {
@@ -167,30 +167,29 @@
                 self.children.insert(sender.clone(), sum);
             }
             LoadMessage::Table(records) => {
-                let newer = self.take_newer(records, now);
-                // Roots wait for all of their kind and send one table.
-                if !newer.is_empty() && !self.place.is_root() {
-                    self.tell_children(&LoadMessage::Table(newer), &mut sends);
+                let newer = self.merge_newer(records, now);
+                // Roots collect the sums of all regions and send one table in `tick`.
+                if !newer.is_empty() && !self.position.is_root() {
+                    self.send_to_children(&LoadMessage::Table(newer), &mut sends);
                 }
             }
         }
         sends
     }
 
-    /// Takes in records of whole regions and returns those that were newer
-    /// than the ones held.
-    pub fn take_newer(&mut self, mut records: Vec<LoadRecord>, now: WallTime) -> Vec<LoadRecord> {
+    /// Merges records of whole regions and returns those that were newer.
+    pub fn merge_newer(&mut self, mut records: Vec<LoadRecord>, now: WallTime) -> Vec<LoadRecord> {
         let latest = now + self.options.skew * 2;
         records.retain(|record| {
-            // One from a clock far ahead would keep all others out.
+            // A record from a fast clock would block all later ones.
             if record.summed_at > latest {
                 return false;
             }
-            let subject = (record.organisation.clone(), record.region.clone());
-            let held = self.table.get(&subject);
-            let newer = held.is_none_or(|held| record.summed_at > held.summed_at);
+            let key = (record.organisation.clone(), record.region.clone());
+            let known = self.table.get(&key);
+            let newer = known.is_none_or(|known| record.summed_at > known.summed_at);
             if newer {
-                self.table.insert(subject, record.clone());
+                self.table.insert(key, record.clone());
             }
             newer
         });
@@ -206,59 +205,58 @@
         let interval_us = self.interval().as_micros().max(1) as u64;
         let since_phase_us = now.saturating_sub(phase).as_us();
         let turn = WallTime::from_us(since_phase_us / interval_us * interval_us) + phase;
-        // A clock that was put back must not silence the instance.
+        // Sends also after the clock was set back.
         last < turn || now < last
     }
 
-    fn send_sum(&mut self, now: WallTime, sends: &mut Vec<LoadSend>) {
+    fn send_sum(&mut self, now: WallTime, sends: &mut Vec<LoadEnvelope>) {
         let mut records = self.sum(now);
         if records.is_empty() {
             return;
         }
-        if let Some(to) = self.place.parent {
+        if let Some(to) = self.position.parent {
             let message = LoadMessage::Sum(records);
-            sends.push(LoadSend { to, message });
+            sends.push(LoadEnvelope { to, message });
             return;
         }
-        self.hold_limits(&mut records, now);
-        self.take_newer(records.clone(), now);
-        for to in &self.place.other_roots {
+        self.limit_changes(&mut records, now);
+        self.merge_newer(records.clone(), now);
+        for to in &self.position.other_roots {
             let message = LoadMessage::Table(records.clone());
-            sends.push(LoadSend { to: *to, message });
+            sends.push(LoadEnvelope { to: *to, message });
         }
     }
 
-    /// Keeps the claims of a region's sum from falling below those of the one
-    /// before it, and the number that shares by claims from rising.
+    /// Keeps a region's claims from falling and its numbers of sharers from rising
+    /// after a change of the tree.
     ///
-    /// While a tree changes, a sum may be missing on its way from an old parent
-    /// to a new one or be counted at both, and a root that died took its own
-    /// claims with it.
-    fn hold_limits(&self, records: &mut [LoadRecord], now: WallTime) {
+    /// Until the tree settles, sums may be missing or counted twice, and the
+    /// claims of a failed root are lost.
+    fn limit_changes(&self, records: &mut [LoadRecord], now: WallTime) {
         for record in records {
-            let subject = (record.organisation.clone(), record.region.clone());
-            let Some(before) = self.table.get(&subject) else {
+            let key = (record.organisation.clone(), record.region.clone());
+            let Some(before) = self.table.get(&key) else {
                 continue;
             };
             if now < self.claims_held_until {
-                record.hold_claims(before);
+                record.raise_claims_to(before);
             }
             if now < self.sharers_held_until {
-                record.hold_sharers(before);
+                record.lower_sharers_to(before);
             }
         }
     }
 
-    fn tell_children(&self, message: &LoadMessage, sends: &mut Vec<LoadSend>) {
-        for to in self.place.children.values() {
+    fn send_to_children(&self, message: &LoadMessage, sends: &mut Vec<LoadEnvelope>) {
+        for to in self.position.children.values() {
             let message = message.clone();
-            sends.push(LoadSend { to: *to, message });
+            sends.push(LoadEnvelope { to: *to, message });
         }
     }
 
-    /// Sums up this instance and all below it.
+    /// Sums the reports of this instance's subtree.
     fn sum(&mut self, now: WallTime) -> Vec<LoadRecord> {
-        self.forget_children(now);
+        self.expire_children(now);
         let mut sums: BTreeMap<OrganisationId, LoadRecord> = BTreeMap::new();
         let region = &self.own.region;
         let own = self.reports.iter().map(|(organisation, own)| {
@@ -270,7 +268,7 @@
                 continue;
             }
             if now - record.live_since > self.options.live_age_max {
-                record.make_silent();
+                record.exclude_from_live();
             }
             record.summed_at = now;
             match sums.get_mut(&record.organisation) {
@@ -283,16 +281,14 @@
         sums.into_values().collect()
     }
 
-    /// Forgets the sums of instances that report elsewhere by now.
-    ///
-    /// One that is gone keeps its claims until they run out; one that moved
-    /// is summed by its new parent.
-    fn forget_children(&mut self, now: WallTime) {
+    /// Removes the sums of children that moved to another parent, and expired sums
+    /// of failed ones.
+    fn expire_children(&mut self, now: WallTime) {
         let moved_hold = self.interval() * MOVED_INTERVALS;
-        let elsewhere = &self.place.elsewhere;
+        let other_members = &self.position.other_members;
         let claim_hold = self.options.view.claim_hold;
         self.children.retain(|child, sum| {
-            let moved = elsewhere.contains(child);
+            let moved = other_members.contains(child);
             let hold = if moved { moved_hold } else { claim_hold };
             now - sum.received_at <= hold
         });
--- a/crates/foxtide-core/src/spreading/load/view.rs
+++ b/crates/foxtide-core/src/dissemination/load/view.rs
@@ -1,7 +1,7 @@
-//! What an instance knows of the load of all regions.
+//! An instance's view of the load of all regions.
 
+use super::aggregator::LoadAggregator;
 use super::record::LoadRecord;
-use super::spreader::LoadSpreader;
 use crate::ids::OrganisationId;
 use crate::membership::MemberView;
 use crate::steering::{
@@ -13,32 +13,32 @@
     WallTime, //
 };
 
-/// One moment on both clocks of a process.
+/// A simultaneous reading of both clocks of a process.
 #[derive(Clone, Copy, Debug)]
-pub struct Moment {
-    /// On the steady clock.
+pub struct ClockReading {
+    /// The monotonic clock.
     pub monotonic: MonotonicTime,
-    /// On the wall clock.
+    /// The wall clock.
     pub wall: WallTime,
 }
 
-impl LoadSpreader {
-    /// Returns what is known of one organisation in all regions.
+impl LoadAggregator {
+    /// Returns the known load of one organisation in all regions.
     ///
-    /// Times on the reader's clock are early by up to the clocks' skew, so that
-    /// nothing seems younger than it is.
+    /// Reports are dated back by the maximum clock skew, so that none appears
+    /// younger than it is.
     pub fn fleet_view<'a>(
         &self,
         organisation: &OrganisationId,
         members: impl Iterator<Item = MemberView<'a>>,
-        now: Moment,
+        now: ClockReading,
     ) -> FleetView {
         let mut view = FleetView {
             measured_at: now.monotonic,
             ..FleetView::default()
         };
         for ((of, region), record) in &self.table {
-            let expired = self.on_own_clock(record.summed_at, now) < self.expiry(now);
+            let expired = self.to_own_clock(record.summed_at, now) < self.expiry(now);
             if of == organisation && !expired {
                 view.regions
                     .insert(region.clone(), self.region_view(record, now));
@@ -56,26 +56,26 @@
         view
     }
 
-    fn region_view(&self, record: &LoadRecord, now: Moment) -> RegionView {
+    fn region_view(&self, record: &LoadRecord, now: ClockReading) -> RegionView {
         let mut record = record.clone();
-        let live_since = self.on_own_clock(record.live_since, now);
+        let live_since = self.to_own_clock(record.live_since, now);
         if now.monotonic - live_since > self.options.view.view_age_max {
-            record.make_silent();
+            record.exclude_from_live();
         }
         RegionView {
-            oldest_at: self.on_own_clock(record.oldest_at, now),
+            oldest_at: self.to_own_clock(record.oldest_at, now),
             known_instances: 0,
             ..record.sum
         }
     }
 
-    /// Returns a peer's time on the reader's steady clock, early by the skew.
-    fn on_own_clock(&self, at: WallTime, now: Moment) -> MonotonicTime {
+    /// Converts a peer's wall time to the local monotonic clock, less the skew.
+    fn to_own_clock(&self, at: WallTime, now: ClockReading) -> MonotonicTime {
         let age = now.wall - at + self.options.skew;
         now.monotonic.saturating_sub(age)
     }
 
-    fn expiry(&self, now: Moment) -> MonotonicTime {
+    fn expiry(&self, now: ClockReading) -> MonotonicTime {
         now.monotonic.saturating_sub(self.options.view.claim_hold)
     }
 }
--- a/crates/foxtide-mesh/src/documents.rs
+++ b/crates/foxtide-mesh/src/documents.rs
@@ -15,14 +15,14 @@
     request,
     response, //
 };
+use foxtide_core::dissemination::{
+    Document,
+    Fetch, //
+};
 use foxtide_core::membership::{
     Announcement,
     Rumour, //
 };
-use foxtide_core::spreading::{
-    Document,
-    Fetch, //
-};
 use std::net::SocketAddr;
 use std::sync::Arc;
 
@@ -32,7 +32,7 @@
     let announcement = document.announcement();
     let now = shared.now();
     let mut state = shared.state.lock();
-    state.fetches.held(&announcement);
+    state.fetches.mark_held(&announcement);
     if !state.configurations.apply(document) {
         return false;
     }
@@ -52,10 +52,10 @@
 /// Schedules a fetch of a revision that a peer announced, if it is newer.
 pub(crate) fn fetch_if_newer(shared: &Arc<Shared>, announcement: &Announcement, by: SocketAddr) {
     let mut state = shared.state.lock();
-    if !state.configurations.wants(announcement) {
+    if !state.configurations.is_newer(announcement) {
         return;
     }
-    state.fetches.announced(announcement, by);
+    state.fetches.add_source(announcement, by);
     drop(state);
     start_fetches(shared);
 }
@@ -63,7 +63,7 @@
 /// Starts the fetches that are due.
 pub(crate) fn start_fetches(shared: &Arc<Shared>) {
     let now = shared.now();
-    let due = shared.state.lock().fetches.due(now);
+    let due = shared.state.lock().fetches.start_due(now);
     for fetch in due {
         let shared = shared.clone();
         smol::spawn(async move { run_fetch(&shared, &fetch).await }).detach();
@@ -81,7 +81,7 @@
                 fetch.announcement.organisation
             );
             let now = shared.now();
-            shared.state.lock().fetches.failed(fetch, now);
+            shared.state.lock().fetches.mark_failed(fetch, now);
         }
     }
 }
--- a/crates/foxtide/src/client_blocks.rs
+++ b/crates/foxtide/src/client_blocks.rs
@@ -21,12 +21,12 @@
     Manifest,
     Site, //
 };
+use foxtide_core::dissemination::Document;
 use foxtide_core::events::{
     EventCode,
     EventFields, //
 };
 use foxtide_core::ids::RegionId;
-use foxtide_core::spreading::Document;
 use foxtide_core::store::{
     Store,
     StoreError,
@@ -122,12 +122,12 @@
             }
             match self.watch_once(&mut after, &manifests).await {
                 Ok(()) => {
-                    backoff.succeeded();
+                    backoff.record_success();
                     Timer::after(WATCH_GAP).await;
                 }
                 // The store is not to blame: it was not asked.
                 Err(StoreError::OverBudget { .. }) => drop(Timer::after(ROLE_CHECK).await),
-                Err(_) => drop(Timer::after(backoff.failed(fastrand::f64())).await),
+                Err(_) => drop(Timer::after(backoff.record_failure(fastrand::f64())).await),
             }
         }
     }
@@ -208,12 +208,12 @@
                     self.reject(&cause);
                     break;
                 }
-                Timer::after(backoff.failed(fastrand::f64())).await;
+                Timer::after(backoff.record_failure(fastrand::f64())).await;
                 while let Ok(newer) = manifests.try_recv() {
                     manifest = newer;
                 }
             }
-            backoff.succeeded();
+            backoff.record_success();
         }
     }
 
@@ -222,7 +222,7 @@
             return Ok(());
         }
         let current = self.in_force.0.load_full();
-        let following = current.filter(|blocks| manifest.follows(blocks));
+        let following = current.filter(|blocks| manifest.can_advance(blocks));
         let blocks = match following {
             Some(blocks) => advance(manifest.clone(), blocks).await?,
             None => self.load(manifest).await?,
--- a/crates/foxtide/src/configuration.rs
+++ b/crates/foxtide/src/configuration.rs
@@ -18,12 +18,12 @@
     WatchReport,
     change, //
 };
+use foxtide_core::dissemination::Document;
 use foxtide_core::events::{
     EventCode,
     EventFields, //
 };
 use foxtide_core::organisation::Organisation;
-use foxtide_core::spreading::Document;
 use foxtide_entry::{
     Clock,
     SystemClock,
@@ -90,7 +90,7 @@
         loop {
             if !store_read && store_again_in.is_zero() {
                 store_read = self.read_store(&mut watch).await;
-                store_again_in = backoff.failed(fastrand::f64());
+                store_again_in = backoff.record_failure(fastrand::f64());
             }
             let joined = self.mesh.synchronised();
             let has_any = !self.tables.organisations().is_empty();
@@ -113,7 +113,7 @@
         &self,
         watch: &mut ConfigurationWatch<NodeStore, R>,
     ) -> bool {
-        match watch.read_now().await {
+        match watch.read_all().await {
             Ok(reports) => {
                 reports.into_iter().for_each(|report| self.take(report));
                 true
--- a/crates/foxtidectl/src/change_document.rs
+++ b/crates/foxtidectl/src/change_document.rs
@@ -7,7 +7,7 @@
     self,
     ChangeRequest,
     Difference,
-    Stored, //
+    StoredDocument, //
 };
 use foxtide_core::organisation::Organisation;
 use foxtide_core::units::Revision;
@@ -18,7 +18,7 @@
 #[derive(Debug)]
 pub(crate) struct DocumentChange {
     /// The stored document before the change; `None` for a new organisation.
-    pub(crate) base: Option<Stored>,
+    pub(crate) base: Option<StoredDocument>,
     /// The document after the change.
     pub(crate) document: Organisation,
     /// A one-line summary for the history.
@@ -50,7 +50,7 @@
 }
 
 /// Returns a conflict unless the document is at the revision given with `--revision`.
-fn check_revision(session: &Session, base: Option<&Stored>) -> Result<(), Failure> {
+fn check_revision(session: &Session, base: Option<&StoredDocument>) -> Result<(), Failure> {
     let Some(expected) = session.options().revision else {
         return Ok(());
     };
@@ -91,7 +91,7 @@
     Report::new(text, json!({"written": false, "differences": differences}))
 }
 
-fn accepted_report(accepted: &change::Accepted, differences: &[Difference]) -> Report {
+fn accepted_report(accepted: &change::AcceptedChange, differences: &[Difference]) -> Report {
     let document = &accepted.document;
     let (organisation, revision) = (&document.organisation, document.revision);
     let note = match accepted.settled {
--- a/crates/foxtidectl/src/commands/organisation/create.rs
+++ b/crates/foxtidectl/src/commands/organisation/create.rs
@@ -58,7 +58,7 @@
 /// the command idempotent, and refuses otherwise.
 fn check_existing(
     _session: &Session,
-    stored: &change::Stored,
+    stored: &change::StoredDocument,
     document: &foxtide_core::organisation::Organisation,
 ) -> Result<Report, Failure> {
     let differences = change::differences(Some(stored), document);
--- a/crates/foxtidectl/src/commands/organisation/edit.rs
+++ b/crates/foxtidectl/src/commands/organisation/edit.rs
@@ -7,7 +7,7 @@
 use crate::session::Session;
 use argh::FromArgs;
 use foxtide_config::Template;
-use foxtide_config::change::Stored;
+use foxtide_config::change::StoredDocument;
 use foxtide_config::template::Parameters;
 use foxtide_core::organisation::Organisation;
 use std::path::Path;
@@ -102,7 +102,7 @@
 
 /// Returns the new document with the moves and drains of the current one, which are not
 /// part of templates.
-fn with_moves_and_drains(base: &Stored, fresh: Organisation) -> Organisation {
+fn with_moves_and_drains(base: &StoredDocument, fresh: Organisation) -> Organisation {
     Organisation {
         moves: base.document.moves.clone(),
         drains: base.document.drains.clone(),
--- a/crates/foxtidectl/src/commands/promises.rs
+++ b/crates/foxtidectl/src/commands/promises.rs
@@ -61,7 +61,8 @@
         let responses = admin::fetch_all(&addresses, &page).await?;
         let mut measurements: Vec<Measurement> = Vec::new();
         for (address, page) in responses.pages {
-            let rows: Vec<Measurement> = document::typed(&format!("instance {address}"), page)?;
+            let rows: Vec<Measurement> =
+                document::from_value(&format!("instance {address}"), page)?;
             measurements.extend(rows);
         }
         let summaries = summarise(measurements);
