--- a/crates/foxtidectl/src/commands/explain/request/mod.rs
+++ b/crates/foxtidectl/src/commands/explain/request/mod.rs
@@ -38,7 +38,11 @@
         match RequestTrace::collect(&self.id, &lines) {
             Some(trace) => Ok(report::report(&trace)),
             None => Err(Failure::refused(
-                format!("no line of {} tells of request {}", lines.len(), self.id),
+                format!(
+                    "none of the {} events mentions request {}",
+                    lines.len(),
+                    self.id
+                ),
                 "give the lines of all instances; look for lines-left-out (F1011) and \
                  lines-dropped (F1012) at the time of the request",
             )),
--- a/crates/foxtidectl/tests/explain_lines.rs
+++ b/crates/foxtidectl/tests/explain_lines.rs
@@ -90,7 +90,7 @@
     let (status, text) = explain("other.log", LINES, "nobody");
     assert_eq!(status, ExitStatus::Refused);
     assert!(
-        text.contains("request nobody") && text.contains("F1011"),
+        text.contains("events mentions request nobody") && text.contains("F1011"),
         "{text}"
     );
     let (status, text) = explain("empty.log", "nothing\n", "full");
