--- a/crates/foxtidectl/src/commands/blocks/load.rs
+++ b/crates/foxtidectl/src/commands/blocks/load.rs
@@ -1,8 +1,8 @@
-//! `foxtidectl blocks load`.
+//! `foxtidectl blocks load`: replaces all sites and client blocks.
 
 use super::{
-    accepted,
-    only_shown,
+    accepted_report,
+    preview_report,
     site_index, //
 };
 use crate::failure::Failure;
@@ -35,7 +35,7 @@
     file: String,
 }
 
-/// What the file holds.
+/// The content of a blocks file.
 #[derive(Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct BlocksFile {
@@ -44,7 +44,7 @@
 }
 
 impl Load {
-    /// Writes the table.
+    /// Replaces the table by that of the file.
     pub(super) async fn run(self, session: &Session) -> Result<Report, Failure> {
         let text = document::read_text(Path::new(&self.file))?;
         let file: BlocksFile = document::parse(&self.file, &text)?;
@@ -57,10 +57,10 @@
         if !session.options().yes {
             let count = sites.sites().len();
             let text = format!("{} blocks, {count} sites", list.len());
-            return Ok(only_shown(&text));
+            return Ok(preview_report(&text));
         }
         let base = blocks::load_manifest(session.store()).await?;
         let published = blocks::replace(session.store(), base.as_ref(), sites, &list).await?;
-        Ok(accepted(&published))
+        Ok(accepted_report(&published))
     }
 }
--- a/crates/foxtidectl/src/commands/blocks/show.rs
+++ b/crates/foxtidectl/src/commands/blocks/show.rs
@@ -1,6 +1,6 @@
-//! `foxtidectl blocks show`.
+//! `foxtidectl blocks show`: the sites and the size of the table.
 
-use super::stored;
+use super::require_manifest;
 use crate::failure::Failure;
 use crate::report::{
     Report,
@@ -20,9 +20,9 @@
 pub(super) struct Show {}
 
 impl Show {
-    /// Reads the manifest.
+    /// Loads the manifest and prints its sites and sizes.
     pub(super) async fn run(self, session: &Session) -> Result<Report, Failure> {
-        let manifest = stored(session).await?.manifest;
+        let manifest = require_manifest(session).await?.manifest;
         let text = format!("{}\n{}", summary(&manifest), sites(&manifest));
         let json = json!({
             "revision": manifest.revision,
--- a/crates/foxtidectl/src/commands/drain/stop.rs
+++ b/crates/foxtidectl/src/commands/drain/stop.rs
@@ -1,12 +1,12 @@
-//! `foxtidectl drain stop`.
+//! `foxtidectl drain stop`: removes an announced drain.
 
+use crate::change_document::{
+    self,
+    DocumentChange, //
+};
 use crate::failure::Failure;
 use crate::report::Report;
 use crate::session::Session;
-use crate::write::{
-    self,
-    Edit, //
-};
 use argh::FromArgs;
 
 /// Take a drain back: what left takes new work again
@@ -22,19 +22,19 @@
 }
 
 impl Stop {
-    /// Removes the drain; one that is gone already is no error, so that the
-    /// command can be run again.
+    /// Removes the drain. A missing drain is not an error, which makes the command
+    /// idempotent.
     pub(super) async fn run(self, session: &Session) -> Result<Report, Failure> {
         let base = session.load(&self.organisation).await?;
         let mut document = base.document.clone();
         document
             .drains
             .retain(|drain| drain.id.as_str() != self.drain);
-        let edit = Edit {
+        let edit = DocumentChange {
             base: Some(base),
             document,
             summary: format!("stop drain {}", self.drain),
         };
-        write::apply(session, edit).await
+        change_document::apply(session, edit).await
     }
 }
--- a/crates/foxtidectl/src/commands/losses/plot.rs
+++ b/crates/foxtidectl/src/commands/losses/plot.rs
@@ -1,4 +1,4 @@
-//! How requests ended and where they were sent, over time, as a picture.
+//! Draws request outcomes, slot waits and regions over time as SVG.
 
 use super::tally::{
     Counts,
@@ -15,36 +15,36 @@
 
 const SIZE_PX: (u32, u32) = (900, 900);
 
-/// The most regions that are drawn.
+/// The maximum number of regions drawn.
 const REGIONS_MAX: usize = 8;
 
-/// A line of a chart: its name, and its value in each window.
+/// A curve of a chart: its name and its value in each window.
 type Curve = (String, Vec<f64>);
 
 type Area<'a> = DrawingArea<SVGBackend<'a>, Shift>;
 
-/// Draws how requests ended, how long they waited for slots, and the regions that got them,
-/// one below the other.
+/// Draws three charts, one below the other: request outcomes, slot waits and regions.
 ///
 /// # Errors
 ///
-/// Fails where the file cannot be written.
+/// Returns an error if the file cannot be written.
 pub(super) fn plot(path: &Path, tally: &Tally) -> Result<(), Box<dyn Error>> {
     let windows = tally.by_window();
     let length = windows.keys().next_back().map_or(1, |&last| last + 1);
-    let per_second = |figure: &dyn Fn(&Counts) -> f64| -> Vec<f64> {
-        let of_window = |window| windows.get(&window).map_or(0.0, figure) / tally.window_s;
-        (0..length).map(of_window).collect()
+    let per_second = |value_of: &dyn Fn(&Counts) -> f64| -> Vec<f64> {
+        let rate = |window| windows.get(&window).map_or(0.0, value_of) / tally.window_s;
+        (0..length).map(rate).collect()
     };
-    let curve = |name: &str, figure: &dyn Fn(&Counts) -> f64| (name.to_owned(), per_second(figure));
-    let ends = [
+    let curve =
+        |name: &str, value_of: &dyn Fn(&Counts) -> f64| (name.to_owned(), per_second(value_of));
+    let outcomes = [
         curve("in time", &|counts| counts.in_time as f64),
         curve("late", &|counts| counts.late as f64),
         curve("refused", &|counts| counts.refused as f64),
         curve("failed", &|counts| counts.failed as f64),
     ];
     let waits = [curve("waiting for slots", &|counts| counts.slot_wait_s)];
-    let regions: Vec<Curve> = regions_of(&windows)
+    let regions: Vec<Curve> = busiest_regions(&windows)
         .into_iter()
         .map(|region| {
             curve(&region, &|counts| {
@@ -56,7 +56,7 @@
     area.fill(&WHITE)?;
     let parts = area.split_evenly((3, 1));
     let charts = [
-        ("requests a second, by their end", &ends[..]),
+        ("requests a second, by their end", &outcomes[..]),
         ("requests that wait for a slot", &waits[..]),
         ("requests a second, by the region of the upstream", &regions),
     ];
@@ -67,8 +67,8 @@
     Ok(())
 }
 
-/// Returns the regions that got most requests.
-fn regions_of(windows: &BTreeMap<u64, Counts>) -> BTreeSet<String> {
+/// Returns the regions with the most requests.
+fn busiest_regions(windows: &BTreeMap<u64, Counts>) -> BTreeSet<String> {
     let mut sums: BTreeMap<&String, u64> = BTreeMap::new();
     for (region, count) in windows.values().flat_map(|counts| &counts.regions) {
         *sums.entry(region).or_default() += count;
--- a/crates/foxtidectl/src/commands/losses/tally.rs
+++ b/crates/foxtidectl/src/commands/losses/tally.rs
@@ -1,116 +1,112 @@
-//! How requests and attempts ended, by service, route and window of time.
+//! Counts the outcomes of requests and attempts by service, route and time window.
 
-use super::calls::Calls;
-use super::objects::{
-    Arrival,
-    Objects, //
+use super::object_history::{
+    ObjectHistory,
+    Placement, //
 };
 use super::organisations::Organisations;
-use crate::commands::lines::LogLine;
+use super::store_calls::StoreCalls;
+use crate::commands::log_lines::LogLine;
 use std::collections::BTreeMap;
 
 /// The status of a request that did not run.
 const NOT_RUN_STATUS: f64 = 503.0;
 
-/// How long an attempt that an upstream refused may take without having waited there,
-/// in milliseconds: a new connection and an exchange between the regions that are
-/// furthest apart.
-const REFUSED_AT_ONCE_MS: f64 = 250.0;
+/// The longest duration of an immediate refusal in milliseconds: a new connection and a
+/// round trip between the most distant regions. Slower refusals waited at the upstream.
+const IMMEDIATE_REFUSAL_MAX_MS: f64 = 250.0;
 
-/// The requests of one service and route in one window.
+/// Counts of one service and route in one window.
 #[derive(Clone, Debug, Default, serde::Serialize)]
 pub(super) struct Counts {
     /// Answered within the latency objective.
     pub(super) in_time: u64,
-    /// Answered later.
+    /// Answered after the latency objective.
     pub(super) late: u64,
-    /// Refused: they did not run.
+    /// Refused without having run.
     pub(super) refused: u64,
-    /// Failed, or their outcome is unknown.
+    /// Failed or with unknown outcome.
     pub(super) failed: u64,
     /// Refusals and failures by reason.
     pub(super) reasons: BTreeMap<String, u64>,
-    /// Attempts that were cut by a limit of time.
+    /// Attempts that timed out.
     pub(super) attempts_cut: u64,
-    /// Attempts that an upstream refused after they had waited there.
+    /// Attempts refused by an upstream after a wait.
     pub(super) attempts_refused_late: u64,
-    /// Attempts that an upstream refused at once.
+    /// Attempts refused by an upstream immediately.
     pub(super) attempts_refused: u64,
-    /// Attempts whose answer was lost or wrong.
+    /// Attempts whose response was lost or invalid.
     pub(super) attempts_lost: u64,
-    /// Seconds that attempts in vain spent at upstreams, waits there included.
+    /// Seconds spent at upstreams by failed attempts, including waits.
     pub(super) vain_s: f64,
-    /// Seconds that requests waited for slots.
+    /// Seconds spent waiting for slots.
     pub(super) slot_wait_s: f64,
-    /// Requests of objects that no upstream had served before.
+    /// Requests for objects that no upstream had served before.
     pub(super) objects_first: u64,
-    /// Requests of objects that another upstream had served before.
+    /// Requests for objects that only other upstreams had served before.
     pub(super) objects_moved: u64,
-    /// Requests by the region of their last upstream.
+    /// Requests by region of the last upstream.
     pub(super) regions: BTreeMap<String, u64>,
-    /// The oldest knowledge that decided a request, in milliseconds.
+    /// The maximum age of the store's data used to route a request, in milliseconds.
     pub(super) knowledge_age_max_ms: f64,
 }
 
-/// What is counted together.
+/// The key by which events are grouped.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(super) struct Key {
+pub(super) struct GroupKey {
     pub(super) service: String,
     pub(super) route: String,
     pub(super) window: u64,
 }
 
-/// All counts.
+/// The counts of all log lines.
 #[derive(Debug, Default)]
 pub(super) struct Tally {
-    pub(super) counts: BTreeMap<Key, Counts>,
-    /// The length of a window in seconds.
+    pub(super) counts: BTreeMap<GroupKey, Counts>,
+    /// The window length in seconds.
     pub(super) window_s: f64,
-    /// When the first window begins, in seconds since 1970.
-    pub(super) begins_s: f64,
-    /// Requests whose callers left.
+    /// Unix time in seconds at the start of the first window.
+    pub(super) start_s: f64,
+    /// Requests cancelled by their callers.
     pub(super) cancelled: u64,
-    /// Lines that instances left out: of requests that were answered in time, and of
-    /// others.
-    pub(super) left_out: (u64, u64),
-    /// Lines that were dropped since standard output was not read.
-    pub(super) dropped: u64,
-    /// The calls to the store.
-    pub(super) calls: Calls,
-    /// How the requests of each organisation ended.
+    /// Lines omitted by instances: of requests answered in time, and of others.
+    pub(super) lines_omitted: (u64, u64),
+    /// Lines dropped because standard output was blocked.
+    pub(super) lines_dropped: u64,
+    pub(super) store_calls: StoreCalls,
     pub(super) organisations: Organisations,
-    objects: Objects,
+    objects: ObjectHistory,
 }
 
 impl Tally {
-    /// Counts events, which are in the order of their times.
-    pub(super) fn of(events: &[LogLine], window_s: f64) -> Self {
+    /// Counts events, which must be ordered by time.
+    pub(super) fn from_events(events: &[LogLine], window_s: f64) -> Self {
         let mut tally = Self {
             window_s,
-            begins_s: events.first().map_or(0.0, LogLine::time_s),
+            start_s: events.first().map_or(0.0, LogLine::time_s),
             ..Self::default()
         };
         for event in events {
-            tally.take_in(event);
+            tally.add_event(event);
         }
         tally
     }
 
-    /// Returns the sums of each window.
+    /// Returns the totals of each window.
     pub(super) fn by_window(&self) -> BTreeMap<u64, Counts> {
         self.sums(|key| key.window)
     }
 
-    /// Returns the sums of all that have a part of the key in common.
-    pub(super) fn sums<K: Ord>(&self, key_of: impl Fn(&Key) -> K) -> BTreeMap<K, Counts> {
+    /// Returns the totals of each group, where `group_of` derives the group from the key.
+    pub(super) fn sums<K: Ord>(&self, group_of: impl Fn(&GroupKey) -> K) -> BTreeMap<K, Counts> {
         let mut sums: BTreeMap<K, Counts> = BTreeMap::new();
         for (key, counts) in &self.counts {
-            sums.entry(key_of(key)).or_default().add(counts);
+            sums.entry(group_of(key)).or_default().add(counts);
         }
         sums
     }
 
-    fn take_in(&mut self, line: &LogLine) {
+    fn add_event(&mut self, line: &LogLine) {
         if matches!(line.event.as_str(), "request-answered" | "request-failed") {
             self.organisations.add(line);
         }
@@ -120,25 +116,25 @@
             "attempt-failed" => self.attempt_failed(line),
             "request-cancelled" => self.cancelled += 1,
             "lines-left-out" => {
-                self.left_out.0 += count(line, "answered");
-                self.left_out.1 += count(line, "failed");
+                self.lines_omitted.0 += number_field(line, "answered");
+                self.lines_omitted.1 += number_field(line, "failed");
             }
             "store-calls" => {
                 let window = self.window_of(line);
-                self.calls.add(line, window);
+                self.store_calls.add(line, window);
             }
-            "lines-dropped" => self.dropped += count(line, "lines"),
+            "lines-dropped" => self.lines_dropped += number_field(line, "lines"),
             _ => {}
         }
     }
 
     fn answered(&mut self, line: &LogLine) {
-        let object = line.field("object");
-        let arrival = if object == "-" {
-            Arrival::Known
+        let object = line.text("object");
+        let placement = if object == "-" {
+            Placement::Known
         } else {
-            let (service, upstream) = (line.field("service"), line.field("upstream"));
-            self.objects.serve(&service, &object, &upstream)
+            let (service, upstream) = (line.text("service"), line.text("upstream"));
+            self.objects.record_service(&service, &object, &upstream)
         };
         let counts = self.counts_of(line);
         let latency_ms = line.number("latency_ms").unwrap_or_default();
@@ -148,31 +144,31 @@
         } else {
             counts.late += 1;
         }
-        match arrival {
-            Arrival::Known => {}
-            Arrival::First => counts.objects_first += 1,
-            Arrival::Moved => counts.objects_moved += 1,
+        match placement {
+            Placement::Known => {}
+            Placement::First => counts.objects_first += 1,
+            Placement::Moved => counts.objects_moved += 1,
         }
-        counts.decided_by(line);
+        counts.add_decision(line);
     }
 
     fn failed(&mut self, line: &LogLine) {
         let counts = self.counts_of(line);
-        if line.number("status") == Some(NOT_RUN_STATUS) && line.holds("source", "instance") {
+        if line.number("status") == Some(NOT_RUN_STATUS) && line.has_text("source", "instance") {
             counts.refused += 1;
         } else {
             counts.failed += 1;
         }
-        *counts.reasons.entry(line.field("reason")).or_default() += 1;
-        counts.decided_by(line);
+        *counts.reasons.entry(line.text("reason")).or_default() += 1;
+        counts.add_decision(line);
     }
 
     fn attempt_failed(&mut self, line: &LogLine) {
         let counts = self.counts_of(line);
         let took_ms = line.number("took_ms").unwrap_or_default();
-        match line.field("outcome").as_str() {
+        match line.text("outcome").as_str() {
             "timed_out" => counts.attempts_cut += 1,
-            "not_run" if took_ms > REFUSED_AT_ONCE_MS => counts.attempts_refused_late += 1,
+            "not_run" if took_ms > IMMEDIATE_REFUSAL_MAX_MS => counts.attempts_refused_late += 1,
             "not_run" => counts.attempts_refused += 1,
             "unknown" => counts.attempts_lost += 1,
             _ => return,
@@ -181,14 +177,14 @@
     }
 
     fn window_of(&self, line: &LogLine) -> u64 {
-        let window = (line.time_s() - self.begins_s) / self.window_s;
+        let window = (line.time_s() - self.start_s) / self.window_s;
         window.max(0.0) as u64
     }
 
     fn counts_of(&mut self, line: &LogLine) -> &mut Counts {
-        let key = Key {
-            service: line.field("service"),
-            route: line.field("route"),
+        let key = GroupKey {
+            service: line.text("service"),
+            route: line.text("route"),
             window: self.window_of(line),
         };
         self.counts.entry(key).or_default()
@@ -196,17 +192,17 @@
 }
 
 impl Counts {
-    fn decided_by(&mut self, line: &LogLine) {
+    fn add_decision(&mut self, line: &LogLine) {
         let age_ms = line.number("knowledge_age_ms").unwrap_or_default();
         self.knowledge_age_max_ms = self.knowledge_age_max_ms.max(age_ms);
         self.slot_wait_s += line.number("slot_wait_ms").unwrap_or_default() / 1_000.0;
-        let region = line.field("region");
+        let region = line.text("region");
         if region != "-" {
             *self.regions.entry(region).or_default() += 1;
         }
     }
 
-    /// Adds what was counted elsewhere.
+    /// Adds the counts of another group.
     pub(super) fn add(&mut self, other: &Self) {
         self.in_time += other.in_time;
         self.late += other.late;
@@ -230,6 +226,6 @@
     }
 }
 
-fn count(line: &LogLine, field: &str) -> u64 {
+fn number_field(line: &LogLine, field: &str) -> u64 {
     line.number(field).unwrap_or_default() as u64
 }
--- a/crates/foxtidectl/src/commands/movement/pause.rs
+++ b/crates/foxtidectl/src/commands/movement/pause.rs
@@ -1,12 +1,12 @@
-//! `foxtidectl move pause`.
+//! `foxtidectl move pause`: holds a move at its current position.
 
+use crate::change_document::{
+    self,
+    DocumentChange, //
+};
 use crate::failure::Failure;
 use crate::report::Report;
 use crate::session::Session;
-use crate::write::{
-    self,
-    Edit, //
-};
 use argh::FromArgs;
 use foxtide_core::organisation::{
     Organisation,
@@ -26,23 +26,23 @@
 }
 
 impl Pause {
-    /// Sets the time of the pause; a move that is paused stays as it is.
+    /// Records the time of the pause; a move that is already paused is unchanged.
     pub(super) async fn run(self, session: &Session) -> Result<Report, Failure> {
         let base = session.load(&self.organisation).await?;
         let mut document = base.document.clone();
-        let movement = find(&mut document, &self.movement)?;
+        let movement = find_move(&mut document, &self.movement)?;
         movement.paused_us = movement.paused_us.or(Some(session.now()));
-        let edit = Edit {
+        let edit = DocumentChange {
             base: Some(base),
             document,
             summary: format!("pause move {}", self.movement),
         };
-        write::apply(session, edit).await
+        change_document::apply(session, edit).await
     }
 }
 
-/// Returns the move of this name.
-pub(super) fn find<'a>(
+/// Returns the move with this id.
+pub(super) fn find_move<'a>(
     document: &'a mut Organisation,
     name: &str,
 ) -> Result<&'a mut PlannedMove, Failure> {
