--- a/crates/foxtide-gateway/src/follow/peers.rs
+++ b/crates/foxtide-gateway/src/follow/peers.rs
@@ -1,9 +1,9 @@
-//! What is asked of other instances.
+//! Reads changes of the store from other instances.
 
 use super::Follower;
 use crate::dialect::Dialect;
 use crate::relay::{
-    Question,
+    ChangesQuery,
     RelayError, //
 };
 use crate::store::FleetStore;
@@ -21,21 +21,18 @@
     Instant, //
 };
 
-/// How long a peer waits for a change. One that is cut off is noticed soon
-/// after this.
+/// How long a peer waits for a change; bounds how late a lost peer is noticed.
 const RELAY_WAIT: Duration = Duration::from_millis(1_000);
 
-/// How many watchers are asked before the store itself. One that lost power takes
-/// 1.6 s to be noticed, and a change must be in force in 2.5 s.
+/// How many watchers are asked before the store itself.
 const WATCHERS_ASKED_MAX: usize = 2;
 
-/// How long a starting instance goes on from peer to peer before it asks the store
-/// again. A peer that lost power takes 0.6 s, one that runs a round trip.
-const ASK_AROUND_TIME: Duration = Duration::from_millis(800);
+/// How long a starting instance asks further peers before it calls the store again.
+const ASK_PEERS_TIMEOUT: Duration = Duration::from_millis(800);
 
 impl<D: Dialect, S: FleetStore> Follower<D, S> {
-    /// Returns the watchers to be asked in place of the store, without those that have
-    /// failed of late.
+    /// Returns the addresses of the watchers without those that failed recently, nearest
+    /// first.
     pub(super) fn watchers(&self) -> Vec<SocketAddr> {
         let place = &self.shared.options.place;
         let state = self.shared.state.lock();
@@ -47,33 +44,33 @@
             .collect()
     }
 
-    /// Tells whether others follow the store for this instance.
+    /// Tells whether watchers follow the store for this instance.
     pub(super) fn is_follower(&self) -> bool {
         !self.shared.state.lock().should_keep_own_record()
     }
 
-    /// Returns this instance as one whose record a peer is to keep, where it is.
+    /// Returns the record of this instance if a peer should register it.
     fn announcement(&self) -> Option<Member> {
-        let is_turned_away = self.failures > 0;
-        let wants = self.shared.state.lock().wants_registrar(is_turned_away);
-        (wants && self.shared.is_ready()).then(|| self.shared.member())
+        let has_failed = self.failures > 0;
+        let needs_registrar = self.shared.state.lock().wants_registrar(has_failed);
+        (needs_registrar && self.shared.is_ready()).then(|| self.shared.member())
     }
 
-    /// Asks the nearest watcher that has not failed of late, and another one where it fails.
+    /// Asks the nearest watcher that has not failed recently, and another one if it fails.
     pub(super) async fn ask_watchers(&mut self, watchers: &[SocketAddr]) -> Result<(), RelayError> {
-        let question = Question {
+        let query = ChangesQuery {
             after: self.index,
             wait: RELAY_WAIT,
-            reads_large: true,
+            fetches_large: true,
             announcement: self.announcement(),
-            ..Question::default()
+            ..ChangesQuery::default()
         };
         let mut asked = 0;
         loop {
             asked += 1;
-            let error = match self.ask_peer(watchers, &question).await {
-                Err(error) if !matches!(error, RelayError::Large { .. }) => error,
-                answered => return answered,
+            let error = match self.ask_peer(watchers, &query).await {
+                Err(error) if !matches!(error, RelayError::TooLarge { .. }) => error,
+                result => return result,
             };
             log_event!(EventCode::RelayLost, cause:% = error);
             if asked >= WATCHERS_ASKED_MAX.min(watchers.len()) {
@@ -82,44 +79,44 @@
         }
     }
 
-    /// Asks a peer what the store says. While all has to be read, each is asked in
-    /// turn. One that has known nothing yet then asks each for what it last knew:
-    /// instances are replaced also while the store is away. To others that could be
-    /// older than what they know.
-    pub(super) async fn ask_around(&mut self, peers: &[SocketAddr]) -> Result<(), RelayError> {
-        let question = Question {
+    /// Asks a peer for changes; asks all in turn if everything has to be read.
+    ///
+    /// Without a configuration, a second round accepts stale state, so that instances can
+    /// start while the store is unavailable. Otherwise it could be older than the own state.
+    pub(super) async fn ask_peers(&mut self, peers: &[SocketAddr]) -> Result<(), RelayError> {
+        let query = ChangesQuery {
             after: self.index,
             announcement: self.announcement(),
-            ..Question::default()
+            ..ChangesQuery::default()
         };
         if self.index.is_some() {
-            return self.ask_peer(peers, &question).await;
+            return self.ask_peer(peers, &query).await;
         }
-        let ends_at = Instant::now() + ASK_AROUND_TIME;
-        let knows_nothing = self.shared.state.lock().routes().is_none();
-        let rounds: &[bool] = if knows_nothing {
+        let ends_at = Instant::now() + ASK_PEERS_TIMEOUT;
+        let has_no_configuration = self.shared.state.lock().routes().is_none();
+        let rounds: &[bool] = if has_no_configuration {
             &[false, true]
         } else {
             &[false]
         };
-        let mut answered = Err(RelayError::NoPeer);
-        for &takes_old in rounds {
+        let mut result = Err(RelayError::NoPeer);
+        for &accepts_stale in rounds {
             for _ in peers {
-                let question = Question {
-                    takes_old,
-                    ..question.clone()
+                let query = ChangesQuery {
+                    accepts_stale,
+                    ..query.clone()
                 };
-                answered = self.ask_peer(peers, &question).await;
-                if answered.is_ok() || Instant::now() > ends_at {
-                    return answered;
+                result = self.ask_peer(peers, &query).await;
+                if result.is_ok() || Instant::now() > ends_at {
+                    return result;
                 }
             }
         }
-        answered
+        result
     }
 
-    /// Returns the addresses of other instances that may know what the store
-    /// says, those of the region first.
+    /// Returns the addresses of peers that may follow the store, nearest first; the seed
+    /// peers if none is known.
     pub(super) fn peers(&self) -> Vec<SocketAddr> {
         let options = &self.shared.options;
         let place = &options.place;
@@ -141,42 +138,42 @@
     async fn ask_peer(
         &mut self,
         peers: &[SocketAddr],
-        question: &Question,
+        query: &ChangesQuery,
     ) -> Result<(), RelayError> {
-        let question = &self.with_version(question.clone());
-        let mut relayed = self.relay.ask(peers, question).await?;
-        self.learn_quarantine(&relayed);
-        self.peer_version = relayed.version;
-        let newer = relayed.configuration.take();
-        if question.announcement.is_some() {
+        let query = &self.with_configuration(query.clone());
+        let mut changes = self.relay.ask(peers, query).await?;
+        self.merge_peer_quarantine(&changes);
+        self.peer_version = changes.version;
+        let newer_configuration = changes.configuration.take();
+        if query.announcement.is_some() {
             let mut state = self.shared.state.lock();
-            state.set_registrar_address(relayed.peer);
+            state.set_registrar_address(changes.peer);
         }
         metrics::counter!("foxtide_relay_reads_total").increment(1);
-        if !relayed.is_current {
-            self.adopt(relayed);
-        } else if relayed.is_everything {
-            self.replace(relayed.records, relayed.index);
+        if !changes.is_current {
+            self.adopt_peer_state(changes);
+        } else if changes.is_full {
+            self.replace(changes.records, changes.index);
         } else {
-            self.apply(&relayed.records, relayed.index);
+            self.apply(&changes.records, changes.index);
         }
-        if let Some(newer) = newer {
-            self.take_newer(newer);
+        if let Some(newer_configuration) = newer_configuration {
+            self.apply_newer_configuration(newer_configuration);
         }
         Ok(())
     }
 
-    /// Adds which configuration is in force here, and itself where the peer that answered
-    /// last has an older one: it may have read a store that has lost it.
-    fn with_version(&self, question: Question) -> Question {
+    /// Adds the version of the configuration in force, and the configuration itself if the
+    /// peer that answered last has an older one and the store has lost it.
+    fn with_configuration(&self, query: ChangesQuery) -> ChangesQuery {
         let state = self.shared.state.lock();
         let version = state.version();
         let is_behind = 0 < self.peer_version && self.peer_version < version;
-        let kept = state.unstored_configuration().filter(|_| is_behind);
-        Question {
+        let unstored = state.unstored_configuration().filter(|_| is_behind);
+        ChangesQuery {
             version,
-            configuration: kept.cloned(),
-            ..question
+            configuration: unstored.cloned(),
+            ..query
         }
     }
 }
--- a/crates/foxtide-gateway/src/follow/start.rs
+++ b/crates/foxtide-gateway/src/follow/start.rs
@@ -1,12 +1,11 @@
-//! The first reading of an instance that knows nothing, and later whole readings.
+//! Reads the whole store: the initial read of an instance, and later full reads.
 
 use super::Follower;
 use crate::dialect::Dialect;
-use crate::ledger::CallPurpose;
 use crate::relay::{
-    Question,
+    ChangesQuery,
     RelayError,
-    Relayed, //
+    RelayedChanges, //
 };
 use crate::store::{
     Changes,
@@ -14,6 +13,7 @@
     FleetStore,
     Freshness, //
 };
+use crate::store_calls::CallPurpose;
 use foxtide_core::records::Record;
 use foxtide_core::registry::{
     Members,
@@ -27,42 +27,40 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Over what time the instances of a system that starts for the first time spread their
-/// readings: the first of them become known meanwhile, and the others ask these instead
-/// of the store and need no lease of their own. No caller waits for a system that has
-/// never run.
-const FIRST_START_SPREAD: Duration = Duration::from_millis(3_000);
+/// The time over which instances spread their initial reads when the system starts for the
+/// first time, so that the later ones can ask the earlier ones instead of the store.
+const FIRST_START_JITTER: Duration = Duration::from_millis(3_000);
 
-/// The most pages of one reading: 500 keys each.
+/// The maximum number of pages of one read.
 const PAGES_MAX: usize = 1_000;
 
-/// How long the pages after the first take an instance on a link of 20 Mbit/s.
-const READING_REST: Duration = Duration::from_millis(300);
+/// The expected time to read the pages after the first on a slow link.
+const REMAINING_PAGES_TIME: Duration = Duration::from_millis(300);
 
-/// All that the store holds, and where to go on from.
+/// The contents of the store at an index.
 #[derive(Debug, Default)]
 pub(super) struct Snapshot {
-    /// What it holds.
+    /// The records of all keys.
     pub(super) records: Vec<Record>,
-    /// All changes after this index are still to be followed.
+    /// Changes after this index may be missing.
     pub(super) index: StoreIndex,
 }
 
 impl<D: Dialect, S: FleetStore> Follower<D, S> {
-    /// Waits for a part of the time over which a whole system starts.
-    pub(super) async fn spread_first_start(&self) {
+    /// Waits for a random time if the whole system starts for the first time.
+    pub(super) async fn delay_first_start(&self) {
         if self.shared.options.is_first_start {
-            Timer::after(FIRST_START_SPREAD.mul_f64(fastrand::f64())).await;
+            Timer::after(FIRST_START_JITTER.mul_f64(fastrand::f64())).await;
         }
     }
 
-    /// Reads all that the store holds.
+    /// Reads the whole store.
     pub(super) async fn read_all(&mut self) -> Result<(), StoreError> {
-        let knows_nothing = self.shared.state.lock().routes().is_none();
-        if knows_nothing && self.start_from_old().await? {
+        let has_no_configuration = self.shared.state.lock().routes().is_none();
+        if has_no_configuration && self.start_from_stale().await? {
             return Ok(());
         }
-        let purpose = if knows_nothing {
+        let purpose = if has_no_configuration {
             CallPurpose::Start
         } else {
             CallPurpose::Recovery
@@ -80,17 +78,17 @@
         let mut snapshot = Snapshot::default();
         let mut after = String::new();
         for page in 0..PAGES_MAX {
-            self.shared.ledger.count(purpose, 1);
+            self.shared.store_calls.count(purpose, 1);
             let read = self.store.read_page(&after, freshness).await?;
             if page > 0 && snapshot.index.era() != read.index.era() {
-                // Nothing that follows could tell what the first pages have missed.
+                // Changes of one era do not complete the pages of another.
                 return Err(StoreError::Unknown {
                     step: "read",
                     peer: "store".to_owned(),
-                    cause: "it came back from an older copy meanwhile".to_owned(),
+                    cause: "the store was restored from a backup during the read".to_owned(),
                 });
             }
-            // Pages are not of one moment: changes since the oldest are followed.
+            // Pages are read at different indices; changes are read from the oldest one.
             snapshot.index = match page {
                 0 => read.index,
                 _ => snapshot.index.min(read.index),
@@ -103,16 +101,16 @@
             if is_last {
                 break;
             }
-            if page == 0 && purpose == CallPurpose::StartOld {
-                self.spread_reading(&snapshot).await;
+            if page == 0 && purpose == CallPurpose::StartStale {
+                self.delay_reading(&snapshot).await;
             }
         }
         Ok(snapshot)
     }
 
-    /// Waits so that instances that start together do not read at the same time; callers
-    /// that come meanwhile are told when to come back.
-    async fn spread_reading(&self, first_page: &Snapshot) {
+    /// Delays the remaining pages, so that instances that start together do not read at the
+    /// same time, and announces when the instance will be ready.
+    async fn delay_reading(&self, first_page: &Snapshot) {
         let facts = self.facts(&first_page.records);
         let is_member = |fact: &&Fact| matches!(fact, Fact::Joined(_));
         let instances = facts.iter().filter(is_member).count();
@@ -120,69 +118,69 @@
         self.shared
             .state
             .lock()
-            .expect_ready_after(wait + READING_REST);
+            .expect_ready_after(wait + REMAINING_PAGES_TIME);
         Timer::after(wait).await;
     }
 
-    /// Begins from pages that may be old and from what has changed since; tells whether
-    /// the changes could still be told.
+    /// Starts from stale pages, which are cheaper, and the changes since; returns `false` if
+    /// the changes have been compacted.
     ///
-    /// When a whole fleet starts, each instance reads some thousand registrations, which
-    /// are four pages or more: at a tenth of the price these are 0.02 of the worth of a
-    /// day with two starts of 295 instances. Only one that knows nothing may begin so: to
-    /// all others, old pages would bring back what has been in force before.
-    async fn start_from_old(&mut self) -> Result<bool, StoreError> {
-        let old = self
-            .read_pages(Freshness::MayBeOld, CallPurpose::StartOld)
+    /// Only valid without prior state: stale pages would bring back outdated facts.
+    async fn start_from_stale(&mut self) -> Result<bool, StoreError> {
+        let snapshot = self
+            .read_pages(Freshness::MayBeStale, CallPurpose::StartStale)
             .await?;
-        let Some((changes, index)) = self.changes_since(&old).await? else {
+        let Some((changes, index)) = self.changes_since(&snapshot).await? else {
             return Ok(false);
         };
-        self.begin(&old, &changes, index);
-        if let Some(newer) = self.newer.take() {
-            self.take_newer(newer);
+        self.start_from_snapshot(&snapshot, &changes, index);
+        if let Some(newer_configuration) = self.newer_configuration.take() {
+            self.apply_newer_configuration(newer_configuration);
         }
         Ok(true)
     }
 
-    /// Returns what has changed since a reading: a watcher tells it, or the store itself.
+    /// Returns the changes since a snapshot, from a watcher or from the store.
     async fn changes_since(
         &mut self,
-        old: &Snapshot,
+        snapshot: &Snapshot,
     ) -> Result<Option<(Vec<Record>, StoreIndex)>, StoreError> {
-        if let Ok(relayed) = self.ask_watcher_of(old).await {
-            self.learn_quarantine(&relayed);
-            self.newer = relayed.configuration;
-            if !relayed.is_everything {
-                return Ok(Some((relayed.records, relayed.index)));
+        if let Ok(changes) = self.ask_listed_watcher(snapshot).await {
+            self.merge_peer_quarantine(&changes);
+            self.newer_configuration = changes.configuration;
+            if !changes.is_full {
+                return Ok(Some((changes.records, changes.index)));
             }
         }
-        self.shared.ledger.count(CallPurpose::Start, 1);
-        match self.store.changes(old.index, Duration::ZERO).await? {
+        self.shared.store_calls.count(CallPurpose::Start, 1);
+        match self.store.changes(snapshot.index, Duration::ZERO).await? {
             Changes::Followed { records, index } => Ok(Some((records, index))),
-            Changes::Forgotten => Ok(None),
+            Changes::Compacted => Ok(None),
         }
     }
 
-    /// Asks one of the watchers that a reading names for what has changed since. After
-    /// all instances have lost power it knows nothing itself, so that no other is asked.
-    async fn ask_watcher_of(&mut self, old: &Snapshot) -> Result<Relayed, RelayError> {
-        let watchers = self.watchers_of(old);
+    /// Asks one of the watchers in a snapshot for the changes since. Only one is asked: after
+    /// a power loss of the whole fleet, none of them has any state.
+    async fn ask_listed_watcher(
+        &mut self,
+        snapshot: &Snapshot,
+    ) -> Result<RelayedChanges, RelayError> {
+        let watchers = self.listed_watchers(snapshot);
         if watchers.is_empty() {
             return Err(RelayError::NoPeer);
         }
-        let question = Question {
-            after: Some(old.index),
-            reads_large: true,
-            version: self.version_of(old),
-            ..Question::default()
+        let query = ChangesQuery {
+            after: Some(snapshot.index),
+            fetches_large: true,
+            version: self.configuration_version(snapshot),
+            ..ChangesQuery::default()
         };
-        self.relay.ask(&watchers, &question).await
+        self.relay.ask(&watchers, &query).await
     }
 
-    /// Returns the version of the configuration that a reading has brought; 0 for none.
-    fn version_of(&self, old: &Snapshot) -> u64 {
-        let facts = self.facts(&old.records);
+    /// Returns the version of the configuration in a snapshot; 0 for none.
+    fn configuration_version(&self, snapshot: &Snapshot) -> u64 {
+        let facts = self.facts(&snapshot.records);
         let versions = facts.iter().filter_map(|fact| match fact {
             Fact::Configuration(document) => Some(document.version),
             _ => None,
@@ -190,13 +188,12 @@
         versions.max().unwrap_or_default()
     }
 
-    /// Returns whom to ask for what has changed since a reading. Where all instances follow
-    /// the store themselves none is asked, unless the store has come back from a copy: only
-    /// they know then what it has lost.
-    fn watchers_of(&self, old: &Snapshot) -> Vec<SocketAddr> {
+    /// Returns the addresses to ask for the changes since a snapshot: the watchers or, after
+    /// a restore from a backup, all instances, since only they know what the store has lost.
+    fn listed_watchers(&self, snapshot: &Snapshot) -> Vec<SocketAddr> {
         let place = &self.shared.options.place;
         let mut members = Members::default();
-        for fact in self.facts(&old.records) {
+        for fact in self.facts(&snapshot.records) {
             match fact {
                 Fact::Joined(member) if member.instance != place.instance => {
                     members.join(member, self.shared.clock.now());
@@ -205,7 +202,7 @@
             }
         }
         let mut watchers = members.watchers(&place.region);
-        if watchers.is_empty() && old.index.era() > 0 {
+        if watchers.is_empty() && snapshot.index.era() > 0 {
             watchers = members.all().collect();
         }
         Members::sort_by_proximity(&mut watchers, &place.requester());
--- a/crates/foxtide-gateway/src/forward/attempt_loop.rs
+++ b/crates/foxtide-gateway/src/forward/attempt_loop.rs
@@ -22,7 +22,7 @@
 };
 use crate::poison::{
     self,
-    Sending, //
+    SendPermit, //
 };
 use crate::shared::Shared;
 use crate::state::{
@@ -69,7 +69,7 @@
     pub(super) home_regions: Vec<RegionId>,
     pub(super) fingerprint: Fingerprint,
     /// How often it may be sent.
-    pub(super) sending: Sending,
+    pub(super) permit: SendPermit,
     pub(super) caller: &'a CallerWatch,
     pub(super) service: &'a ServiceId,
     /// The object that determines the order of upstreams; `None` if it has none.
@@ -102,7 +102,7 @@
                 Ok(target) => target,
                 Err(reply) => return reply,
             };
-            self.shared.catch_up().await;
+            self.shared.wait_until_synced().await;
             if let Some(reply) = self.recheck() {
                 return reply;
             }
@@ -169,14 +169,19 @@
         if report.has_ended {
             let upstream = &pick.registration.upstream;
             let in_flight = self.shared.state.lock().in_flight(upstream);
-            poison::upstream_ended(self.shared, self.fingerprint, &pick.registration, in_flight);
+            poison::report_upstream_end(
+                self.shared,
+                self.fingerprint,
+                &pick.registration,
+                in_flight,
+            );
         }
         guard.end(&report);
         if let (Some(slot), AttemptResult::Answered { .. }) = (&mut slot, report.result) {
             slot.served();
         }
         if matches!(report.result, AttemptResult::Answered { .. }) {
-            poison::served(self.shared, self.fingerprint);
+            poison::record_served(self.shared, self.fingerprint);
         }
         report
     }
@@ -197,7 +202,7 @@
                 self.sent_attempts += 1;
                 if is_other_incarnation {
                     let mut state = self.shared.state.lock();
-                    state.note_address_reused(&pick.registration);
+                    state.discard_reused_address(&pick.registration);
                 }
                 if self.failure.is_none() {
                     self.trace.reason = "upstream_refused";
--- a/crates/foxtide-gateway/src/forward/entry.rs
+++ b/crates/foxtide-gateway/src/forward/entry.rs
@@ -53,9 +53,9 @@
         trace.reason = refused.reason();
         return (refused.into(), trace);
     }
-    shared.catch_up().await;
-    let sending = match poison::admit(shared, fingerprint).await {
-        Ok(sending) => sending,
+    shared.wait_until_synced().await;
+    let permit = match poison::admit(shared, fingerprint).await {
+        Ok(permit) => permit,
         Err(retry_after) => {
             trace.reason = QUARANTINED_REASON;
             return (Refusal::NotRun { retry_after }.into(), trace);
@@ -75,7 +75,7 @@
         route,
         home_regions,
         fingerprint,
-        sending,
+        permit,
         caller,
         service: &service,
         object,
@@ -109,7 +109,7 @@
     let taken = quotas::take_token(shared, &terms.organisation, quota, priority).await;
     taken.inspect_err(|refusal| {
         let now = shared.clock.now();
-        shared.quotas.note_refusal(terms, refusal, now);
+        shared.quotas.record_refusal(terms, refusal, now);
     })
 }
 
--- a/crates/foxtide-gateway/src/membership.rs
+++ b/crates/foxtide-gateway/src/membership.rs
@@ -1,13 +1,11 @@
-//! Announces the instance in the store for as long as it takes requests.
+//! Maintains the record of the instance in the store while it accepts requests.
 //!
-//! Where a few instances follow the store for the others, these also keep the others'
-//! records; the questions that are asked of them ask for that as well. All other
-//! instances keep their own, each under a lease.
+//! If watchers follow the store for the other instances, they also write the records of
+//! these, as their registrars. Any other instance writes its own record under a lease.
 
 use crate::dialect::Dialect;
-use crate::ledger::CallPurpose;
 use crate::relay::{
-    Question,
+    ChangesQuery,
     RelayClient,
     RelayError, //
 };
@@ -17,6 +15,7 @@
     LeaseId,
     RECORDS_MAX, //
 };
+use crate::store_calls::CallPurpose;
 use foxtide_core::registry::RecordChanges;
 use foxtide_core::store::StoreError;
 use foxtide_core::time::MonotonicTime;
@@ -29,70 +28,65 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// How long the lease lives without a renewal: callers are directed to an instance that
-/// lost power for no longer. The neighbours of one that keeps their records have noticed
-/// its death after 2.6 s and are with another by then, so that their records do not
-/// lapse with its lease.
+/// The time to live of the lease, which bounds how long callers are directed to a dead
+/// instance. Long enough for its neighbours to find another registrar.
 const LEASE_TTL: Duration = Duration::from_millis(3_000);
 
-/// How often the lease is renewed: three renewals may be lost. A renewal also tells
-/// whether the store can be reached, and those who follow the store for others are to
-/// learn that within a second.
+/// How often the lease is renewed; three renewals may be lost. A watcher also learns from
+/// a renewal whether the store is reachable.
 const RENEW_PERIOD: Duration = Duration::from_millis(700);
 
-/// How often it is looked what is due.
-const TICK: Duration = Duration::from_millis(150);
+const CHECK_PERIOD: Duration = Duration::from_millis(150);
 
-/// How often records are written at most, and a lease is opened: the first change is
-/// written at once, and those that come after it while a fleet starts go into one write. A
-/// caller is directed to a new instance that much later.
+/// The minimum time between two writes of records; batches changes while a fleet starts.
 const WRITE_PERIOD: Duration = Duration::from_millis(500);
 
-/// How long after a write the store's word on the own record is waited for before the
-/// record is written again: changes come within two periods of following.
-const SEEN_TIME: Duration = Duration::from_millis(2_000);
+/// How long a written record may be missing from the followed changes before it is written
+/// again.
+const CONFIRMATION_TIME: Duration = Duration::from_millis(2_000);
 
-/// How long an instance is without a record before it keeps its own although others
-/// should do so. A watcher that has just died takes 1.6 s to be noticed.
-const UNKEPT_TIME: Duration = Duration::from_millis(3_000);
+/// How long an instance goes without a registrar before it writes its own record.
+const UNREGISTERED_MAX: Duration = Duration::from_millis(3_000);
 
-/// The first pause after a lease could not be opened or records not written, and the
-/// longest: a store that turns instances away for a while prices their calls as well.
+/// The first and the longest pause after a failed call; rejected calls are priced too.
 const RETRY_PAUSE_FIRST: Duration = Duration::from_millis(700);
 const RETRY_PAUSE_MAX: Duration = Duration::from_millis(3_000);
 
-/// How long the end of the own record may take at a stop.
-const LEAVE_TIME: Duration = Duration::from_millis(800);
+/// How long the removal of the own record may take during a stop.
+const LEAVE_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// How long the records of neighbours are kept at a stop: each asks another instance
-/// within a second.
-const HAND_OVER_TIME: Duration = Duration::from_millis(1_800);
+/// How long the lease of neighbours' records is renewed during a stop; each finds another
+/// registrar within a second.
+const HAND_OVER_TIMEOUT: Duration = Duration::from_millis(1_800);
 
-/// Announces the instance until it is stopped, then withdraws it.
-pub(crate) async fn keep_membership<D: Dialect, S: FleetStore>(shared: Arc<Shared<D>>, store: S) {
+/// Maintains the record of the instance until it is stopped, then removes it.
+pub(crate) async fn maintain_membership<D: Dialect, S: FleetStore>(
+    shared: Arc<Shared<D>>,
+    store: S,
+) {
     let now = shared.clock.now();
     let mut membership = Membership {
         shared: Arc::clone(&shared),
         store,
         lease: None,
-        open: Pace::new(now),
-        write: Pace::new(now),
-        unkept_since: None,
+        open: CallSchedule::new(now),
+        write: CallSchedule::new(now),
+        unregistered_since: None,
     };
     let stopping = shared.lifecycle.stopping();
-    or(membership.keep(), stopping).await;
+    or(membership.run(), stopping).await;
     membership.withdraw().await;
 }
 
-/// When a call may be made again.
+/// When the next call is due, with exponential backoff after failures.
 #[derive(Clone, Copy, Debug)]
-struct Pace {
+struct CallSchedule {
     due_at: MonotonicTime,
-    /// How often in turn it has failed.
+    /// Consecutive failures.
     failures: u32,
 }
 
-impl Pace {
+impl CallSchedule {
     fn new(due_at: MonotonicTime) -> Self {
         Self {
             due_at,
@@ -104,8 +98,8 @@
         now >= self.due_at
     }
 
-    /// Notes how a call ended.
-    fn note(&mut self, is_answered: bool, now: MonotonicTime) {
+    /// Records how a call ended.
+    fn record_result(&mut self, is_answered: bool, now: MonotonicTime) {
         let pause = if is_answered {
             self.failures = 0;
             WRITE_PERIOD
@@ -124,10 +118,10 @@
 struct Lease {
     id: LeaseId,
     renew_at: MonotonicTime,
-    /// When the own record was written under it, if it was.
+    /// When the own record was written under the lease.
     announced_at: Option<MonotonicTime>,
-    /// How often the store had come back from an older copy when it was opened. After that
-    /// it may be gone, or its number another's.
+    /// The restorations of the store when the lease was opened; after another one the lease
+    /// may be missing or its id reused.
     restorations: u64,
 }
 
@@ -135,62 +129,61 @@
     shared: Arc<Shared<D>>,
     store: S,
     lease: Option<Lease>,
-    /// When a lease may be opened.
-    open: Pace,
-    /// When records may be written.
-    write: Pace,
-    /// Since when nobody keeps the own record.
-    unkept_since: Option<MonotonicTime>,
+    open: CallSchedule,
+    write: CallSchedule,
+    /// Since when the own record has no registrar.
+    unregistered_since: Option<MonotonicTime>,
 }
 
 impl<D: Dialect, S: FleetStore> Membership<D, S> {
-    async fn keep(&mut self) {
+    async fn run(&mut self) {
         loop {
             if let Err(error) = self.step().await {
                 self.shared.store_alarm.raise();
                 log_event!(EventCode::LeaseCallFailed, cause:% = error);
             }
-            Timer::after(TICK).await;
+            Timer::after(CHECK_PERIOD).await;
         }
     }
 
     async fn step(&mut self) -> Result<(), StoreError> {
-        let keeps_own = self.shared.is_ready() && self.keeps_own_record();
-        if keeps_own && self.lease.is_none() {
+        let writes_own = self.shared.is_ready() && self.should_write_own_record();
+        if writes_own && self.lease.is_none() {
             self.open_lease().await?;
         }
         self.renew().await?;
-        if !keeps_own {
-            self.drop_idle_lease();
+        if !writes_own {
+            self.drop_unused_lease();
         }
-        self.write_records(keeps_own).await
+        self.write_records(writes_own).await
     }
 
-    /// Tells whether the own record is this instance's to keep: nobody else should, or
-    /// nobody else has for a while.
-    fn keeps_own_record(&mut self) -> bool {
+    /// Tells whether this instance writes its own record: no watcher is responsible for it,
+    /// or none has written it for a while.
+    fn should_write_own_record(&mut self) -> bool {
         let state = self.shared.state.lock();
         let should_keep = state.should_keep_own_record();
-        let is_kept = state
+        let has_registrar = state
             .own_record()
             .is_some_and(|own| own.registrar.is_some());
         drop(state);
-        if should_keep || is_kept {
-            self.unkept_since = None;
+        if should_keep || has_registrar {
+            self.unregistered_since = None;
             return should_keep;
         }
         let now = self.shared.clock.now();
-        let since = *self.unkept_since.get_or_insert(now);
-        self.lease.is_some() || now - since > UNKEPT_TIME
+        let since = *self.unregistered_since.get_or_insert(now);
+        self.lease.is_some() || now - since > UNREGISTERED_MAX
     }
 
     async fn open_lease(&mut self) -> Result<(), StoreError> {
         if !self.open.is_due(self.shared.clock.now()) {
             return Ok(());
         }
-        self.shared.ledger.count(CallPurpose::Record, 1);
+        self.shared.store_calls.count(CallPurpose::Record, 1);
         let opened = self.store.open_lease(LEASE_TTL).await;
-        self.open.note(opened.is_ok(), self.shared.clock.now());
+        self.open
+            .record_result(opened.is_ok(), self.shared.clock.now());
         let id = opened?;
         let restorations = self.shared.state.lock().restorations();
         self.lease = Some(Lease {
@@ -209,7 +202,7 @@
         };
         if lease.restorations != restorations {
             let id = lease.id;
-            self.lose_lease(id);
+            self.handle_lease_loss(id);
             return Ok(());
         }
         if self.shared.clock.now() < lease.renew_at {
@@ -217,29 +210,28 @@
         }
         lease.renew_at = self.shared.clock.now() + renew_pause();
         let id = lease.id;
-        self.shared.ledger.count(CallPurpose::Renewal, 1);
+        self.shared.store_calls.count(CallPurpose::Renewal, 1);
         if !self.store.renew(id).await? {
-            self.lose_lease(id);
+            self.handle_lease_loss(id);
         }
         Ok(())
     }
 
-    fn lose_lease(&mut self, lease: LeaseId) {
+    fn handle_lease_loss(&mut self, lease: LeaseId) {
         log_event!(EventCode::LeaseLost, lease:% = lease);
         self.lease = None;
         self.shared.state.lock().registrar_mut().handle_lease_loss();
     }
 
-    /// Lets a lease lapse under which nothing stands any more; to end it would cost a
-    /// call.
-    fn drop_idle_lease(&mut self) {
+    /// Lets a lease without records lapse; ending it would cost a call.
+    fn drop_unused_lease(&mut self) {
         if self.shared.state.lock().registrar_mut().is_empty() {
             self.lease = None;
         }
     }
 
-    /// Writes the own record, where `keeps_own`, and what has changed of neighbours'.
-    async fn write_records(&mut self, keeps_own: bool) -> Result<(), StoreError> {
+    /// Writes changed records of neighbours and, if `writes_own`, the own record.
+    async fn write_records(&mut self, writes_own: bool) -> Result<(), StoreError> {
         let now = self.shared.clock.now();
         let mut changes = {
             let mut state = self.shared.state.lock();
@@ -248,18 +240,19 @@
         let Some(lease) = self.lease else {
             return Ok(());
         };
-        let announces = keeps_own && self.is_own_record_due(&lease);
+        let announces = writes_own && self.is_own_record_due(&lease);
         if announces {
             changes.written.push(self.shared.member());
         }
         if changes.is_empty() || !self.write.is_due(now) {
             return Ok(());
         }
-        self.shared.ledger.count(CallPurpose::Record, 1);
+        self.shared.store_calls.count(CallPurpose::Record, 1);
         let written = self.store.write_records(&changes, lease.id).await;
-        self.write.note(written.is_ok(), self.shared.clock.now());
+        self.write
+            .record_result(written.is_ok(), self.shared.clock.now());
         if !written? {
-            self.lose_lease(lease.id);
+            self.handle_lease_loss(lease.id);
             return Ok(());
         }
         self.shared.state.lock().registrar_mut().confirm(&changes);
@@ -274,44 +267,43 @@
         Ok(())
     }
 
-    /// Tells whether the own record was not written yet, or the store holds another one.
+    /// Tells whether the own record has not been written, or the store holds another one.
     fn is_own_record_due(&self, lease: &Lease) -> bool {
         let Some(announced_at) = lease.announced_at else {
             return true;
         };
         let state = self.shared.state.lock();
-        self.shared.clock.now() - announced_at > SEEN_TIME
+        self.shared.clock.now() - announced_at > CONFIRMATION_TIME
             && state.own_record().is_none_or(|own| own.registrar.is_some())
     }
 
     async fn withdraw(&mut self) {
-        let late = async {
-            Timer::after(LEAVE_TIME).await;
+        let timeout = async {
+            Timer::after(LEAVE_TIMEOUT).await;
             log_event!(
                 EventCode::LeaseCallFailed,
-                cause = "no answer in time, the record lapses"
+                cause = "timeout while removing the record; it lapses"
             );
         };
         let lease = self.lease.take();
-        or(self.leave(lease), late).await;
+        or(self.leave(lease), timeout).await;
         if let Some(lease) = lease {
-            let over = async {
-                Timer::after(HAND_OVER_TIME).await;
+            let timeout = async {
+                Timer::after(HAND_OVER_TIMEOUT).await;
             };
-            or(self.hand_over(lease), over).await;
+            or(self.hand_over(lease), timeout).await;
         }
     }
 
-    /// Removes the own record, whoever keeps it: that another has taken it over is known
-    /// a while later.
+    /// Removes the own record, also via the registrar, which may have taken it over.
     async fn leave(&self, lease: Option<Lease>) {
-        self.tell_registrar().await;
+        self.notify_registrar().await;
         let Some(lease) = lease else {
             return;
         };
-        let keeps_others = !self.shared.state.lock().registrar_mut().is_empty();
-        self.shared.ledger.count(CallPurpose::Record, 1);
-        let left = if keeps_others {
+        let has_other_records = !self.shared.state.lock().registrar_mut().is_empty();
+        self.shared.store_calls.count(CallPurpose::Record, 1);
+        let left = if has_other_records {
             let own = RecordChanges {
                 removed: vec![self.shared.options.place.instance.clone()],
                 ..RecordChanges::default()
@@ -326,8 +318,8 @@
         }
     }
 
-    /// Asks the instance that keeps the own record to remove it.
-    async fn tell_registrar(&self) {
+    /// Asks the registrar to remove the own record.
+    async fn notify_registrar(&self) {
         let (registrar, after) = {
             let state = self.shared.state.lock();
             (state.registrar_address(), state.log().index())
@@ -335,16 +327,16 @@
         let Some(registrar) = registrar else {
             return;
         };
-        let question = Question {
+        let query = ChangesQuery {
             after: Some(after),
-            reads_large: true,
+            fetches_large: true,
             announcement: Some(self.shared.member()),
             is_leaving: true,
-            ..Question::default()
+            ..ChangesQuery::default()
         };
-        let told = RelayClient::default().ask(&[registrar], &question).await;
-        match told {
-            Ok(_) | Err(RelayError::Large { .. }) => {
+        let answer = RelayClient::default().ask(&[registrar], &query).await;
+        match answer {
+            Ok(_) | Err(RelayError::TooLarge { .. }) => {
                 log_event!(
                     EventCode::RecordWithdrawn,
                     registrar:% = registrar
@@ -354,20 +346,20 @@
         }
     }
 
-    /// Keeps the lease until the neighbours whose records stand under it have found
-    /// another registrar.
+    /// Renews the lease until the neighbours with records under it have found another
+    /// registrar.
     async fn hand_over(&mut self, lease: Lease) {
         self.lease = Some(lease);
         while self.lease.is_some() && !self.shared.state.lock().registrar_mut().is_empty() {
             if let Err(error) = self.renew().await {
                 log_event!(EventCode::LeaseCallFailed, cause:% = error);
             }
-            Timer::after(TICK).await;
+            Timer::after(CHECK_PERIOD).await;
         }
     }
 }
 
-/// Returns the time to the next renewal; instances that start together spread.
+/// Returns the jittered time to the next renewal.
 fn renew_pause() -> Duration {
     RENEW_PERIOD.mul_f64(0.9 + 0.2 * fastrand::f64())
 }
--- a/crates/foxtide-gateway/src/relay/server.rs
+++ b/crates/foxtide-gateway/src/relay/server.rs
@@ -1,4 +1,4 @@
-//! Tells peers what has changed in the store.
+//! Serves changes of the store to peers.
 
 use super::messages::{
     ChangesRequest,
@@ -40,23 +40,22 @@
     FuturesAsyncReadCompatExt, //
 };
 
-/// The largest message: everything that the store holds. A configuration may
-/// be a megabyte, and a thousand registrations are 300 KB.
+/// The maximum size of a message, which may hold the whole contents of the store.
 const FRAME_MAX_BYTES: usize = 8 * 1_024 * 1_024;
 
-/// How long a peer may stay silent between two questions.
-const IDLE_TIME: Duration = Duration::from_secs(5);
+/// How long a connection may be idle between two queries.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// The longest wait for a change that a peer may ask for.
+/// The longest wait for a change that a client may request.
 const WAIT_MAX: Duration = Duration::from_secs(2);
 
-/// How long accepting pauses after a failure, such as too many open files.
+/// The pause after a failed accept, such as with too many open files.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 
 /// A stream of messages.
 pub(super) type Frames = Framed<Compat<TcpStream>, LengthDelimitedCodec>;
 
-/// Frames the messages on a stream.
+/// Returns a stream of length-delimited messages.
 pub(super) fn frames(stream: TcpStream) -> Frames {
     let codec = LengthDelimitedCodec::builder()
         .max_frame_length(FRAME_MAX_BYTES)
@@ -64,7 +63,7 @@
     Framed::new(stream.compat(), codec)
 }
 
-/// Answers peers, a question a connection.
+/// Accepts connections of peers and serves their queries.
 pub(crate) async fn serve_peers<D: Dialect>(shared: Arc<Shared<D>>, listener: TcpListener) {
     loop {
         match listener.accept().await {
@@ -72,8 +71,8 @@
                 let shared = Arc::clone(&shared);
                 let executor = Arc::clone(&shared.executor);
                 let serving = async move {
-                    if let Err(error) = serve_one(&shared, stream).await {
-                        log::debug!("peer {peer} was not answered: {error}");
+                    if let Err(error) = serve_connection(&shared, stream).await {
+                        log::debug!("failed to serve peer {peer}: {error}");
                     }
                 };
                 executor.spawn(serving).detach();
@@ -86,41 +85,41 @@
     }
 }
 
-async fn serve_one<D: Dialect>(shared: &Shared<D>, stream: TcpStream) -> io::Result<()> {
+async fn serve_connection<D: Dialect>(shared: &Shared<D>, stream: TcpStream) -> io::Result<()> {
     stream.set_nodelay(true)?;
     let mut frames = frames(stream);
     loop {
         let late = async {
-            Timer::after(IDLE_TIME).await;
+            Timer::after(IDLE_TIMEOUT).await;
             None
         };
-        let Some(question) = or(frames.next(), late).await else {
+        let Some(frame) = or(frames.next(), late).await else {
             return Ok(());
         };
-        let request = ChangesRequest::decode(question?).map_err(io::Error::other)?;
-        take_in_asker(shared, &request);
-        take_in_configuration(shared, &request);
-        let mut response = answer_when_due(shared, &request).await;
+        let request = ChangesRequest::decode(frame?).map_err(io::Error::other)?;
+        update_record(shared, &request);
+        store_offered_configuration(shared, &request);
+        let mut response = wait_for_answer(shared, &request).await;
         let unstored = shared.poison.unstored().into_iter();
         response.quarantine = unstored
             .map(|(fingerprint, entry)| QuarantineMessage::new(fingerprint, entry))
             .collect();
-        let is_everything = response.is_everything;
+        let is_full = response.is_full;
         metrics::counter!("foxtide_relayed_total", "current" => response.is_current.to_string())
             .increment(1);
-        let bytes = packed(response, &request).encode_to_vec();
-        let sent = if is_everything {
+        let bytes = pack_records(response, &request).encode_to_vec();
+        let kind = if is_full {
             TrafficKind::Everything
         } else {
             TrafficKind::Changes
         };
-        shared.traffic.count(sent, bytes.len());
+        shared.traffic.count(kind, bytes.len());
         frames.send(Bytes::from(bytes)).await?;
     }
 }
 
-/// Packs the records of a response for an asker that reads them so.
-fn packed(mut response: ChangesResponse, request: &ChangesRequest) -> ChangesResponse {
+/// Packs the records of a response if the client supports that.
+fn pack_records(mut response: ChangesResponse, request: &ChangesRequest) -> ChangesResponse {
     if !request.reads_packed {
         return response;
     }
@@ -131,16 +130,16 @@
     response
 }
 
-/// Keeps the asker's record, or removes it, where it asks for that. One that the store
-/// does not answer could not, and one that is stopping will not.
-fn take_in_asker<D: Dialect>(shared: &Shared<D>, request: &ChangesRequest) {
+/// Updates the record of the client if the request announces it. An instance that does not
+/// follow the store, or is stopping, only removes records.
+fn update_record<D: Dialect>(shared: &Shared<D>, request: &ChangesRequest) {
     let Some(announcement) = &request.announcement else {
         return;
     };
     let member = match announcement.member(&shared.options.place.instance) {
         Ok(member) => member,
         Err(error) => {
-            log::debug!("what a peer says of itself cannot be read: {error}");
+            log::debug!("invalid announcement from a peer: {error}");
             return;
         }
     };
@@ -153,9 +152,9 @@
     }
 }
 
-/// Keeps a configuration that the asker knows and that is newer than the one in force here,
-/// for the follower of the store to take in: the store may have lost it.
-fn take_in_configuration<D: Dialect>(shared: &Shared<D>, request: &ChangesRequest) {
+/// Stores the client's configuration for the follower if it is newer than the one in force;
+/// the store may have lost it.
+fn store_offered_configuration<D: Dialect>(shared: &Shared<D>, request: &ChangesRequest) {
     let Some(configuration) = &request.configuration else {
         return;
     };
@@ -165,8 +164,8 @@
     }
 }
 
-/// Waits until there is something to tell, but no longer than the asker says.
-async fn answer_when_due<D: Dialect>(
+/// Waits for changes, for at most the time that the client requests.
+async fn wait_for_answer<D: Dialect>(
     shared: &Shared<D>,
     request: &ChangesRequest,
 ) -> ChangesResponse {
@@ -175,11 +174,11 @@
         loop {
             let changed = shared.log_changed.listen();
             let response = answer(shared, request);
-            let has_news = !response.is_current
-                || response.is_large
+            let has_changes = !response.is_current
+                || response.is_too_large
                 || response.configuration.is_some()
                 || !response.records.is_empty();
-            if has_news {
+            if has_changes {
                 return response;
             }
             changed.await;
@@ -194,15 +193,15 @@
 
 fn answer<D: Dialect>(shared: &Shared<D>, request: &ChangesRequest) -> ChangesResponse {
     if shared.lifecycle.is_stopping() {
-        // The asker is to find another one while this one's lease still lives.
+        // The client has to find another peer before this instance's lease ends.
         return ChangesResponse::default();
     }
     let state = shared.state.lock();
     let log = state.log();
     if !state.is_store_followed() {
-        return if request.takes_old {
+        return if request.accepts_stale {
             ChangesResponse {
-                is_everything: true,
+                is_full: true,
                 index: log.index().get(),
                 era: log.index().era(),
                 version: state.version(),
@@ -216,33 +215,32 @@
     }
     let after = request.position();
     let changes = after.and_then(|after| log.changes_after(after));
-    let is_everything = changes.is_none();
+    let is_full = changes.is_none();
     let records = changes.unwrap_or_else(|| log.all());
-    if request.reads_large && !fit_relay_limit(&records) {
+    if request.fetches_large && !fit_relay_limit(&records) {
         return ChangesResponse {
             is_current: true,
-            is_large: true,
+            is_too_large: true,
             ..ChangesResponse::default()
         };
     }
-    // One that knows more than this log goes on from where it is.
+    // A client that is ahead of this log continues from its own index.
     let index = log.index().max(after.unwrap_or_default());
     ChangesResponse {
         is_current: true,
-        is_everything,
+        is_full,
         index: index.get(),
         era: index.era(),
         records: records.into_iter().map(Into::into).collect(),
-        is_large: false,
+        is_too_large: false,
         version: state.version(),
         configuration: configuration_for(&state, request),
         ..ChangesResponse::default()
     }
 }
 
-/// Returns the configuration in force for an asker whose own is older, where the store holds
-/// an older one too. Else the asker learns it as it learns everything.
+/// Returns the configuration in force if both the client and the store have an older one.
 fn configuration_for(state: &State, request: &ChangesRequest) -> Option<RecordMessage> {
-    let kept = state.unstored_configuration()?;
-    (request.version < state.version()).then(|| kept.clone().into())
+    let unstored = state.unstored_configuration()?;
+    (request.version < state.version()).then(|| unstored.clone().into())
 }
--- a/crates/foxtide-gateway/src/shared.rs
+++ b/crates/foxtide-gateway/src/shared.rs
@@ -1,9 +1,8 @@
-//! What all tasks of an instance share.
+//! The state that all tasks of an instance share.
 
 use crate::admission::Admission;
 use crate::alarm::StoreAlarm;
 use crate::journal::Journal;
-use crate::ledger::StoreLedger;
 use crate::lifecycle::Lifecycle;
 use crate::memory::BodyMemory;
 use crate::options::{
@@ -13,8 +12,9 @@
 use crate::poison::Poison;
 use crate::pool::Pool;
 use crate::quotas::Quotas;
-use crate::standstill::Standstill;
+use crate::stall::StallDetector;
 use crate::state::State;
+use crate::store_calls::StoreCalls;
 use crate::traffic::Traffic;
 use event_listener::Event;
 use foxtide_clock::SteadyClock;
@@ -40,23 +40,22 @@
     pub(crate) admission: Admission,
     pub(crate) quotas: Quotas,
     pub(crate) poison: Poison,
-    pub(crate) standstill: Standstill,
+    pub(crate) stall: StallDetector,
     pub(crate) body_memory: BodyMemory,
     pub(crate) lifecycle: Lifecycle,
     pub(crate) journal: Journal,
-    pub(crate) ledger: StoreLedger,
+    pub(crate) store_calls: StoreCalls,
     pub(crate) traffic: Arc<Traffic>,
     pub(crate) store_alarm: StoreAlarm,
-    /// A configuration that another instance knows and that is newer than the one in force
-    /// here.
+    /// A configuration from another instance that is newer than the one in force.
     pub(crate) offered_configuration: Mutex<Option<Record>>,
-    /// Notified when the log of records has changed or is no longer followed.
+    /// Notified when the record log has changed or the store is no longer followed.
     pub(crate) log_changed: Event,
     pub(crate) executor: Arc<Executor<'static>>,
 }
 
 impl<D> Shared<D> {
-    /// Returns what this instance announces of itself where it does so itself.
+    /// Returns the record of this instance, without a registrar.
     pub(crate) fn member(&self) -> Member {
         let place = &self.options.place;
         Member {
@@ -71,24 +70,23 @@
         }
     }
 
-    /// Records a heartbeat. Where the process has stood still, its state is read anew.
-    pub(crate) fn beat(&self) {
-        if let Some(time) = self.standstill.beat(self.clock.now()) {
+    /// Records a heartbeat; interrupts waits for the store after a stall.
+    pub(crate) fn heartbeat(&self) {
+        if let Some(time) = self.stall.heartbeat(self.clock.now()) {
             log_event!(EventCode::StoodStill, time_ms = time.as_millis() as u64);
             self.store_alarm.raise();
         }
     }
 
-    /// Waits, after the process has stood still, until its state is in sync with the store.
-    pub(crate) async fn catch_up(&self) {
-        self.beat();
-        if !self.standstill.is_synced() {
-            self.standstill.wait().await;
+    /// Waits after a stall until the state is in sync with the store.
+    pub(crate) async fn wait_until_synced(&self) {
+        self.heartbeat();
+        if !self.stall.is_synced() {
+            self.stall.wait().await;
         }
     }
 
-    /// Tells whether the instance takes requests: it knows the configuration
-    /// and is not stopping.
+    /// Tells whether the instance accepts requests: it has a configuration and is not stopping.
     pub(crate) fn is_ready(&self) -> bool {
         !self.lifecycle.is_stopping() && self.state.lock().routes().is_some()
     }
--- a/crates/foxtide-gateway/src/ledger.rs
+++ b/crates/foxtide-gateway/src/store_calls.rs
@@ -1,7 +1,6 @@
-//! Counts the calls to the store by what they are for.
+//! Counts the calls to the store by purpose, as a metric and in log lines.
 //!
-//! The platform prices each call and bounds their rate, so what causes them has to be
-//! seen: as a metric, and as a line that tells what has been called since the last one.
+//! The platform prices calls and limits their rate.
 
 use foxtide_events::{
     EventCode,
@@ -12,29 +11,29 @@
     Ordering, //
 };
 
-/// What a call to the store is for.
+/// The purpose of a call to the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum CallPurpose {
-    /// An instance that knows nothing reads what there is.
+    /// The initial read of an instance.
     Start,
-    /// The same by pages that may be old, which the platform prices at a tenth.
-    StartOld,
-    /// A lease is opened or ended, or a record is written or removed under one.
+    /// The initial read from stale pages, which is cheaper.
+    StartStale,
+    /// Opening or ending a lease, or writing records under one.
     Record,
-    /// A lease is renewed, which the platform prices at a tenth.
+    /// The renewal of a lease.
     Renewal,
-    /// Changes are waited for.
+    /// A wait for changes.
     Following,
-    /// A call after one that failed, or after the store has forgotten its history.
+    /// A call after a failure or a compaction.
     Recovery,
-    /// A request is quarantined, tried again or let through.
+    /// A change of the quarantine.
     Quarantine,
 }
 
 impl CallPurpose {
     const ALL: [Self; 7] = [
         Self::Start,
-        Self::StartOld,
+        Self::StartStale,
         Self::Record,
         Self::Renewal,
         Self::Following,
@@ -45,7 +44,7 @@
     const fn as_str(self) -> &'static str {
         match self {
             Self::Start => "start",
-            Self::StartOld => "start_old",
+            Self::StartStale => "start_old",
             Self::Record => "record",
             Self::Renewal => "renewal",
             Self::Following => "following",
@@ -55,24 +54,23 @@
     }
 }
 
-/// The calls that an instance has made to the store.
+/// The number of calls to the store since the last log line.
 #[derive(Debug, Default)]
-pub(crate) struct StoreLedger {
-    /// Calls by purpose that no line has told yet, in the order of
-    /// [`CallPurpose::ALL`].
-    untold: [AtomicU64; CallPurpose::ALL.len()],
+pub(crate) struct StoreCalls {
+    /// Calls by purpose, in the order of [`CallPurpose::ALL`].
+    unlogged: [AtomicU64; CallPurpose::ALL.len()],
 }
 
-impl StoreLedger {
+impl StoreCalls {
     /// Counts `calls` calls.
     pub(crate) fn count(&self, purpose: CallPurpose, calls: u32) {
-        self.untold[purpose as usize].fetch_add(calls.into(), Ordering::Relaxed);
+        self.unlogged[purpose as usize].fetch_add(calls.into(), Ordering::Relaxed);
         metrics::counter!("foxtide_store_calls_by_purpose_total", "purpose" => purpose.as_str())
             .increment(calls.into());
     }
 
-    /// Writes a line about the calls since the last one, if there were any.
-    pub(crate) fn tell(&self) {
+    /// Logs the calls since the last log line, if any.
+    pub(crate) fn log_summary(&self) {
         let [
             start,
             start_old,
@@ -98,6 +96,6 @@
     }
 
     fn take(&self, purpose: CallPurpose) -> u64 {
-        self.untold[purpose as usize].swap(0, Ordering::Relaxed)
+        self.unlogged[purpose as usize].swap(0, Ordering::Relaxed)
     }
 }
--- a/crates/foxtide-gateway/tests/gateway/support/store.rs
+++ b/crates/foxtide-gateway/tests/gateway/support/store.rs
@@ -1,4 +1,4 @@
-//! A store in memory that can be away, turn instances away, and forget.
+//! An in-memory store that can fail, reject clients, compact and restore a backup.
 
 use foxtide_core::poison::{
     Fingerprint,
@@ -38,60 +38,59 @@
     Instant, //
 };
 
-/// How often a waiting watch looks for changes.
+/// The polling period of waits for changes.
 const WATCH_STEP: Duration = Duration::from_millis(5);
 
-/// How many keys a page has; more than most tests write.
+/// The number of keys in a page; more than most tests write.
 const PAGE_KEYS: usize = 20;
 
 #[derive(Debug, Default)]
 struct Contents {
-    /// How often it has come back from an older copy.
+    /// The number of restores from a backup.
     era: u64,
-    copy: Option<Copied>,
+    backup: Option<Backup>,
     index: u64,
     present: BTreeMap<String, Record>,
     changes: Vec<Record>,
-    /// Changes up to this index are forgotten.
-    forgotten: u64,
-    /// What the values stand for.
+    /// Changes up to this index are compacted.
+    compacted_index: u64,
+    /// The facts that the values represent.
     facts: HashMap<Vec<u8>, Fact>,
     leases: HashMap<u64, Vec<String>>,
-    is_away: bool,
-    /// What readings show that may be old.
-    old: Option<(BTreeMap<String, Record>, u64)>,
+    is_unavailable: bool,
+    /// The snapshot that stale reads return.
+    stale: Option<(BTreeMap<String, Record>, u64)>,
     /// A key that is removed once the next page has been read.
     removed_after_page: Option<String>,
     calls: usize,
     longest_wait: Duration,
-    /// How often all waits were cut.
-    cuts: usize,
+    /// How often all waits were closed.
+    closes: usize,
 }
 
-/// What it held when a copy was made.
+/// A backup of the contents.
 #[derive(Clone, Debug)]
-struct Copied {
+struct Backup {
     index: u64,
     present: BTreeMap<String, Record>,
     leases: HashMap<u64, Vec<String>>,
 }
 
-/// One instance's client of the store; clones for other instances share what
-/// it holds.
+/// The store client of one instance; clients of other instances share the contents.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct FakeStore {
     contents: Arc<Mutex<Contents>>,
-    is_turned_away: Arc<Mutex<bool>>,
-    /// Waits that this client has begun.
+    is_rejected: Arc<Mutex<bool>>,
+    /// The number of waits that this client has begun.
     waits: Arc<AtomicUsize>,
 }
 
 impl FakeStore {
     /// Returns a client for another instance.
-    pub(crate) fn for_another(&self) -> Self {
+    pub(crate) fn client_for_another_instance(&self) -> Self {
         Self {
             contents: Arc::clone(&self.contents),
-            is_turned_away: Arc::default(),
+            is_rejected: Arc::default(),
             waits: Arc::default(),
         }
     }
@@ -108,51 +107,51 @@
         contents.write(key, None);
     }
 
-    /// Makes a copy of what the store holds.
-    pub(crate) fn make_copy(&self) {
+    /// Backs up the contents.
+    pub(crate) fn make_backup(&self) {
         let mut contents = self.contents.lock().unwrap();
-        let copy = Copied {
+        let backup = Backup {
             index: contents.index,
             present: contents.present.clone(),
             leases: contents.leases.clone(),
         };
-        contents.copy = Some(copy);
+        contents.backup = Some(backup);
     }
 
-    /// Lets the store come back from its copy: all that was written since is gone.
-    pub(crate) fn restore_copy(&self) {
+    /// Restores the backup; all later writes are lost.
+    pub(crate) fn restore_backup(&self) {
         let mut contents = self.contents.lock().unwrap();
-        let copy = contents.copy.clone().expect("a copy was made");
+        let backup = contents.backup.clone().expect("a backup was made");
         contents.era += 1;
-        contents.index = copy.index;
-        contents.present = copy.present;
-        contents.leases = copy.leases;
+        contents.index = backup.index;
+        contents.present = backup.present;
+        contents.leases = backup.leases;
         contents.changes.clear();
-        contents.forgotten = 0;
-        contents.cuts += 1;
+        contents.compacted_index = 0;
+        contents.closes += 1;
     }
 
-    /// Sets whether the store answers nobody.
-    pub(crate) fn set_away(&self, is_away: bool) {
-        self.contents.lock().unwrap().is_away = is_away;
+    /// Sets whether the store fails all calls.
+    pub(crate) fn set_unavailable(&self, is_unavailable: bool) {
+        self.contents.lock().unwrap().is_unavailable = is_unavailable;
     }
 
-    /// Sets whether the store turns this client away.
-    pub(crate) fn set_turned_away(&self, is_turned_away: bool) {
-        *self.is_turned_away.lock().unwrap() = is_turned_away;
+    /// Sets whether the store rejects the calls of this client.
+    pub(crate) fn set_rejected(&self, is_rejected: bool) {
+        *self.is_rejected.lock().unwrap() = is_rejected;
     }
 
-    /// Forgets all changes so far.
-    pub(crate) fn forget(&self) {
+    /// Compacts all changes so far.
+    pub(crate) fn compact(&self) {
         let mut contents = self.contents.lock().unwrap();
-        contents.forgotten = contents.index;
+        contents.compacted_index = contents.index;
         contents.changes.clear();
     }
 
-    /// Lets readings that may be old show what the store holds now.
-    pub(crate) fn keep_old(&self) {
+    /// Makes stale reads return the current contents from now on.
+    pub(crate) fn snapshot_stale_reads(&self) {
         let mut contents = self.contents.lock().unwrap();
-        contents.old = Some((contents.present.clone(), contents.index));
+        contents.stale = Some((contents.present.clone(), contents.index));
     }
 
     /// Removes a key once the next page has been read.
@@ -160,9 +159,9 @@
         self.contents.lock().unwrap().removed_after_page = Some(key.to_owned());
     }
 
-    /// Cuts all waits for changes, as a store does that drops its history.
-    pub(crate) fn cut_waits(&self) {
-        self.contents.lock().unwrap().cuts += 1;
+    /// Closes all waits for changes, as a store does on compaction.
+    pub(crate) fn close_waits(&self) {
+        self.contents.lock().unwrap().closes += 1;
     }
 
     /// Returns how many waits for changes this client has begun.
@@ -170,8 +169,8 @@
         self.waits.load(Ordering::SeqCst)
     }
 
-    /// Lets the lease lapse under which an instance's record stands.
-    pub(crate) fn lapse(&self, instance: &str) {
+    /// Expires the lease of an instance's record.
+    pub(crate) fn expire_lease(&self, instance: &str) {
         let mut contents = self.contents.lock().unwrap();
         let key = format!("instance/{instance}");
         let holds = |(_, keys): &(&u64, &Vec<String>)| keys.contains(&key);
@@ -182,7 +181,7 @@
         }
     }
 
-    /// Returns the instances that have a record, with those that keep it.
+    /// Returns the registered instances with their registrars.
     pub(crate) fn registrars(&self) -> BTreeMap<String, Option<String>> {
         let contents = self.contents.lock().unwrap();
         let values = contents.present.values();
@@ -197,7 +196,7 @@
         facts.filter_map(member).collect()
     }
 
-    /// Returns the number of quarantined requests that it holds.
+    /// Returns the number of quarantined requests.
     pub(crate) fn quarantined(&self) -> usize {
         let contents = self.contents.lock().unwrap();
         let keys = contents.present.keys();
@@ -209,20 +208,20 @@
         self.contents.lock().unwrap().calls
     }
 
-    /// Returns the longest wait for a change that was asked for.
+    /// Returns the longest requested wait for a change.
     pub(crate) fn longest_wait(&self) -> Duration {
         self.contents.lock().unwrap().longest_wait
     }
 
-    fn enter(&self, step: &'static str) -> StoreResult<()> {
+    fn begin_call(&self, step: &'static str) -> StoreResult<()> {
         let mut contents = self.contents.lock().unwrap();
         contents.calls += 1;
-        if contents.is_away || *self.is_turned_away.lock().unwrap() {
+        if contents.is_unavailable || *self.is_rejected.lock().unwrap() {
             return Err(StoreError::Refused {
                 step,
                 peer: "store".to_owned(),
                 status: 503,
-                cause: "away".to_owned(),
+                cause: "unavailable".to_owned(),
             });
         }
         Ok(())
@@ -231,15 +230,15 @@
 
 impl Contents {
     fn page(&self, after: &str, freshness: Freshness) -> Page {
-        let (present, index) = match (freshness, &self.old) {
-            (Freshness::MayBeOld, Some((present, index))) => (present, *index),
+        let (present, index) = match (freshness, &self.stale) {
+            (Freshness::MayBeStale, Some((present, index))) => (present, *index),
             _ => (&self.present, self.index),
         };
         let mut later = present
             .values()
             .filter(|record| record.key.as_str() > after);
         let records = later.by_ref().take(PAGE_KEYS);
-        let records = records.map(|record| self.of_era(record)).collect();
+        let records = records.map(|record| self.with_era(record)).collect();
         Page {
             records,
             index: StoreIndex::new(index).in_era(self.era),
@@ -247,7 +246,7 @@
         }
     }
 
-    fn of_era(&self, record: &Record) -> Record {
+    fn with_era(&self, record: &Record) -> Record {
         Record {
             index: record.index.in_era(self.era),
             ..record.clone()
@@ -293,7 +292,7 @@
                 Some(Fact::Unregistered(name()?.parse().ok()?))
             }
             None if record.key.starts_with("evacuated/") => {
-                Some(Fact::TakenBack(name()?.parse().ok()?))
+                Some(Fact::Reinstated(name()?.parse().ok()?))
             }
             None if record.key.starts_with("instance/") => Some(Fact::Left(name()?.parse().ok()?)),
             None if record.key.starts_with("quarantine/") => {
@@ -304,7 +303,7 @@
     }
 
     async fn read_page(&self, after: &str, freshness: Freshness) -> StoreResult<Page> {
-        self.enter("read")?;
+        self.begin_call("read")?;
         let mut contents = self.contents.lock().unwrap();
         let page = contents.page(after, freshness);
         if let Some(key) = contents.removed_after_page.take() {
@@ -315,17 +314,17 @@
 
     async fn changes(&self, index: StoreIndex, wait: Duration) -> StoreResult<Changes> {
         self.waits.fetch_add(1, Ordering::SeqCst);
-        let cuts = {
+        let closes = {
             let mut contents = self.contents.lock().unwrap();
             contents.longest_wait = contents.longest_wait.max(wait);
-            contents.cuts
+            contents.closes
         };
         let ends_at = Instant::now() + wait;
         loop {
-            self.enter("watch")?;
+            self.begin_call("watch")?;
             {
                 let contents = self.contents.lock().unwrap();
-                if contents.cuts > cuts {
+                if contents.closes > closes {
                     return Err(StoreError::Unknown {
                         step: "watch",
                         peer: "store".to_owned(),
@@ -333,8 +332,8 @@
                     });
                 }
                 let is_of_another = index.era() != contents.era;
-                if is_of_another || index.get() < contents.forgotten {
-                    return Ok(Changes::Forgotten);
+                if is_of_another || index.get() < contents.compacted_index {
+                    return Ok(Changes::Compacted);
                 }
                 let newer = contents
                     .changes
@@ -351,7 +350,7 @@
     }
 
     async fn open_lease(&self, _: Duration) -> StoreResult<LeaseId> {
-        self.enter("open_lease")?;
+        self.begin_call("open_lease")?;
         let mut contents = self.contents.lock().unwrap();
         contents.index += 1;
         let lease = contents.index;
@@ -360,7 +359,7 @@
     }
 
     async fn write_records(&self, changes: &RecordChanges, lease: LeaseId) -> StoreResult<bool> {
-        self.enter("write_records")?;
+        self.begin_call("write_records")?;
         assert!(changes.written.len() + changes.removed.len() <= RECORDS_MAX);
         let mut contents = self.contents.lock().unwrap();
         if !contents.leases.contains_key(&lease.0) {
@@ -382,12 +381,12 @@
     }
 
     async fn renew(&self, lease: LeaseId) -> StoreResult<bool> {
-        self.enter("renew_lease")?;
+        self.begin_call("renew_lease")?;
         Ok(self.contents.lock().unwrap().leases.contains_key(&lease.0))
     }
 
     async fn end_lease(&self, lease: LeaseId) -> StoreResult<()> {
-        self.enter("end_lease")?;
+        self.begin_call("end_lease")?;
         let mut contents = self.contents.lock().unwrap();
         for key in contents.leases.remove(&lease.0).unwrap_or_default() {
             contents.write(&key, None);
@@ -396,7 +395,7 @@
     }
 
     async fn write_quarantine(&self, entry: &StoredEntry) -> StoreResult<bool> {
-        self.enter("write_quarantine")?;
+        self.begin_call("write_quarantine")?;
         let mut contents = self.contents.lock().unwrap();
         let key = format!("quarantine/{}", entry.fingerprint);
         let present = contents.present.get(&key);
@@ -409,7 +408,7 @@
     }
 
     async fn remove_quarantine(&self, fingerprint: Fingerprint) -> StoreResult<()> {
-        self.enter("remove_quarantine")?;
+        self.begin_call("remove_quarantine")?;
         let mut contents = self.contents.lock().unwrap();
         contents.write(&format!("quarantine/{fingerprint}"), None);
         Ok(())
--- a/crates/foxtide/src/client_blocks.rs
+++ b/crates/foxtide/src/client_blocks.rs
@@ -1,9 +1,9 @@
-//! Brings the client blocks of the store into force at an instance.
+//! Loads client blocks and keeps them up to date.
 //!
-//! The watchers of each availability zone watch the manifest and give it to
-//! the mesh, which spreads it as a document of a reserved name. The latest
-//! changes lie in the manifest; chunks are read from the store by an instance
-//! that starts or has missed too many of them.
+//! The watchers of each availability zone watch the manifest in the store and
+//! publish it to the mesh as a document with a reserved name. The manifest
+//! holds the latest changes; an instance that starts or has missed too many
+//! changes reads the chunks from the store.
 
 use crate::store::NodeStore;
 use arc_swap::ArcSwapOption;
@@ -44,26 +44,26 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// How long a watch waits for a change.
-const WATCH_WAIT: Duration = Duration::from_secs(55);
+/// Maximum time a watch call waits for a change.
+const WATCH_TIMEOUT: Duration = Duration::from_secs(55);
 
-/// The least time from one answer of the watch to the next call.
-const WATCH_GAP: Duration = Duration::from_millis(200);
+/// Minimum delay between a watch response and the next call.
+const WATCH_INTERVAL_MIN: Duration = Duration::from_millis(200);
 
-/// How often an instance that holds no watch asks whether it should.
-const ROLE_CHECK: Duration = Duration::from_secs(1);
+/// How often a non-watcher checks whether it has become a watcher.
+const ROLE_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Over how long instances spread their reading of chunks: 600 instances that
-/// read five values each are then 100 calls a second.
-const LOAD_SPREAD: Duration = Duration::from_secs(30);
+/// Maximum random delay before reading chunks, which limits the load on the
+/// store when all instances reload.
+const LOAD_JITTER_MAX: Duration = Duration::from_secs(30);
 
-/// The client blocks in force. Clones share them; readers never wait.
+/// The active client blocks. Clones share them; reads are lock-free.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct BlocksInForce(Arc<ArcSwapOption<ClientBlocks>>);
+pub(crate) struct ActiveBlocks(Arc<ArcSwapOption<ClientBlocks>>);
 
-impl BlocksInForce {
-    /// Returns the region that serves a client: that of its site or, where
-    /// `is_live` says no of it, that of the first alternative with a live one.
+impl ActiveBlocks {
+    /// Returns the region that serves a client: the region of its site, or the
+    /// first live alternative. If none is live, the region of the site.
     pub(crate) fn region_of(
         &self,
         client: IpAddr,
@@ -83,65 +83,68 @@
     }
 }
 
-/// Follows the client blocks of store and mesh.
+/// Updates the client blocks from the store and the mesh.
 #[derive(Clone, Debug)]
-pub(crate) struct BlocksFollower {
-    pub(crate) in_force: BlocksInForce,
+pub(crate) struct BlocksUpdater {
+    pub(crate) active: ActiveBlocks,
     pub(crate) mesh: MeshHandle,
     pub(crate) store: Arc<NodeStore>,
     pub(crate) recorder: Recorder,
 }
 
-/// Why a manifest could not be put into force.
+/// Why a manifest could not be applied.
 #[derive(Debug)]
-enum Failure {
-    /// It is not valid.
+enum ApplyError {
+    /// The manifest or its blocks are invalid.
     Rejected(String),
-    /// The store did not give its chunks; they are asked for again.
+    /// The chunks could not be read from the store; the load is retried.
     Unavailable,
 }
 
-impl BlocksFollower {
-    /// Follows both for good.
+impl BlocksUpdater {
+    /// Runs until the process ends.
     pub(crate) async fn run(self) {
         let changes = self.mesh.configuration_changes();
         let (sender, manifests) = smol::channel::bounded(1);
-        let from_store = self.clone().follow_store(sender.clone());
-        let from_mesh = self.clone().follow_mesh(changes, sender);
-        let taking = self.take_all(manifests);
-        smol::future::zip(smol::future::zip(from_store, from_mesh), taking).await;
+        let store_task = self.clone().watch_store(sender.clone());
+        let mesh_task = self.clone().watch_mesh(changes, sender);
+        let apply_task = self.apply_manifests(manifests);
+        smol::future::zip(smol::future::zip(store_task, mesh_task), apply_task).await;
     }
 
-    async fn follow_store(self, manifests: Sender<Manifest>) {
+    async fn watch_store(self, manifests: Sender<Manifest>) {
         let mut after = StoreIndex::ABSENT;
         let mut backoff = Backoff::new(BackoffOptions::default());
         loop {
             if !self.mesh.is_watcher() {
-                Timer::after(ROLE_CHECK).await;
+                Timer::after(ROLE_CHECK_INTERVAL).await;
                 continue;
             }
             match self.watch_once(&mut after, &manifests).await {
                 Ok(()) => {
                     backoff.record_success();
-                    Timer::after(WATCH_GAP).await;
+                    Timer::after(WATCH_INTERVAL_MIN).await;
                 }
-                // The store is not to blame: it was not asked.
-                Err(StoreError::OverBudget { .. }) => drop(Timer::after(ROLE_CHECK).await),
+                // The call was not sent, so the store's backoff is unchanged.
+                Err(StoreError::OverBudget { .. }) => drop(Timer::after(ROLE_CHECK_INTERVAL).await),
                 Err(_) => drop(Timer::after(backoff.record_failure(fastrand::f64())).await),
             }
         }
     }
 
-    /// Waits for one answer of the store and passes it on.
+    /// Waits for one watch response and forwards its manifest.
     async fn watch_once(
         &self,
         after: &mut StoreIndex,
         manifests: &Sender<Manifest>,
     ) -> Result<(), StoreError> {
-        let listing = self.store.watch(MANIFEST_KEY, *after, WATCH_WAIT).await?;
-        // An index that went back means that the store was set up anew.
-        let went_back = listing.index < *after;
-        *after = if went_back {
+        let listing = self
+            .store
+            .watch(MANIFEST_KEY, *after, WATCH_TIMEOUT)
+            .await?;
+        // A lower index means that the store was recreated.
+        let is_reset = listing.index < *after;
+        *after = if is_reset {
             StoreIndex::ABSENT
         } else {
             listing.index
@@ -150,15 +153,14 @@
         let Some(entry) = entries.find(|entry| entry.key == MANIFEST_KEY) else {
             return Ok(());
         };
-        if let Some(manifest) = self.read(&entry.value) {
+        if let Some(manifest) = self.decode(&entry.value) {
             self.publish(&manifest, entry.value);
-            // The receiver lives as long as this task.
+            // The receiver outlives this task.
             let _ = manifests.send(manifest).await;
         }
         Ok(())
     }
 
-    /// Gives a manifest to the mesh.
     fn publish(&self, manifest: &Manifest, value: Vec<u8>) {
         let Ok(organisation) = RESERVED_NAME.parse() else {
             return;
@@ -170,26 +172,26 @@
         });
     }
 
-    async fn follow_mesh(self, changes: Receiver<Document>, manifests: Sender<Manifest>) {
+    async fn watch_mesh(self, changes: Receiver<Document>, manifests: Sender<Manifest>) {
         for document in self.mesh.configurations() {
-            self.pass_on(&document, &manifests).await;
+            self.forward_document(&document, &manifests).await;
         }
         while let Ok(document) = changes.recv().await {
-            self.pass_on(&document, &manifests).await;
+            self.forward_document(&document, &manifests).await;
         }
     }
 
-    async fn pass_on(&self, document: &Document, manifests: &Sender<Manifest>) {
+    async fn forward_document(&self, document: &Document, manifests: &Sender<Manifest>) {
         if document.organisation.as_str() != RESERVED_NAME {
             return;
         }
-        if let Some(manifest) = self.read(&document.bytes) {
-            // The receiver lives as long as this task.
+        if let Some(manifest) = self.decode(&document.bytes) {
+            // The receiver outlives this task.
             let _ = manifests.send(manifest).await;
         }
     }
 
-    fn read(&self, value: &[u8]) -> Option<Manifest> {
+    fn decode(&self, value: &[u8]) -> Option<Manifest> {
         match Manifest::decode(value) {
             Ok(manifest) => Some(manifest),
             Err(error) => {
@@ -199,12 +201,12 @@
         }
     }
 
-    /// Puts manifests into force, the newest that has come.
-    async fn take_all(self, manifests: Receiver<Manifest>) {
+    /// Applies received manifests, preferring the newest after a failure.
+    async fn apply_manifests(self, manifests: Receiver<Manifest>) {
         let mut backoff = Backoff::new(BackoffOptions::default());
         while let Ok(mut manifest) = manifests.recv().await {
-            while let Err(failure) = self.take(&manifest).await {
-                if let Failure::Rejected(cause) = failure {
+            while let Err(error) = self.apply(&manifest).await {
+                if let ApplyError::Rejected(cause) = error {
                     self.reject(&cause);
                     break;
                 }
@@ -217,52 +219,54 @@
         }
     }
 
-    async fn take(&self, manifest: &Manifest) -> Result<(), Failure> {
-        if manifest.revision <= self.in_force.revision() {
+    async fn apply(&self, manifest: &Manifest) -> Result<(), ApplyError> {
+        if manifest.revision <= self.active.revision() {
             return Ok(());
         }
-        let current = self.in_force.0.load_full();
-        let following = current.filter(|blocks| manifest.can_advance(blocks));
-        let blocks = match following {
+        let current = self.active.0.load_full();
+        let previous = current.filter(|blocks| manifest.can_advance(blocks));
+        let blocks = match previous {
             Some(blocks) => advance(manifest.clone(), blocks).await?,
             None => self.load(manifest).await?,
         };
         let detail = format!("revision={} blocks={}", blocks.revision(), blocks.len());
-        self.in_force.0.store(Some(Arc::new(blocks)));
-        self.note(EventCode::ClientBlocksApplied, detail);
+        self.active.0.store(Some(Arc::new(blocks)));
+        self.record(EventCode::ClientBlocksApplied, detail);
         Ok(())
     }
 
-    /// Reads the chunks; later ones of many instances after a while, so that
-    /// they do not ask the store all at once. The first table is read at once,
-    /// for instances start one by one.
-    async fn load(&self, manifest: &Manifest) -> Result<ClientBlocks, Failure> {
-        if self.in_force.revision() > 0 {
-            Timer::after(LOAD_SPREAD.mul_f64(fastrand::f64())).await;
+    /// Reads the chunks from the store, after a random delay unless this is the
+    /// first load.
+    async fn load(&self, manifest: &Manifest) -> Result<ClientBlocks, ApplyError> {
+        if self.active.revision() > 0 {
+            Timer::after(LOAD_JITTER_MAX.mul_f64(fastrand::f64())).await;
         }
         let loaded = load_table(&*self.store, manifest).await;
         loaded.map_err(|error| match error {
             foxtide_config::blocks::BlocksChangeError::Blocks(error) => {
-                Failure::Rejected(error.to_string())
+                ApplyError::Rejected(error.to_string())
             }
-            _ => Failure::Unavailable,
+            _ => ApplyError::Unavailable,
         })
     }
 
     fn reject(&self, cause: &str) {
-        self.note(EventCode::ClientBlocksRejected, cause.to_owned());
+        self.record(EventCode::ClientBlocksRejected, cause.to_owned());
     }
 
-    fn note(&self, code: EventCode, detail: String) {
+    fn record(&self, code: EventCode, detail: String) {
         self.recorder.record(code, EventFields::detail(detail));
     }
 }
 
-/// Applies the newest changes, which takes tens of milliseconds, aside from
-/// the workers.
-async fn advance(manifest: Manifest, blocks: Arc<ClientBlocks>) -> Result<ClientBlocks, Failure> {
+/// Applies the changes of a manifest on the blocking pool, because this takes
+/// tens of milliseconds.
+async fn advance(
+    manifest: Manifest,
+    blocks: Arc<ClientBlocks>,
+) -> Result<ClientBlocks, ApplyError> {
     let advanced = smol::unblock(move || manifest.advance(&blocks)).await;
-    advanced.map_err(|error| Failure::Rejected(error.to_string()))
+    advanced.map_err(|error| ApplyError::Rejected(error.to_string()))
 }
 
 #[cfg(test)]
@@ -283,7 +287,7 @@
     }
 
     #[test]
-    fn verify_an_alternative_stands_in_for_a_region_without_instances() {
+    fn verify_an_alternative_replaces_a_region_without_live_instances() {
         let sites = SiteTable::new(vec![
             site("windhoek", "khomas", &["gobabis", "walvis"]),
             site("gobabis", "omaheke", &[]),
@@ -295,11 +299,11 @@
             site: sites.index_of(&"windhoek".parse().unwrap()).unwrap(),
         };
         let blocks = ClientBlocks::new(1, sites, &[block]).unwrap();
-        let in_force = BlocksInForce::default();
-        in_force.0.store(Some(Arc::new(blocks)));
+        let active = ActiveBlocks::default();
+        active.0.store(Some(Arc::new(blocks)));
         let region = |client: &str, live: &[&str]| {
             let is_live = |region: &RegionId| live.contains(&region.as_str());
-            let found = in_force.region_of(client.parse().unwrap(), is_live);
+            let found = active.region_of(client.parse().unwrap(), is_live);
             found.map(|region| region.to_string())
         };
         assert_eq!(region("10.1.1.1", &["khomas", "erongo"]).unwrap(), "khomas");
--- a/crates/foxtide/src/copies.rs
+++ b/crates/foxtide/src/event_backup.rs
@@ -1,4 +1,4 @@
-//! Copies of the time line at peers, over the mesh's calls.
+//! Backs up the events of the time line at peers, through mesh calls.
 
 use foxtide_core::events::backup::{
     BackupBatch,
@@ -22,36 +22,34 @@
 use smol::Timer;
 use std::time::Duration;
 
-/// The time between two looks at what is to be copied.
 const COPY_INTERVAL: Duration = Duration::from_secs(1);
 
-/// How long a peer may take to keep what it is sent.
-const CALL_DEADLINE: Duration = Duration::from_secs(2);
+const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// What one instance calls another for.
+/// The payload of a call to a peer.
 #[derive(Clone, PartialEq, prost::Message)]
 struct PeerCall {
-    /// Events to keep.
+    /// Events for the peer to store.
     #[prost(message, optional, tag = "1")]
     copies: Option<EventCopies>,
 }
 
-/// Copies this instance's events to peers and keeps theirs.
+/// Sends this instance's events to peers and stores theirs.
 #[derive(Clone, Debug)]
-pub(crate) struct Copies {
+pub(crate) struct EventBackup {
     pub(crate) time_line: TimeLine,
     pub(crate) mesh: MeshHandle,
     pub(crate) clock: SystemClock,
 }
 
-impl Copies {
-    /// Copies events for good.
+impl EventBackup {
+    /// Sends events that are due until the process ends.
     pub(crate) async fn send(self) {
         loop {
             Timer::after(COPY_INTERVAL).await;
             let members = self.mesh.members();
             let running = members.iter().filter(|member| member.state.is_usable());
-            let peers: Vec<BackupPeer> = running.map(peer).collect();
+            let peers: Vec<BackupPeer> = running.map(backup_peer).collect();
             self.time_line.set_members(&peers);
             self.send_due().await;
         }
@@ -59,17 +57,17 @@
 
     async fn send_due(&self) {
         for batch in self.time_line.poll(self.clock.now()) {
-            self.send_one(batch).await;
+            self.send_batch(batch).await;
         }
     }
 
-    /// Sends events to one peer. Without an answer they are due again later.
-    async fn send_one(&self, batch: BackupBatch) {
+    /// Sends events to one peer. Unacknowledged events become due again.
+    async fn send_batch(&self, batch: BackupBatch) {
         let call = PeerCall {
             copies: Some(batch.copies),
         };
         let bytes = call.encode_to_vec();
-        let Ok(answer) = self.mesh.call(&batch.to, bytes, CALL_DEADLINE).await else {
+        let Ok(answer) = self.mesh.call(&batch.to, bytes, CALL_TIMEOUT).await else {
             return;
         };
         if let Ok(ack) = EventCopiesAck::decode(&answer[..]) {
@@ -77,7 +75,7 @@
         }
     }
 
-    /// Keeps what peers send, for good.
+    /// Stores the events that peers send until the process ends.
     pub(crate) async fn receive(self) {
         let calls = self.mesh.incoming_calls();
         while let Ok(call) = calls.recv().await {
@@ -85,19 +83,19 @@
         }
     }
 
-    /// Answers a call; one that cannot be read is left without an answer.
+    /// Stores the events of a call and responds; ignores an invalid call.
     fn answer(&self, call: IncomingCall) {
         let copies = PeerCall::decode(&call.bytes[..])
             .ok()
-            .and_then(|c| c.copies);
-        let kept = copies.and_then(|copies| self.time_line.accept(copies).ok());
-        if let Some(ack) = kept {
+            .and_then(|call| call.copies);
+        let ack = copies.and_then(|copies| self.time_line.accept(copies).ok());
+        if let Some(ack) = ack {
             call.respond(ack.encode_to_vec());
         }
     }
 }
 
-fn peer(member: &Member) -> BackupPeer {
+fn backup_peer(member: &Member) -> BackupPeer {
     BackupPeer {
         instance: member.instance.clone(),
         availability_zone: member.availability_zone.clone(),
--- a/crates/foxtide/src/lib.rs
+++ b/crates/foxtide/src/lib.rs
@@ -1,10 +1,10 @@
-//! The entry instance of foxtide: wires settings, store, mesh and the request
+//! The foxtide entry instance: combines settings, store, mesh and the request
 //! path into one [`node::Node`].
 
 mod client_blocks;
 pub mod command;
 mod configuration;
-mod copies;
+mod event_backup;
 mod instance_list;
 mod load_events;
 mod member_events;
--- a/crates/foxtide/src/node/parts.rs
+++ b/crates/foxtide/src/node/parts.rs
@@ -1,8 +1,8 @@
-//! What the request path works with.
+//! Implements the interfaces that the request path requires.
 
 use super::shared::Shared;
-use crate::client_blocks::BlocksInForce;
-use crate::pages::Pages;
+use crate::client_blocks::ActiveBlocks;
+use crate::pages::AdminPages;
 use crate::tables::Tables;
 use foxtide_core::idempotency::OwnerId;
 use foxtide_core::ids::{
@@ -29,7 +29,7 @@
 };
 use std::sync::Arc;
 
-/// What the request path works with.
+/// The components that the request path uses.
 #[derive(Debug)]
 pub(crate) struct NodeParts {
     directory: NodeDirectory,
@@ -38,11 +38,11 @@
     recorder: Recorder,
     explainer: Explainer,
     owner: OwnerId,
-    pages: Pages,
+    pages: AdminPages,
 }
 
 impl NodeParts {
-    /// Returns the parts of an instance whose process is `owner`.
+    /// Creates the parts of the process `owner`.
     pub(super) fn new(shared: &Shared, owner: OwnerId) -> Self {
         Self {
             directory: NodeDirectory {
@@ -64,7 +64,7 @@
 impl Dependencies for NodeParts {
     type Directory = NodeDirectory;
     type Clock = SystemClock;
-    type Admin = Pages;
+    type Admin = AdminPages;
 
     fn directory(&self) -> &NodeDirectory {
         &self.directory
@@ -90,16 +90,16 @@
         &self.owner
     }
 
-    fn admin(&self) -> &Pages {
+    fn admin(&self) -> &AdminPages {
         &self.pages
     }
 }
 
-/// The tables as the request path reads them, and the way to leave.
+/// The directory of instances, backed by the tables, blocks and mesh.
 #[derive(Debug)]
 pub(crate) struct NodeDirectory {
     tables: Arc<Tables>,
-    blocks: BlocksInForce,
+    blocks: ActiveBlocks,
     mesh: MeshHandle,
     clock: SystemClock,
 }
@@ -125,7 +125,7 @@
 
     fn leave(&self) {
         self.tables.set_leaving();
-        self.tables.renew_instances(self.clock.wall());
+        self.tables.update_instances(self.clock.wall());
         self.mesh.leave();
     }
 }
--- a/crates/foxtide/src/pages.rs
+++ b/crates/foxtide/src/pages.rs
@@ -1,4 +1,4 @@
-//! The pages for operators.
+//! Serves the admin pages for operators.
 
 use crate::promises::Promises;
 use crate::readiness::Readiness;
@@ -17,27 +17,23 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-const JSON: &str = "application/json";
+const JSON_CONTENT_TYPE: &str = "application/json";
 
-/// How many explanations an answer holds where the query names no limit.
-const EXPLANATIONS_MAX: usize = 20;
+/// The number of explanations returned if the query sets no limit.
+const EXPLANATIONS_DEFAULT_LIMIT: usize = 20;
 
-const METRICS: &str = "text/plain; version=0.0.4";
+const METRICS_CONTENT_TYPE: &str = "text/plain; version=0.0.4";
 
-/// Answers operators from what the instance knows.
+/// The data behind the admin pages.
 #[derive(Debug)]
-pub(crate) struct Pages {
-    /// The configurations and instances.
+pub(crate) struct AdminPages {
     pub(crate) tables: Arc<Tables>,
-    /// The events of this instance and those kept for peers.
+    /// The events of this instance and those stored for peers.
     pub(crate) time_line: TimeLine,
-    /// Why look-ups and requests went where they did.
+    /// The routing decisions of look-ups and requests.
     pub(crate) explainer: Explainer,
-    /// Whether the promises hold.
     pub(crate) promises: Promises,
-    /// What renders the metrics.
     pub(crate) metrics: PrometheusHandle,
-    /// Whether callers can be served.
     pub(crate) readiness: Readiness,
 }
 
@@ -52,7 +48,7 @@
     state: String,
 }
 
-impl Pages {
+impl AdminPages {
     fn events(&self, query: Option<&str>) -> Option<AdminPage> {
         let filter = event_filter(query)?;
         Some(json(&self.time_line.select(&filter)))
@@ -63,7 +59,7 @@
         Some(json(&self.explainer.select(&filter)))
     }
 
-    fn promised(&self, query: Option<&str>) -> Option<AdminPage> {
+    fn promises(&self, query: Option<&str>) -> Option<AdminPage> {
         let Some(name) = parameter(query, "organisation") else {
             return Some(json(&self.promises.rows(None)));
         };
@@ -92,19 +88,19 @@
 
     fn metrics(&self) -> AdminPage {
         AdminPage {
-            content_type: METRICS,
+            content_type: METRICS_CONTENT_TYPE,
             body: self.metrics.render().into_bytes(),
         }
     }
 }
 
-impl foxtide_entry::Admin for Pages {
+impl foxtide_entry::Admin for AdminPages {
     fn page(&self, path: &str, query: Option<&str>) -> Option<AdminPage> {
         match path {
             "/metrics" => Some(self.metrics()),
             "/v1/events" => self.events(query),
             "/v1/explain" => self.explanations(query),
-            "/v1/promises" => self.promised(query),
+            "/v1/promises" => self.promises(query),
             "/v1/instances" => Some(json(&self.instances())),
             "/v1/configuration" => self.configuration(query),
             _ => None,
@@ -128,10 +124,10 @@
 }
 
 fn json(value: &impl Serialize) -> AdminPage {
-    // Types of this crate with names as keys always have a JSON form.
+    // Serialisation cannot fail: all map keys are strings.
     let body = serde_json::to_vec(value).unwrap_or_default();
     AdminPage {
-        content_type: JSON,
+        content_type: JSON_CONTENT_TYPE,
         body,
     }
 }
@@ -146,7 +142,7 @@
     parts.filter_map(|part| part.split_once('='))
 }
 
-/// Returns the events that a query asks for; none where a field is not valid.
+/// Parses an event query. Returns `None` if a value is invalid.
 fn event_filter(query: Option<&str>) -> Option<EventFilter> {
     let mut filter = EventFilter::default();
     for (name, text) in pairs(query) {
@@ -155,11 +151,10 @@
     Some(filter)
 }
 
-/// Returns the decisions that a query asks for; none where a field is not
-/// valid.
+/// Parses an explain query. Returns `None` if a value is invalid.
 fn explain_filter(query: Option<&str>) -> Option<ExplainFilter> {
     let mut filter = ExplainFilter {
-        limit: Some(EXPLANATIONS_MAX),
+        limit: Some(EXPLANATIONS_DEFAULT_LIMIT),
         ..ExplainFilter::default()
     };
     for (name, text) in pairs(query) {
--- a/crates/foxtide/src/platform/reload.rs
+++ b/crates/foxtide/src/platform/reload.rs
@@ -1,4 +1,4 @@
-//! Reads the settings again when they may have changed.
+//! Reloads the settings on a signal or when the file changes.
 
 use crate::signals;
 use foxtide_events::{
@@ -22,10 +22,10 @@
     SystemTime, //
 };
 
-/// How often it is looked whether the file has changed without a signal.
-const LOOK_PERIOD: Duration = Duration::from_secs(5);
+/// How often the modification time of the file is checked.
+const FILE_CHECK_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Puts changed bounds in force; what else has changed takes a restart.
+/// Applies changed bounds; other changes require a restart.
 pub(super) async fn reload(
     path: PathBuf,
     mut settings: PlatformSettings,
@@ -34,23 +34,23 @@
     let signals = match signals::reload_signals() {
         Ok(signals) => signals,
         Err(error) => {
-            log::error!("settings are not read again: {error}");
+            log::error!("cannot set up the reload signal; settings reload is disabled: {error}");
             return;
         }
     };
     let mut changed_at = modified(&path);
     loop {
         let signalled = async { signals.recv().await.is_ok() };
-        let looked = async {
-            Timer::after(LOOK_PERIOD).await;
+        let interval_elapsed = async {
+            Timer::after(FILE_CHECK_INTERVAL).await;
             false
         };
-        let is_signalled = or(signalled, looked).await;
-        let now_at = modified(&path);
-        if !is_signalled && now_at == changed_at {
+        let is_signalled = or(signalled, interval_elapsed).await;
+        let modified_at = modified(&path);
+        if !is_signalled && modified_at == changed_at {
             continue;
         }
-        changed_at = now_at;
+        changed_at = modified_at;
         match PlatformSettings::load(&path) {
             Ok(newer) => {
                 apply(&settings, &newer, &gateway);
--- a/crates/foxtide/src/store.rs
+++ b/crates/foxtide/src/store.rs
@@ -1,4 +1,4 @@
-//! The store as an instance uses it: over HTTP, within the fleet's budget.
+//! Opens the HTTP store and keeps its call budget up to date.
 
 use foxtide_config::{
     BudgetOptions,
@@ -21,16 +21,15 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// The store of an instance.
+/// The store client of an instance.
 pub(crate) type NodeStore = BudgetedStore<HttpStore>;
 
-/// The time between two counts of the fleet.
-const COUNT_INTERVAL: Duration = Duration::from_secs(1);
+const BUDGET_UPDATE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Returns the store that the settings name.
+/// Opens the store at the configured address.
 ///
-/// Until the mesh tells otherwise the instance takes itself for the only one,
-/// which lets it read its configuration at once; its bucket bounds the burst.
+/// The budget initially assumes a fleet of one instance, so that the
+/// configuration can be read at once; the token bucket bounds the burst.
 pub(crate) fn open(settings: &Settings) -> Arc<NodeStore> {
     let limits = &settings.limits.store;
     let store = HttpStore::new(HttpStoreOptions {
@@ -46,32 +45,32 @@
     Arc::new(BudgetedStore::new(store, &peer, budget))
 }
 
-/// Keeps the budget to the live members, for good.
-pub(crate) async fn follow_fleet(store: Arc<NodeStore>, mesh: MeshHandle) {
+/// Adjusts the budget to the number of live members until the process ends.
+pub(crate) async fn update_budget(store: Arc<NodeStore>, mesh: MeshHandle) {
     loop {
-        store.set_fleet(fleet(&mesh.members(), mesh.is_watcher()));
-        Timer::after(COUNT_INTERVAL).await;
+        store.set_fleet(count_fleet(&mesh.members(), mesh.is_watcher()));
+        Timer::after(BUDGET_UPDATE_INTERVAL).await;
     }
 }
 
-/// Counts who shares the store's rates.
-fn fleet(members: &[Member], is_watcher: bool) -> Fleet {
+/// Counts the members that share the store's call rates.
+fn count_fleet(members: &[Member], is_watcher: bool) -> Fleet {
     let running = members.iter().filter(|member| member.state.is_running());
-    let mut in_zones: BTreeMap<&AvailabilityZoneId, usize> = BTreeMap::new();
+    let mut zone_counts: BTreeMap<&AvailabilityZoneId, usize> = BTreeMap::new();
     for member in running {
-        *in_zones.entry(&member.availability_zone).or_default() += 1;
+        *zone_counts.entry(&member.availability_zone).or_default() += 1;
     }
     let watchers_per_zone = MeshOptions::default().watchers_per_zone;
-    let watchers = in_zones
+    let watchers = zone_counts
         .values()
         .map(|count| *count.min(&watchers_per_zone));
     Fleet {
-        live_instances: count(in_zones.values().sum()),
-        watchers: count(watchers.sum()),
+        live_instances: saturating_u32(zone_counts.values().sum()),
+        watchers: saturating_u32(watchers.sum()),
         is_watcher,
     }
 }
 
-fn count(number: usize) -> u32 {
+fn saturating_u32(number: usize) -> u32 {
     u32::try_from(number).unwrap_or(u32::MAX)
 }
--- a/crates/foxtidectl/src/commands/drain/mod.rs
+++ b/crates/foxtidectl/src/commands/drain/mod.rs
@@ -37,8 +37,8 @@
     }
 }
 
-/// Tells what a drain takes out of service.
-fn in_words(target: &DrainTarget) -> String {
+/// Formats the target of a drain.
+fn describe(target: &DrainTarget) -> String {
     match target {
         DrainTarget::Upstream { service, upstream } => format!("upstream {service}/{upstream}"),
         DrainTarget::AvailabilityZone(zone) => format!("availability zone {zone}"),
--- a/crates/foxtidectl/src/commands/explain/lookup.rs
+++ b/crates/foxtidectl/src/commands/explain/lookup.rs
@@ -1,4 +1,4 @@
-//! `foxtidectl explain lookup`.
+//! `foxtidectl explain lookup`: explains the latest look-ups of a service.
 
 use super::decisions;
 use crate::failure::Failure;
@@ -19,13 +19,13 @@
 }
 
 impl Lookup {
-    /// Asks all instances.
+    /// Queries all instances.
     pub(super) async fn run(self, session: &Session) -> Result<Report, Failure> {
         let Self {
             organisation,
             service,
         } = &self;
         let query = format!("kind=lookup&organisation={organisation}&service={service}");
-        decisions::ask(session, &query, "a look-up of it").await
+        decisions::explain(session, &query, "a look-up of it").await
     }
 }
--- a/crates/foxtidectl/src/commands/movement/demand.rs
+++ b/crates/foxtidectl/src/commands/movement/demand.rs
@@ -1,4 +1,4 @@
-//! Whether a move's traffic fits what was sold.
+//! Checks the traffic of a move against the sold rates.
 
 use super::forecast;
 use crate::failure::Failure;
@@ -8,12 +8,11 @@
 };
 use foxtide_core::units::RequestRate;
 
-/// Checks that the traffic which a move brings in the end fits the link and
+/// Checks that the traffic of a completed move fits the sold rates of the link and of
 /// the receiving region.
 ///
-/// `demand` is the service's traffic that arrives in the giving region. What
-/// other services send is not known here; the instances hold the limits
-/// whatever the plan says.
+/// `demand` is the service's traffic that arrives in the source region. Traffic of other
+/// services is not included; instances enforce the limits in any case.
 pub(super) fn check(
     document: &Organisation,
     movement: &PlannedMove,
@@ -23,18 +22,18 @@
     let shares = forecast::shares(document, movement, end);
     let regions = document.regions.iter().zip(shares);
     for (region, share) in regions.filter(|(region, _)| region.region != movement.from) {
-        let brought = RequestRate::clamped(share * demand.get());
+        let moved_rate = RequestRate::clamped(share * demand.get());
         let link = document.link(&movement.from, &region.region);
-        let on_link = link.map_or(RequestRate::ZERO, |link| link.sold_rate_rps);
-        let sold = if on_link < region.sold_rate_rps {
-            on_link
+        let link_rate = link.map_or(RequestRate::ZERO, |link| link.sold_rate_rps);
+        let sold_rate = if link_rate < region.sold_rate_rps {
+            link_rate
         } else {
             region.sold_rate_rps
         };
-        if brought > sold {
+        if moved_rate > sold_rate {
             let problem = format!(
-                "the move sends {:.0}rps from {} to {}, where {sold} are sold",
-                brought.get(),
+                "the move sends {:.0}rps from {} to {}, where {sold_rate} are sold",
+                moved_rate.get(),
                 movement.from,
                 region.region
             );
