--- a/crates/foxtide/tests/explain_failures.rs
+++ b/crates/foxtide/tests/explain_failures.rs
@@ -8,17 +8,17 @@
 #[path = "../../../platform/examples/soak/configuration.rs"]
 mod configuration;
 #[allow(dead_code)]
-#[path = "../../../platform/examples/soak/deadly.rs"]
-mod deadly;
+#[path = "../../../platform/examples/soak/history.rs"]
+mod history;
 #[allow(dead_code)]
 #[path = "../../../platform/examples/soak/instance.rs"]
 mod instance;
 #[allow(dead_code)]
-#[path = "../../../platform/examples/soak/ledger.rs"]
-mod ledger;
-#[allow(dead_code)]
 #[path = "../../../platform/examples/soak/organisations.rs"]
 mod organisations;
+#[allow(dead_code)]
+#[path = "../../../platform/examples/soak/poison.rs"]
+mod poison;
 
 #[allow(dead_code)]
 #[path = "../../../platform/examples/soak/proxy.rs"]
@@ -32,13 +32,13 @@
 
 use callers::{
     Message,
-    exchange, //
+    send_request, //
 };
 use configuration::document;
 use foxtide_http::BufferedStream;
 use foxtidectl::ExitStatus;
+use history::History;
 use instance::Instance;
-use ledger::Ledger;
 use organisations::Organisation;
 use proxy::Proxy;
 use std::net::SocketAddr;
@@ -53,10 +53,10 @@
 };
 use store::{
     Store,
-    Trouble, //
+    StoreFault, //
 };
 use upstream::{
-    Manner,
+    Behaviour,
     Upstream, //
 };
 
@@ -76,10 +76,10 @@
         std::fs::create_dir_all(&directory).unwrap();
         let store = Store::start().unwrap();
         store.configure(&document(2, false));
-        let ledger = Arc::new(Ledger::default());
+        let history = Arc::new(History::default());
         let upstream = |service: &'static str| {
             let name = format!("i-{service}");
-            let starting = Upstream::start(name, service, "khomas-a", &store, &ledger);
+            let starting = Upstream::start(name, service, "khomas-a", &store, &history);
             smol::block_on(starting).unwrap()
         };
         let (viewer, notices) = (upstream("viewer"), upstream("notices"));
@@ -95,7 +95,7 @@
             instance,
         };
         wait_until("the instance serves", || {
-            fleet.instance.callers().is_some() && fleet.request("start", true) == Some(200)
+            fleet.instance.caller_address().is_some() && fleet.request("start", true) == Some(200)
         });
         fleet
     }
@@ -106,12 +106,14 @@
     }
 
     fn callers(&self) -> SocketAddr {
-        self.instance.callers().expect("the instance has started")
+        self.instance
+            .caller_address()
+            .expect("the instance has started")
     }
 
     /// Returns foxtidectl's explanation of a request once its end is logged.
     fn explanation(&self, request: &str) -> String {
-        let log = self.instance.log().display().to_string();
+        let log = self.instance.log_path().display().to_string();
         let arguments = ["explain", "request", request, "--lines", &log].map(str::to_owned);
         let explain = || {
             let (mut output, mut errors) = (Vec::new(), Vec::new());
@@ -136,19 +138,19 @@
     let mut stream = BufferedStream::connect(callers, None).await.ok()?;
     let path = if is_idempotent { "/safe/7" } else { "/once/7" };
     let message = Message {
-        request: &request,
+        request_id: &request,
         path,
-        object: 7,
-        key: &Organisation::Free.key(),
+        affinity_key: 7,
+        api_key: &Organisation::Unlimited.key(),
     };
-    let response = exchange(&mut stream, &message).await?;
+    let response = send_request(&mut stream, &message).await?;
     Some(response.head.status)
 }
 
 #[test]
 fn verify_a_refusal_by_a_full_upstream_is_explained() {
     let fleet = Fleet::start("explain-room");
-    fleet.viewer.set(Manner::Slow);
+    fleet.viewer.set_behaviour(Behaviour::Slow);
     let callers = fleet.callers();
     let refused = smol::block_on(async {
         // The upstream accepts 11 concurrent requests.
@@ -181,7 +183,7 @@
 #[test]
 fn verify_a_lost_answer_is_explained() {
     let fleet = Fleet::start("explain-lost");
-    fleet.notices.set(Manner::LosesAnswers);
+    fleet.notices.set_behaviour(Behaviour::DropsResponses);
     let lost = (0..20)
         .map(|number| format!("lost-{number}"))
         .find(|request| fleet.request(request, false) == Some(502));
@@ -200,8 +202,8 @@
 #[test]
 fn verify_a_decision_during_a_store_outage_is_explained() {
     let fleet = Fleet::start("explain-outage");
-    fleet.store.set(Trouble::Silent);
-    let lines = || std::fs::read_to_string(fleet.instance.log()).unwrap();
+    fleet.store.set_fault(StoreFault::Unresponsive);
+    let lines = || std::fs::read_to_string(fleet.instance.log_path()).unwrap();
     wait_until("the outage is noticed", || {
         lines().contains("store-unreachable")
     });
