--- a/crates/foxtide-testing/src/http/listener.rs
+++ b/crates/foxtide-testing/src/http/listener.rs
@@ -36,18 +36,18 @@
 use std::time::Duration;
 
 /// How long to wait before an address that is still in use is tried again.
-const REBIND_PAUSE: Duration = Duration::from_millis(10);
+const RETRY_INTERVAL: Duration = Duration::from_millis(10);
 
 /// A running server; dropping it ends its connections.
 pub(crate) struct Server<E> {
     address: SocketAddr,
     shared: Arc<Shared<E>>,
-    gate: Sender<GateChange>,
+    listen_changes: Sender<ListenChange>,
     _accepting: Task<()>,
 }
 
 /// Tells the accepting task to listen or not to, and hears when it is done.
-struct GateChange {
+struct ListenChange {
     listen: bool,
     done: Sender<()>,
 }
@@ -55,7 +55,7 @@
 /// What the accepting task woke up for.
 enum Wake {
     Connection(TcpStream, SocketAddr),
-    Gate(GateChange),
+    ListenChange(ListenChange),
     AcceptFailed,
     HandleDropped,
 }
@@ -66,12 +66,12 @@
         let listener = TcpListener::bind(address).await?;
         let address = listener.local_addr()?;
         let shared = Arc::new(Shared::new(endpoint));
-        let (gate, changes) = unbounded();
+        let (listen_changes, changes) = unbounded();
         let accepting = smol::spawn(run(listener, address, shared.clone(), changes));
         Ok(Self {
             address,
             shared,
-            gate,
+            listen_changes,
             _accepting: accepting,
         })
     }
@@ -87,7 +87,7 @@
     }
 
     /// Closes all open connections, whatever they are doing.
-    pub(crate) fn cut_connections(&self) {
+    pub(crate) fn close_connections(&self) {
         self.shared.connections.lock().tasks.clear();
     }
 
@@ -96,8 +96,8 @@
         *self.shared.availability.lock() = availability;
         let (done, finished) = bounded(1);
         let listen = availability != Availability::Refusing;
-        let change = GateChange { listen, done };
-        if self.gate.send(change).await.is_ok() {
+        let change = ListenChange { listen, done };
+        if self.listen_changes.send(change).await.is_ok() {
             finished.recv().await.ok();
         }
     }
@@ -143,7 +143,7 @@
     mut listener: TcpListener,
     address: SocketAddr,
     shared: Arc<Shared<E>>,
-    changes: Receiver<GateChange>,
+    changes: Receiver<ListenChange>,
 ) {
     while let Some(closed) = accept_until_closed(&listener, &shared, &changes).await {
         drop(listener);
@@ -151,7 +151,7 @@
         let Some(opened) = wait_until_opened(&changes).await else {
             return;
         };
-        listener = bind_again(address).await;
+        listener = rebind(address).await;
         opened.send(()).await.ok();
     }
 }
@@ -159,22 +159,22 @@
 async fn accept_until_closed<E: Endpoint>(
     listener: &TcpListener,
     shared: &Arc<Shared<E>>,
-    changes: &Receiver<GateChange>,
+    changes: &Receiver<ListenChange>,
 ) -> Option<Sender<()>> {
     loop {
         match next_wake(listener, changes).await {
             Wake::Connection(stream, peer) => shared.open(stream, peer),
-            Wake::AcceptFailed => drop(Timer::after(REBIND_PAUSE).await),
-            Wake::Gate(change) if change.listen => {
+            Wake::AcceptFailed => drop(Timer::after(RETRY_INTERVAL).await),
+            Wake::ListenChange(change) if change.listen => {
                 change.done.send(()).await.ok();
             }
-            Wake::Gate(change) => return Some(change.done),
+            Wake::ListenChange(change) => return Some(change.done),
             Wake::HandleDropped => return None,
         }
     }
 }
 
-async fn next_wake(listener: &TcpListener, changes: &Receiver<GateChange>) -> Wake {
+async fn next_wake(listener: &TcpListener, changes: &Receiver<ListenChange>) -> Wake {
     let connection = async {
         match listener.accept().await {
             Ok((stream, peer)) => Wake::Connection(stream, peer),
@@ -183,14 +183,14 @@
     };
     let change = async {
         match changes.recv().await {
-            Ok(change) => Wake::Gate(change),
+            Ok(change) => Wake::ListenChange(change),
             Err(_) => Wake::HandleDropped,
         }
     };
     change.or(connection).await
 }
 
-async fn wait_until_opened(changes: &Receiver<GateChange>) -> Option<Sender<()>> {
+async fn wait_until_opened(changes: &Receiver<ListenChange>) -> Option<Sender<()>> {
     loop {
         let change = changes.recv().await.ok()?;
         if change.listen {
@@ -200,22 +200,22 @@
     }
 }
 
-async fn bind_again(address: SocketAddr) -> TcpListener {
+async fn rebind(address: SocketAddr) -> TcpListener {
     loop {
         match TcpListener::bind(address).await {
             Ok(listener) => return listener,
             Err(error) => log::warn!("stand-in cannot listen on {address} again: {error}"),
         }
-        Timer::after(REBIND_PAUSE).await;
+        Timer::after(RETRY_INTERVAL).await;
     }
 }
 
 impl Call {
     /// Waits until the caller has closed its connection.
-    pub(crate) async fn hung_up(&self) {
+    pub(crate) async fn disconnected(&self) {
         let mut byte = [0];
         while let Ok(1) = self.stream.peek(&mut byte).await {
-            Timer::after(REBIND_PAUSE).await;
+            Timer::after(RETRY_INTERVAL).await;
         }
     }
 }
--- a/crates/foxtide-testing/src/store/endpoint.rs
+++ b/crates/foxtide-testing/src/store/endpoint.rs
@@ -113,9 +113,9 @@
             .and_then(|text| parse_duration(&text));
         if after > 0 {
             let change = self.change_after(&selection, after);
-            let hung_up = call.hung_up();
+            let disconnected = call.disconnected();
             let wait = wait.unwrap_or(WAIT_DEFAULT);
-            change.or(hung_up).or(elapsed(wait)).await;
+            change.or(disconnected).or(elapsed(wait)).await;
         }
         if names_only {
             return self.names_now(&selection);
--- a/crates/foxtide-testing/src/store/server.rs
+++ b/crates/foxtide-testing/src/store/server.rs
@@ -112,8 +112,8 @@
     }
 
     /// Closes all connections.
-    pub fn cut_connections(&self) {
-        self.server.cut_connections();
+    pub fn close_connections(&self) {
+        self.server.close_connections();
     }
 
     /// Ends a session as if its time had run out.
--- a/crates/foxtide-testing/src/upstream/endpoint.rs
+++ b/crates/foxtide-testing/src/upstream/endpoint.rs
@@ -71,14 +71,14 @@
 enum SlotWait<'a> {
     Taken(SemaphoreGuard<'a>),
     DeadlinePassed,
-    HungUp,
+    Disconnected,
 }
 
 /// How the run of a request ended.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum RunEnd {
     Completed,
-    HungUp,
+    Disconnected,
 }
 
 impl UpstreamEndpoint {
@@ -103,7 +103,7 @@
         let slot = match self.wait_for_slot(call).await {
             SlotWait::Taken(slot) => slot,
             SlotWait::DeadlinePassed => return self.shed(call, "deadline passed while waiting"),
-            SlotWait::HungUp => return Reply::Close,
+            SlotWait::Disconnected => return Reply::Close,
         };
         let fault = self.behaviour.lock().take_fault();
         if fault == AnswerFault::LostBeforeRun {
@@ -112,7 +112,7 @@
         let identity = RequestIdentity::of(call);
         let end = self.run(call, &identity, received_at).await;
         drop(slot);
-        if end == RunEnd::HungUp {
+        if end == RunEnd::Disconnected {
             return Reply::Close;
         }
         let padding_bytes = self.options.answer_bytes;
@@ -142,11 +142,11 @@
             Timer::after(deadline(call)).await;
             SlotWait::DeadlinePassed
         };
-        let hung_up = async {
-            call.hung_up().await;
-            SlotWait::HungUp
+        let disconnected = async {
+            call.disconnected().await;
+            SlotWait::Disconnected
         };
-        let end = taken.or(late).or(hung_up).await;
+        let end = taken.or(late).or(disconnected).await;
         drop(waiting);
         end
     }
@@ -170,13 +170,13 @@
             Timer::after(time).await;
             RunEnd::Completed
         };
-        let hung_up = async {
-            call.hung_up().await;
-            RunEnd::HungUp
+        let disconnected = async {
+            call.disconnected().await;
+            RunEnd::Disconnected
         };
-        let end = completed.or(hung_up).await;
+        let end = completed.or(disconnected).await;
         drop(running);
-        if end == RunEnd::HungUp {
+        if end == RunEnd::Disconnected {
             self.records.lock().stats.cancelled += 1;
         }
         end
--- a/crates/foxtide-testing/src/upstream/server.rs
+++ b/crates/foxtide-testing/src/upstream/server.rs
@@ -67,7 +67,7 @@
     /// Dies as a process does: no more connections, the open ones are closed.
     pub async fn kill(&self) {
         self.set_availability(Availability::Refusing).await;
-        self.server.cut_connections();
+        self.server.close_connections();
     }
 
     /// Comes back after [`kill`](Self::kill), on the same address.
@@ -76,8 +76,8 @@
     }
 
     /// Closes all connections.
-    pub fn cut_connections(&self) {
-        self.server.cut_connections();
+    pub fn close_connections(&self) {
+        self.server.close_connections();
     }
 
     /// Sets what is wrong with its answers, and for how long.
--- a/crates/foxtide/examples/measure/store.rs
+++ b/crates/foxtide/examples/measure/store.rs
@@ -184,7 +184,7 @@
     let _fleet = start_fleet(&server, instances, behaviour);
     Timer::after(WAIT).await;
     server.set_availability(Availability::Refusing).await;
-    server.cut_connections();
+    server.close_connections();
     Timer::after(OUTAGE).await;
     server.set_availability(Availability::Serving).await;
     let started = Instant::now();
