--- a/crates/foxtide-testing/src/store/calls.rs
+++ b/crates/foxtide-testing/src/store/calls.rs
@@ -68,10 +68,10 @@
 
     /// Counts a call.
     pub(super) fn count(&mut self, kind: CallKind, now: Instant) {
-        let since: Duration = now.duration_since(self.started_at);
+        let elapsed: Duration = now.duration_since(self.started_at);
         let stats = &mut self.stats.kinds[kind as usize];
-        if stats.second != since.as_secs() {
-            stats.second = since.as_secs();
+        if stats.second != elapsed.as_secs() {
+            stats.second = elapsed.as_secs();
             stats.in_second = 0;
         }
         stats.total += 1;
--- a/crates/foxtide-testing/src/store/endpoint.rs
+++ b/crates/foxtide-testing/src/store/endpoint.rs
@@ -1,6 +1,6 @@
 //! The store's HTTP interface.
 //!
-//! Lock order: `state`, `calls`, `faults`, `waiting`; no two are held at the
+//! Lock order: `state`, `calls`, `faults`, `watchers`; no two are held at the
 //! same time, and none across an await.
 
 use super::calls::{
@@ -61,7 +61,7 @@
     pub(super) calls: Mutex<CallCounter>,
     pub(super) faults: Mutex<Faults>,
     /// Those to wake at the next change.
-    waiting: Mutex<Vec<Sender<()>>>,
+    watchers: Mutex<Vec<Sender<()>>>,
     clock_scale: f64,
 }
 
@@ -72,23 +72,23 @@
             state: Mutex::default(),
             calls: Mutex::new(CallCounter::new(Instant::now())),
             faults: Mutex::new(faults),
-            waiting: Mutex::default(),
+            watchers: Mutex::default(),
             clock_scale,
         }
     }
 
     /// Wakes every waiting read.
     pub(super) fn wake_all(&self) {
-        for waiting in self.waiting.lock().drain(..) {
-            waiting.try_send(()).ok();
+        for watcher in self.watchers.lock().drain(..) {
+            watcher.try_send(()).ok();
         }
     }
 
     fn wait_for_change(&self) -> Receiver<()> {
         let (sender, receiver) = bounded(1);
-        let mut waiting = self.waiting.lock();
-        waiting.retain(|other| !other.is_closed());
-        waiting.push(sender);
+        let mut watchers = self.watchers.lock();
+        watchers.retain(|other| !other.is_closed());
+        watchers.push(sender);
         receiver
     }
 
@@ -209,7 +209,7 @@
                 self.wake_all();
                 json(&true)
             }
-            _ => no_such_page(),
+            _ => not_found(),
         }
     }
 
@@ -232,7 +232,7 @@
     async fn respond(&self, call: &Call) -> Response {
         let path = call.request.url().path().to_owned();
         let method = call.request.method();
-        self.state.lock().end_lapsed_sessions(Instant::now());
+        self.state.lock().expire_sessions(Instant::now());
         if let Some(key) = path.strip_prefix(KV_PATH) {
             return match method {
                 Method::Get => self.read(key.to_owned(), call).await,
@@ -243,18 +243,18 @@
         }
         match path.strip_prefix(SESSION_PATH) {
             Some(rest) if method == Method::Put => self.session(rest, call),
-            _ => no_such_page(),
+            _ => not_found(),
         }
     }
 }
 
 impl Endpoint for StoreEndpoint {
     fn accepts(&self, caller: IpAddr, _open_connections: usize) -> bool {
-        !self.faults.lock().is_cut(caller)
+        !self.faults.lock().is_blocked(caller)
     }
 
     async fn answer(&self, call: Call) -> Reply {
-        if self.faults.lock().is_cut(call.caller.ip()) {
+        if self.faults.lock().is_blocked(call.caller.ip()) {
             return Reply::Silence;
         }
         let delay = self.faults.lock().delay;
@@ -285,7 +285,7 @@
     text.and_then(|text| text.parse().ok()).unwrap_or(0)
 }
 
-fn no_such_page() -> Response {
+fn not_found() -> Response {
     text(StatusCode::NotFound, "no such page")
 }
 
--- a/crates/foxtide-testing/src/store/faults.rs
+++ b/crates/foxtide-testing/src/store/faults.rs
@@ -15,8 +15,8 @@
     pub(super) delay: Duration,
     pub(super) answers_to_lose: u32,
     pub(super) answer_loss_probability: f64,
-    pub(super) cut_off: BTreeSet<IpAddr>,
-    chance: StdRng,
+    pub(super) blocked: BTreeSet<IpAddr>,
+    rng: StdRng,
 }
 
 impl Faults {
@@ -25,14 +25,14 @@
             delay: Duration::ZERO,
             answers_to_lose: 0,
             answer_loss_probability: 0.0,
-            cut_off: BTreeSet::new(),
-            chance: StdRng::seed_from_u64(seed),
+            blocked: BTreeSet::new(),
+            rng: StdRng::seed_from_u64(seed),
         }
     }
 
     /// Tells whether this caller gets no answers.
-    pub(super) fn is_cut(&self, caller: IpAddr) -> bool {
-        self.cut_off.contains(&caller)
+    pub(super) fn is_blocked(&self, caller: IpAddr) -> bool {
+        self.blocked.contains(&caller)
     }
 
     /// Tells whether the answer to the change that just took effect is lost.
@@ -41,6 +41,6 @@
             self.answers_to_lose -= 1;
             return true;
         }
-        self.chance.random_bool(self.answer_loss_probability)
+        self.rng.random_bool(self.answer_loss_probability)
     }
 }
--- a/crates/foxtide-testing/src/store/server.rs
+++ b/crates/foxtide-testing/src/store/server.rs
@@ -27,8 +27,8 @@
     Instant, //
 };
 
-/// How often sessions that have lapsed are looked for.
-const LAPSE_CHECK_PERIOD: Duration = Duration::from_millis(20);
+/// How often sessions that have expired are looked for.
+const EXPIRY_CHECK_PERIOD: Duration = Duration::from_millis(20);
 
 /// How a [`StoreServer`] starts.
 #[derive(Clone, Debug)]
@@ -55,7 +55,7 @@
 pub struct StoreServer {
     server: Server<StoreEndpoint>,
     endpoint: Arc<StoreEndpoint>,
-    _lapsing: Task<()>,
+    _expiry_task: Task<()>,
 }
 
 impl StoreServer {
@@ -70,7 +70,7 @@
         let server = Server::start(options.address, endpoint.clone()).await?;
         Ok(Self {
             server,
-            _lapsing: smol::spawn(end_lapsed_sessions(endpoint.clone())),
+            _expiry_task: smol::spawn(expire_sessions(endpoint.clone())),
             endpoint,
         })
     }
@@ -102,13 +102,13 @@
     }
 
     /// Stops to answer this caller; its connections stay open.
-    pub fn cut_off(&self, caller: IpAddr) {
-        self.endpoint.faults.lock().cut_off.insert(caller);
+    pub fn block_caller(&self, caller: IpAddr) {
+        self.endpoint.faults.lock().blocked.insert(caller);
     }
 
     /// Answers this caller again.
-    pub fn restore(&self, caller: IpAddr) {
-        self.endpoint.faults.lock().cut_off.remove(&caller);
+    pub fn unblock_caller(&self, caller: IpAddr) {
+        self.endpoint.faults.lock().blocked.remove(&caller);
     }
 
     /// Closes all connections.
@@ -151,10 +151,10 @@
     }
 }
 
-async fn end_lapsed_sessions(endpoint: Arc<StoreEndpoint>) {
+async fn expire_sessions(endpoint: Arc<StoreEndpoint>) {
     loop {
-        Timer::after(LAPSE_CHECK_PERIOD).await;
-        if endpoint.state.lock().end_lapsed_sessions(Instant::now()) {
+        Timer::after(EXPIRY_CHECK_PERIOD).await;
+        if endpoint.state.lock().expire_sessions(Instant::now()) {
             endpoint.wake_all();
         }
     }
--- a/crates/foxtide-testing/src/store/sessions.rs
+++ b/crates/foxtide-testing/src/store/sessions.rs
@@ -11,7 +11,7 @@
 
 /// What becomes of a session's keys when it ends.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub(super) enum OnLapse {
+pub(super) enum SessionBehavior {
     /// They are free.
     #[default]
     Release,
@@ -25,7 +25,7 @@
     pub(super) name: String,
     /// How long it lives after a renewal; without limit if `None`.
     pub(super) ttl: Option<Duration>,
-    pub(super) on_lapse: OnLapse,
+    pub(super) behavior: SessionBehavior,
     /// How long its keys cannot be taken after it ended.
     pub(super) lock_delay: Duration,
     renewed_at: Instant,
@@ -37,7 +37,7 @@
         Self {
             name,
             ttl,
-            on_lapse: OnLapse::default(),
+            behavior: SessionBehavior::default(),
             lock_delay: Duration::ZERO,
             renewed_at: now,
         }
@@ -79,13 +79,13 @@
     }
 
     /// Returns the sessions whose time to live has passed.
-    pub(super) fn lapsed(&self, now: Instant) -> Vec<String> {
-        let lapsed = |session: &Session| {
+    pub(super) fn expired(&self, now: Instant) -> Vec<String> {
+        let expired = |session: &Session| {
             let age = now.duration_since(session.renewed_at);
             session.ttl.is_some_and(|ttl| age >= ttl)
         };
         let open = self.open.iter();
-        let ended = open.filter(|(_, session)| lapsed(session));
+        let ended = open.filter(|(_, session)| expired(session));
         ended.map(|(id, _)| id.clone()).collect()
     }
 
--- a/crates/foxtide-testing/src/store/state.rs
+++ b/crates/foxtide-testing/src/store/state.rs
@@ -1,7 +1,7 @@
 //! The keys of the store and the rules by which they change.
 
 use super::sessions::{
-    OnLapse,
+    SessionBehavior,
     Sessions, //
 };
 use std::collections::BTreeMap;
@@ -31,7 +31,7 @@
 }
 
 impl Selection {
-    fn holds(&self, key: &str) -> bool {
+    fn matches(&self, key: &str) -> bool {
         match self {
             Self::Key(wanted) => wanted == key,
             Self::Prefix(prefix) => key.starts_with(prefix),
@@ -69,15 +69,18 @@
     /// Returns the selected entries in the order of their keys.
     pub(super) fn read(&self, selection: &Selection) -> Vec<Entry> {
         let entries = self.entries.values();
-        let selected = entries.filter(|entry| selection.holds(&entry.key));
+        let selected = entries.filter(|entry| selection.matches(&entry.key));
         selected.cloned().collect()
     }
 
     /// Returns the index of the last change to what is selected.
     pub(super) fn index_of(&self, selection: &Selection) -> u64 {
         let entries = self.entries.values();
-        let changed = entries.filter(|entry| selection.holds(&entry.key));
-        let deleted = self.deleted.iter().filter(|(key, _)| selection.holds(key));
+        let changed = entries.filter(|entry| selection.matches(&entry.key));
+        let deleted = self
+            .deleted
+            .iter()
+            .filter(|(key, _)| selection.matches(key));
         let indices = changed.map(|entry| entry.modify_index);
         let indices = indices.chain(deleted.map(|(_, index)| *index));
         indices.max().unwrap_or(FIRST_INDEX)
@@ -162,21 +165,21 @@
         let entries: Vec<Entry> = self.entries.values().filter(held).cloned().collect();
         for entry in entries {
             self.sessions.delay(&entry.key, now + session.lock_delay);
-            match session.on_lapse {
-                OnLapse::Release => self.put(&entry.key, entry.value, None),
-                OnLapse::Delete => self.remove(&entry.key),
+            match session.behavior {
+                SessionBehavior::Release => self.put(&entry.key, entry.value, None),
+                SessionBehavior::Delete => self.remove(&entry.key),
             }
         }
         true
     }
 
     /// Ends the sessions whose time has run out. Tells whether there were any.
-    pub(super) fn end_lapsed_sessions(&mut self, now: Instant) -> bool {
-        let lapsed = self.sessions.lapsed(now);
-        for id in &lapsed {
+    pub(super) fn expire_sessions(&mut self, now: Instant) -> bool {
+        let expired = self.sessions.expired(now);
+        for id in &expired {
             self.end_session(id, now);
         }
-        !lapsed.is_empty()
+        !expired.is_empty()
     }
 
     fn next_index(&mut self) -> u64 {
--- a/crates/foxtide-testing/src/store/wire.rs
+++ b/crates/foxtide-testing/src/store/wire.rs
@@ -1,8 +1,8 @@
 //! The JSON forms of the store's API.
 
 use super::sessions::{
-    OnLapse,
-    Session, //
+    Session,         //
+    SessionBehavior, //
 };
 use super::state::Entry;
 use crate::duration::parse_duration;
@@ -69,16 +69,16 @@
         let mut session = Session::new(self.name, duration(self.ttl)?, now);
         let lock_delay = duration(self.lock_delay)?;
         session.lock_delay = lock_delay.unwrap_or(LOCK_DELAY_DEFAULT.div_f64(clock_scale));
-        session.on_lapse = match self.behavior.as_deref() {
-            None | Some("" | "release") => OnLapse::Release,
-            Some("delete") => OnLapse::Delete,
+        session.behavior = match self.behavior.as_deref() {
+            None | Some("" | "release") => SessionBehavior::Release,
+            Some("delete") => SessionBehavior::Delete,
             Some(other) => return Err(format!("bad behavior `{other}`")),
         };
         Ok(session)
     }
 }
 
-/// How long a lapsed session's keys cannot be taken where nothing is said.
+/// How long an expired session's keys cannot be taken where nothing is said.
 const LOCK_DELAY_DEFAULT: Duration = Duration::from_secs(15);
 
 /// The answer to a request for a session.
@@ -107,9 +107,9 @@
         Self {
             id: id.to_owned(),
             name: session.name.clone(),
-            behavior: match session.on_lapse {
-                OnLapse::Release => "release",
-                OnLapse::Delete => "delete",
+            behavior: match session.behavior {
+                SessionBehavior::Release => "release",
+                SessionBehavior::Delete => "delete",
             },
             ttl: match session.ttl {
                 Some(ttl) => format!("{}ms", ttl.as_millis()),
