--- a/crates/foxtide-testing/src/upstream/answer.rs
+++ b/crates/foxtide-testing/src/upstream/answer.rs
@@ -92,7 +92,7 @@
 }
 
 /// Adds what an answer says of the upstream itself.
-pub(super) fn announce(response: &mut Response, load: Option<String>, drains: bool) {
+pub(super) fn add_status_headers(response: &mut Response, load: Option<String>, drains: bool) {
     if let Some(load) = load {
         response.insert_header(LOAD_HEADER, load);
     }
@@ -107,7 +107,7 @@
 }
 
 /// Returns what is sent in place of an answer when a fault is in force.
-pub(super) async fn spoil(response: Response, method: Method, fault: AnswerFault) -> Reply {
+pub(super) async fn apply_fault(response: Response, method: Method, fault: AnswerFault) -> Reply {
     match fault {
         AnswerFault::None => return Reply::whole(response),
         AnswerFault::Late(delay) => {
--- a/crates/foxtide-testing/src/upstream/endpoint.rs
+++ b/crates/foxtide-testing/src/upstream/endpoint.rs
@@ -1,14 +1,14 @@
 //! How an upstream takes, runs and answers a request.
 //!
-//! Lock order: `behaviour`, `records`, `chance`; no two are held at the same
+//! Lock order: `behaviour`, `records`, `rng`; no two are held at the same
 //! time, and none across an await.
 
 use super::answer::{
     RequestIdentity,
-    announce,
+    add_status_headers,
+    apply_fault, //
     early_answer,
-    refusal,
-    spoil, //
+    refusal, //
 };
 use super::faults::{
     AnswerFault,
@@ -63,7 +63,7 @@
     pub(super) options: UpstreamOptions,
     pub(super) behaviour: Mutex<Behaviour>,
     pub(super) records: Mutex<Records>,
-    chance: Mutex<StdRng>,
+    rng: Mutex<StdRng>,
     slots: Semaphore,
 }
 
@@ -87,7 +87,7 @@
         Self {
             behaviour: Mutex::new(Behaviour::new(options.service_time)),
             records: Mutex::default(),
-            chance: Mutex::new(StdRng::seed_from_u64(options.seed)),
+            rng: Mutex::new(StdRng::seed_from_u64(options.seed)),
             slots: Semaphore::new(options.slots as usize),
             options,
         }
@@ -95,9 +95,9 @@
 
     async fn serve(&self, call: &Call) -> Reply {
         let received_at = Instant::now();
-        self.records.lock().received(received_at);
+        self.records.lock().record_received(received_at);
         let sheds = self.behaviour.lock().sheds;
-        if sheds || !self.has_room() {
+        if sheds || !self.has_capacity() {
             return self.shed(call, "no room");
         }
         let slot = match self.wait_for_slot(call).await {
@@ -117,11 +117,11 @@
         }
         let padding_bytes = self.options.answer_bytes;
         let mut response = identity.answer(&self.options.name, call, padding_bytes);
-        self.announce(&mut response);
-        spoil(response, call.request.method(), fault).await
+        self.add_status_headers(&mut response);
+        apply_fault(response, call.request.method(), fault).await
     }
 
-    fn has_room(&self) -> bool {
+    fn has_capacity(&self) -> bool {
         let stats = self.records.lock().stats;
         let taken = stats.running + stats.waiting;
         taken < self.options.slots + self.options.queue
@@ -130,13 +130,13 @@
     fn shed(&self, call: &Call, reason: &str) -> Reply {
         self.records.lock().stats.shed += 1;
         let mut response = refusal(call, reason);
-        self.announce(&mut response);
+        self.add_status_headers(&mut response);
         Reply::whole(response)
     }
 
     async fn wait_for_slot(&self, call: &Call) -> SlotWait<'_> {
-        self.records.lock().wait();
-        let waiting = Waiting(&self.records);
+        self.records.lock().start_waiting();
+        let waiting = WaitingGuard(&self.records);
         let taken = async { SlotWait::Taken(self.slots.acquire().await) };
         let late = async {
             Timer::after(deadline(call)).await;
@@ -161,10 +161,10 @@
             received_at,
         };
         let ran = self.records.lock().stats.ran;
-        self.records.lock().run(record, Instant::now());
-        let running = Running(&self.records);
+        self.records.lock().start_run(record, Instant::now());
+        let running = RunningGuard(&self.records);
         let service_time = self.behaviour.lock().service_time;
-        let time = service_time.draw(&mut self.chance.lock());
+        let time = service_time.draw(&mut self.rng.lock());
         let time = time.mul_f64(self.options.cold_start.factor(ran));
         let completed = async {
             Timer::after(time).await;
@@ -182,13 +182,13 @@
         end
     }
 
-    fn announce(&self, response: &mut Response) {
+    fn add_status_headers(&self, response: &mut Response) {
         let behaviour = self.behaviour.lock();
         let (report, drains) = (behaviour.load_report, behaviour.drains);
         drop(behaviour);
         let load = self.load(report);
         let load = load.map(|load| load.header(self.options.load_format));
-        announce(response, load, drains);
+        add_status_headers(response, load, drains);
     }
 
     fn load(&self, report: LoadReport) -> Option<LoadMetrics> {
@@ -196,8 +196,8 @@
         let stats = records.stats;
         let used = f64::from(stats.running + stats.waiting) / f64::from(self.options.slots.max(1));
         let application_utilization = match report {
-            LoadReport::Honest => used,
-            LoadReport::Lying(utilization) => utilization,
+            LoadReport::Accurate => used,
+            LoadReport::Fixed(utilization) => utilization,
             LoadReport::Missing => return None,
         };
         Some(LoadMetrics {
@@ -224,7 +224,7 @@
         } else {
             text(StatusCode::ServiceUnavailable, "unhealthy")
         };
-        announce(&mut response, None, drains);
+        add_status_headers(&mut response, None, drains);
         response
     }
 }
@@ -257,20 +257,20 @@
 }
 
 /// Takes a request out of the count of those that wait.
-struct Waiting<'a>(&'a Mutex<Records>);
+struct WaitingGuard<'a>(&'a Mutex<Records>);
 
-impl Drop for Waiting<'_> {
+impl Drop for WaitingGuard<'_> {
     fn drop(&mut self) {
-        self.0.lock().waited();
+        self.0.lock().stop_waiting();
     }
 }
 
 /// Takes a request out of the count of those that run.
-struct Running<'a>(&'a Mutex<Records>);
+struct RunningGuard<'a>(&'a Mutex<Records>);
 
-impl Drop for Running<'_> {
+impl Drop for RunningGuard<'_> {
     fn drop(&mut self) {
-        self.0.lock().ran();
+        self.0.lock().end_run();
     }
 }
 
--- a/crates/foxtide-testing/src/upstream/faults.rs
+++ b/crates/foxtide-testing/src/upstream/faults.rs
@@ -102,7 +102,7 @@
     /// Tells what the health page says.
     pub(super) fn reports_healthy(&self) -> bool {
         match self.health_report {
-            HealthReport::Honest => !self.sheds && !self.drains,
+            HealthReport::Accurate => !self.sheds && !self.drains,
             HealthReport::AlwaysHealthy => true,
             HealthReport::NeverHealthy => false,
         }
--- a/crates/foxtide-testing/src/upstream/load.rs
+++ b/crates/foxtide-testing/src/upstream/load.rs
@@ -23,9 +23,9 @@
 pub enum LoadReport {
     /// The load as it is.
     #[default]
-    Honest,
+    Accurate,
     /// This utilization, from 0 to 1, whatever the load is.
-    Lying(f64),
+    Fixed(f64),
     /// Nothing: no header, and the polled page is absent.
     Missing,
 }
@@ -35,7 +35,7 @@
 pub enum HealthReport {
     /// Unhealthy while it sheds or drains, else healthy.
     #[default]
-    Honest,
+    Accurate,
     /// Always healthy.
     AlwaysHealthy,
     /// Never healthy.
--- a/crates/foxtide-testing/src/upstream/options.rs
+++ b/crates/foxtide-testing/src/upstream/options.rs
@@ -65,11 +65,11 @@
 
 impl ServiceTime {
     /// Returns the time of the next request.
-    pub(super) fn draw(self, chance: &mut StdRng) -> Duration {
+    pub(super) fn draw(self, rng: &mut StdRng) -> Duration {
         match self {
             Self::Fixed(time) => time,
             Self::Exponential { mean } => {
-                let uniform: f64 = chance.random();
+                let uniform: f64 = rng.random();
                 mean.mul_f64(-(1.0 - uniform).ln())
             }
         }
--- a/crates/foxtide-testing/src/upstream/records.rs
+++ b/crates/foxtide-testing/src/upstream/records.rs
@@ -61,24 +61,24 @@
 
 impl Records {
     /// Notes that a request came.
-    pub(super) fn received(&mut self, now: Instant) {
+    pub(super) fn record_received(&mut self, now: Instant) {
         self.stats.received += 1;
         self.received_at.push(now);
     }
 
     /// Notes that a request waits for a slot.
-    pub(super) fn wait(&mut self) {
+    pub(super) fn start_waiting(&mut self) {
         self.stats.waiting += 1;
         self.stats.waiting_peak = self.stats.waiting_peak.max(self.stats.waiting);
     }
 
     /// Notes that a request no longer waits.
-    pub(super) fn waited(&mut self) {
+    pub(super) fn stop_waiting(&mut self) {
         self.stats.waiting -= 1;
     }
 
     /// Notes that a request begins to run.
-    pub(super) fn run(&mut self, record: RunRecord, now: Instant) {
+    pub(super) fn start_run(&mut self, record: RunRecord, now: Instant) {
         self.runs.push(record);
         self.recent.push_back(now);
         self.stats.ran += 1;
@@ -87,7 +87,7 @@
     }
 
     /// Notes that a request no longer runs.
-    pub(super) fn ran(&mut self) {
+    pub(super) fn end_run(&mut self) {
         self.stats.running -= 1;
     }
 
--- a/crates/foxtide-testing/tests/upstream_server.rs
+++ b/crates/foxtide-testing/tests/upstream_server.rs
@@ -140,7 +140,7 @@
     smol::block_on(async {
         let upstream = upstream().await;
         upstream.set_draining(true);
-        upstream.set_load_report(LoadReport::Lying(0.0));
+        upstream.set_load_report(LoadReport::Fixed(0.0));
         let answer = unlock(&upstream, "k-1").await.unwrap();
         assert_eq!(answer.header("foxtide-upstream-state"), Some("draining"));
         let load = answer.header("endpoint-load-metrics").unwrap();
