--- a/crates/foxtide-testing/src/duration.rs
+++ b/crates/foxtide-testing/src/duration.rs
@@ -21,23 +21,25 @@
 
 /// A duration that a script names, such as `500ms` or `10s`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Span(pub Duration);
+pub struct DurationArg(pub Duration);
 
 /// A text is not a duration.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("`{0}` is not a duration such as `500ms`, `10s`, `2m` or `1h`")]
-pub struct SpanError(String);
+pub struct DurationArgError(String);
 
-impl FromStr for Span {
-    type Err = SpanError;
+impl FromStr for DurationArg {
+    type Err = DurationArgError;
 
-    fn from_str(text: &str) -> Result<Self, SpanError> {
+    fn from_str(text: &str) -> Result<Self, DurationArgError> {
         let parsed = parse_duration(text);
-        parsed.map(Self).ok_or_else(|| SpanError(text.to_owned()))
+        parsed
+            .map(Self)
+            .ok_or_else(|| DurationArgError(text.to_owned()))
     }
 }
 
-impl fmt::Display for Span {
+impl fmt::Display for DurationArg {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}ms", self.0.as_millis())
     }
--- a/crates/foxtide-testing/src/lib.rs
+++ b/crates/foxtide-testing/src/lib.rs
@@ -25,8 +25,8 @@
     http_call, //
 };
 pub use duration::{
-    Span,
-    SpanError, //
+    DurationArg,
+    DurationArgError, //
 };
 pub use http::Availability;
 pub use instance_list::{
--- a/crates/foxtide-testing/src/scenario/command.rs
+++ b/crates/foxtide-testing/src/scenario/command.rs
@@ -7,7 +7,7 @@
 use super::operators::DrainKind;
 use super::promise::Promise;
 use super::tenants::Tenant;
-use crate::duration::Span;
+use crate::duration::DurationArg;
 use foxtide_core::ids::{
     InstanceId,
     RegionId,
@@ -47,7 +47,7 @@
         #[arg(key)]
         sold: RequestRate,
         #[arg(key)]
-        delay: Span,
+        delay: DurationArg,
     },
     /// `service NAME [spill=] [cap=] [deadline=] [drain_window=] [priority=]`:
     /// a service and its contract; all regions are its homes.
@@ -58,9 +58,9 @@
         #[arg(key)]
         cap: Option<ShareRate>,
         #[arg(key)]
-        deadline: Option<Span>,
+        deadline: Option<DurationArg>,
         #[arg(key)]
-        drain_window: Option<Span>,
+        drain_window: Option<DurationArg>,
         #[arg(key)]
         priority: Option<PriorityName>,
     },
@@ -72,7 +72,7 @@
         #[arg(key)]
         slots: u32,
         #[arg(key)]
-        service_time: Span,
+        service_time: DurationArg,
     },
     /// `instances per_region=N`.
     Instances {
@@ -91,7 +91,7 @@
         kind: Option<Kind>,
     },
     /// `run SPAN`: lets time pass.
-    Run(Span),
+    Run(DurationArg),
 
     /// `region_down REGION`: all that stands there dies.
     RegionDown(RegionId),
@@ -107,7 +107,7 @@
     /// `restart INSTANCE`: a new process starts on it.
     Restart(InstanceId),
     /// `pause INSTANCE SPAN`: its process stands still.
-    Pause(InstanceId, Span),
+    Pause(InstanceId, DurationArg),
     /// `stop INSTANCE`: a planned stop.
     Stop(InstanceId),
     /// `measurements flowing|late|stopped [by=SPAN]`: what instances hear of
@@ -115,13 +115,13 @@
     Measurements {
         state: MeasurementsName,
         #[arg(key)]
-        by: Option<Span>,
+        by: Option<DurationArg>,
     },
     /// `store up|down|slow|losing_answers|down_after_write [by=SPAN] [next=N]`.
     Store {
         state: StoreName,
         #[arg(key)]
-        by: Option<Span>,
+        by: Option<DurationArg>,
         #[arg(key)]
         next: Option<u32>,
     },
@@ -134,7 +134,7 @@
         #[arg(key)]
         factor: Option<f64>,
         #[arg(key)]
-        by: Option<Span>,
+        by: Option<DurationArg>,
     },
 
     /// `OPERATOR: read`: the operator reads the document.
@@ -184,7 +184,7 @@
         #[arg(key)]
         most: Option<f64>,
         #[arg(key)]
-        last: Option<Span>,
+        last: Option<DurationArg>,
         #[arg(key)]
         kind: Option<Kind>,
     },
@@ -192,9 +192,9 @@
     Latency {
         service: ServiceId,
         #[arg(key)]
-        p99: Span,
+        p99: DurationArg,
         #[arg(key)]
-        last: Option<Span>,
+        last: Option<DurationArg>,
     },
     /// `share SERVICE REGION [least=S] [most=S]`: where requests go now.
     Share {
@@ -213,7 +213,7 @@
         #[arg(key)]
         most: Option<u32>,
         #[arg(key)]
-        last: Option<Span>,
+        last: Option<DurationArg>,
     },
     /// `revision N`: it is in force on every instance that runs.
     Revision(u64),
--- a/crates/foxtide-testing/src/scenario/runner.rs
+++ b/crates/foxtide-testing/src/scenario/runner.rs
@@ -19,7 +19,7 @@
 };
 use super::statement::Selection;
 use super::trace::RecordedCommand;
-use crate::duration::Span;
+use crate::duration::DurationArg;
 use foxtide_config::change::StoredDocument;
 use foxtide_core::ids::InstanceId;
 use foxtide_core::organisation::Priority;
@@ -33,13 +33,13 @@
 use std::time::Duration;
 
 /// The time that statements look back over where they do not say.
-const LAST_DEFAULT: Span = Span(Duration::from_secs(10));
+const LAST_DEFAULT: DurationArg = DurationArg(Duration::from_secs(10));
 
 /// What a contract of a scenario says where the script does not.
 const SPILL_DEFAULT: f64 = 0.2;
 const CAP_DEFAULT: f64 = 0.05;
-const DEADLINE_DEFAULT: Span = Span(Duration::from_millis(800));
-const DRAIN_WINDOW_DEFAULT: Span = Span(Duration::from_secs(10));
+const DEADLINE_DEFAULT: DurationArg = DurationArg(Duration::from_millis(800));
+const DRAIN_WINDOW_DEFAULT: DurationArg = DurationArg(Duration::from_secs(10));
 const ZONES_DEFAULT: u32 = 2;
 
 pub(super) type CommandResult = Result<String, Box<dyn Error>>;
@@ -319,7 +319,11 @@
     }
 }
 
-fn select(service: foxtide_core::ids::ServiceId, kind: Kind, last: Option<Span>) -> Selection {
+fn select(
+    service: foxtide_core::ids::ServiceId,
+    kind: Kind,
+    last: Option<DurationArg>,
+) -> Selection {
     Selection {
         service,
         kind,
--- a/crates/foxtide-testing/src/scenario/trouble.rs
+++ b/crates/foxtide-testing/src/scenario/trouble.rs
@@ -13,7 +13,7 @@
 };
 use super::store::StoreFault;
 use super::upstream::UpstreamFault;
-use crate::duration::Span;
+use crate::duration::DurationArg;
 use foxtide_core::ids::UpstreamId;
 use std::error::Error;
 
@@ -67,7 +67,7 @@
         name: &str,
         state: UpstreamName,
         factor: Option<f64>,
-        by: Option<Span>,
+        by: Option<DurationArg>,
     ) -> Result<(), Box<dyn Error>> {
         let fleet = self.fleet()?;
         let matches = |id: &&UpstreamId| match name.strip_suffix('*') {
@@ -88,7 +88,7 @@
     }
 }
 
-fn measurements(state: MeasurementsName, by: Option<Span>) -> Measurements {
+fn measurements(state: MeasurementsName, by: Option<DurationArg>) -> Measurements {
     match state {
         MeasurementsName::Flowing => Measurements::Flowing,
         MeasurementsName::Late => Measurements::Late(by.unwrap_or_default().0),
@@ -96,7 +96,7 @@
     }
 }
 
-fn store_fault(state: StoreName, by: Option<Span>, next: Option<u32>) -> StoreFault {
+fn store_fault(state: StoreName, by: Option<DurationArg>, next: Option<u32>) -> StoreFault {
     match state {
         StoreName::Up => StoreFault::None,
         StoreName::Down => StoreFault::Down,
@@ -110,7 +110,7 @@
 fn upstream_fault(
     state: UpstreamName,
     factor: Option<f64>,
-    by: Option<Span>,
+    by: Option<DurationArg>,
 ) -> Option<UpstreamFault> {
     Some(match state {
         UpstreamName::Well => UpstreamFault::None,
