--- a/crates/foxtide-testing/src/store/calls.rs
+++ b/crates/foxtide-testing/src/store/calls.rs
@@ -1,27 +1,26 @@
-//! Counts of the store's calls.
+//! Counts the store's calls and their peak rate, by kind.
 
 use std::time::{
     Duration,
     Instant, //
 };
 
-/// What a call costs the store.
+/// The kind of a call to the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallKind {
-    /// A read that is answered at once.
+    /// A read that returns immediately.
     Read,
-    /// A write or a deletion, also one that its condition refuses.
+    /// A write or a deletion, including one whose condition fails.
     Write,
-    /// A read that waits for a change.
+    /// A blocking read.
     Watch,
-    /// A session that is opened, renewed or ended.
+    /// A session that is created, renewed or destroyed.
     Session,
 }
 
-/// The number of kinds of calls.
 const KINDS: usize = 4;
 
-/// The calls so far, by kind.
+/// The call counts, by kind.
 #[derive(Clone, Debug)]
 pub struct CallStats {
     kinds: [KindStats; KINDS],
@@ -30,7 +29,7 @@
 #[derive(Clone, Copy, Debug, Default)]
 struct KindStats {
     total: u64,
-    /// The second, since the start, that `in_second` counts.
+    /// The second since the start that `in_second` covers.
     second: u64,
     in_second: u64,
     peak_in_second: u64,
@@ -42,13 +41,12 @@
         self.kinds[kind as usize].total
     }
 
-    /// Returns the most calls of a kind in one second of the store's clock.
+    /// Returns the highest number of calls of a kind in one second.
     pub fn peak_rate_rps(&self, kind: CallKind) -> u64 {
         self.kinds[kind as usize].peak_in_second
     }
 }
 
-/// Counts calls as they come.
 #[derive(Debug)]
 pub(super) struct CallCounter {
     started_at: Instant,
@@ -56,7 +54,6 @@
 }
 
 impl CallCounter {
-    /// Returns a counter without calls.
     pub(super) fn new(now: Instant) -> Self {
         Self {
             started_at: now,
@@ -66,7 +63,6 @@
         }
     }
 
-    /// Counts a call.
     pub(super) fn count(&mut self, kind: CallKind, now: Instant) {
         let elapsed: Duration = now.duration_since(self.started_at);
         let stats = &mut self.stats.kinds[kind as usize];
@@ -79,7 +75,6 @@
         stats.peak_in_second = stats.peak_in_second.max(stats.in_second);
     }
 
-    /// Returns the counts so far.
     pub(super) fn stats(&self) -> CallStats {
         self.stats.clone()
     }
--- a/crates/foxtide-testing/src/store/endpoint.rs
+++ b/crates/foxtide-testing/src/store/endpoint.rs
@@ -1,4 +1,4 @@
-//! The store's HTTP interface.
+//! Implements the store's HTTP API.
 //!
 //! Lock order: `state`, `calls`, `faults`, `watchers`; no two are held at the
 //! same time, and none across an await.
@@ -52,21 +52,21 @@
 const KV_PATH: &str = "/v1/kv/";
 const SESSION_PATH: &str = "/v1/session/";
 
-/// How long a waiting read lasts where the caller does not say.
+/// How long a blocking read waits if the caller sets no `wait`.
 const WAIT_DEFAULT: Duration = Duration::from_secs(300);
 
-/// What the server, its connections and its handle share.
+/// The state shared by the server, its connections and its handle.
 pub(super) struct StoreEndpoint {
     pub(super) state: Mutex<State>,
     pub(super) calls: Mutex<CallCounter>,
     pub(super) faults: Mutex<Faults>,
-    /// Those to wake at the next change.
+    /// The blocking reads to wake at the next change.
     watchers: Mutex<Vec<Sender<()>>>,
     clock_scale: f64,
 }
 
 impl StoreEndpoint {
-    /// Returns an empty store whose sessions live `clock_scale` times faster.
+    /// Returns an empty store whose sessions expire `clock_scale` times faster.
     pub(super) fn new(clock_scale: f64, faults: Faults) -> Self {
         Self {
             state: Mutex::default(),
@@ -77,7 +77,7 @@
         }
     }
 
-    /// Wakes every waiting read.
+    /// Wakes every blocking read.
     pub(super) fn wake_all(&self) {
         for watcher in self.watchers.lock().drain(..) {
             watcher.try_send(()).ok();
--- a/crates/foxtide-testing/src/store/faults.rs
+++ b/crates/foxtide-testing/src/store/faults.rs
@@ -1,4 +1,4 @@
-//! The faults of the store that are in force.
+//! Holds the store's injected faults.
 
 use rand::rngs::StdRng;
 use rand::{
@@ -9,9 +9,9 @@
 use std::net::IpAddr;
 use std::time::Duration;
 
-/// The faults that are in force.
+/// The active faults.
 pub(super) struct Faults {
-    /// How long each call waits before it takes effect.
+    /// The delay before each call takes effect.
     pub(super) delay: Duration,
     pub(super) answers_to_lose: u32,
     pub(super) answer_loss_probability: f64,
@@ -30,12 +30,12 @@
         }
     }
 
-    /// Tells whether this caller gets no answers.
+    /// Returns whether calls from this address stay unanswered.
     pub(super) fn is_blocked(&self, caller: IpAddr) -> bool {
         self.blocked.contains(&caller)
     }
 
-    /// Tells whether the answer to the change that just took effect is lost.
+    /// Decides whether to drop the answer to a change that has taken effect.
     pub(super) fn loses_answer(&mut self) -> bool {
         if self.answers_to_lose > 0 {
             self.answers_to_lose -= 1;
--- a/crates/foxtide-testing/src/store/mod.rs
+++ b/crates/foxtide-testing/src/store/mod.rs
@@ -1,7 +1,7 @@
-//! A stand-in for the platform's key-value store.
+//! Test server for the platform's key-value store.
 //!
-//! It speaks the part of Consul's published HTTP API that foxtide uses: KV
-//! with blocking queries and check-and-set, and sessions that hold keys.
+//! Implements the part of Consul's HTTP API that foxtide uses: KV with
+//! blocking queries and check-and-set, and sessions that lock keys.
 
 mod calls;
 mod endpoint;
--- a/crates/foxtide-testing/src/store/server.rs
+++ b/crates/foxtide-testing/src/store/server.rs
@@ -1,4 +1,4 @@
-//! The store's handle, its options and its faults.
+//! Starts the store server and controls its faults.
 
 use super::calls::CallStats;
 use super::endpoint::StoreEndpoint;
@@ -27,17 +27,16 @@
     Instant, //
 };
 
-/// How often sessions that have expired are looked for.
 const EXPIRY_CHECK_PERIOD: Duration = Duration::from_millis(20);
 
-/// How a [`StoreServer`] starts.
+/// Options of a [`StoreServer`].
 #[derive(Clone, Debug)]
 pub struct StoreOptions {
-    /// Where it listens; port 0, the default, lets the system choose.
+    /// The address to listen on; port 0, the default, picks a free port.
     pub address: SocketAddr,
-    /// How much faster sessions lapse than their callers ask; 1 by default.
+    /// Factor by which TTLs and lock delays are shortened; 1 by default.
     pub clock_scale: f64,
-    /// The seed of the faults that come by chance; 1 by default.
+    /// The seed for random faults; 1 by default.
     pub seed: u64,
 }
 
@@ -51,7 +50,7 @@
     }
 }
 
-/// A running stand-in for the store.
+/// A running key-value store server.
 pub struct StoreServer {
     server: Server<StoreEndpoint>,
     endpoint: Arc<StoreEndpoint>,
@@ -63,7 +62,7 @@
     ///
     /// # Errors
     ///
-    /// Fails where the address cannot be bound.
+    /// Fails if the address cannot be bound.
     pub async fn start(options: StoreOptions) -> io::Result<Self> {
         let faults = Faults::new(options.seed);
         let endpoint = Arc::new(StoreEndpoint::new(options.clock_scale, faults));
@@ -75,38 +74,38 @@
         })
     }
 
-    /// Returns the address that it listens on.
+    /// Returns the listening address.
     pub fn address(&self) -> SocketAddr {
         self.server.address()
     }
 
-    /// Changes whether it answers.
+    /// Sets whether the server accepts connections and answers.
     pub async fn set_availability(&self, availability: Availability) {
         self.server.set_availability(availability).await;
     }
 
-    /// Makes each call wait this long before it takes effect.
+    /// Delays each call by this time before it takes effect.
     pub fn set_delay(&self, delay: Duration) {
         self.endpoint.faults.lock().delay = delay;
     }
 
-    /// Loses the answers to the next `count` changes: they take effect, then
-    /// the connection is closed.
+    /// Drops the answers to the next `count` changes: each takes effect, then
+    /// its connection is closed.
     pub fn lose_answers(&self, count: u32) {
         self.endpoint.faults.lock().answers_to_lose = count;
     }
 
-    /// Loses the answer to each change with this probability, from 0 to 1.
+    /// Drops the answer to each change with this probability, from 0 to 1.
     pub fn set_answer_loss_probability(&self, probability: f64) {
         self.endpoint.faults.lock().answer_loss_probability = probability.clamp(0.0, 1.0);
     }
 
-    /// Stops to answer this caller; its connections stay open.
+    /// Stops answering this caller; its open connections stay open.
     pub fn block_caller(&self, caller: IpAddr) {
         self.endpoint.faults.lock().blocked.insert(caller);
     }
 
-    /// Answers this caller again.
+    /// Resumes answering this caller.
     pub fn unblock_caller(&self, caller: IpAddr) {
         self.endpoint.faults.lock().blocked.remove(&caller);
     }
@@ -116,7 +115,7 @@
         self.server.close_connections();
     }
 
-    /// Ends a session as if its time had run out.
+    /// Ends a session as if its TTL had expired.
     pub fn expire_session(&self, session: &str) {
         let mut state = self.endpoint.state.lock();
         state.end_session(session, Instant::now());
@@ -124,14 +123,14 @@
         self.endpoint.wake_all();
     }
 
-    /// Returns what a key holds, without a call.
+    /// Returns the value of a key without counting a call.
     pub fn value(&self, key: &str) -> Option<Vec<u8>> {
         let selection = Selection::Key(key.to_owned());
         let entries = self.endpoint.state.lock().read(&selection);
         entries.into_iter().next().map(|entry| entry.value)
     }
 
-    /// Writes a key, without a call.
+    /// Writes a key without counting a call.
     pub fn set_value(&self, key: &str, value: impl Into<Vec<u8>>) {
         let mut state = self.endpoint.state.lock();
         let written = state.write(key, value.into(), &Condition::None, Instant::now());
@@ -140,7 +139,7 @@
         self.endpoint.wake_all();
     }
 
-    /// Returns the calls so far.
+    /// Returns the call counts.
     pub fn calls(&self) -> CallStats {
         self.endpoint.calls.lock().stats()
     }
--- a/crates/foxtide-testing/src/store/sessions.rs
+++ b/crates/foxtide-testing/src/store/sessions.rs
@@ -1,4 +1,4 @@
-//! Sessions, which hold keys until they lapse.
+//! Tracks sessions, which lock keys until they expire.
 
 use std::collections::{
     BTreeMap,
@@ -9,13 +9,13 @@
     Instant, //
 };
 
-/// What becomes of a session's keys when it ends.
+/// What happens to a session's keys when it ends.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) enum SessionBehavior {
-    /// They are free.
+    /// The keys are unlocked.
     #[default]
     Release,
-    /// They are deleted.
+    /// The keys are deleted.
     Delete,
 }
 
@@ -23,16 +23,16 @@
 #[derive(Clone, Debug)]
 pub(super) struct Session {
     pub(super) name: String,
-    /// How long it lives after a renewal; without limit if `None`.
+    /// The time to live after a renewal; unlimited if `None`.
     pub(super) ttl: Option<Duration>,
     pub(super) behavior: SessionBehavior,
-    /// How long its keys cannot be taken after it ended.
+    /// How long its keys cannot be locked after it ends.
     pub(super) lock_delay: Duration,
     renewed_at: Instant,
 }
 
 impl Session {
-    /// Returns a session that is renewed now.
+    /// Returns a session renewed at `now`.
     pub(super) fn new(name: String, ttl: Option<Duration>, now: Instant) -> Self {
         Self {
             name,
@@ -44,7 +44,7 @@
     }
 }
 
-/// The open sessions and the keys that cannot be taken yet.
+/// The open sessions and the keys under a lock delay.
 #[derive(Debug, Default)]
 pub(super) struct Sessions {
     opened: u64,
@@ -53,7 +53,7 @@
 }
 
 impl Sessions {
-    /// Opens a session and returns its identity, which has a UUID's form.
+    /// Opens a session and returns its ID, formatted as a UUID.
     pub(super) fn open(&mut self, session: Session) -> String {
         self.opened += 1;
         let id = format!("5e551000-0000-4000-8000-{:012x}", self.opened);
@@ -61,7 +61,6 @@
         id
     }
 
-    /// Tells whether a session is open.
     pub(super) fn is_open(&self, id: &str) -> bool {
         self.open.contains_key(id)
     }
@@ -73,12 +72,12 @@
         Some(session.clone())
     }
 
-    /// Forgets a session and returns what it was.
+    /// Removes a session and returns it.
     pub(super) fn close(&mut self, id: &str) -> Option<Session> {
         self.open.remove(id)
     }
 
-    /// Returns the sessions whose time to live has passed.
+    /// Returns the IDs of the sessions whose TTL has passed.
     pub(super) fn expired(&self, now: Instant) -> Vec<String> {
         let expired = |session: &Session| {
             let age = now.duration_since(session.renewed_at);
@@ -89,12 +88,12 @@
         ended.map(|(id, _)| id.clone()).collect()
     }
 
-    /// Keeps a key from being taken until then.
+    /// Prevents a key from being locked before `until`.
     pub(super) fn delay(&mut self, key: &str, until: Instant) {
         self.delayed_until.insert(key.to_owned(), until);
     }
 
-    /// Tells whether a key cannot be taken yet.
+    /// Returns whether a key is under a lock delay.
     pub(super) fn is_delayed(&self, key: &str, now: Instant) -> bool {
         let until = self.delayed_until.get(key);
         until.is_some_and(|until| now < *until)
--- a/crates/foxtide-testing/src/store/state.rs
+++ b/crates/foxtide-testing/src/store/state.rs
@@ -1,4 +1,4 @@
-//! The keys of the store and the rules by which they change.
+//! Holds the store's entries and applies conditional changes.
 
 use super::sessions::{
     SessionBehavior,
@@ -7,12 +7,12 @@
 use std::collections::BTreeMap;
 use std::time::Instant;
 
-/// The index of a state in which nothing below a prefix ever changed.
+/// The index of a selection that never changed.
 ///
-/// Consul's indices begin at 1: 0 means "do not wait" in a query.
+/// Consul's indices start at 1; index 0 in a query means "do not block".
 const FIRST_INDEX: u64 = 1;
 
-/// A key's value and what the store knows of it.
+/// A key with its value and metadata.
 #[derive(Clone, Debug)]
 pub(super) struct Entry {
     pub(super) key: String,
@@ -23,7 +23,7 @@
     pub(super) session: Option<String>,
 }
 
-/// What a read selects.
+/// The keys selected by a read or a deletion.
 #[derive(Clone, Debug)]
 pub(super) enum Selection {
     Key(String),
@@ -39,41 +39,41 @@
     }
 }
 
-/// The condition under which a key is changed.
+/// The condition of a write.
 #[derive(Clone, Debug)]
 pub(super) enum Condition {
     None,
-    /// Its index is this; 0 means that there is no such key.
+    /// The key has this modify index; 0 means that it does not exist.
     Index(u64),
-    /// The session takes it, or holds it already.
+    /// The session can lock the key or already holds it.
     Acquire(String),
-    /// The session holds it and gives it back.
+    /// The session holds the key and unlocks it.
     Release(String),
 }
 
-/// The store names a session that does not exist.
+/// The session to lock a key with does not exist.
 #[derive(Debug, PartialEq, Eq)]
 pub(super) struct InvalidSession;
 
-/// Everything that the store holds.
+/// The contents of the store.
 #[derive(Debug, Default)]
 pub(super) struct State {
     index: u64,
     entries: BTreeMap<String, Entry>,
-    /// The index at which a key that is gone was deleted.
+    /// The index at which each deleted key was deleted.
     deleted: BTreeMap<String, u64>,
     pub(super) sessions: Sessions,
 }
 
 impl State {
-    /// Returns the selected entries in the order of their keys.
+    /// Returns the selected entries, ordered by key.
     pub(super) fn read(&self, selection: &Selection) -> Vec<Entry> {
         let entries = self.entries.values();
         let selected = entries.filter(|entry| selection.matches(&entry.key));
         selected.cloned().collect()
     }
 
-    /// Returns the index of the last change to what is selected.
+    /// Returns the index of the last change to the selection.
     pub(super) fn index_of(&self, selection: &Selection) -> u64 {
         let entries = self.entries.values();
         let changed = entries.filter(|entry| selection.matches(&entry.key));
@@ -86,7 +86,7 @@
         indices.max().unwrap_or(FIRST_INDEX)
     }
 
-    /// Writes a key if the condition holds and tells whether it did.
+    /// Writes a key if the condition holds and returns whether it held.
     pub(super) fn write(
         &mut self,
         key: &str,
@@ -134,7 +134,7 @@
         self.entries.insert(key.to_owned(), entry);
     }
 
-    /// Deletes what is selected, a single key only at the given index.
+    /// Deletes the selection; a single key only if its index is as expected.
     pub(super) fn delete(&mut self, selection: &Selection, expected: Option<u64>) -> bool {
         let keys: Vec<String> = self.read(selection).into_iter().map(|e| e.key).collect();
         if let (Some(expected), Selection::Key(key)) = (expected, selection) {
@@ -155,8 +155,8 @@
         self.deleted.insert(key.to_owned(), index);
     }
 
-    /// Ends a session and frees or deletes the keys that it holds. Tells
-    /// whether there was such a session.
+    /// Ends a session and unlocks or deletes its keys. Returns whether the
+    /// session existed.
     pub(super) fn end_session(&mut self, id: &str, now: Instant) -> bool {
         let Some(session) = self.sessions.close(id) else {
             return false;
@@ -173,7 +173,7 @@
         true
     }
 
-    /// Ends the sessions whose time has run out. Tells whether there were any.
+    /// Ends the sessions whose TTL has passed. Returns whether there were any.
     pub(super) fn expire_sessions(&mut self, now: Instant) -> bool {
         let expired = self.sessions.expired(now);
         for id in &expired {
--- a/crates/foxtide-testing/src/store/wire.rs
+++ b/crates/foxtide-testing/src/store/wire.rs
@@ -1,4 +1,4 @@
-//! The JSON forms of the store's API.
+//! Defines the JSON messages of the store's API.
 
 use super::sessions::{
     Session,         //
@@ -17,7 +17,7 @@
     Instant, //
 };
 
-/// An entry as an answer shows it.
+/// An entry in a read's answer.
 #[derive(Serialize)]
 #[serde(rename_all = "PascalCase")]
 pub(super) struct EntryForm {
@@ -45,7 +45,7 @@
     }
 }
 
-/// The body of a request for a session.
+/// The body of a request to create a session.
 #[derive(Default, Deserialize)]
 #[serde(rename_all = "PascalCase", default)]
 pub(super) struct SessionRequest {
@@ -57,11 +57,12 @@
 }
 
 impl SessionRequest {
-    /// Returns the session that is asked for, its times divided by the scale.
+    /// Returns the requested session, its durations divided by `clock_scale`.
     pub(super) fn session(self, clock_scale: f64, now: Instant) -> Result<Session, String> {
         let duration = |text: Option<String>| match text {
             Some(text) => {
-                let parsed = parse_duration(&text).ok_or(format!("bad duration `{text}`"))?;
+                let parsed = parse_duration(&text)
+                    .ok_or(format!("invalid duration `{text}` in the session request"))?;
                 Ok::<_, String>(Some(parsed.div_f64(clock_scale)))
             }
             None => Ok(None),
@@ -72,23 +73,23 @@
         session.behavior = match self.behavior.as_deref() {
             None | Some("" | "release") => SessionBehavior::Release,
             Some("delete") => SessionBehavior::Delete,
-            Some(other) => return Err(format!("bad behavior `{other}`")),
+            Some(other) => return Err(format!("invalid session behavior `{other}`")),
         };
         Ok(session)
     }
 }
 
-/// How long an expired session's keys cannot be taken where nothing is said.
+/// The lock delay of a session whose request sets none.
 const LOCK_DELAY_DEFAULT: Duration = Duration::from_secs(15);
 
-/// The answer to a request for a session.
+/// The answer to a request to create a session.
 #[derive(Serialize)]
 pub(super) struct SessionCreated {
     #[serde(rename = "ID")]
     pub(super) id: String,
 }
 
-/// A session as the answer to a renewal shows it.
+/// A session in the answer to a renewal.
 #[derive(Serialize)]
 #[serde(rename_all = "PascalCase")]
 pub(super) struct SessionForm {
@@ -102,7 +103,6 @@
 }
 
 impl SessionForm {
-    /// Returns the form of a session.
     pub(super) fn new(id: &str, session: &Session) -> Self {
         Self {
             id: id.to_owned(),
