--- a/crates/foxtide-testing/src/upstream/answer.rs
+++ b/crates/foxtide-testing/src/upstream/answer.rs
@@ -1,4 +1,4 @@
-//! The answers of an upstream and what a fault makes of them.
+//! Builds an upstream's answers and applies faults to them.
 
 use super::faults::AnswerFault;
 use super::load::LOAD_HEADER;
@@ -22,13 +22,13 @@
 const KEY_HEADER: &str = "idempotency-key";
 const STATE_HEADER: &str = "foxtide-upstream-state";
 
-/// How long a caller should wait after it was refused, in seconds.
+/// The `retry-after` of a refusal, in seconds.
 const RETRY_AFTER_S: &str = "1";
 
-/// The length that an answer tells beyond what it has, or less.
+/// By how much a wrong `content-length` differs from the body's length.
 const LENGTH_ERROR_BYTES: usize = 7;
 
-/// The body of an answer; it names the request that it belongs to.
+/// The body of an answer, which identifies its request.
 #[derive(Serialize)]
 struct AnswerBody<'a> {
     upstream: &'a str,
@@ -40,7 +40,7 @@
     padding: String,
 }
 
-/// Who a request says it is.
+/// The path and the IDs of a request.
 pub(super) struct RequestIdentity {
     pub(super) path: String,
     pub(super) request_id: Option<String>,
@@ -48,7 +48,6 @@
 }
 
 impl RequestIdentity {
-    /// Reads the identity from a request.
     pub(super) fn of(call: &Call) -> Self {
         let url = call.request.url();
         let path = match url.query() {
@@ -62,7 +61,6 @@
         }
     }
 
-    /// Returns the answer to the request.
     pub(super) fn answer(&self, upstream: &str, call: &Call, padding_bytes: usize) -> Response {
         let mut response = json(&AnswerBody {
             upstream,
@@ -80,7 +78,7 @@
     }
 }
 
-/// Returns the answer to a request that was not run.
+/// Returns the answer to a request that was refused without running.
 pub(super) fn refusal(call: &Call, reason: &str) -> Response {
     let mut response = text(StatusCode::ServiceUnavailable, reason);
     response.insert_header(OUTCOME_HEADER, "not-run");
@@ -91,7 +89,7 @@
     response
 }
 
-/// Adds what an answer says of the upstream itself.
+/// Adds the headers for the upstream's load and draining state.
 pub(super) fn add_status_headers(response: &mut Response, load: Option<String>, drains: bool) {
     if let Some(load) = load {
         response.insert_header(LOAD_HEADER, load);
@@ -101,12 +99,12 @@
     }
 }
 
-/// Returns the bytes of the answer that nobody asked for.
+/// Returns the bytes of an answer sent before any request.
 pub(super) fn early_answer() -> Vec<u8> {
     b"HTTP/1.1 200 OK\r\ncontent-length: 5\r\n\r\nearly".to_vec()
 }
 
-/// Returns what is sent in place of an answer when a fault is in force.
+/// Turns an answer into the reply that the fault produces.
 pub(super) async fn apply_fault(response: Response, method: Method, fault: AnswerFault) -> Reply {
     match fault {
         AnswerFault::None => return Reply::whole(response),
@@ -134,7 +132,7 @@
     Reply::Raw { bytes, close }
 }
 
-/// Rewrites the number in the `content-length` line.
+/// Rewrites the value of the `content-length` header.
 fn with_length(bytes: &[u8], change: impl Fn(usize) -> usize) -> Vec<u8> {
     let message = String::from_utf8_lossy(bytes);
     let lines = message.split("\r\n").map(|line| {
--- a/crates/foxtide-testing/src/upstream/endpoint.rs
+++ b/crates/foxtide-testing/src/upstream/endpoint.rs
@@ -1,4 +1,4 @@
-//! How an upstream takes, runs and answers a request.
+//! Queues, runs and answers an upstream's requests.
 //!
 //! Lock order: `behaviour`, `records`, `rng`; no two are held at the same
 //! time, and none across an await.
@@ -49,16 +49,14 @@
     Instant, //
 };
 
-/// The page that tells the load to those who ask.
 const LOAD_PATH: &str = "/load";
 
-/// The page that tells the health to those who ask.
 const HEALTH_PATH: &str = "/health";
 
-/// The header with the time that is left for a request, in milliseconds.
+/// The header with a request's remaining time, in milliseconds.
 const DEADLINE_HEADER: &str = "foxtide-deadline-ms";
 
-/// What the server, its connections and its handle share.
+/// The state shared by the server, its connections and its handle.
 pub(super) struct UpstreamEndpoint {
     pub(super) options: UpstreamOptions,
     pub(super) behaviour: Mutex<Behaviour>,
@@ -67,14 +65,14 @@
     slots: Semaphore,
 }
 
-/// How the wait for a slot ended.
+/// The outcome of waiting for a slot.
 enum SlotWait<'a> {
     Taken(SemaphoreGuard<'a>),
     DeadlinePassed,
     Disconnected,
 }
 
-/// How the run of a request ended.
+/// The outcome of running a request.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum RunEnd {
     Completed,
@@ -82,7 +80,6 @@
 }
 
 impl UpstreamEndpoint {
-    /// Returns an idle upstream.
     pub(super) fn new(options: UpstreamOptions) -> Self {
         Self {
             behaviour: Mutex::new(Behaviour::new(options.service_time)),
@@ -256,7 +253,7 @@
     }
 }
 
-/// Takes a request out of the count of those that wait.
+/// Decrements the count of waiting requests on drop.
 struct WaitingGuard<'a>(&'a Mutex<Records>);
 
 impl Drop for WaitingGuard<'_> {
@@ -265,7 +262,7 @@
     }
 }
 
-/// Takes a request out of the count of those that run.
+/// Decrements the count of running requests on drop.
 struct RunningGuard<'a>(&'a Mutex<Records>);
 
 impl Drop for RunningGuard<'_> {
@@ -274,7 +271,7 @@
     }
 }
 
-/// Returns the time that is left for a request; without end if it names none.
+/// Returns a request's remaining time; unlimited without the header.
 fn deadline(call: &Call) -> Duration {
     let left_ms = call.header(DEADLINE_HEADER);
     let left_ms = left_ms.and_then(|text| text.parse().ok());
--- a/crates/foxtide-testing/src/upstream/faults.rs
+++ b/crates/foxtide-testing/src/upstream/faults.rs
@@ -1,4 +1,4 @@
-//! What is wrong with an upstream.
+//! Holds an upstream's adjustable behaviour and injected faults.
 
 use super::load::{
     HealthReport,
@@ -9,46 +9,46 @@
 use std::net::IpAddr;
 use std::time::Duration;
 
-/// What is wrong with an answer.
+/// A fault in an answer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum AnswerFault {
-    /// Nothing.
+    /// No fault.
     #[default]
     None,
-    /// The request runs, half of its answer is sent, the connection closes.
+    /// The request runs, half of the answer is sent, then the connection closes.
     Truncated,
-    /// The request runs, its answer comes this much later.
+    /// The request runs, and the answer is delayed by this time.
     Late(Duration),
-    /// The request runs once, its answer is sent twice.
+    /// The request runs once, and the answer is sent twice.
     Doubled,
-    /// The answer tells more bytes than it has; the connection stays open.
+    /// `content-length` exceeds the body's length; the connection stays open.
     LengthTooLong,
-    /// The answer tells fewer bytes than it has.
+    /// `content-length` is less than the body's length.
     LengthTooShort,
-    /// The request runs, the connection closes without an answer.
+    /// The request runs, then the connection closes without an answer.
     LostAfterRun,
-    /// The request does not run, the connection closes without an answer.
+    /// The connection closes without an answer and the request does not run.
     LostBeforeRun,
-    /// The request runs, its answer never comes.
+    /// The request runs, but no answer is sent.
     Never,
 }
 
-/// For how many requests a fault lasts.
+/// The number of requests that a fault affects.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FaultSpan {
-    /// The next requests, this many.
+    /// This many of the next requests.
     Next(u32),
-    /// Until another fault is set.
+    /// Every request until another fault is set.
     Always,
 }
 
-/// The state that the handle changes while the upstream runs.
+/// The behaviour that the handle can change at run time.
 #[derive(Debug)]
 pub(super) struct Behaviour {
     pub(super) service_time: ServiceTime,
     pub(super) sheds: bool,
     pub(super) drains: bool,
-    /// Sends an answer on each new connection before any request.
+    /// Whether an answer is sent on each new connection before any request.
     pub(super) answers_early: bool,
     pub(super) load_report: LoadReport,
     pub(super) health_report: HealthReport,
@@ -59,7 +59,7 @@
 }
 
 impl Behaviour {
-    /// Returns the behaviour of an upstream with nothing wrong.
+    /// Returns the behaviour of a healthy upstream.
     pub(super) fn new(service_time: ServiceTime) -> Self {
         Self {
             service_time,
@@ -75,13 +75,12 @@
         }
     }
 
-    /// Sets what is wrong with the answers.
     pub(super) fn set_fault(&mut self, fault: AnswerFault, span: FaultSpan) {
         self.fault = fault;
         self.span = span;
     }
 
-    /// Returns what is wrong with the answer to the request that came now.
+    /// Returns the fault for the current request and counts it.
     pub(super) fn take_fault(&mut self) -> AnswerFault {
         match &mut self.span {
             FaultSpan::Always => self.fault,
@@ -93,13 +92,13 @@
         }
     }
 
-    /// Returns the delay of the link to a caller, one way.
+    /// Returns the one-way delay of the link to a caller.
     pub(super) fn delay_to(&self, caller: IpAddr) -> Duration {
         let delay = self.link_delays.get(&caller);
         delay.copied().unwrap_or(self.link_delay)
     }
 
-    /// Tells what the health page says.
+    /// Returns whether the health endpoint reports the upstream as healthy.
     pub(super) fn reports_healthy(&self) -> bool {
         match self.health_report {
             HealthReport::Accurate => !self.sheds && !self.drains,
--- a/crates/foxtide-testing/src/upstream/load.rs
+++ b/crates/foxtide-testing/src/upstream/load.rs
@@ -1,14 +1,13 @@
-//! What an upstream says of its load and health, true or not.
+//! Builds an upstream's load and health reports, accurate or not.
 //!
-//! The header and the names of the metrics are those of ORCA, the Open
-//! Request Cost Aggregation of the xDS API (`OrcaLoadReport`).
+//! The header and the metric names are those of ORCA, the Open Request Cost
+//! Aggregation of the xDS API (`OrcaLoadReport`).
 
 use serde::Serialize;
 
-/// The header that carries the load report of an answer.
 pub(super) const LOAD_HEADER: &str = "endpoint-load-metrics";
 
-/// The form of the load report in an answer's header.
+/// The encoding of the load report in an answer's header.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum LoadFormat {
     /// `JSON {"application_utilization":0.5,…}`.
@@ -21,19 +20,19 @@
 /// What an upstream reports as its load.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub enum LoadReport {
-    /// The load as it is.
+    /// The actual load.
     #[default]
     Accurate,
-    /// This utilization, from 0 to 1, whatever the load is.
+    /// This utilization, from 0 to 1, regardless of the load.
     Fixed(f64),
-    /// Nothing: no header, and the polled page is absent.
+    /// No report: no header, and `/load` answers with status 404.
     Missing,
 }
 
-/// What an upstream's health page says.
+/// What an upstream reports at `/health`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum HealthReport {
-    /// Unhealthy while it sheds or drains, else healthy.
+    /// Unhealthy while shedding or draining, otherwise healthy.
     #[default]
     Accurate,
     /// Always healthy.
@@ -42,18 +41,17 @@
     NeverHealthy,
 }
 
-/// The metrics of one report.
+/// The metrics of a load report.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub(super) struct LoadMetrics {
-    /// The part of the slots and of the queue's first places in use; above 1
-    /// where requests wait.
+    /// Running and waiting requests divided by the number of slots; may exceed 1.
     pub(super) application_utilization: f64,
-    /// The requests run in the last second.
+    /// The number of requests that started in the last second.
     pub(super) rps_fractional: f64,
 }
 
 impl LoadMetrics {
-    /// Returns the value of the answer's header.
+    /// Formats the metrics as a header value.
     pub(super) fn header(self, format: LoadFormat) -> String {
         match format {
             LoadFormat::Json => format!(
--- a/crates/foxtide-testing/src/upstream/mod.rs
+++ b/crates/foxtide-testing/src/upstream/mod.rs
@@ -1,8 +1,8 @@
-//! A stand-in for one target of a service.
+//! Test server for one upstream of a service.
 //!
-//! It runs requests on a limited number of slots, reports its load, sheds,
-//! drains, starts cold, and shows the faults that its handle sets. It records
-//! every request that it ran, so that a test can count doubled runs.
+//! Runs requests on a limited number of slots, reports load, sheds, drains,
+//! starts cold and injects faults. It records every request that it ran, so
+//! that a test can detect duplicate runs.
 
 mod answer;
 mod endpoint;
--- a/crates/foxtide-testing/src/upstream/options.rs
+++ b/crates/foxtide-testing/src/upstream/options.rs
@@ -1,4 +1,4 @@
-//! How an upstream behaves when nothing is wrong with it.
+//! Defines an upstream's options and service times.
 
 use super::load::LoadFormat;
 use rand::RngExt;
@@ -9,28 +9,28 @@
 };
 use std::time::Duration;
 
-/// How an [`UpstreamServer`](super::UpstreamServer) starts.
+/// Options of an [`UpstreamServer`](super::UpstreamServer).
 #[derive(Clone, Debug)]
 pub struct UpstreamOptions {
-    /// Where it listens; port 0, the default, lets the system choose.
+    /// The address to listen on; port 0, the default, picks a free port.
     pub address: SocketAddr,
-    /// The name that its answers carry; `upstream` by default.
+    /// The name in its answers; `upstream` by default.
     pub name: String,
-    /// How many requests it runs at the same time; 4 by default.
+    /// The maximum number of concurrent requests; 4 by default.
     pub slots: u32,
-    /// How many requests may wait for a slot before it sheds; 8 by default.
+    /// The maximum number of requests waiting for a slot; 8 by default.
     pub queue: u32,
-    /// How many connections it keeps; 360 by default.
+    /// The maximum number of open connections; 360 by default.
     pub connections: u32,
-    /// How long a request holds its slot; 1 ms by default.
+    /// How long a request occupies its slot; 1 ms by default.
     pub service_time: ServiceTime,
-    /// How much slower it is at first; not at all by default.
+    /// The slowdown after a start; none by default.
     pub cold_start: ColdStart,
-    /// How many bytes of padding an answer carries; none by default.
+    /// The padding in each answer, in bytes; 0 by default.
     pub answer_bytes: usize,
-    /// How its answers report load; JSON by default.
+    /// The encoding of load reports; JSON by default.
     pub load_format: LoadFormat,
-    /// The seed of what comes by chance; 1 by default.
+    /// The seed for random service times; 1 by default.
     pub seed: u64,
 }
 
@@ -51,20 +51,20 @@
     }
 }
 
-/// How long a request holds its slot.
+/// How long a request occupies its slot.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ServiceTime {
-    /// Always the same.
+    /// A constant time.
     Fixed(Duration),
-    /// Drawn from an exponential distribution.
+    /// A time drawn from an exponential distribution.
     Exponential {
-        /// The distribution's mean.
+        /// The mean of the distribution.
         mean: Duration,
     },
 }
 
 impl ServiceTime {
-    /// Returns the time of the next request.
+    /// Returns the service time of the next request.
     pub(super) fn draw(self, rng: &mut StdRng) -> Duration {
         match self {
             Self::Fixed(time) => time,
@@ -76,12 +76,12 @@
     }
 }
 
-/// How much slower an upstream is until its caches are warm.
+/// The slowdown of an upstream until its caches are warm.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ColdStart {
-    /// The factor on the service time of the first request; 1 by default.
+    /// The factor on the first request's service time; 1 by default.
     pub slowdown: f64,
-    /// How many requests warm it; the factor falls evenly until then.
+    /// The number of requests over which the factor falls linearly to 1.
     pub warm_after_requests: u64,
 }
 
@@ -95,7 +95,7 @@
 }
 
 impl ColdStart {
-    /// Returns the factor on the service time after `ran` requests.
+    /// Returns the service time factor after `ran` requests.
     pub(super) fn factor(self, ran: u64) -> f64 {
         if ran >= self.warm_after_requests {
             return 1.0;
--- a/crates/foxtide-testing/src/upstream/server.rs
+++ b/crates/foxtide-testing/src/upstream/server.rs
@@ -1,4 +1,4 @@
-//! The upstream's handle.
+//! Starts an upstream server and controls its behaviour.
 
 use super::endpoint::UpstreamEndpoint;
 use super::faults::{
@@ -32,21 +32,21 @@
     Instant, //
 };
 
-/// A running stand-in for one target of a service.
+/// A running test upstream.
 ///
-/// `/load` tells its load and `/health` its health; every other path is
-/// served as a request of its service.
+/// `/load` and `/health` report its load and health; every other path is
+/// handled as a service request.
 pub struct UpstreamServer {
     server: Server<UpstreamEndpoint>,
     endpoint: Arc<UpstreamEndpoint>,
 }
 
 impl UpstreamServer {
-    /// Starts an idle upstream.
+    /// Starts an upstream.
     ///
     /// # Errors
     ///
-    /// Fails where the address cannot be bound.
+    /// Fails if the address cannot be bound.
     pub async fn start(options: UpstreamOptions) -> io::Result<Self> {
         let address = options.address;
         let endpoint = Arc::new(UpstreamEndpoint::new(options));
@@ -54,23 +54,23 @@
         Ok(Self { server, endpoint })
     }
 
-    /// Returns the address that it listens on.
+    /// Returns the listening address.
     pub fn address(&self) -> SocketAddr {
         self.server.address()
     }
 
-    /// Changes whether it takes connections and answers.
+    /// Sets whether the server accepts connections and answers.
     pub async fn set_availability(&self, availability: Availability) {
         self.server.set_availability(availability).await;
     }
 
-    /// Dies as a process does: no more connections, the open ones are closed.
+    /// Simulates a process exit: stops listening and closes all connections.
     pub async fn kill(&self) {
         self.set_availability(Availability::Refusing).await;
         self.server.close_connections();
     }
 
-    /// Comes back after [`kill`](Self::kill), on the same address.
+    /// Listens on the same address again after [`kill`](Self::kill).
     pub async fn revive(&self) {
         self.set_availability(Availability::Serving).await;
     }
@@ -80,58 +80,58 @@
         self.server.close_connections();
     }
 
-    /// Sets what is wrong with its answers, and for how long.
+    /// Sets the fault in its answers and the number of requests it affects.
     pub fn set_fault(&self, fault: AnswerFault, span: FaultSpan) {
         self.endpoint.behaviour.lock().set_fault(fault, span);
     }
 
-    /// Makes it send an answer on each new connection before any request.
+    /// Sets whether each new connection gets an answer before any request.
     pub fn set_answers_early(&self, early: bool) {
         self.endpoint.behaviour.lock().answers_early = early;
     }
 
-    /// Changes how long a request holds its slot.
+    /// Sets how long a request occupies its slot.
     pub fn set_service_time(&self, service_time: ServiceTime) {
         self.endpoint.behaviour.lock().service_time = service_time;
     }
 
-    /// Makes it refuse every request as not run.
+    /// Sets whether every request is refused without running.
     pub fn set_shedding(&self, sheds: bool) {
         self.endpoint.behaviour.lock().sheds = sheds;
     }
 
-    /// Makes its answers announce that it leaves.
+    /// Sets whether its answers report that it is draining.
     pub fn set_draining(&self, drains: bool) {
         self.endpoint.behaviour.lock().drains = drains;
     }
 
-    /// Sets the delay of the link to all callers, one way.
+    /// Sets the one-way delay of the link to callers without their own delay.
     pub fn set_link_delay(&self, delay: Duration) {
         self.endpoint.behaviour.lock().link_delay = delay;
     }
 
-    /// Sets the delay of the link to one caller's address, one way.
+    /// Sets the one-way delay of the link to one caller's address.
     pub fn set_link_delay_to(&self, caller: IpAddr, delay: Duration) {
         let mut behaviour = self.endpoint.behaviour.lock();
         behaviour.link_delays.insert(caller, delay);
     }
 
-    /// Sets what it reports as its load.
+    /// Sets how it reports its load.
     pub fn set_load_report(&self, report: LoadReport) {
         self.endpoint.behaviour.lock().load_report = report;
     }
 
-    /// Sets what its health page says.
+    /// Sets how it reports its health.
     pub fn set_health_report(&self, report: HealthReport) {
         self.endpoint.behaviour.lock().health_report = report;
     }
 
-    /// Returns every request that began to run, in that order.
+    /// Returns every request that started to run, in order.
     pub fn runs(&self) -> Vec<RunRecord> {
         self.endpoint.records.lock().runs.clone()
     }
 
-    /// Returns how often requests with this `idempotency-key` began to run.
+    /// Returns how many requests with this `idempotency-key` started to run.
     pub fn runs_of(&self, key: &str) -> usize {
         let records = self.endpoint.records.lock();
         let runs = records.runs.iter();
@@ -139,12 +139,12 @@
         same.count()
     }
 
-    /// Returns the number of requests that came after a time.
+    /// Returns the number of requests received after a time.
     pub fn received_after(&self, after: Instant) -> usize {
         self.endpoint.records.lock().received_after(after)
     }
 
-    /// Returns the counts so far.
+    /// Returns the current counts.
     pub fn stats(&self) -> UpstreamStats {
         self.endpoint.records.lock().stats
     }
