--- a/crates/foxtide-testing/src/http/connection.rs
+++ b/crates/foxtide-testing/src/http/connection.rs
@@ -1,4 +1,4 @@
-//! The loop over the requests of one connection.
+//! Reads and answers the requests of one connection.
 
 use super::shared::Shared;
 use super::{
@@ -23,26 +23,26 @@
     SocketAddr, //
 };
 
-/// One request as a stand-in sees it.
+/// A received request.
 pub(crate) struct Call {
-    /// The request; its body has been taken out.
+    /// The request without its body.
     pub(crate) request: Request,
-    /// The whole body.
+    /// The complete body.
     pub(crate) body: Vec<u8>,
     /// The caller's address.
     pub(crate) caller: SocketAddr,
-    /// The connection, to notice that the caller hangs up.
+    /// The connection, to detect that the caller disconnects.
     pub(crate) stream: TcpStream,
 }
 
 impl Call {
-    /// Returns a header's value as text.
+    /// Returns the last value of a header.
     pub(crate) fn header(&self, name: &str) -> Option<String> {
         let values = self.request.header(name)?;
         Some(values.last().as_str().to_owned())
     }
 
-    /// Returns a parameter of the query; one without a value is empty.
+    /// Returns a query parameter; one without a value is empty.
     pub(crate) fn parameter(&self, name: &str) -> Option<String> {
         let mut pairs = self.request.url().query_pairs();
         let pair = pairs.find(|(key, _)| key == name)?;
@@ -50,28 +50,28 @@
     }
 }
 
-/// What a stand-in does about one request.
+/// The reaction to a request.
 pub(crate) enum Reply {
-    /// Sends a whole answer.
+    /// Sends a complete answer.
     Whole(Box<Response>),
-    /// Sends these bytes as they are, then closes the connection if told to.
+    /// Sends these bytes unchanged, then closes the connection if `close` is set.
     Raw { bytes: Vec<u8>, close: bool },
-    /// Never answers and keeps the connection.
+    /// Sends nothing and keeps the connection open.
     Silence,
     /// Closes the connection without an answer.
     Close,
 }
 
 impl Reply {
-    /// Sends a whole answer.
+    /// Returns a reply that sends a complete answer.
     pub(crate) fn whole(response: Response) -> Self {
         Self::Whole(Box::new(response))
     }
 }
 
-/// What stands behind a server.
+/// Handles the connections and requests of a server.
 pub(crate) trait Endpoint: Send + Sync + 'static {
-    /// Tells whether a new connection is kept.
+    /// Returns whether a new connection is accepted.
     fn accepts(&self, _caller: IpAddr, _open_connections: usize) -> bool {
         true
     }
@@ -128,7 +128,7 @@
         Availability::Failing => Reply::whole(text(StatusCode::InternalServerError, "outage")),
         Availability::Serving | Availability::Refusing => shared.endpoint.answer(call).await,
     };
-    // A stand-in that fell silent meanwhile does not answer either.
+    // The server may have become silent while the answer was prepared.
     if shared.availability() == Availability::Silent {
         return send(stream, method, Reply::Silence, close).await;
     }
@@ -154,7 +154,7 @@
     Ok(if close { Next::Close } else { Next::Continue })
 }
 
-/// Returns the bytes of an answer as they go over the wire.
+/// Encodes an answer as HTTP/1.1.
 pub(crate) async fn encode(response: Response, method: Method) -> http_types::Result<Vec<u8>> {
     let mut bytes = Vec::new();
     let mut encoder = async_h1::server::Encoder::new(response, method);
--- a/crates/foxtide-testing/src/http/listener.rs
+++ b/crates/foxtide-testing/src/http/listener.rs
@@ -1,4 +1,4 @@
-//! Listening, refusing to listen, and the set of open connections.
+//! Accepts connections, stops and resumes listening, and tracks open connections.
 //!
 //! Lock order: `connections` is the only lock here and is never held across
 //! an await.
@@ -35,10 +35,10 @@
 };
 use std::time::Duration;
 
-/// How long to wait before an address that is still in use is tried again.
+/// The delay before binding, accepting or peeking is retried.
 const RETRY_INTERVAL: Duration = Duration::from_millis(10);
 
-/// A running server; dropping it ends its connections.
+/// A running server; dropping it closes its connections.
 pub(crate) struct Server<E> {
     address: SocketAddr,
     shared: Arc<Shared<E>>,
@@ -46,13 +46,13 @@
     _accepting: Task<()>,
 }
 
-/// Tells the accepting task to listen or not to, and hears when it is done.
+/// Asks the accept task to start or stop listening and to confirm on `done`.
 struct ListenChange {
     listen: bool,
     done: Sender<()>,
 }
 
-/// What the accepting task woke up for.
+/// An event that wakes the accept task.
 enum Wake {
     Connection(TcpStream, SocketAddr),
     ListenChange(ListenChange),
@@ -76,7 +76,7 @@
         })
     }
 
-    /// Returns the address that it listens on.
+    /// Returns the listening address.
     pub(crate) fn address(&self) -> SocketAddr {
         self.address
     }
@@ -86,12 +86,12 @@
         self.shared.open_connections.load(Ordering::SeqCst)
     }
 
-    /// Closes all open connections, whatever they are doing.
+    /// Closes all open connections, including those with a request in progress.
     pub(crate) fn close_connections(&self) {
         self.shared.connections.lock().tasks.clear();
     }
 
-    /// Changes what it does with connections; done when the call returns.
+    /// Sets the availability; the change is in effect when the call returns.
     pub(crate) async fn set_availability(&self, availability: Availability) {
         *self.shared.availability.lock() = availability;
         let (done, finished) = bounded(1);
@@ -130,7 +130,7 @@
     }
 }
 
-/// Counts a connection for as long as it is open.
+/// Decrements the count of open connections on drop.
 struct OpenConnection<E>(Arc<Shared<E>>);
 
 impl<E> Drop for OpenConnection<E> {
@@ -204,7 +204,7 @@
     loop {
         match TcpListener::bind(address).await {
             Ok(listener) => return listener,
-            Err(error) => log::warn!("stand-in cannot listen on {address} again: {error}"),
+            Err(error) => log::warn!("test server failed to listen on {address} again: {error}"),
         }
         Timer::after(RETRY_INTERVAL).await;
     }
--- a/crates/foxtide-testing/src/http/mod.rs
+++ b/crates/foxtide-testing/src/http/mod.rs
@@ -1,7 +1,7 @@
-//! The HTTP server that all stand-ins share.
+//! HTTP server that all test servers share.
 //!
-//! Messages are decoded and encoded by `async-h1`; the loop over a connection
-//! is our own, because a stand-in has to send answers that are wrong.
+//! `async-h1` decodes and encodes messages; the connection loop is separate
+//! because faults require malformed answers.
 
 mod connection;
 mod listener;
@@ -21,28 +21,28 @@
 };
 use serde::Serialize;
 
-/// Whether a stand-in takes connections and answers.
+/// Whether a test server accepts connections and answers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Availability {
-    /// It answers.
+    /// Requests are answered.
     #[default]
     Serving,
-    /// Nobody listens: new connections are refused by the system.
+    /// The port is closed: the system refuses new connections.
     Refusing,
-    /// Connections and requests are taken, nothing is ever answered.
+    /// Connections and requests are accepted, but never answered.
     Silent,
-    /// Every request is answered with status 500 and has no effect.
+    /// Every request fails with status 500 and has no effect.
     Failing,
 }
 
-/// Returns an answer with this status and text.
+/// Returns an answer with the status and text.
 pub(crate) fn text(status: StatusCode, text: impl Into<String>) -> Response {
     let mut response = Response::new(status);
     response.set_body(text.into());
     response
 }
 
-/// Returns an answer with status 200 and this value as JSON.
+/// Returns an answer with status 200 and the value as JSON.
 pub(crate) fn json(value: &impl Serialize) -> Response {
     match serde_json::to_vec(value) {
         Ok(bytes) => json_bytes(bytes),
--- a/crates/foxtide-testing/src/http/shared.rs
+++ b/crates/foxtide-testing/src/http/shared.rs
@@ -1,4 +1,4 @@
-//! What the parts of a running server share.
+//! Holds the state shared by the parts of a running server.
 
 use super::Availability;
 use parking_lot::Mutex;
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 use std::sync::atomic::AtomicUsize;
 
-/// What the accepting task, the connections and the handle share.
+/// The state shared by the accept task, the connections and the handle.
 pub(crate) struct Shared<E> {
     pub(super) endpoint: Arc<E>,
     pub(super) availability: Mutex<Availability>,
@@ -18,12 +18,11 @@
 #[derive(Default)]
 pub(super) struct Connections {
     pub(super) tasks: Vec<Task<()>>,
-    /// Set when the handle is dropped; no task is kept from then on.
+    /// Set when the handle is dropped; new tasks are cancelled from then on.
     pub(super) closed: bool,
 }
 
 impl<E> Shared<E> {
-    /// Returns what a server without connections shares.
     pub(super) fn new(endpoint: Arc<E>) -> Self {
         Self {
             endpoint,
@@ -33,7 +32,6 @@
         }
     }
 
-    /// Returns what is to be done with connections and requests now.
     pub(super) fn availability(&self) -> Availability {
         *self.availability.lock()
     }
