--- a/crates/foxtide-testing/src/client.rs
+++ b/crates/foxtide-testing/src/client.rs
@@ -1,4 +1,4 @@
-//! A one-shot HTTP client for tests.
+//! HTTP client for tests that uses one connection per request.
 
 use http_types::{
     Method,
@@ -8,14 +8,14 @@
 use smol::net::TcpStream;
 use std::net::SocketAddr;
 
-/// An answer that was read to its end.
+/// A complete HTTP answer.
 #[derive(Clone, Debug)]
 pub struct HttpAnswer {
-    /// The status.
+    /// The status code.
     pub status: u16,
-    /// The headers, names in lower case.
+    /// The headers, with names in lower case.
     pub headers: Vec<(String, String)>,
-    /// The whole body.
+    /// The complete body.
     pub body: Vec<u8>,
 }
 
@@ -27,21 +27,22 @@
         Some(&header.1)
     }
 
-    /// Returns the body as text, bad UTF-8 replaced.
+    /// Returns the body as text, with invalid UTF-8 replaced.
     pub fn text(&self) -> String {
         String::from_utf8_lossy(&self.body).into_owned()
     }
 }
 
-/// Sends one request on a connection of its own and reads the whole answer.
+/// Sends one request on a new connection and reads the complete answer.
 ///
 /// # Errors
 ///
-/// Fails where the connection or the answer does; what took effect is unknown.
+/// Fails if the connection fails or the answer is malformed; the request may
+/// still have taken effect.
 ///
 /// # Panics
 ///
-/// Panics where `path` does not make a valid URL.
+/// Panics if `path` does not form a valid URL.
 pub async fn http_call(
     address: SocketAddr,
     method: Method,
--- a/crates/foxtide-testing/src/duration.rs
+++ b/crates/foxtide-testing/src/duration.rs
@@ -1,10 +1,10 @@
-//! Durations as text.
+//! Parses durations such as `500ms`.
 
 use std::fmt;
 use std::str::FromStr;
 use std::time::Duration;
 
-/// Parses a duration in Go's form with one unit: `500ms`, `10s`, `2m`, `1h`.
+/// Parses a duration in Go's format with a single unit: `500ms`, `10s`, `2m`, `1h`.
 pub(crate) fn parse_duration(text: &str) -> Option<Duration> {
     let unit_at = text.find(|c: char| c.is_ascii_alphabetic())?;
     let (number, unit) = text.split_at(unit_at);
@@ -19,11 +19,11 @@
     Duration::try_from_secs_f64(number * unit_s).ok()
 }
 
-/// A duration that a script names, such as `500ms` or `10s`.
+/// A duration argument of a script command, such as `500ms` or `10s`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct DurationArg(pub Duration);
 
-/// A text is not a duration.
+/// The text is not a valid duration.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("`{0}` is not a duration such as `500ms`, `10s`, `2m` or `1h`")]
 pub struct DurationArgError(String);
--- a/crates/foxtide-testing/src/instance_list.rs
+++ b/crates/foxtide-testing/src/instance_list.rs
@@ -1,4 +1,4 @@
-//! The platform's list of live and leaving instances, which lags.
+//! Test server for the platform's list of instances, which lags behind changes.
 
 use crate::http::{
     Availability,
@@ -34,12 +34,12 @@
     Instant, //
 };
 
-/// How an [`InstanceListServer`] starts.
+/// Options of an [`InstanceListServer`].
 #[derive(Clone, Debug)]
 pub struct InstanceListOptions {
-    /// Where it listens; port 0, the default, lets the system choose.
+    /// The address to listen on; port 0, the default, picks a free port.
     pub address: SocketAddr,
-    /// How long a change takes to show; none by default.
+    /// The delay before a change becomes visible; zero by default.
     pub lag: Duration,
 }
 
@@ -52,34 +52,34 @@
     }
 }
 
-/// One line of the list.
+/// An instance in the list.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ListedInstance {
     /// The instance's name.
     pub instance: InstanceId,
-    /// Its region.
+    /// The instance's region.
     pub region: RegionId,
-    /// Its availability zone.
+    /// The instance's availability zone.
     pub availability_zone: AvailabilityZoneId,
-    /// Where callers reach it.
+    /// The address for callers.
     pub caller_address: SocketAddr,
-    /// Where other instances reach it.
+    /// The address for other instances.
     pub peer_address: SocketAddr,
-    /// Whether it is leaving.
+    /// Whether the instance is live or leaving.
     pub state: ListedState,
 }
 
-/// What the platform knows of an instance.
+/// The state of an instance in the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ListedState {
-    /// It runs.
+    /// The instance is running.
     Live,
-    /// Its stop was announced.
+    /// The instance's stop has been announced.
     Leaving,
 }
 
-/// The list as it became at one moment.
+/// The list from one point in time on.
 struct Snapshot {
     since: Instant,
     instances: Vec<ListedInstance>,
@@ -94,18 +94,18 @@
 
 struct ListEndpoint(Mutex<State>);
 
-/// A running stand-in for the list of instances.
+/// A running instance list server.
 pub struct InstanceListServer {
     server: Server<ListEndpoint>,
     endpoint: Arc<ListEndpoint>,
 }
 
 impl InstanceListServer {
-    /// Starts it with an empty list.
+    /// Starts a server with an empty list.
     ///
     /// # Errors
     ///
-    /// Fails where the address cannot be bound.
+    /// Fails if the address cannot be bound.
     pub async fn start(options: InstanceListOptions) -> io::Result<Self> {
         let empty = Snapshot {
             since: Instant::now(),
@@ -120,12 +120,12 @@
         Ok(Self { server, endpoint })
     }
 
-    /// Returns the address that it listens on.
+    /// Returns the listening address.
     pub fn address(&self) -> SocketAddr {
         self.server.address()
     }
 
-    /// Replaces the list; the change shows after the lag.
+    /// Replaces the list; the change becomes visible after the lag.
     pub fn set_instances(&self, instances: Vec<ListedInstance>) {
         let mut state = self.endpoint.0.lock();
         state.snapshots.push(Snapshot {
@@ -134,17 +134,17 @@
         });
     }
 
-    /// Changes how long a change takes to show.
+    /// Sets the delay before a change becomes visible.
     pub fn set_lag(&self, lag: Duration) {
         self.endpoint.0.lock().lag = lag;
     }
 
-    /// Changes whether it answers.
+    /// Sets whether the server accepts connections and answers.
     pub async fn set_availability(&self, availability: Availability) {
         self.server.set_availability(availability).await;
     }
 
-    /// Returns how often it was asked.
+    /// Returns the number of reads of the list.
     pub fn calls(&self) -> u64 {
         self.endpoint.0.lock().calls
     }
@@ -154,7 +154,6 @@
     fn visible(&mut self, now: Instant) -> Vec<ListedInstance> {
         let shown = |snapshot: &Snapshot| now.duration_since(snapshot.since) >= self.lag;
         let newest = self.snapshots.iter().rposition(shown).unwrap_or(0);
-        // What came before is never shown again, as lag only grows by hand.
         let instances = self.snapshots[newest].instances.clone();
         self.calls += 1;
         instances
--- a/crates/foxtide-testing/src/lib.rs
+++ b/crates/foxtide-testing/src/lib.rs
@@ -1,14 +1,14 @@
-//! Stand-ins for the platform that foxtide runs on, for tests and trials.
+//! Test servers that simulate the platform that foxtide runs on.
 //!
-//! Each stand-in listens on loopback, on a port of the system's choice unless
-//! one is named, runs on smol's global executor, and ends when its handle is
-//! dropped. Its faults are set on the handle while it runs.
+//! Each server listens on a free loopback port by default, runs on smol's
+//! global executor and stops when its handle is dropped. The handle injects
+//! faults while the server runs.
 //!
-//! * [`StoreServer`]: the key-value store with leases and watches.
+//! * [`StoreServer`]: the key-value store with sessions and blocking reads.
 //! * [`InstanceListServer`]: the platform's lagging list of instances.
-//! * [`UpstreamServer`]: one target of a service.
+//! * [`UpstreamServer`]: one upstream of a service.
 //!
-//! [`load_model`] plays load on a service without network, on virtual time.
+//! [`load_model`] simulates the load on a service in virtual time, without a network.
 
 mod client;
 mod duration;
