--- a/crates/foxtide-testing/tests/load_model.rs
+++ b/crates/foxtide-testing/tests/load_model.rs
@@ -1,4 +1,4 @@
-//! Patterns of load, played on the decisions of the core without network.
+//! Patterns of load, play_seeds on the decisions of the core without network.
 //!
 //! The figures are bounds that three seeds keep; they were set before the first run, and not
 //! drawn closer after it.
@@ -18,7 +18,7 @@
 
 const SEEDS: [u64; 3] = [1, 2, 3];
 
-fn played(settings: &LoadSettings) -> Vec<LoadOutcome> {
+fn play_seeds(settings: &LoadSettings) -> Vec<LoadOutcome> {
     SEEDS.iter().map(|&seed| play(settings, seed)).collect()
 }
 
@@ -27,10 +27,10 @@
 }
 
 fn worth(settings: &LoadSettings) -> f64 {
-    mean_worth(&played(settings))
+    mean_worth(&play_seeds(settings))
 }
 
-fn alone(settings: &LoadSettings) -> LoadSettings {
+fn without_coordination(settings: &LoadSettings) -> LoadSettings {
     LoadSettings {
         is_coordinated: false,
         ..settings.clone()
@@ -42,7 +42,7 @@
     LoadSettings::load(&directory.join(name)).unwrap()
 }
 
-fn high() -> LoadSettings {
+fn high_load() -> LoadSettings {
     load("high.jsonc")
 }
 
@@ -53,7 +53,7 @@
 
 #[test]
 fn verify_the_same_seed_gives_the_same_outcome() {
-    let settings = high();
+    let settings = high_load();
     assert_eq!(play(&settings, 7), play(&settings, 7));
 }
 
@@ -62,8 +62,11 @@
 /// nothing leaves in time.
 #[test]
 fn verify_full_queues_are_kept_short_by_coordination() {
-    let settings = high();
-    let (before, after) = (played(&alone(&settings)), played(&settings));
+    let settings = high_load();
+    let (before, after) = (
+        play_seeds(&without_coordination(&settings)),
+        play_seeds(&settings),
+    );
     let (worth_before, worth_after) = (mean_worth(&before), mean_worth(&after));
     assert!(
         worth_after > worth_before + 0.08,
@@ -83,7 +86,10 @@
         length_s: 12.0,
         ..LoadSettings::default()
     };
-    let (before, after) = (played(&alone(&settings)), played(&settings));
+    let (before, after) = (
+        play_seeds(&without_coordination(&settings)),
+        play_seeds(&settings),
+    );
     let from_third = |outcomes: &[LoadOutcome]| {
         let windows = outcomes.iter().flat_map(|one| &one.windows[2..]);
         let sums = windows.fold((0.0, 0), |sum, window| {
@@ -115,7 +121,7 @@
     for region in &mut settings.regions {
         region.rate_rps *= 1.3;
     }
-    assert!(worth(&settings) > worth(&alone(&settings)));
+    assert!(worth(&settings) > worth(&without_coordination(&settings)));
 }
 
 /// A region that keeps a part of its objects, by chance most of them on one of its three
@@ -136,11 +142,11 @@
 /// before; 15 to 30 were refused there each half second while other regions had room.
 #[test]
 fn verify_a_region_short_as_a_whole_moves_none_of_its_traffic() {
-    verify_traffic_stays(&at_its_peak());
+    verify_traffic_stays(&small_region_at_peak());
 }
 
 /// The small region at the peak of a day that swings by half.
-fn at_its_peak() -> LoadSettings {
+fn small_region_at_peak() -> LoadSettings {
     let mut settings = load("small-region.jsonc");
     settings.regions[1].rate_rps *= 1.5;
     settings
@@ -166,12 +172,12 @@
 /// budget is more than twice what was refused at the peak, but lies unevenly.
 #[test]
 fn verify_a_short_region_refuses_less_where_it_may_send_elsewhere() {
-    let settings = at_its_peak();
-    let without = played(&LoadSettings {
+    let settings = small_region_at_peak();
+    let without = play_seeds(&LoadSettings {
         may_overflow: false,
         ..settings.clone()
     });
-    let with = played(&settings);
+    let with = play_seeds(&settings);
     let refused = |outcomes: &[LoadOutcome]| sum_of(outcomes, Cause::RefusedNoSlot);
     let (before, after) = (refused(&without), refused(&with));
     assert!(after * 2 <= before, "{before} -> {after}");
@@ -182,14 +188,14 @@
 /// Callers who repeat at once and often: three of ten come back after 5 ms, up to three
 /// times.
 #[test]
-fn verify_callers_who_repeat_at_once_do_not_undo_it() {
+fn verify_immediate_retries_keep_the_gain_of_coordination() {
     let settings = LoadSettings {
         impatient_share: 0.3,
-        ..high()
+        ..high_load()
     };
-    let (before, after) = (worth(&alone(&settings)), worth(&settings));
+    let (before, after) = (worth(&without_coordination(&settings)), worth(&settings));
     assert!(after > before + 0.05, "{before:.3} -> {after:.3}");
-    assert!(after > worth(&high()) - 0.05);
+    assert!(after > worth(&high_load()) - 0.05);
 }
 
 /// Half of a service's requests are turned away by upstreams that have room.
@@ -205,7 +211,7 @@
         }],
         ..LoadSettings::default()
     };
-    assert!(worth(&settings) > worth(&alone(&settings)));
+    assert!(worth(&settings) > worth(&without_coordination(&settings)));
 }
 
 fn with_faults(kind: CoordinatorFaultKind, instances: usize) -> LoadSettings {
@@ -226,8 +232,11 @@
 /// fleet stays near to what it is without a fault, and above each instance alone.
 #[test]
 fn verify_coordinators_that_fail_cost_little() {
-    let well = worth(&with_faults(CoordinatorFaultKind::Killed, 0));
-    let without = worth(&alone(&with_faults(CoordinatorFaultKind::Killed, 0)));
+    let healthy = worth(&with_faults(CoordinatorFaultKind::Killed, 0));
+    let without = worth(&without_coordination(&with_faults(
+        CoordinatorFaultKind::Killed,
+        0,
+    )));
     for kind in [
         CoordinatorFaultKind::Killed,
         CoordinatorFaultKind::Paused,
@@ -235,7 +244,10 @@
         CoordinatorFaultKind::DoublyBelieved,
     ] {
         let faulty = worth(&with_faults(kind, 4));
-        assert!(faulty > well - 0.06, "{kind:?}: {faulty:.3} of {well:.3}");
+        assert!(
+            faulty > healthy - 0.06,
+            "{kind:?}: {faulty:.3} of {healthy:.3}"
+        );
         assert!(faulty > without, "{kind:?}: {faulty:.3} of {without:.3}");
     }
 }
--- a/crates/foxtide-testing/tests/store_server.rs
+++ b/crates/foxtide-testing/tests/store_server.rs
@@ -145,7 +145,7 @@
 }
 
 #[test]
-fn verify_an_outage_ends_where_it_began() {
+fn verify_an_outage_keeps_stored_values() {
     smol::block_on(async {
         let store = store().await;
         put(&store, KEY, "a").await;
--- a/crates/foxtide-testing/tests/upstream_server.rs
+++ b/crates/foxtide-testing/tests/upstream_server.rs
@@ -111,7 +111,7 @@
 }
 
 #[test]
-fn verify_wrong_answers_look_as_told() {
+fn verify_answer_faults_malform_the_answer() {
     smol::block_on(async {
         let upstream = upstream().await;
         let whole = raw_answer(&upstream).await;
@@ -136,7 +136,7 @@
 }
 
 #[test]
-fn verify_shedding_draining_and_lies_are_announced() {
+fn verify_answers_report_shedding_draining_and_a_fixed_load() {
     smol::block_on(async {
         let upstream = upstream().await;
         upstream.set_draining(true);
