--- a/crates/foxtide-testing/tests/load_model.rs
+++ b/crates/foxtide-testing/tests/load_model.rs
@@ -1,7 +1,4 @@
-//! Patterns of load, play_seeds on the decisions of the core without network.
-//!
-//! The figures are bounds that three seeds keep; they were set before the first run, and not
-//! drawn closer after it.
+//! Tests the core's decisions under simulated load patterns, without a network.
 
 use foxtide_testing::load_model::{
     Cause,
@@ -57,9 +54,8 @@
     assert_eq!(play(&settings, 7), play(&settings, 7));
 }
 
-/// Full queues: the regions' rates swing by 55 % around half of the slots while parts of
-/// the service are away. Where each instance decides alone, upstreams hold queues that
-/// nothing leaves in time.
+/// Guards against full upstream queues, whose requests all miss their deadline, while the
+/// load swings and part of the service is unavailable.
 #[test]
 fn verify_full_queues_are_kept_short_by_coordination() {
     let settings = high_load();
@@ -78,8 +74,8 @@
     assert!(arrivals(&after) < arrivals(&before));
 }
 
-/// First touches after a start: no upstream knows any object, and a first touch takes
-/// longer than the objective. What is left to gain is that no queue stays behind.
+/// Guards against queues that persist after a cold start, when the first request for each
+/// object exceeds the latency objective.
 #[test]
 fn verify_a_start_with_unknown_objects_is_over_in_seconds() {
     let settings = LoadSettings {
@@ -101,8 +97,7 @@
     assert!(from_third(&after) > 0.8, "{:.3}", from_third(&after));
 }
 
-/// A region short of upstreams: two of 18 for a third of the requests, so that most of
-/// its objects are served from far away by instances that do not ask.
+/// Guards against a loss of value when a region with too few upstreams depends on others.
 #[test]
 fn verify_a_region_short_of_upstreams_is_served_by_the_others() {
     let mut settings = LoadSettings {
@@ -124,35 +119,27 @@
     assert!(worth(&settings) > worth(&without_coordination(&settings)));
 }
 
-/// A region that keeps a part of its objects, by chance most of them on one of its three
-/// upstreams: what that refuses came back to the same region, so that after the end of new
-/// requests 0.8 of the region's requests were served at home where 0.2 had been. Those who
-/// come back have to find the room that the neighbours have, and what a region serves may
-/// move by 0.15 within 2 s. Twelve seeds are judged together: one has 4 to 31 requests in
-/// that time, of which a share says little.
+/// Guards against retries that all return to the region that refused them instead of using
+/// the free capacity of its neighbours.
 #[test]
 fn verify_callers_who_come_back_move_no_regions_traffic() {
     verify_traffic_stays(&load("small-region.jsonc"));
 }
 
-/// The same where the region asks for more than its part: shares take regions for alike in
-/// size, and one at the peak of its day is short as a whole. Its neighbours are full as well,
-/// and those who are refused come back to it. What was seen on a whole day: in the 2 s after
-/// the end of new requests the region served 26 of 45 at home, beside 353 of 1,973 in the 2 s
-/// before; 15 to 30 were refused there each half second while other regions had room.
+/// Guards against the same shift when the region's total demand exceeds its capacity.
 #[test]
 fn verify_a_region_short_as_a_whole_moves_none_of_its_traffic() {
     verify_traffic_stays(&small_region_at_peak());
 }
 
-/// The small region at the peak of a day that swings by half.
+/// Returns the settings of a small region at 1.5 times its rate.
 fn small_region_at_peak() -> LoadSettings {
     let mut settings = load("small-region.jsonc");
     settings.regions[1].rate_rps *= 1.5;
     settings
 }
 
-/// Judges twelve seeds together, three times.
+/// Pools twelve seeds per check, because one seed has too few requests in the window.
 fn verify_traffic_stays(settings: &LoadSettings) {
     for first in [1, 101, 201] {
         let seeds = first..first + 12;
@@ -167,9 +154,8 @@
     }
 }
 
-/// The same load: what the short region would refuse or serve late goes to the others as far
-/// as the instances may, and the worth of all is not less for it. Refusals halve, as the
-/// budget is more than twice what was refused at the peak, but lies unevenly.
+/// Guards against an overloaded region that refuses requests instead of sending them to
+/// other regions.
 #[test]
 fn verify_a_short_region_refuses_less_where_it_may_send_elsewhere() {
     let settings = small_region_at_peak();
@@ -185,8 +171,7 @@
     assert!(after >= before, "{before:.3} -> {after:.3}");
 }
 
-/// Callers who repeat at once and often: three of ten come back after 5 ms, up to three
-/// times.
+/// Guards against immediate retries that cancel the gain from coordination.
 #[test]
 fn verify_immediate_retries_keep_the_gain_of_coordination() {
     let settings = LoadSettings {
@@ -198,7 +183,8 @@
     assert!(after > worth(&high_load()) - 0.05);
 }
 
-/// Half of a service's requests are turned away by upstreams that have room.
+/// Guards against spreading a service's requests when its upstreams refuse them despite free
+/// capacity.
 #[test]
 fn verify_a_service_that_turns_requests_away_is_not_scattered() {
     let settings = LoadSettings {
@@ -228,8 +214,7 @@
     }
 }
 
-/// Coordinators that fail only cost a few milliseconds, and their requests go on: the
-/// fleet stays near to what it is without a fault, and above each instance alone.
+/// Guards against coordinator failures that cost more than coordination gains.
 #[test]
 fn verify_coordinators_that_fail_cost_little() {
     let healthy = worth(&with_faults(CoordinatorFaultKind::Killed, 0));
--- a/crates/foxtide-testing/tests/store_server.rs
+++ b/crates/foxtide-testing/tests/store_server.rs
@@ -1,4 +1,4 @@
-//! The store's stand-in keeps the rules of the API that it stands in for.
+//! Tests that the store test server follows Consul's HTTP API.
 
 use foxtide_testing::{
     Availability,
--- a/crates/foxtide-testing/tests/upstream_server.rs
+++ b/crates/foxtide-testing/tests/upstream_server.rs
@@ -1,4 +1,4 @@
-//! The upstream's stand-in keeps its limits and shows the faults it is told to.
+//! Tests the limits and injected faults of the upstream and instance list test servers.
 
 use foxtide_core::ids::InstanceId;
 use foxtide_testing::{
@@ -37,7 +37,7 @@
     http_call(upstream.address(), Method::Post, "/unlock", &headers, b"7").await
 }
 
-/// Sends one request and returns all that comes until the connection closes.
+/// Sends one request and returns all bytes received until the connection closes.
 async fn raw_answer(upstream: &UpstreamServer) -> String {
     let mut stream = TcpStream::connect(upstream.address()).await.unwrap();
     let request = b"GET /status HTTP/1.1\r\nhost: test\r\nconnection: close\r\n\r\n";
