--- a/crates/foxtidectl/src/write.rs
+++ b/crates/foxtidectl/src/change_document.rs
@@ -1,4 +1,4 @@
-//! How every command changes a document: show the difference, check, write.
+//! Validates, previews and writes changes to an organisation's document.
 
 use crate::failure::Failure;
 use crate::report::Report;
@@ -14,62 +14,63 @@
 use serde_json::json;
 use std::fmt::Write;
 
-/// A change that a command asks for.
+/// A change requested by a command.
 #[derive(Debug)]
-pub(crate) struct Edit {
-    /// What it started from.
+pub(crate) struct DocumentChange {
+    /// The stored document before the change; `None` for a new organisation.
     pub(crate) base: Option<StoredDocument>,
-    /// The document after it.
+    /// The document after the change.
     pub(crate) document: Organisation,
-    /// What it does, in one line.
+    /// A one-line summary for the history.
     pub(crate) summary: String,
 }
 
-/// Shows a change and, where the operator said `--yes`, has it accepted.
-pub(crate) async fn apply(session: &Session, edit: Edit) -> Result<Report, Failure> {
-    refuse_stale(session, edit.base.as_ref())?;
-    change::check(&edit.document)?;
-    let differences = change::differences(edit.base.as_ref(), &edit.document);
+/// Validates and previews a change and, with `--yes`, writes it.
+pub(crate) async fn apply(session: &Session, requested: DocumentChange) -> Result<Report, Failure> {
+    check_revision(session, requested.base.as_ref())?;
+    change::check(&requested.document)?;
+    let differences = change::differences(requested.base.as_ref(), &requested.document);
     if differences.is_empty() {
-        return Ok(unchanged(&edit));
+        return Ok(unchanged_report(&requested));
     }
     if !session.options().yes {
-        return Ok(shown(&edit, &differences));
+        return Ok(preview_report(&requested, &differences));
     }
     let request = ChangeRequest {
-        base: edit.base,
-        document: edit.document,
+        base: requested.base,
+        document: requested.document,
         author: session.options().author.clone(),
-        summary: edit.summary,
+        summary: requested.summary,
     };
     let accepted = match session.options().rebase {
         true => change::accept_rebased(session.store(), request).await?,
         false => change::accept(session.store(), request).await?,
     };
-    Ok(written(&accepted, &differences))
+    Ok(accepted_report(&accepted, &differences))
 }
 
-/// Refuses a change by an operator who has seen another revision.
-fn refuse_stale(session: &Session, base: Option<&StoredDocument>) -> Result<(), Failure> {
-    let Some(seen) = session.options().revision else {
+/// Returns a conflict unless the document is at the revision given with `--revision`.
+fn check_revision(session: &Session, base: Option<&StoredDocument>) -> Result<(), Failure> {
+    let Some(expected) = session.options().revision else {
         return Ok(());
     };
     let current = base.map_or(Revision::ZERO, |base| base.document.revision);
-    if current == seen {
+    if current == expected {
         return Ok(());
     }
-    let mut problem = format!("not accepted: {current} is in force, not {seen}");
+    let mut problem = format!("not accepted: the current revision is {current}, not {expected}");
     let history = base.map_or(&[][..], |base| &base.document.history);
-    for change in history.iter().filter(|change| change.revision > seen) {
+    for change in history.iter().filter(|change| change.revision > expected) {
         let (revision, author, summary) = (change.revision, &change.author, &change.summary);
         let _ = write!(problem, "\n  {revision} {author}: {summary}");
     }
-    let advice = format!("look at the changes, then run it again with --revision {current}");
+    let advice =
+        format!("review the changes, then run the command again with --revision {current}");
     Err(Failure::conflict(problem, advice))
 }
 
-fn unchanged(edit: &Edit) -> Report {
-    let revision = edit
+fn unchanged_report(requested: &DocumentChange) -> Report {
+    let revision = requested
         .base
         .as_ref()
         .map_or(Revision::ZERO, |base| base.document.revision);
@@ -80,26 +81,26 @@
     )
 }
 
-fn shown(edit: &Edit, differences: &[Difference]) -> Report {
-    let base = edit.base.as_ref().map(|base| base.document.revision);
+fn preview_report(requested: &DocumentChange, differences: &[Difference]) -> Report {
+    let base = requested.base.as_ref().map(|base| base.document.revision);
     let option = base.map_or(String::new(), |revision| format!(" --revision {revision}"));
     let text = format!(
         "{}\nNot written. Add --yes{option} before the command to write it.",
-        listed(differences)
+        difference_lines(differences)
     );
     Report::new(text, json!({"written": false, "differences": differences}))
 }
 
-fn written(accepted: &change::AcceptedChange, differences: &[Difference]) -> Report {
+fn accepted_report(accepted: &change::AcceptedChange, differences: &[Difference]) -> Report {
     let document = &accepted.document;
     let (organisation, revision) = (&document.organisation, document.revision);
-    let how = match accepted.settled {
+    let note = match accepted.settled {
         true => " (the answer was lost; found by reading)",
         false => "",
     };
     let text = format!(
-        "{}\nAccepted: {organisation} {revision}, change {}{how}.",
-        listed(differences),
+        "{}\nAccepted: {organisation} {revision}, change {}{note}.",
+        difference_lines(differences),
         document.change_id
     );
     let json = json!({
@@ -113,8 +114,8 @@
     Report::new(text, json)
 }
 
-/// Returns the differences, one a line.
-pub(crate) fn listed(differences: &[Difference]) -> String {
+/// Formats the differences, one per line.
+pub(crate) fn difference_lines(differences: &[Difference]) -> String {
     let lines = differences
         .iter()
         .map(|difference| format!("{difference}\n"));
--- a/crates/foxtidectl/src/commands/drain/status.rs
+++ b/crates/foxtidectl/src/commands/drain/status.rs
@@ -1,6 +1,6 @@
-//! `foxtidectl drain status`.
+//! `foxtidectl drain status`: lists the announced drains.
 
-use super::in_words;
+use super::describe;
 use crate::failure::Failure;
 use crate::report::{
     Report,
@@ -26,7 +26,7 @@
 }
 
 impl Status {
-    /// Lists the drains with their state by the clock.
+    /// Lists the drains with their state at the current time.
     pub(super) async fn run(self, session: &Session) -> Result<Report, Failure> {
         let document = session.load(&self.organisation).await?.document;
         let now = session.now();
@@ -34,9 +34,9 @@
         for drain in &document.drains {
             table.row([
                 drain.id.to_string(),
-                in_words(&drain.target),
+                describe(&drain.target),
                 state(drain, now),
-                remaining(&document, drain),
+                remaining_upstreams(&document, drain),
             ]);
         }
         Ok(Report::new(table.text(), json!(document.drains)))
@@ -50,18 +50,18 @@
     format!("since {} s", (now - drain.start_us).as_secs())
 }
 
-/// Tells how many upstreams of each touched service are left.
-fn remaining(document: &Organisation, drain: &Drain) -> String {
-    let touched = document.services.iter().filter_map(|service| {
+/// Formats the number of remaining upstreams of each affected service.
+fn remaining_upstreams(document: &Organisation, drain: &Drain) -> String {
+    let affected = document.services.iter().filter_map(|service| {
         let all = service.upstreams.len();
         let leaving = service
             .upstreams
             .iter()
             .filter(|upstream| match &drain.target {
                 DrainTarget::Upstream {
-                    service: of,
-                    upstream: id,
-                } => *of == service.service && *id == upstream.upstream,
+                    service: drained_service,
+                    upstream: drained_upstream,
+                } => *drained_service == service.service && *drained_upstream == upstream.upstream,
                 DrainTarget::AvailabilityZone(zone) => *zone == upstream.availability_zone,
                 DrainTarget::Region(region) => *region == upstream.region,
                 DrainTarget::Instance(_) => false,
@@ -69,5 +69,5 @@
         let leaving = leaving.count();
         (leaving > 0).then(|| format!("{} {}/{all}", service.service, all - leaving))
     });
-    touched.collect::<Vec<String>>().join(", ")
+    affected.collect::<Vec<String>>().join(", ")
 }
--- a/crates/foxtidectl/src/commands/explain/request/mod.rs
+++ b/crates/foxtidectl/src/commands/explain/request/mod.rs
@@ -1,17 +1,17 @@
-//! `foxtidectl explain request`.
+//! `foxtidectl explain request`: explains how one request was handled.
 
 mod cause;
-mod story;
-mod told;
+mod report;
+mod trace;
 
 use super::decisions;
-use crate::commands::lines;
+use crate::commands::log_lines;
 use crate::failure::Failure;
 use crate::report::Report;
 use crate::session::Session;
 use argh::FromArgs;
 use foxtide_core::events::RequestId;
-use story::Story;
+use trace::RequestTrace;
 
 /// Explain where a request went
 #[derive(Debug, FromArgs)]
@@ -28,17 +28,21 @@
 }
 
 impl Request {
-    /// Reads the lines that were given, or asks all instances.
+    /// Explains the request from the given log lines or, without any, from the instances.
     pub(super) async fn run(self, session: &Session) -> Result<Report, Failure> {
         if self.lines.is_empty() {
             let id: RequestId = self.id.parse()?;
-            return decisions::ask(session, &format!("request={id}"), "that request").await;
+            return decisions::explain(session, &format!("request={id}"), "that request").await;
         }
-        let lines = lines::read(&self.lines)?.events;
-        match Story::of(&self.id, &lines) {
-            Some(story) => Ok(told::report(&story)),
+        let lines = log_lines::read(&self.lines)?.events;
+        match RequestTrace::collect(&self.id, &lines) {
+            Some(trace) => Ok(report::report(&trace)),
             None => Err(Failure::refused(
-                format!("no line of {} tells of request {}", lines.len(), self.id),
+                format!(
+                    "none of the {} events mentions request {}",
+                    lines.len(),
+                    self.id
+                ),
                 "give the lines of all instances; look for lines-left-out (F1011) and \
                  lines-dropped (F1012) at the time of the request",
             )),
--- a/crates/foxtidectl/src/commands/losses/mod.rs
+++ b/crates/foxtidectl/src/commands/losses/mod.rs
@@ -1,13 +1,13 @@
-//! `foxtidectl losses`: where and when requests were late, refused or failed, and why.
+//! `foxtidectl losses`: summarises late, refused and failed requests from log lines.
 
-mod calls;
-mod objects;
+mod object_history;
 mod organisations;
 mod plot;
+mod report;
+mod store_calls;
 mod tally;
-mod told;
 
-use super::lines;
+use super::log_lines;
 use crate::failure::Failure;
 use crate::report::Report;
 use argh::FromArgs;
@@ -32,7 +32,7 @@
 }
 
 impl Losses {
-    /// Reads the lines and sums them up.
+    /// Reads the log lines and reports their summary.
     pub(crate) fn run(self) -> Result<Report, Failure> {
         if self.lines.is_empty() {
             return Err(Failure::refused(
@@ -46,8 +46,8 @@
                 "valid: a number of seconds above 0",
             ));
         }
-        let lines = lines::read(&self.lines)?;
-        let tally = Tally::of(&lines.events, self.window_s);
+        let lines = log_lines::read(&self.lines)?;
+        let tally = Tally::from_events(&lines.events, self.window_s);
         if let Some(svg) = &self.svg {
             plot::plot(svg, &tally).map_err(|error| {
                 Failure::refused(
@@ -56,6 +56,6 @@
                 )
             })?;
         }
-        Ok(told::report(&tally, &lines.unreadable))
+        Ok(report::report(&tally, &lines.unreadable))
     }
 }
--- a/crates/foxtidectl/src/commands/mod.rs
+++ b/crates/foxtidectl/src/commands/mod.rs
@@ -1,11 +1,11 @@
-//! The commands, one module each.
+//! The subcommands, one module each.
 
 pub(crate) mod blocks;
 pub(crate) mod check;
 pub(crate) mod drain;
 pub(crate) mod explain;
 pub(crate) mod instances;
-pub(crate) mod lines;
+pub(crate) mod log_lines;
 pub(crate) mod losses;
 pub(crate) mod movement;
 pub(crate) mod organisation;
--- a/crates/foxtidectl/src/commands/movement/resume.rs
+++ b/crates/foxtidectl/src/commands/movement/resume.rs
@@ -1,13 +1,13 @@
-//! `foxtidectl move resume`.
+//! `foxtidectl move resume`: continues a paused move.
 
-use super::pause::find;
+use super::pause::find_move;
+use crate::change_document::{
+    self,
+    DocumentChange, //
+};
 use crate::failure::Failure;
 use crate::report::Report;
 use crate::session::Session;
-use crate::write::{
-    self,
-    Edit, //
-};
 use argh::FromArgs;
 use foxtide_core::organisation::PlannedMove;
 use foxtide_core::time::WallTime;
@@ -25,25 +25,24 @@
 }
 
 impl Resume {
-    /// Shifts the start by the length of the pause, so that the position goes
-    /// on from where it was.
+    /// Shifts the start time by the length of the pause, so that the move continues
+    /// from its position.
     pub(super) async fn run(self, session: &Session) -> Result<Report, Failure> {
         let base = session.load(&self.organisation).await?;
         let mut document = base.document.clone();
-        resume(find(&mut document, &self.movement)?, session.now());
-        let edit = Edit {
+        resume(find_move(&mut document, &self.movement)?, session.now());
+        let edit = DocumentChange {
             base: Some(base),
             document,
             summary: format!("resume move {}", self.movement),
         };
-        write::apply(session, edit).await
+        change_document::apply(session, edit).await
     }
 }
 
-/// Lets a move go on from the position that it has.
+/// Resumes a move at its current position.
 ///
-/// An instance that learns of it late is behind for as long; it follows under
-/// the shift cap.
+/// Instances that receive the change late catch up within the shift cap.
 fn resume(movement: &mut PlannedMove, now: WallTime) {
     if let Some(paused) = movement.paused_us.take() {
         let moved_for = paused.since(movement.start_us);
--- a/crates/foxtidectl/src/commands/movement/start.rs
+++ b/crates/foxtidectl/src/commands/movement/start.rs
@@ -1,12 +1,12 @@
-//! `foxtidectl move start`.
+//! `foxtidectl move start`: schedules a move.
 
+use crate::change_document::{
+    self,
+    DocumentChange, //
+};
 use crate::failure::Failure;
 use crate::report::Report;
 use crate::session::Session;
-use crate::write::{
-    self,
-    Edit, //
-};
 use argh::FromArgs;
 use foxtide_core::ids::{
     MoveId,
@@ -18,9 +18,9 @@
 };
 use std::time::Duration;
 
-/// The default time until a move starts: longer than an accepted change takes
-/// to be in force on every instance.
-const START_IN_S: u32 = 20;
+/// The default delay before a move starts, longer than a change takes to reach all
+/// instances.
+const DEFAULT_START_DELAY_S: u32 = 20;
 
 /// Start moving a part of a region's traffic to another region
 #[derive(Debug, FromArgs)]
@@ -45,25 +45,24 @@
     #[argh(option)]
     pace: Option<String>,
     /// start it in this many seconds, default 20
-    #[argh(option, default = "START_IN_S")]
+    #[argh(option, default = "DEFAULT_START_DELAY_S")]
     in_s: u32,
 }
 
-/// A move as the command line describes it.
+/// A move as given on the command line.
 #[derive(Debug)]
 pub(super) struct MoveArguments {
-    /// The service.
     pub(super) service: String,
-    /// The region that gives.
+    /// The source region.
     pub(super) from: String,
-    /// The region that takes.
+    /// The receiving region.
     pub(super) to: String,
-    /// The part that moves.
+    /// The share of the source region's traffic.
     pub(super) share: String,
-    /// How fast.
+    /// The share that moves per second; the contract's shift cap by default.
     pub(super) pace: Option<String>,
-    /// The time until it starts.
-    pub(super) start_in: Duration,
+    /// The delay before the move starts.
+    pub(super) start_delay: Duration,
 }
 
 impl Start {
@@ -76,25 +75,25 @@
             to: self.to,
             share: self.share,
             pace: self.pace,
-            start_in: Duration::from_secs(self.in_s.into()),
+            start_delay: Duration::from_secs(self.in_s.into()),
         };
-        let movement = planned(session, &base.document, &arguments)?;
-        let summary = in_words(&movement);
+        let movement = build_move(session, &base.document, &arguments)?;
+        let summary = describe(&movement);
         let mut document = base.document.clone();
-        if !is_under_way(&document, &movement)? {
+        if !is_in_progress(&document, &movement)? {
             document.moves.push(movement);
         }
-        let edit = Edit {
+        let edit = DocumentChange {
             base: Some(base),
             document,
             summary,
         };
-        write::apply(session, edit).await
+        change_document::apply(session, edit).await
     }
 }
 
-/// Returns the move that the arguments describe.
-pub(super) fn planned(
+/// Builds the move from the arguments.
+pub(super) fn build_move(
     session: &Session,
     document: &Organisation,
     arguments: &MoveArguments,
@@ -114,28 +113,28 @@
         None => found.contract.shift_cap_share_per_s,
     };
     Ok(PlannedMove {
-        id: id_of(arguments)?,
+        id: move_id(arguments)?,
         service,
         from: arguments.from.parse()?,
         to: arguments.to.parse()?,
         share: arguments.share.parse()?,
         pace_share_per_s,
-        start_us: session.now() + arguments.start_in,
+        start_us: session.now() + arguments.start_delay,
         paused_us: None,
     })
 }
 
-/// Returns the move's name: the same for the same service and regions.
-fn id_of(arguments: &MoveArguments) -> Result<MoveId, Failure> {
+/// Derives the move's id from its service and regions.
+fn move_id(arguments: &MoveArguments) -> Result<MoveId, Failure> {
     let MoveArguments {
         service, from, to, ..
     } = arguments;
     Ok(format!("{service}-{from}-{to}").parse()?)
 }
 
-/// Tells whether the same move is in the document already, so that the command
-/// can be run again.
-fn is_under_way(document: &Organisation, movement: &PlannedMove) -> Result<bool, Failure> {
+/// Returns whether the document already contains the same move, which makes the command
+/// idempotent.
+fn is_in_progress(document: &Organisation, movement: &PlannedMove) -> Result<bool, Failure> {
     let Some(known) = document.moves.iter().find(|known| known.id == movement.id) else {
         return Ok(false);
     };
@@ -148,7 +147,7 @@
     Err(Failure::refused(problem, advice))
 }
 
-fn in_words(movement: &PlannedMove) -> String {
+fn describe(movement: &PlannedMove) -> String {
     let PlannedMove {
         service,
         from,
--- a/crates/foxtidectl/src/commands/timeline.rs
+++ b/crates/foxtidectl/src/commands/timeline.rs
@@ -1,4 +1,4 @@
-//! `foxtidectl timeline`.
+//! `foxtidectl timeline`: the merged events of all instances.
 
 use crate::admin;
 use crate::failure::Failure;
@@ -32,12 +32,12 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// How often `--follow` asks.
+/// The polling interval of `--follow`.
 const FOLLOW_PERIOD: Duration = Duration::from_secs(1);
 
-/// How far behind the newest shown event `--follow` still takes others in:
-/// they may come from slower instances.
-const FOLLOW_BACK: Duration = Duration::from_secs(10);
+/// How much older than the newest event shown an event may be to appear with
+/// `--follow`; events of slower instances arrive late.
+const FOLLOW_LOOKBACK: Duration = Duration::from_secs(10);
 
 /// Show the events of all instances in one causal order
 #[derive(Debug, FromArgs)]
@@ -73,20 +73,20 @@
         session: &Session,
         output: &mut dyn Write,
     ) -> Result<Report, Failure> {
-        let given = &session.options().admin;
+        let admin_addresses = &session.options().admin;
         let mut filter = self.filter();
         if self.follow {
-            return follow(given, filter, session.json(), output).await;
+            return follow(admin_addresses, filter, session.json(), output).await;
         }
         filter.limit = Some(self.limit);
-        let gathered = gather(given, &filter).await?;
-        let mut text: String = gathered.events.iter().map(line).collect();
-        for silent in &gathered.silent {
-            text.push_str(&format!("missing: {silent}\n"));
+        let fetched = fetch_events(admin_addresses, &filter).await?;
+        let mut text: String = fetched.events.iter().map(event_line).collect();
+        for error in &fetched.errors {
+            text.push_str(&format!("missing: {error}\n"));
         }
         Ok(Report::new(
             text,
-            json!({"events": gathered.events, "missing": gathered.silent}),
+            json!({"events": fetched.events, "missing": fetched.errors}),
         ))
     }
 
@@ -102,35 +102,38 @@
     }
 }
 
-/// The events of all instances that answered.
-struct Gathered {
+/// The events of the instances that responded, and the errors of the others.
+struct FetchedEvents {
     events: Vec<Event>,
-    silent: Vec<String>,
+    errors: Vec<String>,
 }
 
-async fn gather(given: &[SocketAddr], filter: &EventFilter) -> Result<Gathered, Failure> {
-    let addresses = admin::all_addresses(given).await?;
-    let answers = admin::ask_all(&addresses, &page(filter)).await?;
+async fn fetch_events(
+    admin_addresses: &[SocketAddr],
+    filter: &EventFilter,
+) -> Result<FetchedEvents, Failure> {
+    let addresses = admin::all_addresses(admin_addresses).await?;
+    let responses = admin::fetch_all(&addresses, &events_path(filter)).await?;
     let mut sources = Vec::new();
-    let mut silent = answers.silent;
-    for (address, value) in answers.pages {
-        let (events, unknown) = events_of(address, value);
+    let mut errors = responses.errors;
+    for (address, value) in responses.pages {
+        let (events, unknown) = parse_events(address, value);
         sources.push(events);
         if unknown > 0 {
             let what = format!("{unknown} event(s) of kinds that this version does not know");
-            silent.push(format!("instance {address}: {what}"));
+            errors.push(format!("instance {address}: {what}"));
         }
     }
     let events = merge(sources);
-    Ok(Gathered {
+    Ok(FetchedEvents {
         events: filter.select(events.iter()),
-        silent,
+        errors,
     })
 }
 
-/// Returns the events of a page, and how many cannot be read: an instance may
-/// be of another version.
-fn events_of(address: SocketAddr, page: Value) -> (Vec<Event>, usize) {
+/// Parses the events of a page and counts those that are invalid, for example from
+/// another version.
+fn parse_events(address: SocketAddr, page: Value) -> (Vec<Event>, usize) {
     let name = format!("instance {address}");
     let Value::Array(listed) = page else {
         return (Vec::new(), 1);
@@ -144,12 +147,12 @@
     (events, unknown)
 }
 
-/// Returns the page to ask for; the instances filter as well, to send less.
-fn page(filter: &EventFilter) -> String {
-    let mut page = "/v1/events?".to_owned();
+/// Returns the path of the events page with the filter as its query.
+fn events_path(filter: &EventFilter) -> String {
+    let mut path = "/v1/events?".to_owned();
     let mut add = |name: &str, value: Option<String>| {
         if let Some(value) = value {
-            page.push_str(&format!("{name}={value}&"));
+            path.push_str(&format!("{name}={value}&"));
         }
     };
     add(
@@ -168,11 +171,10 @@
         filter.since_us.map(|since| since.as_us().to_string()),
     );
     add("limit", filter.limit.map(|limit| limit.to_string()));
-    page.trim_end_matches(['&', '?']).to_owned()
+    path.trim_end_matches(['&', '?']).to_owned()
 }
 
-/// Returns an event as a line.
-fn line(event: &Event) -> String {
+fn event_line(event: &Event) -> String {
     let Event {
         clock, instance, ..
     } = event;
@@ -180,9 +182,9 @@
     format!("{time}+{} {instance} {event}\n", clock.counter)
 }
 
-/// Shows new events until the output is closed.
+/// Prints new events until the output is closed.
 async fn follow(
-    given: &[SocketAddr],
+    admin_addresses: &[SocketAddr],
     filter: EventFilter,
     json: bool,
     output: &mut dyn Write,
@@ -190,14 +192,16 @@
     let mut filter = filter;
     let mut shown: HashSet<(HybridTime, InstanceId)> = HashSet::new();
     loop {
-        let gathered = gather(given, &filter).await?;
-        for event in &gathered.events {
-            if shown.insert((event.clock, event.instance.clone())) && !show(event, json, output) {
+        let fetched = fetch_events(admin_addresses, &filter).await?;
+        for event in &fetched.events {
+            if shown.insert((event.clock, event.instance.clone()))
+                && !write_event(event, json, output)
+            {
                 return Ok(Report::new(String::new(), Value::Null));
             }
         }
         if let Some(newest) = shown.iter().map(|(clock, _)| clock.wall_us).max() {
-            let oldest = newest.saturating_sub(FOLLOW_BACK);
+            let oldest = newest.saturating_sub(FOLLOW_LOOKBACK);
             filter.since_us = Some(oldest);
             shown.retain(|(clock, _)| clock.wall_us >= oldest);
         }
@@ -205,11 +209,11 @@
     }
 }
 
-/// Writes an event. Tells whether the output still takes any.
-fn show(event: &Event, json: bool, output: &mut dyn Write) -> bool {
+/// Writes an event and returns whether the output is still open.
+fn write_event(event: &Event, json: bool, output: &mut dyn Write) -> bool {
     let text = match json {
         true => format!("{}\n", json!(event)),
-        false => line(event),
+        false => event_line(event),
     };
     output.write_all(text.as_bytes()).is_ok() && output.flush().is_ok()
 }
