--- a/crates/foxtide-testing/src/store/faults.rs
+++ b/crates/foxtide-testing/src/store/faults.rs
@@ -1,4 +1,4 @@
-//! The faults of the store that are in force.
+//! Holds the store's injected faults.
 
 use rand::rngs::StdRng;
 use rand::{
@@ -9,14 +9,14 @@
 use std::net::IpAddr;
 use std::time::Duration;
 
-/// The faults that are in force.
+/// The active faults.
 pub(super) struct Faults {
-    /// How long each call waits before it takes effect.
+    /// The delay before each call takes effect.
     pub(super) delay: Duration,
     pub(super) answers_to_lose: u32,
     pub(super) answer_loss_probability: f64,
-    pub(super) cut_off: BTreeSet<IpAddr>,
-    chance: StdRng,
+    pub(super) blocked: BTreeSet<IpAddr>,
+    rng: StdRng,
 }
 
 impl Faults {
@@ -25,22 +25,22 @@
             delay: Duration::ZERO,
             answers_to_lose: 0,
             answer_loss_probability: 0.0,
-            cut_off: BTreeSet::new(),
-            chance: StdRng::seed_from_u64(seed),
+            blocked: BTreeSet::new(),
+            rng: StdRng::seed_from_u64(seed),
         }
     }
 
-    /// Tells whether this caller gets no answers.
-    pub(super) fn is_cut(&self, caller: IpAddr) -> bool {
-        self.cut_off.contains(&caller)
+    /// Returns whether calls from this address stay unanswered.
+    pub(super) fn is_blocked(&self, caller: IpAddr) -> bool {
+        self.blocked.contains(&caller)
     }
 
-    /// Tells whether the answer to the change that just took effect is lost.
+    /// Decides whether to drop the answer to a change that has taken effect.
     pub(super) fn loses_answer(&mut self) -> bool {
         if self.answers_to_lose > 0 {
             self.answers_to_lose -= 1;
             return true;
         }
-        self.chance.random_bool(self.answer_loss_probability)
+        self.rng.random_bool(self.answer_loss_probability)
     }
 }
--- a/crates/foxtide-testing/tests/load_model.rs
+++ b/crates/foxtide-testing/tests/load_model.rs
@@ -1,7 +1,4 @@
-//! Patterns of load, played on the decisions of the core without network.
-//!
-//! The figures are bounds that three seeds keep; they were set before the first run, and not
-//! drawn closer after it.
+//! Tests the core's decisions under simulated load patterns, without a network.
 
 use foxtide_testing::load_model::{
     Cause,
@@ -18,7 +15,7 @@
 
 const SEEDS: [u64; 3] = [1, 2, 3];
 
-fn played(settings: &LoadSettings) -> Vec<LoadOutcome> {
+fn play_seeds(settings: &LoadSettings) -> Vec<LoadOutcome> {
     SEEDS.iter().map(|&seed| play(settings, seed)).collect()
 }
 
@@ -27,10 +24,10 @@
 }
 
 fn worth(settings: &LoadSettings) -> f64 {
-    mean_worth(&played(settings))
+    mean_worth(&play_seeds(settings))
 }
 
-fn alone(settings: &LoadSettings) -> LoadSettings {
+fn without_coordination(settings: &LoadSettings) -> LoadSettings {
     LoadSettings {
         is_coordinated: false,
         ..settings.clone()
@@ -42,7 +39,7 @@
     LoadSettings::load(&directory.join(name)).unwrap()
 }
 
-fn high() -> LoadSettings {
+fn high_load() -> LoadSettings {
     load("high.jsonc")
 }
 
@@ -53,17 +50,19 @@
 
 #[test]
 fn verify_the_same_seed_gives_the_same_outcome() {
-    let settings = high();
+    let settings = high_load();
     assert_eq!(play(&settings, 7), play(&settings, 7));
 }
 
-/// Full queues: the regions' rates swing by 55 % around half of the slots while parts of
-/// the service are away. Where each instance decides alone, upstreams hold queues that
-/// nothing leaves in time.
+/// Guards against full upstream queues, whose requests all miss their deadline, while the
+/// load swings and part of the service is unavailable.
 #[test]
 fn verify_full_queues_are_kept_short_by_coordination() {
-    let settings = high();
-    let (before, after) = (played(&alone(&settings)), played(&settings));
+    let settings = high_load();
+    let (before, after) = (
+        play_seeds(&without_coordination(&settings)),
+        play_seeds(&settings),
+    );
     let (worth_before, worth_after) = (mean_worth(&before), mean_worth(&after));
     assert!(
         worth_after > worth_before + 0.08,
@@ -75,15 +74,18 @@
     assert!(arrivals(&after) < arrivals(&before));
 }
 
-/// First touches after a start: no upstream knows any object, and a first touch takes
-/// longer than the objective. What is left to gain is that no queue stays behind.
+/// Guards against queues that persist after a cold start, when the first request for each
+/// object exceeds the latency objective.
 #[test]
 fn verify_a_start_with_unknown_objects_is_over_in_seconds() {
     let settings = LoadSettings {
         length_s: 12.0,
         ..LoadSettings::default()
     };
-    let (before, after) = (played(&alone(&settings)), played(&settings));
+    let (before, after) = (
+        play_seeds(&without_coordination(&settings)),
+        play_seeds(&settings),
+    );
     let from_third = |outcomes: &[LoadOutcome]| {
         let windows = outcomes.iter().flat_map(|one| &one.windows[2..]);
         let sums = windows.fold((0.0, 0), |sum, window| {
@@ -95,8 +97,7 @@
     assert!(from_third(&after) > 0.8, "{:.3}", from_third(&after));
 }
 
-/// A region short of upstreams: two of 18 for a third of the requests, so that most of
-/// its objects are served from far away by instances that do not ask.
+/// Guards against a loss of value when a region with too few upstreams depends on others.
 #[test]
 fn verify_a_region_short_of_upstreams_is_served_by_the_others() {
     let mut settings = LoadSettings {
@@ -115,38 +116,30 @@
     for region in &mut settings.regions {
         region.rate_rps *= 1.3;
     }
-    assert!(worth(&settings) > worth(&alone(&settings)));
+    assert!(worth(&settings) > worth(&without_coordination(&settings)));
 }
 
-/// A region that keeps a part of its objects, by chance most of them on one of its three
-/// upstreams: what that refuses came back to the same region, so that after the end of new
-/// requests 0.8 of the region's requests were served at home where 0.2 had been. Those who
-/// come back have to find the room that the neighbours have, and what a region serves may
-/// move by 0.15 within 2 s. Twelve seeds are judged together: one has 4 to 31 requests in
-/// that time, of which a share says little.
+/// Guards against retries that all return to the region that refused them instead of using
+/// the free capacity of its neighbours.
 #[test]
 fn verify_callers_who_come_back_move_no_regions_traffic() {
     verify_traffic_stays(&load("small-region.jsonc"));
 }
 
-/// The same where the region asks for more than its part: shares take regions for alike in
-/// size, and one at the peak of its day is short as a whole. Its neighbours are full as well,
-/// and those who are refused come back to it. What was seen on a whole day: in the 2 s after
-/// the end of new requests the region served 26 of 45 at home, beside 353 of 1,973 in the 2 s
-/// before; 15 to 30 were refused there each half second while other regions had room.
+/// Guards against the same shift when the region's total demand exceeds its capacity.
 #[test]
 fn verify_a_region_short_as_a_whole_moves_none_of_its_traffic() {
-    verify_traffic_stays(&at_its_peak());
+    verify_traffic_stays(&small_region_at_peak());
 }
 
-/// The small region at the peak of a day that swings by half.
-fn at_its_peak() -> LoadSettings {
+/// Returns the settings of a small region at 1.5 times its rate.
+fn small_region_at_peak() -> LoadSettings {
     let mut settings = load("small-region.jsonc");
     settings.regions[1].rate_rps *= 1.5;
     settings
 }
 
-/// Judges twelve seeds together, three times.
+/// Pools twelve seeds per check, because one seed has too few requests in the window.
 fn verify_traffic_stays(settings: &LoadSettings) {
     for first in [1, 101, 201] {
         let seeds = first..first + 12;
@@ -161,17 +154,16 @@
     }
 }
 
-/// The same load: what the short region would refuse or serve late goes to the others as far
-/// as the instances may, and the worth of all is not less for it. Refusals halve, as the
-/// budget is more than twice what was refused at the peak, but lies unevenly.
+/// Guards against an overloaded region that refuses requests instead of sending them to
+/// other regions.
 #[test]
 fn verify_a_short_region_refuses_less_where_it_may_send_elsewhere() {
-    let settings = at_its_peak();
-    let without = played(&LoadSettings {
+    let settings = small_region_at_peak();
+    let without = play_seeds(&LoadSettings {
         may_overflow: false,
         ..settings.clone()
     });
-    let with = played(&settings);
+    let with = play_seeds(&settings);
     let refused = |outcomes: &[LoadOutcome]| sum_of(outcomes, Cause::RefusedNoSlot);
     let (before, after) = (refused(&without), refused(&with));
     assert!(after * 2 <= before, "{before} -> {after}");
@@ -179,20 +171,20 @@
     assert!(after >= before, "{before:.3} -> {after:.3}");
 }
 
-/// Callers who repeat at once and often: three of ten come back after 5 ms, up to three
-/// times.
+/// Guards against immediate retries that cancel the gain from coordination.
 #[test]
-fn verify_callers_who_repeat_at_once_do_not_undo_it() {
+fn verify_immediate_retries_keep_the_gain_of_coordination() {
     let settings = LoadSettings {
         impatient_share: 0.3,
-        ..high()
+        ..high_load()
     };
-    let (before, after) = (worth(&alone(&settings)), worth(&settings));
+    let (before, after) = (worth(&without_coordination(&settings)), worth(&settings));
     assert!(after > before + 0.05, "{before:.3} -> {after:.3}");
-    assert!(after > worth(&high()) - 0.05);
+    assert!(after > worth(&high_load()) - 0.05);
 }
 
-/// Half of a service's requests are turned away by upstreams that have room.
+/// Guards against spreading a service's requests when its upstreams refuse them despite free
+/// capacity.
 #[test]
 fn verify_a_service_that_turns_requests_away_is_not_scattered() {
     let settings = LoadSettings {
@@ -205,7 +197,7 @@
         }],
         ..LoadSettings::default()
     };
-    assert!(worth(&settings) > worth(&alone(&settings)));
+    assert!(worth(&settings) > worth(&without_coordination(&settings)));
 }
 
 fn with_faults(kind: CoordinatorFaultKind, instances: usize) -> LoadSettings {
@@ -222,12 +214,14 @@
     }
 }
 
-/// Coordinators that fail only cost a few milliseconds, and their requests go on: the
-/// fleet stays near to what it is without a fault, and above each instance alone.
+/// Guards against coordinator failures that cost more than coordination gains.
 #[test]
 fn verify_coordinators_that_fail_cost_little() {
-    let well = worth(&with_faults(CoordinatorFaultKind::Killed, 0));
-    let without = worth(&alone(&with_faults(CoordinatorFaultKind::Killed, 0)));
+    let healthy = worth(&with_faults(CoordinatorFaultKind::Killed, 0));
+    let without = worth(&without_coordination(&with_faults(
+        CoordinatorFaultKind::Killed,
+        0,
+    )));
     for kind in [
         CoordinatorFaultKind::Killed,
         CoordinatorFaultKind::Paused,
@@ -235,7 +229,10 @@
         CoordinatorFaultKind::DoublyBelieved,
     ] {
         let faulty = worth(&with_faults(kind, 4));
-        assert!(faulty > well - 0.06, "{kind:?}: {faulty:.3} of {well:.3}");
+        assert!(
+            faulty > healthy - 0.06,
+            "{kind:?}: {faulty:.3} of {healthy:.3}"
+        );
         assert!(faulty > without, "{kind:?}: {faulty:.3} of {without:.3}");
     }
 }
--- a/crates/foxtide-testing/tests/upstream_server.rs
+++ b/crates/foxtide-testing/tests/upstream_server.rs
@@ -1,4 +1,4 @@
-//! The upstream's stand-in keeps its limits and shows the faults it is told to.
+//! Tests the limits and injected faults of the upstream and instance list test servers.
 
 use foxtide_core::ids::InstanceId;
 use foxtide_testing::{
@@ -37,7 +37,7 @@
     http_call(upstream.address(), Method::Post, "/unlock", &headers, b"7").await
 }
 
-/// Sends one request and returns all that comes until the connection closes.
+/// Sends one request and returns all bytes received until the connection closes.
 async fn raw_answer(upstream: &UpstreamServer) -> String {
     let mut stream = TcpStream::connect(upstream.address()).await.unwrap();
     let request = b"GET /status HTTP/1.1\r\nhost: test\r\nconnection: close\r\n\r\n";
@@ -111,7 +111,7 @@
 }
 
 #[test]
-fn verify_wrong_answers_look_as_told() {
+fn verify_answer_faults_malform_the_answer() {
     smol::block_on(async {
         let upstream = upstream().await;
         let whole = raw_answer(&upstream).await;
@@ -136,11 +136,11 @@
 }
 
 #[test]
-fn verify_shedding_draining_and_lies_are_announced() {
+fn verify_answers_report_shedding_draining_and_a_fixed_load() {
     smol::block_on(async {
         let upstream = upstream().await;
         upstream.set_draining(true);
-        upstream.set_load_report(LoadReport::Lying(0.0));
+        upstream.set_load_report(LoadReport::Fixed(0.0));
         let answer = unlock(&upstream, "k-1").await.unwrap();
         assert_eq!(answer.header("foxtide-upstream-state"), Some("draining"));
         let load = answer.header("endpoint-load-metrics").unwrap();
