--- a/crates/foxtide-testing/examples/load_model.rs
+++ b/crates/foxtide-testing/examples/load_model.rs
@@ -7,8 +7,8 @@
 use argh::FromArgs;
 use foxtide_testing::load_model::{
     LoadSettings,
-    play,
-    plot, //
+    plot,     //
+    simulate, //
 };
 use std::path::PathBuf;
 
@@ -39,9 +39,9 @@
         };
         for seed in arguments.seed..arguments.seed + arguments.seeds {
             println!("{} seed {seed}, each instance alone:", load.display());
-            println!("{}\n", play(&alone, seed));
+            println!("{}\n", simulate(&alone, seed));
             println!("{} seed {seed}, coordinated slots:", load.display());
-            println!("{}\n", play(&coordinated, seed));
+            println!("{}\n", simulate(&coordinated, seed));
         }
     }
     let (Some(path), Some(load)) = (&arguments.plot, arguments.loads.first()) else {
@@ -53,8 +53,8 @@
         ..coordinated.clone()
     };
     let (before, after) = (
-        play(&alone, arguments.seed),
-        play(&coordinated, arguments.seed),
+        simulate(&alone, arguments.seed),
+        simulate(&coordinated, arguments.seed),
     );
     let plays = [
         ("each instance alone", &before),
--- a/crates/foxtide-testing/src/load_model/callers.rs
+++ b/crates/foxtide-testing/src/load_model/callers.rs
@@ -10,10 +10,10 @@
     Stage, //
 };
 use super::settings::milliseconds;
-use super::world::{
+use super::simulation::{
     Event,
-    WINDOW_S,
-    World, //
+    Simulation, //
+    WINDOW_S,   //
 };
 use foxtide_core::admission::Ending;
 use foxtide_core::placement::ObjectKey;
@@ -30,7 +30,7 @@
 pub(super) const IMPATIENT_MS: f64 = 5.0;
 pub(super) const RETRY_AFTER_MS: f64 = 300.0;
 
-impl World<'_> {
+impl Simulation<'_> {
     pub(super) fn schedule_arrival(&mut self, region: usize) {
         let load = &self.settings.regions[region];
         let phase = region as f64 / self.settings.regions.len() as f64;
@@ -40,11 +40,11 @@
         let draw: f64 = self.arrivals.random();
         let pause_s = -(1.0 - draw).ln() / rate_rps;
         if self.elapsed_s() + pause_s < self.settings.length_s {
-            self.after(milliseconds(pause_s * 1_000.0), Event::Arise(region));
+            self.after(milliseconds(pause_s * 1_000.0), Event::Arrival(region));
         }
     }
 
-    pub(super) fn arise(&mut self, region: usize) {
+    pub(super) fn arrive(&mut self, region: usize) {
         self.schedule_arrival(region);
         let object = self
             .random
@@ -67,14 +67,14 @@
             is_answered: false,
         };
         self.window_of(&request).asked += 1;
-        self.take_in(request);
+        self.assign_instance(request);
     }
 
-    pub(super) fn come_back(&mut self, former: RequestId) {
+    pub(super) fn retry(&mut self, former: RequestId) {
         let Some(former) = self.requests.remove(&former) else {
             return;
         };
-        self.take_in(Request {
+        self.assign_instance(Request {
             came_at: self.now,
             returns: former.returns + 1,
             refusals: 0,
@@ -85,7 +85,7 @@
     }
 
     /// An instance of the caller's region gets an attempt.
-    pub(super) fn take_in(&mut self, mut request: Request) {
+    pub(super) fn assign_instance(&mut self, mut request: Request) {
         let of_region: Vec<usize> = (0..self.fleet.instances.len())
             .filter(|&number| self.fleet.instances[number].region == request.region)
             .collect();
@@ -100,11 +100,11 @@
         let id = RequestId(self.next_request);
         self.next_request += 1;
         self.requests.insert(id, request);
-        self.after(self.settings.limit(), Event::Limit(id));
-        self.ask(id);
+        self.after(self.settings.limit(), Event::RouteTimeout(id));
+        self.request_slot(id);
     }
 
-    pub(super) fn limit(&mut self, id: RequestId) {
+    pub(super) fn route_timeout(&mut self, id: RequestId) {
         let Some(request) = self.requests.get(&id) else {
             return;
         };
@@ -123,7 +123,7 @@
 
     /// An attempt has ended without an answer; its caller may come back.
     pub(super) fn end(&mut self, id: RequestId, cause: Cause, retry_after: Duration) {
-        self.tell_end(id, Ending::NotServed);
+        self.report_end(id, Ending::NotServed);
         self.known.remove(&id);
         let Some(request) = self.requests.get_mut(&id) else {
             return;
@@ -140,7 +140,7 @@
             } else {
                 retry_after
             };
-            self.after(wait, Event::ComeBack(id));
+            self.after(wait, Event::Retry(id));
             return;
         }
         if request.returns > 0 && matches!(cause, Cause::RefusedNoSlot | Cause::RefusedByUpstream) {
--- a/crates/foxtide-testing/src/load_model/faults.rs
+++ b/crates/foxtide-testing/src/load_model/faults.rs
@@ -7,16 +7,16 @@
     UpstreamFaultKind,
     milliseconds, //
 };
-use super::world::{
+use super::simulation::{
     Event,
-    World, //
+    Simulation, //
 };
 use std::time::Duration;
 
 /// How long an instance that is gone is still believed in: its lease.
 const LEASE_MS: f64 = 2_200.0;
 
-impl World<'_> {
+impl Simulation<'_> {
     pub(super) fn upstream_fault(&mut self, number: usize, begins: bool) {
         let fault = self.settings.upstream_faults[number];
         let count = self.upstreams.len();
@@ -54,19 +54,19 @@
                     Duration::ZERO
                 };
                 let is_alive = !begins;
-                self.after(time, Event::Believe { instance, is_alive });
+                self.after(time, Event::MembershipChange { instance, is_alive });
             }
             CoordinatorFaultKind::DoublyBelieved => {
                 // One half of the instances believes in it, the other does not.
-                for asker in (0..self.fleet.instances.len()).step_by(2) {
-                    self.fleet.believe(asker, instance, !begins);
+                for requester in (0..self.fleet.instances.len()).step_by(2) {
+                    self.fleet.set_alive(requester, instance, !begins);
                 }
             }
             CoordinatorFaultKind::Paused => {
-                let (mine, others): (Vec<_>, Vec<_>) = std::mem::take(&mut self.unheard)
+                let (mine, others): (Vec<_>, Vec<_>) = std::mem::take(&mut self.undelivered)
                     .into_iter()
                     .partition(|(coordinator, _)| *coordinator == instance);
-                self.unheard = others;
+                self.undelivered = others;
                 for (_, event) in mine {
                     self.after(Duration::ZERO, event);
                 }
--- a/crates/foxtide-testing/src/load_model/fleet.rs
+++ b/crates/foxtide-testing/src/load_model/fleet.rs
@@ -180,19 +180,19 @@
         self.region_of(upstream) == region
     }
 
-    /// Returns the instance that `asker` takes for the coordinator of an upstream.
-    pub(super) fn coordinator(&self, asker: usize, upstream: usize) -> Option<usize> {
+    /// Returns the instance that `requester` takes for the coordinator of an upstream.
+    pub(super) fn coordinator(&self, requester: usize, upstream: usize) -> Option<usize> {
         let (name, region) = &self.upstreams[upstream];
-        let members = &self.instances[asker].members;
+        let members = &self.instances[requester].members;
         let member = members.coordinator(name, &self.regions[*region])?;
         Some(number_of(member))
     }
 
-    /// Sets whether `asker` believes that `instance` is alive.
-    pub(super) fn believe(&mut self, asker: usize, instance: usize, is_alive: bool) {
+    /// Sets whether `requester` believes that `instance` is alive.
+    pub(super) fn set_alive(&mut self, requester: usize, instance: usize, is_alive: bool) {
         let region = self.regions[self.instances[instance].region].clone();
         let member = member(instance, &region);
-        let members = &mut self.instances[asker].members;
+        let members = &mut self.instances[requester].members;
         if is_alive {
             members.join(member, MonotonicTime::ZERO);
         } else {
@@ -200,7 +200,7 @@
         }
     }
 
-    /// Returns the address of an instance as an asker.
+    /// Returns the address of an instance as an requester.
     pub(super) fn address(instance: usize) -> SocketAddr {
         let port = 10_000 + u16::try_from(instance).expect("a model has few instances");
         SocketAddr::from((Ipv4Addr::LOCALHOST, port))
--- a/crates/foxtide-testing/src/load_model/mod.rs
+++ b/crates/foxtide-testing/src/load_model/mod.rs
@@ -9,7 +9,6 @@
 //!
 //! Everything is drawn from a seed: the same load and seed give the same outcome.
 
-mod asking;
 mod callers;
 mod faults;
 mod fleet;
@@ -19,8 +18,9 @@
 mod serving;
 mod settings;
 mod shift;
+mod simulation;
+mod slot_requests;
 mod upstream;
-mod world;
 
 pub use outcome::{
     Cause,
@@ -41,4 +41,4 @@
     Served,
     Shift, //
 };
-pub use world::play;
+pub use simulation::simulate;
--- a/crates/foxtide-testing/src/load_model/serving.rs
+++ b/crates/foxtide-testing/src/load_model/serving.rs
@@ -8,24 +8,24 @@
 };
 use super::settings::milliseconds;
 use super::shift::Served;
+use super::simulation::{
+    Event,
+    LOAD_SAMPLE_PERIOD_MS,
+    Simulation, //
+    WINDOW_S,   //
+};
 use super::upstream::{
     Limits,
     Reception,
     Upstream, //
 };
-use super::world::{
-    Event,
-    LOOK_MS,
-    WINDOW_S,
-    World, //
-};
 use foxtide_core::admission::Ending;
 use rand::RngExt;
 
 /// The most upstreams to which one request is sent.
 const ATTEMPTS_MAX: u32 = 2;
 
-impl World<'_> {
+impl Simulation<'_> {
     pub(super) fn send(&mut self, id: RequestId) {
         let Some(request) = self.requests.get_mut(&id) else {
             return;
@@ -37,10 +37,10 @@
             origin: region,
             region: self.fleet.region_of(upstream),
         });
-        self.after(self.delay(region, upstream), Event::Reach(id));
+        self.after(self.delay(region, upstream), Event::ReachUpstream(id));
     }
 
-    pub(super) fn reach(&mut self, id: RequestId) {
+    pub(super) fn reach_upstream(&mut self, id: RequestId) {
         let Some(request) = self.requests.get(&id) else {
             return;
         };
@@ -79,12 +79,12 @@
         let spread = 1.0 + draws * 3.0_f64.sqrt() * self.settings.work_spread;
         let work_ms = self.settings.work_ms * part * spread.max(0.1);
         let time = milliseconds(work_ms * self.upstreams[upstream].slowness);
-        self.after(time, Event::Worked(id));
+        self.after(time, Event::ServiceComplete(id));
     }
 
     /// An upstream that refused is followed by the object's next one, once.
     pub(super) fn refused(&mut self, id: RequestId) {
-        self.tell_end(id, Ending::NotServed);
+        self.report_end(id, Ending::NotServed);
         let Some(request) = self.requests.get_mut(&id) else {
             return;
         };
@@ -102,13 +102,13 @@
             Some(next) if refusals < ATTEMPTS_MAX => {
                 request.stage = Stage::Patient;
                 request.upstream = next;
-                self.ask(id);
+                self.request_slot(id);
             }
             _ => self.end(id, Cause::RefusedByUpstream, milliseconds(RETRY_AFTER_MS)),
         }
     }
 
-    pub(super) fn worked(&mut self, id: RequestId) {
+    pub(super) fn service_complete(&mut self, id: RequestId) {
         let Some(request) = self.requests.get(&id) else {
             return;
         };
@@ -128,7 +128,7 @@
     }
 
     pub(super) fn replied(&mut self, id: RequestId) {
-        self.tell_end(id, Ending::Served);
+        self.report_end(id, Ending::Served);
         let Some(request) = self.requests.remove(&id) else {
             return;
         };
@@ -152,12 +152,12 @@
         *self.outcome.causes.entry(cause).or_default() += 1;
     }
 
-    pub(super) fn look(&mut self) {
+    pub(super) fn sample_load(&mut self) {
         let load: usize = self.upstreams.iter().map(Upstream::load).sum();
         let number = (self.elapsed_s() / WINDOW_S) as usize;
         if let Some(window) = self.outcome.windows.get_mut(number) {
             window.queued_max = window.queued_max.max(load);
-            self.after(milliseconds(LOOK_MS), Event::Look);
+            self.after(milliseconds(LOAD_SAMPLE_PERIOD_MS), Event::SampleLoad);
         }
     }
 }
--- a/crates/foxtide-testing/src/load_model/world.rs
+++ b/crates/foxtide-testing/src/load_model/simulation.rs
@@ -30,21 +30,21 @@
 use std::time::Duration;
 
 /// How often the load of upstreams is looked at, and the length of a window.
-pub(super) const LOOK_MS: f64 = 100.0;
+pub(super) const LOAD_SAMPLE_PERIOD_MS: f64 = 100.0;
 pub(super) const WINDOW_S: f64 = 2.0;
 
 /// What happens next.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum Event {
-    Arise(usize),
-    ComeBack(RequestId),
-    AskAgain(RequestId),
-    AnswerLate(RequestId),
-    Heard {
+    Arrival(usize),
+    Retry(RequestId),
+    RepeatSlotRequest(RequestId),
+    AnswerTimeout(RequestId),
+    SlotRequested {
         request: RequestId,
         coordinator: usize,
         patience: Patience,
-        is_question: bool,
+        expects_answer: bool,
     },
     Ended {
         request: RequestId,
@@ -55,11 +55,11 @@
         request: RequestId,
         answer: Answer,
     },
-    Reach(RequestId),
+    ReachUpstream(RequestId),
     Refused(RequestId),
-    Worked(RequestId),
+    ServiceComplete(RequestId),
     Replied(RequestId),
-    Limit(RequestId),
+    RouteTimeout(RequestId),
     UpstreamFault {
         number: usize,
         begins: bool,
@@ -68,11 +68,11 @@
         number: usize,
         begins: bool,
     },
-    Believe {
+    MembershipChange {
         instance: usize,
         is_alive: bool,
     },
-    Look,
+    SampleLoad,
 }
 
 struct Scheduled {
@@ -103,13 +103,13 @@
 }
 
 /// Plays a load with a seed.
-pub fn play(settings: &LoadSettings, seed: u64) -> LoadOutcome {
-    let mut world = World::new(settings, seed);
-    world.run();
-    world.outcome
+pub fn simulate(settings: &LoadSettings, seed: u64) -> LoadOutcome {
+    let mut simulation = Simulation::new(settings, seed);
+    simulation.run();
+    simulation.outcome
 }
 
-pub(super) struct World<'a> {
+pub(super) struct Simulation<'a> {
     pub(super) settings: &'a LoadSettings,
     /// What arises, so that the same load comes whatever is decided.
     pub(super) arrivals: StdRng,
@@ -121,18 +121,18 @@
     pub(super) upstreams: Vec<Upstream>,
     pub(super) requests: HashMap<RequestId, Request>,
     /// Events that an instance has not heard since it stands still.
-    pub(super) unheard: Vec<(usize, Event)>,
+    pub(super) undelivered: Vec<(usize, Event)>,
     /// Work that is under way: whether its object was known.
     pub(super) known: HashMap<RequestId, bool>,
     pub(super) next_request: u64,
     pub(super) outcome: LoadOutcome,
 }
 
-impl<'a> World<'a> {
+impl<'a> Simulation<'a> {
     fn new(settings: &'a LoadSettings, seed: u64) -> Self {
         let count = settings.regions.iter().map(|region| region.upstreams).sum();
         let windows = (settings.length_s / WINDOW_S).ceil() as usize;
-        let mut world = Self {
+        let mut simulation = Self {
             settings,
             arrivals: StdRng::seed_from_u64(seed),
             random: StdRng::seed_from_u64(seed.wrapping_add(1)),
@@ -142,7 +142,7 @@
             fleet: Fleet::new(settings),
             upstreams: (0..count).map(|_| Upstream::new()).collect(),
             requests: HashMap::new(),
-            unheard: Vec::new(),
+            undelivered: Vec::new(),
             known: HashMap::new(),
             next_request: 0,
             outcome: LoadOutcome {
@@ -151,10 +151,10 @@
             },
         };
         for region in 0..settings.regions.len() {
-            world.schedule_arrival(region);
+            simulation.schedule_arrival(region);
         }
         for (number, fault) in settings.upstream_faults.iter().enumerate() {
-            world.at_s(
+            simulation.at_s(
                 fault.at_s,
                 Event::UpstreamFault {
                     number,
@@ -162,7 +162,7 @@
                 },
             );
             let ends_s = fault.at_s + fault.for_s;
-            world.at_s(
+            simulation.at_s(
                 ends_s,
                 Event::UpstreamFault {
                     number,
@@ -171,7 +171,7 @@
             );
         }
         for (number, fault) in settings.coordinator_faults.iter().enumerate() {
-            world.at_s(
+            simulation.at_s(
                 fault.at_s,
                 Event::CoordinatorFault {
                     number,
@@ -179,7 +179,7 @@
                 },
             );
             let ends_s = fault.at_s + fault.for_s;
-            world.at_s(
+            simulation.at_s(
                 ends_s,
                 Event::CoordinatorFault {
                     number,
@@ -187,14 +187,14 @@
                 },
             );
         }
-        world.after(milliseconds(LOOK_MS), Event::Look);
-        world
+        simulation.after(milliseconds(LOAD_SAMPLE_PERIOD_MS), Event::SampleLoad);
+        simulation
     }
 
     fn run(&mut self) {
         while let Some(next) = self.events.pop() {
             self.now = next.at;
-            self.happen(next.event);
+            self.dispatch(next.event);
         }
     }
 
@@ -215,29 +215,29 @@
         (self.now - MonotonicTime::from_ms(1_000)).as_secs_f64()
     }
 
-    fn happen(&mut self, event: Event) {
+    fn dispatch(&mut self, event: Event) {
         match event {
-            Event::Arise(region) => self.arise(region),
-            Event::ComeBack(request) => self.come_back(request),
-            Event::AskAgain(request) => self.ask_again(request),
-            Event::AnswerLate(request) => self.answer_late(request),
-            Event::Heard { coordinator, .. } | Event::Ended { coordinator, .. } => {
-                self.hear(coordinator, event);
+            Event::Arrival(region) => self.arrive(region),
+            Event::Retry(request) => self.retry(request),
+            Event::RepeatSlotRequest(request) => self.repeat_slot_request(request),
+            Event::AnswerTimeout(request) => self.answer_timeout(request),
+            Event::SlotRequested { coordinator, .. } | Event::Ended { coordinator, .. } => {
+                self.deliver(coordinator, event);
             }
-            Event::Answered { request, answer } => self.answered(request, answer),
-            Event::Reach(request) => self.reach(request),
+            Event::Answered { request, answer } => self.handle_answer(request, answer),
+            Event::ReachUpstream(request) => self.reach_upstream(request),
             Event::Refused(request) => self.refused(request),
-            Event::Worked(request) => self.worked(request),
+            Event::ServiceComplete(request) => self.service_complete(request),
             Event::Replied(request) => self.replied(request),
-            Event::Limit(request) => self.limit(request),
+            Event::RouteTimeout(request) => self.route_timeout(request),
             Event::UpstreamFault { number, begins } => self.upstream_fault(number, begins),
             Event::CoordinatorFault { number, begins } => self.coordinator_fault(number, begins),
-            Event::Believe { instance, is_alive } => {
-                for asker in 0..self.fleet.instances.len() {
-                    self.fleet.believe(asker, instance, is_alive);
+            Event::MembershipChange { instance, is_alive } => {
+                for requester in 0..self.fleet.instances.len() {
+                    self.fleet.set_alive(requester, instance, is_alive);
                 }
             }
-            Event::Look => self.look(),
+            Event::SampleLoad => self.sample_load(),
         }
     }
 }
--- a/crates/foxtide-testing/src/load_model/asking.rs
+++ b/crates/foxtide-testing/src/load_model/slot_requests.rs
@@ -10,9 +10,9 @@
     CoordinatorFaultKind,
     milliseconds, //
 };
-use super::world::{
+use super::simulation::{
     Event,
-    World, //
+    Simulation, //
 };
 use foxtide_core::admission::{
     AddressedAnswer,
@@ -28,8 +28,8 @@
 };
 
 /// What the gateway's settings say by default, in milliseconds.
-const ANSWER_TIME_MS: f64 = 40.0;
-const ASK_AGAIN_PERIOD_MS: f64 = 150.0;
+const ANSWER_TIMEOUT_MS: f64 = 40.0;
+const SLOT_REQUEST_PERIOD_MS: f64 = 150.0;
 
 /// The number alone names a request here, whichever instance has it.
 fn ticket(id: RequestId) -> Ticket {
@@ -39,51 +39,54 @@
     }
 }
 
-impl World<'_> {
-    /// Asks the coordinator of the request's upstream, or sends where none is asked.
-    pub(super) fn ask(&mut self, id: RequestId) {
+impl Simulation<'_> {
+    /// Asks the coordinator of the request's upstream, or sends where none is slot_request.
+    pub(super) fn request_slot(&mut self, id: RequestId) {
         let Some(request) = self.requests.get_mut(&id) else {
             return;
         };
         request.is_answered = false;
-        let (asker, upstream, region) = (request.instance, request.upstream, request.region);
+        let (requester, upstream, region) = (request.instance, request.upstream, request.region);
         let patience = match request.stage {
             Stage::Own => Patience::WithinObjective,
             Stage::Second => Patience::NoWait,
             Stage::Patient => Patience::UntilDeadline,
             Stage::Sent | Stage::Ended => return,
         };
-        let coordinator = self.fleet.coordinator(asker, upstream);
+        let coordinator = self.fleet.coordinator(requester, upstream);
         let (true, Some(coordinator)) = (self.settings.is_coordinated, coordinator) else {
             return self.send(id);
         };
         let is_near = self.fleet.is_near(region, upstream);
-        let event = Event::Heard {
+        let event = Event::SlotRequested {
             request: id,
             coordinator,
             patience,
-            is_question: is_near,
+            expects_answer: is_near,
         };
         self.after(self.delay(region, upstream), event);
         if is_near {
-            self.after(milliseconds(ANSWER_TIME_MS), Event::AnswerLate(id));
-            self.after(milliseconds(ASK_AGAIN_PERIOD_MS), Event::AskAgain(id));
+            self.after(milliseconds(ANSWER_TIMEOUT_MS), Event::AnswerTimeout(id));
+            self.after(
+                milliseconds(SLOT_REQUEST_PERIOD_MS),
+                Event::RepeatSlotRequest(id),
+            );
         } else {
             self.send(id);
         }
     }
 
-    pub(super) fn ask_again(&mut self, id: RequestId) {
+    pub(super) fn repeat_slot_request(&mut self, id: RequestId) {
         let is_waiting = self.requests.get(&id).is_some_and(|request| {
             request.is_answered && matches!(request.stage, Stage::Own | Stage::Patient)
         });
         if is_waiting {
-            self.ask(id);
+            self.request_slot(id);
         }
     }
 
     /// Without an answer the request is sent, and the coordinator is told.
-    pub(super) fn answer_late(&mut self, id: RequestId) {
+    pub(super) fn answer_timeout(&mut self, id: RequestId) {
         let Some(request) = self.requests.get(&id) else {
             return;
         };
@@ -91,13 +94,13 @@
         if !is_waiting || request.is_answered {
             return;
         }
-        let (asker, upstream, region) = (request.instance, request.upstream, request.region);
-        if let Some(coordinator) = self.fleet.coordinator(asker, upstream) {
-            let event = Event::Heard {
+        let (requester, upstream, region) = (request.instance, request.upstream, request.region);
+        if let Some(coordinator) = self.fleet.coordinator(requester, upstream) {
+            let event = Event::SlotRequested {
                 request: id,
                 coordinator,
                 patience: Patience::UntilDeadline,
-                is_question: false,
+                expects_answer: false,
             };
             self.after(self.delay(region, upstream), event);
         }
@@ -105,36 +108,42 @@
     }
 
     /// A coordinator hears a question or of an end, unless it does not run.
-    pub(super) fn hear(&mut self, coordinator: usize, event: Event) {
+    pub(super) fn deliver(&mut self, coordinator: usize, event: Event) {
         match self.fleet.instances[coordinator].fault {
             Some(CoordinatorFaultKind::Killed) => {}
-            Some(CoordinatorFaultKind::Paused) => self.unheard.push((coordinator, event)),
-            Some(CoordinatorFaultKind::Mute) => drop(self.coordinate(coordinator, event)),
+            Some(CoordinatorFaultKind::Paused) => self.undelivered.push((coordinator, event)),
+            Some(CoordinatorFaultKind::Mute) => {
+                drop(self.handle_at_coordinator(coordinator, event))
+            }
             Some(CoordinatorFaultKind::DoublyBelieved) | None => {
-                let answers = self.coordinate(coordinator, event);
-                self.tell(answers);
+                let answers = self.handle_at_coordinator(coordinator, event);
+                self.send_answers(answers);
             }
         }
     }
 
-    pub(super) fn coordinate(&mut self, coordinator: usize, event: Event) -> Vec<AddressedAnswer> {
+    pub(super) fn handle_at_coordinator(
+        &mut self,
+        coordinator: usize,
+        event: Event,
+    ) -> Vec<AddressedAnswer> {
         let now = self.now;
         let slots = self.settings.slots;
         match event {
-            Event::Heard {
+            Event::SlotRequested {
                 request,
                 patience,
-                is_question,
+                expects_answer,
                 ..
             } => {
-                let Some(asked) = self.slot_request(request, patience) else {
+                let Some(slot_request) = self.slot_request(request, patience) else {
                     return Vec::new();
                 };
                 let own = &mut self.fleet.instances[coordinator].coordinator;
-                if is_question {
-                    return own.ask(&asked, slots, now);
+                if expects_answer {
+                    return own.ask(&slot_request, slots, now);
                 }
-                own.record_ungranted(&asked, slots, now);
+                own.record_ungranted(&slot_request, slots, now);
                 Vec::new()
             }
             Event::Ended {
@@ -163,7 +172,7 @@
         })
     }
 
-    pub(super) fn tell(&mut self, answers: Vec<AddressedAnswer>) {
+    pub(super) fn send_answers(&mut self, answers: Vec<AddressedAnswer>) {
         for (ticket, answer) in answers {
             let request = RequestId(ticket.number);
             self.after(
@@ -173,7 +182,7 @@
         }
     }
 
-    pub(super) fn answered(&mut self, id: RequestId, answer: Answer) {
+    pub(super) fn handle_answer(&mut self, id: RequestId, answer: Answer) {
         let Some(request) = self.requests.get_mut(&id) else {
             return;
         };
@@ -185,7 +194,7 @@
         match answer {
             Answer::Granted => self.send(id),
             Answer::Waiting => {}
-            Answer::Busy => self.busy(id),
+            Answer::Busy => self.handle_busy(id),
             Answer::Refused { retry_after } => {
                 if !self.overflow(id) {
                     self.end(id, Cause::RefusedNoSlot, retry_after);
@@ -212,12 +221,12 @@
         };
         request.upstream = upstream;
         request.stage = Stage::Patient;
-        self.ask(id);
+        self.request_slot(id);
         true
     }
 
     /// The second choice, else the own upstream as long as there is time.
-    pub(super) fn busy(&mut self, id: RequestId) {
+    pub(super) fn handle_busy(&mut self, id: RequestId) {
         let Some(request) = self.requests.get_mut(&id) else {
             return;
         };
@@ -237,15 +246,15 @@
                 request.upstream = request.order[0];
             }
         }
-        self.ask(id);
+        self.request_slot(id);
     }
 
-    pub(super) fn tell_end(&mut self, id: RequestId, ending: Ending) {
+    pub(super) fn report_end(&mut self, id: RequestId, ending: Ending) {
         let Some(request) = self.requests.get(&id) else {
             return;
         };
-        let (asker, upstream, region) = (request.instance, request.upstream, request.region);
-        if let Some(coordinator) = self.fleet.coordinator(asker, upstream) {
+        let (requester, upstream, region) = (request.instance, request.upstream, request.region);
+        if let Some(coordinator) = self.fleet.coordinator(requester, upstream) {
             let event = Event::Ended {
                 request: id,
                 coordinator,
--- a/crates/foxtide-testing/tests/load_model.rs
+++ b/crates/foxtide-testing/tests/load_model.rs
@@ -12,14 +12,14 @@
     LoadSettings,
     UpstreamFault,
     UpstreamFaultKind,
-    play, //
+    simulate, //
 };
 use std::path::Path;
 
 const SEEDS: [u64; 3] = [1, 2, 3];
 
-fn played(settings: &LoadSettings) -> Vec<LoadOutcome> {
-    SEEDS.iter().map(|&seed| play(settings, seed)).collect()
+fn simulate_seeds(settings: &LoadSettings) -> Vec<LoadOutcome> {
+    SEEDS.iter().map(|&seed| simulate(settings, seed)).collect()
 }
 
 fn mean_worth(outcomes: &[LoadOutcome]) -> f64 {
@@ -27,7 +27,7 @@
 }
 
 fn worth(settings: &LoadSettings) -> f64 {
-    mean_worth(&played(settings))
+    mean_worth(&simulate_seeds(settings))
 }
 
 fn alone(settings: &LoadSettings) -> LoadSettings {
@@ -54,7 +54,7 @@
 #[test]
 fn verify_the_same_seed_gives_the_same_outcome() {
     let settings = high();
-    assert_eq!(play(&settings, 7), play(&settings, 7));
+    assert_eq!(simulate(&settings, 7), simulate(&settings, 7));
 }
 
 /// Full queues: the regions' rates swing by 55 % around half of the slots while parts of
@@ -63,7 +63,7 @@
 #[test]
 fn verify_full_queues_are_kept_short_by_coordination() {
     let settings = high();
-    let (before, after) = (played(&alone(&settings)), played(&settings));
+    let (before, after) = (simulate_seeds(&alone(&settings)), simulate_seeds(&settings));
     let (worth_before, worth_after) = (mean_worth(&before), mean_worth(&after));
     assert!(
         worth_after > worth_before + 0.08,
@@ -83,7 +83,7 @@
         length_s: 12.0,
         ..LoadSettings::default()
     };
-    let (before, after) = (played(&alone(&settings)), played(&settings));
+    let (before, after) = (simulate_seeds(&alone(&settings)), simulate_seeds(&settings));
     let from_third = |outcomes: &[LoadOutcome]| {
         let windows = outcomes.iter().flat_map(|one| &one.windows[2..]);
         let sums = windows.fold((0.0, 0), |sum, window| {
@@ -150,7 +150,7 @@
 fn verify_traffic_stays(settings: &LoadSettings) {
     for first in [1, 101, 201] {
         let seeds = first..first + 12;
-        let outcomes: Vec<LoadOutcome> = seeds.map(|seed| play(settings, seed)).collect();
+        let outcomes: Vec<LoadOutcome> = seeds.map(|seed| simulate(settings, seed)).collect();
         let refused = sum_of(&outcomes, Cause::RefusedNoSlot);
         let together = LoadOutcome {
             served: outcomes.into_iter().flat_map(|one| one.served).collect(),
@@ -167,11 +167,11 @@
 #[test]
 fn verify_a_short_region_refuses_less_where_it_may_send_elsewhere() {
     let settings = at_its_peak();
-    let without = played(&LoadSettings {
+    let without = simulate_seeds(&LoadSettings {
         may_overflow: false,
         ..settings.clone()
     });
-    let with = played(&settings);
+    let with = simulate_seeds(&settings);
     let refused = |outcomes: &[LoadOutcome]| sum_of(outcomes, Cause::RefusedNoSlot);
     let (before, after) = (refused(&without), refused(&with));
     assert!(after * 2 <= before, "{before} -> {after}");
