--- a/crates/foxtide-testing/src/load_model/callers.rs
+++ b/crates/foxtide-testing/src/load_model/callers.rs
@@ -22,12 +22,12 @@
 use std::time::Duration;
 
 /// The most returns of a caller that waits as told, and of one that does not.
-const RETURNS_MAX: u32 = 1;
-const IMPATIENT_RETURNS_MAX: u32 = 3;
+const RETRIES_MAX: u32 = 1;
+const IMPATIENT_RETRIES_MAX: u32 = 3;
 
 /// When a caller comes back that was cut or does not wait, and when one is told to whose
 /// time passed, in milliseconds.
-pub(super) const IMPATIENT_MS: f64 = 5.0;
+pub(super) const IMPATIENT_RETRY_MS: f64 = 5.0;
 pub(super) const RETRY_AFTER_MS: f64 = 300.0;
 
 impl Simulation<'_> {
@@ -55,48 +55,50 @@
             region,
             instance: 0,
             object,
-            first_at: self.now,
-            came_at: self.now,
-            returns: 0,
+            first_attempt_at: self.now,
+            arrived_at: self.now,
+            retries: 0,
             is_impatient: draw < self.settings.impatient_share,
             order: Vec::new(),
-            neighbour: None,
+            second_choice: None,
             upstream: 0,
             refusals: 0,
-            stage: Stage::Own,
+            stage: Stage::FirstChoice,
             is_answered: false,
         };
         self.window_of(&request).asked += 1;
         self.assign_instance(request);
     }
 
-    pub(super) fn retry(&mut self, former: RequestId) {
-        let Some(former) = self.requests.remove(&former) else {
+    pub(super) fn retry(&mut self, previous: RequestId) {
+        let Some(previous) = self.requests.remove(&previous) else {
             return;
         };
         self.assign_instance(Request {
-            came_at: self.now,
-            returns: former.returns + 1,
+            arrived_at: self.now,
+            retries: previous.retries + 1,
             refusals: 0,
-            stage: Stage::Own,
+            stage: Stage::FirstChoice,
             is_answered: false,
-            ..former
+            ..previous
         });
     }
 
     /// An instance of the caller's region gets an attempt.
     pub(super) fn assign_instance(&mut self, mut request: Request) {
-        let of_region: Vec<usize> = (0..self.fleet.instances.len())
+        let local_instances: Vec<usize> = (0..self.fleet.instances.len())
             .filter(|&number| self.fleet.instances[number].region == request.region)
             .collect();
-        request.instance = of_region[self.random.random_range(0..of_region.len())];
+        request.instance = local_instances[self.random.random_range(0..local_instances.len())];
         let instance = &mut self.fleet.instances[request.instance];
         instance.overflow.record_success();
         let key = ObjectKey::new(&request.object.to_le_bytes());
         request.order = self.fleet.order(request.region, key);
         request.upstream = request.order[0];
-        let neighbours = self.fleet.neighbours(request.region, key);
-        request.neighbour = neighbours.into_iter().find(|&one| one != request.upstream);
+        let local_choices = self.fleet.local_choices(request.region, key);
+        request.second_choice = local_choices
+            .into_iter()
+            .find(|&one| one != request.upstream);
         let id = RequestId(self.next_request);
         self.next_request += 1;
         self.requests.insert(id, request);
@@ -112,9 +114,9 @@
         match stage {
             Stage::Sent => {
                 self.free(id, upstream);
-                self.end(id, Cause::Cut, milliseconds(IMPATIENT_MS));
+                self.end(id, Cause::Cut, milliseconds(IMPATIENT_RETRY_MS));
             }
-            Stage::Own | Stage::Second | Stage::Patient => {
+            Stage::FirstChoice | Stage::SecondChoice | Stage::UntilDeadline => {
                 self.end(id, Cause::RefusedNoSlot, milliseconds(RETRY_AFTER_MS));
             }
             Stage::Ended => {}
@@ -129,21 +131,21 @@
             return;
         };
         request.stage = Stage::Ended;
-        let returns_max = if request.is_impatient {
-            IMPATIENT_RETURNS_MAX
+        let retries_max = if request.is_impatient {
+            IMPATIENT_RETRIES_MAX
         } else {
-            RETURNS_MAX
+            RETRIES_MAX
         };
-        if request.returns < returns_max {
+        if request.retries < retries_max {
             let wait = if request.is_impatient {
-                milliseconds(IMPATIENT_MS)
+                milliseconds(IMPATIENT_RETRY_MS)
             } else {
                 retry_after
             };
             self.after(wait, Event::Retry(id));
             return;
         }
-        if request.returns > 0 && matches!(cause, Cause::RefusedNoSlot | Cause::RefusedByUpstream) {
+        if request.retries > 0 && matches!(cause, Cause::RefusedNoSlot | Cause::RefusedByUpstream) {
             self.outcome.refused_again += 1;
         }
         self.requests.remove(&id);
@@ -151,7 +153,7 @@
     }
 
     pub(super) fn window_of(&mut self, request: &Request) -> &mut LoadWindow {
-        let since = request.first_at - MonotonicTime::from_ms(1_000);
+        let since = request.first_attempt_at - MonotonicTime::from_ms(1_000);
         let number = (since.as_secs_f64() / WINDOW_S) as usize;
         let last = self.outcome.windows.len() - 1;
         &mut self.outcome.windows[number.min(last)]
--- a/crates/foxtide-testing/src/load_model/faults.rs
+++ b/crates/foxtide-testing/src/load_model/faults.rs
@@ -1,6 +1,6 @@
 //! Faults of upstreams and coordinators.
 
-use super::callers::IMPATIENT_MS;
+use super::callers::IMPATIENT_RETRY_MS;
 use super::outcome::Cause;
 use super::settings::{
     CoordinatorFaultKind,
@@ -25,20 +25,22 @@
         for upstream in first..(first + part(fault.share)).min(count) {
             let own = &mut self.upstreams[upstream];
             match fault.kind {
-                UpstreamFaultKind::Slow(times) => own.slowness = if begins { times } else { 1.0 },
+                UpstreamFaultKind::Slow(times) => {
+                    own.work_factor = if begins { times } else { 1.0 }
+                }
                 UpstreamFaultKind::Refusing(share) => {
                     own.refusing_share = if begins { share } else { 0.0 };
                 }
                 UpstreamFaultKind::Away => {
                     own.is_away = begins;
-                    for lost in own.lose_all() {
-                        self.end(lost, Cause::Lost, milliseconds(IMPATIENT_MS));
+                    for lost in own.clear() {
+                        self.end(lost, Cause::Lost, milliseconds(IMPATIENT_RETRY_MS));
                     }
                 }
             }
         }
         let away: Vec<bool> = self.upstreams.iter().map(|one| one.is_away).collect();
-        self.fleet.weigh(self.settings, &away);
+        self.fleet.update_weights(self.settings, &away);
     }
 
     pub(super) fn coordinator_fault(&mut self, number: usize, begins: bool) {
@@ -76,7 +78,7 @@
     }
 
     pub(super) fn delay(&self, region: usize, upstream: usize) -> Duration {
-        if self.fleet.is_near(region, upstream) {
+        if self.fleet.is_local(region, upstream) {
             self.settings.near_delay()
         } else {
             self.settings.far_delay()
--- a/crates/foxtide-testing/src/load_model/fleet.rs
+++ b/crates/foxtide-testing/src/load_model/fleet.rs
@@ -102,12 +102,12 @@
             own_shares: Vec::new(),
         };
         let away = vec![false; fleet.upstreams.len()];
-        fleet.weigh(settings, &away);
+        fleet.update_weights(settings, &away);
         fleet
     }
 
     /// Takes in which upstreams are away.
-    pub(super) fn weigh(&mut self, settings: &LoadSettings, away: &[bool]) {
+    pub(super) fn update_weights(&mut self, settings: &LoadSettings, away: &[bool]) {
         let mut slots: BTreeMap<RegionId, u32> = BTreeMap::new();
         for (number, (_, region)) in self.upstreams.iter().enumerate() {
             if !away[number] {
@@ -134,24 +134,24 @@
     }
 
     /// Returns the upstreams of a region in the order of an object that arises there.
-    pub(super) fn neighbours(&self, region: usize, object: ObjectKey) -> Vec<usize> {
-        self.order_among(region, object, |number| self.is_near(region, number))
+    pub(super) fn local_choices(&self, region: usize, object: ObjectKey) -> Vec<usize> {
+        self.filtered_choices(region, object, |number| self.is_local(region, number))
     }
 
     /// Returns the upstreams of the other regions in the order of an object that arises in
     /// a region.
-    pub(super) fn strangers(&self, region: usize, object: ObjectKey) -> Vec<usize> {
-        self.order_among(region, object, |number| !self.is_near(region, number))
+    pub(super) fn remote_choices(&self, region: usize, object: ObjectKey) -> Vec<usize> {
+        self.filtered_choices(region, object, |number| !self.is_local(region, number))
     }
 
-    fn order_among(
+    fn filtered_choices(
         &self,
         region: usize,
         object: ObjectKey,
-        is_among: impl Fn(usize) -> bool,
+        is_eligible: impl Fn(usize) -> bool,
     ) -> Vec<usize> {
         let numbers = 0..self.upstreams.len();
-        let numbers: Vec<usize> = numbers.filter(|&number| is_among(number)).collect();
+        let numbers: Vec<usize> = numbers.filter(|&number| is_eligible(number)).collect();
         let candidates = numbers
             .iter()
             .map(|&number| self.candidates[region][number]);
@@ -176,7 +176,7 @@
     }
 
     /// Tells whether an upstream stands in a region.
-    pub(super) fn is_near(&self, region: usize, upstream: usize) -> bool {
+    pub(super) fn is_local(&self, region: usize, upstream: usize) -> bool {
         self.region_of(upstream) == region
     }
 
--- a/crates/foxtide-testing/src/load_model/mod.rs
+++ b/crates/foxtide-testing/src/load_model/mod.rs
@@ -38,7 +38,7 @@
     UpstreamFaultKind, //
 };
 pub use shift::{
-    Served,
+    SentRequest,
     Shift, //
 };
 pub use simulation::simulate;
--- a/crates/foxtide-testing/src/load_model/outcome.rs
+++ b/crates/foxtide-testing/src/load_model/outcome.rs
@@ -2,7 +2,7 @@
 
 use super::shift::{
     self,
-    Served,
+    SentRequest,
     Shift, //
 };
 use std::collections::BTreeMap;
@@ -16,7 +16,7 @@
     /// It was answered late after a wait.
     LateWait,
     /// It was answered late after its caller came back.
-    LateReturn,
+    LateRetry,
     /// Its coordinator had no slot in its time.
     RefusedNoSlot,
     /// Upstreams refused it.
@@ -32,7 +32,7 @@
         f.write_str(match self {
             Self::LateFirstTouch => "late: first touch",
             Self::LateWait => "late: wait",
-            Self::LateReturn => "late: came back",
+            Self::LateRetry => "late: came back",
             Self::RefusedNoSlot => "refused: no slot in time",
             Self::RefusedByUpstream => "refused by upstreams",
             Self::Cut => "cut by the limit",
@@ -53,7 +53,7 @@
     /// The sum of what they are worth.
     pub worth: f64,
     /// The most requests at all upstreams at the end of a tenth of a second.
-    pub queued_max: usize,
+    pub in_flight_max: usize,
 }
 
 impl LoadWindow {
@@ -75,7 +75,7 @@
     /// Callers that came back and were refused again.
     pub refused_again: u64,
     /// Where requests were sent, in the order of time.
-    pub served: Vec<Served>,
+    pub served: Vec<SentRequest>,
 }
 
 impl LoadOutcome {
@@ -110,7 +110,7 @@
                 window.in_time,
                 window.late,
                 window.mean_worth(),
-                window.queued_max
+                window.in_flight_max
             )?;
         }
         for (cause, count) in &self.causes {
--- a/crates/foxtide-testing/src/load_model/plot.rs
+++ b/crates/foxtide-testing/src/load_model/plot.rs
@@ -19,7 +19,7 @@
     area.fill(&WHITE)?;
     let windows = plays.iter().map(|(_, play)| play.windows.len()).max();
     let length_s = windows.unwrap_or(0) as f64 * WINDOW_S;
-    let of_all = |play: &&LoadOutcome| play.windows.iter().map(|window| window.queued_max).max();
+    let of_all = |play: &&LoadOutcome| play.windows.iter().map(|window| window.in_flight_max).max();
     let load_max = plays.iter().filter_map(|(_, play)| of_all(play)).max();
     let load_max = load_max.unwrap_or(1) as f64 * 1.1;
     let mut chart = ChartBuilder::on(&area)
@@ -44,7 +44,7 @@
             .draw_series(LineSeries::new(worth, colour.stroke_width(3)))?
             .label(*name)
             .legend(move |(x, y)| PathElement::new([(x, y), (x + 20, y)], colour.stroke_width(3)));
-        let load = windows().map(|(number, window)| (at(number), window.queued_max as f64));
+        let load = windows().map(|(number, window)| (at(number), window.in_flight_max as f64));
         chart.draw_secondary_series(LineSeries::new(load, colour.stroke_width(1)))?;
     }
     chart
--- a/crates/foxtide-testing/src/load_model/request.rs
+++ b/crates/foxtide-testing/src/load_model/request.rs
@@ -10,11 +10,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Stage {
     /// Asks for a slot of its own upstream, and rather goes elsewhere than be late.
-    Own,
+    FirstChoice,
     /// Asks whether the second choice has a slot free.
-    Second,
+    SecondChoice,
     /// Waits for a slot as long as there is time.
-    Patient,
+    UntilDeadline,
     /// Was sent.
     Sent,
     /// Has ended.
@@ -31,17 +31,17 @@
     /// Its object.
     pub(super) object: u64,
     /// When its caller first asked.
-    pub(super) first_at: MonotonicTime,
+    pub(super) first_attempt_at: MonotonicTime,
     /// When this attempt came.
-    pub(super) came_at: MonotonicTime,
+    pub(super) arrived_at: MonotonicTime,
     /// How often its caller came back.
-    pub(super) returns: u32,
+    pub(super) retries: u32,
     /// Whether its caller comes back at once.
     pub(super) is_impatient: bool,
     /// The upstreams in the object's order.
     pub(super) order: Vec<usize>,
     /// The next upstream of the region in that order, besides the first.
-    pub(super) neighbour: Option<usize>,
+    pub(super) second_choice: Option<usize>,
     /// The upstream to which it goes.
     pub(super) upstream: usize,
     /// Upstreams that refused it.
--- a/crates/foxtide-testing/src/load_model/serving.rs
+++ b/crates/foxtide-testing/src/load_model/serving.rs
@@ -7,7 +7,7 @@
     Stage, //
 };
 use super::settings::milliseconds;
-use super::shift::Served;
+use super::shift::SentRequest;
 use super::simulation::{
     Event,
     LOAD_SAMPLE_PERIOD_MS,
@@ -16,7 +16,7 @@
 };
 use super::upstream::{
     Limits,
-    Reception,
+    ReceiveOutcome,
     Upstream, //
 };
 use foxtide_core::admission::Ending;
@@ -32,7 +32,7 @@
         };
         request.stage = Stage::Sent;
         let (region, upstream) = (request.region, request.upstream);
-        self.outcome.served.push(Served {
+        self.outcome.served.push(SentRequest {
             at_s: self.elapsed_s(),
             origin: region,
             region: self.fleet.region_of(upstream),
@@ -52,9 +52,9 @@
         let limits = self.limits();
         let draw = self.random.random();
         match self.upstreams[upstream].receive(id, object, limits, draw) {
-            Reception::Begun { is_known } => self.begin(id, upstream, is_known),
-            Reception::Queued => {}
-            Reception::Refused => self.after(self.delay(region, upstream), Event::Refused(id)),
+            ReceiveOutcome::Started { is_known } => self.begin(id, upstream, is_known),
+            ReceiveOutcome::Queued => {}
+            ReceiveOutcome::Refused => self.after(self.delay(region, upstream), Event::Refused(id)),
         }
     }
 
@@ -78,7 +78,7 @@
         let draws: f64 = (0..4).map(|_| self.random.random::<f64>() - 0.5).sum();
         let spread = 1.0 + draws * 3.0_f64.sqrt() * self.settings.work_spread;
         let work_ms = self.settings.work_ms * part * spread.max(0.1);
-        let time = milliseconds(work_ms * self.upstreams[upstream].slowness);
+        let time = milliseconds(work_ms * self.upstreams[upstream].work_factor);
         self.after(time, Event::ServiceComplete(id));
     }
 
@@ -100,7 +100,7 @@
             .find(|&next| next != request.upstream);
         match next {
             Some(next) if refusals < ATTEMPTS_MAX => {
-                request.stage = Stage::Patient;
+                request.stage = Stage::UntilDeadline;
                 request.upstream = next;
                 self.request_slot(id);
             }
@@ -133,7 +133,7 @@
             return;
         };
         let is_known = self.known.remove(&id).unwrap_or(false);
-        let took = self.now - request.first_at;
+        let took = self.now - request.first_attempt_at;
         let is_in_time = took <= self.settings.objective();
         let late_worth = self.settings.late_worth;
         let window = self.window_of(&request);
@@ -144,8 +144,8 @@
         }
         window.late += 1;
         window.worth += late_worth;
-        let cause = match (request.returns > 0, is_known) {
-            (true, _) => Cause::LateReturn,
+        let cause = match (request.retries > 0, is_known) {
+            (true, _) => Cause::LateRetry,
             (false, false) => Cause::LateFirstTouch,
             (false, true) => Cause::LateWait,
         };
@@ -156,7 +156,7 @@
         let load: usize = self.upstreams.iter().map(Upstream::load).sum();
         let number = (self.elapsed_s() / WINDOW_S) as usize;
         if let Some(window) = self.outcome.windows.get_mut(number) {
-            window.queued_max = window.queued_max.max(load);
+            window.in_flight_max = window.in_flight_max.max(load);
             self.after(milliseconds(LOAD_SAMPLE_PERIOD_MS), Event::SampleLoad);
         }
     }
--- a/crates/foxtide-testing/src/load_model/settings.rs
+++ b/crates/foxtide-testing/src/load_model/settings.rs
@@ -21,7 +21,7 @@
     },
     /// The file is not in its form.
     #[error("{path}: {cause}")]
-    Form {
+    Malformed {
         /// The file.
         path: PathBuf,
         /// What is wrong, with the field.
@@ -214,16 +214,16 @@
             path: path_owned(),
             source,
         })?;
-        let wrong = |cause: String| LoadError::Form {
+        let malformed = |cause: String| LoadError::Malformed {
             path: path_owned(),
             cause,
         };
         let name = path.display().to_string();
         let value =
-            document::parse_value(&name, &text).map_err(|error| wrong(error.to_string()))?;
+            document::parse_value(&name, &text).map_err(|error| malformed(error.to_string()))?;
         let settings: Self =
-            serde_json::from_value(value).map_err(|error| wrong(error.to_string()))?;
-        match settings.first_wrong_field() {
+            serde_json::from_value(value).map_err(|error| malformed(error.to_string()))?;
+        match settings.first_invalid_field() {
             None => Ok(settings),
             Some((field, found, valid)) => Err(LoadError::Field {
                 path: path_owned(),
@@ -234,7 +234,7 @@
         }
     }
 
-    fn first_wrong_field(&self) -> Option<(&'static str, String, &'static str)> {
+    fn first_invalid_field(&self) -> Option<(&'static str, String, &'static str)> {
         let upstreams: usize = self.regions.iter().map(|region| region.upstreams).sum();
         let has_instances = self.regions.iter().all(|region| region.instances > 0);
         let has_objects = self.regions.iter().all(|region| region.objects > 0);
--- a/crates/foxtide-testing/src/load_model/shift.rs
+++ b/crates/foxtide-testing/src/load_model/shift.rs
@@ -7,7 +7,7 @@
 
 /// A request that was sent to an upstream.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Served {
+pub struct SentRequest {
     /// When it was, in seconds after requests began to arise: then its region is chosen. What
     /// is under way to another region for a while afterwards has not changed it.
     pub at_s: f64,
@@ -32,7 +32,7 @@
 /// Returns the largest shift between windows that begin at `from_s` or later and have
 /// `requests_min` requests each.
 pub(super) fn largest(
-    served: &[Served],
+    served: &[SentRequest],
     regions: usize,
     from_s: f64,
     requests_min: usize,
@@ -45,7 +45,7 @@
         for origin in 0..regions {
             let before = counts(served, origin, regions, at_s - WINDOW_S);
             let after = counts(served, origin, regions, at_s);
-            let Some(share) = moved(&before, &after, requests_min) else {
+            let Some(share) = shifted_share(&before, &after, requests_min) else {
                 continue;
             };
             if share > largest.share {
@@ -61,10 +61,10 @@
 }
 
 /// Returns how many requests of a region each region served in the window from `at_s` on.
-fn counts(served: &[Served], origin: usize, regions: usize, at_s: f64) -> Vec<usize> {
+fn counts(served: &[SentRequest], origin: usize, regions: usize, at_s: f64) -> Vec<usize> {
     let mut counts = vec![0; regions];
     let in_window =
-        |one: &&Served| one.origin == origin && (at_s..at_s + WINDOW_S).contains(&one.at_s);
+        |one: &&SentRequest| one.origin == origin && (at_s..at_s + WINDOW_S).contains(&one.at_s);
     for one in served.iter().filter(in_window) {
         counts[one.region] += 1;
     }
@@ -72,7 +72,7 @@
 }
 
 /// Returns the part that moved; nothing where a window has too few requests to tell.
-fn moved(before: &[usize], after: &[usize], requests_min: usize) -> Option<f64> {
+fn shifted_share(before: &[usize], after: &[usize], requests_min: usize) -> Option<f64> {
     let (all_before, all_after) = (before.iter().sum::<usize>(), after.iter().sum::<usize>());
     if all_before.min(all_after) < requests_min.max(1) {
         return None;
--- a/crates/foxtide-testing/src/load_model/slot_requests.rs
+++ b/crates/foxtide-testing/src/load_model/slot_requests.rs
@@ -48,24 +48,24 @@
         request.is_answered = false;
         let (requester, upstream, region) = (request.instance, request.upstream, request.region);
         let patience = match request.stage {
-            Stage::Own => Patience::WithinObjective,
-            Stage::Second => Patience::NoWait,
-            Stage::Patient => Patience::UntilDeadline,
+            Stage::FirstChoice => Patience::WithinObjective,
+            Stage::SecondChoice => Patience::NoWait,
+            Stage::UntilDeadline => Patience::UntilDeadline,
             Stage::Sent | Stage::Ended => return,
         };
         let coordinator = self.fleet.coordinator(requester, upstream);
         let (true, Some(coordinator)) = (self.settings.is_coordinated, coordinator) else {
             return self.send(id);
         };
-        let is_near = self.fleet.is_near(region, upstream);
+        let is_local = self.fleet.is_local(region, upstream);
         let event = Event::SlotRequested {
             request: id,
             coordinator,
             patience,
-            expects_answer: is_near,
+            expects_answer: is_local,
         };
         self.after(self.delay(region, upstream), event);
-        if is_near {
+        if is_local {
             self.after(milliseconds(ANSWER_TIMEOUT_MS), Event::AnswerTimeout(id));
             self.after(
                 milliseconds(SLOT_REQUEST_PERIOD_MS),
@@ -78,7 +78,8 @@
 
     pub(super) fn repeat_slot_request(&mut self, id: RequestId) {
         let is_waiting = self.requests.get(&id).is_some_and(|request| {
-            request.is_answered && matches!(request.stage, Stage::Own | Stage::Patient)
+            request.is_answered
+                && matches!(request.stage, Stage::FirstChoice | Stage::UntilDeadline)
         });
         if is_waiting {
             self.request_slot(id);
@@ -90,7 +91,10 @@
         let Some(request) = self.requests.get(&id) else {
             return;
         };
-        let is_waiting = matches!(request.stage, Stage::Own | Stage::Second | Stage::Patient);
+        let is_waiting = matches!(
+            request.stage,
+            Stage::FirstChoice | Stage::SecondChoice | Stage::UntilDeadline
+        );
         if !is_waiting || request.is_answered {
             return;
         }
@@ -158,8 +162,8 @@
 
     pub(super) fn slot_request(&self, id: RequestId, patience: Patience) -> Option<SlotRequest> {
         let request = self.requests.get(&id)?;
-        let objective_at = request.came_at + self.settings.objective();
-        let ends_at = request.came_at + self.settings.limit();
+        let objective_at = request.arrived_at + self.settings.objective();
+        let ends_at = request.arrived_at + self.settings.limit();
         Some(SlotRequest {
             ticket: ticket(id),
             upstream: self.fleet.upstream(request.upstream).clone(),
@@ -209,18 +213,18 @@
             return false;
         };
         let region = request.region;
-        let is_late = self.now >= request.came_at + self.settings.objective();
+        let is_late = self.now >= request.arrived_at + self.settings.objective();
         if !self.settings.may_overflow || is_late || !lacks_capacity(self.fleet.own_share(region)) {
             return false;
         }
         let key = ObjectKey::new(&request.object.to_le_bytes());
-        let elsewhere = self.fleet.strangers(region, key);
+        let elsewhere = self.fleet.remote_choices(region, key);
         let budget = &mut self.fleet.instances[request.instance].overflow;
         let Some(&upstream) = elsewhere.first().filter(|_| budget.try_spend(self.now)) else {
             return false;
         };
         request.upstream = upstream;
-        request.stage = Stage::Patient;
+        request.stage = Stage::UntilDeadline;
         self.request_slot(id);
         true
     }
@@ -230,10 +234,10 @@
         let Some(request) = self.requests.get_mut(&id) else {
             return;
         };
-        match (request.stage, request.neighbour) {
-            (Stage::Own, Some(neighbour)) => {
-                request.stage = Stage::Second;
-                request.upstream = neighbour;
+        match (request.stage, request.second_choice) {
+            (Stage::FirstChoice, Some(second_choice)) => {
+                request.stage = Stage::SecondChoice;
+                request.upstream = second_choice;
             }
             _ => {
                 if self.overflow(id) {
@@ -242,7 +246,7 @@
                 let Some(request) = self.requests.get_mut(&id) else {
                     return;
                 };
-                request.stage = Stage::Patient;
+                request.stage = Stage::UntilDeadline;
                 request.upstream = request.order[0];
             }
         }
--- a/crates/foxtide-testing/src/load_model/upstream.rs
+++ b/crates/foxtide-testing/src/load_model/upstream.rs
@@ -5,9 +5,9 @@
 
 /// What becomes of a request that reaches an upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Reception {
+pub(super) enum ReceiveOutcome {
     /// It is worked on; whether its object is known.
-    Begun { is_known: bool },
+    Started { is_known: bool },
     /// It waits.
     Queued,
     /// It does not run.
@@ -35,7 +35,7 @@
     /// Whether it gets nothing.
     pub(super) is_away: bool,
     /// How many times as long its work takes.
-    pub(super) slowness: f64,
+    pub(super) work_factor: f64,
     /// The part of the requests that it refuses.
     pub(super) refusing_share: f64,
 }
@@ -44,7 +44,7 @@
     /// Returns an upstream that knows nothing.
     pub(super) fn new() -> Self {
         Self {
-            slowness: 1.0,
+            work_factor: 1.0,
             ..Self::default()
         }
     }
@@ -62,18 +62,18 @@
         object: u64,
         limits: Limits,
         draw: f64,
-    ) -> Reception {
+    ) -> ReceiveOutcome {
         if self.is_away || draw < self.refusing_share {
-            return Reception::Refused;
+            return ReceiveOutcome::Refused;
         }
         if self.running.len() < limits.slots {
             return self.begin(request, object, limits.known_max);
         }
         if self.queue.len() >= limits.queue_max {
-            return Reception::Refused;
+            return ReceiveOutcome::Refused;
         }
         self.queue.push_back((request, object));
-        Reception::Queued
+        ReceiveOutcome::Queued
     }
 
     /// Removes a request that has ended or is cut; returns the one that begins in its
@@ -86,13 +86,13 @@
         }
         let (next, object) = self.queue.pop_front()?;
         match self.begin(next, object, limits.known_max) {
-            Reception::Begun { is_known } => Some((next, is_known)),
-            Reception::Queued | Reception::Refused => None,
+            ReceiveOutcome::Started { is_known } => Some((next, is_known)),
+            ReceiveOutcome::Queued | ReceiveOutcome::Refused => None,
         }
     }
 
     /// Drops all that it has and knows; returns the requests.
-    pub(super) fn lose_all(&mut self) -> Vec<RequestId> {
+    pub(super) fn clear(&mut self) -> Vec<RequestId> {
         self.known.clear();
         let queued = self.queue.drain(..).map(|(request, _)| request);
         let mut lost: Vec<RequestId> = queued.collect();
@@ -101,7 +101,7 @@
     }
 
     /// An object is known from the beginning of its first request on.
-    fn begin(&mut self, request: RequestId, object: u64, known_max: usize) -> Reception {
+    fn begin(&mut self, request: RequestId, object: u64, known_max: usize) -> ReceiveOutcome {
         let is_known = self.known.contains(&object);
         self.known.retain(|known| *known != object);
         self.known.push_back(object);
@@ -109,6 +109,6 @@
             self.known.pop_front();
         }
         self.running.push(request);
-        Reception::Begun { is_known }
+        ReceiveOutcome::Started { is_known }
     }
 }
