--- a/crates/foxtide-testing/examples/load_model.rs
+++ b/crates/foxtide-testing/examples/load_model.rs
@@ -1,5 +1,5 @@
-//! Plays loads from files and prints how they were served, with coordinated slots and
-//! without; draws worth and load over time.
+//! Simulates loads from files with and without slot coordination, prints the outcomes and
+//! optionally plots worth and load over time.
 //!
 //!     cargo run -p foxtide-testing --example load_model -- crates/foxtide-testing/loads/high.jsonc
 
@@ -12,7 +12,7 @@
 };
 use std::path::PathBuf;
 
-/// Plays loads on a service.
+/// Simulates loads on a service.
 #[derive(Debug, FromArgs)]
 struct Arguments {
     /// files of loads
--- a/crates/foxtide-testing/src/load_model/callers.rs
+++ b/crates/foxtide-testing/src/load_model/callers.rs
@@ -1,4 +1,4 @@
-//! Callers: how requests arise, end and come back.
+//! Callers: request arrivals, failures and retries.
 
 use super::outcome::{
     Cause,
@@ -21,13 +21,13 @@
 use rand::RngExt;
 use std::time::Duration;
 
-/// The most returns of a caller that waits as told, and of one that does not.
+/// Maximum retries of a caller that honours the retry delay, and of one that does not.
 const RETRIES_MAX: u32 = 1;
 const IMPATIENT_RETRIES_MAX: u32 = 3;
 
-/// When a caller comes back that was cut or does not wait, and when one is told to whose
-/// time passed, in milliseconds.
+/// Retry delay of a caller that was cut off or ignores the delay it was given.
 pub(super) const IMPATIENT_RETRY_MS: f64 = 5.0;
+/// Retry delay given to callers that were refused or timed out.
 pub(super) const RETRY_AFTER_MS: f64 = 300.0;
 
 impl Simulation<'_> {
@@ -84,7 +84,7 @@
         });
     }
 
-    /// An instance of the caller's region gets an attempt.
+    /// Assigns an attempt to a random instance of the caller's region.
     pub(super) fn assign_instance(&mut self, mut request: Request) {
         let local_instances: Vec<usize> = (0..self.fleet.instances.len())
             .filter(|&number| self.fleet.instances[number].region == request.region)
@@ -123,7 +123,7 @@
         }
     }
 
-    /// An attempt has ended without an answer; its caller may come back.
+    /// Ends an attempt that got no answer, and schedules a retry if the caller has any left.
     pub(super) fn end(&mut self, id: RequestId, cause: Cause, retry_after: Duration) {
         self.report_end(id, Ending::NotServed);
         self.known.remove(&id);
--- a/crates/foxtide-testing/src/load_model/faults.rs
+++ b/crates/foxtide-testing/src/load_model/faults.rs
@@ -1,4 +1,4 @@
-//! Faults of upstreams and coordinators.
+//! Fault injection for upstreams and coordinators.
 
 use super::callers::IMPATIENT_RETRY_MS;
 use super::outcome::Cause;
@@ -13,7 +13,7 @@
 };
 use std::time::Duration;
 
-/// How long an instance that is gone is still believed in: its lease.
+/// Lease duration: other instances see a killed instance as alive until it expires.
 const LEASE_MS: f64 = 2_200.0;
 
 impl Simulation<'_> {
@@ -59,7 +59,7 @@
                 self.after(time, Event::MembershipChange { instance, is_alive });
             }
             CoordinatorFaultKind::DoublyBelieved => {
-                // One half of the instances believes in it, the other does not.
+                // Every other instance takes this one for dead, so two coordinators are in use.
                 for requester in (0..self.fleet.instances.len()).step_by(2) {
                     self.fleet.set_alive(requester, instance, !begins);
                 }
--- a/crates/foxtide-testing/src/load_model/fleet.rs
+++ b/crates/foxtide-testing/src/load_model/fleet.rs
@@ -1,5 +1,4 @@
-//! The instances: whom they believe in, how they order upstreams, and their
-//! coordinators.
+//! The simulated instances: membership views, upstream order and coordinators.
 
 use super::settings::{
     CoordinatorFaultKind,
@@ -32,48 +31,47 @@
     SocketAddr, //
 };
 
-/// How many upstreams of an object's order are looked at.
+/// Number of upstreams considered per object.
 const CHOICES: usize = 4;
 
-/// One instance.
 #[derive(Debug)]
 pub(super) struct Instance {
     pub(super) region: usize,
-    /// Its own view of who is alive.
+    /// This instance's view of the live members.
     pub(super) members: Members,
     pub(super) coordinator: Coordinator,
-    /// What it may send to other regions beyond their shares.
+    /// Budget for requests sent to other regions beyond their shares.
     pub(super) overflow: RetryBudget,
-    /// What happens to it as a coordinator.
+    /// Current fault of its coordinator.
     pub(super) fault: Option<CoordinatorFaultKind>,
 }
 
-/// All instances, and where upstreams stand.
+/// All instances and upstreams with their regions.
 #[derive(Debug)]
 pub(super) struct Fleet {
     pub(super) instances: Vec<Instance>,
     regions: Vec<RegionId>,
     upstreams: Vec<(UpstreamId, usize)>,
-    /// By the region in which requests arise.
+    /// Indexed by the region of origin.
     candidates: Vec<Vec<Candidate>>,
-    /// The share of its requests that each region serves itself.
+    /// Share of each region's requests that it serves itself.
     own_shares: Vec<f64>,
 }
 
 impl Fleet {
-    /// Returns a fleet in which all know all.
+    /// Creates a fleet in which every instance sees all members.
     pub(super) fn new(settings: &LoadSettings) -> Self {
         let regions: Vec<RegionId> = settings
             .regions
             .iter()
-            .map(|region| region.name.parse().expect("names of regions are names"))
+            .map(|region| region.name.parse().expect("region names are valid"))
             .collect();
         let mut upstreams = Vec::new();
         let mut instances = Vec::new();
         for (number, region) in settings.regions.iter().enumerate() {
             for _ in 0..region.upstreams {
                 let name = format!("i-{}", upstreams.len());
-                upstreams.push((name.parse().expect("a name"), number));
+                upstreams.push((name.parse().expect("valid name"), number));
             }
             for _ in 0..region.instances {
                 instances.push(number);
@@ -106,7 +104,7 @@
         fleet
     }
 
-    /// Takes in which upstreams are away.
+    /// Recomputes weights and shares without the upstreams that are away.
     pub(super) fn update_weights(&mut self, settings: &LoadSettings, away: &[bool]) {
         let mut slots: BTreeMap<RegionId, u32> = BTreeMap::new();
         for (number, (_, region)) in self.upstreams.iter().enumerate() {
@@ -128,18 +126,17 @@
         self.own_shares = self.regions.iter().map(own_share).collect();
     }
 
-    /// Returns the first upstreams in the order of an object that arises in a region.
+    /// Returns an object's preferred upstreams for requests from a region.
     pub(super) fn order(&self, region: usize, object: ObjectKey) -> Vec<usize> {
         first_choices(object, &self.candidates[region], CHOICES)
     }
 
-    /// Returns the upstreams of a region in the order of an object that arises there.
+    /// Returns an object's preferred upstreams within the region.
     pub(super) fn local_choices(&self, region: usize, object: ObjectKey) -> Vec<usize> {
         self.filtered_choices(region, object, |number| self.is_local(region, number))
     }
 
-    /// Returns the upstreams of the other regions in the order of an object that arises in
-    /// a region.
+    /// Returns an object's preferred upstreams outside the region.
     pub(super) fn remote_choices(&self, region: usize, object: ObjectKey) -> Vec<usize> {
         self.filtered_choices(region, object, |number| !self.is_local(region, number))
     }
@@ -160,27 +157,26 @@
         order.into_iter().map(|index| numbers[index]).collect()
     }
 
-    /// Returns the share of its requests that a region serves itself.
+    /// Returns the share of a region's requests that it serves itself.
     pub(super) fn own_share(&self, region: usize) -> f64 {
         self.own_shares[region]
     }
 
-    /// Returns an upstream's name.
     pub(super) fn upstream(&self, number: usize) -> &UpstreamId {
         &self.upstreams[number].0
     }
 
-    /// Returns the region in which an upstream stands.
+    /// Returns the region of an upstream.
     pub(super) fn region_of(&self, upstream: usize) -> usize {
         self.upstreams[upstream].1
     }
 
-    /// Tells whether an upstream stands in a region.
+    /// Returns whether an upstream is in the region.
     pub(super) fn is_local(&self, region: usize, upstream: usize) -> bool {
         self.region_of(upstream) == region
     }
 
-    /// Returns the instance that `requester` takes for the coordinator of an upstream.
+    /// Returns the coordinator of an upstream in `requester`'s membership view.
     pub(super) fn coordinator(&self, requester: usize, upstream: usize) -> Option<usize> {
         let (name, region) = &self.upstreams[upstream];
         let members = &self.instances[requester].members;
@@ -188,7 +184,7 @@
         Some(number_of(member))
     }
 
-    /// Sets whether `requester` believes that `instance` is alive.
+    /// Adds `instance` to `requester`'s membership view or removes it.
     pub(super) fn set_alive(&mut self, requester: usize, instance: usize, is_alive: bool) {
         let region = self.regions[self.instances[instance].region].clone();
         let member = member(instance, &region);
@@ -200,9 +196,9 @@
         }
     }
 
-    /// Returns the address of an instance as an requester.
+    /// Returns the address of an instance; its port encodes the instance's number.
     pub(super) fn address(instance: usize) -> SocketAddr {
-        let port = 10_000 + u16::try_from(instance).expect("a model has few instances");
+        let port = 10_000 + u16::try_from(instance).expect("instance number fits in a port");
         SocketAddr::from((Ipv4Addr::LOCALHOST, port))
     }
 }
@@ -218,11 +214,11 @@
 fn member(number: usize, region: &RegionId) -> Member {
     let address = Fleet::address(number);
     Member {
-        instance: format!("edge-{number}").parse().expect("a name"),
+        instance: format!("edge-{number}").parse().expect("valid name"),
         caller_address: address,
         peer_address: address,
         datagram_address: address,
-        availability_zone: format!("{region}-a").parse().expect("a name"),
+        availability_zone: format!("{region}-a").parse().expect("valid name"),
         region: region.clone(),
         registrar: None,
         link_mbps: 0,
--- a/crates/foxtide-testing/src/load_model/mod.rs
+++ b/crates/foxtide-testing/src/load_model/mod.rs
@@ -1,13 +1,11 @@
-//! A model of load on one service, without network, on virtual time.
+//! Discrete-event simulation of load on one service, without network or real time.
 //!
-//! Upstreams have slots, a first-come-first-served queue that refuses when it is full,
-//! and serve objects that they know in a part of the time. Instances know what they
-//! have been told, with delays. The decisions are those of `foxtide-core`: the order of
-//! upstreams for an object, the regions' shares, and the coordinators of slots. The way
-//! of a request between them (its own upstream, the second choice, waiting) is that of
-//! the gateway's `forward::admit`.
+//! Upstreams have slots and a bounded FIFO queue, and serve cached objects faster.
+//! Messages between instances are delayed. Upstream order, region shares and slot
+//! coordination come from `foxtide-core`; the admission sequence (first choice, second
+//! choice, waiting) mirrors the gateway's `forward::admit`.
 //!
-//! Everything is drawn from a seed: the same load and seed give the same outcome.
+//! Runs are deterministic: the same settings and seed give the same outcome.
 
 mod callers;
 mod faults;
--- a/crates/foxtide-testing/src/load_model/outcome.rs
+++ b/crates/foxtide-testing/src/load_model/outcome.rs
@@ -1,4 +1,4 @@
-//! How requests ended.
+//! Results of a simulation run.
 
 use super::shift::{
     self,
@@ -8,22 +8,22 @@
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// Why a request was not answered in time.
+/// Reason why a request was not answered within the objective.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Cause {
-    /// It was answered late and its object was new to the upstream.
+    /// Late answer; the upstream had not cached the object.
     LateFirstTouch,
-    /// It was answered late after a wait.
+    /// Late answer after waiting for a slot or in a queue.
     LateWait,
-    /// It was answered late after its caller came back.
+    /// Late answer to a retry.
     LateRetry,
-    /// Its coordinator had no slot in its time.
+    /// The coordinator had no slot before the deadline.
     RefusedNoSlot,
-    /// Upstreams refused it.
+    /// Refused by upstreams.
     RefusedByUpstream,
-    /// It was cut by the route's limit.
+    /// Cut off by the route's time limit.
     Cut,
-    /// Its upstream was lost.
+    /// The upstream failed while it had the request.
     Lost,
 }
 
@@ -41,45 +41,45 @@
     }
 }
 
-/// The callers that first asked within one window.
+/// Statistics of the callers whose first attempt fell within one window.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadWindow {
-    /// Callers.
+    /// Number of callers.
     pub asked: u64,
-    /// Those answered in time.
+    /// Callers answered within the objective.
     pub in_time: u64,
-    /// Those answered late.
+    /// Callers answered after the objective.
     pub late: u64,
-    /// The sum of what they are worth.
+    /// Sum of the worth of all answers.
     pub worth: f64,
-    /// The most requests at all upstreams at the end of a tenth of a second.
+    /// Maximum number of running and queued requests at all upstreams, sampled every 100 ms.
     pub in_flight_max: usize,
 }
 
 impl LoadWindow {
-    /// Returns the mean worth of a caller.
+    /// Returns the mean worth per caller.
     pub fn mean_worth(&self) -> f64 {
         self.worth / self.asked.max(1) as f64
     }
 }
 
-/// How a load was served.
+/// Result of one simulation run.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct LoadOutcome {
-    /// By 2 s.
+    /// Consecutive windows of 2 s.
     pub windows: Vec<LoadWindow>,
     /// Callers that were not answered in time, by cause.
     pub causes: BTreeMap<Cause, u64>,
     /// Requests that reached an upstream.
     pub arrivals: u64,
-    /// Callers that came back and were refused again.
+    /// Callers whose last retry was refused.
     pub refused_again: u64,
-    /// Where requests were sent, in the order of time.
+    /// Requests sent to upstreams, in order of time.
     pub served: Vec<SentRequest>,
 }
 
 impl LoadOutcome {
-    /// Returns the mean worth of all callers.
+    /// Returns the mean worth over all callers.
     pub fn mean_worth(&self) -> f64 {
         let worth: f64 = self.windows.iter().map(|window| window.worth).sum();
         let asked: u64 = self.windows.iter().map(|window| window.asked).sum();
@@ -87,8 +87,7 @@
     }
 
     /// Returns the largest shift of a region's requests to other regions within 2 s,
-    /// from `from_s` seconds on; windows with fewer than `requests_min` requests tell
-    /// nothing.
+    /// from `from_s` seconds on; ignores windows with fewer than `requests_min` requests.
     pub fn largest_shift(&self, from_s: f64, requests_min: usize) -> Shift {
         let regions = self.served.iter().map(|one| one.region.max(one.origin) + 1);
         let regions = regions.max().unwrap_or(0);
@@ -97,7 +96,6 @@
 }
 
 impl fmt::Display for LoadOutcome {
-    /// Writes the mean worth, the windows and the causes.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         writeln!(f, "worth {:.3}", self.mean_worth())?;
         writeln!(f, "second  asked  in time  late  worth  at upstreams")?;
--- a/crates/foxtide-testing/src/load_model/plot.rs
+++ b/crates/foxtide-testing/src/load_model/plot.rs
@@ -1,4 +1,4 @@
-//! Worth and load over time, as a picture.
+//! Plots of worth and load over time.
 
 use super::outcome::LoadOutcome;
 use plotters::prelude::*;
@@ -8,19 +8,19 @@
 const SIZE_PX: (u32, u32) = (900, 520);
 const WINDOW_S: f64 = 2.0;
 
-/// Draws the worth of the windows (left) and the requests at upstreams (right) of
-/// several plays into an SVG file.
+/// Plots the worth (left axis) and the requests at upstreams (right axis) of several
+/// runs into an SVG file.
 ///
 /// # Errors
 ///
-/// Fails where the file cannot be written.
-pub fn plot(path: &Path, plays: &[(&str, &LoadOutcome)]) -> Result<(), Box<dyn Error>> {
+/// Fails if the file cannot be written.
+pub fn plot(path: &Path, runs: &[(&str, &LoadOutcome)]) -> Result<(), Box<dyn Error>> {
     let area = SVGBackend::new(path, SIZE_PX).into_drawing_area();
     area.fill(&WHITE)?;
-    let windows = plays.iter().map(|(_, play)| play.windows.len()).max();
+    let windows = runs.iter().map(|(_, run)| run.windows.len()).max();
     let length_s = windows.unwrap_or(0) as f64 * WINDOW_S;
-    let of_all = |play: &&LoadOutcome| play.windows.iter().map(|window| window.in_flight_max).max();
-    let load_max = plays.iter().filter_map(|(_, play)| of_all(play)).max();
+    let of_all = |run: &&LoadOutcome| run.windows.iter().map(|window| window.in_flight_max).max();
+    let load_max = runs.iter().filter_map(|(_, run)| of_all(run)).max();
     let load_max = load_max.unwrap_or(1) as f64 * 1.1;
     let mut chart = ChartBuilder::on(&area)
         .caption(
@@ -35,10 +35,10 @@
         .set_secondary_coord(0.0..length_s, 0.0..load_max);
     chart.configure_mesh().x_desc("seconds").draw()?;
     chart.configure_secondary_axes().draw()?;
-    for (number, (name, play)) in plays.iter().enumerate() {
+    for (number, (name, run)) in runs.iter().enumerate() {
         let colour = Palette99::pick(number).to_rgba();
         let at = |number: usize| (number as f64 + 0.5) * WINDOW_S;
-        let windows = || play.windows.iter().enumerate();
+        let windows = || run.windows.iter().enumerate();
         let worth = windows().map(|(number, window)| (at(number), window.mean_worth()));
         chart
             .draw_series(LineSeries::new(worth, colour.stroke_width(3)))?
--- a/crates/foxtide-testing/src/load_model/request.rs
+++ b/crates/foxtide-testing/src/load_model/request.rs
@@ -1,53 +1,48 @@
-//! One attempt of a caller.
+//! State of a caller's attempt.
 
 use foxtide_core::time::MonotonicTime;
 
-/// The number of an attempt.
+/// Identifies an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub(super) struct RequestId(pub(super) u64);
 
-/// Where an attempt stands.
+/// Progress of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Stage {
-    /// Asks for a slot of its own upstream, and rather goes elsewhere than be late.
+    /// Requests a slot of the first choice within the objective.
     FirstChoice,
-    /// Asks whether the second choice has a slot free.
+    /// Requests a free slot of the second choice, without waiting.
     SecondChoice,
-    /// Waits for a slot as long as there is time.
+    /// Waits for a slot until the deadline.
     UntilDeadline,
-    /// Was sent.
     Sent,
-    /// Has ended.
     Ended,
 }
 
-/// An attempt.
 #[derive(Clone, Debug)]
 pub(super) struct Request {
-    /// The region in which it arose.
+    /// Region of the caller.
     pub(super) region: usize,
-    /// The instance that has it.
+    /// Instance that handles it.
     pub(super) instance: usize,
-    /// Its object.
     pub(super) object: u64,
-    /// When its caller first asked.
+    /// Time of the caller's first attempt.
     pub(super) first_attempt_at: MonotonicTime,
-    /// When this attempt came.
+    /// Time of this attempt.
     pub(super) arrived_at: MonotonicTime,
-    /// How often its caller came back.
+    /// Number of earlier attempts of the caller.
     pub(super) retries: u32,
-    /// Whether its caller comes back at once.
+    /// Whether the caller ignores retry delays.
     pub(super) is_impatient: bool,
-    /// The upstreams in the object's order.
+    /// The object's preferred upstreams, best first.
     pub(super) order: Vec<usize>,
-    /// The next upstream of the region in that order, besides the first.
+    /// The best other upstream within the region.
     pub(super) second_choice: Option<usize>,
-    /// The upstream to which it goes.
+    /// Current target.
     pub(super) upstream: usize,
-    /// Upstreams that refused it.
+    /// Number of refusals by upstreams.
     pub(super) refusals: u32,
-    /// Where it stands.
     pub(super) stage: Stage,
-    /// Whether a coordinator answered the latest question.
+    /// Whether a coordinator answered the latest slot request.
     pub(super) is_answered: bool,
 }
--- a/crates/foxtide-testing/src/load_model/serving.rs
+++ b/crates/foxtide-testing/src/load_model/serving.rs
@@ -1,4 +1,4 @@
-//! Upstreams: what reaches them, how long they work, and what comes back.
+//! Processing of requests at upstreams and their replies.
 
 use super::callers::RETRY_AFTER_MS;
 use super::outcome::Cause;
@@ -22,7 +22,7 @@
 use foxtide_core::admission::Ending;
 use rand::RngExt;
 
-/// The most upstreams to which one request is sent.
+/// Maximum number of upstreams to which one attempt is sent.
 const ATTEMPTS_MAX: u32 = 2;
 
 impl Simulation<'_> {
@@ -74,7 +74,7 @@
         } else {
             1.0
         };
-        // The sum of four draws is near to a normal one.
+        // The sum of four uniform draws approximates a normal distribution.
         let draws: f64 = (0..4).map(|_| self.random.random::<f64>() - 0.5).sum();
         let spread = 1.0 + draws * 3.0_f64.sqrt() * self.settings.work_spread;
         let work_ms = self.settings.work_ms * part * spread.max(0.1);
@@ -82,7 +82,7 @@
         self.after(time, Event::ServiceComplete(id));
     }
 
-    /// An upstream that refused is followed by the object's next one, once.
+    /// Sends a refused request to the object's next upstream, up to `ATTEMPTS_MAX`.
     pub(super) fn refused(&mut self, id: RequestId) {
         self.report_end(id, Ending::NotServed);
         let Some(request) = self.requests.get_mut(&id) else {
--- a/crates/foxtide-testing/src/load_model/settings.rs
+++ b/crates/foxtide-testing/src/load_model/settings.rs
@@ -1,4 +1,4 @@
-//! What is played, as it stands in a file of JSON with comments.
+//! Simulation settings, read from a JSON file with comments.
 
 use foxtide_config::document;
 use serde::Deserialize;
@@ -8,162 +8,161 @@
 };
 use std::time::Duration;
 
-/// Why a load cannot be read.
+/// Error in reading a settings file.
 #[derive(Debug, thiserror::Error)]
 pub enum LoadError {
-    /// The file cannot be read.
+    /// The file could not be read.
     #[error("{path}: {source}")]
     Read {
         /// The file.
         path: PathBuf,
-        /// The system's error.
+        /// The I/O error.
         source: std::io::Error,
     },
-    /// The file is not in its form.
+    /// The file is not valid JSON or has unknown or mistyped fields.
     #[error("{path}: {cause}")]
     Malformed {
         /// The file.
         path: PathBuf,
-        /// What is wrong, with the field.
+        /// The parser's message.
         cause: String,
     },
-    /// A field holds a value that cannot be used.
+    /// A field has an invalid value.
     #[error("{path}: {field}: {found}; valid: {valid}")]
     Field {
         /// The file.
         path: PathBuf,
         /// The field.
         field: &'static str,
-        /// What it holds.
+        /// The invalid value.
         found: String,
-        /// What it may hold.
+        /// The valid values.
         valid: &'static str,
     },
 }
 
-/// One service under load.
+/// Settings of a simulated service and its load.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct LoadSettings {
-    /// Where requests arise and upstreams stand.
+    /// Regions with their callers, instances and upstreams.
     pub regions: Vec<RegionLoad>,
-    /// Whether upstreams' coordinators are asked; else each instance sends at once.
+    /// Whether instances request slots from coordinators; otherwise they send at once.
     pub is_coordinated: bool,
-    /// Whether a region that is short sends elsewhere what it would refuse.
+    /// Whether a region short of capacity sends excess requests to other regions.
     pub may_overflow: bool,
-    /// One way within a region, in milliseconds.
+    /// One-way delay within a region, in milliseconds.
     pub near_delay_ms: f64,
-    /// One way between regions, in milliseconds.
+    /// One-way delay between regions, in milliseconds.
     pub far_delay_ms: f64,
-    /// Requests that an upstream works on at a time.
+    /// Requests that an upstream processes concurrently.
     pub slots: u32,
-    /// Requests that wait at an upstream before it refuses more.
+    /// Maximum length of an upstream's queue.
     pub queue: usize,
-    /// Objects that an upstream knows.
+    /// Maximum number of objects in an upstream's cache.
     pub known_objects_max: usize,
-    /// Work on an object that the upstream does not know, in milliseconds.
+    /// Mean processing time of an uncached object, in milliseconds.
     pub work_ms: f64,
-    /// By how much work varies, as a factor of its mean.
+    /// Relative spread of the processing time around its mean.
     pub work_spread: f64,
-    /// The part of the work that is left for an object that the upstream knows.
+    /// Processing time of a cached object, as a fraction of that of an uncached one.
     pub known_part: f64,
-    /// The latency objective in milliseconds, from the caller's first attempt.
+    /// Latency objective in milliseconds, from the caller's first attempt.
     pub objective_ms: f64,
-    /// The route's limit in milliseconds.
+    /// Time limit of the route per attempt, in milliseconds.
     pub limit_ms: f64,
-    /// What a late answer is worth; one in time is worth 1.
+    /// Worth of a late answer; an answer within the objective is worth 1.
     pub late_worth: f64,
-    /// How long requests arise, in seconds.
+    /// Duration of the load, in seconds.
     pub length_s: f64,
-    /// By how much the rate of a region swings, as a part of it.
+    /// Amplitude of a region's sinusoidal rate, as a fraction of its mean.
     pub swing: f64,
-    /// The period of that, in seconds; the regions follow each other by a third of it.
+    /// Period of the rate, in seconds; the regions' phases are spread evenly over it.
     pub swing_period_s: f64,
-    /// The part of the callers that come back at once and up to three times.
+    /// Fraction of the callers that retry at once, up to three times.
     pub impatient_share: f64,
-    /// What happens to upstreams.
+    /// Faults of upstreams.
     pub upstream_faults: Vec<UpstreamFault>,
-    /// What happens to the instances that coordinate.
+    /// Faults of coordinators.
     pub coordinator_faults: Vec<CoordinatorFault>,
 }
 
-/// A region.
+/// Load and capacity of a region.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RegionLoad {
-    /// Its name.
+    /// Name of the region.
     pub name: String,
-    /// Instances that stand there.
+    /// Number of instances.
     pub instances: usize,
-    /// Upstreams that stand there.
+    /// Number of upstreams.
     pub upstreams: usize,
-    /// Requests a second that arise there.
+    /// Mean rate of new requests per second.
     pub rate_rps: f64,
-    /// Objects that they concern.
+    /// Number of distinct objects requested.
     pub objects: u64,
 }
 
-/// Something that happens to a part of the upstreams.
+/// A temporary fault of a range of upstreams.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct UpstreamFault {
-    /// When it begins, in seconds.
+    /// Start of the fault, in seconds.
     pub at_s: f64,
-    /// How long it lasts, in seconds.
+    /// Duration of the fault, in seconds.
     pub for_s: f64,
-    /// The part of the upstreams.
+    /// Fraction of the upstreams affected.
     pub share: f64,
-    /// Where that part begins in their order, as a part of all.
+    /// Start of the affected range, as a fraction of all upstreams.
     #[serde(default)]
     pub from: f64,
-    /// What happens.
+    /// Kind of fault.
     pub kind: UpstreamFaultKind,
 }
 
-/// What happens to an upstream.
+/// Kind of upstream fault.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum UpstreamFaultKind {
-    /// It gets nothing, and knows no object when it is back.
+    /// The upstream is unreachable and loses its cache.
     Away,
-    /// Its work takes this many times as long.
+    /// Processing takes this many times as long.
     Slow(f64),
-    /// It refuses this part of its requests.
+    /// The upstream refuses this fraction of its requests.
     Refusing(f64),
 }
 
-/// Something that happens to one instance as a coordinator; it serves callers on.
+/// A temporary fault of one instance's coordinator; the instance still serves callers.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct CoordinatorFault {
-    /// When it begins, in seconds.
+    /// Start of the fault, in seconds.
     pub at_s: f64,
-    /// How long it lasts, in seconds.
+    /// Duration of the fault, in seconds.
     pub for_s: f64,
-    /// The instance, by its number in the order of the regions.
+    /// Index of the instance, counted through the regions in order.
     pub instance: usize,
-    /// What happens.
+    /// Kind of fault.
     pub kind: CoordinatorFaultKind,
 }
 
-/// What happens to a coordinator.
+/// Kind of coordinator fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum CoordinatorFaultKind {
-    /// It is gone and begins anew afterwards; after 2.2 s others know.
+    /// The coordinator stops and loses its state; others notice when its lease expires.
     Killed,
-    /// It hears nothing meanwhile, and then all that came.
+    /// Messages are delayed until the fault ends.
     Paused,
-    /// It hears, but its answers are lost.
+    /// Messages arrive, but answers are lost.
     Mute,
-    /// Every other instance believes that it is gone and asks its successor.
+    /// Every other instance takes it for dead and uses its successor.
     DoublyBelieved,
 }
 
 impl Default for LoadSettings {
-    /// One service in three regions: 18 upstreams of 3 slots and 11 instances, 106
-    /// requests a second for 144 objects. Known, they need half of the slots; unknown,
-    /// 1.7 times as many as there are.
+    /// Returns a service in three regions that needs half of its slots with warm caches
+    /// and 1.7 times its slots with cold ones.
     fn default() -> Self {
         let region = |name: &str, instances, upstreams| RegionLoad {
             name: name.to_owned(),
@@ -202,12 +201,11 @@
 }
 
 impl LoadSettings {
-    /// Reads a file.
+    /// Reads settings from a file.
     ///
     /// # Errors
     ///
-    /// Fails where it cannot be read, is not in its form, or holds a value that cannot
-    /// be played.
+    /// Fails if the file cannot be read, is malformed, or has an invalid value.
     pub fn load(path: &Path) -> Result<Self, LoadError> {
         let path_owned = || path.to_owned();
         let text = std::fs::read_to_string(path).map_err(|source| LoadError::Read {
@@ -290,7 +288,7 @@
     }
 }
 
-/// Returns a time that is given in milliseconds.
+/// Converts milliseconds to a duration; invalid values become zero.
 pub(crate) fn milliseconds(time_ms: f64) -> Duration {
     Duration::try_from_secs_f64(time_ms / 1_000.0).unwrap_or(Duration::ZERO)
 }
--- a/crates/foxtide-testing/src/load_model/shift.rs
+++ b/crates/foxtide-testing/src/load_model/shift.rs
@@ -1,36 +1,33 @@
-//! Where requests were served, and how fast that changed.
+//! Measures how fast a region's requests move to other regions.
 
-/// The window over which a shift of traffic is judged, in seconds, and the steps in which
-/// it slides.
+/// Length and step of the sliding windows that are compared.
 const WINDOW_S: f64 = 2.0;
 const STEP_S: f64 = 0.25;
 
 /// A request that was sent to an upstream.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SentRequest {
-    /// When it was, in seconds after requests began to arise: then its region is chosen. What
-    /// is under way to another region for a while afterwards has not changed it.
+    /// Time at which it was sent, in seconds after the start of the load.
     pub at_s: f64,
-    /// The region in which it arose.
+    /// Region of the caller.
     pub origin: usize,
-    /// The region in which the upstream stands.
+    /// Region of the upstream.
     pub region: usize,
 }
 
-/// The part of one region's requests that changed the region that serves them from one
-/// window to the next.
+/// Change in the regions that serve one region's requests, between consecutive windows.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Shift {
-    /// When the later window begins, in seconds.
+    /// Start of the later window, in seconds.
     pub at_s: f64,
-    /// The region in which the requests arose.
+    /// Region of the callers.
     pub origin: usize,
-    /// The part.
+    /// Fraction of the requests that moved.
     pub share: f64,
 }
 
 /// Returns the largest shift between windows that begin at `from_s` or later and have
-/// `requests_min` requests each.
+/// at least `requests_min` requests each.
 pub(super) fn largest(
     served: &[SentRequest],
     regions: usize,
@@ -60,7 +57,7 @@
     largest
 }
 
-/// Returns how many requests of a region each region served in the window from `at_s` on.
+/// Counts a region's requests by serving region, in the window from `at_s` on.
 fn counts(served: &[SentRequest], origin: usize, regions: usize, at_s: f64) -> Vec<usize> {
     let mut counts = vec![0; regions];
     let in_window =
@@ -71,7 +68,7 @@
     counts
 }
 
-/// Returns the part that moved; nothing where a window has too few requests to tell.
+/// Returns the fraction that moved, or `None` if a window has too few requests.
 fn shifted_share(before: &[usize], after: &[usize], requests_min: usize) -> Option<f64> {
     let (all_before, all_after) = (before.iter().sum::<usize>(), after.iter().sum::<usize>());
     if all_before.min(all_after) < requests_min.max(1) {
--- a/crates/foxtide-testing/src/load_model/simulation.rs
+++ b/crates/foxtide-testing/src/load_model/simulation.rs
@@ -1,4 +1,4 @@
-//! The events of a load, in the order of their times.
+//! Event loop of the simulation.
 
 use super::fleet::Fleet;
 use super::outcome::{
@@ -29,11 +29,10 @@
 };
 use std::time::Duration;
 
-/// How often the load of upstreams is looked at, and the length of a window.
+/// Sampling period of the upstreams' load, and length of a statistics window.
 pub(super) const LOAD_SAMPLE_PERIOD_MS: f64 = 100.0;
 pub(super) const WINDOW_S: f64 = 2.0;
 
-/// What happens next.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum Event {
     Arrival(usize),
@@ -96,13 +95,13 @@
 }
 
 impl Ord for Scheduled {
-    /// The greatest is the one that happens first.
+    /// Reversed, so that the max-heap pops the earliest event.
     fn cmp(&self, other: &Self) -> Ordering {
         (other.at, other.number).cmp(&(self.at, self.number))
     }
 }
 
-/// Plays a load with a seed.
+/// Runs a simulation with a seed.
 pub fn simulate(settings: &LoadSettings, seed: u64) -> LoadOutcome {
     let mut simulation = Simulation::new(settings, seed);
     simulation.run();
@@ -111,7 +110,7 @@
 
 pub(super) struct Simulation<'a> {
     pub(super) settings: &'a LoadSettings,
-    /// What arises, so that the same load comes whatever is decided.
+    /// Separate generator for arrivals, so that routing decisions do not change the load.
     pub(super) arrivals: StdRng,
     pub(super) random: StdRng,
     pub(super) now: MonotonicTime,
@@ -120,9 +119,9 @@
     pub(super) fleet: Fleet,
     pub(super) upstreams: Vec<Upstream>,
     pub(super) requests: HashMap<RequestId, Request>,
-    /// Events that an instance has not heard since it stands still.
+    /// Events held back for paused coordinators.
     pub(super) undelivered: Vec<(usize, Event)>,
-    /// Work that is under way: whether its object was known.
+    /// Whether the object was cached, by started request.
     pub(super) known: HashMap<RequestId, bool>,
     pub(super) next_request: u64,
     pub(super) outcome: LoadOutcome,
--- a/crates/foxtide-testing/src/load_model/slot_requests.rs
+++ b/crates/foxtide-testing/src/load_model/slot_requests.rs
@@ -1,4 +1,4 @@
-//! Instances that ask for slots, and coordinators that answer.
+//! Slot requests from instances and the coordinators' answers.
 
 use super::fleet::Fleet;
 use super::outcome::Cause;
@@ -27,11 +27,11 @@
     lacks_capacity, //
 };
 
-/// What the gateway's settings say by default, in milliseconds.
+// Defaults of the gateway's settings.
 const ANSWER_TIMEOUT_MS: f64 = 40.0;
 const SLOT_REQUEST_PERIOD_MS: f64 = 150.0;
 
-/// The number alone names a request here, whichever instance has it.
+/// Returns the ticket of a request; request numbers are unique across instances.
 fn ticket(id: RequestId) -> Ticket {
     Ticket {
         requester: Fleet::address(0),
@@ -40,7 +40,7 @@
 }
 
 impl Simulation<'_> {
-    /// Asks the coordinator of the request's upstream, or sends where none is slot_request.
+    /// Requests a slot from the upstream's coordinator, or sends at once without one.
     pub(super) fn request_slot(&mut self, id: RequestId) {
         let Some(request) = self.requests.get_mut(&id) else {
             return;
@@ -86,7 +86,7 @@
         }
     }
 
-    /// Without an answer the request is sent, and the coordinator is told.
+    /// Sends a request whose coordinator did not answer, and reports it as ungranted.
     pub(super) fn answer_timeout(&mut self, id: RequestId) {
         let Some(request) = self.requests.get(&id) else {
             return;
@@ -111,7 +111,7 @@
         self.send(id);
     }
 
-    /// A coordinator hears a question or of an end, unless it does not run.
+    /// Delivers an event to a coordinator, subject to the coordinator's fault.
     pub(super) fn deliver(&mut self, coordinator: usize, event: Event) {
         match self.fleet.instances[coordinator].fault {
             Some(CoordinatorFaultKind::Killed) => {}
@@ -207,7 +207,7 @@
         }
     }
 
-    /// Sends a request to another region, as far as the instance may; tells whether it did.
+    /// Requests a slot in another region within the overflow budget; returns whether it did.
     fn overflow(&mut self, id: RequestId) -> bool {
         let Some(request) = self.requests.get_mut(&id) else {
             return false;
@@ -229,7 +229,7 @@
         true
     }
 
-    /// The second choice, else the own upstream as long as there is time.
+    /// Tries the second choice, then overflow, then waits for the first choice.
     pub(super) fn handle_busy(&mut self, id: RequestId) {
         let Some(request) = self.requests.get_mut(&id) else {
             return;
--- a/crates/foxtide-testing/src/load_model/upstream.rs
+++ b/crates/foxtide-testing/src/load_model/upstream.rs
@@ -1,47 +1,46 @@
-//! One upstream.
+//! Simulated upstream with slots, a queue and an object cache.
 
 use super::request::RequestId;
 use std::collections::VecDeque;
 
-/// What becomes of a request that reaches an upstream.
+/// Result of a request's arrival at an upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ReceiveOutcome {
-    /// It is worked on; whether its object is known.
-    Started { is_known: bool },
-    /// It waits.
+    /// Processing has started; `is_known` says whether the object was cached.
+    Started {
+        is_known: bool,
+    },
     Queued,
-    /// It does not run.
     Refused,
 }
 
-/// What an upstream has room for.
+/// Capacity of an upstream.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Limits {
-    /// Requests that it works on.
+    /// Concurrent requests.
     pub(super) slots: usize,
-    /// Requests that wait.
+    /// Queued requests.
     pub(super) queue_max: usize,
-    /// Objects that it knows.
+    /// Cached objects.
     pub(super) known_max: usize,
 }
 
-/// Slots, a queue of first come first served, and the objects that it knows.
 #[derive(Debug, Default)]
 pub(super) struct Upstream {
     running: Vec<RequestId>,
     queue: VecDeque<(RequestId, u64)>,
-    /// The newest at the end.
+    /// Cached objects, most recently used last.
     known: VecDeque<u64>,
-    /// Whether it gets nothing.
+    /// Whether it refuses all requests.
     pub(super) is_away: bool,
-    /// How many times as long its work takes.
+    /// Multiplier of the processing time.
     pub(super) work_factor: f64,
-    /// The part of the requests that it refuses.
+    /// Fraction of requests refused at random.
     pub(super) refusing_share: f64,
 }
 
 impl Upstream {
-    /// Returns an upstream that knows nothing.
+    /// Creates an idle upstream with an empty cache.
     pub(super) fn new() -> Self {
         Self {
             work_factor: 1.0,
@@ -49,13 +48,12 @@
         }
     }
 
-    /// Returns how many requests it has.
+    /// Returns the number of running and queued requests.
     pub(super) fn load(&self) -> usize {
         self.running.len() + self.queue.len()
     }
 
-    /// Takes in a request for an object; `draw` in 0 to 1 decides whether it is refused
-    /// without need.
+    /// Starts, queues or refuses a request; `draw` (0 to 1) decides on random refusal.
     pub(super) fn receive(
         &mut self,
         request: RequestId,
@@ -76,8 +74,8 @@
         ReceiveOutcome::Queued
     }
 
-    /// Removes a request that has ended or is cut; returns the one that begins in its
-    /// place, and whether its object is known.
+    /// Removes a request; returns the queued one that starts in its place and whether its
+    /// object was cached.
     pub(super) fn end(&mut self, request: RequestId, limits: Limits) -> Option<(RequestId, bool)> {
         self.queue.retain(|(queued, _)| *queued != request);
         self.running.retain(|running| *running != request);
@@ -91,7 +89,7 @@
         }
     }
 
-    /// Drops all that it has and knows; returns the requests.
+    /// Clears the cache and drops all requests, which are returned.
     pub(super) fn clear(&mut self) -> Vec<RequestId> {
         self.known.clear();
         let queued = self.queue.drain(..).map(|(request, _)| request);
@@ -100,7 +98,7 @@
         lost
     }
 
-    /// An object is known from the beginning of its first request on.
+    /// Starts a request; its object counts as cached from now on.
     fn begin(&mut self, request: RequestId, object: u64, known_max: usize) -> ReceiveOutcome {
         let is_known = self.known.contains(&object);
         self.known.retain(|known| *known != object);
--- a/crates/foxtide-testing/tests/load_model.rs
+++ b/crates/foxtide-testing/tests/load_model.rs
@@ -1,7 +1,4 @@
-//! Patterns of load, played on the decisions of the core without network.
-//!
-//! The figures are bounds that three seeds keep; they were set before the first run, and not
-//! drawn closer after it.
+//! Load scenarios simulated with the decisions of `foxtide-core`.
 
 use foxtide_testing::load_model::{
     Cause,
@@ -30,7 +27,7 @@
     mean_worth(&simulate_seeds(settings))
 }
 
-fn alone(settings: &LoadSettings) -> LoadSettings {
+fn uncoordinated(settings: &LoadSettings) -> LoadSettings {
     LoadSettings {
         is_coordinated: false,
         ..settings.clone()
@@ -57,13 +54,15 @@
     assert_eq!(simulate(&settings, 7), simulate(&settings, 7));
 }
 
-/// Full queues: the regions' rates swing by 55 % around half of the slots while parts of
-/// the service are away. Where each instance decides alone, upstreams hold queues that
-/// nothing leaves in time.
+/// Guards against queues so long that every request in them is late, as arise under
+/// overload without coordination.
 #[test]
 fn verify_full_queues_are_kept_short_by_coordination() {
     let settings = high();
-    let (before, after) = (simulate_seeds(&alone(&settings)), simulate_seeds(&settings));
+    let (before, after) = (
+        simulate_seeds(&uncoordinated(&settings)),
+        simulate_seeds(&settings),
+    );
     let (worth_before, worth_after) = (mean_worth(&before), mean_worth(&after));
     assert!(
         worth_after > worth_before + 0.08,
@@ -75,15 +74,18 @@
     assert!(arrivals(&after) < arrivals(&before));
 }
 
-/// First touches after a start: no upstream knows any object, and a first touch takes
-/// longer than the objective. What is left to gain is that no queue stays behind.
+/// Guards against queues that persist after a cold start, where processing an uncached
+/// object takes longer than the objective.
 #[test]
 fn verify_a_start_with_unknown_objects_is_over_in_seconds() {
     let settings = LoadSettings {
         length_s: 12.0,
         ..LoadSettings::default()
     };
-    let (before, after) = (simulate_seeds(&alone(&settings)), simulate_seeds(&settings));
+    let (before, after) = (
+        simulate_seeds(&uncoordinated(&settings)),
+        simulate_seeds(&settings),
+    );
     let from_third = |outcomes: &[LoadOutcome]| {
         let windows = outcomes.iter().flat_map(|one| &one.windows[2..]);
         let sums = windows.fold((0.0, 0), |sum, window| {
@@ -95,8 +97,7 @@
     assert!(from_third(&after) > 0.8, "{:.3}", from_third(&after));
 }
 
-/// A region short of upstreams: two of 18 for a third of the requests, so that most of
-/// its objects are served from far away by instances that do not ask.
+/// Guards against losses in a region with two of 18 upstreams and a third of the requests.
 #[test]
 fn verify_a_region_short_of_upstreams_is_served_by_the_others() {
     let mut settings = LoadSettings {
@@ -115,38 +116,30 @@
     for region in &mut settings.regions {
         region.rate_rps *= 1.3;
     }
-    assert!(worth(&settings) > worth(&alone(&settings)));
+    assert!(worth(&settings) > worth(&uncoordinated(&settings)));
 }
 
-/// A region that keeps a part of its objects, by chance most of them on one of its three
-/// upstreams: what that refuses came back to the same region, so that after the end of new
-/// requests 0.8 of the region's requests were served at home where 0.2 had been. Those who
-/// come back have to find the room that the neighbours have, and what a region serves may
-/// move by 0.15 within 2 s. Twelve seeds are judged together: one has 4 to 31 requests in
-/// that time, of which a share says little.
+/// Guards against retries that move a region's traffic back to it by more than 15 % in 2 s
+/// when one of its upstreams refuses requests.
 #[test]
 fn verify_callers_who_come_back_move_no_regions_traffic() {
     verify_traffic_stays(&load("small-region.jsonc"));
 }
 
-/// The same where the region asks for more than its part: shares take regions for alike in
-/// size, and one at the peak of its day is short as a whole. Its neighbours are full as well,
-/// and those who are refused come back to it. What was seen on a whole day: in the 2 s after
-/// the end of new requests the region served 26 of 45 at home, beside 353 of 1,973 in the 2 s
-/// before; 15 to 30 were refused there each half second while other regions had room.
+/// Guards against the same shift when the whole region lacks capacity at its peak.
 #[test]
 fn verify_a_region_short_as_a_whole_moves_none_of_its_traffic() {
-    verify_traffic_stays(&at_its_peak());
+    verify_traffic_stays(&small_region_at_peak());
 }
 
-/// The small region at the peak of a day that swings by half.
-fn at_its_peak() -> LoadSettings {
+/// Returns the small region's load with its rate raised by half.
+fn small_region_at_peak() -> LoadSettings {
     let mut settings = load("small-region.jsonc");
     settings.regions[1].rate_rps *= 1.5;
     settings
 }
 
-/// Judges twelve seeds together, three times.
+/// Pools twelve seeds per check, as a single one has too few requests.
 fn verify_traffic_stays(settings: &LoadSettings) {
     for first in [1, 101, 201] {
         let seeds = first..first + 12;
@@ -161,12 +154,11 @@
     }
 }
 
-/// The same load: what the short region would refuse or serve late goes to the others as far
-/// as the instances may, and the worth of all is not less for it. Refusals halve, as the
-/// budget is more than twice what was refused at the peak, but lies unevenly.
+/// Guards against refusals in a region short of capacity while other regions have free
+/// slots, and against overflow that lowers the overall worth.
 #[test]
 fn verify_a_short_region_refuses_less_where_it_may_send_elsewhere() {
-    let settings = at_its_peak();
+    let settings = small_region_at_peak();
     let without = simulate_seeds(&LoadSettings {
         may_overflow: false,
         ..settings.clone()
@@ -179,20 +171,19 @@
     assert!(after >= before, "{before:.3} -> {after:.3}");
 }
 
-/// Callers who repeat at once and often: three of ten come back after 5 ms, up to three
-/// times.
+/// Guards against overload when 30 % of the callers retry after 5 ms, up to three times.
 #[test]
-fn verify_callers_who_repeat_at_once_do_not_undo_it() {
+fn verify_callers_who_retry_at_once_cause_no_overload() {
     let settings = LoadSettings {
         impatient_share: 0.3,
         ..high()
     };
-    let (before, after) = (worth(&alone(&settings)), worth(&settings));
+    let (before, after) = (worth(&uncoordinated(&settings)), worth(&settings));
     assert!(after > before + 0.05, "{before:.3} -> {after:.3}");
     assert!(after > worth(&high()) - 0.05);
 }
 
-/// Half of a service's requests are turned away by upstreams that have room.
+/// Guards against worse results than without coordination when upstreams refuse at random.
 #[test]
 fn verify_a_service_that_turns_requests_away_is_not_scattered() {
     let settings = LoadSettings {
@@ -205,7 +196,7 @@
         }],
         ..LoadSettings::default()
     };
-    assert!(worth(&settings) > worth(&alone(&settings)));
+    assert!(worth(&settings) > worth(&uncoordinated(&settings)));
 }
 
 fn with_faults(kind: CoordinatorFaultKind, instances: usize) -> LoadSettings {
@@ -222,12 +213,15 @@
     }
 }
 
-/// Coordinators that fail only cost a few milliseconds, and their requests go on: the
-/// fleet stays near to what it is without a fault, and above each instance alone.
+/// Guards against coordinator faults that block requests or make coordination worse than
+/// none.
 #[test]
 fn verify_coordinators_that_fail_cost_little() {
     let well = worth(&with_faults(CoordinatorFaultKind::Killed, 0));
-    let without = worth(&alone(&with_faults(CoordinatorFaultKind::Killed, 0)));
+    let without = worth(&uncoordinated(&with_faults(
+        CoordinatorFaultKind::Killed,
+        0,
+    )));
     for kind in [
         CoordinatorFaultKind::Killed,
         CoordinatorFaultKind::Paused,
