--- a/crates/foxtide-core/tests/membership.rs
+++ b/crates/foxtide-core/tests/membership.rs
@@ -73,27 +73,27 @@
     for observer in seen {
         assert_eq!(fleet.state(observer, 5), Some(MemberState::Dead));
     }
-    let before = fleet.wrong_beliefs();
+    let before = fleet.false_detections();
     fleet.resume(5);
     fleet.run_until(LIMIT, VirtualFleet::all_agree).unwrap();
     // Timeouts that ran during the pause must not cause suspicions.
     assert_eq!(fleet.machine(5).counts().pauses, 1);
-    let after = fleet.wrong_beliefs();
+    let after = fleet.false_detections();
     assert_eq!(after.suspected, before.suspected);
 }
 
 #[test]
 fn verify_lost_packets_kill_nobody() {
     let mut fleet = fleet(60, 6, 5);
-    fleet.lose(0.2);
+    fleet.set_loss_rate(0.2);
     fleet.run_for(Duration::from_secs(10 * 60));
-    assert_eq!(fleet.wrong_beliefs().dead, 0);
+    assert_eq!(fleet.false_detections().dead, 0);
 }
 
 #[test]
 fn verify_a_killed_instance_is_gone_though_packets_are_lost() {
     let mut fleet = fleet(60, 6, 6);
-    fleet.lose(0.2);
+    fleet.set_loss_rate(0.2);
     fleet.run_for(Duration::from_secs(2));
     fleet.kill(7);
     let gone = |fleet: &VirtualFleet| {
@@ -106,7 +106,7 @@
 fn verify_a_healed_partition_leaves_all_alive() {
     let mut fleet = fleet(60, 6, 7);
     let cut = (0..60).step_by(3);
-    fleet.cut_off(cut);
+    fleet.partition(cut);
     fleet.run_for(Duration::from_secs(60));
     assert_eq!(fleet.state(1, 0), Some(MemberState::Dead));
     assert_eq!(fleet.state(0, 3), Some(MemberState::Alive));
@@ -119,7 +119,7 @@
 #[test]
 fn verify_a_healed_partition_causes_no_false_deaths() {
     let mut fleet = fleet(30, 6, 8);
-    fleet.cut_off((0..30).step_by(3));
+    fleet.partition((0..30).step_by(3));
     fleet.run_for(Duration::from_secs(30));
     fleet.heal();
     for _ in 0..100 {
@@ -165,9 +165,9 @@
             seed: 10,
             ..VirtualFleetOptions::default()
         });
-        fleet.lose(0.2);
+        fleet.set_loss_rate(0.2);
         fleet.run_for(Duration::from_secs(60));
-        fleet.wrong_beliefs().suspected
+        fleet.false_detections().suspected
     };
     let (with, without) = (suspected(3), suspected(0));
     assert!(with * 3 < without, "{with} with helpers, {without} without");
@@ -177,7 +177,7 @@
 fn verify_two_instances_cut_off_together_stay_alive_to_each_other() {
     // Two instances that are cut off together still reach each other.
     let mut fleet = fleet(12, 6, 11);
-    fleet.cut_off([0, 6]);
+    fleet.partition([0, 6]);
     fleet.run_for(Duration::from_secs(10));
     assert_eq!(fleet.state(0, 6), Some(MemberState::Alive));
     assert_eq!(fleet.state(0, 1), Some(MemberState::Dead));
@@ -210,7 +210,7 @@
     // With this seed an instance of another zone receives a suspicion but no rumour of
     // its refutation.
     let mut fleet = fleet(40, 6, 0);
-    fleet.lose(0.2);
+    fleet.set_loss_rate(0.2);
     fleet.run_for(Duration::from_secs(3 * 60));
-    assert_eq!(fleet.wrong_beliefs().dead, 0);
+    assert_eq!(fleet.false_detections().dead, 0);
 }
--- a/crates/foxtide-testing/src/virtual_fleet/mod.rs
+++ b/crates/foxtide-testing/src/virtual_fleet/mod.rs
@@ -33,7 +33,7 @@
 use std::time::Duration;
 
 /// Time between two steps of every instance.
-const STEP: Duration = Duration::from_millis(50);
+const TICK_PERIOD: Duration = Duration::from_millis(50);
 
 /// How a virtual fleet behaves.
 #[derive(Clone, Copy, Debug)]
@@ -75,13 +75,13 @@
 struct Node {
     machine: Membership,
     process: Process,
-    side: u32,
-    waiting: Vec<Flight>,
+    partition: u32,
+    held: Vec<Message>,
 }
 
 /// A message under way.
 #[derive(Clone, Debug)]
-struct Flight {
+struct Message {
     sender: usize,
     to: usize,
     packet: Packet,
@@ -89,7 +89,7 @@
 
 /// What was wrongly believed of instances that ran all the time.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct WrongBeliefs {
+pub struct FalseDetections {
     /// Incarnations that some instance suspected.
     pub suspected: usize,
     /// Incarnations that some instance declared dead.
@@ -100,12 +100,12 @@
 #[derive(Debug)]
 pub struct VirtualFleet {
     nodes: Vec<Node>,
-    flights: BTreeMap<(MonotonicTime, u64), Flight>,
+    in_flight: BTreeMap<(MonotonicTime, u64), Message>,
     options: VirtualFleetOptions,
-    loss_share: f64,
+    loss_rate: f64,
     now: MonotonicTime,
     sent: u64,
-    sent_far: u64,
+    sent_across_regions: u64,
     rng: StdRng,
     suspected: BTreeSet<(InstanceId, Incarnation)>,
     dead: BTreeSet<(InstanceId, Incarnation)>,
@@ -123,17 +123,17 @@
                 now,
             ),
             process: Process::Running,
-            side: 0,
-            waiting: Vec::new(),
+            partition: 0,
+            held: Vec::new(),
         };
         let mut fleet = Self {
             nodes: (0..options.instances).map(node).collect(),
-            flights: BTreeMap::new(),
+            in_flight: BTreeMap::new(),
             options,
-            loss_share: 0.0,
+            loss_rate: 0.0,
             now,
             sent: 0,
-            sent_far: 0,
+            sent_across_regions: 0,
             rng: StdRng::seed_from_u64(options.seed),
             suspected: BTreeSet::new(),
             dead: BTreeSet::new(),
@@ -148,8 +148,8 @@
     }
 
     /// Loses this share of all messages from now on.
-    pub fn lose(&mut self, share: f64) {
-        self.loss_share = share;
+    pub fn set_loss_rate(&mut self, share: f64) {
+        self.loss_rate = share;
     }
 
     /// Kills an instance.
@@ -165,27 +165,27 @@
     /// Lets a paused instance go on, first with the messages that waited.
     pub fn resume(&mut self, instance: usize) {
         self.nodes[instance].process = Process::Running;
-        for flight in std::mem::take(&mut self.nodes[instance].waiting) {
-            self.deliver(flight);
+        for message in std::mem::take(&mut self.nodes[instance].held) {
+            self.deliver(message);
         }
     }
 
     /// Lets an instance announce that it leaves.
     pub fn leave(&mut self, instance: usize) {
         let outputs = self.nodes[instance].machine.leave(self.now);
-        self.carry_out(instance, outputs);
+        self.apply_outputs(instance, outputs);
     }
 
     /// Cuts these instances off from all others.
-    pub fn cut_off(&mut self, instances: impl IntoIterator<Item = usize>) {
+    pub fn partition(&mut self, instances: impl IntoIterator<Item = usize>) {
         for instance in instances {
-            self.nodes[instance].side = 1;
+            self.nodes[instance].partition = 1;
         }
     }
 
     /// Connects all again.
     pub fn heal(&mut self) {
-        self.nodes.iter_mut().for_each(|node| node.side = 0);
+        self.nodes.iter_mut().for_each(|node| node.partition = 0);
     }
 
     /// Returns the time on the virtual clock.
@@ -223,8 +223,8 @@
     }
 
     /// Returns what was wrongly believed so far.
-    pub fn wrong_beliefs(&self) -> WrongBeliefs {
-        WrongBeliefs {
+    pub fn false_detections(&self) -> FalseDetections {
+        FalseDetections {
             suspected: self.suspected.len(),
             dead: self.dead.len(),
         }
@@ -237,8 +237,8 @@
 
     /// Returns how many of them went to another region; every third instance
     /// stands in the same one.
-    pub fn sent_far(&self) -> u64 {
-        self.sent_far
+    pub fn sent_across_regions(&self) -> u64 {
+        self.sent_across_regions
     }
 
     /// Lets virtual time pass.
@@ -263,44 +263,44 @@
     }
 
     fn step(&mut self) {
-        let end = self.now + STEP;
-        while let Some(first) = self.flights.first_entry() {
+        let end = self.now + TICK_PERIOD;
+        while let Some(first) = self.in_flight.first_entry() {
             if first.key().0 > end {
                 break;
             }
-            let ((at, _), flight) = first.remove_entry();
+            let ((at, _), message) = first.remove_entry();
             self.now = at;
-            self.deliver(flight);
+            self.deliver(message);
         }
         self.now = end;
         for instance in 0..self.nodes.len() {
             if self.runs(instance) {
                 let outputs = self.nodes[instance].machine.tick(end);
-                self.carry_out(instance, outputs);
+                self.apply_outputs(instance, outputs);
             }
         }
     }
 
-    fn deliver(&mut self, flight: Flight) {
-        let node = &mut self.nodes[flight.to];
+    fn deliver(&mut self, message: Message) {
+        let node = &mut self.nodes[message.to];
         match node.process {
             Process::Killed => {}
-            Process::Paused => node.waiting.push(flight),
+            Process::Paused => node.held.push(message),
             Process::Running => {
-                let Flight { sender, to, packet } = flight;
+                let Message { sender, to, packet } = message;
                 let from = address(sender);
                 let outputs = node.machine.receive(&name(sender), from, packet, self.now);
-                self.carry_out(to, outputs);
+                self.apply_outputs(to, outputs);
             }
         }
     }
 
-    fn carry_out(&mut self, instance: usize, outputs: Vec<Output>) {
+    fn apply_outputs(&mut self, instance: usize, outputs: Vec<Output>) {
         for output in outputs {
             match output {
                 Output::Send { to, packet } => self.send(instance, number(to), packet),
                 Output::Synchronise { with } => self.synchronise(instance, number(with)),
-                Output::Changed(member) => self.note(&member),
+                Output::Changed(member) => self.record_detection(&member),
                 Output::Announced { .. } => {}
             }
         }
@@ -308,16 +308,16 @@
 
     fn send(&mut self, sender: usize, to: usize, packet: Packet) {
         self.sent += 1;
-        self.sent_far += u64::from(region(sender) != region(to));
-        let lost = self.loss_share > 0.0 && self.rng.random_bool(self.loss_share);
+        self.sent_across_regions += u64::from(region(sender) != region(to));
+        let lost = self.loss_rate > 0.0 && self.rng.random_bool(self.loss_rate);
         if !lost && self.connected(sender, to) {
             let key = (self.now + self.options.delay, self.sent);
-            self.flights.insert(key, Flight { sender, to, packet });
+            self.in_flight.insert(key, Message { sender, to, packet });
         }
     }
 
     fn connected(&self, one: usize, two: usize) -> bool {
-        self.nodes[one].side == self.nodes[two].side
+        self.nodes[one].partition == self.nodes[two].partition
     }
 
     /// Exchanges all that two instances know, as over a stream.
@@ -328,19 +328,19 @@
         for (from, to) in [(one, two), (two, one)] {
             let members = self.nodes[from].machine.members().cloned().collect();
             let outputs = self.nodes[to].machine.merge(members, self.now);
-            self.carry_out(to, outputs);
+            self.apply_outputs(to, outputs);
         }
     }
 
-    fn note(&mut self, member: &Member) {
+    fn record_detection(&mut self, member: &Member) {
         let node = &self.nodes[number(member.peer_address)];
         if node.process != Process::Running {
             return;
         }
-        let belief = (member.instance.clone(), member.incarnation);
+        let detection = (member.instance.clone(), member.incarnation);
         match member.state {
-            MemberState::Suspect => self.suspected.insert(belief),
-            MemberState::Dead => self.dead.insert(belief),
+            MemberState::Suspect => self.suspected.insert(detection),
+            MemberState::Dead => self.dead.insert(detection),
             MemberState::Joining | MemberState::Alive | MemberState::Leaving => false,
         };
     }
--- a/crates/foxtide/examples/measure/membership_virtual.rs
+++ b/crates/foxtide/examples/measure/membership_virtual.rs
@@ -29,12 +29,14 @@
         let mut fleet = fleet(INSTANCES, zones, 0);
         fleet.run_for(PHASE);
         let name = format!("membership.scope.{name}");
-        let far_before = fleet.sent_far();
+        let far_before = fleet.sent_across_regions();
         let steady = sent_in_phase(&mut fleet);
         show(report, &format!("{name}.steady"), steady);
-        let far = (fleet.sent_far() - far_before) as f64 / INSTANCES as f64 / PHASE.as_secs_f64();
+        let far = (fleet.sent_across_regions() - far_before) as f64
+            / INSTANCES as f64
+            / PHASE.as_secs_f64();
         show(report, &format!("{name}.steady_to_other_regions"), far);
-        fleet.cut_off((0..INSTANCES).step_by(CUT_STEP));
+        fleet.partition((0..INSTANCES).step_by(CUT_STEP));
         let cut = sent_in_phase(&mut fleet);
         show(report, &format!("{name}.region_cut_off"), cut);
         fleet.heal();
@@ -61,7 +63,7 @@
         &format!("{name}.steady"),
         sent / (PHASE / 2).as_secs_f64(),
     );
-    let wrong = fleet.wrong_beliefs().suspected as f64;
+    let wrong = fleet.false_detections().suspected as f64;
     report.figure(&format!("{name}.suspected"), wrong, "", Limit::AtMost(0.0));
     gone(report, name, TARGET_INSTANCES, 15);
 }
@@ -134,9 +136,9 @@
             instances: INSTANCES,
             ..VirtualFleetOptions::default()
         });
-        fleet.lose(0.2);
+        fleet.set_loss_rate(0.2);
         fleet.run_for(Duration::from_secs(60) * MINUTES);
-        let wrong = fleet.wrong_beliefs();
+        let wrong = fleet.false_detections();
         let unit = "/1000min";
         let dead_limit = match name {
             "whole" => Limit::AtMost(0.0),
