--- a/crates/foxtide-testing/src/virtual_fleet/mod.rs
+++ b/crates/foxtide-testing/src/virtual_fleet/mod.rs
@@ -1,5 +1,5 @@
-//! Membership state machines on a virtual clock, with messages that are lost,
-//! delayed or cut off as scripted.
+//! Simulates a fleet of membership state machines on a virtual clock, with scripted
+//! message loss, pauses, crashes and network partitions.
 
 mod names;
 
@@ -32,21 +32,20 @@
 };
 use std::time::Duration;
 
-/// Time between two steps of every instance.
 const TICK_PERIOD: Duration = Duration::from_millis(50);
 
-/// How a virtual fleet behaves.
+/// Options of a [`VirtualFleet`].
 #[derive(Clone, Copy, Debug)]
 pub struct VirtualFleetOptions {
-    /// The protocol's settings.
+    /// Options of the membership protocol.
     pub membership: MembershipOptions,
-    /// Instances. Default 10.
+    /// Number of instances. Default 10.
     pub instances: usize,
-    /// Availability zones over which they are spread. Default 6.
+    /// Number of availability zones over which instances are spread. Default 6.
     pub zones: usize,
     /// One-way delay of a message. Default 1 ms.
     pub delay: Duration,
-    /// Seed of all that is drawn. Default 0.
+    /// Seed of the random generators. Default 0.
     pub seed: u64,
 }
 
@@ -62,11 +61,10 @@
     }
 }
 
-/// What a virtual instance does.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Process {
     Running,
-    /// Stands still; its messages wait.
+    /// Suspended; messages to it are held until it resumes.
     Paused,
     Killed,
 }
@@ -79,7 +77,6 @@
     held: Vec<Message>,
 }
 
-/// A message under way.
 #[derive(Clone, Debug)]
 struct Message {
     sender: usize,
@@ -87,7 +84,7 @@
     packet: Packet,
 }
 
-/// What was wrongly believed of instances that ran all the time.
+/// Counts of running instances that others suspected or declared dead.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct FalseDetections {
     /// Incarnations that some instance suspected.
@@ -112,7 +109,7 @@
 }
 
 impl VirtualFleet {
-    /// Returns a fleet in which all know all.
+    /// Creates a fleet in which every instance knows all members.
     pub fn new(options: VirtualFleetOptions) -> Self {
         let now = MonotonicTime::from_ms(1_000);
         let node = |number| Node {
@@ -147,9 +144,9 @@
         fleet
     }
 
-    /// Loses this share of all messages from now on.
-    pub fn set_loss_rate(&mut self, share: f64) {
-        self.loss_rate = share;
+    /// Sets the fraction of messages that are dropped from now on.
+    pub fn set_loss_rate(&mut self, rate: f64) {
+        self.loss_rate = rate;
     }
 
     /// Kills an instance.
@@ -157,12 +154,12 @@
         self.nodes[instance].process = Process::Killed;
     }
 
-    /// Lets an instance stand still; messages to it wait.
+    /// Pauses an instance and holds messages to it.
     pub fn pause(&mut self, instance: usize) {
         self.nodes[instance].process = Process::Paused;
     }
 
-    /// Lets a paused instance go on, first with the messages that waited.
+    /// Resumes a paused instance, which first receives the held messages.
     pub fn resume(&mut self, instance: usize) {
         self.nodes[instance].process = Process::Running;
         for message in std::mem::take(&mut self.nodes[instance].held) {
@@ -170,20 +167,20 @@
         }
     }
 
-    /// Lets an instance announce that it leaves.
+    /// Makes an instance announce that it is leaving.
     pub fn leave(&mut self, instance: usize) {
         let outputs = self.nodes[instance].machine.leave(self.now);
         self.apply_outputs(instance, outputs);
     }
 
-    /// Cuts these instances off from all others.
+    /// Partitions these instances from all others.
     pub fn partition(&mut self, instances: impl IntoIterator<Item = usize>) {
         for instance in instances {
             self.nodes[instance].partition = 1;
         }
     }
 
-    /// Connects all again.
+    /// Ends all partitions.
     pub fn heal(&mut self) {
         self.nodes.iter_mut().for_each(|node| node.partition = 0);
     }
@@ -193,14 +190,14 @@
         self.now
     }
 
-    /// Returns what `observer` believes of `subject`.
+    /// Returns the state of `subject` in `observer`'s view.
     pub fn state(&self, observer: usize, subject: usize) -> Option<MemberState> {
         let member = self.nodes[observer].machine.member(&name(subject))?;
         Some(member.state)
     }
 
-    /// Returns whether each running instance believes of each other what is
-    /// true: that it runs or that it does not.
+    /// Returns whether every running instance has the correct view of which instances
+    /// run.
     pub fn all_agree(&self) -> bool {
         let running: Vec<_> = (0..self.nodes.len()).map(|it| self.runs(it)).collect();
         let observers = (0..running.len()).filter(|observer| running[*observer]);
@@ -217,12 +214,12 @@
         self.nodes[instance].process == Process::Running
     }
 
-    /// Returns one machine.
+    /// Returns the state machine of an instance.
     pub fn machine(&self, instance: usize) -> &Membership {
         &self.nodes[instance].machine
     }
 
-    /// Returns what was wrongly believed so far.
+    /// Returns the counts of false detections so far.
     pub fn false_detections(&self) -> FalseDetections {
         FalseDetections {
             suspected: self.suspected.len(),
@@ -230,18 +227,18 @@
         }
     }
 
-    /// Returns how many messages were sent so far.
+    /// Returns the number of messages sent so far.
     pub fn sent(&self) -> u64 {
         self.sent
     }
 
-    /// Returns how many of them went to another region; every third instance
-    /// stands in the same one.
+    /// Returns the number of messages sent to another region so far; every third instance
+    /// is in the same region.
     pub fn sent_across_regions(&self) -> u64 {
         self.sent_across_regions
     }
 
-    /// Lets virtual time pass.
+    /// Advances virtual time by `duration`.
     pub fn run_for(&mut self, duration: Duration) {
         let end = self.now + duration;
         while self.now < end {
@@ -249,8 +246,8 @@
         }
     }
 
-    /// Lets virtual time pass until `done`; returns how long that took, or
-    /// `None` where it took longer than `limit`.
+    /// Advances virtual time until `done`; returns the time taken, or `None` if `limit`
+    /// passed first.
     pub fn run_until(&mut self, limit: Duration, done: impl Fn(&Self) -> bool) -> Option<Duration> {
         let start = self.now;
         while self.now - start < limit {
@@ -320,7 +317,7 @@
         self.nodes[one].partition == self.nodes[two].partition
     }
 
-    /// Exchanges all that two instances know, as over a stream.
+    /// Exchanges full member lists between two instances, as over a stream.
     fn synchronise(&mut self, one: usize, two: usize) {
         if !self.connected(one, two) || !self.runs(one) || !self.runs(two) {
             return;
--- a/crates/foxtide-testing/src/virtual_fleet/names.rs
+++ b/crates/foxtide-testing/src/virtual_fleet/names.rs
@@ -1,4 +1,4 @@
-//! Names and addresses of the instances of a virtual fleet.
+//! Names, addresses and regions of the instances of a virtual fleet.
 
 use foxtide_core::idempotency::ProcessNumber;
 use foxtide_core::ids::InstanceId;
@@ -9,7 +9,6 @@
 };
 use std::net::SocketAddr;
 
-/// Port of the first instance.
 const FIRST_PORT: u16 = 10_000;
 
 /// Regions of the fleet, each with two availability zones.
@@ -17,10 +16,10 @@
 
 pub(super) fn name(instance: usize) -> InstanceId {
     let name = format!("i{instance}").parse();
-    name.expect("a letter and a number are a name")
+    name.expect("instance name is valid")
 }
 
-/// Returns the region in which an instance stands, also where all share a zone.
+/// Returns the region of an instance, regardless of the number of zones.
 pub(super) fn region(instance: usize) -> &'static str {
     REGIONS[instance % REGIONS.len()]
 }
@@ -40,8 +39,8 @@
     let zone = format!("{region}-{}", zone / REGIONS.len());
     Member {
         instance: name(instance),
-        region: region.parse().expect("a region's name"),
-        availability_zone: zone.parse().expect("a zone's name"),
+        region: region.parse().expect("region name is valid"),
+        availability_zone: zone.parse().expect("zone name is valid"),
         peer_address: address(instance),
         caller_address: address(instance),
         process: ProcessNumber::new(1),
