--- a/crates/foxtide-testing/src/load_model/faults.rs
+++ b/crates/foxtide-testing/src/load_model/faults.rs
@@ -23,17 +23,17 @@
         let part = |share: f64| (count as f64 * share).round() as usize;
         let first = part(fault.from).min(count);
         for upstream in first..(first + part(fault.share)).min(count) {
-            let own = &mut self.upstreams[upstream];
+            let target = &mut self.upstreams[upstream];
             match fault.kind {
                 UpstreamFaultKind::Slow(times) => {
-                    own.work_factor = if begins { times } else { 1.0 }
+                    target.work_factor = if begins { times } else { 1.0 }
                 }
                 UpstreamFaultKind::Refusing(share) => {
-                    own.refusing_share = if begins { share } else { 0.0 };
+                    target.refusing_share = if begins { share } else { 0.0 };
                 }
                 UpstreamFaultKind::Away => {
-                    own.is_away = begins;
-                    for lost in own.clear() {
+                    target.is_away = begins;
+                    for lost in target.clear() {
                         self.end(lost, Cause::Lost, milliseconds(IMPATIENT_RETRY_MS));
                     }
                 }
@@ -65,11 +65,11 @@
                 }
             }
             CoordinatorFaultKind::Paused => {
-                let (mine, others): (Vec<_>, Vec<_>) = std::mem::take(&mut self.undelivered)
+                let (held, remaining): (Vec<_>, Vec<_>) = std::mem::take(&mut self.undelivered)
                     .into_iter()
                     .partition(|(coordinator, _)| *coordinator == instance);
-                self.undelivered = others;
-                for (_, event) in mine {
+                self.undelivered = remaining;
+                for (_, event) in held {
                     self.after(Duration::ZERO, event);
                 }
             }
--- a/crates/foxtide-testing/src/load_model/slot_requests.rs
+++ b/crates/foxtide-testing/src/load_model/slot_requests.rs
@@ -143,18 +143,18 @@
                 let Some(slot_request) = self.slot_request(request, patience) else {
                     return Vec::new();
                 };
-                let own = &mut self.fleet.instances[coordinator].coordinator;
+                let node = &mut self.fleet.instances[coordinator].coordinator;
                 if expects_answer {
-                    return own.ask(&slot_request, slots, now);
+                    return node.ask(&slot_request, slots, now);
                 }
-                own.record_ungranted(&slot_request, slots, now);
+                node.record_ungranted(&slot_request, slots, now);
                 Vec::new()
             }
             Event::Ended {
                 request, ending, ..
             } => {
-                let own = &mut self.fleet.instances[coordinator].coordinator;
-                own.end(ticket(request), ending, now)
+                let node = &mut self.fleet.instances[coordinator].coordinator;
+                node.end(ticket(request), ending, now)
             }
             _ => Vec::new(),
         }
