--- a/crates/foxtidectl/src/commands/drain/start.rs
+++ b/crates/foxtidectl/src/commands/drain/start.rs
@@ -1,14 +1,14 @@
-//! `foxtidectl drain start`.
+//! `foxtidectl drain start`: announces a drain.
 
-use super::in_words;
+use super::describe;
 use crate::admin;
+use crate::change_document::{
+    self,
+    DocumentChange, //
+};
 use crate::failure::Failure;
 use crate::report::Report;
 use crate::session::Session;
-use crate::write::{
-    self,
-    Edit, //
-};
 use argh::FromArgs;
 use foxtide_core::ids::DrainId;
 use foxtide_core::organisation::{
@@ -47,15 +47,15 @@
     /// Adds the drain to the document.
     pub(super) async fn run(self, session: &Session) -> Result<Report, Failure> {
         let target = self.target()?;
-        known_instance(session, &target).await?;
+        check_instance_exists(session, &target).await?;
         let base = session.load(&self.organisation).await?;
-        let document = self.announced(session, &base.document, &target)?;
-        let edit = Edit {
+        let document = self.with_drain(session, &base.document, &target)?;
+        let edit = DocumentChange {
             base: Some(base),
             document,
-            summary: format!("drain {}", in_words(&target)),
+            summary: format!("drain {}", describe(&target)),
         };
-        write::apply(session, edit).await
+        change_document::apply(session, edit).await
     }
 
     fn target(&self) -> Result<DrainTarget, Failure> {
@@ -67,20 +67,20 @@
             zone,
             region,
         ) {
-            (Some(text), None, None, None) => upstream(text),
+            (Some(text), None, None, None) => parse_upstream(text),
             (None, Some(name), None, None) => Ok(DrainTarget::Instance(name.parse()?)),
             (None, None, Some(name), None) => Ok(DrainTarget::AvailabilityZone(name.parse()?)),
             (None, None, None, Some(name)) => Ok(DrainTarget::Region(name.parse()?)),
             _ => Err(Failure::refused(
-                "a drain has exactly one target",
+                "a drain needs exactly one target",
                 "give one of --upstream, --instance, --availability-zone and --region",
             )),
         }
     }
 
-    /// Returns the document with the drain; the same document where the target
-    /// is being drained already, so that the command can be run again.
-    fn announced(
+    /// Returns the document with the drain added, or unchanged if the target is
+    /// already drained, which makes the command idempotent.
+    fn with_drain(
         &self,
         session: &Session,
         document: &Organisation,
@@ -91,7 +91,7 @@
             return Ok(changed);
         }
         changed.drains.push(Drain {
-            id: id_of(target)?,
+            id: drain_id(target)?,
             target: target.clone(),
             start_us: session.now() + Duration::from_secs(self.in_s.into()),
         });
@@ -99,9 +99,9 @@
     }
 }
 
-/// Refuses an instance that nobody knows, where instances can be asked: the
-/// document does not hold them, and a wrong name would do nothing.
-async fn known_instance(session: &Session, target: &DrainTarget) -> Result<(), Failure> {
+/// Refuses a target instance that is unknown to the first admin listener that responds.
+/// Documents do not list instances, so a misspelt name would have no effect.
+async fn check_instance_exists(session: &Session, target: &DrainTarget) -> Result<(), Failure> {
     let admin = &session.options().admin;
     let DrainTarget::Instance(wanted) = target else {
         return Ok(());
@@ -109,7 +109,7 @@
     if admin.is_empty() {
         return Ok(());
     }
-    let page = admin::ask_any(admin, "/v1/instances").await?;
+    let page = admin::fetch_any(admin, "/v1/instances").await?;
     let rows = page.as_array().into_iter().flatten();
     let known: Vec<&str> = rows
         .filter_map(|row| row.get("instance")?.as_str())
@@ -124,9 +124,9 @@
     ))
 }
 
-fn upstream(text: &str) -> Result<DrainTarget, Failure> {
+fn parse_upstream(text: &str) -> Result<DrainTarget, Failure> {
     let Some((service, upstream)) = text.split_once('/') else {
-        let problem = format!("--upstream: `{text}` names no service");
+        let problem = format!("--upstream: `{text}` has no service name");
         return Err(Failure::refused(
             problem,
             "write it as --upstream SERVICE/UPSTREAM",
@@ -138,8 +138,8 @@
     })
 }
 
-/// Returns the drain's name: the same for the same target.
-fn id_of(target: &DrainTarget) -> Result<DrainId, Failure> {
+/// Derives the drain's id from its target.
+fn drain_id(target: &DrainTarget) -> Result<DrainId, Failure> {
     let name = match target {
         DrainTarget::Upstream { service, upstream } => format!("{service}-{upstream}"),
         DrainTarget::AvailabilityZone(zone) => format!("zone-{zone}"),
--- a/crates/foxtidectl/src/commands/explain/request/cause.rs
+++ b/crates/foxtidectl/src/commands/explain/request/cause.rs
@@ -1,42 +1,42 @@
-//! From the lines about a request to its cause.
+//! Explains the outcome of a request from its log lines.
 
-use super::story::Story;
-use crate::commands::lines::LogLine;
+use super::trace::RequestTrace;
+use crate::commands::log_lines::LogLine;
 
-/// The age from which knowledge of the store is old, in milliseconds: an instance
-/// asks it, or a peer, each 0.8 s and waits 2 s at most.
-const OLD_KNOWLEDGE_MS: f64 = 3_000.0;
+/// The age in milliseconds from which data of the store counts as stale. Instances poll the
+/// store or a peer every 0.8 s with a timeout of 2 s.
+const STALE_STORE_DATA_MS: f64 = 3_000.0;
 
-/// Returns why a request ended as it did.
-pub(super) fn in_words(story: &Story<'_>) -> String {
-    let Some(end) = story.end() else {
+/// Returns the cause of a request's outcome.
+pub(super) fn describe(trace: &RequestTrace<'_>) -> String {
+    let Some(end) = trace.end() else {
         return "its end is not in these lines: the instance was killed, or the line was left out"
             .to_owned();
     };
     match end.event.as_str() {
         "request-cancelled" => "its caller went away before the reply".to_owned(),
-        "request-answered" => answered(story, end),
-        _ => failed(story, end),
+        "request-answered" => answered(trace, end),
+        _ => failed(trace, end),
     }
 }
 
-fn failed(story: &Story<'_>, end: &LogLine) -> String {
-    let status = end.field("status");
-    let reason = match end.field("reason").as_str() {
+fn failed(trace: &RequestTrace<'_>, end: &LogLine) -> String {
+    let status = end.text("status");
+    let reason = match end.text("reason").as_str() {
         "upstream_refused" => format!(
             "it did not run: each upstream that was asked had no room ({})",
-            occupancies(story)
+            occupancies(trace)
         ),
         "no_slot_in_time" => format!(
             "it did not run: it waited {:.0} ms for a slot of upstream {}, and none was expected \
              in its time (coordinator {})",
             end.number("slot_wait_ms").unwrap_or_default(),
-            end.field("upstream"),
-            end.field("coordinator")
+            end.text("upstream"),
+            end.text("coordinator")
         ),
         "upstreams_unreachable" => format!(
             "it did not run: no connection could be made ({})",
-            causes(story)
+            causes(trace)
         ),
         "upstreams_cold" => "it did not run: the upstreams that are left have just started and \
                              had their part of requests"
@@ -44,7 +44,7 @@
         "no_upstream_registered" => "it did not run: no upstream of the service is registered \
                                      where the route may be served"
             .to_owned(),
-        "upstreams_tried" => format!("it did not run anywhere ({})", causes(story)),
+        "upstreams_tried" => format!("it did not run anywhere ({})", causes(trace)),
         "time_up_before_sending" => "it did not run: its time passed between attempts".to_owned(),
         "no_configuration_yet" => "it did not run: the instance had just started and had not \
                                    read the configuration"
@@ -57,51 +57,51 @@
             .to_owned(),
         "response_lost" => format!(
             "it may have run: the response was lost ({}){}",
-            causes(story),
-            resent(end)
+            causes(trace),
+            no_retry_note(end)
         ),
         "time_up_at_upstream" => format!(
             "it may have run: upstream {} did not respond within the time limit{}",
-            end.field("upstream"),
-            resent(end)
+            end.text("upstream"),
+            no_retry_note(end)
         ),
-        "upstream_error" => format!("upstream {} responded with an error", end.field("upstream")),
+        "upstream_error" => format!("upstream {} responded with an error", end.text("upstream")),
         "no_route" => format!(
             "version {} of the configuration has no route for it",
-            end.field("version")
+            end.text("version")
         ),
         "key_missing" => "its caller showed no key, and its route is not public".to_owned(),
         "key_unreadable" => "its caller showed something else than one key".to_owned(),
         "key_unknown" => format!(
             "no organisation holds its caller's key in version {}",
-            end.field("version")
+            end.text("version")
         ),
         "key_changed_hands" => {
             "its caller's key went to another organisation while it waited".to_owned()
         }
         "quota_reached" => format!(
             "it did not run: organisation {} had used up its quota",
-            end.field("organisation")
+            end.text("organisation")
         ),
         "no_common_home" => format!(
             "it did not run: its route and organisation {} have no home in common",
-            end.field("organisation")
+            end.text("organisation")
         ),
         "ends_its_upstreams" => format!(
             "it did not run: upstreams end under requests of its content ({}), which are held back",
-            end.field("fingerprint")
+            end.text("fingerprint")
         ),
         "malformed" => "the request cannot be understood".to_owned(),
         "head_too_long" | "body_too_long" => "the request is longer than the limits".to_owned(),
         "caller_too_slow" => "the caller took too long to send it".to_owned(),
         other => format!("{other}; docs/OPERATIONS.md lists the reasons"),
     };
-    format!("status {status}: {reason}{}", outage(story, end))
+    format!("status {status}: {reason}{}", outage_note(trace, end))
 }
 
-/// An answered request is explained where it came late or went elsewhere.
-fn answered(story: &Story<'_>, end: &LogLine) -> String {
-    let upstream = end.field("upstream");
+/// Describes an answered request, including delays, retries and a changed upstream.
+fn answered(trace: &RequestTrace<'_>, end: &LogLine) -> String {
+    let upstream = end.text("upstream");
     let latency_ms = end.number("latency_ms").unwrap_or_default();
     let objective_ms = end.number("objective_ms").unwrap_or(f64::MAX);
     let mut text = format!("answered by upstream {upstream} after {latency_ms:.0} ms");
@@ -110,11 +110,11 @@
             ", later than the {objective_ms:.0} ms it is to take"
         ));
     }
-    let attempts = story.failed_attempts().count();
+    let attempts = trace.failed_attempts().count();
     if attempts > 0 {
         text.push_str(&format!(
             "; {attempts} attempts before it failed ({})",
-            causes(story)
+            causes(trace)
         ));
     }
     if end.number("rank").is_some_and(|rank| rank > 0.0) {
@@ -129,56 +129,55 @@
             "; {occupancy} requests were at the upstream before it"
         ));
     }
-    if let Some(evacuated) = story.belief("zones-evacuated") {
-        let zones = evacuated.field("zones");
+    if let Some(evacuated) = trace.latest_state_event("zones-evacuated") {
+        let zones = evacuated.text("zones");
         if zones != "-" {
             text.push_str(&format!("; availability zones that get nothing: {zones}"));
         }
     }
-    text.push_str(&outage(story, end));
+    text.push_str(&outage_note(trace, end));
     text
 }
 
-/// Tells of an outage of the store that the decisions rested on.
-fn outage(story: &Story<'_>, end: &LogLine) -> String {
+/// Returns a note if the request was decided on stale data of the store.
+fn outage_note(trace: &RequestTrace<'_>, end: &LogLine) -> String {
     let age_ms = end.number("knowledge_age_ms").unwrap_or_default();
-    if age_ms < OLD_KNOWLEDGE_MS {
+    if age_ms < STALE_STORE_DATA_MS {
         return String::new();
     }
-    let since = match story.belief("store-unreachable") {
-        Some(lost) => format!(" (lost at {}: {})", lost.time(), lost.field("cause")),
+    let since = match trace.latest_state_event("store-unreachable") {
+        Some(lost) => format!(" (lost at {}: {})", lost.time(), lost.text("cause")),
         None => String::new(),
     };
     let age_s = age_ms / 1_000.0;
     format!("; the instance decided by what the store said {age_s:.1} s before{since}")
 }
 
-fn resent(end: &LogLine) -> &'static str {
-    match end.is("is_idempotent") {
+fn no_retry_note(end: &LogLine) -> &'static str {
+    match end.boolean("is_idempotent") {
         Some(false) => "; it was not sent again since it must not run twice",
         _ => "",
     }
 }
 
-fn occupancies(story: &Story<'_>) -> String {
+fn occupancies(trace: &RequestTrace<'_>) -> String {
     let of_attempt = |line: &LogLine| {
-        let (upstream, occupancy) = (line.field("upstream"), line.field("occupancy"));
+        let (upstream, occupancy) = (line.text("upstream"), line.text("occupancy"));
         format!("{upstream} had {occupancy} requests")
     };
-    let attempts: Vec<String> = story.failed_attempts().map(of_attempt).collect();
+    let attempts: Vec<String> = trace.failed_attempts().map(of_attempt).collect();
     attempts.join(", ")
 }
 
-fn causes(story: &Story<'_>) -> String {
-    let of_attempt =
-        |line: &LogLine| format!("{}: {}", line.field("upstream"), line.field("cause"));
-    let attempts: Vec<String> = story.failed_attempts().map(of_attempt).collect();
+fn causes(trace: &RequestTrace<'_>) -> String {
+    let of_attempt = |line: &LogLine| format!("{}: {}", line.text("upstream"), line.text("cause"));
+    let attempts: Vec<String> = trace.failed_attempts().map(of_attempt).collect();
     attempts.join(", ")
 }
 
-/// Returns one line as people read it.
-pub(super) fn line_in_words(line: &LogLine) -> String {
-    let field = |name: &str| line.field(name);
+/// Formats one line of a trace.
+pub(super) fn describe_line(line: &LogLine) -> String {
+    let field = |name: &str| line.text(name);
     match line.event.as_str() {
         "attempt-failed" => format!(
             "attempt at {} in {}, place {} of the object's order, {} requests there: {}, {}",
--- a/crates/foxtidectl/src/commands/organisation/create.rs
+++ b/crates/foxtidectl/src/commands/organisation/create.rs
@@ -1,13 +1,13 @@
-//! `foxtidectl organisation create`.
+//! `foxtidectl organisation create`: creates an organisation from a template.
 
 use super::parameters;
+use crate::change_document::{
+    self,
+    DocumentChange, //
+};
 use crate::failure::Failure;
 use crate::report::Report;
 use crate::session::Session;
-use crate::write::{
-    self,
-    Edit, //
-};
 use argh::FromArgs;
 use foxtide_config::{
     Template,
@@ -35,28 +35,28 @@
 }
 
 impl Create {
-    /// Makes the document and has it accepted.
+    /// Instantiates the template and writes the document.
     pub(super) async fn run(self, session: &Session) -> Result<Report, Failure> {
         let name: OrganisationId = self.organisation.parse()?;
         let template = Template::load(Path::new(&self.template))?;
         let given = parameters::collect(&template, self.parameters.as_deref(), &self.set)?;
         let document = template.instantiate(&name, &given)?;
         if let Some(stored) = change::load(session.store(), &name).await? {
-            return refuse_existing(session, &stored, &document);
+            return check_existing(session, &stored, &document);
         }
         let summary = format!("create from {} v{}", template.template, template.version);
-        let edit = Edit {
+        let edit = DocumentChange {
             base: None,
             document,
             summary,
         };
-        write::apply(session, edit).await
+        change_document::apply(session, edit).await
     }
 }
 
-/// Takes a repeated command as done where the organisation is what it would
-/// make; else refuses.
-fn refuse_existing(
+/// Succeeds if the existing organisation is identical to the requested one, which makes
+/// the command idempotent, and refuses otherwise.
+fn check_existing(
     _session: &Session,
     stored: &change::StoredDocument,
     document: &foxtide_core::organisation::Organisation,
@@ -69,7 +69,7 @@
         );
         return Ok(Report::new(text, serde_json::json!({"written": false})));
     }
-    let problem = format!("organisation `{}` exists already", document.organisation);
+    let problem = format!("organisation `{}` already exists", document.organisation);
     let advice = "change it with `foxtidectl organisation edit`";
     Err(Failure::refused(problem, advice))
 }
--- a/crates/foxtidectl/src/commands/organisation/edit.rs
+++ b/crates/foxtidectl/src/commands/organisation/edit.rs
@@ -1,10 +1,10 @@
-//! `foxtidectl organisation edit`.
+//! `foxtidectl organisation edit`: changes template parameters.
 
 use super::parameters;
+use crate::change_document;
 use crate::failure::Failure;
 use crate::report::Report;
 use crate::session::Session;
-use crate::write;
 use argh::FromArgs;
 use foxtide_config::Template;
 use foxtide_config::change::StoredDocument;
@@ -35,22 +35,22 @@
 }
 
 impl Edit {
-    /// Makes the changed document and has it accepted.
+    /// Instantiates the template with the changed parameters and writes the document.
     pub(super) async fn run(self, session: &Session) -> Result<Report, Failure> {
         let template = Template::load(Path::new(&self.template))?;
         let base = session.load(&self.organisation).await?;
         let given = self.parameters(&template, &base.document)?;
         let fresh = template.instantiate(&base.document.organisation, &given)?;
-        let document = kept(&base, fresh);
-        let edit = write::Edit {
+        let document = with_moves_and_drains(&base, fresh);
+        let edit = change_document::DocumentChange {
             base: Some(base),
             document,
             summary: self.summary(&template),
         };
-        write::apply(session, edit).await
+        change_document::apply(session, edit).await
     }
 
-    /// Returns the parameters as they are to be.
+    /// Returns the parameters after the change.
     fn parameters(
         &self,
         template: &Template,
@@ -64,7 +64,7 @@
         Ok(parameters)
     }
 
-    /// Returns the parameters given so far, if this is the right template.
+    /// Returns the current parameters if the template matches the organisation's.
     fn current_parameters(
         &self,
         template: &Template,
@@ -79,10 +79,10 @@
             return Ok(used.parameters.clone());
         }
         let problem = format!(
-            "the organisation was made from {} v{}, the file holds {} v{}",
+            "the organisation uses template {} v{}, but the file contains {} v{}",
             used.name, used.version, template.template, template.version
         );
-        let advice = "give the file of that version, or --upgrade to take this one over";
+        let advice = "use the file of that version, or add --upgrade to apply this one";
         Err(Failure::refused(problem, advice))
     }
 
@@ -100,9 +100,9 @@
     }
 }
 
-/// Returns the new document with the moves and drains of the current one,
-/// which no template holds.
-fn kept(base: &StoredDocument, fresh: Organisation) -> Organisation {
+/// Returns the new document with the moves and drains of the current one, which are not
+/// part of templates.
+fn with_moves_and_drains(base: &StoredDocument, fresh: Organisation) -> Organisation {
     Organisation {
         moves: base.document.moves.clone(),
         drains: base.document.drains.clone(),
