--- a/crates/foxtide-testing/examples/load_model.rs
+++ b/crates/foxtide-testing/examples/load_model.rs
@@ -1,5 +1,5 @@
-//! Plays loads from files and prints how they were served, with coordinated slots and
-//! without; draws worth and load over time.
+//! Simulates loads from files with and without slot coordination, prints the outcomes and
+//! optionally plots worth and load over time.
 //!
 //!     cargo run -p foxtide-testing --example load_model -- crates/foxtide-testing/loads/high.jsonc
 
@@ -7,12 +7,12 @@
 use argh::FromArgs;
 use foxtide_testing::load_model::{
     LoadSettings,
-    play,
-    plot, //
+    plot,     //
+    simulate, //
 };
 use std::path::PathBuf;
 
-/// Plays loads on a service.
+/// Simulates loads on a service.
 #[derive(Debug, FromArgs)]
 struct Arguments {
     /// files of loads
@@ -39,9 +39,9 @@
         };
         for seed in arguments.seed..arguments.seed + arguments.seeds {
             println!("{} seed {seed}, each instance alone:", load.display());
-            println!("{}\n", play(&alone, seed));
+            println!("{}\n", simulate(&alone, seed));
             println!("{} seed {seed}, coordinated slots:", load.display());
-            println!("{}\n", play(&coordinated, seed));
+            println!("{}\n", simulate(&coordinated, seed));
         }
     }
     let (Some(path), Some(load)) = (&arguments.plot, arguments.loads.first()) else {
@@ -53,8 +53,8 @@
         ..coordinated.clone()
     };
     let (before, after) = (
-        play(&alone, arguments.seed),
-        play(&coordinated, arguments.seed),
+        simulate(&alone, arguments.seed),
+        simulate(&coordinated, arguments.seed),
     );
     let plays = [
         ("each instance alone", &before),
--- a/crates/foxtide-testing/src/load_model/faults.rs
+++ b/crates/foxtide-testing/src/load_model/faults.rs
@@ -1,44 +1,46 @@
-//! Faults of upstreams and coordinators.
+//! Fault injection for upstreams and coordinators.
 
-use super::callers::IMPATIENT_MS;
+use super::callers::IMPATIENT_RETRY_MS;
 use super::outcome::Cause;
 use super::settings::{
     CoordinatorFaultKind,
     UpstreamFaultKind,
     milliseconds, //
 };
-use super::world::{
+use super::simulation::{
     Event,
-    World, //
+    Simulation, //
 };
 use std::time::Duration;
 
-/// How long an instance that is gone is still believed in: its lease.
+/// Lease duration: other instances see a killed instance as alive until it expires.
 const LEASE_MS: f64 = 2_200.0;
 
-impl World<'_> {
+impl Simulation<'_> {
     pub(super) fn upstream_fault(&mut self, number: usize, begins: bool) {
         let fault = self.settings.upstream_faults[number];
         let count = self.upstreams.len();
         let part = |share: f64| (count as f64 * share).round() as usize;
         let first = part(fault.from).min(count);
         for upstream in first..(first + part(fault.share)).min(count) {
-            let own = &mut self.upstreams[upstream];
+            let target = &mut self.upstreams[upstream];
             match fault.kind {
-                UpstreamFaultKind::Slow(times) => own.slowness = if begins { times } else { 1.0 },
+                UpstreamFaultKind::Slow(times) => {
+                    target.work_factor = if begins { times } else { 1.0 }
+                }
                 UpstreamFaultKind::Refusing(share) => {
-                    own.refusing_share = if begins { share } else { 0.0 };
+                    target.refusing_share = if begins { share } else { 0.0 };
                 }
                 UpstreamFaultKind::Away => {
-                    own.is_away = begins;
-                    for lost in own.lose_all() {
-                        self.end(lost, Cause::Lost, milliseconds(IMPATIENT_MS));
+                    target.is_away = begins;
+                    for lost in target.clear() {
+                        self.end(lost, Cause::Lost, milliseconds(IMPATIENT_RETRY_MS));
                     }
                 }
             }
         }
         let away: Vec<bool> = self.upstreams.iter().map(|one| one.is_away).collect();
-        self.fleet.weigh(self.settings, &away);
+        self.fleet.update_weights(self.settings, &away);
     }
 
     pub(super) fn coordinator_fault(&mut self, number: usize, begins: bool) {
@@ -54,20 +56,20 @@
                     Duration::ZERO
                 };
                 let is_alive = !begins;
-                self.after(time, Event::Believe { instance, is_alive });
+                self.after(time, Event::MembershipChange { instance, is_alive });
             }
             CoordinatorFaultKind::DoublyBelieved => {
-                // One half of the instances believes in it, the other does not.
-                for asker in (0..self.fleet.instances.len()).step_by(2) {
-                    self.fleet.believe(asker, instance, !begins);
+                // Every other instance takes this one for dead, so two coordinators are in use.
+                for requester in (0..self.fleet.instances.len()).step_by(2) {
+                    self.fleet.set_alive(requester, instance, !begins);
                 }
             }
             CoordinatorFaultKind::Paused => {
-                let (mine, others): (Vec<_>, Vec<_>) = std::mem::take(&mut self.unheard)
+                let (held, remaining): (Vec<_>, Vec<_>) = std::mem::take(&mut self.undelivered)
                     .into_iter()
                     .partition(|(coordinator, _)| *coordinator == instance);
-                self.unheard = others;
-                for (_, event) in mine {
+                self.undelivered = remaining;
+                for (_, event) in held {
                     self.after(Duration::ZERO, event);
                 }
             }
@@ -76,7 +78,7 @@
     }
 
     pub(super) fn delay(&self, region: usize, upstream: usize) -> Duration {
-        if self.fleet.is_near(region, upstream) {
+        if self.fleet.is_local(region, upstream) {
             self.settings.near_delay()
         } else {
             self.settings.far_delay()
--- a/crates/foxtide-testing/src/load_model/serving.rs
+++ b/crates/foxtide-testing/src/load_model/serving.rs
@@ -1,4 +1,4 @@
-//! Upstreams: what reaches them, how long they work, and what comes back.
+//! Processing of requests at upstreams and their replies.
 
 use super::callers::RETRY_AFTER_MS;
 use super::outcome::Cause;
@@ -7,40 +7,40 @@
     Stage, //
 };
 use super::settings::milliseconds;
-use super::shift::Served;
+use super::shift::SentRequest;
+use super::simulation::{
+    Event,
+    LOAD_SAMPLE_PERIOD_MS,
+    Simulation, //
+    WINDOW_S,   //
+};
 use super::upstream::{
     Limits,
-    Reception,
+    ReceiveOutcome,
     Upstream, //
 };
-use super::world::{
-    Event,
-    LOOK_MS,
-    WINDOW_S,
-    World, //
-};
 use foxtide_core::admission::Ending;
 use rand::RngExt;
 
-/// The most upstreams to which one request is sent.
+/// Maximum number of upstreams to which one attempt is sent.
 const ATTEMPTS_MAX: u32 = 2;
 
-impl World<'_> {
+impl Simulation<'_> {
     pub(super) fn send(&mut self, id: RequestId) {
         let Some(request) = self.requests.get_mut(&id) else {
             return;
         };
         request.stage = Stage::Sent;
         let (region, upstream) = (request.region, request.upstream);
-        self.outcome.served.push(Served {
+        self.outcome.served.push(SentRequest {
             at_s: self.elapsed_s(),
             origin: region,
             region: self.fleet.region_of(upstream),
         });
-        self.after(self.delay(region, upstream), Event::Reach(id));
+        self.after(self.delay(region, upstream), Event::ReachUpstream(id));
     }
 
-    pub(super) fn reach(&mut self, id: RequestId) {
+    pub(super) fn reach_upstream(&mut self, id: RequestId) {
         let Some(request) = self.requests.get(&id) else {
             return;
         };
@@ -52,9 +52,9 @@
         let limits = self.limits();
         let draw = self.random.random();
         match self.upstreams[upstream].receive(id, object, limits, draw) {
-            Reception::Begun { is_known } => self.begin(id, upstream, is_known),
-            Reception::Queued => {}
-            Reception::Refused => self.after(self.delay(region, upstream), Event::Refused(id)),
+            ReceiveOutcome::Started { is_known } => self.begin(id, upstream, is_known),
+            ReceiveOutcome::Queued => {}
+            ReceiveOutcome::Refused => self.after(self.delay(region, upstream), Event::Refused(id)),
         }
     }
 
@@ -74,17 +74,17 @@
         } else {
             1.0
         };
-        // The sum of four draws is near to a normal one.
+        // The sum of four uniform draws approximates a normal distribution.
         let draws: f64 = (0..4).map(|_| self.random.random::<f64>() - 0.5).sum();
         let spread = 1.0 + draws * 3.0_f64.sqrt() * self.settings.work_spread;
         let work_ms = self.settings.work_ms * part * spread.max(0.1);
-        let time = milliseconds(work_ms * self.upstreams[upstream].slowness);
-        self.after(time, Event::Worked(id));
+        let time = milliseconds(work_ms * self.upstreams[upstream].work_factor);
+        self.after(time, Event::ServiceComplete(id));
     }
 
-    /// An upstream that refused is followed by the object's next one, once.
+    /// Sends a refused request to the object's next upstream, up to `ATTEMPTS_MAX`.
     pub(super) fn refused(&mut self, id: RequestId) {
-        self.tell_end(id, Ending::NotServed);
+        self.report_end(id, Ending::NotServed);
         let Some(request) = self.requests.get_mut(&id) else {
             return;
         };
@@ -100,15 +100,15 @@
             .find(|&next| next != request.upstream);
         match next {
             Some(next) if refusals < ATTEMPTS_MAX => {
-                request.stage = Stage::Patient;
+                request.stage = Stage::UntilDeadline;
                 request.upstream = next;
-                self.ask(id);
+                self.request_slot(id);
             }
             _ => self.end(id, Cause::RefusedByUpstream, milliseconds(RETRY_AFTER_MS)),
         }
     }
 
-    pub(super) fn worked(&mut self, id: RequestId) {
+    pub(super) fn service_complete(&mut self, id: RequestId) {
         let Some(request) = self.requests.get(&id) else {
             return;
         };
@@ -128,12 +128,12 @@
     }
 
     pub(super) fn replied(&mut self, id: RequestId) {
-        self.tell_end(id, Ending::Served);
+        self.report_end(id, Ending::Served);
         let Some(request) = self.requests.remove(&id) else {
             return;
         };
         let is_known = self.known.remove(&id).unwrap_or(false);
-        let took = self.now - request.first_at;
+        let took = self.now - request.first_attempt_at;
         let is_in_time = took <= self.settings.objective();
         let late_worth = self.settings.late_worth;
         let window = self.window_of(&request);
@@ -144,20 +144,20 @@
         }
         window.late += 1;
         window.worth += late_worth;
-        let cause = match (request.returns > 0, is_known) {
-            (true, _) => Cause::LateReturn,
+        let cause = match (request.retries > 0, is_known) {
+            (true, _) => Cause::LateRetry,
             (false, false) => Cause::LateFirstTouch,
             (false, true) => Cause::LateWait,
         };
         *self.outcome.causes.entry(cause).or_default() += 1;
     }
 
-    pub(super) fn look(&mut self) {
+    pub(super) fn sample_load(&mut self) {
         let load: usize = self.upstreams.iter().map(Upstream::load).sum();
         let number = (self.elapsed_s() / WINDOW_S) as usize;
         if let Some(window) = self.outcome.windows.get_mut(number) {
-            window.queued_max = window.queued_max.max(load);
-            self.after(milliseconds(LOOK_MS), Event::Look);
+            window.in_flight_max = window.in_flight_max.max(load);
+            self.after(milliseconds(LOAD_SAMPLE_PERIOD_MS), Event::SampleLoad);
         }
     }
 }
--- a/crates/foxtide-testing/src/load_model/asking.rs
+++ b/crates/foxtide-testing/src/load_model/slot_requests.rs
@@ -1,4 +1,4 @@
-//! Instances that ask for slots, and coordinators that answer.
+//! Slot requests from instances and the coordinators' answers.
 
 use super::fleet::Fleet;
 use super::outcome::Cause;
@@ -10,9 +10,9 @@
     CoordinatorFaultKind,
     milliseconds, //
 };
-use super::world::{
+use super::simulation::{
     Event,
-    World, //
+    Simulation, //
 };
 use foxtide_core::admission::{
     AddressedAnswer,
@@ -27,11 +27,11 @@
     lacks_capacity, //
 };
 
-/// What the gateway's settings say by default, in milliseconds.
-const ANSWER_TIME_MS: f64 = 40.0;
-const ASK_AGAIN_PERIOD_MS: f64 = 150.0;
+// Defaults of the gateway's settings.
+const ANSWER_TIMEOUT_MS: f64 = 40.0;
+const SLOT_REQUEST_PERIOD_MS: f64 = 150.0;
 
-/// The number alone names a request here, whichever instance has it.
+/// Returns the ticket of a request; request numbers are unique across instances.
 fn ticket(id: RequestId) -> Ticket {
     Ticket {
         requester: Fleet::address(0),
@@ -39,109 +39,122 @@
     }
 }
 
-impl World<'_> {
-    /// Asks the coordinator of the request's upstream, or sends where none is asked.
-    pub(super) fn ask(&mut self, id: RequestId) {
+impl Simulation<'_> {
+    /// Requests a slot from the upstream's coordinator, or sends at once without one.
+    pub(super) fn request_slot(&mut self, id: RequestId) {
         let Some(request) = self.requests.get_mut(&id) else {
             return;
         };
         request.is_answered = false;
-        let (asker, upstream, region) = (request.instance, request.upstream, request.region);
+        let (requester, upstream, region) = (request.instance, request.upstream, request.region);
         let patience = match request.stage {
-            Stage::Own => Patience::WithinObjective,
-            Stage::Second => Patience::NoWait,
-            Stage::Patient => Patience::UntilDeadline,
+            Stage::FirstChoice => Patience::WithinObjective,
+            Stage::SecondChoice => Patience::NoWait,
+            Stage::UntilDeadline => Patience::UntilDeadline,
             Stage::Sent | Stage::Ended => return,
         };
-        let coordinator = self.fleet.coordinator(asker, upstream);
+        let coordinator = self.fleet.coordinator(requester, upstream);
         let (true, Some(coordinator)) = (self.settings.is_coordinated, coordinator) else {
             return self.send(id);
         };
-        let is_near = self.fleet.is_near(region, upstream);
-        let event = Event::Heard {
+        let is_local = self.fleet.is_local(region, upstream);
+        let event = Event::SlotRequested {
             request: id,
             coordinator,
             patience,
-            is_question: is_near,
+            expects_answer: is_local,
         };
         self.after(self.delay(region, upstream), event);
-        if is_near {
-            self.after(milliseconds(ANSWER_TIME_MS), Event::AnswerLate(id));
-            self.after(milliseconds(ASK_AGAIN_PERIOD_MS), Event::AskAgain(id));
+        if is_local {
+            self.after(milliseconds(ANSWER_TIMEOUT_MS), Event::AnswerTimeout(id));
+            self.after(
+                milliseconds(SLOT_REQUEST_PERIOD_MS),
+                Event::RepeatSlotRequest(id),
+            );
         } else {
             self.send(id);
         }
     }
 
-    pub(super) fn ask_again(&mut self, id: RequestId) {
+    pub(super) fn repeat_slot_request(&mut self, id: RequestId) {
         let is_waiting = self.requests.get(&id).is_some_and(|request| {
-            request.is_answered && matches!(request.stage, Stage::Own | Stage::Patient)
+            request.is_answered
+                && matches!(request.stage, Stage::FirstChoice | Stage::UntilDeadline)
         });
         if is_waiting {
-            self.ask(id);
+            self.request_slot(id);
         }
     }
 
-    /// Without an answer the request is sent, and the coordinator is told.
-    pub(super) fn answer_late(&mut self, id: RequestId) {
+    /// Sends a request whose coordinator did not answer, and reports it as ungranted.
+    pub(super) fn answer_timeout(&mut self, id: RequestId) {
         let Some(request) = self.requests.get(&id) else {
             return;
         };
-        let is_waiting = matches!(request.stage, Stage::Own | Stage::Second | Stage::Patient);
+        let is_waiting = matches!(
+            request.stage,
+            Stage::FirstChoice | Stage::SecondChoice | Stage::UntilDeadline
+        );
         if !is_waiting || request.is_answered {
             return;
         }
-        let (asker, upstream, region) = (request.instance, request.upstream, request.region);
-        if let Some(coordinator) = self.fleet.coordinator(asker, upstream) {
-            let event = Event::Heard {
+        let (requester, upstream, region) = (request.instance, request.upstream, request.region);
+        if let Some(coordinator) = self.fleet.coordinator(requester, upstream) {
+            let event = Event::SlotRequested {
                 request: id,
                 coordinator,
                 patience: Patience::UntilDeadline,
-                is_question: false,
+                expects_answer: false,
             };
             self.after(self.delay(region, upstream), event);
         }
         self.send(id);
     }
 
-    /// A coordinator hears a question or of an end, unless it does not run.
-    pub(super) fn hear(&mut self, coordinator: usize, event: Event) {
+    /// Delivers an event to a coordinator, subject to the coordinator's fault.
+    pub(super) fn deliver(&mut self, coordinator: usize, event: Event) {
         match self.fleet.instances[coordinator].fault {
             Some(CoordinatorFaultKind::Killed) => {}
-            Some(CoordinatorFaultKind::Paused) => self.unheard.push((coordinator, event)),
-            Some(CoordinatorFaultKind::Mute) => drop(self.coordinate(coordinator, event)),
+            Some(CoordinatorFaultKind::Paused) => self.undelivered.push((coordinator, event)),
+            Some(CoordinatorFaultKind::Mute) => {
+                drop(self.handle_at_coordinator(coordinator, event))
+            }
             Some(CoordinatorFaultKind::DoublyBelieved) | None => {
-                let answers = self.coordinate(coordinator, event);
-                self.tell(answers);
+                let answers = self.handle_at_coordinator(coordinator, event);
+                self.send_answers(answers);
             }
         }
     }
 
-    pub(super) fn coordinate(&mut self, coordinator: usize, event: Event) -> Vec<AddressedAnswer> {
+    pub(super) fn handle_at_coordinator(
+        &mut self,
+        coordinator: usize,
+        event: Event,
+    ) -> Vec<AddressedAnswer> {
         let now = self.now;
         let slots = self.settings.slots;
         match event {
-            Event::Heard {
+            Event::SlotRequested {
                 request,
                 patience,
-                is_question,
+                expects_answer,
                 ..
             } => {
-                let Some(asked) = self.slot_request(request, patience) else {
+                let Some(slot_request) = self.slot_request(request, patience) else {
                     return Vec::new();
                 };
-                let own = &mut self.fleet.instances[coordinator].coordinator;
-                if is_question {
-                    return own.ask(&asked, slots, now);
+                let node = &mut self.fleet.instances[coordinator].coordinator;
+                if expects_answer {
+                    return node.ask(&slot_request, slots, now);
                 }
-                own.record_ungranted(&asked, slots, now);
+                node.record_ungranted(&slot_request, slots, now);
                 Vec::new()
             }
             Event::Ended {
                 request, ending, ..
             } => {
-                let own = &mut self.fleet.instances[coordinator].coordinator;
-                own.end(ticket(request), ending, now)
+                let node = &mut self.fleet.instances[coordinator].coordinator;
+                node.end(ticket(request), ending, now)
             }
             _ => Vec::new(),
         }
@@ -149,8 +162,8 @@
 
     pub(super) fn slot_request(&self, id: RequestId, patience: Patience) -> Option<SlotRequest> {
         let request = self.requests.get(&id)?;
-        let objective_at = request.came_at + self.settings.objective();
-        let ends_at = request.came_at + self.settings.limit();
+        let objective_at = request.arrived_at + self.settings.objective();
+        let ends_at = request.arrived_at + self.settings.limit();
         Some(SlotRequest {
             ticket: ticket(id),
             upstream: self.fleet.upstream(request.upstream).clone(),
@@ -163,7 +176,7 @@
         })
     }
 
-    pub(super) fn tell(&mut self, answers: Vec<AddressedAnswer>) {
+    pub(super) fn send_answers(&mut self, answers: Vec<AddressedAnswer>) {
         for (ticket, answer) in answers {
             let request = RequestId(ticket.number);
             self.after(
@@ -173,7 +186,7 @@
         }
     }
 
-    pub(super) fn answered(&mut self, id: RequestId, answer: Answer) {
+    pub(super) fn handle_answer(&mut self, id: RequestId, answer: Answer) {
         let Some(request) = self.requests.get_mut(&id) else {
             return;
         };
@@ -185,7 +198,7 @@
         match answer {
             Answer::Granted => self.send(id),
             Answer::Waiting => {}
-            Answer::Busy => self.busy(id),
+            Answer::Busy => self.handle_busy(id),
             Answer::Refused { retry_after } => {
                 if !self.overflow(id) {
                     self.end(id, Cause::RefusedNoSlot, retry_after);
@@ -194,37 +207,37 @@
         }
     }
 
-    /// Sends a request to another region, as far as the instance may; tells whether it did.
+    /// Requests a slot in another region within the overflow budget; returns whether it did.
     fn overflow(&mut self, id: RequestId) -> bool {
         let Some(request) = self.requests.get_mut(&id) else {
             return false;
         };
         let region = request.region;
-        let is_late = self.now >= request.came_at + self.settings.objective();
+        let is_late = self.now >= request.arrived_at + self.settings.objective();
         if !self.settings.may_overflow || is_late || !lacks_capacity(self.fleet.own_share(region)) {
             return false;
         }
         let key = ObjectKey::new(&request.object.to_le_bytes());
-        let elsewhere = self.fleet.strangers(region, key);
+        let elsewhere = self.fleet.remote_choices(region, key);
         let budget = &mut self.fleet.instances[request.instance].overflow;
         let Some(&upstream) = elsewhere.first().filter(|_| budget.try_spend(self.now)) else {
             return false;
         };
         request.upstream = upstream;
-        request.stage = Stage::Patient;
-        self.ask(id);
+        request.stage = Stage::UntilDeadline;
+        self.request_slot(id);
         true
     }
 
-    /// The second choice, else the own upstream as long as there is time.
-    pub(super) fn busy(&mut self, id: RequestId) {
+    /// Tries the second choice, then overflow, then waits for the first choice.
+    pub(super) fn handle_busy(&mut self, id: RequestId) {
         let Some(request) = self.requests.get_mut(&id) else {
             return;
         };
-        match (request.stage, request.neighbour) {
-            (Stage::Own, Some(neighbour)) => {
-                request.stage = Stage::Second;
-                request.upstream = neighbour;
+        match (request.stage, request.second_choice) {
+            (Stage::FirstChoice, Some(second_choice)) => {
+                request.stage = Stage::SecondChoice;
+                request.upstream = second_choice;
             }
             _ => {
                 if self.overflow(id) {
@@ -233,19 +246,19 @@
                 let Some(request) = self.requests.get_mut(&id) else {
                     return;
                 };
-                request.stage = Stage::Patient;
+                request.stage = Stage::UntilDeadline;
                 request.upstream = request.order[0];
             }
         }
-        self.ask(id);
+        self.request_slot(id);
     }
 
-    pub(super) fn tell_end(&mut self, id: RequestId, ending: Ending) {
+    pub(super) fn report_end(&mut self, id: RequestId, ending: Ending) {
         let Some(request) = self.requests.get(&id) else {
             return;
         };
-        let (asker, upstream, region) = (request.instance, request.upstream, request.region);
-        if let Some(coordinator) = self.fleet.coordinator(asker, upstream) {
+        let (requester, upstream, region) = (request.instance, request.upstream, request.region);
+        if let Some(coordinator) = self.fleet.coordinator(requester, upstream) {
             let event = Event::Ended {
                 request: id,
                 coordinator,
--- a/crates/foxtide-testing/src/load_model/upstream.rs
+++ b/crates/foxtide-testing/src/load_model/upstream.rs
@@ -1,83 +1,81 @@
-//! One upstream.
+//! Simulated upstream with slots, a queue and an object cache.
 
 use super::request::RequestId;
 use std::collections::VecDeque;
 
-/// What becomes of a request that reaches an upstream.
+/// Result of a request's arrival at an upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Reception {
-    /// It is worked on; whether its object is known.
-    Begun { is_known: bool },
-    /// It waits.
+pub(super) enum ReceiveOutcome {
+    /// Processing has started; `is_known` says whether the object was cached.
+    Started {
+        is_known: bool,
+    },
     Queued,
-    /// It does not run.
     Refused,
 }
 
-/// What an upstream has room for.
+/// Capacity of an upstream.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Limits {
-    /// Requests that it works on.
+    /// Concurrent requests.
     pub(super) slots: usize,
-    /// Requests that wait.
+    /// Queued requests.
     pub(super) queue_max: usize,
-    /// Objects that it knows.
+    /// Cached objects.
     pub(super) known_max: usize,
 }
 
-/// Slots, a queue of first come first served, and the objects that it knows.
 #[derive(Debug, Default)]
 pub(super) struct Upstream {
     running: Vec<RequestId>,
     queue: VecDeque<(RequestId, u64)>,
-    /// The newest at the end.
+    /// Cached objects, most recently used last.
     known: VecDeque<u64>,
-    /// Whether it gets nothing.
+    /// Whether it refuses all requests.
     pub(super) is_away: bool,
-    /// How many times as long its work takes.
-    pub(super) slowness: f64,
-    /// The part of the requests that it refuses.
+    /// Multiplier of the processing time.
+    pub(super) work_factor: f64,
+    /// Fraction of requests refused at random.
     pub(super) refusing_share: f64,
 }
 
 impl Upstream {
-    /// Returns an upstream that knows nothing.
+    /// Creates an idle upstream with an empty cache.
     pub(super) fn new() -> Self {
         Self {
-            slowness: 1.0,
+            work_factor: 1.0,
             ..Self::default()
         }
     }
 
-    /// Returns how many requests it has.
+    /// Returns the number of running and queued requests.
     pub(super) fn load(&self) -> usize {
         self.running.len() + self.queue.len()
     }
 
-    /// Takes in a request for an object; `draw` in 0 to 1 decides whether it is refused
-    /// without need.
+    /// Starts, queues or refuses a request; `draw` (0 to 1) decides on random refusal.
     pub(super) fn receive(
         &mut self,
         request: RequestId,
         object: u64,
         limits: Limits,
         draw: f64,
-    ) -> Reception {
+    ) -> ReceiveOutcome {
         if self.is_away || draw < self.refusing_share {
-            return Reception::Refused;
+            return ReceiveOutcome::Refused;
         }
         if self.running.len() < limits.slots {
             return self.begin(request, object, limits.known_max);
         }
         if self.queue.len() >= limits.queue_max {
-            return Reception::Refused;
+            return ReceiveOutcome::Refused;
         }
         self.queue.push_back((request, object));
-        Reception::Queued
+        ReceiveOutcome::Queued
     }
 
-    /// Removes a request that has ended or is cut; returns the one that begins in its
-    /// place, and whether its object is known.
+    /// Removes a request; returns the queued one that starts in its place and whether its
+    /// object was cached.
     pub(super) fn end(&mut self, request: RequestId, limits: Limits) -> Option<(RequestId, bool)> {
         self.queue.retain(|(queued, _)| *queued != request);
         self.running.retain(|running| *running != request);
@@ -86,13 +84,13 @@
         }
         let (next, object) = self.queue.pop_front()?;
         match self.begin(next, object, limits.known_max) {
-            Reception::Begun { is_known } => Some((next, is_known)),
-            Reception::Queued | Reception::Refused => None,
+            ReceiveOutcome::Started { is_known } => Some((next, is_known)),
+            ReceiveOutcome::Queued | ReceiveOutcome::Refused => None,
         }
     }
 
-    /// Drops all that it has and knows; returns the requests.
-    pub(super) fn lose_all(&mut self) -> Vec<RequestId> {
+    /// Clears the cache and drops all requests, which are returned.
+    pub(super) fn clear(&mut self) -> Vec<RequestId> {
         self.known.clear();
         let queued = self.queue.drain(..).map(|(request, _)| request);
         let mut lost: Vec<RequestId> = queued.collect();
@@ -100,8 +98,8 @@
         lost
     }
 
-    /// An object is known from the beginning of its first request on.
-    fn begin(&mut self, request: RequestId, object: u64, known_max: usize) -> Reception {
+    /// Starts a request; its object counts as cached from now on.
+    fn begin(&mut self, request: RequestId, object: u64, known_max: usize) -> ReceiveOutcome {
         let is_known = self.known.contains(&object);
         self.known.retain(|known| *known != object);
         self.known.push_back(object);
@@ -109,6 +107,6 @@
             self.known.pop_front();
         }
         self.running.push(request);
-        Reception::Begun { is_known }
+        ReceiveOutcome::Started { is_known }
     }
 }
--- a/crates/foxtide-testing/src/virtual_fleet/mod.rs
+++ b/crates/foxtide-testing/src/virtual_fleet/mod.rs
@@ -1,5 +1,5 @@
-//! Membership state machines on a virtual clock, with messages that are lost,
-//! delayed or cut off as scripted.
+//! Simulates a fleet of membership state machines on a virtual clock, with scripted
+//! message loss, pauses, crashes and network partitions.
 
 mod names;
 
@@ -32,21 +32,20 @@
 };
 use std::time::Duration;
 
-/// Time between two steps of every instance.
-const STEP: Duration = Duration::from_millis(50);
+const TICK_PERIOD: Duration = Duration::from_millis(50);
 
-/// How a virtual fleet behaves.
+/// Options of a [`VirtualFleet`].
 #[derive(Clone, Copy, Debug)]
 pub struct VirtualFleetOptions {
-    /// The protocol's settings.
+    /// Options of the membership protocol.
     pub membership: MembershipOptions,
-    /// Instances. Default 10.
+    /// Number of instances. Default 10.
     pub instances: usize,
-    /// Availability zones over which they are spread. Default 6.
+    /// Number of availability zones over which instances are spread. Default 6.
     pub zones: usize,
     /// One-way delay of a message. Default 1 ms.
     pub delay: Duration,
-    /// Seed of all that is drawn. Default 0.
+    /// Seed of the random generators. Default 0.
     pub seed: u64,
 }
 
@@ -62,11 +61,10 @@
     }
 }
 
-/// What a virtual instance does.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Process {
     Running,
-    /// Stands still; its messages wait.
+    /// Suspended; messages to it are held until it resumes.
     Paused,
     Killed,
 }
@@ -75,21 +73,20 @@
 struct Node {
     machine: Membership,
     process: Process,
-    side: u32,
-    waiting: Vec<Flight>,
+    partition: u32,
+    held: Vec<Message>,
 }
 
-/// A message under way.
 #[derive(Clone, Debug)]
-struct Flight {
+struct Message {
     sender: usize,
     to: usize,
     packet: Packet,
 }
 
-/// What was wrongly believed of instances that ran all the time.
+/// Counts of running instances that others suspected or declared dead.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct WrongBeliefs {
+pub struct FalseDetections {
     /// Incarnations that some instance suspected.
     pub suspected: usize,
     /// Incarnations that some instance declared dead.
@@ -100,19 +97,19 @@
 #[derive(Debug)]
 pub struct VirtualFleet {
     nodes: Vec<Node>,
-    flights: BTreeMap<(MonotonicTime, u64), Flight>,
+    in_flight: BTreeMap<(MonotonicTime, u64), Message>,
     options: VirtualFleetOptions,
-    loss_share: f64,
+    loss_rate: f64,
     now: MonotonicTime,
     sent: u64,
-    sent_far: u64,
+    sent_across_regions: u64,
     rng: StdRng,
     suspected: BTreeSet<(InstanceId, Incarnation)>,
     dead: BTreeSet<(InstanceId, Incarnation)>,
 }
 
 impl VirtualFleet {
-    /// Returns a fleet in which all know all.
+    /// Creates a fleet in which every instance knows all members.
     pub fn new(options: VirtualFleetOptions) -> Self {
         let now = MonotonicTime::from_ms(1_000);
         let node = |number| Node {
@@ -123,17 +120,17 @@
                 now,
             ),
             process: Process::Running,
-            side: 0,
-            waiting: Vec::new(),
+            partition: 0,
+            held: Vec::new(),
         };
         let mut fleet = Self {
             nodes: (0..options.instances).map(node).collect(),
-            flights: BTreeMap::new(),
+            in_flight: BTreeMap::new(),
             options,
-            loss_share: 0.0,
+            loss_rate: 0.0,
             now,
             sent: 0,
-            sent_far: 0,
+            sent_across_regions: 0,
             rng: StdRng::seed_from_u64(options.seed),
             suspected: BTreeSet::new(),
             dead: BTreeSet::new(),
@@ -147,9 +144,9 @@
         fleet
     }
 
-    /// Loses this share of all messages from now on.
-    pub fn lose(&mut self, share: f64) {
-        self.loss_share = share;
+    /// Sets the fraction of messages that are dropped from now on.
+    pub fn set_loss_rate(&mut self, rate: f64) {
+        self.loss_rate = rate;
     }
 
     /// Kills an instance.
@@ -157,35 +154,35 @@
         self.nodes[instance].process = Process::Killed;
     }
 
-    /// Lets an instance stand still; messages to it wait.
+    /// Pauses an instance and holds messages to it.
     pub fn pause(&mut self, instance: usize) {
         self.nodes[instance].process = Process::Paused;
     }
 
-    /// Lets a paused instance go on, first with the messages that waited.
+    /// Resumes a paused instance, which first receives the held messages.
     pub fn resume(&mut self, instance: usize) {
         self.nodes[instance].process = Process::Running;
-        for flight in std::mem::take(&mut self.nodes[instance].waiting) {
-            self.deliver(flight);
+        for message in std::mem::take(&mut self.nodes[instance].held) {
+            self.deliver(message);
         }
     }
 
-    /// Lets an instance announce that it leaves.
+    /// Makes an instance announce that it is leaving.
     pub fn leave(&mut self, instance: usize) {
         let outputs = self.nodes[instance].machine.leave(self.now);
-        self.carry_out(instance, outputs);
+        self.apply_outputs(instance, outputs);
     }
 
-    /// Cuts these instances off from all others.
-    pub fn cut_off(&mut self, instances: impl IntoIterator<Item = usize>) {
+    /// Partitions these instances from all others.
+    pub fn partition(&mut self, instances: impl IntoIterator<Item = usize>) {
         for instance in instances {
-            self.nodes[instance].side = 1;
+            self.nodes[instance].partition = 1;
         }
     }
 
-    /// Connects all again.
+    /// Ends all partitions.
     pub fn heal(&mut self) {
-        self.nodes.iter_mut().for_each(|node| node.side = 0);
+        self.nodes.iter_mut().for_each(|node| node.partition = 0);
     }
 
     /// Returns the time on the virtual clock.
@@ -193,14 +190,14 @@
         self.now
     }
 
-    /// Returns what `observer` believes of `subject`.
+    /// Returns the state of `subject` in `observer`'s view.
     pub fn state(&self, observer: usize, subject: usize) -> Option<MemberState> {
         let member = self.nodes[observer].machine.member(&name(subject))?;
         Some(member.state)
     }
 
-    /// Returns whether each running instance believes of each other what is
-    /// true: that it runs or that it does not.
+    /// Returns whether every running instance has the correct view of which instances
+    /// run.
     pub fn all_agree(&self) -> bool {
         let running: Vec<_> = (0..self.nodes.len()).map(|it| self.runs(it)).collect();
         let observers = (0..running.len()).filter(|observer| running[*observer]);
@@ -217,31 +214,31 @@
         self.nodes[instance].process == Process::Running
     }
 
-    /// Returns one machine.
+    /// Returns the state machine of an instance.
     pub fn machine(&self, instance: usize) -> &Membership {
         &self.nodes[instance].machine
     }
 
-    /// Returns what was wrongly believed so far.
-    pub fn wrong_beliefs(&self) -> WrongBeliefs {
-        WrongBeliefs {
+    /// Returns the counts of false detections so far.
+    pub fn false_detections(&self) -> FalseDetections {
+        FalseDetections {
             suspected: self.suspected.len(),
             dead: self.dead.len(),
         }
     }
 
-    /// Returns how many messages were sent so far.
+    /// Returns the number of messages sent so far.
     pub fn sent(&self) -> u64 {
         self.sent
     }
 
-    /// Returns how many of them went to another region; every third instance
-    /// stands in the same one.
-    pub fn sent_far(&self) -> u64 {
-        self.sent_far
+    /// Returns the number of messages sent to another region so far; every third instance
+    /// is in the same region.
+    pub fn sent_across_regions(&self) -> u64 {
+        self.sent_across_regions
     }
 
-    /// Lets virtual time pass.
+    /// Advances virtual time by `duration`.
     pub fn run_for(&mut self, duration: Duration) {
         let end = self.now + duration;
         while self.now < end {
@@ -249,8 +246,8 @@
         }
     }
 
-    /// Lets virtual time pass until `done`; returns how long that took, or
-    /// `None` where it took longer than `limit`.
+    /// Advances virtual time until `done`; returns the time taken, or `None` if `limit`
+    /// passed first.
     pub fn run_until(&mut self, limit: Duration, done: impl Fn(&Self) -> bool) -> Option<Duration> {
         let start = self.now;
         while self.now - start < limit {
@@ -263,44 +260,44 @@
     }
 
     fn step(&mut self) {
-        let end = self.now + STEP;
-        while let Some(first) = self.flights.first_entry() {
+        let end = self.now + TICK_PERIOD;
+        while let Some(first) = self.in_flight.first_entry() {
             if first.key().0 > end {
                 break;
             }
-            let ((at, _), flight) = first.remove_entry();
+            let ((at, _), message) = first.remove_entry();
             self.now = at;
-            self.deliver(flight);
+            self.deliver(message);
         }
         self.now = end;
         for instance in 0..self.nodes.len() {
             if self.runs(instance) {
                 let outputs = self.nodes[instance].machine.tick(end);
-                self.carry_out(instance, outputs);
+                self.apply_outputs(instance, outputs);
             }
         }
     }
 
-    fn deliver(&mut self, flight: Flight) {
-        let node = &mut self.nodes[flight.to];
+    fn deliver(&mut self, message: Message) {
+        let node = &mut self.nodes[message.to];
         match node.process {
             Process::Killed => {}
-            Process::Paused => node.waiting.push(flight),
+            Process::Paused => node.held.push(message),
             Process::Running => {
-                let Flight { sender, to, packet } = flight;
+                let Message { sender, to, packet } = message;
                 let from = address(sender);
                 let outputs = node.machine.receive(&name(sender), from, packet, self.now);
-                self.carry_out(to, outputs);
+                self.apply_outputs(to, outputs);
             }
         }
     }
 
-    fn carry_out(&mut self, instance: usize, outputs: Vec<Output>) {
+    fn apply_outputs(&mut self, instance: usize, outputs: Vec<Output>) {
         for output in outputs {
             match output {
                 Output::Send { to, packet } => self.send(instance, number(to), packet),
                 Output::Synchronise { with } => self.synchronise(instance, number(with)),
-                Output::Changed(member) => self.note(&member),
+                Output::Changed(member) => self.record_detection(&member),
                 Output::Announced { .. } => {}
             }
         }
@@ -308,19 +305,19 @@
 
     fn send(&mut self, sender: usize, to: usize, packet: Packet) {
         self.sent += 1;
-        self.sent_far += u64::from(region(sender) != region(to));
-        let lost = self.loss_share > 0.0 && self.rng.random_bool(self.loss_share);
+        self.sent_across_regions += u64::from(region(sender) != region(to));
+        let lost = self.loss_rate > 0.0 && self.rng.random_bool(self.loss_rate);
         if !lost && self.connected(sender, to) {
             let key = (self.now + self.options.delay, self.sent);
-            self.flights.insert(key, Flight { sender, to, packet });
+            self.in_flight.insert(key, Message { sender, to, packet });
         }
     }
 
     fn connected(&self, one: usize, two: usize) -> bool {
-        self.nodes[one].side == self.nodes[two].side
+        self.nodes[one].partition == self.nodes[two].partition
     }
 
-    /// Exchanges all that two instances know, as over a stream.
+    /// Exchanges full member lists between two instances, as over a stream.
     fn synchronise(&mut self, one: usize, two: usize) {
         if !self.connected(one, two) || !self.runs(one) || !self.runs(two) {
             return;
@@ -328,19 +325,19 @@
         for (from, to) in [(one, two), (two, one)] {
             let members = self.nodes[from].machine.members().cloned().collect();
             let outputs = self.nodes[to].machine.merge(members, self.now);
-            self.carry_out(to, outputs);
+            self.apply_outputs(to, outputs);
         }
     }
 
-    fn note(&mut self, member: &Member) {
+    fn record_detection(&mut self, member: &Member) {
         let node = &self.nodes[number(member.peer_address)];
         if node.process != Process::Running {
             return;
         }
-        let belief = (member.instance.clone(), member.incarnation);
+        let detection = (member.instance.clone(), member.incarnation);
         match member.state {
-            MemberState::Suspect => self.suspected.insert(belief),
-            MemberState::Dead => self.dead.insert(belief),
+            MemberState::Suspect => self.suspected.insert(detection),
+            MemberState::Dead => self.dead.insert(detection),
             MemberState::Joining | MemberState::Alive | MemberState::Leaving => false,
         };
     }
--- a/crates/foxtide-testing/tests/load_model.rs
+++ b/crates/foxtide-testing/tests/load_model.rs
@@ -1,4 +1,4 @@
-//! Tests the core's decisions under simulated load patterns, without a network.
+//! Load scenarios simulated with the decisions of `foxtide-core`.
 
 use foxtide_testing::load_model::{
     Cause,
@@ -9,14 +9,14 @@
     LoadSettings,
     UpstreamFault,
     UpstreamFaultKind,
-    play, //
+    simulate, //
 };
 use std::path::Path;
 
 const SEEDS: [u64; 3] = [1, 2, 3];
 
-fn play_seeds(settings: &LoadSettings) -> Vec<LoadOutcome> {
-    SEEDS.iter().map(|&seed| play(settings, seed)).collect()
+fn simulate_seeds(settings: &LoadSettings) -> Vec<LoadOutcome> {
+    SEEDS.iter().map(|&seed| simulate(settings, seed)).collect()
 }
 
 fn mean_worth(outcomes: &[LoadOutcome]) -> f64 {
@@ -24,10 +24,10 @@
 }
 
 fn worth(settings: &LoadSettings) -> f64 {
-    mean_worth(&play_seeds(settings))
+    mean_worth(&simulate_seeds(settings))
 }
 
-fn without_coordination(settings: &LoadSettings) -> LoadSettings {
+fn uncoordinated(settings: &LoadSettings) -> LoadSettings {
     LoadSettings {
         is_coordinated: false,
         ..settings.clone()
@@ -39,7 +39,7 @@
     LoadSettings::load(&directory.join(name)).unwrap()
 }
 
-fn high_load() -> LoadSettings {
+fn high() -> LoadSettings {
     load("high.jsonc")
 }
 
@@ -50,18 +50,18 @@
 
 #[test]
 fn verify_the_same_seed_gives_the_same_outcome() {
-    let settings = high_load();
-    assert_eq!(play(&settings, 7), play(&settings, 7));
+    let settings = high();
+    assert_eq!(simulate(&settings, 7), simulate(&settings, 7));
 }
 
-/// Guards against full upstream queues, whose requests all miss their deadline, while the
-/// load swings and part of the service is unavailable.
+/// Guards against queues so long that every request in them is late, as arise under
+/// overload without coordination.
 #[test]
 fn verify_full_queues_are_kept_short_by_coordination() {
-    let settings = high_load();
+    let settings = high();
     let (before, after) = (
-        play_seeds(&without_coordination(&settings)),
-        play_seeds(&settings),
+        simulate_seeds(&uncoordinated(&settings)),
+        simulate_seeds(&settings),
     );
     let (worth_before, worth_after) = (mean_worth(&before), mean_worth(&after));
     assert!(
@@ -74,8 +74,8 @@
     assert!(arrivals(&after) < arrivals(&before));
 }
 
-/// Guards against queues that persist after a cold start, when the first request for each
-/// object exceeds the latency objective.
+/// Guards against queues that persist after a cold start, where processing an uncached
+/// object takes longer than the objective.
 #[test]
 fn verify_a_start_with_unknown_objects_is_over_in_seconds() {
     let settings = LoadSettings {
@@ -83,8 +83,8 @@
         ..LoadSettings::default()
     };
     let (before, after) = (
-        play_seeds(&without_coordination(&settings)),
-        play_seeds(&settings),
+        simulate_seeds(&uncoordinated(&settings)),
+        simulate_seeds(&settings),
     );
     let from_third = |outcomes: &[LoadOutcome]| {
         let windows = outcomes.iter().flat_map(|one| &one.windows[2..]);
@@ -97,7 +97,7 @@
     assert!(from_third(&after) > 0.8, "{:.3}", from_third(&after));
 }
 
-/// Guards against a loss of value when a region with too few upstreams depends on others.
+/// Guards against losses in a region with two of 18 upstreams and a third of the requests.
 #[test]
 fn verify_a_region_short_of_upstreams_is_served_by_the_others() {
     let mut settings = LoadSettings {
@@ -116,34 +116,34 @@
     for region in &mut settings.regions {
         region.rate_rps *= 1.3;
     }
-    assert!(worth(&settings) > worth(&without_coordination(&settings)));
+    assert!(worth(&settings) > worth(&uncoordinated(&settings)));
 }
 
-/// Guards against retries that all return to the region that refused them instead of using
-/// the free capacity of its neighbours.
+/// Guards against retries that move a region's traffic back to it by more than 15 % in 2 s
+/// when one of its upstreams refuses requests.
 #[test]
 fn verify_callers_who_come_back_move_no_regions_traffic() {
     verify_traffic_stays(&load("small-region.jsonc"));
 }
 
-/// Guards against the same shift when the region's total demand exceeds its capacity.
+/// Guards against the same shift when the whole region lacks capacity at its peak.
 #[test]
 fn verify_a_region_short_as_a_whole_moves_none_of_its_traffic() {
     verify_traffic_stays(&small_region_at_peak());
 }
 
-/// Returns the settings of a small region at 1.5 times its rate.
+/// Returns the small region's load with its rate raised by half.
 fn small_region_at_peak() -> LoadSettings {
     let mut settings = load("small-region.jsonc");
     settings.regions[1].rate_rps *= 1.5;
     settings
 }
 
-/// Pools twelve seeds per check, because one seed has too few requests in the window.
+/// Pools twelve seeds per check, as a single one has too few requests.
 fn verify_traffic_stays(settings: &LoadSettings) {
     for first in [1, 101, 201] {
         let seeds = first..first + 12;
-        let outcomes: Vec<LoadOutcome> = seeds.map(|seed| play(settings, seed)).collect();
+        let outcomes: Vec<LoadOutcome> = seeds.map(|seed| simulate(settings, seed)).collect();
         let refused = sum_of(&outcomes, Cause::RefusedNoSlot);
         let together = LoadOutcome {
             served: outcomes.into_iter().flat_map(|one| one.served).collect(),
@@ -154,16 +154,16 @@
     }
 }
 
-/// Guards against an overloaded region that refuses requests instead of sending them to
-/// other regions.
+/// Guards against refusals in a region short of capacity while other regions have free
+/// slots, and against overflow that lowers the overall worth.
 #[test]
 fn verify_a_short_region_refuses_less_where_it_may_send_elsewhere() {
     let settings = small_region_at_peak();
-    let without = play_seeds(&LoadSettings {
+    let without = simulate_seeds(&LoadSettings {
         may_overflow: false,
         ..settings.clone()
     });
-    let with = play_seeds(&settings);
+    let with = simulate_seeds(&settings);
     let refused = |outcomes: &[LoadOutcome]| sum_of(outcomes, Cause::RefusedNoSlot);
     let (before, after) = (refused(&without), refused(&with));
     assert!(after * 2 <= before, "{before} -> {after}");
@@ -171,20 +171,19 @@
     assert!(after >= before, "{before:.3} -> {after:.3}");
 }
 
-/// Guards against immediate retries that cancel the gain from coordination.
+/// Guards against overload when 30 % of the callers retry after 5 ms, up to three times.
 #[test]
-fn verify_immediate_retries_keep_the_gain_of_coordination() {
+fn verify_callers_who_retry_at_once_cause_no_overload() {
     let settings = LoadSettings {
         impatient_share: 0.3,
-        ..high_load()
+        ..high()
     };
-    let (before, after) = (worth(&without_coordination(&settings)), worth(&settings));
+    let (before, after) = (worth(&uncoordinated(&settings)), worth(&settings));
     assert!(after > before + 0.05, "{before:.3} -> {after:.3}");
-    assert!(after > worth(&high_load()) - 0.05);
+    assert!(after > worth(&high()) - 0.05);
 }
 
-/// Guards against spreading a service's requests when its upstreams refuse them despite free
-/// capacity.
+/// Guards against worse results than without coordination when upstreams refuse at random.
 #[test]
 fn verify_a_service_that_turns_requests_away_is_not_scattered() {
     let settings = LoadSettings {
@@ -197,7 +196,7 @@
         }],
         ..LoadSettings::default()
     };
-    assert!(worth(&settings) > worth(&without_coordination(&settings)));
+    assert!(worth(&settings) > worth(&uncoordinated(&settings)));
 }
 
 fn with_faults(kind: CoordinatorFaultKind, instances: usize) -> LoadSettings {
@@ -214,11 +213,12 @@
     }
 }
 
-/// Guards against coordinator failures that cost more than coordination gains.
+/// Guards against coordinator faults that block requests or make coordination worse than
+/// none.
 #[test]
 fn verify_coordinators_that_fail_cost_little() {
-    let healthy = worth(&with_faults(CoordinatorFaultKind::Killed, 0));
-    let without = worth(&without_coordination(&with_faults(
+    let well = worth(&with_faults(CoordinatorFaultKind::Killed, 0));
+    let without = worth(&uncoordinated(&with_faults(
         CoordinatorFaultKind::Killed,
         0,
     )));
@@ -229,10 +229,7 @@
         CoordinatorFaultKind::DoublyBelieved,
     ] {
         let faulty = worth(&with_faults(kind, 4));
-        assert!(
-            faulty > healthy - 0.06,
-            "{kind:?}: {faulty:.3} of {healthy:.3}"
-        );
+        assert!(faulty > well - 0.06, "{kind:?}: {faulty:.3} of {well:.3}");
         assert!(faulty > without, "{kind:?}: {faulty:.3} of {without:.3}");
     }
 }
