--- a/crates/foxtide-core/src/steering/decide.rs
+++ b/crates/foxtide-core/src/steering/decide.rs
@@ -5,8 +5,8 @@
     RefusalReason, //
 };
 use super::destinations::{
-    LimitExhausted, //
-    LimitKind,      //
+    LimitExhausted,
+    LimitKind, //
 };
 use super::engine::Steering;
 use super::service::{
--- a/crates/foxtide-core/src/steering/engine.rs
+++ b/crates/foxtide-core/src/steering/engine.rs
@@ -4,8 +4,8 @@
 use super::flows::OriginFlows;
 use super::known_instances::KnownInstances;
 use super::name_index::{
-    NameIndex, //
-    NamedRow,  //
+    NameIndex,
+    NamedRow, //
 };
 use super::options::SteeringOptions;
 use super::service::ServiceState;
--- a/crates/foxtide-core/src/steering/flows.rs
+++ b/crates/foxtide-core/src/steering/flows.rs
@@ -2,8 +2,8 @@
 
 use super::destinations::Destinations;
 use super::name_index::{
-    NameIndex, //
-    NamedRow,  //
+    NameIndex,
+    NamedRow, //
 };
 use super::options::SteeringOptions;
 use super::planned::PlannedRows;
--- a/crates/foxtide-core/src/steering/service.rs
+++ b/crates/foxtide-core/src/steering/service.rs
@@ -15,8 +15,8 @@
 use super::target::{
     FreeCapacity,
     SpillLimit,
-    redistribute_unusable, //
-    spill,                 //
+    redistribute_unusable,
+    spill, //
 };
 use crate::limits::Claim;
 use crate::organisation::Service;
--- a/crates/foxtide-gateway/src/poison/mod.rs
+++ b/crates/foxtide-gateway/src/poison/mod.rs
@@ -11,8 +11,8 @@
     receive_end_report,
     receive_quarantine,
     record_served,
-    report_upstream_end, //
-    resend_reports,      //
+    report_upstream_end,
+    resend_reports, //
 };
 pub(crate) use store_writer::sync_quarantine;
 
--- a/crates/foxtide-testing/src/lib.rs
+++ b/crates/foxtide-testing/src/lib.rs
@@ -55,7 +55,7 @@
     UpstreamStats, //
 };
 pub use virtual_fleet::{
-    FalseDetections, //
+    FalseDetections,
     VirtualFleet,
     VirtualFleetOptions, //
 };
--- a/crates/foxtide-testing/src/load_model/callers.rs
+++ b/crates/foxtide-testing/src/load_model/callers.rs
@@ -12,8 +12,8 @@
 use super::settings::milliseconds;
 use super::simulation::{
     Event,
-    Simulation, //
-    WINDOW_S,   //
+    Simulation,
+    WINDOW_S, //
 };
 use foxtide_core::admission::Ending;
 use foxtide_core::placement::ObjectKey;
--- a/crates/foxtide-testing/src/load_model/serving.rs
+++ b/crates/foxtide-testing/src/load_model/serving.rs
@@ -11,8 +11,8 @@
 use super::simulation::{
     Event,
     LOAD_SAMPLE_PERIOD_MS,
-    Simulation, //
-    WINDOW_S,   //
+    Simulation,
+    WINDOW_S, //
 };
 use super::upstream::{
     Limits,
--- a/crates/foxtide-testing/src/upstream/endpoint.rs
+++ b/crates/foxtide-testing/src/upstream/endpoint.rs
@@ -6,7 +6,7 @@
 use super::answer::{
     RequestIdentity,
     add_status_headers,
-    apply_fault, //
+    apply_fault,
     early_answer,
     refusal, //
 };
