--- a/crates/foxtide-testing/src/scenario/fleet.rs
+++ b/crates/foxtide-testing/src/scenario/fleet.rs
@@ -1,15 +1,15 @@
 //! The instances, upstreams and callers of a scenario on one virtual clock.
 
+use super::attempt::{
+    Attempt,
+    Passage, //
+};
 use super::callers::Load;
 use super::event::{
     CopyNumber,
     Delivery,
     Event, //
 };
-use super::exchange::{
-    Attempt,
-    Passage, //
-};
 use super::instance::{
     Condition,
     ModelInstance, //
--- a/crates/foxtide-testing/src/scenario/mod.rs
+++ b/crates/foxtide-testing/src/scenario/mod.rs
@@ -7,11 +7,12 @@
 //! and the store. Each instance has its own state and its own, possibly stale,
 //! view of the others. docs/design/scenarios.md has the language.
 
+mod attempt;
 mod callers;
 mod command;
-mod endings;
+mod completion;
 mod event;
-mod exchange;
+mod fault_commands;
 mod faults;
 mod fleet;
 mod instance;
@@ -34,7 +35,6 @@
 mod store;
 mod tenants;
 mod trace;
-mod trouble;
 mod upstream;
 
 pub use options::{
