--- a/crates/foxtide-testing/src/scenario/attempt.rs
+++ b/crates/foxtide-testing/src/scenario/attempt.rs
@@ -50,7 +50,7 @@
 /// What an upstream gets of an attempt. It stays when the instance has given
 /// the attempt up or has died, for the upstream may run it all the same.
 #[derive(Debug)]
-pub(super) struct Passage {
+pub(super) struct SentAttempt {
     operation: OperationNumber,
     upstream: UpstreamId,
     route: Route,
@@ -58,7 +58,7 @@
 
 impl Fleet {
     /// Sends an attempt to its upstream.
-    pub(super) fn launch(
+    pub(super) fn start_attempt(
         &mut self,
         copy: CopyNumber,
         id: AttemptId,
@@ -80,12 +80,12 @@
             origin: self.instances[instance].region.clone(),
             target: region.clone(),
         };
-        let passage = Passage {
+        let sent = SentAttempt {
             operation,
             upstream: upstream.clone(),
             route,
         };
-        self.passages.insert(number, passage);
+        self.sent_attempts.insert(number, sent);
         let attempt = Attempt {
             copy,
             id,
@@ -105,32 +105,32 @@
             return;
         };
         if self.now > since + LEAVING_GRACE {
-            let late = self.now - since;
-            let breach = format!("{upstream} got a request {late:?} after its announcement");
+            let delay = self.now - since;
+            let breach = format!("{upstream} got a request {delay:?} after its announcement");
             self.record.breaches.leaving.push(breach);
         }
     }
 
     /// Lets an attempt reach its upstream.
-    pub(super) fn attempt_arrives(&mut self, number: AttemptNumber) {
-        let Some(passage) = self.passages.get(&number) else {
+    pub(super) fn receive_attempt(&mut self, number: AttemptNumber) {
+        let Some(sent) = self.sent_attempts.get(&number) else {
             return;
         };
-        let id = passage.upstream.clone();
-        self.record.count_attempt(&passage.route, &id, self.now);
+        let id = sent.upstream.clone();
+        self.record.count_attempt(&sent.route, &id, self.now);
         let Some(upstream) = self.upstreams.get_mut(&id) else {
             return;
         };
         match upstream.receive(number) {
             Reception::Runs(time) => self.begin_service(&id, number, time),
             Reception::Waits | Reception::Ignored => {}
-            Reception::Refused => self.answer_attempt(number, AttemptEnd::Refused),
-            Reception::Unreachable => self.answer_attempt(number, AttemptEnd::NotSent),
+            Reception::Refused => self.send_attempt_end(number, AttemptEnd::Refused),
+            Reception::Unreachable => self.send_attempt_end(number, AttemptEnd::NotSent),
         }
     }
 
     fn begin_service(&mut self, upstream: &UpstreamId, number: AttemptNumber, time: Duration) {
-        let operation = self.passages.get(&number).map(|passage| passage.operation);
+        let operation = self.sent_attempts.get(&number).map(|sent| sent.operation);
         if let Some(operation) = operation.and_then(|o| self.operations.get_mut(&o)) {
             operation.runs += 1;
         }
@@ -142,45 +142,45 @@
     }
 
     /// Lets an upstream hear that a caller has given an attempt up.
-    pub(super) fn cancel_arrives(&mut self, number: AttemptNumber) {
-        let Some(passage) = self.passages.remove(&number) else {
+    pub(super) fn receive_cancel(&mut self, number: AttemptNumber) {
+        let Some(sent) = self.sent_attempts.remove(&number) else {
             return;
         };
-        let upstream = self.upstreams.get_mut(&passage.upstream);
-        let next = upstream.and_then(|upstream| upstream.end(number));
+        let upstream = self.upstreams.get_mut(&sent.upstream);
+        let next = upstream.and_then(|upstream| upstream.finish(number));
         if let Some((next, time)) = next {
-            self.begin_service(&passage.upstream, next, time);
+            self.begin_service(&sent.upstream, next, time);
         }
     }
 
     /// Lets an upstream be done with an attempt.
-    pub(super) fn service_ends(&mut self, id: &UpstreamId, number: AttemptNumber) {
+    pub(super) fn finish_service(&mut self, id: &UpstreamId, number: AttemptNumber) {
         let Some(upstream) = self.upstreams.get_mut(id) else {
             return;
         };
-        if !upstream.runs(number) {
+        if !upstream.is_running(number) {
             return;
         }
-        let next = upstream.end(number);
+        let next = upstream.finish(number);
         let fault = upstream.fault;
         if let Some((next, time)) = next {
             self.begin_service(id, next, time);
         }
-        self.passages.remove(&number);
+        self.sent_attempts.remove(&number);
         match fault {
-            UpstreamFault::LosingAnswers => self.answer_attempt(number, AttemptEnd::Lost),
+            UpstreamFault::LosingAnswers => self.send_attempt_end(number, AttemptEnd::Lost),
             UpstreamFault::Silent => {}
-            UpstreamFault::Late(by) => self.answer_later(number, by, AttemptEnd::Answered),
-            _ => self.answer_attempt(number, AttemptEnd::Answered),
+            UpstreamFault::Late(by) => self.delay_attempt_end(number, by, AttemptEnd::Answered),
+            _ => self.send_attempt_end(number, AttemptEnd::Answered),
         }
     }
 
     /// Sends the end of an attempt back to its instance.
-    pub(super) fn answer_attempt(&mut self, number: AttemptNumber, end: AttemptEnd) {
-        self.answer_later(number, Duration::ZERO, end);
+    pub(super) fn send_attempt_end(&mut self, number: AttemptNumber, end: AttemptEnd) {
+        self.delay_attempt_end(number, Duration::ZERO, end);
     }
 
-    fn answer_later(&mut self, number: AttemptNumber, after: Duration, end: AttemptEnd) {
+    fn delay_attempt_end(&mut self, number: AttemptNumber, after: Duration, end: AttemptEnd) {
         let Some(attempt) = self.attempts.get(&number) else {
             return;
         };
@@ -193,7 +193,7 @@
     }
 
     /// Gives an attempt up; its upstream hears of it unless it is cut off.
-    pub(super) fn call_off(&mut self, number: AttemptNumber) -> Option<Attempt> {
+    pub(super) fn abandon_attempt(&mut self, number: AttemptNumber) -> Option<Attempt> {
         let attempt = self.attempts.remove(&number)?;
         if let Some(delay) = self.delay_to(attempt.instance, &attempt.region) {
             let event = Event::CancelArrives(number);
@@ -209,8 +209,8 @@
         let Some(process) = &mut self.instances[place].process else {
             return;
         };
-        for (service, tools) in &mut process.services {
-            for (region, balancer) in &mut tools.balancers {
+        for (service, state) in &mut process.services {
+            for (region, balancer) in &mut state.balancers {
                 while let Some(poll) = balancer.next_poll(now) {
                     due.push((service.clone(), region.clone(), poll));
                 }
@@ -235,8 +235,8 @@
         upstream: &UpstreamId,
     ) -> (Duration, PollResult) {
         let upstream = self.upstreams.get(upstream);
-        let way = self.delay_to(place, region).zip(upstream);
-        let Some((delay, upstream)) = way else {
+        let link = self.delay_to(place, region).zip(upstream);
+        let Some((delay, upstream)) = link else {
             return (POLL_TIMEOUT, PollResult::TimedOut);
         };
         match upstream.fault {
@@ -246,7 +246,7 @@
                 let utilization = upstream.reported_utilization();
                 let answered = PollResult::Answered {
                     load: Some(LoadReport { utilization }),
-                    draining: upstream.drains_since.is_some(),
+                    draining: upstream.draining_since.is_some(),
                 };
                 (delay * 2, answered)
             }
--- a/crates/foxtide-testing/src/scenario/callers.rs
+++ b/crates/foxtide-testing/src/scenario/callers.rs
@@ -30,16 +30,16 @@
 
 /// Sets the loads apart, so that no two requests come at the same moment and
 /// none at a tick: their order would not be stated by a trace.
-const PHASE: Duration = Duration::from_micros(37);
+const LOAD_OFFSET: Duration = Duration::from_micros(37);
 
 /// How long a caller waits before it sends a keyed request again.
-const AGAIN_AFTER: Duration = Duration::from_millis(500);
+const RETRY_DELAY: Duration = Duration::from_millis(500);
 
 /// How many copies of a request a caller sends at most.
 const COPIES_MAX: u32 = 3;
 
 /// How much longer than its deadline a caller waits.
-const PATIENCE: Duration = Duration::from_millis(50);
+const TIMEOUT_MARGIN: Duration = Duration::from_millis(50);
 
 /// A steady stream of requests.
 #[derive(Clone, Debug)]
@@ -49,9 +49,9 @@
     pub(super) rate: RequestRate,
     pub(super) kind: Kind,
     /// How many requests have come.
-    came: usize,
+    arrivals: usize,
     /// Changes with the rate, so that arrivals of the old one end.
-    armed: bool,
+    is_scheduled: bool,
 }
 
 impl Fleet {
@@ -63,9 +63,9 @@
         kind: Kind,
         rate: RequestRate,
     ) {
-        let same =
+        let is_same =
             |load: &Load| load.service == *service && load.region == *region && load.kind == kind;
-        let index = match self.loads.iter().position(same) {
+        let index = match self.loads.iter().position(is_same) {
             Some(index) => index,
             None => {
                 self.loads.push(Load {
@@ -73,43 +73,43 @@
                     region: region.clone(),
                     rate,
                     kind,
-                    came: 0,
-                    armed: false,
+                    arrivals: 0,
+                    is_scheduled: false,
                 });
                 self.loads.len() - 1
             }
         };
         self.loads[index].rate = rate;
-        self.arm(index);
+        self.schedule_arrival(index);
     }
 
     /// Plans the next arrival of a load, unless it is planned already.
-    fn arm(&mut self, index: usize) {
+    fn schedule_arrival(&mut self, index: usize) {
         let load = &mut self.loads[index];
         let rate_rps = load.rate.get();
-        if load.armed || rate_rps <= 0.0 {
+        if load.is_scheduled || rate_rps <= 0.0 {
             return;
         }
-        load.armed = true;
-        let is_first = load.came == 0;
+        load.is_scheduled = true;
+        let is_first = load.arrivals == 0;
         let mut at = self.now + Duration::from_secs_f64(1.0 / rate_rps);
         if is_first {
-            at = at.max(MonotonicTime::ZERO + WARM_UP) + PHASE * (index as u32 + 1);
+            at = at.max(MonotonicTime::ZERO + WARM_UP) + LOAD_OFFSET * (index as u32 + 1);
         }
         self.schedule.add(at, Event::Arrival { load: index });
     }
 
     /// Lets the next request of a load come.
-    pub(super) fn arrive(&mut self, index: usize) {
+    pub(super) fn handle_arrival(&mut self, index: usize) {
         let load = &mut self.loads[index];
-        load.armed = false;
+        load.is_scheduled = false;
         if load.rate.get() <= 0.0 {
             return;
         }
-        load.came += 1;
+        load.arrivals += 1;
         let (service, region) = (load.service.clone(), load.region.clone());
-        let (kind, turn) = (load.kind, load.came);
-        self.arm(index);
+        let (kind, turn) = (load.kind, load.arrivals);
+        self.schedule_arrival(index);
         self.begin_operation(service, region, kind, turn);
     }
 
@@ -147,19 +147,19 @@
     pub(super) fn send_copy(&mut self, number: OperationNumber) {
         let chosen = self.choose_instance(number);
         let deadline = self.deadline_of(number);
-        let asked = chosen.map(|place| self.instances[place].id.clone());
+        let instance_id = chosen.map(|place| self.instances[place].id.clone());
         let Some(operation) = self.operations.get_mut(&number) else {
             return;
         };
         if operation.sent == 0 {
-            operation.first_instance = asked;
+            operation.first_instance = instance_id;
         }
         operation.sent += 1;
         operation.turn += 1;
         operation.told = None;
         let sent = operation.sent;
         let Some(instance) = chosen else {
-            self.tell(number, Told::Nothing);
+            self.notify_caller(number, Told::Nothing);
             return;
         };
         self.mint_key(number, instance);
@@ -168,7 +168,8 @@
             operation: number,
             sent,
         };
-        self.schedule.add(self.now + deadline + PATIENCE, event);
+        self.schedule
+            .add(self.now + deadline + TIMEOUT_MARGIN, event);
     }
 
     /// Returns how long a caller gives its request.
@@ -183,9 +184,9 @@
     fn choose_instance(&self, number: OperationNumber) -> Option<usize> {
         let operation = self.operations.get(&number)?;
         let places = 0..self.instances.len();
-        let is_near = |place: &usize| self.instances[*place].region == operation.region;
-        let (near, far): (Vec<usize>, Vec<usize>) = places.partition(is_near);
-        [near, far].iter().find_map(|places| {
+        let is_local = |place: &usize| self.instances[*place].region == operation.region;
+        let (local, remote): (Vec<usize>, Vec<usize>) = places.partition(is_local);
+        [local, remote].iter().find_map(|places| {
             let mut turns = (0..places.len()).map(|step| operation.turn + step);
             turns.find_map(|turn| {
                 let place = places[turn % places.len()];
@@ -212,7 +213,7 @@
     }
 
     /// Tells a caller how its request ended.
-    pub(super) fn tell(&mut self, number: OperationNumber, told: Told) {
+    pub(super) fn notify_caller(&mut self, number: OperationNumber, told: Told) {
         let now = self.now;
         let Some(operation) = self.operations.get_mut(&number) else {
             return;
@@ -223,14 +224,14 @@
         operation.told = Some(told);
         operation.told_at = now;
         operation.told_not_run |= told == Told::NotRun;
-        let unsure = matches!(told, Told::Unknown | Told::Nothing);
-        if unsure && operation.sent < COPIES_MAX {
-            self.schedule.add(now + AGAIN_AFTER, Event::Again(number));
+        let uncertain = matches!(told, Told::Unknown | Told::Nothing);
+        if uncertain && operation.sent < COPIES_MAX {
+            self.schedule.add(now + RETRY_DELAY, Event::Again(number));
         }
     }
 
     /// Makes a caller ask again after a time, as it was told to.
-    pub(super) fn tell_to_wait(&mut self, number: OperationNumber, wait: Duration) {
+    pub(super) fn defer_caller(&mut self, number: OperationNumber, wait: Duration) {
         let Some(operation) = self.operations.get_mut(&number) else {
             return;
         };
@@ -238,15 +239,15 @@
             let event = Event::Again(number);
             self.schedule.add(self.now + wait, event);
         } else {
-            self.tell(number, Told::Unknown);
+            self.notify_caller(number, Told::Unknown);
         }
     }
 
     /// Ends the wait of a caller that got no answer to its latest copy.
-    pub(super) fn lose_patience(&mut self, number: OperationNumber, sent: u32) {
-        let waits = |operation: &Operation| operation.sent == sent && operation.told.is_none();
-        if self.operations.get(&number).is_some_and(waits) {
-            self.tell(number, Told::Nothing);
+    pub(super) fn time_out_caller(&mut self, number: OperationNumber, sent: u32) {
+        let is_waiting = |operation: &Operation| operation.sent == sent && operation.told.is_none();
+        if self.operations.get(&number).is_some_and(is_waiting) {
+            self.notify_caller(number, Told::Nothing);
         }
     }
 }
--- a/crates/foxtide-testing/src/scenario/completion.rs
+++ b/crates/foxtide-testing/src/scenario/completion.rs
@@ -7,7 +7,7 @@
 };
 use super::fleet::Fleet;
 use super::operation::Told;
-use super::process::KeptRun;
+use super::process::StoredAnswer;
 use super::requests::RequestCopy;
 use super::upstream::AttemptNumber;
 use foxtide_core::choice::{
@@ -23,18 +23,18 @@
 };
 
 /// A refusal that comes later than this part of the deadline was held back.
-const HELD_BACK_SHARE: f64 = 0.6;
+const LATE_REJECTION_SHARE: f64 = 0.6;
 
 impl Fleet {
     /// Takes the end of an attempt in.
-    pub(super) fn attempt_ends(&mut self, number: AttemptNumber, end: AttemptEnd) {
+    pub(super) fn finish_attempt(&mut self, number: AttemptNumber, end: AttemptEnd) {
         let Some(attempt) = self.attempts.remove(&number) else {
             // The request has ended: the answer comes too late.
             return;
         };
         let now = self.now;
         let kind = completion_kind(end);
-        let draining = self.says_draining(&attempt.upstream) && end != AttemptEnd::NotSent;
+        let draining = self.reports_draining(&attempt.upstream) && end != AttemptEnd::NotSent;
         let load = self.reported_load(&attempt.upstream);
         let completion = Completion {
             load: load.filter(|_| kind == CompletionKind::Answered),
@@ -55,26 +55,26 @@
         if let Some(claim) = copy.claim.as_ref().filter(|_| result.is_not_run()) {
             process.table.mark_not_run(claim);
         }
-        let Some(tools) = process.services.get_mut(&attempt.service) else {
+        let Some(state) = process.services.get_mut(&attempt.service) else {
             return;
         };
         if end == AttemptEnd::Answered {
-            tools.hedge_delay.record(now - attempt.sent_at);
+            state.hedge_delay.record(now - attempt.sent_at);
         }
         let step = copy
             .attempts
-            .ended(attempt.id, result, &mut tools.budget, now);
+            .ended(attempt.id, result, &mut state.budget, now);
         let gave_up = matches!(step, Step::GiveUp(_));
         if let (AttemptEnd::Refused, true, Some(steering)) = (end, gave_up, &mut process.steering) {
             steering.refused_by(&attempt.region, now);
         }
-        self.follow(attempt.copy, step);
+        self.apply_step(attempt.copy, step);
     }
 
     /// Does what the decision on a request's attempts says.
-    pub(super) fn follow(&mut self, number: CopyNumber, step: Step) {
+    pub(super) fn apply_step(&mut self, number: CopyNumber, step: Step) {
         match step {
-            Step::Answer(_) => self.finish(number),
+            Step::Answer(_) => self.finish_copy(number),
             Step::Retry { after } => {
                 let queued_at = self.now + after;
                 let draw = self.next_draw();
@@ -87,23 +87,23 @@
                 }
             }
             Step::Hedge | Step::Await => {}
-            Step::GiveUp(give_up) => self.give_up(number, give_up),
+            Step::GiveUp(give_up) => self.fail_copy(number, give_up),
         }
     }
 
-    fn finish(&mut self, number: CopyNumber) {
-        let Some(copy) = self.close(number, CompletionKind::Cancelled) else {
+    fn finish_copy(&mut self, number: CopyNumber) {
+        let Some(copy) = self.close_copy(number, CompletionKind::Cancelled) else {
             return;
         };
         let operation = copy.operation;
         if let (Some(claim), Some(process)) = (copy.claim, self.process(copy.instance)) {
-            process.table.finish(claim, KeptRun { operation });
+            process.table.finish(claim, StoredAnswer { operation });
         }
-        self.tell_answer(operation, operation);
+        self.answer_caller(operation, operation);
     }
 
-    fn give_up(&mut self, number: CopyNumber, give_up: GiveUp) {
-        let Some(copy) = self.close(number, CompletionKind::Cancelled) else {
+    fn fail_copy(&mut self, number: CopyNumber, give_up: GiveUp) {
+        let Some(copy) = self.close_copy(number, CompletionKind::Cancelled) else {
             return;
         };
         let mut told: Told = give_up.outcome.into();
@@ -112,7 +112,7 @@
             told = outcome.into();
         }
         if told == Told::NotRun {
-            let reason = match copy.refused_for {
+            let reason = match copy.rejection {
                 Some(reason) => reason.to_string(),
                 None => give_up.reason.to_string(),
             };
@@ -120,16 +120,16 @@
         }
         let waited = self.now - copy.received_at;
         let time = copy.deadline - copy.received_at;
-        if told == Told::NotRun && waited > time.mul_f64(HELD_BACK_SHARE) {
+        if told == Told::NotRun && waited > time.mul_f64(LATE_REJECTION_SHARE) {
             let operation = copy.operation;
             let breach = format!("request {operation} waited {waited:?} for its refusal");
             self.record.breaches.held_back.push(breach);
         }
-        self.tell(copy.operation, told);
+        self.notify_caller(copy.operation, told);
     }
 
     /// Ends a copy's running attempts and forgets it.
-    pub(super) fn close(
+    pub(super) fn close_copy(
         &mut self,
         number: CopyNumber,
         kind: CompletionKind,
@@ -137,7 +137,7 @@
         let copy = self.copies.remove(&number)?;
         let now = self.now;
         for attempt in &copy.running {
-            let Some(attempt) = self.call_off(*attempt) else {
+            let Some(attempt) = self.abandon_attempt(*attempt) else {
                 continue;
             };
             let completion = Completion::new(kind, now - attempt.sent_at);
@@ -151,19 +151,19 @@
     }
 
     /// Ends a copy whose time has run out.
-    pub(super) fn deadline(&mut self, number: CopyNumber) {
+    pub(super) fn expire_copy(&mut self, number: CopyNumber) {
         let Some(copy) = self.copies.get(&number) else {
             return;
         };
         let outcome = copy.attempts.outcome();
-        let Some(copy) = self.close(number, CompletionKind::TimedOut) else {
+        let Some(copy) = self.close_copy(number, CompletionKind::TimedOut) else {
             return;
         };
         let mut told: Told = outcome.into();
         if let (Some(claim), Some(process)) = (copy.claim, self.process(copy.instance)) {
             told = process.table.abandon(claim).into();
         }
-        self.tell(copy.operation, told);
+        self.notify_caller(copy.operation, told);
     }
 
     fn reported_load(&self, upstream: &UpstreamId) -> Option<LoadReport> {
@@ -171,9 +171,9 @@
         Some(LoadReport { utilization })
     }
 
-    fn says_draining(&self, upstream: &UpstreamId) -> bool {
+    fn reports_draining(&self, upstream: &UpstreamId) -> bool {
         let upstream = self.upstreams.get(upstream);
-        upstream.is_some_and(|upstream| upstream.drains_since.is_some())
+        upstream.is_some_and(|upstream| upstream.draining_since.is_some())
     }
 }
 
--- a/crates/foxtide-testing/src/scenario/fault_commands.rs
+++ b/crates/foxtide-testing/src/scenario/fault_commands.rs
@@ -22,7 +22,7 @@
 
 impl ScenarioRunner {
     /// Makes something go wrong, or mends it.
-    pub(super) fn disturb(&mut self, command: &Command) -> CommandResult {
+    pub(super) fn inject_fault(&mut self, command: &Command) -> CommandResult {
         match command.clone() {
             Command::RegionDown(region) => self.fleet()?.region_down(&region),
             Command::RegionUp(region) => self.fleet()?.region_up(&region),
@@ -56,13 +56,13 @@
                 state,
                 factor,
                 by,
-            } => self.disturb_upstreams(&name, state, factor, by)?,
+            } => self.set_upstream_states(&name, state, factor, by)?,
             other => return Err(format!("{other:?} is not expected here").into()),
         }
         Ok(String::new())
     }
 
-    fn disturb_upstreams(
+    fn set_upstream_states(
         &mut self,
         name: &str,
         state: UpstreamName,
@@ -71,7 +71,7 @@
     ) -> Result<(), Box<dyn Error>> {
         let fleet = self.fleet()?;
         let matches = |id: &&UpstreamId| match name.strip_suffix('*') {
-            Some(beginning) => id.as_str().starts_with(beginning),
+            Some(prefix) => id.as_str().starts_with(prefix),
             None => id.as_str() == name,
         };
         let chosen: Vec<UpstreamId> = fleet.upstreams.keys().filter(matches).cloned().collect();
@@ -120,7 +120,7 @@
         UpstreamName::Shedding => UpstreamFault::Shedding,
         UpstreamName::LosingAnswers => UpstreamFault::LosingAnswers,
         UpstreamName::Late => UpstreamFault::Late(by.unwrap_or_default().0),
-        UpstreamName::Lying => UpstreamFault::Lying(factor.unwrap_or(0.0)),
+        UpstreamName::Lying => UpstreamFault::FixedUtilization(factor.unwrap_or(0.0)),
         UpstreamName::Cold => UpstreamFault::Cold(factor.unwrap_or(FACTOR_DEFAULT)),
         UpstreamName::Draining => return None,
     })
--- a/crates/foxtide-testing/src/scenario/faults.rs
+++ b/crates/foxtide-testing/src/scenario/faults.rs
@@ -29,26 +29,26 @@
 const LOOKUP_TTL: Duration = Duration::from_secs(5);
 
 /// How often an instance that leaves looks whether it is idle.
-const IDLE_CHECK: Duration = Duration::from_millis(100);
+const IDLE_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
 impl Fleet {
     /// Ends an instance's process at once.
     pub(super) fn kill(&mut self, place: usize) {
         let since = self.now;
         self.instances[place].condition = Condition::Ended { since };
-        let on_it = self.copies_on(place);
-        for copy in on_it {
-            if let Some(copy) = self.close(copy, CompletionKind::Cancelled) {
-                self.tell(copy.operation, Told::Nothing);
+        let copies = self.copies_at(place);
+        for copy in copies {
+            if let Some(copy) = self.close_copy(copy, CompletionKind::Cancelled) {
+                self.notify_caller(copy.operation, Told::Nothing);
             }
         }
         self.instances[place].process = None;
     }
 
-    fn copies_on(&self, place: usize) -> Vec<CopyNumber> {
+    fn copies_at(&self, place: usize) -> Vec<CopyNumber> {
         let copies = self.copies.iter();
-        let on_it = copies.filter(|(_, copy)| copy.instance == place);
-        on_it.map(|(number, _)| *number).collect()
+        let copies = copies.filter(|(_, copy)| copy.instance == place);
+        copies.map(|(number, _)| *number).collect()
     }
 
     /// Starts a new process on an instance that has none.
@@ -93,12 +93,12 @@
         if self.instances[place].condition != Condition::Leaving {
             return;
         }
-        if self.copies_on(place).is_empty() {
+        if self.copies_at(place).is_empty() {
             self.kill(place);
             return;
         }
         let event = Event::Leave { instance: place };
-        self.schedule.add(self.now + IDLE_CHECK, event);
+        self.schedule.add(self.now + IDLE_CHECK_INTERVAL, event);
     }
 
     /// Sets what is wrong with an upstream.
@@ -108,8 +108,8 @@
             return;
         };
         let region = upstream.settings.region.clone();
-        let broken = upstream.set_fault(fault);
-        self.break_attempts(broken);
+        let failed = upstream.set_fault(fault);
+        self.fail_attempts(failed);
         if fault == UpstreamFault::None {
             self.record.mend(&region, now);
         } else {
@@ -117,10 +117,10 @@
         }
     }
 
-    fn break_attempts(&mut self, broken: Vec<AttemptNumber>) {
-        for attempt in broken {
-            self.passages.remove(&attempt);
-            self.answer_attempt(attempt, AttemptEnd::Lost);
+    fn fail_attempts(&mut self, failed: Vec<AttemptNumber>) {
+        for attempt in failed {
+            self.sent_attempts.remove(&attempt);
+            self.send_attempt_end(attempt, AttemptEnd::Lost);
         }
     }
 
@@ -148,14 +148,15 @@
 
     fn instances_in(&self, region: &RegionId) -> Vec<usize> {
         let places = 0..self.instances.len();
-        let here = places.filter(|place| self.instances[*place].region == *region);
-        here.collect()
+        let matching = places.filter(|place| self.instances[*place].region == *region);
+        matching.collect()
     }
 
     fn upstreams_in(&self, region: &RegionId) -> Vec<UpstreamId> {
         let upstreams = self.upstreams.values();
-        let here = upstreams.filter(|upstream| upstream.settings.region == *region);
-        here.map(|upstream| upstream.settings.upstream.clone())
+        let matching = upstreams.filter(|upstream| upstream.settings.region == *region);
+        matching
+            .map(|upstream| upstream.settings.upstream.clone())
             .collect()
     }
 
@@ -187,7 +188,7 @@
         let window_s = service.map_or(0, |service| service.contract.drain_window_s);
         self.record.planned_stops += 1;
         if let Some(upstream) = self.upstreams.get_mut(id) {
-            upstream.drains_since = Some(now);
+            upstream.draining_since = Some(now);
             let upstream = id.clone();
             let at = now + Duration::from_secs(window_s.into());
             self.schedule.add(at, Event::Vacate { upstream });
@@ -204,7 +205,7 @@
             let breach = format!("{id} ended with {} requests in flight", cut.len());
             self.record.breaches.cut.push(breach);
         }
-        self.break_attempts(cut);
+        self.fail_attempts(cut);
     }
 
     /// Returns since when an upstream has been announced as leaving, by itself
@@ -222,7 +223,7 @@
             let started = MonotonicTime::ZERO + (at - true_wall(MonotonicTime::ZERO));
             started.max(accepted_at.unwrap_or(started))
         });
-        [announced, upstream.drains_since]
+        [announced, upstream.draining_since]
             .into_iter()
             .flatten()
             .min()
--- a/crates/foxtide-testing/src/scenario/fleet.rs
+++ b/crates/foxtide-testing/src/scenario/fleet.rs
@@ -2,7 +2,7 @@
 
 use super::attempt::{
     Attempt,
-    Passage, //
+    SentAttempt, //
 };
 use super::callers::Load;
 use super::event::{
@@ -78,7 +78,7 @@
     pub(super) operations: BTreeMap<OperationNumber, Operation>,
     pub(super) copies: BTreeMap<CopyNumber, RequestCopy>,
     pub(super) attempts: BTreeMap<AttemptNumber, Attempt>,
-    pub(super) passages: BTreeMap<AttemptNumber, Passage>,
+    pub(super) sent_attempts: BTreeMap<AttemptNumber, SentAttempt>,
     pub(super) record: Record,
     /// How many draws the attempts have used.
     pub(super) draws: u64,
@@ -111,7 +111,7 @@
             operations: BTreeMap::new(),
             copies: BTreeMap::new(),
             attempts: BTreeMap::new(),
-            passages: BTreeMap::new(),
+            sent_attempts: BTreeMap::new(),
             record: Record::default(),
             draws: 0,
             numbers: 0,
@@ -204,18 +204,18 @@
         match event {
             Event::Tick => self.tick_all(),
             Event::Report => self.report_all(),
-            Event::Arrival { load } => self.arrive(load),
+            Event::Arrival { load } => self.handle_arrival(load),
             Event::Recorded { index } => self.arrive_recorded(index),
             Event::Again(operation) => self.send_copy(operation),
-            Event::Patience { operation, sent } => self.lose_patience(operation, sent),
+            Event::Patience { operation, sent } => self.time_out_caller(operation, sent),
             Event::Deliver {
                 instance,
                 process,
                 delivery,
             } => self.deliver(instance, process, delivery),
-            Event::AttemptArrives(attempt) => self.attempt_arrives(attempt),
-            Event::CancelArrives(attempt) => self.cancel_arrives(attempt),
-            Event::ServiceEnds { upstream, attempt } => self.service_ends(&upstream, attempt),
+            Event::AttemptArrives(attempt) => self.receive_attempt(attempt),
+            Event::CancelArrives(attempt) => self.receive_cancel(attempt),
+            Event::ServiceEnds { upstream, attempt } => self.finish_service(&upstream, attempt),
             Event::Wake { instance } => self.wake(instance),
             Event::Leave { instance } => self.end_if_idle(instance),
             Event::Vacate { upstream } => self.vacate(&upstream),
@@ -277,9 +277,9 @@
             }
             Delivery::Proceed(copy) => self.proceed(copy),
             Delivery::Hedge(copy) => self.hedge(copy),
-            Delivery::Deadline(copy) => self.deadline(copy),
-            Delivery::AttemptEnds { attempt, end } => self.attempt_ends(attempt, end),
-            Delivery::Request(operation) => self.receive(operation, instance),
+            Delivery::Deadline(copy) => self.expire_copy(copy),
+            Delivery::AttemptEnds { attempt, end } => self.finish_attempt(attempt, end),
+            Delivery::Request(operation) => self.receive_request(operation, instance),
         }
     }
 
--- a/crates/foxtide-testing/src/scenario/process.rs
+++ b/crates/foxtide-testing/src/scenario/process.rs
@@ -65,12 +65,12 @@
 
 /// The answer to a request that ran, as far as a scenario needs it.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct KeptRun {
+pub(super) struct StoredAnswer {
     /// Which request it answers.
     pub(super) operation: OperationNumber,
 }
 
-impl ReplayableAnswer for KeptRun {
+impl ReplayableAnswer for StoredAnswer {
     fn size(&self) -> ByteSize {
         ByteSize::from_bytes(size_of::<OperationNumber>() as u64)
     }
@@ -86,7 +86,7 @@
 
 /// What a request needs of one service.
 #[derive(Debug)]
-pub(super) struct ServiceTools {
+pub(super) struct ServiceState {
     pub(super) budget: RetryBudget,
     pub(super) hedge_delay: HedgeDelay,
     pub(super) balancers: BTreeMap<RegionId, Balancer>,
@@ -96,8 +96,8 @@
 #[derive(Debug)]
 pub(super) struct Process {
     pub(super) steering: Option<Steering>,
-    pub(super) services: BTreeMap<ServiceId, ServiceTools>,
-    pub(super) table: Table<KeptRun>,
+    pub(super) services: BTreeMap<ServiceId, ServiceState>,
+    pub(super) table: Table<StoredAnswer>,
     pub(super) membership: Membership,
     pub(super) documents: ConfigurationTable,
     pub(super) heard: BTreeMap<InstanceId, Heard>,
@@ -183,7 +183,7 @@
         let sharing = u32::try_from(sharing).unwrap_or(u32::MAX);
         for service in &organisation.services {
             let known = self.services.entry(service.service.clone());
-            let tools = known.or_insert_with(|| ServiceTools {
+            let state = known.or_insert_with(|| ServiceState {
                 budget: RetryBudget::new(RetryBudgetOptions::default(), now),
                 hedge_delay: HedgeDelay::default(),
                 balancers: BTreeMap::new(),
@@ -195,7 +195,7 @@
                     availability_zone: Some(self.zone.clone()),
                     ..Default::default()
                 };
-                let balancer = tools.balancers.entry(region.region.clone());
+                let balancer = state.balancers.entry(region.region.clone());
                 let balancer = balancer.or_insert_with(|| Balancer::new(options, self.seed));
                 balancer.configure(&here, sharing, now);
             }
@@ -212,8 +212,8 @@
         let Some(steering) = &mut self.steering else {
             return;
         };
-        for (service, tools) in &mut self.services {
-            for (region, balancer) in &mut tools.balancers {
+        for (service, state) in &mut self.services {
+            for (region, balancer) in &mut state.balancers {
                 let healthy = balancer.healthy_share(now);
                 steering.set_health(service, region, Some(healthy));
             }
@@ -230,12 +230,12 @@
         }
         self.had_drains = !organisation.drains.is_empty();
         for service in &organisation.services {
-            let Some(tools) = self.services.get_mut(&service.service) else {
+            let Some(state) = self.services.get_mut(&service.service) else {
                 continue;
             };
             for upstream in &service.upstreams {
                 let leaves_at = leaves_at_us(organisation, &service.service, upstream);
-                let balancer = tools.balancers.get_mut(&upstream.region);
+                let balancer = state.balancers.get_mut(&upstream.region);
                 let left = leaves_at.is_some_and(|at| at <= wall);
                 match balancer {
                     Some(balancer) if left => balancer.leave(&upstream.upstream, now),
--- a/crates/foxtide-testing/src/scenario/requests.rs
+++ b/crates/foxtide-testing/src/scenario/requests.rs
@@ -48,7 +48,7 @@
 const GOLDEN_RATIO: f64 = 0.618_033_988_749_894_9;
 
 /// The longest pause between two tries to find an upstream.
-const PICK_PAUSE_MAX: Duration = Duration::from_millis(20);
+const PICK_DELAY_MAX: Duration = Duration::from_millis(20);
 
 /// One copy of a request at one instance.
 #[derive(Debug)]
@@ -62,7 +62,7 @@
     pub(super) region: Option<RegionId>,
     tried: Vec<UpstreamId>,
     pub(super) claim: Option<Claim>,
-    pub(super) refused_for: Option<RefusalReason>,
+    pub(super) rejection: Option<RefusalReason>,
     pub(super) received_at: MonotonicTime,
     /// When it began to wait for its next attempt.
     pub(super) queued_at: MonotonicTime,
@@ -71,7 +71,7 @@
 
 impl Fleet {
     /// Takes a caller's request at an instance.
-    pub(super) fn receive(&mut self, number: OperationNumber, place: usize) {
+    pub(super) fn receive_request(&mut self, number: OperationNumber, place: usize) {
         let now = self.now;
         let Some(operation) = self.operations.get_mut(&number) else {
             return;
@@ -85,16 +85,16 @@
         };
         let fingerprint = Fingerprint::of([number.to_le_bytes().as_slice()]);
         let wall = self.instances[place].wall(now);
-        self.forget_keys(place);
+        self.clear_keys(place);
         let Some(process) = self.process(place) else {
             return;
         };
         match process.table.begin(&key, fingerprint, wall) {
             Begin::Run(claim) => self.start_copy(number, place, Some(claim)),
-            Begin::InProgress { retry_after } => self.tell_to_wait(number, retry_after),
-            Begin::Replay(run) => self.tell_answer(number, run.operation),
+            Begin::InProgress { retry_after } => self.defer_caller(number, retry_after),
+            Begin::Replay(run) => self.answer_caller(number, run.operation),
             Begin::Elsewhere => self.redirect(number, place),
-            Begin::Refuse(refusal) => self.tell(number, refusal.outcome().into()),
+            Begin::Refuse(refusal) => self.notify_caller(number, refusal.outcome().into()),
         }
     }
 
@@ -110,7 +110,7 @@
     }
 
     /// Empties the table of keys, where that rule is broken on purpose.
-    fn forget_keys(&mut self, place: usize) {
+    fn clear_keys(&mut self, place: usize) {
         if self.options.broken_rule != Some(BrokenRule::ForgottenKey) {
             return;
         }
@@ -121,12 +121,12 @@
     }
 
     /// Tells a caller an answer, which has to be the one to its own request.
-    pub(super) fn tell_answer(&mut self, number: OperationNumber, answered: OperationNumber) {
+    pub(super) fn answer_caller(&mut self, number: OperationNumber, answered: OperationNumber) {
         if number != answered {
             let breach = format!("request {number} got the answer to {answered}");
             self.record.breaches.foreign_answer.push(breach);
         }
-        self.tell(number, Told::Done);
+        self.notify_caller(number, Told::Done);
     }
 
     /// Sends a caller to the instance that owns its key.
@@ -150,7 +150,7 @@
                     self.send(place, delay * 2, Delivery::Request(number));
                 }
             }
-            None => self.tell(number, Told::Unknown),
+            None => self.notify_caller(number, Told::Unknown),
         }
     }
 
@@ -175,7 +175,7 @@
                 region: None,
                 tried: Vec::new(),
                 claim,
-                refused_for: None,
+                rejection: None,
                 received_at: self.now,
                 queued_at: self.now,
                 deadline,
@@ -198,14 +198,14 @@
         kind: Kind,
         deadline: MonotonicTime,
     ) -> RequestTerms {
-        let careless = self.options.broken_rule == Some(BrokenRule::NonIdempotentRetry);
+        let retries_writes = self.options.broken_rule == Some(BrokenRule::NonIdempotentRetry);
         let contract = self.contract.service(service).map(|s| &s.contract);
         let hedged = contract.is_some_and(|contract| contract.priority == Priority::Latency);
         let process = self.instances[place].process.as_ref();
-        let tools = process.and_then(|process| process.services.get(service));
-        let delay = tools.map(|tools| tools.hedge_delay.get());
+        let state = process.and_then(|process| process.services.get(service));
+        let delay = state.map(|state| state.hedge_delay.get());
         RequestTerms {
-            idempotent: kind == Kind::Read || careless,
+            idempotent: kind == Kind::Read || retries_writes,
             deadline,
             hedge_delay: delay.filter(|_| hedged && kind == Kind::Read),
         }
@@ -230,7 +230,7 @@
         match balancer.pick_avoiding(now, draw, &tried) {
             Pick::Take(ticket) => self.send_attempt(number, region, ticket),
             Pick::Wait { retry_in } => {
-                let retry_in = retry_in.min(PICK_PAUSE_MAX);
+                let retry_in = retry_in.min(PICK_DELAY_MAX);
                 self.send(place, retry_in, Delivery::Proceed(number));
             }
             Pick::Empty => self.cannot_send(number),
@@ -263,7 +263,7 @@
                 None
             }
             Admission::Refuse { reason, .. } => {
-                self.copies.get_mut(&number)?.refused_for = Some(reason);
+                self.copies.get_mut(&number)?.rejection = Some(reason);
                 self.cannot_send(number);
                 None
             }
@@ -273,7 +273,7 @@
     pub(super) fn cannot_send(&mut self, number: CopyNumber) {
         if let Some(copy) = self.copies.get(&number) {
             let step = copy.attempts.cannot_send(GiveUpReason::NoUpstream);
-            self.follow(number, step);
+            self.apply_step(number, step);
         }
     }
 
@@ -289,7 +289,7 @@
         if let (Some(claim), Some(process)) = (&copy.claim, &mut self.instances[place].process) {
             process.table.mark_written(claim);
         }
-        let attempt = self.launch(number, id, service, region, ticket);
+        let attempt = self.start_attempt(number, id, service, region, ticket);
         if let Some(copy) = self.copies.get_mut(&number) {
             copy.running.push(attempt);
         }
@@ -306,13 +306,13 @@
             return;
         };
         let process = &mut self.instances[copy.instance].process;
-        let tools = process
+        let state = process
             .as_mut()
             .and_then(|p| p.services.get_mut(&copy.service));
-        let Some(tools) = tools else {
+        let Some(state) = state else {
             return;
         };
-        if copy.attempts.hedge(&mut tools.budget, now) == Step::Hedge {
+        if copy.attempts.hedge(&mut state.budget, now) == Step::Hedge {
             copy.region = None;
             copy.queued_at = now;
             copy.draw = draw;
--- a/crates/foxtide-testing/src/scenario/runner.rs
+++ b/crates/foxtide-testing/src/scenario/runner.rs
@@ -185,7 +185,7 @@
             | Command::Share { .. }
             | Command::Received { .. }
             | Command::Revision(_) => return self.state(command),
-            _ => return self.disturb(command),
+            _ => return self.inject_fault(command),
         }
         Ok(String::new())
     }
--- a/crates/foxtide-testing/src/scenario/upstream.rs
+++ b/crates/foxtide-testing/src/scenario/upstream.rs
@@ -12,7 +12,7 @@
 const QUEUE_PER_SLOT: usize = 2;
 
 /// How many requests warm a cold upstream.
-const WARMING_REQUESTS: u32 = 100;
+const WARM_UP_REQUESTS: u32 = 100;
 
 /// Names an attempt of a request, over the whole scenario.
 pub(super) type AttemptNumber = u64;
@@ -36,7 +36,7 @@
     /// Its answers come this much later.
     Late(Duration),
     /// It reports this utilization whatever its load is.
-    Lying(f64),
+    FixedUtilization(f64),
     /// It has just started with empty caches: its first requests take this
     /// many times as long.
     Cold(f64),
@@ -63,12 +63,12 @@
     pub(super) settings: Upstream,
     pub(super) fault: UpstreamFault,
     /// Since when it says itself that it is draining.
-    pub(super) drains_since: Option<MonotonicTime>,
+    pub(super) draining_since: Option<MonotonicTime>,
     service_time: Duration,
     running: BTreeSet<AttemptNumber>,
     waiting: VecDeque<AttemptNumber>,
     /// The requests that ran since it was cold.
-    ran: u32,
+    requests_started: u32,
 }
 
 impl ModelUpstream {
@@ -77,18 +77,18 @@
         Self {
             settings,
             fault: UpstreamFault::None,
-            drains_since: None,
+            draining_since: None,
             service_time,
             running: BTreeSet::new(),
             waiting: VecDeque::new(),
-            ran: 0,
+            requests_started: 0,
         }
     }
 
     /// Sets what is wrong. Returns the attempts that die of it.
     pub(super) fn set_fault(&mut self, fault: UpstreamFault) -> Vec<AttemptNumber> {
         self.fault = fault;
-        self.ran = 0;
+        self.requests_started = 0;
         if fault != UpstreamFault::Dead {
             return Vec::new();
         }
@@ -107,7 +107,7 @@
         }
         let slots = self.settings.slots as usize;
         if self.running.len() < slots {
-            return Reception::Runs(self.run(attempt));
+            return Reception::Runs(self.start(attempt));
         }
         if self.waiting.len() < slots * QUEUE_PER_SLOT {
             self.waiting.push_back(attempt);
@@ -116,12 +116,12 @@
         Reception::Refused
     }
 
-    fn run(&mut self, attempt: AttemptNumber) -> Duration {
+    fn start(&mut self, attempt: AttemptNumber) -> Duration {
         self.running.insert(attempt);
-        self.ran = self.ran.saturating_add(1);
+        self.requests_started = self.requests_started.saturating_add(1);
         match self.fault {
             UpstreamFault::Slow(factor) => self.service_time.mul_f64(factor),
-            UpstreamFault::Cold(factor) if self.ran <= WARMING_REQUESTS => {
+            UpstreamFault::Cold(factor) if self.requests_started <= WARM_UP_REQUESTS => {
                 self.service_time.mul_f64(factor)
             }
             _ => self.service_time,
@@ -130,7 +130,7 @@
 
     /// Ends an attempt, also one that was cancelled. Returns the next one to
     /// run and how long it takes, where a slot was freed.
-    pub(super) fn end(&mut self, attempt: AttemptNumber) -> Option<(AttemptNumber, Duration)> {
+    pub(super) fn finish(&mut self, attempt: AttemptNumber) -> Option<(AttemptNumber, Duration)> {
         self.waiting.retain(|waiting| *waiting != attempt);
         let was_running = self.running.remove(&attempt);
         let next = if was_running {
@@ -138,11 +138,11 @@
         } else {
             None
         };
-        next.map(|next| (next, self.run(next)))
+        next.map(|next| (next, self.start(next)))
     }
 
     /// Tells whether an attempt runs here.
-    pub(super) fn runs(&self, attempt: AttemptNumber) -> bool {
+    pub(super) fn is_running(&self, attempt: AttemptNumber) -> bool {
         self.running.contains(&attempt)
     }
 
@@ -154,7 +154,7 @@
     /// Returns the utilization that it reports.
     pub(super) fn reported_utilization(&self) -> f64 {
         match self.fault {
-            UpstreamFault::Lying(utilization) => utilization,
+            UpstreamFault::FixedUtilization(utilization) => utilization,
             _ => self.in_flight() as f64 / f64::from(self.settings.slots.max(1)),
         }
     }
