--- a/crates/foxtide-testing/src/scenario/attempt.rs
+++ b/crates/foxtide-testing/src/scenario/attempt.rs
@@ -203,10 +203,10 @@
     }
 
     /// Asks the load endpoints that are due.
-    pub(super) fn poll_upstreams(&mut self, place: usize) {
+    pub(super) fn poll_upstreams(&mut self, index: usize) {
         let now = self.now;
         let mut due = Vec::new();
-        let Some(process) = &mut self.instances[place].process else {
+        let Some(process) = &mut self.instances[index].process else {
             return;
         };
         for (service, state) in &mut process.services {
@@ -217,25 +217,25 @@
             }
         }
         for (service, region, poll) in due {
-            let (after, result) = self.poll_result(place, &region, &poll.upstream().upstream);
+            let (after, result) = self.poll_result(index, &region, &poll.upstream().upstream);
             let delivery = Delivery::Poll {
                 service,
                 region,
                 poll,
                 result,
             };
-            self.send(place, after, delivery);
+            self.send(index, after, delivery);
         }
     }
 
     fn poll_result(
         &self,
-        place: usize,
+        index: usize,
         region: &RegionId,
         upstream: &UpstreamId,
     ) -> (Duration, PollResult) {
         let upstream = self.upstreams.get(upstream);
-        let link = self.delay_to(place, region).zip(upstream);
+        let link = self.delay_to(index, region).zip(upstream);
         let Some((delay, upstream)) = link else {
             return (POLL_TIMEOUT, PollResult::TimedOut);
         };
--- a/crates/foxtide-testing/src/scenario/callers.rs
+++ b/crates/foxtide-testing/src/scenario/callers.rs
@@ -147,7 +147,7 @@
     pub(super) fn send_copy(&mut self, number: OperationNumber) {
         let chosen = self.choose_instance(number);
         let deadline = self.deadline_of(number);
-        let instance_id = chosen.map(|place| self.instances[place].id.clone());
+        let instance_id = chosen.map(|index| self.instances[index].id.clone());
         let Some(operation) = self.operations.get_mut(&number) else {
             return;
         };
@@ -175,7 +175,7 @@
     /// Returns how long a caller gives its request.
     pub(super) fn deadline_of(&self, number: OperationNumber) -> Duration {
         let operation = self.operations.get(&number);
-        let service = operation.and_then(|o| self.contract.service(&o.service));
+        let service = operation.and_then(|o| self.organisation.service(&o.service));
         service.map_or(Duration::ZERO, |service| service.contract.deadline())
     }
 
@@ -183,14 +183,14 @@
     /// own region come first, in turn.
     fn choose_instance(&self, number: OperationNumber) -> Option<usize> {
         let operation = self.operations.get(&number)?;
-        let places = 0..self.instances.len();
-        let is_local = |place: &usize| self.instances[*place].region == operation.region;
-        let (local, remote): (Vec<usize>, Vec<usize>) = places.partition(is_local);
-        [local, remote].iter().find_map(|places| {
-            let mut turns = (0..places.len()).map(|step| operation.turn + step);
+        let indices = 0..self.instances.len();
+        let is_local = |index: &usize| self.instances[*index].region == operation.region;
+        let (local, remote): (Vec<usize>, Vec<usize>) = indices.partition(is_local);
+        [local, remote].iter().find_map(|indices| {
+            let mut turns = (0..indices.len()).map(|step| operation.turn + step);
             turns.find_map(|turn| {
-                let place = places[turn % places.len()];
-                self.instances[place].takes_connections().then_some(place)
+                let index = indices[turn % indices.len()];
+                self.instances[index].takes_connections().then_some(index)
             })
         })
     }
@@ -198,7 +198,7 @@
     /// Gives a request that must not run twice the key that names the
     /// instance which the caller asks first.
     fn mint_key(&mut self, number: OperationNumber, instance: usize) {
-        let random: [u8; 10] = self.chance.random();
+        let random: [u8; 10] = self.rng.random();
         let Some(process) = &self.instances[instance].process else {
             return;
         };
--- a/crates/foxtide-testing/src/scenario/completion.rs
+++ b/crates/foxtide-testing/src/scenario/completion.rs
@@ -82,8 +82,8 @@
                     copy.region = None;
                     copy.draw = draw;
                     copy.queued_at = queued_at;
-                    let place = copy.instance;
-                    self.send(place, after, Delivery::Proceed(number));
+                    let index = copy.instance;
+                    self.send(index, after, Delivery::Proceed(number));
                 }
             }
             Step::Hedge | Step::Await => {}
--- a/crates/foxtide-testing/src/scenario/event.rs
+++ b/crates/foxtide-testing/src/scenario/event.rs
@@ -1,7 +1,7 @@
 //! What happens in a scenario.
 
 use super::operation::OperationNumber;
-use super::process::Heard;
+use super::process::PeerReport;
 use super::upstream::AttemptNumber;
 use foxtide_core::choice::{
     Poll,
@@ -53,7 +53,7 @@
         packet: Packet,
     },
     /// A peer's report.
-    Report { from: InstanceId, heard: Heard },
+    Report { from: InstanceId, heard: PeerReport },
     /// All that a peer knew when it sent this.
     Snapshot(Snapshot),
     /// A document from the store or from a peer.
--- a/crates/foxtide-testing/src/scenario/fault_commands.rs
+++ b/crates/foxtide-testing/src/scenario/fault_commands.rs
@@ -26,23 +26,23 @@
         match command.clone() {
             Command::RegionDown(region) => self.fleet()?.region_down(&region),
             Command::RegionUp(region) => self.fleet()?.region_up(&region),
-            Command::Cut(one, other) => self.fleet()?.cut(&one, &other),
-            Command::Heal(one, other) => self.fleet()?.heal(&one, &other),
+            Command::Cut(first, second) => self.fleet()?.cut(&first, &second),
+            Command::Heal(first, second) => self.fleet()?.heal(&first, &second),
             Command::Kill(id) => {
-                let place = self.instance(&id)?;
-                self.fleet()?.kill(place);
+                let index = self.instance(&id)?;
+                self.fleet()?.kill(index);
             }
             Command::Restart(id) => {
-                let place = self.instance(&id)?;
-                self.fleet()?.restart(place);
+                let index = self.instance(&id)?;
+                self.fleet()?.restart(index);
             }
             Command::Pause(id, span) => {
-                let place = self.instance(&id)?;
-                self.fleet()?.pause(place, span.0);
+                let index = self.instance(&id)?;
+                self.fleet()?.pause(index, span.0);
             }
             Command::Stop(id) => {
-                let place = self.instance(&id)?;
-                self.fleet()?.stop(place);
+                let index = self.instance(&id)?;
+                self.fleet()?.stop(index);
             }
             Command::Measurements { state, by } => {
                 self.fleet()?.network.measurements = measurements(state, by);
--- a/crates/foxtide-testing/src/scenario/faults.rs
+++ b/crates/foxtide-testing/src/scenario/faults.rs
@@ -33,42 +33,42 @@
 
 impl Fleet {
     /// Ends an instance's process at once.
-    pub(super) fn kill(&mut self, place: usize) {
+    pub(super) fn kill(&mut self, index: usize) {
         let since = self.now;
-        self.instances[place].condition = Condition::Ended { since };
-        let copies = self.copies_at(place);
+        self.instances[index].condition = Condition::Ended { since };
+        let copies = self.copies_at(index);
         for copy in copies {
             if let Some(copy) = self.close_copy(copy, CompletionKind::Cancelled) {
                 self.notify_caller(copy.operation, Told::Nothing);
             }
         }
-        self.instances[place].process = None;
+        self.instances[index].process = None;
     }
 
-    fn copies_at(&self, place: usize) -> Vec<CopyNumber> {
+    fn copies_at(&self, index: usize) -> Vec<CopyNumber> {
         let copies = self.copies.iter();
-        let copies = copies.filter(|(_, copy)| copy.instance == place);
+        let copies = copies.filter(|(_, copy)| copy.instance == index);
         copies.map(|(number, _)| *number).collect()
     }
 
     /// Starts a new process on an instance that has none.
-    pub(super) fn restart(&mut self, place: usize) {
-        if self.instances[place].process.is_none() {
-            self.start_process(place);
+    pub(super) fn restart(&mut self, index: usize) {
+        if self.instances[index].process.is_none() {
+            self.start_process(index);
         }
     }
 
     /// Makes an instance's process stand still for a time.
-    pub(super) fn pause(&mut self, place: usize, span: Duration) {
+    pub(super) fn pause(&mut self, index: usize, span: Duration) {
         let until = self.now + span;
-        self.instances[place].condition = Condition::Paused { until };
-        self.schedule.add(until, Event::Wake { instance: place });
+        self.instances[index].condition = Condition::Paused { until };
+        self.schedule.add(until, Event::Wake { instance: index });
     }
 
     /// Wakes a paused process.
-    pub(super) fn wake(&mut self, place: usize) {
+    pub(super) fn wake(&mut self, index: usize) {
         let now = self.now;
-        let instance = &mut self.instances[place];
+        let instance = &mut self.instances[index];
         if instance.wakes_at().is_some_and(|at| at <= now) {
             instance.condition = Condition::Running;
             instance.disturbed_at = now;
@@ -76,28 +76,28 @@
     }
 
     /// Stops an instance as planned: it leaves, ends what it has, and exits.
-    pub(super) fn stop(&mut self, place: usize) {
+    pub(super) fn stop(&mut self, index: usize) {
         let now = self.now;
         self.record.planned_stops += 1;
-        self.instances[place].condition = Condition::Leaving;
-        if let Some(process) = self.process(place) {
+        self.instances[index].condition = Condition::Leaving;
+        if let Some(process) = self.process(index) {
             let outputs = process.membership.leave(now);
-            self.carry_out(place, outputs);
+            self.carry_out(index, outputs);
         }
-        let event = Event::Leave { instance: place };
+        let event = Event::Leave { instance: index };
         self.schedule.add(now + LOOKUP_TTL, event);
     }
 
     /// Ends a leaving instance that has nothing in flight.
-    pub(super) fn end_if_idle(&mut self, place: usize) {
-        if self.instances[place].condition != Condition::Leaving {
+    pub(super) fn end_if_idle(&mut self, index: usize) {
+        if self.instances[index].condition != Condition::Leaving {
             return;
         }
-        if self.copies_at(place).is_empty() {
-            self.kill(place);
+        if self.copies_at(index).is_empty() {
+            self.kill(index);
             return;
         }
-        let event = Event::Leave { instance: place };
+        let event = Event::Leave { instance: index };
         self.schedule.add(self.now + IDLE_CHECK_INTERVAL, event);
     }
 
@@ -127,8 +127,8 @@
     /// Ends everything that stands in a region.
     pub(super) fn region_down(&mut self, region: &RegionId) {
         self.record.disturb(region, self.now);
-        for place in self.instances_in(region) {
-            self.kill(place);
+        for index in self.instances_in(region) {
+            self.kill(index);
         }
         for upstream in self.upstreams_in(region) {
             self.set_upstream_fault(&upstream, UpstreamFault::Dead);
@@ -140,15 +140,15 @@
         for upstream in self.upstreams_in(region) {
             self.set_upstream_fault(&upstream, UpstreamFault::None);
         }
-        for place in self.instances_in(region) {
-            self.restart(place);
+        for index in self.instances_in(region) {
+            self.restart(index);
         }
         self.record.mend(region, self.now);
     }
 
     fn instances_in(&self, region: &RegionId) -> Vec<usize> {
-        let places = 0..self.instances.len();
-        let matching = places.filter(|place| self.instances[*place].region == *region);
+        let indices = 0..self.instances.len();
+        let matching = indices.filter(|index| self.instances[*index].region == *region);
         matching.collect()
     }
 
@@ -161,20 +161,20 @@
     }
 
     /// Loses everything that is sent between two regions.
-    pub(super) fn cut(&mut self, one: &RegionId, other: &RegionId) {
-        self.network.cut(one, other);
-        self.record.disturb(one, self.now);
-        self.record.disturb(other, self.now);
+    pub(super) fn cut(&mut self, first: &RegionId, second: &RegionId) {
+        self.network.cut(first, second);
+        self.record.disturb(first, self.now);
+        self.record.disturb(second, self.now);
     }
 
     /// Ends a cut between two regions.
-    pub(super) fn heal(&mut self, one: &RegionId, other: &RegionId) {
+    pub(super) fn heal(&mut self, first: &RegionId, second: &RegionId) {
         let now = self.now;
-        self.network.heal(one, other);
-        for region in [one, other] {
+        self.network.heal(first, second);
+        for region in [first, second] {
             self.record.mend(region, now);
-            for place in self.instances_in(region) {
-                self.instances[place].disturbed_at = now;
+            for index in self.instances_in(region) {
+                self.instances[index].disturbed_at = now;
             }
         }
     }
@@ -184,7 +184,7 @@
     pub(super) fn drain_upstream(&mut self, id: &UpstreamId) {
         let now = self.now;
         let service = self.service_of.get(id).cloned();
-        let service = service.and_then(|service| self.contract.service(&service));
+        let service = service.and_then(|service| self.organisation.service(&service));
         let window_s = service.map_or(0, |service| service.contract.drain_window_s);
         self.record.planned_stops += 1;
         if let Some(upstream) = self.upstreams.get_mut(id) {
@@ -217,7 +217,7 @@
     ) -> Option<MonotonicTime> {
         let upstream = self.upstreams.get(id)?;
         let wall = true_wall(self.now);
-        let leaves_at = leaves_at_us(&self.contract, service, &upstream.settings);
+        let leaves_at = leaves_at_us(&self.organisation, service, &upstream.settings);
         let accepted_at = self.record.drains.get(id).copied();
         let announced = leaves_at.filter(|at| *at <= wall).map(|at| {
             let started = MonotonicTime::ZERO + (at - true_wall(MonotonicTime::ZERO));
--- a/crates/foxtide-testing/src/scenario/fleet.rs
+++ b/crates/foxtide-testing/src/scenario/fleet.rs
@@ -51,10 +51,10 @@
 use std::time::Duration;
 
 /// How often processes do what is due.
-const TICK: Duration = Duration::from_millis(100);
+const TICK_INTERVAL: Duration = Duration::from_millis(100);
 
 /// How often processes report.
-const REPORT: Duration = Duration::from_secs(1);
+const REPORT_INTERVAL: Duration = Duration::from_secs(1);
 
 /// The time of a request at an upstream that the script says nothing of.
 const SERVICE_TIME_DEFAULT: Duration = Duration::from_millis(10);
@@ -65,16 +65,16 @@
     pub(super) options: ScenarioOptions,
     pub(super) now: MonotonicTime,
     pub(super) schedule: Schedule<Event>,
-    pub(super) chance: StdRng,
+    pub(super) rng: StdRng,
     pub(super) network: Network,
     pub(super) store: ModelStore,
     /// The document that was accepted last.
-    pub(super) contract: Organisation,
+    pub(super) organisation: Organisation,
     pub(super) instances: Vec<ModelInstance>,
     pub(super) upstreams: BTreeMap<UpstreamId, ModelUpstream>,
     pub(super) service_of: BTreeMap<UpstreamId, ServiceId>,
     pub(super) loads: Vec<Load>,
-    pub(super) recorded: Vec<RecordedRequest>,
+    pub(super) recorded_requests: Vec<RecordedRequest>,
     pub(super) operations: BTreeMap<OperationNumber, Operation>,
     pub(super) copies: BTreeMap<CopyNumber, RequestCopy>,
     pub(super) attempts: BTreeMap<AttemptNumber, Attempt>,
@@ -82,7 +82,7 @@
     pub(super) record: Record,
     /// How many draws the attempts have used.
     pub(super) draws: u64,
-    numbers: u64,
+    last_number: u64,
 }
 
 impl Fleet {
@@ -99,42 +99,41 @@
             options,
             now: MonotonicTime::ZERO,
             schedule: Schedule::new(),
-            chance: StdRng::seed_from_u64(options.seed),
+            rng: StdRng::seed_from_u64(options.seed),
             network: Network::default(),
             store: ModelStore::default(),
-            contract: setting.organisation().clone(),
+            organisation: setting.organisation().clone(),
             instances: Vec::new(),
             upstreams: BTreeMap::new(),
             service_of: BTreeMap::new(),
             loads: Vec::new(),
-            recorded: Vec::new(),
+            recorded_requests: Vec::new(),
             operations: BTreeMap::new(),
             copies: BTreeMap::new(),
             attempts: BTreeMap::new(),
             sent_attempts: BTreeMap::new(),
             record: Record::default(),
             draws: 0,
-            numbers: 0,
+            last_number: 0,
         };
-        fleet.place_links();
-        fleet.place_upstreams(setting);
-        fleet.place_instances(setting)?;
-        fleet.schedule.add(MonotonicTime::ZERO + TICK, Event::Tick);
-        fleet
-            .schedule
-            .add(MonotonicTime::ZERO + TICK, Event::Report);
+        fleet.add_links();
+        fleet.add_upstreams(setting);
+        fleet.add_instances(setting)?;
+        let first_tick = MonotonicTime::ZERO + TICK_INTERVAL;
+        fleet.schedule.add(first_tick, Event::Tick);
+        fleet.schedule.add(first_tick, Event::Report);
         Ok(fleet)
     }
 
-    fn place_links(&mut self) {
-        for link in &self.contract.links {
+    fn add_links(&mut self) {
+        for link in &self.organisation.links {
             let delay = Duration::from_secs_f64(link.delay_ms / 1e3);
             self.network.set_delay(&link.from, &link.to, delay);
         }
     }
 
-    fn place_upstreams(&mut self, setting: &Setting) {
-        for service in &self.contract.services {
+    fn add_upstreams(&mut self, setting: &Setting) {
+        for service in &self.organisation.services {
             let time = setting.service_times.get(&service.service);
             let time = time.copied().unwrap_or(SERVICE_TIME_DEFAULT);
             for upstream in &service.upstreams {
@@ -146,16 +145,16 @@
         }
     }
 
-    fn place_instances(&mut self, setting: &Setting) -> Result<(), foxtide_core::Error> {
-        for region in &self.contract.regions {
+    fn add_instances(&mut self, setting: &Setting) -> Result<(), foxtide_core::Error> {
+        for region in &self.organisation.regions {
             for number in 0..setting.instances_per_region {
                 let id: InstanceId = format!("{}-{}", region.region, number + 1).parse()?;
                 let zones = &region.availability_zones;
                 let zone = zones[number as usize % zones.len()].clone();
-                let place = self.instances.len();
-                let address = instance_address(place);
+                let index = self.instances.len();
+                let address = instance_address(index);
                 let region = region.region.clone();
-                let instance = ModelInstance::new(place, id, region, zone, address);
+                let instance = ModelInstance::new(index, id, region, zone, address);
                 self.instances.push(instance);
             }
         }
@@ -164,30 +163,30 @@
 
     /// Returns a number that nothing else has.
     pub(super) fn next_number(&mut self) -> u64 {
-        self.numbers += 1;
-        self.numbers
+        self.last_number += 1;
+        self.last_number
     }
 
     /// Finds an instance by its name.
-    pub(super) fn instance(&self, id: &InstanceId) -> Option<usize> {
+    pub(super) fn instance_index(&self, id: &InstanceId) -> Option<usize> {
         self.instances.iter().position(|known| known.id == *id)
     }
 
     /// Returns the process of an instance, if one runs and is awake.
-    pub(super) fn process(&mut self, instance: usize) -> Option<&mut Process> {
-        self.instances[instance].process.as_mut()
+    pub(super) fn process(&mut self, index: usize) -> Option<&mut Process> {
+        self.instances[index].process.as_mut()
     }
 
     /// Starts a new process on an instance.
-    pub(super) fn start_process(&mut self, place: usize) {
+    pub(super) fn start_process(&mut self, index: usize) {
         let (now, rule) = (self.now, self.options.broken_rule);
-        let instance = &mut self.instances[place];
+        let instance = &mut self.instances[index];
         instance.starts += 1;
         instance.started_at = now;
         instance.condition = Condition::Running;
         let process = Process::new(instance.member(), instance.seed(), rule, now);
         instance.process = Some(process);
-        self.join(place);
+        self.join(index);
     }
 
     /// Lets the time pass.
@@ -233,8 +232,8 @@
     }
 
     fn deliver(&mut self, instance: usize, process: u64, delivery: Box<Delivery>) {
-        let place = &self.instances[instance];
-        if let Some(until) = place.wakes_at() {
+        let target = &self.instances[instance];
+        if let Some(until) = target.wakes_at() {
             let event = Event::Deliver {
                 instance,
                 process,
@@ -243,13 +242,13 @@
             self.schedule.add(until, event);
             return;
         }
-        if place.starts != process || !place.is_awake() {
+        if target.starts != process || !target.is_awake() {
             return;
         }
-        self.take(instance, *delivery);
+        self.dispatch(instance, *delivery);
     }
 
-    fn take(&mut self, instance: usize, delivery: Delivery) {
+    fn dispatch(&mut self, instance: usize, delivery: Delivery) {
         match delivery {
             Delivery::Packet {
                 sender,
@@ -258,7 +257,7 @@
             } => self.take_packet(instance, &sender, from, packet),
             Delivery::Report { from, heard } => {
                 if let Some(process) = self.process(instance) {
-                    process.hear(from, heard);
+                    process.receive_report(from, heard);
                 }
             }
             Delivery::Snapshot(snapshot) => self.take_snapshot(instance, snapshot),
@@ -285,8 +284,8 @@
 
     fn tick_all(&mut self) {
         let now = self.now;
-        for place in 0..self.instances.len() {
-            let instance = &mut self.instances[place];
+        for index in 0..self.instances.len() {
+            let instance = &mut self.instances[index];
             if !instance.is_awake() {
                 continue;
             }
@@ -294,31 +293,31 @@
             if let Some(process) = &mut instance.process {
                 process.tick(now, wall);
             }
-            self.tick_membership(place);
-            self.poll_upstreams(place);
+            self.tick_membership(index);
+            self.poll_upstreams(index);
         }
         self.check_revisions();
-        self.schedule.add(now + TICK, Event::Tick);
+        self.schedule.add(now + TICK_INTERVAL, Event::Tick);
     }
 
     fn report_all(&mut self) {
-        for place in 0..self.instances.len() {
-            if self.instances[place].is_awake() {
-                self.sample_rows(place);
-                self.report(place);
-                self.watch_store(place);
+        for index in 0..self.instances.len() {
+            if self.instances[index].is_awake() {
+                self.sample_rows(index);
+                self.report(index);
+                self.watch_store(index);
             }
         }
         self.record.arrivals.clear();
-        self.schedule.add(self.now + REPORT, Event::Report);
+        self.schedule.add(self.now + REPORT_INTERVAL, Event::Report);
     }
 
-    fn sample_rows(&mut self, place: usize) {
-        let instance = &self.instances[place];
+    fn sample_rows(&mut self, index: usize) {
+        let instance = &self.instances[index];
         let Some(steering) = instance.process.as_ref().and_then(|p| p.steering.as_ref()) else {
             return;
         };
-        for service in &self.contract.services {
+        for service in &self.organisation.services {
             let Some(row) = steering.row(&service.service) else {
                 continue;
             };
@@ -339,7 +338,7 @@
     }
 
     /// Returns the one-way delay between an instance and a region.
-    pub(super) fn delay_to(&self, instance: usize, region: &RegionId) -> Option<Duration> {
-        self.network.delay(&self.instances[instance].region, region)
+    pub(super) fn delay_to(&self, index: usize, region: &RegionId) -> Option<Duration> {
+        self.network.delay(&self.instances[index].region, region)
     }
 }
--- a/crates/foxtide-testing/src/scenario/instance.rs
+++ b/crates/foxtide-testing/src/scenario/instance.rs
@@ -70,13 +70,13 @@
     pub(super) started_at: MonotonicTime,
     /// When it last woke from a pause, or was last cut off from a region.
     pub(super) disturbed_at: MonotonicTime,
-    number: usize,
+    index: usize,
 }
 
 impl ModelInstance {
     /// Returns an instance without a process.
     pub(super) fn new(
-        number: usize,
+        index: usize,
         id: InstanceId,
         region: RegionId,
         zone: AvailabilityZoneId,
@@ -94,7 +94,7 @@
             starts: 0,
             started_at: MonotonicTime::ZERO,
             disturbed_at: MonotonicTime::ZERO,
-            number,
+            index,
         }
     }
 
@@ -114,14 +114,14 @@
 
     /// Returns the seed of the process that runs now.
     pub(super) fn seed(&self) -> u64 {
-        self.number as u64 * 1_000 + self.starts
+        self.index as u64 * 1_000 + self.starts
     }
 
     /// Returns what its wall clock shows.
     pub(super) fn wall(&self, now: MonotonicTime) -> WallTime {
-        let step = SKEW_MAX * 2 / (SKEWS as u32 - 1);
-        let late = step * (self.number % SKEWS) as u32;
-        (true_wall(now) + SKEW_MAX).saturating_sub(late)
+        let spacing = SKEW_MAX * 2 / (SKEWS as u32 - 1);
+        let behind = spacing * (self.index % SKEWS) as u32;
+        (true_wall(now) + SKEW_MAX).saturating_sub(behind)
     }
 
     /// Tells whether a caller's connection is taken.
@@ -146,7 +146,7 @@
     }
 
     /// Tells whether the platform's list shows it no more.
-    pub(super) fn is_known_to_have_ended(&self, now: MonotonicTime) -> bool {
+    pub(super) fn is_unlisted(&self, now: MonotonicTime) -> bool {
         match self.condition {
             Condition::Ended { since } => now >= since + LIST_LAG,
             _ => false,
--- a/crates/foxtide-testing/src/scenario/network.rs
+++ b/crates/foxtide-testing/src/scenario/network.rs
@@ -41,15 +41,15 @@
     }
 
     /// Loses everything that is sent between two regions.
-    pub(super) fn cut(&mut self, one: &RegionId, other: &RegionId) {
-        self.cuts.insert((one.clone(), other.clone()));
-        self.cuts.insert((other.clone(), one.clone()));
+    pub(super) fn cut(&mut self, first: &RegionId, second: &RegionId) {
+        self.cuts.insert((first.clone(), second.clone()));
+        self.cuts.insert((second.clone(), first.clone()));
     }
 
     /// Ends a cut.
-    pub(super) fn heal(&mut self, one: &RegionId, other: &RegionId) {
-        self.cuts.remove(&(one.clone(), other.clone()));
-        self.cuts.remove(&(other.clone(), one.clone()));
+    pub(super) fn heal(&mut self, first: &RegionId, second: &RegionId) {
+        self.cuts.remove(&(first.clone(), second.clone()));
+        self.cuts.remove(&(second.clone(), first.clone()));
     }
 
     /// Tells whether a region does not reach the store.
@@ -68,9 +68,9 @@
         if from == to {
             return Some(LOCAL_DELAY);
         }
-        let way = (from.clone(), to.clone());
-        let cut = self.cuts.contains(&way);
-        (!cut).then(|| self.delays.get(&way).copied().unwrap_or(LOCAL_DELAY))
+        let link = (from.clone(), to.clone());
+        let is_cut = self.cuts.contains(&link);
+        (!is_cut).then(|| self.delays.get(&link).copied().unwrap_or(LOCAL_DELAY))
     }
 
     /// Returns how long a report takes; `None` where it is lost.
--- a/crates/foxtide-testing/src/scenario/operators.rs
+++ b/crates/foxtide-testing/src/scenario/operators.rs
@@ -85,17 +85,17 @@
     /// # Errors
     ///
     /// Fails where the document cannot be accepted.
-    pub(super) fn open(&mut self) -> Result<(), ChangeError> {
+    pub(super) fn start(&mut self) -> Result<(), ChangeError> {
         let request = ChangeRequest {
             base: None,
-            document: self.contract.clone(),
+            document: self.organisation.clone(),
             author: "setting".to_owned(),
             summary: "the setting of the scenario".to_owned(),
         };
         let accepted = smol::block_on(accept(&self.store, request))?;
-        self.accepted(accepted.document);
-        for place in 0..self.instances.len() {
-            self.start_process(place);
+        self.record_acceptance(accepted.document);
+        for index in 0..self.instances.len() {
+            self.start_process(index);
         }
         Ok(())
     }
@@ -106,7 +106,7 @@
     ///
     /// Fails where the store does.
     pub(super) fn read_document(&self) -> Result<Option<StoredDocument>, ChangeError> {
-        smol::block_on(load(&self.store, &self.contract.organisation))
+        smol::block_on(load(&self.store, &self.organisation.organisation))
     }
 
     /// Lets an operator change what they have read. Returns what they are told.
@@ -123,14 +123,14 @@
             summary: edit.summary(),
         };
         match smol::block_on(accept(&self.store, request)) {
-            Ok(accepted) => self.told_accepted(accepted),
-            Err(error) => told_not_accepted(&error),
+            Ok(accepted) => self.acceptance_text(accepted),
+            Err(error) => rejection_text(&error),
         }
     }
 
-    fn told_accepted(&mut self, accepted: AcceptedChange) -> String {
+    fn acceptance_text(&mut self, accepted: AcceptedChange) -> String {
         let revision = accepted.document.revision;
-        self.accepted(accepted.document);
+        self.record_acceptance(accepted.document);
         if accepted.settled {
             format!("accepted {revision}, found by reading")
         } else {
@@ -139,25 +139,25 @@
     }
 
     /// Notes that a document was accepted, and wakes the store's watches.
-    fn accepted(&mut self, document: Organisation) {
+    fn record_acceptance(&mut self, document: Organisation) {
         let at = self.now;
         let revision = document.revision;
-        self.contract = document;
+        self.organisation = document;
         self.record.accepted.push(AcceptedRevision { revision, at });
-        self.note_drains();
+        self.record_drains();
         let watched = !matches!(self.store.fault(), StoreFault::Down);
-        for place in 0..self.instances.len() {
-            if watched && self.instances[place].is_awake() {
-                self.watch_store(place);
+        for index in 0..self.instances.len() {
+            if watched && self.instances[index].is_awake() {
+                self.watch_store(index);
             }
         }
     }
 
     /// Notes which upstreams have been announced as leaving.
-    fn note_drains(&mut self) {
-        for service in &self.contract.services {
+    fn record_drains(&mut self) {
+        for service in &self.organisation.services {
             for upstream in &service.upstreams {
-                let leaves = leaves_at_us(&self.contract, &service.service, upstream);
+                let leaves = leaves_at_us(&self.organisation, &service.service, upstream);
                 let id = upstream.upstream.clone();
                 if leaves.is_some() {
                     self.record.drains.entry(id).or_insert(self.now);
@@ -172,7 +172,7 @@
 /// Returns what an operator is told of a change that was not accepted.
 ///
 /// The words are the scenario's own: scripts do not follow those of the errors.
-pub(super) fn told_not_accepted(error: &ChangeError) -> String {
+pub(super) fn rejection_text(error: &ChangeError) -> String {
     match error {
         ChangeError::Invalid(_) => "refused: invalid".to_owned(),
         ChangeError::NotFound(_) => "refused: no such organisation".to_owned(),
--- a/crates/foxtide-testing/src/scenario/process.rs
+++ b/crates/foxtide-testing/src/scenario/process.rs
@@ -61,7 +61,7 @@
 use std::time::Duration;
 
 /// How old a view of the fleet may become before it is put together anew.
-const VIEW_AGE: Duration = Duration::from_millis(500);
+const VIEW_AGE_MAX: Duration = Duration::from_millis(500);
 
 /// The answer to a request that ran, as far as a scenario needs it.
 #[derive(Clone, Copy, Debug)]
@@ -78,7 +78,7 @@
 
 /// A peer's report and when it was made.
 #[derive(Clone, Debug)]
-pub(super) struct Heard {
+pub(super) struct PeerReport {
     pub(super) region: RegionId,
     pub(super) made_at: MonotonicTime,
     pub(super) report: InstanceReport,
@@ -100,13 +100,13 @@
     pub(super) table: Table<StoredAnswer>,
     pub(super) membership: Membership,
     pub(super) documents: ConfigurationTable,
-    pub(super) heard: BTreeMap<InstanceId, Heard>,
+    pub(super) reports: BTreeMap<InstanceId, PeerReport>,
     /// The index up to which it has seen the store.
     pub(super) store_index: StoreIndex,
     /// When its view of the fleet was put together.
-    viewed_at: MonotonicTime,
+    view_built_at: MonotonicTime,
     /// Whether a report came since.
-    heard_news: bool,
+    has_new_reports: bool,
     /// Whether the configuration held drains at the last tick.
     had_drains: bool,
     organisation: Option<Arc<Organisation>>,
@@ -119,27 +119,27 @@
 impl Process {
     /// Returns a process that has just started and knows nothing.
     pub(super) fn new(
-        own: Member,
+        member: Member,
         seed: u64,
         rule: Option<BrokenRule>,
         now: MonotonicTime,
     ) -> Self {
         let owner = OwnerId {
-            instance: own.instance.clone(),
+            instance: member.instance.clone(),
             process: ProcessNumber::new(seed),
         };
         Self {
             steering: None,
             services: BTreeMap::new(),
             table: Table::new(owner, TableOptions::default()),
-            region: own.region.clone(),
-            zone: own.availability_zone.clone(),
-            membership: Membership::new(own, MembershipOptions::default(), seed, now),
+            region: member.region.clone(),
+            zone: member.availability_zone.clone(),
+            membership: Membership::new(member, MembershipOptions::default(), seed, now),
             documents: ConfigurationTable::default(),
-            heard: BTreeMap::new(),
+            reports: BTreeMap::new(),
             store_index: StoreIndex::ABSENT,
-            viewed_at: MonotonicTime::ZERO,
-            heard_news: false,
+            view_built_at: MonotonicTime::ZERO,
+            has_new_reports: false,
             had_drains: false,
             organisation: None,
             seed,
@@ -154,8 +154,8 @@
 
     /// Puts a document in force if it is newer. Tells whether it was.
     pub(super) fn apply(&mut self, document: &Document, now: MonotonicTime) -> bool {
-        let newer = self.documents.apply(document);
-        if !newer && self.rule != Some(BrokenRule::Revision) {
+        let is_newer = self.documents.apply(document);
+        if !is_newer && self.rule != Some(BrokenRule::Revision) {
             return false;
         }
         let Ok(organisation) = serde_json::from_slice(&document.bytes) else {
@@ -178,26 +178,27 @@
     }
 
     fn configure_balancers(&mut self, organisation: &Organisation, now: MonotonicTime) {
-        let running = |member: &&Member| member.state.is_running();
-        let sharing = self.membership.members().filter(running).count();
-        let sharing = u32::try_from(sharing).unwrap_or(u32::MAX);
+        let is_running = |member: &&Member| member.state.is_running();
+        let sharers = self.membership.members().filter(is_running).count();
+        let sharers = u32::try_from(sharers).unwrap_or(u32::MAX);
         for service in &organisation.services {
-            let known = self.services.entry(service.service.clone());
-            let state = known.or_insert_with(|| ServiceState {
+            let entry = self.services.entry(service.service.clone());
+            let state = entry.or_insert_with(|| ServiceState {
                 budget: RetryBudget::new(RetryBudgetOptions::default(), now),
                 hedge_delay: HedgeDelay::default(),
                 balancers: BTreeMap::new(),
             });
             for region in &organisation.regions {
-                let here = |upstream: &&Upstream| upstream.region == region.region;
-                let here: Vec<Upstream> = service.upstreams.iter().filter(here).cloned().collect();
+                let in_region = |upstream: &&Upstream| upstream.region == region.region;
+                let upstreams = service.upstreams.iter().filter(in_region);
+                let upstreams: Vec<Upstream> = upstreams.cloned().collect();
                 let options = BalancerOptions {
                     availability_zone: Some(self.zone.clone()),
                     ..Default::default()
                 };
                 let balancer = state.balancers.entry(region.region.clone());
                 let balancer = balancer.or_insert_with(|| Balancer::new(options, self.seed));
-                balancer.configure(&here, sharing, now);
+                balancer.configure(&upstreams, sharers, now);
             }
         }
     }
@@ -207,8 +208,8 @@
         let Some(organisation) = self.organisation.clone() else {
             return;
         };
-        let view = self.new_view(now);
-        self.leave_drained(&organisation, now, wall);
+        let view = self.build_view(now);
+        self.apply_drains(&organisation, now, wall);
         let Some(steering) = &mut self.steering else {
             return;
         };
@@ -224,7 +225,7 @@
         steering.tick(now, wall);
     }
 
-    fn leave_drained(&mut self, organisation: &Organisation, now: MonotonicTime, wall: WallTime) {
+    fn apply_drains(&mut self, organisation: &Organisation, now: MonotonicTime, wall: WallTime) {
         if organisation.drains.is_empty() && !self.had_drains {
             return;
         }
@@ -236,9 +237,9 @@
             for upstream in &service.upstreams {
                 let leaves_at = leaves_at_us(organisation, &service.service, upstream);
                 let balancer = state.balancers.get_mut(&upstream.region);
-                let left = leaves_at.is_some_and(|at| at <= wall);
+                let has_left = leaves_at.is_some_and(|at| at <= wall);
                 match balancer {
-                    Some(balancer) if left => balancer.leave(&upstream.upstream, now),
+                    Some(balancer) if has_left => balancer.leave(&upstream.upstream, now),
                     Some(balancer) => balancer.rejoin(&upstream.upstream, now),
                     None => {}
                 }
@@ -248,41 +249,41 @@
 
     /// Puts a view of the fleet together where there is news, or the last view
     /// is old.
-    fn new_view(&mut self, now: MonotonicTime) -> Option<FleetView> {
-        let aged = now - self.viewed_at >= VIEW_AGE;
-        if !aged && !self.heard_news {
+    fn build_view(&mut self, now: MonotonicTime) -> Option<FleetView> {
+        let is_old = now - self.view_built_at >= VIEW_AGE_MAX;
+        if !is_old && !self.has_new_reports {
             return None;
         }
-        self.viewed_at = now;
-        self.heard_news = false;
-        let reports = self.heard.values().map(|heard| ReceivedReport {
-            origin: &heard.region,
-            made_at: heard.made_at,
-            report: &heard.report,
+        self.view_built_at = now;
+        self.has_new_reports = false;
+        let reports = self.reports.values().map(|report| ReceivedReport {
+            origin: &report.region,
+            made_at: report.made_at,
+            report: &report.report,
         });
         let view = FleetView::from_reports(reports, ViewOptions::default(), now);
         Some(view)
     }
 
     /// Makes the report to be sent to all peers.
-    pub(super) fn report(&mut self, now: MonotonicTime) -> Option<Heard> {
+    pub(super) fn report(&mut self, now: MonotonicTime) -> Option<PeerReport> {
         let report = self.steering.as_mut()?.report(now);
-        let heard = Heard {
+        let report = PeerReport {
             region: self.region.clone(),
             made_at: now,
             report,
         };
-        let own = self.membership.own().instance.clone();
-        self.heard.insert(own, heard.clone());
-        Some(heard)
+        let instance = self.membership.own().instance.clone();
+        self.reports.insert(instance, report.clone());
+        Some(report)
     }
 
     /// Takes a peer's report, unless a newer one is known.
-    pub(super) fn hear(&mut self, from: InstanceId, heard: Heard) {
-        let known = self.heard.get(&from);
-        if known.is_none_or(|known| known.made_at <= heard.made_at) {
-            self.heard.insert(from, heard);
-            self.heard_news = true;
+    pub(super) fn receive_report(&mut self, from: InstanceId, report: PeerReport) {
+        let known = self.reports.get(&from);
+        if known.is_none_or(|known| known.made_at <= report.made_at) {
+            self.reports.insert(from, report);
+            self.has_new_reports = true;
         }
     }
 
--- a/crates/foxtide-testing/src/scenario/promise.rs
+++ b/crates/foxtide-testing/src/scenario/promise.rs
@@ -159,7 +159,7 @@
     }
 
     fn region_limits(&self) -> Verdict {
-        let regions = self.contract.regions.iter();
+        let regions = self.organisation.regions.iter();
         let limits = regions.map(|region| Limit {
             name: region.region.to_string(),
             sold: region.sold_rate_rps,
@@ -169,7 +169,7 @@
     }
 
     fn link_limits(&self) -> Verdict {
-        let links = self.contract.links.iter();
+        let links = self.organisation.links.iter();
         let limits = links.map(|link| Limit {
             name: link.id().to_string(),
             sold: link.sold_rate_rps,
--- a/crates/foxtide-testing/src/scenario/requests.rs
+++ b/crates/foxtide-testing/src/scenario/requests.rs
@@ -71,35 +71,35 @@
 
 impl Fleet {
     /// Takes a caller's request at an instance.
-    pub(super) fn receive_request(&mut self, number: OperationNumber, place: usize) {
+    pub(super) fn receive_request(&mut self, number: OperationNumber, index: usize) {
         let now = self.now;
         let Some(operation) = self.operations.get_mut(&number) else {
             return;
         };
         operation.received_at = now;
         let (service, key) = (operation.service.clone(), operation.key.clone());
-        self.count_request(service, place);
+        self.count_request(service, index);
         let Some(key) = key else {
-            self.start_copy(number, place, None);
+            self.start_copy(number, index, None);
             return;
         };
         let fingerprint = Fingerprint::of([number.to_le_bytes().as_slice()]);
-        let wall = self.instances[place].wall(now);
-        self.clear_keys(place);
-        let Some(process) = self.process(place) else {
+        let wall = self.instances[index].wall(now);
+        self.clear_keys(index);
+        let Some(process) = self.process(index) else {
             return;
         };
         match process.table.begin(&key, fingerprint, wall) {
-            Begin::Run(claim) => self.start_copy(number, place, Some(claim)),
+            Begin::Run(claim) => self.start_copy(number, index, Some(claim)),
             Begin::InProgress { retry_after } => self.defer_caller(number, retry_after),
             Begin::Replay(run) => self.answer_caller(number, run.operation),
-            Begin::Elsewhere => self.redirect(number, place),
+            Begin::Elsewhere => self.redirect(number, index),
             Begin::Refuse(refusal) => self.notify_caller(number, refusal.outcome().into()),
         }
     }
 
-    fn count_request(&mut self, service: ServiceId, place: usize) {
-        let instance = &self.instances[place];
+    fn count_request(&mut self, service: ServiceId, index: usize) {
+        let instance = &self.instances[index];
         let asked = self
             .record
             .asked
@@ -110,11 +110,11 @@
     }
 
     /// Empties the table of keys, where that rule is broken on purpose.
-    fn clear_keys(&mut self, place: usize) {
+    fn clear_keys(&mut self, index: usize) {
         if self.options.broken_rule != Some(BrokenRule::ForgottenKey) {
             return;
         }
-        if let Some(process) = self.process(place) {
+        if let Some(process) = self.process(index) {
             let owner = process.table.owner().clone();
             process.table = Table::new(owner, TableOptions::default());
         }
@@ -130,44 +130,44 @@
     }
 
     /// Sends a caller to the instance that owns its key.
-    fn redirect(&mut self, number: OperationNumber, place: usize) {
+    fn redirect(&mut self, number: OperationNumber, index: usize) {
         let key = self.operations.get(&number).and_then(|o| o.key.clone());
         let Some(key) = key else {
             return;
         };
         let owner = &key.owner().instance;
-        let process = self.instances[place].process.as_ref();
+        let process = self.instances[index].process.as_ref();
         let member = process.and_then(|process| process.membership.member(owner));
         let is_member = member.is_some_and(|member| member.state.is_running());
-        let place = self.instance(owner).filter(|_| is_member);
-        match place.filter(|place| self.instances[*place].process.is_some()) {
-            Some(place) => {
+        let index = self.instance_index(owner).filter(|_| is_member);
+        match index.filter(|index| self.instances[*index].process.is_some()) {
+            Some(index) => {
                 let delay = self.network.delay(
                     &self.operations[&number].region,
-                    &self.instances[place].region,
+                    &self.instances[index].region,
                 );
                 if let Some(delay) = delay {
-                    self.send(place, delay * 2, Delivery::Request(number));
+                    self.send(index, delay * 2, Delivery::Request(number));
                 }
             }
             None => self.notify_caller(number, Told::Unknown),
         }
     }
 
-    fn start_copy(&mut self, number: OperationNumber, place: usize, claim: Option<Claim>) {
+    fn start_copy(&mut self, number: OperationNumber, index: usize, claim: Option<Claim>) {
         let deadline = self.now + self.deadline_of(number);
         let Some(operation) = self.operations.get(&number) else {
             return;
         };
         let service = operation.service.clone();
-        let terms = self.terms(place, &service, operation.kind, deadline);
+        let terms = self.terms(index, &service, operation.kind, deadline);
         let copy = self.next_number();
         let draw = self.next_draw();
         self.copies.insert(
             copy,
             RequestCopy {
                 operation: number,
-                instance: place,
+                instance: index,
                 service,
                 attempts: Attempts::new(terms, RetryOptions::default()),
                 running: Vec::new(),
@@ -181,7 +181,7 @@
                 deadline,
             },
         );
-        self.send(place, deadline - self.now, Delivery::Deadline(copy));
+        self.send(index, deadline - self.now, Delivery::Deadline(copy));
         self.proceed(copy);
     }
 
@@ -193,15 +193,15 @@
 
     fn terms(
         &self,
-        place: usize,
+        index: usize,
         service: &ServiceId,
         kind: Kind,
         deadline: MonotonicTime,
     ) -> RequestTerms {
         let retries_writes = self.options.broken_rule == Some(BrokenRule::NonIdempotentRetry);
-        let contract = self.contract.service(service).map(|s| &s.contract);
+        let contract = self.organisation.service(service).map(|s| &s.contract);
         let hedged = contract.is_some_and(|contract| contract.priority == Priority::Latency);
-        let process = self.instances[place].process.as_ref();
+        let process = self.instances[index].process.as_ref();
         let state = process.and_then(|process| process.services.get(service));
         let delay = state.map(|state| state.hedge_delay.get());
         RequestTerms {
@@ -216,14 +216,14 @@
         let Some(copy) = self.copies.get(&number) else {
             return;
         };
-        let (place, service, draw) = (copy.instance, copy.service.clone(), copy.draw);
+        let (index, service, draw) = (copy.instance, copy.service.clone(), copy.draw);
         let (region, tried) = (copy.region.clone(), copy.tried.clone());
-        let Some(region) = region.or_else(|| self.admit(number, place, &service, draw)) else {
+        let Some(region) = region.or_else(|| self.admit(number, index, &service, draw)) else {
             return;
         };
         let now = self.now;
-        let draw: u64 = self.chance.random();
-        let process = self.process(place);
+        let draw: u64 = self.rng.random();
+        let process = self.process(index);
         let Some(balancer) = process.and_then(|p| p.balancer(&service, &region)) else {
             return self.cannot_send(number);
         };
@@ -231,7 +231,7 @@
             Pick::Take(ticket) => self.send_attempt(number, region, ticket),
             Pick::Wait { retry_in } => {
                 let retry_in = retry_in.min(PICK_DELAY_MAX);
-                self.send(place, retry_in, Delivery::Proceed(number));
+                self.send(index, retry_in, Delivery::Proceed(number));
             }
             Pick::Empty => self.cannot_send(number),
         }
@@ -241,14 +241,14 @@
     fn admit(
         &mut self,
         number: CopyNumber,
-        place: usize,
+        index: usize,
         service: &ServiceId,
         draw: f64,
     ) -> Option<RegionId> {
         let now = self.now;
         let copy = self.copies.get(&number)?;
         let waited = now - copy.queued_at;
-        let steering = self.process(place).and_then(|p| p.steering.as_mut());
+        let steering = self.process(index).and_then(|p| p.steering.as_mut());
         let Some(steering) = steering else {
             self.cannot_send(number);
             return None;
@@ -259,7 +259,7 @@
                 Some(region)
             }
             Admission::Wait { retry_in } => {
-                self.send(place, retry_in, Delivery::Proceed(number));
+                self.send(index, retry_in, Delivery::Proceed(number));
                 None
             }
             Admission::Refuse { reason, .. } => {
@@ -284,9 +284,9 @@
         };
         let id = copy.attempts.begin(now);
         copy.tried.push(ticket.upstream().upstream.clone());
-        let (place, service) = (copy.instance, copy.service.clone());
+        let (index, service) = (copy.instance, copy.service.clone());
         let hedge_at = copy.attempts.hedge_at();
-        if let (Some(claim), Some(process)) = (&copy.claim, &mut self.instances[place].process) {
+        if let (Some(claim), Some(process)) = (&copy.claim, &mut self.instances[index].process) {
             process.table.mark_written(claim);
         }
         let attempt = self.start_attempt(number, id, service, region, ticket);
@@ -294,7 +294,7 @@
             copy.running.push(attempt);
         }
         if let Some(at) = hedge_at {
-            self.send(place, at - now, Delivery::Hedge(number));
+            self.send(index, at - now, Delivery::Hedge(number));
         }
     }
 
--- a/crates/foxtide-testing/src/scenario/runner.rs
+++ b/crates/foxtide-testing/src/scenario/runner.rs
@@ -5,7 +5,7 @@
 use super::operation::Kind;
 use super::operators::{
     Edit,
-    told_not_accepted, //
+    rejection_text, //
 };
 use super::options::ScenarioOptions;
 use super::promise::{
@@ -103,14 +103,14 @@
     pub(super) fn fleet(&mut self) -> Result<&mut Fleet, Box<dyn Error>> {
         if self.fleet.is_none() {
             let mut fleet = Fleet::new(&self.setting, self.options)?;
-            fleet.open()?;
+            fleet.start()?;
             self.fleet = Some(Box::new(fleet));
         }
         Ok(self.fleet.as_mut().ok_or("no fleet")?)
     }
 
     pub(super) fn instance(&mut self, id: &InstanceId) -> Result<usize, Box<dyn Error>> {
-        let place = self.fleet()?.instance(id);
+        let place = self.fleet()?.instance_index(id);
         Ok(place.ok_or_else(|| format!("no instance {id}"))?)
     }
 
@@ -220,7 +220,7 @@
             Some(base) => base,
             None => match self.fleet()?.read_document() {
                 Ok(document) => document.ok_or("there is no document")?,
-                Err(error) => return Ok(told_not_accepted(&error)),
+                Err(error) => return Ok(rejection_text(&error)),
             },
         };
         Ok(self.fleet()?.change(operator, base, &edit))
@@ -234,7 +234,7 @@
                 self.reads.insert(operator.to_owned(), document);
                 Ok(format!("read {revision}"))
             }
-            Err(error) => Ok(told_not_accepted(&error)),
+            Err(error) => Ok(rejection_text(&error)),
         }
     }
 
--- a/crates/foxtide-testing/src/scenario/shift.rs
+++ b/crates/foxtide-testing/src/scenario/shift.rs
@@ -45,7 +45,7 @@
 pub(super) fn verdict(fleet: &Fleet) -> Verdict {
     let mut breaches = Vec::new();
     let mut tested = false;
-    for service in &fleet.contract.services {
+    for service in &fleet.organisation.services {
         for shift in shifts(fleet, service) {
             tested |= shift.share.abs() > TESTED_FROM_SHARE;
             breaches.extend(breach(fleet, &shift));
@@ -62,7 +62,7 @@
         let Some(after) = samples.get(&to) else {
             continue;
         };
-        for region in &fleet.contract.regions {
+        for region in &fleet.organisation.regions {
             shifts.push(Shift {
                 service,
                 region: &region.region,
--- a/crates/foxtide-testing/src/scenario/spill.rs
+++ b/crates/foxtide-testing/src/scenario/spill.rs
@@ -36,7 +36,7 @@
 pub(super) fn verdict(fleet: &Fleet) -> Verdict {
     let mut breaches = Vec::new();
     let mut tested = false;
-    for service in &fleet.contract.services {
+    for service in &fleet.organisation.services {
         let mut from = MonotonicTime::ZERO + WARM_UP;
         while from + WINDOW <= fleet.now {
             let spilled = spilled_share(fleet, service, from);
@@ -52,7 +52,7 @@
 
 fn is_disturbed(fleet: &Fleet, from: MonotonicTime) -> bool {
     let since = from.saturating_sub(RECOVERY);
-    let mut regions = fleet.contract.regions.iter();
+    let mut regions = fleet.organisation.regions.iter();
     regions.any(|region| {
         let region = &region.region;
         fleet.record.is_disturbed(region, since, from + WINDOW)
@@ -62,7 +62,7 @@
 fn spilled_share(fleet: &Fleet, service: &Service, from: MonotonicTime) -> f64 {
     let mut asked = 0.0;
     let mut elsewhere = 0.0;
-    for origin in &fleet.contract.regions {
+    for origin in &fleet.organisation.regions {
         let counts = counts(fleet, service, &origin.region, from);
         let total = requests(fleet, service, &origin.region, from);
         let planned = planned(fleet, service, &origin.region, from + WINDOW / 2);
@@ -93,7 +93,7 @@
         let series = fleet.record.routes.get(&route);
         series.map_or(0, |series| series.between(from, from + WINDOW))
     };
-    let regions = fleet.contract.regions.iter();
+    let regions = fleet.organisation.regions.iter();
     regions
         .map(|region| f64::from(count(&region.region)))
         .collect()
@@ -101,7 +101,7 @@
 
 fn planned(fleet: &Fleet, service: &Service, origin: &RegionId, at: MonotonicTime) -> Vec<f64> {
     let factor = SteeringOptions::default().shift_cap_factor;
-    let rows = PlannedRows::new(&fleet.contract, origin, factor);
+    let rows = PlannedRows::new(&fleet.organisation, origin, factor);
     rows.row(&service.service, true_wall(at))
         .unwrap_or_default()
 }
--- a/crates/foxtide-testing/src/scenario/spread.rs
+++ b/crates/foxtide-testing/src/scenario/spread.rs
@@ -36,7 +36,7 @@
     /// Lets an instance that starts meet the instances on the platform's list.
     pub(super) fn join(&mut self, place: usize) {
         for peer in 0..self.instances.len() {
-            let listed = !self.instances[peer].is_known_to_have_ended(self.now);
+            let listed = !self.instances[peer].is_unlisted(self.now);
             if peer != place && listed {
                 self.exchange(place, peer);
             }
@@ -199,10 +199,10 @@
     fn forget_ended(&mut self, place: usize) {
         let now = self.now;
         let ended = self.instances.iter();
-        let ended = ended.filter(|instance| instance.is_known_to_have_ended(now));
+        let ended = ended.filter(|instance| instance.is_unlisted(now));
         let ended: Vec<InstanceId> = ended.map(|instance| instance.id.clone()).collect();
         if let Some(process) = self.process(place) {
-            process.heard.retain(|id, _| !ended.contains(id));
+            process.reports.retain(|id, _| !ended.contains(id));
         }
     }
 
--- a/crates/foxtide-testing/src/scenario/statement.rs
+++ b/crates/foxtide-testing/src/scenario/statement.rs
@@ -55,7 +55,7 @@
 
 impl Fleet {
     fn selected(&self, selection: &Selection) -> Result<Vec<&Operation>, StatementError> {
-        let service = self.contract.service(&selection.service);
+        let service = self.organisation.service(&selection.service);
         let deadline = service.map_or(Duration::ZERO, |service| service.contract.deadline());
         let until = self.now.saturating_sub(deadline);
         let since = until.saturating_sub(selection.last);
--- a/crates/foxtide-testing/src/scenario/store.rs
+++ b/crates/foxtide-testing/src/scenario/store.rs
@@ -14,7 +14,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-const PEER: &str = "scenario";
+const PEER_NAME: &str = "scenario";
 
 /// What is wrong with the store.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -37,10 +37,10 @@
 /// Calls end at once; a scenario counts the time of a slow store itself. It
 /// has no sessions, as nothing in a scenario holds one.
 #[derive(Clone, Debug, Default)]
-pub(super) struct ModelStore(Arc<Mutex<Contents>>);
+pub(super) struct ModelStore(Arc<Mutex<StoreState>>);
 
 #[derive(Debug, Default)]
-struct Contents {
+struct StoreState {
     index: u64,
     entries: BTreeMap<String, StoreEntry>,
     fault: StoreFault,
@@ -67,29 +67,29 @@
     }
 }
 
-impl Contents {
-    fn reach(&self, step: &'static str) -> StoreResult<()> {
+impl StoreState {
+    fn check_reachable(&self, step: &'static str) -> StoreResult<()> {
         if self.fault != StoreFault::Down {
             return Ok(());
         }
         Err(StoreError::NotSent {
             step,
-            peer: PEER.to_owned(),
+            peer: PEER_NAME.to_owned(),
             cause: "connection refused".to_owned(),
         })
     }
 
     /// Loses the answer to a write that took effect, where the fault says so.
-    fn answer_write(&mut self, step: &'static str) -> StoreResult<()> {
+    fn apply_write_fault(&mut self, step: &'static str) -> StoreResult<()> {
         self.fault = match self.fault {
             StoreFault::LosingAnswers(0) | StoreFault::None => return Ok(()),
-            StoreFault::LosingAnswers(left) => StoreFault::LosingAnswers(left - 1),
+            StoreFault::LosingAnswers(remaining) => StoreFault::LosingAnswers(remaining - 1),
             StoreFault::DownAfterWrite => StoreFault::Down,
             StoreFault::Down | StoreFault::Slow(_) => return Ok(()),
         };
         Err(StoreError::Unknown {
             step,
-            peer: PEER.to_owned(),
+            peer: PEER_NAME.to_owned(),
             cause: "the connection was closed".to_owned(),
         })
     }
@@ -100,10 +100,10 @@
     }
 }
 
-fn no_sessions<T>(step: &'static str) -> StoreResult<T> {
+fn sessions_unsupported<T>(step: &'static str) -> StoreResult<T> {
     Err(StoreError::Refused {
         step,
-        peer: PEER.to_owned(),
+        peer: PEER_NAME.to_owned(),
         status: 501,
         cause: "a scenario's store has no sessions".to_owned(),
     })
@@ -111,19 +111,19 @@
 
 impl Store for ModelStore {
     async fn read(&self, key: &str) -> StoreResult<Option<StoreEntry>> {
-        let contents = self.0.lock();
-        contents.reach("read")?;
-        Ok(contents.entries.get(key).cloned())
+        let state = self.0.lock();
+        state.check_reachable("read")?;
+        Ok(state.entries.get(key).cloned())
     }
 
     async fn list(&self, prefix: &str) -> StoreResult<StoreListing> {
-        let contents = self.0.lock();
-        contents.reach("list")?;
-        let entries = contents.entries.values();
-        let below = entries.filter(|entry| entry.key.starts_with(prefix));
+        let state = self.0.lock();
+        state.check_reachable("list")?;
+        let entries = state.entries.values();
+        let matching = entries.filter(|entry| entry.key.starts_with(prefix));
         Ok(StoreListing {
-            entries: below.cloned().collect(),
-            index: StoreIndex::new(contents.index),
+            entries: matching.cloned().collect(),
+            index: StoreIndex::new(state.index),
         })
     }
 
@@ -137,52 +137,52 @@
     }
 
     async fn write(&self, key: &str, value: Vec<u8>, expected: StoreIndex) -> StoreResult<bool> {
-        let mut contents = self.0.lock();
-        contents.reach("write")?;
-        if contents.index_of(key) != expected {
+        let mut state = self.0.lock();
+        state.check_reachable("write")?;
+        if state.index_of(key) != expected {
             return Ok(false);
         }
-        contents.index += 1;
+        state.index += 1;
         let entry = StoreEntry {
             key: key.to_owned(),
             value,
-            index: StoreIndex::new(contents.index),
+            index: StoreIndex::new(state.index),
             session: None,
         };
-        contents.entries.insert(key.to_owned(), entry);
-        contents.answer_write("write")?;
+        state.entries.insert(key.to_owned(), entry);
+        state.apply_write_fault("write")?;
         Ok(true)
     }
 
     async fn delete(&self, key: &str, expected: StoreIndex) -> StoreResult<bool> {
-        let mut contents = self.0.lock();
-        contents.reach("delete")?;
-        if contents.index_of(key) != expected {
+        let mut state = self.0.lock();
+        state.check_reachable("delete")?;
+        if state.index_of(key) != expected {
             return Ok(false);
         }
-        contents.index += 1;
-        contents.entries.remove(key);
-        contents.answer_write("delete")?;
+        state.index += 1;
+        state.entries.remove(key);
+        state.apply_write_fault("delete")?;
         Ok(true)
     }
 
     async fn open_session(&self, _name: &str, _ttl: Duration) -> StoreResult<SessionId> {
-        no_sessions("open-session")
+        sessions_unsupported("open-session")
     }
 
     async fn renew_session(&self, _session: &SessionId) -> StoreResult<bool> {
-        no_sessions("renew-session")
+        sessions_unsupported("renew-session")
     }
 
     async fn close_session(&self, _session: &SessionId) -> StoreResult<()> {
-        no_sessions("close-session")
+        sessions_unsupported("close-session")
     }
 
     async fn acquire(&self, _key: &str, _value: Vec<u8>, _by: &SessionId) -> StoreResult<bool> {
-        no_sessions("acquire")
+        sessions_unsupported("acquire")
     }
 
     async fn release(&self, _key: &str, _value: Vec<u8>, _by: &SessionId) -> StoreResult<bool> {
-        no_sessions("release")
+        sessions_unsupported("release")
     }
 }
--- a/crates/foxtide-testing/src/scenario/tenants.rs
+++ b/crates/foxtide-testing/src/scenario/tenants.rs
@@ -17,16 +17,16 @@
 use std::time::Duration;
 
 /// What each region of a tenant is sold, in requests a second.
-const REGION_SOLD_RPS: f64 = 120.0;
+const REGION_SOLD_RATE_RPS: f64 = 120.0;
 
 /// What each link of a tenant is sold, in requests a second.
-const LINK_SOLD_RPS: f64 = 40.0;
+const LINK_SOLD_RATE_RPS: f64 = 40.0;
 
 /// The spill-over limit of each service.
-const SPILL_SHARE: f64 = 0.2;
+const SPILL_LIMIT_SHARE: f64 = 0.2;
 
 /// The shift cap of each service, in shares a second.
-const CAP_SHARE_PER_S: f64 = 0.02;
+const SHIFT_CAP_SHARE_PER_S: f64 = 0.02;
 
 /// Twelve targets with three slots each, over three regions.
 const UPSTREAMS: UpstreamTerms = UpstreamTerms {
@@ -79,15 +79,15 @@
     }
 
     /// Returns the services named, or all where none is.
-    fn chosen_services(self, named: &[ServiceId]) -> Result<Vec<ServiceId>, SettingError> {
+    fn select_services(self, requested: &[ServiceId]) -> Result<Vec<ServiceId>, SettingError> {
         let all = self.services().into_iter().map(str::parse);
         let all: Vec<ServiceId> = all.collect::<Result<_, _>>()?;
-        if named.is_empty() {
+        if requested.is_empty() {
             return Ok(all);
         }
-        match named.iter().find(|service| !all.contains(service)) {
+        match requested.iter().find(|service| !all.contains(service)) {
             Some(unknown) => Err(SettingError::parse(unknown.as_str(), "a tenant's service")),
-            None => Ok(named.to_vec()),
+            None => Ok(requested.to_vec()),
         }
     }
 
@@ -105,8 +105,8 @@
             Self::Kluisdepot => (Priority::Latency, 800),
         };
         Ok(ServiceTerms {
-            spill: Share::clamped(SPILL_SHARE),
-            cap: ShareRate::new(CAP_SHARE_PER_S)?,
+            spill: Share::clamped(SPILL_LIMIT_SHARE),
+            cap: ShareRate::new(SHIFT_CAP_SHARE_PER_S)?,
             deadline: Duration::from_millis(deadline_ms),
             drain_window: DRAIN_WINDOW,
             priority,
@@ -126,13 +126,14 @@
         services: &[ServiceId],
     ) -> Result<(), SettingError> {
         for region in tenant.regions() {
-            let sold = RequestRate::clamped(REGION_SOLD_RPS);
-            self.add_region(region.parse()?, sold, ZONES_PER_REGION)?;
+            let sold_rate = RequestRate::clamped(REGION_SOLD_RATE_RPS);
+            self.add_region(region.parse()?, sold_rate, ZONES_PER_REGION)?;
         }
-        self.link_all(RequestRate::clamped(LINK_SOLD_RPS), tenant.link_delay());
+        let sold_rate = RequestRate::clamped(LINK_SOLD_RATE_RPS);
+        self.link_all(sold_rate, tenant.link_delay());
         self.instances_per_region = INSTANCES_PER_REGION;
         let terms = tenant.terms()?;
-        for service in tenant.chosen_services(services)? {
+        for service in tenant.select_services(services)? {
             self.add_service(service.clone(), &terms);
             self.add_upstreams(&service, UPSTREAMS)?;
         }
--- a/crates/foxtide-testing/src/scenario/trace.rs
+++ b/crates/foxtide-testing/src/scenario/trace.rs
@@ -226,9 +226,9 @@
 
     fn plan(&mut self, request: RecordedRequest) -> Result<(), TraceError> {
         let fleet = self.started()?;
-        let index = fleet.recorded.len();
+        let index = fleet.recorded_requests.len();
         fleet.schedule.add(request.at_us, Event::Recorded { index });
-        fleet.recorded.push(request);
+        fleet.recorded_requests.push(request);
         Ok(())
     }
 
@@ -253,7 +253,7 @@
         let fleet = self.started()?;
         let mut stated = 0;
         let mut different = Vec::new();
-        for request in &fleet.recorded {
+        for request in &fleet.recorded_requests {
             let Some(ends) = &request.ends else {
                 continue;
             };
@@ -322,8 +322,8 @@
 impl Fleet {
     /// Lets a recorded request arrive.
     pub(super) fn arrive_recorded(&mut self, index: usize) {
-        let request = self.recorded[index].clone();
-        let asked = request.instance.and_then(|id| self.instance(&id));
+        let request = self.recorded_requests[index].clone();
+        let asked = request.instance.and_then(|id| self.instance_index(&id));
         let turn = asked.map_or(index, |place| self.turn_of(place));
         self.begin_operation(request.service, request.region, request.kind, turn);
     }
