--- a/crates/foxtide-testing/src/scenario/attempt.rs
+++ b/crates/foxtide-testing/src/scenario/attempt.rs
@@ -1,4 +1,5 @@
-//! An attempt's way to an upstream and back.
+//! Simulates attempts in transit between instances and upstreams, and polls of load
+//! endpoints.
 
 use super::event::{
     AttemptEnd,
@@ -28,13 +29,13 @@
 use foxtide_core::time::MonotonicTime;
 use std::time::Duration;
 
-/// How long after its announcement a leaving upstream may get new work.
+/// Time after its announcement in which a leaving upstream may still receive new
+/// requests.
 const LEAVING_GRACE: Duration = Duration::from_secs(2);
 
-/// How long a poll of the load endpoint may stay unanswered.
 const POLL_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// One attempt under way.
+/// An attempt that its instance is waiting for.
 #[derive(Debug)]
 pub(super) struct Attempt {
     pub(super) copy: CopyNumber,
@@ -47,8 +48,8 @@
     instance: usize,
 }
 
-/// What an upstream gets of an attempt. It stays when the instance has given
-/// the attempt up or has died, for the upstream may run it all the same.
+/// An attempt on the upstream's side. It outlives the instance's interest in it, as an
+/// upstream may run a request that its instance has abandoned.
 #[derive(Debug)]
 pub(super) struct SentAttempt {
     operation: OperationNumber,
@@ -57,7 +58,6 @@
 }
 
 impl Fleet {
-    /// Sends an attempt to its upstream.
     pub(super) fn start_attempt(
         &mut self,
         copy: CopyNumber,
@@ -111,7 +111,7 @@
         }
     }
 
-    /// Lets an attempt reach its upstream.
+    /// Passes an attempt that has arrived to its upstream.
     pub(super) fn receive_attempt(&mut self, number: AttemptNumber) {
         let Some(sent) = self.sent_attempts.get(&number) else {
             return;
@@ -141,7 +141,7 @@
         self.schedule.add(self.now + time, event);
     }
 
-    /// Lets an upstream hear that a caller has given an attempt up.
+    /// Removes a cancelled attempt from its upstream.
     pub(super) fn receive_cancel(&mut self, number: AttemptNumber) {
         let Some(sent) = self.sent_attempts.remove(&number) else {
             return;
@@ -153,7 +153,7 @@
         }
     }
 
-    /// Lets an upstream be done with an attempt.
+    /// Ends an attempt that an upstream has run, and starts the next one in its queue.
     pub(super) fn finish_service(&mut self, id: &UpstreamId, number: AttemptNumber) {
         let Some(upstream) = self.upstreams.get_mut(id) else {
             return;
@@ -175,7 +175,6 @@
         }
     }
 
-    /// Sends the end of an attempt back to its instance.
     pub(super) fn send_attempt_end(&mut self, number: AttemptNumber, end: AttemptEnd) {
         self.delay_attempt_end(number, Duration::ZERO, end);
     }
@@ -192,7 +191,7 @@
         }
     }
 
-    /// Gives an attempt up; its upstream hears of it unless it is cut off.
+    /// Abandons an attempt and sends its upstream a cancellation, unless the link is cut.
     pub(super) fn abandon_attempt(&mut self, number: AttemptNumber) -> Option<Attempt> {
         let attempt = self.attempts.remove(&number)?;
         if let Some(delay) = self.delay_to(attempt.instance, &attempt.region) {
@@ -202,7 +201,7 @@
         Some(attempt)
     }
 
-    /// Asks the load endpoints that are due.
+    /// Sends the load polls of an instance that are due.
     pub(super) fn poll_upstreams(&mut self, index: usize) {
         let now = self.now;
         let mut due = Vec::new();
--- a/crates/foxtide-testing/src/scenario/callers.rs
+++ b/crates/foxtide-testing/src/scenario/callers.rs
@@ -1,4 +1,4 @@
-//! Callers: when they come, which instance they ask, and when they ask again.
+//! Simulates callers: request arrivals, choice of an instance, timeouts and retries.
 
 use super::event::{
     Delivery,
@@ -22,40 +22,39 @@
 use rand::RngExt;
 use std::time::Duration;
 
-/// Callers come only after instances have had time to start.
+/// Time before the first request, in which instances start.
 pub(super) const WARM_UP: Duration = Duration::from_secs(5);
 
-/// The delay between a caller and the instances of its region, one way.
+/// One-way delay between a caller and an instance.
 const CALLER_DELAY: Duration = Duration::from_millis(1);
 
-/// Sets the loads apart, so that no two requests come at the same moment and
-/// none at a tick: their order would not be stated by a trace.
+/// Offset between the first arrivals of successive loads. It keeps requests from
+/// coinciding with each other or with a tick, as a trace does not record the order of
+/// simultaneous events.
 const LOAD_OFFSET: Duration = Duration::from_micros(37);
 
-/// How long a caller waits before it sends a keyed request again.
+/// Delay before a caller resends a request whose outcome it does not know.
 const RETRY_DELAY: Duration = Duration::from_millis(500);
 
-/// How many copies of a request a caller sends at most.
 const COPIES_MAX: u32 = 3;
 
-/// How much longer than its deadline a caller waits.
+/// Time that a caller waits beyond the request's deadline.
 const TIMEOUT_MARGIN: Duration = Duration::from_millis(50);
 
-/// A steady stream of requests.
+/// Requests at a constant rate from the callers of one region to one service.
 #[derive(Clone, Debug)]
 pub(super) struct Load {
     pub(super) service: ServiceId,
     pub(super) region: RegionId,
     pub(super) rate: RequestRate,
     pub(super) kind: Kind,
-    /// How many requests have come.
     arrivals: usize,
-    /// Changes with the rate, so that arrivals of the old one end.
+    /// Whether the next arrival is in the schedule.
     is_scheduled: bool,
 }
 
 impl Fleet {
-    /// Starts a stream of requests or changes its rate.
+    /// Sets the rate of a load, and adds the load if there is none.
     pub(super) fn set_load(
         &mut self,
         service: &ServiceId,
@@ -83,7 +82,7 @@
         self.schedule_arrival(index);
     }
 
-    /// Plans the next arrival of a load, unless it is planned already.
+    /// Schedules the next arrival of a load unless it is already scheduled.
     fn schedule_arrival(&mut self, index: usize) {
         let load = &mut self.loads[index];
         let rate_rps = load.rate.get();
@@ -99,7 +98,7 @@
         self.schedule.add(at, Event::Arrival { load: index });
     }
 
-    /// Lets the next request of a load come.
+    /// Starts the operation of an arrival and schedules the next arrival.
     pub(super) fn handle_arrival(&mut self, index: usize) {
         let load = &mut self.loads[index];
         load.is_scheduled = false;
@@ -113,7 +112,7 @@
         self.begin_operation(service, region, kind, turn);
     }
 
-    /// Lets a caller want something now.
+    /// Creates an operation and sends its first copy.
     pub(super) fn begin_operation(
         &mut self,
         service: ServiceId,
@@ -142,8 +141,7 @@
         number
     }
 
-    /// Sends one more copy of a caller's request to the first instance that
-    /// takes its connection.
+    /// Sends another copy of a request to the first instance that accepts connections.
     pub(super) fn send_copy(&mut self, number: OperationNumber) {
         let chosen = self.choose_instance(number);
         let deadline = self.deadline_of(number);
@@ -172,15 +170,15 @@
             .add(self.now + deadline + TIMEOUT_MARGIN, event);
     }
 
-    /// Returns how long a caller gives its request.
+    /// Returns the deadline of an operation's service.
     pub(super) fn deadline_of(&self, number: OperationNumber) -> Duration {
         let operation = self.operations.get(&number);
         let service = operation.and_then(|o| self.organisation.service(&o.service));
         service.map_or(Duration::ZERO, |service| service.contract.deadline())
     }
 
-    /// Returns the instance that takes the connection: those of the caller's
-    /// own region come first, in turn.
+    /// Returns the first instance that accepts connections. Instances are tried in
+    /// rotation, those in the caller's region before all others.
     fn choose_instance(&self, number: OperationNumber) -> Option<usize> {
         let operation = self.operations.get(&number)?;
         let indices = 0..self.instances.len();
@@ -195,8 +193,8 @@
         })
     }
 
-    /// Gives a request that must not run twice the key that names the
-    /// instance which the caller asks first.
+    /// Assigns a write its idempotency key, which names the instance that the first copy
+    /// goes to.
     fn mint_key(&mut self, number: OperationNumber, instance: usize) {
         let random: [u8; 10] = self.rng.random();
         let Some(process) = &self.instances[instance].process else {
@@ -212,7 +210,8 @@
         }
     }
 
-    /// Tells a caller how its request ended.
+    /// Reports an outcome to a caller, which resends its request if the outcome is
+    /// unknown.
     pub(super) fn notify_caller(&mut self, number: OperationNumber, told: Told) {
         let now = self.now;
         let Some(operation) = self.operations.get_mut(&number) else {
@@ -230,7 +229,8 @@
         }
     }
 
-    /// Makes a caller ask again after a time, as it was told to.
+    /// Makes a caller resend its request after the given delay; after the last copy the
+    /// outcome is unknown.
     pub(super) fn defer_caller(&mut self, number: OperationNumber, wait: Duration) {
         let Some(operation) = self.operations.get_mut(&number) else {
             return;
@@ -243,7 +243,7 @@
         }
     }
 
-    /// Ends the wait of a caller that got no answer to its latest copy.
+    /// Times out a caller that has no answer to its latest copy.
     pub(super) fn time_out_caller(&mut self, number: OperationNumber, sent: u32) {
         let is_waiting = |operation: &Operation| operation.sent == sent && operation.told.is_none();
         if self.operations.get(&number).is_some_and(is_waiting) {
--- a/crates/foxtide-testing/src/scenario/completion.rs
+++ b/crates/foxtide-testing/src/scenario/completion.rs
@@ -1,4 +1,4 @@
-//! How attempts and requests end.
+//! Completes attempts and requests at an instance.
 
 use super::event::{
     AttemptEnd,
@@ -22,14 +22,16 @@
     Step, //
 };
 
-/// A refusal that comes later than this part of the deadline was held back.
+/// A rejection later than this share of the deadline breaks the promise to reject at
+/// once.
 const LATE_REJECTION_SHARE: f64 = 0.6;
 
 impl Fleet {
-    /// Takes the end of an attempt in.
+    /// Reports the end of an attempt to the balancer and the retry policy, and applies
+    /// the policy's decision.
     pub(super) fn finish_attempt(&mut self, number: AttemptNumber, end: AttemptEnd) {
         let Some(attempt) = self.attempts.remove(&number) else {
-            // The request has ended: the answer comes too late.
+            // The request has already ended.
             return;
         };
         let now = self.now;
@@ -71,7 +73,7 @@
         self.apply_step(attempt.copy, step);
     }
 
-    /// Does what the decision on a request's attempts says.
+    /// Applies the retry policy's decision on a request.
     pub(super) fn apply_step(&mut self, number: CopyNumber, step: Step) {
         match step {
             Step::Answer(_) => self.finish_copy(number),
@@ -128,7 +130,7 @@
         self.notify_caller(copy.operation, told);
     }
 
-    /// Ends a copy's running attempts and forgets it.
+    /// Cancels a copy's running attempts and removes the copy.
     pub(super) fn close_copy(
         &mut self,
         number: CopyNumber,
@@ -150,7 +152,7 @@
         Some(copy)
     }
 
-    /// Ends a copy whose time has run out.
+    /// Ends a copy whose deadline has passed.
     pub(super) fn expire_copy(&mut self, number: CopyNumber) {
         let Some(copy) = self.copies.get(&number) else {
             return;
--- a/crates/foxtide-testing/src/scenario/fault_commands.rs
+++ b/crates/foxtide-testing/src/scenario/fault_commands.rs
@@ -1,4 +1,4 @@
-//! The commands that make something go wrong.
+//! Runs the script commands that inject and clear faults.
 
 use super::command::{
     Command,
@@ -17,11 +17,11 @@
 use foxtide_core::ids::UpstreamId;
 use std::error::Error;
 
-/// How much slower a slow or a cold upstream is where a script does not say.
+/// Default factor by which a slow or cold upstream takes longer.
 const FACTOR_DEFAULT: f64 = 5.0;
 
 impl ScenarioRunner {
-    /// Makes something go wrong, or mends it.
+    /// Runs a command that injects or clears a fault.
     pub(super) fn inject_fault(&mut self, command: &Command) -> CommandResult {
         match command.clone() {
             Command::RegionDown(region) => self.fleet()?.region_down(&region),
@@ -106,7 +106,7 @@
     }
 }
 
-/// Returns the fault that a script names; none where the upstream drains.
+/// Returns the fault of a state in a script, or `None` for a draining upstream.
 fn upstream_fault(
     state: UpstreamName,
     factor: Option<f64>,
--- a/crates/foxtide-testing/src/scenario/faults.rs
+++ b/crates/foxtide-testing/src/scenario/faults.rs
@@ -1,4 +1,4 @@
-//! What goes wrong in a scenario, and what is planned.
+//! Injects faults into instances, upstreams and regions, and carries out planned stops.
 
 use super::event::AttemptEnd;
 use super::event::{
@@ -25,14 +25,14 @@
 use foxtide_core::time::MonotonicTime;
 use std::time::Duration;
 
-/// How long callers may go on with what a look-up told them.
+/// Time for which callers may reuse the result of a look-up.
 const LOOKUP_TTL: Duration = Duration::from_secs(5);
 
-/// How often an instance that leaves looks whether it is idle.
+/// Interval at which a leaving instance checks whether it is idle.
 const IDLE_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
 impl Fleet {
-    /// Ends an instance's process at once.
+    /// Kills an instance's process; its callers lose their connections.
     pub(super) fn kill(&mut self, index: usize) {
         let since = self.now;
         self.instances[index].condition = Condition::Ended { since };
@@ -51,21 +51,21 @@
         copies.map(|(number, _)| *number).collect()
     }
 
-    /// Starts a new process on an instance that has none.
+    /// Starts a process on an instance that has none.
     pub(super) fn restart(&mut self, index: usize) {
         if self.instances[index].process.is_none() {
             self.start_process(index);
         }
     }
 
-    /// Makes an instance's process stand still for a time.
+    /// Pauses an instance's process.
     pub(super) fn pause(&mut self, index: usize, span: Duration) {
         let until = self.now + span;
         self.instances[index].condition = Condition::Paused { until };
         self.schedule.add(until, Event::Wake { instance: index });
     }
 
-    /// Wakes a paused process.
+    /// Resumes a paused process whose pause is over.
     pub(super) fn wake(&mut self, index: usize) {
         let now = self.now;
         let instance = &mut self.instances[index];
@@ -75,7 +75,8 @@
         }
     }
 
-    /// Stops an instance as planned: it leaves, ends what it has, and exits.
+    /// Stops an instance gracefully: it leaves the membership, completes its requests and
+    /// exits.
     pub(super) fn stop(&mut self, index: usize) {
         let now = self.now;
         self.record.planned_stops += 1;
@@ -88,7 +89,8 @@
         self.schedule.add(now + LOOKUP_TTL, event);
     }
 
-    /// Ends a leaving instance that has nothing in flight.
+    /// Ends a leaving instance once no request is in flight, and checks again later
+    /// otherwise.
     pub(super) fn end_if_idle(&mut self, index: usize) {
         if self.instances[index].condition != Condition::Leaving {
             return;
@@ -101,7 +103,7 @@
         self.schedule.add(self.now + IDLE_CHECK_INTERVAL, event);
     }
 
-    /// Sets what is wrong with an upstream.
+    /// Sets an upstream's fault and records when its region is disturbed.
     pub(super) fn set_upstream_fault(&mut self, id: &UpstreamId, fault: UpstreamFault) {
         let now = self.now;
         let Some(upstream) = self.upstreams.get_mut(id) else {
@@ -124,7 +126,7 @@
         }
     }
 
-    /// Ends everything that stands in a region.
+    /// Kills all instances and upstreams of a region.
     pub(super) fn region_down(&mut self, region: &RegionId) {
         self.record.disturb(region, self.now);
         for index in self.instances_in(region) {
@@ -135,7 +137,7 @@
         }
     }
 
-    /// Starts everything that stands in a region again.
+    /// Restarts all instances and upstreams of a region.
     pub(super) fn region_up(&mut self, region: &RegionId) {
         for upstream in self.upstreams_in(region) {
             self.set_upstream_fault(&upstream, UpstreamFault::None);
@@ -160,14 +162,14 @@
             .collect()
     }
 
-    /// Loses everything that is sent between two regions.
+    /// Drops all messages between two regions.
     pub(super) fn cut(&mut self, first: &RegionId, second: &RegionId) {
         self.network.cut(first, second);
         self.record.disturb(first, self.now);
         self.record.disturb(second, self.now);
     }
 
-    /// Ends a cut between two regions.
+    /// Restores the link between two regions.
     pub(super) fn heal(&mut self, first: &RegionId, second: &RegionId) {
         let now = self.now;
         self.network.heal(first, second);
@@ -179,8 +181,8 @@
         }
     }
 
-    /// Makes an upstream announce that it leaves; its process ends when the
-    /// contract's drain window is over.
+    /// Makes an upstream announce that it is draining. Its process ends after the
+    /// contract's drain window.
     pub(super) fn drain_upstream(&mut self, id: &UpstreamId) {
         let now = self.now;
         let service = self.service_of.get(id).cloned();
@@ -195,7 +197,8 @@
         }
     }
 
-    /// Ends a drained upstream's process.
+    /// Ends a drained upstream's process; requests still in flight are recorded as a
+    /// breach.
     pub(super) fn vacate(&mut self, id: &UpstreamId) {
         let Some(upstream) = self.upstreams.get_mut(id) else {
             return;
@@ -208,8 +211,8 @@
         self.fail_attempts(cut);
     }
 
-    /// Returns since when an upstream has been announced as leaving, by itself
-    /// or by an accepted drain.
+    /// Returns when an upstream was first announced as leaving, by itself or by an
+    /// accepted drain.
     pub(super) fn leaving_since(
         &self,
         service: &ServiceId,
--- a/crates/foxtide-testing/src/scenario/fleet.rs
+++ b/crates/foxtide-testing/src/scenario/fleet.rs
@@ -1,4 +1,4 @@
-//! The instances, upstreams and callers of a scenario on one virtual clock.
+//! Holds the state of a scenario and runs its events on a virtual clock.
 
 use super::attempt::{
     Attempt,
@@ -50,16 +50,16 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// How often processes do what is due.
+/// Interval at which processes run their periodic work.
 const TICK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// How often processes report.
+/// Interval at which processes send reports to their peers.
 const REPORT_INTERVAL: Duration = Duration::from_secs(1);
 
-/// The time of a request at an upstream that the script says nothing of.
+/// Service time of a request where the script sets none.
 const SERVICE_TIME_DEFAULT: Duration = Duration::from_millis(10);
 
-/// The state of a scenario.
+/// The instances, upstreams and callers of a scenario.
 #[derive(Debug)]
 pub(super) struct Fleet {
     pub(super) options: ScenarioOptions,
@@ -68,7 +68,7 @@
     pub(super) rng: StdRng,
     pub(super) network: Network,
     pub(super) store: ModelStore,
-    /// The document that was accepted last.
+    /// The last accepted document.
     pub(super) organisation: Organisation,
     pub(super) instances: Vec<ModelInstance>,
     pub(super) upstreams: BTreeMap<UpstreamId, ModelUpstream>,
@@ -80,17 +80,17 @@
     pub(super) attempts: BTreeMap<AttemptNumber, Attempt>,
     pub(super) sent_attempts: BTreeMap<AttemptNumber, SentAttempt>,
     pub(super) record: Record,
-    /// How many draws the attempts have used.
+    /// The number of draws taken so far.
     pub(super) draws: u64,
     last_number: u64,
 }
 
 impl Fleet {
-    /// Starts all instances and upstreams of a setting.
+    /// Creates the instances and upstreams of a setting.
     ///
     /// # Errors
     ///
-    /// Fails where names do not fit.
+    /// Fails if the name of an instance is invalid.
     pub(super) fn new(
         setting: &Setting,
         options: ScenarioOptions,
@@ -161,23 +161,22 @@
         Ok(())
     }
 
-    /// Returns a number that nothing else has.
+    /// Returns a number that is unique within the scenario.
     pub(super) fn next_number(&mut self) -> u64 {
         self.last_number += 1;
         self.last_number
     }
 
-    /// Finds an instance by its name.
+    /// Returns the index of an instance.
     pub(super) fn instance_index(&self, id: &InstanceId) -> Option<usize> {
         self.instances.iter().position(|known| known.id == *id)
     }
 
-    /// Returns the process of an instance, if one runs and is awake.
+    /// Returns an instance's process, if it has one.
     pub(super) fn process(&mut self, index: usize) -> Option<&mut Process> {
         self.instances[index].process.as_mut()
     }
 
-    /// Starts a new process on an instance.
     pub(super) fn start_process(&mut self, index: usize) {
         let (now, rule) = (self.now, self.options.broken_rule);
         let instance = &mut self.instances[index];
@@ -189,7 +188,7 @@
         self.join(index);
     }
 
-    /// Lets the time pass.
+    /// Advances the virtual clock and handles the events that fall due.
     pub(super) fn run_for(&mut self, span: Duration) {
         let until = self.now + span;
         while let Some((at, event)) = self.schedule.next(until) {
@@ -221,7 +220,8 @@
         }
     }
 
-    /// Adds a message to the process that now runs on an instance.
+    /// Sends a message to an instance's current process; a later process does not receive
+    /// it.
     pub(super) fn send(&mut self, instance: usize, after: Duration, delivery: Delivery) {
         let event = Event::Deliver {
             instance,
@@ -337,7 +337,8 @@
         }
     }
 
-    /// Returns the one-way delay between an instance and a region.
+    /// Returns the one-way delay from an instance to a region, or `None` if the link is
+    /// cut.
     pub(super) fn delay_to(&self, index: usize, region: &RegionId) -> Option<Duration> {
         self.network.delay(&self.instances[index].region, region)
     }
--- a/crates/foxtide-testing/src/scenario/instance.rs
+++ b/crates/foxtide-testing/src/scenario/instance.rs
@@ -1,4 +1,4 @@
-//! One instance of a scenario.
+//! Simulates an instance: its condition, its clock and its identity as a member.
 
 use super::process::Process;
 use foxtide_core::idempotency::ProcessNumber;
@@ -19,43 +19,39 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// The wall clock's reading when a scenario begins, 2025-01-01 in UTC.
+/// Wall-clock time at the start of a scenario, 2025-01-01 in UTC.
 const EPOCH: WallTime = WallTime::from_ms(1_735_689_600_000);
 
-/// The wall clocks of instances are off by up to this, either way.
+/// Largest deviation of an instance's wall clock in either direction.
 const SKEW_MAX: Duration = Duration::from_millis(200);
 
-/// How many different skews there are.
+/// Number of different clock skews.
 const SKEWS: usize = 5;
 
-/// How long after its end an instance still stands on the platform's list.
+/// Time for which the platform's list still shows an instance that has ended.
 pub(super) const LIST_LAG: Duration = Duration::from_secs(20);
 
-/// Returns the true wall clock's reading.
+/// Returns the wall-clock time without skew.
 pub(super) fn true_wall(now: MonotonicTime) -> WallTime {
     EPOCH + (now - MonotonicTime::ZERO)
 }
 
-/// What an instance is doing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Condition {
-    /// It runs.
     Running,
-    /// Its process stands still until then.
+    /// Its process is paused.
     Paused {
-        /// When it wakes.
         until: MonotonicTime,
     },
-    /// It takes no new callers and ends what is in flight.
+    /// It accepts no new connections and completes the requests in flight.
     Leaving,
-    /// Its process is gone.
+    /// Its process has ended.
     Ended {
-        /// Since when.
         since: MonotonicTime,
     },
 }
 
-/// One instance: its place and the process that runs on it, if any.
+/// An instance and the process that runs on it, if any.
 #[derive(Debug)]
 pub(super) struct ModelInstance {
     pub(super) id: InstanceId,
@@ -64,17 +60,16 @@
     pub(super) address: SocketAddr,
     pub(super) condition: Condition,
     pub(super) process: Option<Process>,
-    /// How many processes have run on it.
+    /// The number of processes started so far.
     pub(super) starts: u64,
-    /// When the process started.
+    /// When the latest process started.
     pub(super) started_at: MonotonicTime,
-    /// When it last woke from a pause, or was last cut off from a region.
+    /// When it last resumed from a pause, or a cut link of its region was last restored.
     pub(super) disturbed_at: MonotonicTime,
     index: usize,
 }
 
 impl ModelInstance {
-    /// Returns an instance without a process.
     pub(super) fn new(
         index: usize,
         id: InstanceId,
@@ -98,7 +93,7 @@
         }
     }
 
-    /// Returns the instance as it presents itself when its process starts.
+    /// Returns the member that a newly started process announces.
     pub(super) fn member(&self) -> Member {
         Member {
             instance: self.id.clone(),
@@ -112,19 +107,21 @@
         }
     }
 
-    /// Returns the seed of the process that runs now.
+    /// Returns the seed of the current process, which differs between instances and
+    /// restarts.
     pub(super) fn seed(&self) -> u64 {
         self.index as u64 * 1_000 + self.starts
     }
 
-    /// Returns what its wall clock shows.
+    /// Returns the time on its skewed wall clock.
     pub(super) fn wall(&self, now: MonotonicTime) -> WallTime {
         let spacing = SKEW_MAX * 2 / (SKEWS as u32 - 1);
         let behind = spacing * (self.index % SKEWS) as u32;
         (true_wall(now) + SKEW_MAX).saturating_sub(behind)
     }
 
-    /// Tells whether a caller's connection is taken.
+    /// Returns whether it accepts connections; a paused process does so without
+    /// answering.
     pub(super) fn takes_connections(&self) -> bool {
         matches!(
             self.condition,
@@ -132,12 +129,12 @@
         )
     }
 
-    /// Tells whether its process runs now.
+    /// Returns whether its process is running and not paused.
     pub(super) fn is_awake(&self) -> bool {
         matches!(self.condition, Condition::Running | Condition::Leaving)
     }
 
-    /// Returns when its process wakes, if it is paused.
+    /// Returns the end of its pause.
     pub(super) fn wakes_at(&self) -> Option<MonotonicTime> {
         match self.condition {
             Condition::Paused { until } => Some(until),
@@ -145,7 +142,7 @@
         }
     }
 
-    /// Tells whether the platform's list shows it no more.
+    /// Returns whether the platform's list no longer shows it.
     pub(super) fn is_unlisted(&self, now: MonotonicTime) -> bool {
         match self.condition {
             Condition::Ended { since } => now >= since + LIST_LAG,
--- a/crates/foxtide-testing/src/scenario/network.rs
+++ b/crates/foxtide-testing/src/scenario/network.rs
@@ -1,4 +1,4 @@
-//! Delays and cuts between the regions, and the flow of measurements.
+//! Simulates the network: delays between regions, cut links, and late or missing reports.
 
 use foxtide_core::ids::RegionId;
 use std::collections::{
@@ -7,63 +7,61 @@
 };
 use std::time::Duration;
 
-/// The name that stands for the store where a link is cut.
+/// Name of the store as an end of a cut link.
 const STORE: &str = "store";
 
-/// The delay inside a region, one way.
+/// One-way delay within a region, and between regions without a known delay.
 const LOCAL_DELAY: Duration = Duration::from_micros(500);
 
-/// Whether instances hear what others measured.
+/// How instances receive the measurements in the reports of others.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) enum Measurements {
-    /// They hear it after the delay of the network.
+    /// Reports arrive after the delay of the network.
     #[default]
     Flowing,
-    /// They hear it this much later.
+    /// Reports are delayed further by this time.
     Late(Duration),
-    /// They hear nothing.
+    /// Reports are lost.
     Stopped,
 }
 
-/// The network between the regions.
 #[derive(Debug, Default)]
 pub(super) struct Network {
     delays: BTreeMap<(RegionId, RegionId), Duration>,
     cuts: BTreeSet<(RegionId, RegionId)>,
-    /// Whether measurements arrive.
     pub(super) measurements: Measurements,
 }
 
 impl Network {
-    /// Sets the delay from one region to another, one way.
+    /// Sets the one-way delay between two regions.
     pub(super) fn set_delay(&mut self, from: &RegionId, to: &RegionId, delay: Duration) {
         self.delays.insert((from.clone(), to.clone()), delay);
     }
 
-    /// Loses everything that is sent between two regions.
+    /// Drops all messages between two regions.
     pub(super) fn cut(&mut self, first: &RegionId, second: &RegionId) {
         self.cuts.insert((first.clone(), second.clone()));
         self.cuts.insert((second.clone(), first.clone()));
     }
 
-    /// Ends a cut.
+    /// Restores the link between two regions.
     pub(super) fn heal(&mut self, first: &RegionId, second: &RegionId) {
         self.cuts.remove(&(first.clone(), second.clone()));
         self.cuts.remove(&(second.clone(), first.clone()));
     }
 
-    /// Tells whether a region does not reach the store.
+    /// Returns whether a region's link to the store is cut.
     pub(super) fn is_cut_from_store(&self, region: &RegionId) -> bool {
         let mut cuts = self.cuts.iter();
         cuts.any(|(from, to)| from == region && to.as_str() == STORE)
     }
 
-    /// Tells whether any link of a region is cut.
+    /// Returns whether any link of a region is cut.
     pub(super) fn is_cut_off(&self, region: &RegionId) -> bool {
         self.cuts.iter().any(|(from, _)| from == region)
     }
 
-    /// Returns how long a message takes; `None` where it is lost.
+    /// Returns the one-way delay of a message, or `None` if it is lost.
     pub(super) fn delay(&self, from: &RegionId, to: &RegionId) -> Option<Duration> {
         if from == to {
             return Some(LOCAL_DELAY);
@@ -73,7 +71,7 @@
         (!is_cut).then(|| self.delays.get(&link).copied().unwrap_or(LOCAL_DELAY))
     }
 
-    /// Returns how long a report takes; `None` where it is lost.
+    /// Returns the one-way delay of a report, or `None` if it is lost.
     pub(super) fn report_delay(&self, from: &RegionId, to: &RegionId) -> Option<Duration> {
         let delay = self.delay(from, to)?;
         match self.measurements {
--- a/crates/foxtide-testing/src/scenario/operators.rs
+++ b/crates/foxtide-testing/src/scenario/operators.rs
@@ -1,5 +1,4 @@
-//! Operators of a scenario: they read the document, change it, and are told
-//! what became of the change.
+//! Simulates operators, who read the organisation's document and submit changes to it.
 
 use super::fleet::Fleet;
 use super::instance::true_wall;
@@ -34,10 +33,10 @@
     ShareRate, //
 };
 
-/// What an operator changes.
+/// A change to the document.
 #[derive(Clone, Debug)]
 pub(super) enum Edit {
-    /// Traffic of a service moves between two regions.
+    /// Adds a planned move of a service's traffic between two regions.
     Move {
         service: ServiceId,
         from: RegionId,
@@ -45,15 +44,15 @@
         share: Share,
         pace: ShareRate,
     },
-    /// Something leaves.
+    /// Adds a drain.
     Drain(DrainTarget),
-    /// A service's spill-over limit.
+    /// Sets a service's spill-over limit.
     Spill { service: ServiceId, limit: Share },
-    /// A region's sold rate.
+    /// Sets a region's sold rate.
     Sold { region: RegionId, rate: RequestRate },
 }
 
-/// What a drain is of, in a script.
+/// The kind of a drain's target in a script.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum DrainKind {
     Upstream,
@@ -80,11 +79,11 @@
 }
 
 impl Fleet {
-    /// Puts the first document into the store and starts all instances.
+    /// Writes the first document to the store and starts all instances.
     ///
     /// # Errors
     ///
-    /// Fails where the document cannot be accepted.
+    /// Fails if the document is not accepted.
     pub(super) fn start(&mut self) -> Result<(), ChangeError> {
         let request = ChangeRequest {
             base: None,
@@ -100,16 +99,17 @@
         Ok(())
     }
 
-    /// Lets an operator read the document.
+    /// Reads the document from the store.
     ///
     /// # Errors
     ///
-    /// Fails where the store does.
+    /// Fails if the store does.
     pub(super) fn read_document(&self) -> Result<Option<StoredDocument>, ChangeError> {
         smol::block_on(load(&self.store, &self.organisation.organisation))
     }
 
-    /// Lets an operator change what they have read. Returns what they are told.
+    /// Submits a change to the document `base` and returns the line that a script prints
+    /// for its result.
     pub(super) fn change(&mut self, operator: &str, base: StoredDocument, edit: &Edit) -> String {
         let mut document = base.document.clone();
         let number = document.revision.next();
@@ -138,7 +138,7 @@
         }
     }
 
-    /// Notes that a document was accepted, and wakes the store's watches.
+    /// Records an accepted document and wakes the instances that watch the store.
     fn record_acceptance(&mut self, document: Organisation) {
         let at = self.now;
         let revision = document.revision;
@@ -153,7 +153,7 @@
         }
     }
 
-    /// Notes which upstreams have been announced as leaving.
+    /// Records when each leaving upstream was announced.
     fn record_drains(&mut self) {
         for service in &self.organisation.services {
             for upstream in &service.upstreams {
@@ -169,9 +169,10 @@
     }
 }
 
-/// Returns what an operator is told of a change that was not accepted.
+/// Returns the line that a script prints for a change that was not accepted.
 ///
-/// The words are the scenario's own: scripts do not follow those of the errors.
+/// The text is independent of the error's own message, so that scripts need not follow
+/// it.
 pub(super) fn rejection_text(error: &ChangeError) -> String {
     match error {
         ChangeError::Invalid(_) => "refused: invalid".to_owned(),
@@ -188,11 +189,11 @@
 }
 
 impl Edit {
-    /// Returns the drain of something by its name.
+    /// Returns the drain of a named target.
     ///
     /// # Errors
     ///
-    /// Fails where the name is no name, or an upstream's service is missing.
+    /// Fails if the name is invalid, or the service of an upstream is missing.
     pub(super) fn drain(
         kind: DrainKind,
         name: &str,
--- a/crates/foxtide-testing/src/scenario/process.rs
+++ b/crates/foxtide-testing/src/scenario/process.rs
@@ -1,4 +1,5 @@
-//! The decisions of one process of one instance, put together.
+//! Runs the decisions of an instance's process: steering, balancing, membership and
+//! idempotency.
 
 use super::operation::OperationNumber;
 use super::options::BrokenRule;
@@ -60,13 +61,12 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// How old a view of the fleet may become before it is put together anew.
+/// Age at which a view of the fleet is rebuilt even without new reports.
 const VIEW_AGE_MAX: Duration = Duration::from_millis(500);
 
-/// The answer to a request that ran, as far as a scenario needs it.
+/// The stored answer of a request that ran, reduced to the request's number.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct StoredAnswer {
-    /// Which request it answers.
     pub(super) operation: OperationNumber,
 }
 
@@ -76,7 +76,7 @@
     }
 }
 
-/// A peer's report and when it was made.
+/// An instance's report with its region and the time at which it was made.
 #[derive(Clone, Debug)]
 pub(super) struct PeerReport {
     pub(super) region: RegionId,
@@ -84,7 +84,7 @@
     pub(super) report: InstanceReport,
 }
 
-/// What a request needs of one service.
+/// A process's state of one service.
 #[derive(Debug)]
 pub(super) struct ServiceState {
     pub(super) budget: RetryBudget,
@@ -92,7 +92,7 @@
     pub(super) balancers: BTreeMap<RegionId, Balancer>,
 }
 
-/// Everything that a process holds in memory.
+/// The state of a process, which is lost when the process ends.
 #[derive(Debug)]
 pub(super) struct Process {
     pub(super) steering: Option<Steering>,
@@ -101,13 +101,12 @@
     pub(super) membership: Membership,
     pub(super) documents: ConfigurationTable,
     pub(super) reports: BTreeMap<InstanceId, PeerReport>,
-    /// The index up to which it has seen the store.
+    /// The store index of the last read.
     pub(super) store_index: StoreIndex,
-    /// When its view of the fleet was put together.
     view_built_at: MonotonicTime,
-    /// Whether a report came since.
+    /// Whether a report has arrived since the view was built.
     has_new_reports: bool,
-    /// Whether the configuration held drains at the last tick.
+    /// Whether the configuration contained drains at the last tick.
     had_drains: bool,
     organisation: Option<Arc<Organisation>>,
     region: RegionId,
@@ -117,7 +116,7 @@
 }
 
 impl Process {
-    /// Returns a process that has just started and knows nothing.
+    /// Returns a process without configuration and peers.
     pub(super) fn new(
         member: Member,
         seed: u64,
@@ -147,12 +146,13 @@
         }
     }
 
-    /// Returns the revision in force; none before the first.
+    /// Returns the revision in force, or `None` before the first document.
     pub(super) fn revision(&self) -> Option<Revision> {
         Some(self.organisation.as_ref()?.revision)
     }
 
-    /// Puts a document in force if it is newer. Tells whether it was.
+    /// Applies a document if it is newer than the current one, and returns whether it was
+    /// applied.
     pub(super) fn apply(&mut self, document: &Document, now: MonotonicTime) -> bool {
         let is_newer = self.documents.apply(document);
         if !is_newer && self.rule != Some(BrokenRule::Revision) {
@@ -203,7 +203,7 @@
         }
     }
 
-    /// Moves all decisions on to `now`.
+    /// Advances all decisions to `now`.
     pub(super) fn tick(&mut self, now: MonotonicTime, wall: WallTime) {
         let Some(organisation) = self.organisation.clone() else {
             return;
@@ -247,8 +247,8 @@
         }
     }
 
-    /// Puts a view of the fleet together where there is news, or the last view
-    /// is old.
+    /// Rebuilds the view of the fleet if reports have arrived or the last view is too
+    /// old.
     fn build_view(&mut self, now: MonotonicTime) -> Option<FleetView> {
         let is_old = now - self.view_built_at >= VIEW_AGE_MAX;
         if !is_old && !self.has_new_reports {
@@ -265,7 +265,7 @@
         Some(view)
     }
 
-    /// Makes the report to be sent to all peers.
+    /// Returns the report to send to all peers.
     pub(super) fn report(&mut self, now: MonotonicTime) -> Option<PeerReport> {
         let report = self.steering.as_mut()?.report(now);
         let report = PeerReport {
@@ -278,7 +278,7 @@
         Some(report)
     }
 
-    /// Takes a peer's report, unless a newer one is known.
+    /// Stores a peer's report unless a newer one is known.
     pub(super) fn receive_report(&mut self, from: InstanceId, report: PeerReport) {
         let known = self.reports.get(&from);
         if known.is_none_or(|known| known.made_at <= report.made_at) {
@@ -287,7 +287,6 @@
         }
     }
 
-    /// Returns the balancer of a service in a region.
     pub(super) fn balancer(
         &mut self,
         service: &ServiceId,
--- a/crates/foxtide-testing/src/scenario/requests.rs
+++ b/crates/foxtide-testing/src/scenario/requests.rs
@@ -1,4 +1,5 @@
-//! What an instance does with a request: admission, choice, attempts.
+//! Handles requests at an instance: idempotency keys, admission, choice of an upstream
+//! and hedging.
 
 use super::event::{
     CopyNumber,
@@ -44,13 +45,14 @@
 use rand::RngExt;
 use std::time::Duration;
 
-/// The step between two draws; multiples of it are spread evenly over [0, 1).
+/// Step between successive draws; the fractional parts of its multiples are spread evenly
+/// over [0, 1).
 const GOLDEN_RATIO: f64 = 0.618_033_988_749_894_9;
 
-/// The longest pause between two tries to find an upstream.
+/// Longest delay before an instance tries to pick an upstream again.
 const PICK_DELAY_MAX: Duration = Duration::from_millis(20);
 
-/// One copy of a request at one instance.
+/// A copy of a request that an instance is handling.
 #[derive(Debug)]
 pub(super) struct RequestCopy {
     pub(super) operation: OperationNumber,
@@ -64,13 +66,13 @@
     pub(super) claim: Option<Claim>,
     pub(super) rejection: Option<RefusalReason>,
     pub(super) received_at: MonotonicTime,
-    /// When it began to wait for its next attempt.
+    /// When it started to wait for its next attempt.
     pub(super) queued_at: MonotonicTime,
     pub(super) deadline: MonotonicTime,
 }
 
 impl Fleet {
-    /// Takes a caller's request at an instance.
+    /// Starts a request at an instance, or answers it from the table of idempotency keys.
     pub(super) fn receive_request(&mut self, number: OperationNumber, index: usize) {
         let now = self.now;
         let Some(operation) = self.operations.get_mut(&number) else {
@@ -109,7 +111,7 @@
         *arrivals.or_default() += 1;
     }
 
-    /// Empties the table of keys, where that rule is broken on purpose.
+    /// Clears the table of idempotency keys under [`BrokenRule::ForgottenKey`].
     fn clear_keys(&mut self, index: usize) {
         if self.options.broken_rule != Some(BrokenRule::ForgottenKey) {
             return;
@@ -120,7 +122,7 @@
         }
     }
 
-    /// Tells a caller an answer, which has to be the one to its own request.
+    /// Sends a caller an answer; the answer to another request is recorded as a breach.
     pub(super) fn answer_caller(&mut self, number: OperationNumber, answered: OperationNumber) {
         if number != answered {
             let breach = format!("request {number} got the answer to {answered}");
@@ -129,7 +131,7 @@
         self.notify_caller(number, Told::Done);
     }
 
-    /// Sends a caller to the instance that owns its key.
+    /// Redirects a caller to the instance that owns its idempotency key.
     fn redirect(&mut self, number: OperationNumber, index: usize) {
         let key = self.operations.get(&number).and_then(|o| o.key.clone());
         let Some(key) = key else {
@@ -185,7 +187,7 @@
         self.proceed(copy);
     }
 
-    /// Returns the draw of the next attempt.
+    /// Returns the draw in [0, 1) that selects the region of the next attempt.
     pub(super) fn next_draw(&mut self) -> f64 {
         self.draws += 1;
         (self.draws as f64 * GOLDEN_RATIO).fract()
@@ -211,7 +213,7 @@
         }
     }
 
-    /// Brings a copy's next attempt on its way.
+    /// Sends a copy's next attempt, or schedules another try if none can be sent now.
     pub(super) fn proceed(&mut self, number: CopyNumber) {
         let Some(copy) = self.copies.get(&number) else {
             return;
@@ -237,7 +239,8 @@
         }
     }
 
-    /// Asks for admission; where none is given now, sees to what follows.
+    /// Returns the region that steering admits the request to. Otherwise schedules
+    /// another try or fails the copy.
     fn admit(
         &mut self,
         number: CopyNumber,
@@ -298,7 +301,7 @@
         }
     }
 
-    /// Sends a second attempt beside the first, where that is worth it.
+    /// Sends a hedged attempt if the retry budget allows it.
     pub(super) fn hedge(&mut self, number: CopyNumber) {
         let now = self.now;
         let draw = self.next_draw();
--- a/crates/foxtide-testing/src/scenario/store.rs
+++ b/crates/foxtide-testing/src/scenario/store.rs
@@ -1,4 +1,4 @@
-//! The store of a scenario, which its operators and instances share.
+//! Simulates the store that operators and instances share.
 
 use foxtide_core::store::{
     SessionId,
@@ -16,26 +16,25 @@
 
 const PEER_NAME: &str = "scenario";
 
-/// What is wrong with the store.
+/// A fault of the store.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) enum StoreFault {
-    /// Nothing.
     #[default]
     None,
-    /// No call reaches it.
+    /// Calls do not reach it.
     Down,
-    /// Its answers take this long, also those to watches.
+    /// Its answers take this long, including those to watches.
     Slow(Duration),
-    /// The next writes take effect and their answers are lost, this many.
+    /// This number of writes take effect, but their answers are lost.
     LosingAnswers(u32),
-    /// The next write takes effect, its answer is lost, and it is down then.
+    /// The next write takes effect, but its answer is lost and the store goes down.
     DownAfterWrite,
 }
 
-/// A key-value store with check-and-set in memory.
+/// An in-memory key-value store with check-and-set.
 ///
-/// Calls end at once; a scenario counts the time of a slow store itself. It
-/// has no sessions, as nothing in a scenario holds one.
+/// Calls return at once; the fleet adds the delay of a slow store. Sessions are not
+/// supported, as no scenario uses them.
 #[derive(Clone, Debug, Default)]
 pub(super) struct ModelStore(Arc<Mutex<StoreState>>);
 
@@ -47,17 +46,15 @@
 }
 
 impl ModelStore {
-    /// Sets what is wrong.
     pub(super) fn set_fault(&self, fault: StoreFault) {
         self.0.lock().fault = fault;
     }
 
-    /// Returns what is wrong.
     pub(super) fn fault(&self) -> StoreFault {
         self.0.lock().fault
     }
 
-    /// Returns how long an answer takes; `None` where none comes.
+    /// Returns the delay of an answer, or `None` if the store is down.
     pub(super) fn answer_time(&self) -> Option<Duration> {
         match self.fault() {
             StoreFault::Down => None,
@@ -79,7 +76,7 @@
         })
     }
 
-    /// Loses the answer to a write that took effect, where the fault says so.
+    /// Fails a write that has taken effect if the fault loses its answer.
     fn apply_write_fault(&mut self, step: &'static str) -> StoreResult<()> {
         self.fault = match self.fault {
             StoreFault::LosingAnswers(0) | StoreFault::None => return Ok(()),
--- a/crates/foxtide-testing/src/scenario/tenants.rs
+++ b/crates/foxtide-testing/src/scenario/tenants.rs
@@ -1,4 +1,4 @@
-//! The settings of the two organisations that use foxtide today.
+//! Built-in settings of two organisations, Hamutenya and Kluisdepot.
 
 use super::setting::{
     ServiceTerms,
@@ -16,19 +16,15 @@
 use std::str::FromStr;
 use std::time::Duration;
 
-/// What each region of a tenant is sold, in requests a second.
 const REGION_SOLD_RATE_RPS: f64 = 120.0;
 
-/// What each link of a tenant is sold, in requests a second.
 const LINK_SOLD_RATE_RPS: f64 = 40.0;
 
-/// The spill-over limit of each service.
 const SPILL_LIMIT_SHARE: f64 = 0.2;
 
-/// The shift cap of each service, in shares a second.
 const SHIFT_CAP_SHARE_PER_S: f64 = 0.02;
 
-/// Twelve targets with three slots each, over three regions.
+/// The upstreams of each service.
 const UPSTREAMS: UpstreamTerms = UpstreamTerms {
     per_region: 4,
     slots: 3,
@@ -39,12 +35,12 @@
 const INSTANCES_PER_REGION: u32 = 3;
 const DRAIN_WINDOW: Duration = Duration::from_secs(10);
 
-/// One of the organisations of today.
+/// An organisation with a built-in setting.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Tenant {
-    /// A survey of heritage sites, which weighs headroom most.
+    /// A survey of heritage sites, whose services prioritise headroom.
     Hamutenya,
-    /// A network of lockers, which weighs latency most.
+    /// A network of lockers, whose services prioritise latency.
     Kluisdepot,
 }
 
@@ -78,7 +74,7 @@
         }
     }
 
-    /// Returns the services named, or all where none is.
+    /// Returns the requested services, or all if none is requested.
     fn select_services(self, requested: &[ServiceId]) -> Result<Vec<ServiceId>, SettingError> {
         let all = self.services().into_iter().map(str::parse);
         let all: Vec<ServiceId> = all.collect::<Result<_, _>>()?;
@@ -91,7 +87,7 @@
         }
     }
 
-    /// Returns the delay between two regions, one way.
+    /// Returns the one-way delay between regions.
     fn link_delay(self) -> Duration {
         match self {
             Self::Hamutenya => Duration::from_millis(35),
@@ -115,11 +111,12 @@
 }
 
 impl Setting {
-    /// Adds what a tenant has: the services named, or all where none is.
+    /// Adds a tenant's regions, links, instances, and the given services, or all services
+    /// if none is given.
     ///
     /// # Errors
     ///
-    /// Fails where the tenant has no service of a name.
+    /// Fails if the tenant does not have one of the services.
     pub(super) fn add_tenant(
         &mut self,
         tenant: Tenant,
--- a/crates/foxtide-testing/src/scenario/upstream.rs
+++ b/crates/foxtide-testing/src/scenario/upstream.rs
@@ -1,4 +1,4 @@
-//! One upstream of a scenario: slots, a queue, and what is wrong with it.
+//! Simulates an upstream with slots, a queue and injected faults.
 
 use foxtide_core::organisation::Upstream;
 use foxtide_core::time::MonotonicTime;
@@ -8,71 +8,69 @@
 };
 use std::time::Duration;
 
-/// How many requests may wait for each slot before an upstream sheds.
+/// Queued requests per slot above which an upstream rejects requests.
 const QUEUE_PER_SLOT: usize = 2;
 
-/// How many requests warm a cold upstream.
+/// Requests after which a cold upstream runs at its usual speed.
 const WARM_UP_REQUESTS: u32 = 100;
 
-/// Names an attempt of a request, over the whole scenario.
+/// Identifies an attempt within a scenario.
 pub(super) type AttemptNumber = u64;
 
-/// What is wrong with an upstream.
+/// A fault of an upstream.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(super) enum UpstreamFault {
-    /// Nothing.
     #[default]
     None,
-    /// Its process is gone: connections are refused.
+    /// It refuses connections.
     Dead,
-    /// It takes requests and never answers; nothing runs.
+    /// It accepts requests, but neither runs nor answers them.
     Silent,
-    /// Its requests take this many times as long.
+    /// Its requests take longer by this factor.
     Slow(f64),
-    /// It refuses every request.
+    /// It rejects every request.
     Shedding,
-    /// It runs requests and their answers are lost.
+    /// It runs requests, but their answers are lost.
     LosingAnswers,
-    /// Its answers come this much later.
+    /// Its answers are delayed by this time.
     Late(Duration),
-    /// It reports this utilization whatever its load is.
+    /// It reports this utilization regardless of its load.
     FixedUtilization(f64),
-    /// It has just started with empty caches: its first requests take this
-    /// many times as long.
+    /// Its caches are empty: its first requests take longer by this factor.
     Cold(f64),
 }
 
-/// What becomes of an attempt that reaches an upstream.
+/// How an upstream responds to an attempt that arrives.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Reception {
-    /// It runs now and ends after this time.
+    /// It starts at once and takes this time.
     Runs(Duration),
-    /// It waits for a slot.
+    /// It is queued for a slot.
     Waits,
-    /// It is refused without having run.
+    /// It is rejected without being run.
     Refused,
     /// The connection was refused.
     Unreachable,
-    /// Nothing is ever heard of it.
+    /// It is never answered.
     Ignored,
 }
 
-/// An upstream and what it is doing.
+/// An upstream and its attempts.
 #[derive(Debug)]
 pub(super) struct ModelUpstream {
     pub(super) settings: Upstream,
     pub(super) fault: UpstreamFault,
-    /// Since when it says itself that it is draining.
+    /// When it announced that it is draining.
     pub(super) draining_since: Option<MonotonicTime>,
     service_time: Duration,
     running: BTreeSet<AttemptNumber>,
     waiting: VecDeque<AttemptNumber>,
-    /// The requests that ran since it was cold.
+    /// Requests started since the fault was last set.
     requests_started: u32,
 }
 
 impl ModelUpstream {
-    /// Returns an idle upstream that needs this long for a request.
+    /// Returns an idle upstream with the given time per request.
     pub(super) fn new(settings: Upstream, service_time: Duration) -> Self {
         Self {
             settings,
@@ -85,7 +83,7 @@
         }
     }
 
-    /// Sets what is wrong. Returns the attempts that die of it.
+    /// Sets the fault and returns the attempts that it aborts.
     pub(super) fn set_fault(&mut self, fault: UpstreamFault) -> Vec<AttemptNumber> {
         self.fault = fault;
         self.requests_started = 0;
@@ -97,7 +95,7 @@
         running.into_iter().chain(waiting).collect()
     }
 
-    /// Takes an attempt.
+    /// Starts, queues or rejects an attempt.
     pub(super) fn receive(&mut self, attempt: AttemptNumber) -> Reception {
         match self.fault {
             UpstreamFault::Dead => return Reception::Unreachable,
@@ -128,8 +126,8 @@
         }
     }
 
-    /// Ends an attempt, also one that was cancelled. Returns the next one to
-    /// run and how long it takes, where a slot was freed.
+    /// Removes an attempt that has ended or was cancelled. If that frees a slot, starts
+    /// the next attempt in the queue and returns it with the time that it takes.
     pub(super) fn finish(&mut self, attempt: AttemptNumber) -> Option<(AttemptNumber, Duration)> {
         self.waiting.retain(|waiting| *waiting != attempt);
         let was_running = self.running.remove(&attempt);
@@ -141,17 +139,15 @@
         next.map(|next| (next, self.start(next)))
     }
 
-    /// Tells whether an attempt runs here.
     pub(super) fn is_running(&self, attempt: AttemptNumber) -> bool {
         self.running.contains(&attempt)
     }
 
-    /// Returns how many attempts run or wait here.
+    /// Returns the number of running and queued attempts.
     pub(super) fn in_flight(&self) -> usize {
         self.running.len() + self.waiting.len()
     }
 
-    /// Returns the utilization that it reports.
     pub(super) fn reported_utilization(&self) -> f64 {
         match self.fault {
             UpstreamFault::FixedUtilization(utilization) => utilization,
