--- a/crates/foxtide-testing/src/scenario/attempt.rs
+++ b/crates/foxtide-testing/src/scenario/attempt.rs
@@ -122,10 +122,10 @@
             return;
         };
         match upstream.receive(number) {
-            Reception::Runs(time) => self.begin_service(&id, number, time),
-            Reception::Waits | Reception::Ignored => {}
-            Reception::Refused => self.send_attempt_end(number, AttemptEnd::Refused),
-            Reception::Unreachable => self.send_attempt_end(number, AttemptEnd::NotSent),
+            Reception::Started(time) => self.begin_service(&id, number, time),
+            Reception::Queued | Reception::Ignored => {}
+            Reception::Rejected => self.send_attempt_end(number, AttemptEnd::Refused),
+            Reception::ConnectionRefused => self.send_attempt_end(number, AttemptEnd::NotSent),
         }
     }
 
--- a/crates/foxtide-testing/src/scenario/callers.rs
+++ b/crates/foxtide-testing/src/scenario/callers.rs
@@ -166,8 +166,8 @@
             operation: number,
             sent,
         };
-        self.schedule
-            .add(self.now + deadline + TIMEOUT_MARGIN, event);
+        let times_out_at = self.now + deadline + TIMEOUT_MARGIN;
+        self.schedule.add(times_out_at, event);
     }
 
     /// Returns the deadline of an operation's service.
@@ -200,7 +200,7 @@
         let Some(process) = &self.instances[instance].process else {
             return;
         };
-        let owner = process.table.owner().clone();
+        let owner = process.key_table.owner().clone();
         let now = true_wall(self.now);
         let Some(operation) = self.operations.get_mut(&number) else {
             return;
@@ -212,7 +212,7 @@
 
     /// Reports an outcome to a caller, which resends its request if the outcome is
     /// unknown.
-    pub(super) fn notify_caller(&mut self, number: OperationNumber, told: Told) {
+    pub(super) fn notify_caller(&mut self, number: OperationNumber, result: Told) {
         let now = self.now;
         let Some(operation) = self.operations.get_mut(&number) else {
             return;
@@ -220,10 +220,10 @@
         if operation.told.is_some() {
             return;
         }
-        operation.told = Some(told);
+        operation.told = Some(result);
         operation.told_at = now;
-        operation.told_not_run |= told == Told::NotRun;
-        let uncertain = matches!(told, Told::Unknown | Told::Nothing);
+        operation.told_not_run |= result == Told::NotRun;
+        let uncertain = matches!(result, Told::Unknown | Told::Nothing);
         if uncertain && operation.sent < COPIES_MAX {
             self.schedule.add(now + RETRY_DELAY, Event::Again(number));
         }
--- a/crates/foxtide-testing/src/scenario/completion.rs
+++ b/crates/foxtide-testing/src/scenario/completion.rs
@@ -55,7 +55,7 @@
         }
         let result = attempt_result(end);
         if let Some(claim) = copy.claim.as_ref().filter(|_| result.is_not_run()) {
-            process.table.mark_not_run(claim);
+            process.key_table.mark_not_run(claim);
         }
         let Some(state) = process.services.get_mut(&attempt.service) else {
             return;
@@ -99,7 +99,7 @@
         };
         let operation = copy.operation;
         if let (Some(claim), Some(process)) = (copy.claim, self.process(copy.instance)) {
-            process.table.finish(claim, StoredAnswer { operation });
+            process.key_table.finish(claim, StoredAnswer { operation });
         }
         self.answer_caller(operation, operation);
     }
@@ -108,12 +108,12 @@
         let Some(copy) = self.close_copy(number, CompletionKind::Cancelled) else {
             return;
         };
-        let mut told: Told = give_up.outcome.into();
+        let mut result: Told = give_up.outcome.into();
         if let (Some(claim), Some(process)) = (copy.claim, self.process(copy.instance)) {
-            let outcome = process.table.abandon(claim);
-            told = outcome.into();
+            let outcome = process.key_table.abandon(claim);
+            result = outcome.into();
         }
-        if told == Told::NotRun {
+        if result == Told::NotRun {
             let reason = match copy.rejection {
                 Some(reason) => reason.to_string(),
                 None => give_up.reason.to_string(),
@@ -121,13 +121,13 @@
             *self.record.refusals.entry(reason).or_default() += 1;
         }
         let waited = self.now - copy.received_at;
-        let time = copy.deadline - copy.received_at;
-        if told == Told::NotRun && waited > time.mul_f64(LATE_REJECTION_SHARE) {
+        let time_limit = copy.deadline - copy.received_at;
+        if result == Told::NotRun && waited > time_limit.mul_f64(LATE_REJECTION_SHARE) {
             let operation = copy.operation;
             let breach = format!("request {operation} waited {waited:?} for its refusal");
             self.record.breaches.held_back.push(breach);
         }
-        self.notify_caller(copy.operation, told);
+        self.notify_caller(copy.operation, result);
     }
 
     /// Cancels a copy's running attempts and removes the copy.
@@ -161,11 +161,11 @@
         let Some(copy) = self.close_copy(number, CompletionKind::TimedOut) else {
             return;
         };
-        let mut told: Told = outcome.into();
+        let mut result: Told = outcome.into();
         if let (Some(claim), Some(process)) = (copy.claim, self.process(copy.instance)) {
-            told = process.table.abandon(claim).into();
+            result = process.key_table.abandon(claim).into();
         }
-        self.notify_caller(copy.operation, told);
+        self.notify_caller(copy.operation, result);
     }
 
     fn reported_load(&self, upstream: &UpstreamId) -> Option<LoadReport> {
--- a/crates/foxtide-testing/src/scenario/faults.rs
+++ b/crates/foxtide-testing/src/scenario/faults.rs
@@ -110,8 +110,8 @@
             return;
         };
         let region = upstream.settings.region.clone();
-        let failed = upstream.set_fault(fault);
-        self.fail_attempts(failed);
+        let aborted = upstream.set_fault(fault);
+        self.fail_attempts(aborted);
         if fault == UpstreamFault::None {
             self.record.mend(&region, now);
         } else {
@@ -119,8 +119,8 @@
         }
     }
 
-    fn fail_attempts(&mut self, failed: Vec<AttemptNumber>) {
-        for attempt in failed {
+    fn fail_attempts(&mut self, aborted: Vec<AttemptNumber>) {
+        for attempt in aborted {
             self.sent_attempts.remove(&attempt);
             self.send_attempt_end(attempt, AttemptEnd::Lost);
         }
@@ -199,16 +199,16 @@
 
     /// Ends a drained upstream's process; requests still in flight are recorded as a
     /// breach.
-    pub(super) fn vacate(&mut self, id: &UpstreamId) {
+    pub(super) fn end_drained_upstream(&mut self, id: &UpstreamId) {
         let Some(upstream) = self.upstreams.get_mut(id) else {
             return;
         };
-        let cut = upstream.set_fault(UpstreamFault::Dead);
-        if !cut.is_empty() {
-            let breach = format!("{id} ended with {} requests in flight", cut.len());
+        let aborted = upstream.set_fault(UpstreamFault::Dead);
+        if !aborted.is_empty() {
+            let breach = format!("{id} ended with {} requests in flight", aborted.len());
             self.record.breaches.cut.push(breach);
         }
-        self.fail_attempts(cut);
+        self.fail_attempts(aborted);
     }
 
     /// Returns when an upstream was first announced as leaving, by itself or by an
@@ -223,8 +223,8 @@
         let leaves_at = leaves_at_us(&self.organisation, service, &upstream.settings);
         let accepted_at = self.record.drains.get(id).copied();
         let announced = leaves_at.filter(|at| *at <= wall).map(|at| {
-            let started = MonotonicTime::ZERO + (at - true_wall(MonotonicTime::ZERO));
-            started.max(accepted_at.unwrap_or(started))
+            let leaving_at = MonotonicTime::ZERO + (at - true_wall(MonotonicTime::ZERO));
+            leaving_at.max(accepted_at.unwrap_or(leaving_at))
         });
         [announced, upstream.draining_since]
             .into_iter()
--- a/crates/foxtide-testing/src/scenario/fleet.rs
+++ b/crates/foxtide-testing/src/scenario/fleet.rs
@@ -216,7 +216,7 @@
             Event::ServiceEnds { upstream, attempt } => self.finish_service(&upstream, attempt),
             Event::Wake { instance } => self.wake(instance),
             Event::Leave { instance } => self.end_if_idle(instance),
-            Event::Vacate { upstream } => self.vacate(&upstream),
+            Event::Vacate { upstream } => self.end_drained_upstream(&upstream),
         }
     }
 
@@ -274,8 +274,8 @@
                     balancer.finish_poll(poll, result, now);
                 }
             }
-            Delivery::Proceed(copy) => self.proceed(copy),
-            Delivery::Hedge(copy) => self.hedge(copy),
+            Delivery::Proceed(copy) => self.send_next_attempt(copy),
+            Delivery::Hedge(copy) => self.send_hedge(copy),
             Delivery::Deadline(copy) => self.expire_copy(copy),
             Delivery::AttemptEnds { attempt, end } => self.finish_attempt(attempt, end),
             Delivery::Request(operation) => self.receive_request(operation, instance),
--- a/crates/foxtide-testing/src/scenario/operators.rs
+++ b/crates/foxtide-testing/src/scenario/operators.rs
@@ -47,9 +47,9 @@
     /// Adds a drain.
     Drain(DrainTarget),
     /// Sets a service's spill-over limit.
-    Spill { service: ServiceId, limit: Share },
+    SpillLimit { service: ServiceId, limit: Share },
     /// Sets a region's sold rate.
-    Sold { region: RegionId, rate: RequestRate },
+    SoldRate { region: RegionId, rate: RequestRate },
 }
 
 /// The kind of a drain's target in a script.
@@ -145,9 +145,9 @@
         self.organisation = document;
         self.record.accepted.push(AcceptedRevision { revision, at });
         self.record_drains();
-        let watched = !matches!(self.store.fault(), StoreFault::Down);
+        let is_reachable = !matches!(self.store.fault(), StoreFault::Down);
         for index in 0..self.instances.len() {
-            if watched && self.instances[index].is_awake() {
+            if is_reachable && self.instances[index].is_awake() {
                 self.watch_store(index);
             }
         }
@@ -157,9 +157,9 @@
     fn record_drains(&mut self) {
         for service in &self.organisation.services {
             for upstream in &service.upstreams {
-                let leaves = leaves_at_us(&self.organisation, &service.service, upstream);
+                let leaves_at = leaves_at_us(&self.organisation, &service.service, upstream);
                 let id = upstream.upstream.clone();
-                if leaves.is_some() {
+                if leaves_at.is_some() {
                     self.record.drains.entry(id).or_insert(self.now);
                 } else {
                     self.record.drains.remove(&id);
@@ -218,8 +218,8 @@
                 service, from, to, ..
             } => format!("move {service} from {from} to {to}"),
             Self::Drain(_) => "drain".to_owned(),
-            Self::Spill { service, .. } => format!("spill-over limit of {service}"),
-            Self::Sold { region, .. } => format!("sold rate of {region}"),
+            Self::SpillLimit { service, .. } => format!("spill-over limit of {service}"),
+            Self::SoldRate { region, .. } => format!("sold rate of {region}"),
         }
     }
 
@@ -251,13 +251,13 @@
                 target,
                 start_us: now,
             }),
-            Self::Spill { service, limit } => {
+            Self::SpillLimit { service, limit } => {
                 let mut services = document.services.iter_mut();
                 if let Some(service) = services.find(|known| known.service == service) {
                     service.contract.spill_limit_share = limit;
                 }
             }
-            Self::Sold { region, rate } => {
+            Self::SoldRate { region, rate } => {
                 let mut regions = document.regions.iter_mut();
                 if let Some(region) = regions.find(|known| known.region == region) {
                     region.sold_rate_rps = rate;
--- a/crates/foxtide-testing/src/scenario/process.rs
+++ b/crates/foxtide-testing/src/scenario/process.rs
@@ -97,7 +97,7 @@
 pub(super) struct Process {
     pub(super) steering: Option<Steering>,
     pub(super) services: BTreeMap<ServiceId, ServiceState>,
-    pub(super) table: Table<StoredAnswer>,
+    pub(super) key_table: Table<StoredAnswer>,
     pub(super) membership: Membership,
     pub(super) documents: ConfigurationTable,
     pub(super) reports: BTreeMap<InstanceId, PeerReport>,
@@ -130,7 +130,7 @@
         Self {
             steering: None,
             services: BTreeMap::new(),
-            table: Table::new(owner, TableOptions::default()),
+            key_table: Table::new(owner, TableOptions::default()),
             region: member.region.clone(),
             zone: member.availability_zone.clone(),
             membership: Membership::new(member, MembershipOptions::default(), seed, now),
--- a/crates/foxtide-testing/src/scenario/requests.rs
+++ b/crates/foxtide-testing/src/scenario/requests.rs
@@ -91,7 +91,7 @@
         let Some(process) = self.process(index) else {
             return;
         };
-        match process.table.begin(&key, fingerprint, wall) {
+        match process.key_table.begin(&key, fingerprint, wall) {
             Begin::Run(claim) => self.start_copy(number, index, Some(claim)),
             Begin::InProgress { retry_after } => self.defer_caller(number, retry_after),
             Begin::Replay(run) => self.answer_caller(number, run.operation),
@@ -102,11 +102,11 @@
 
     fn count_request(&mut self, service: ServiceId, index: usize) {
         let instance = &self.instances[index];
-        let asked = self
+        let requests = self
             .record
             .asked
             .entry((service.clone(), instance.region.clone()));
-        asked.or_default().count(self.now);
+        requests.or_default().count(self.now);
         let arrivals = self.record.arrivals.entry((instance.id.clone(), service));
         *arrivals.or_default() += 1;
     }
@@ -117,8 +117,8 @@
             return;
         }
         if let Some(process) = self.process(index) {
-            let owner = process.table.owner().clone();
-            process.table = Table::new(owner, TableOptions::default());
+            let owner = process.key_table.owner().clone();
+            process.key_table = Table::new(owner, TableOptions::default());
         }
     }
 
@@ -162,7 +162,7 @@
             return;
         };
         let service = operation.service.clone();
-        let terms = self.terms(index, &service, operation.kind, deadline);
+        let terms = self.request_terms(index, &service, operation.kind, deadline);
         let copy = self.next_number();
         let draw = self.next_draw();
         self.copies.insert(
@@ -184,7 +184,7 @@
             },
         );
         self.send(index, deadline - self.now, Delivery::Deadline(copy));
-        self.proceed(copy);
+        self.send_next_attempt(copy);
     }
 
     /// Returns the draw in [0, 1) that selects the region of the next attempt.
@@ -193,7 +193,7 @@
         (self.draws as f64 * GOLDEN_RATIO).fract()
     }
 
-    fn terms(
+    fn request_terms(
         &self,
         index: usize,
         service: &ServiceId,
@@ -202,19 +202,19 @@
     ) -> RequestTerms {
         let retries_writes = self.options.broken_rule == Some(BrokenRule::NonIdempotentRetry);
         let contract = self.organisation.service(service).map(|s| &s.contract);
-        let hedged = contract.is_some_and(|contract| contract.priority == Priority::Latency);
+        let is_hedged = contract.is_some_and(|contract| contract.priority == Priority::Latency);
         let process = self.instances[index].process.as_ref();
         let state = process.and_then(|process| process.services.get(service));
         let delay = state.map(|state| state.hedge_delay.get());
         RequestTerms {
             idempotent: kind == Kind::Read || retries_writes,
             deadline,
-            hedge_delay: delay.filter(|_| hedged && kind == Kind::Read),
+            hedge_delay: delay.filter(|_| is_hedged && kind == Kind::Read),
         }
     }
 
     /// Sends a copy's next attempt, or schedules another try if none can be sent now.
-    pub(super) fn proceed(&mut self, number: CopyNumber) {
+    pub(super) fn send_next_attempt(&mut self, number: CopyNumber) {
         let Some(copy) = self.copies.get(&number) else {
             return;
         };
@@ -227,7 +227,7 @@
         let draw: u64 = self.rng.random();
         let process = self.process(index);
         let Some(balancer) = process.and_then(|p| p.balancer(&service, &region)) else {
-            return self.cannot_send(number);
+            return self.fail_without_upstream(number);
         };
         match balancer.pick_avoiding(now, draw, &tried) {
             Pick::Take(ticket) => self.send_attempt(number, region, ticket),
@@ -235,7 +235,7 @@
                 let retry_in = retry_in.min(PICK_DELAY_MAX);
                 self.send(index, retry_in, Delivery::Proceed(number));
             }
-            Pick::Empty => self.cannot_send(number),
+            Pick::Empty => self.fail_without_upstream(number),
         }
     }
 
@@ -253,7 +253,7 @@
         let waited = now - copy.queued_at;
         let steering = self.process(index).and_then(|p| p.steering.as_mut());
         let Some(steering) = steering else {
-            self.cannot_send(number);
+            self.fail_without_upstream(number);
             return None;
         };
         match steering.admit(service, draw, waited, now) {
@@ -267,13 +267,13 @@
             }
             Admission::Refuse { reason, .. } => {
                 self.copies.get_mut(&number)?.rejection = Some(reason);
-                self.cannot_send(number);
+                self.fail_without_upstream(number);
                 None
             }
         }
     }
 
-    pub(super) fn cannot_send(&mut self, number: CopyNumber) {
+    pub(super) fn fail_without_upstream(&mut self, number: CopyNumber) {
         if let Some(copy) = self.copies.get(&number) {
             let step = copy.attempts.cannot_send(GiveUpReason::NoUpstream);
             self.apply_step(number, step);
@@ -290,7 +290,7 @@
         let (index, service) = (copy.instance, copy.service.clone());
         let hedge_at = copy.attempts.hedge_at();
         if let (Some(claim), Some(process)) = (&copy.claim, &mut self.instances[index].process) {
-            process.table.mark_written(claim);
+            process.key_table.mark_written(claim);
         }
         let attempt = self.start_attempt(number, id, service, region, ticket);
         if let Some(copy) = self.copies.get_mut(&number) {
@@ -302,7 +302,7 @@
     }
 
     /// Sends a hedged attempt if the retry budget allows it.
-    pub(super) fn hedge(&mut self, number: CopyNumber) {
+    pub(super) fn send_hedge(&mut self, number: CopyNumber) {
         let now = self.now;
         let draw = self.next_draw();
         let Some(copy) = self.copies.get_mut(&number) else {
@@ -319,7 +319,7 @@
             copy.region = None;
             copy.queued_at = now;
             copy.draw = draw;
-            self.proceed(number);
+            self.send_next_attempt(number);
         }
     }
 }
--- a/crates/foxtide-testing/src/scenario/runner.rs
+++ b/crates/foxtide-testing/src/scenario/runner.rs
@@ -212,8 +212,8 @@
                 name,
                 service,
             } => Edit::drain(kind, &name, service)?,
-            Command::Spill { service, limit } => Edit::Spill { service, limit },
-            Command::Sold { region, rate } => Edit::Sold { region, rate },
+            Command::Spill { service, limit } => Edit::SpillLimit { service, limit },
+            Command::Sold { region, rate } => Edit::SoldRate { region, rate },
             other => return Err(format!("{other:?} is no operator's command").into()),
         };
         let base = match self.reads.remove(operator) {
--- a/crates/foxtide-testing/src/scenario/upstream.rs
+++ b/crates/foxtide-testing/src/scenario/upstream.rs
@@ -44,13 +44,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Reception {
     /// It starts at once and takes this time.
-    Runs(Duration),
+    Started(Duration),
     /// It is queued for a slot.
-    Waits,
+    Queued,
     /// It is rejected without being run.
-    Refused,
+    Rejected,
     /// The connection was refused.
-    Unreachable,
+    ConnectionRefused,
     /// It is never answered.
     Ignored,
 }
@@ -98,20 +98,20 @@
     /// Starts, queues or rejects an attempt.
     pub(super) fn receive(&mut self, attempt: AttemptNumber) -> Reception {
         match self.fault {
-            UpstreamFault::Dead => return Reception::Unreachable,
+            UpstreamFault::Dead => return Reception::ConnectionRefused,
             UpstreamFault::Silent => return Reception::Ignored,
-            UpstreamFault::Shedding => return Reception::Refused,
+            UpstreamFault::Shedding => return Reception::Rejected,
             _ => {}
         }
         let slots = self.settings.slots as usize;
         if self.running.len() < slots {
-            return Reception::Runs(self.start(attempt));
+            return Reception::Started(self.start(attempt));
         }
         if self.waiting.len() < slots * QUEUE_PER_SLOT {
             self.waiting.push_back(attempt);
-            return Reception::Waits;
+            return Reception::Queued;
         }
-        Reception::Refused
+        Reception::Rejected
     }
 
     fn start(&mut self, attempt: AttemptNumber) -> Duration {
