--- a/crates/foxtide-testing/examples/load_model.rs
+++ b/crates/foxtide-testing/examples/load_model.rs
@@ -12,19 +12,19 @@
 };
 use std::path::PathBuf;
 
-/// Simulates loads on a service.
+/// Simulates loads on a service with and without slot coordination.
 #[derive(Debug, FromArgs)]
 struct Arguments {
-    /// files of loads
+    /// load files
     #[argh(positional)]
     loads: Vec<PathBuf>,
-    /// the first seed, default 1
+    /// first seed, default 1
     #[argh(option, default = "1")]
     seed: u64,
-    /// how many seeds are played, default 3
+    /// number of seeds to run, default 3
     #[argh(option, default = "3")]
     seeds: u64,
-    /// an SVG file for the first load and seed
+    /// SVG file for a plot of the first load and seed
     #[argh(option)]
     plot: Option<PathBuf>,
 }
--- a/crates/foxtide-testing/examples/stand_ins.rs
+++ b/crates/foxtide-testing/examples/stand_ins.rs
@@ -1,7 +1,8 @@
-//! Runs a store and some upstreams as one process, to drive foxtide by hand.
+//! Runs a store, an instance list and upstreams on loopback, to try foxtide by hand.
 //!
-//! `cargo run -p foxtide-testing --example stand_ins -- --store-port 8500
-//! --upstreams 4` prints one address a line and runs until it is stopped.
+//!     cargo run -p foxtide-testing --example stand_ins -- --store-port 8500 --upstreams 4
+//!
+//! Prints the name and address of each server on a line and runs until it is stopped.
 
 use argh::FromArgs;
 use foxtide_testing::{
@@ -19,20 +20,20 @@
 };
 use std::time::Duration;
 
-/// Runs stand-ins for the platform on loopback.
+/// Runs test servers that simulate the platform on loopback.
 #[derive(FromArgs)]
 struct Arguments {
-    /// port of the store; 0, the default, lets the system choose
+    /// port of the store; 0, the default, selects a free port
     #[argh(option, default = "0")]
     store_port: u16,
-    /// port of the list of instances; 0, the default, lets the system choose
+    /// port of the instance list; 0, the default, selects a free port
     #[argh(option, default = "0")]
     instance_list_port: u16,
     /// number of upstreams; 3 by default
     #[argh(option, default = "3")]
     upstreams: u16,
-    /// port of the first upstream, the others follow; 0, the default, lets the
-    /// system choose
+    /// port of the first upstream, followed by the others; 0, the default,
+    /// selects free ports
     #[argh(option, default = "0")]
     first_upstream_port: u16,
     /// slots of each upstream; 4 by default
--- a/crates/foxtide-testing/src/scenario/attempt.rs
+++ b/crates/foxtide-testing/src/scenario/attempt.rs
@@ -48,8 +48,8 @@
     instance: usize,
 }
 
-/// An attempt on the upstream's side. It outlives the instance's interest in it, as an
-/// upstream may run a request that its instance has abandoned.
+/// An attempt on the upstream's side. It remains when the instance has abandoned the
+/// attempt or ended, as the upstream may still run it.
 #[derive(Debug)]
 pub(super) struct SentAttempt {
     operation: OperationNumber,
--- a/crates/foxtide-testing/src/scenario/faults.rs
+++ b/crates/foxtide-testing/src/scenario/faults.rs
@@ -1,7 +1,7 @@
 //! Injects faults into instances, upstreams and regions, and carries out planned stops.
 
-use super::event::AttemptEnd;
 use super::event::{
+    AttemptEnd,
     CopyNumber,
     Event, //
 };
--- a/crates/foxtide-testing/src/scenario/network.rs
+++ b/crates/foxtide-testing/src/scenario/network.rs
@@ -33,7 +33,7 @@
 }
 
 impl Network {
-    /// Sets the one-way delay between two regions.
+    /// Sets the one-way delay from one region to another.
     pub(super) fn set_delay(&mut self, from: &RegionId, to: &RegionId, delay: Duration) {
         self.delays.insert((from.clone(), to.clone()), delay);
     }
--- a/crates/foxtide-testing/src/scenario/requests.rs
+++ b/crates/foxtide-testing/src/scenario/requests.rs
@@ -49,7 +49,7 @@
 /// over [0, 1).
 const GOLDEN_RATIO: f64 = 0.618_033_988_749_894_9;
 
-/// Longest delay before an instance tries to pick an upstream again.
+/// Longest delay before an instance tries again to pick an upstream.
 const PICK_DELAY_MAX: Duration = Duration::from_millis(20);
 
 /// A copy of a request that an instance is handling.
@@ -111,7 +111,7 @@
         *arrivals.or_default() += 1;
     }
 
-    /// Clears the table of idempotency keys under [`BrokenRule::ForgottenKey`].
+    /// Clears the table of idempotency keys if the scenario breaks that rule on purpose.
     fn clear_keys(&mut self, index: usize) {
         if self.options.broken_rule != Some(BrokenRule::ForgottenKey) {
             return;
--- a/crates/foxtide-testing/src/scenario/upstream.rs
+++ b/crates/foxtide-testing/src/scenario/upstream.rs
@@ -8,7 +8,7 @@
 };
 use std::time::Duration;
 
-/// Queued requests per slot above which an upstream rejects requests.
+/// Length of an upstream's queue per slot; further requests are rejected.
 const QUEUE_PER_SLOT: usize = 2;
 
 /// Requests after which a cold upstream runs at its usual speed.
@@ -45,7 +45,7 @@
 pub(super) enum Reception {
     /// It starts at once and takes this time.
     Started(Duration),
-    /// It is queued for a slot.
+    /// It waits in the queue for a slot.
     Queued,
     /// It is rejected without being run.
     Rejected,
