--- a/crates/foxtide-testing/examples/load_model.rs
+++ b/crates/foxtide-testing/examples/load_model.rs
@@ -33,13 +33,13 @@
     let arguments: Arguments = argh::from_env();
     for load in &arguments.loads {
         let coordinated = LoadSettings::load(load)?;
-        let alone = LoadSettings {
+        let uncoordinated = LoadSettings {
             is_coordinated: false,
             ..coordinated.clone()
         };
         for seed in arguments.seed..arguments.seed + arguments.seeds {
             println!("{} seed {seed}, each instance alone:", load.display());
-            println!("{}\n", simulate(&alone, seed));
+            println!("{}\n", simulate(&uncoordinated, seed));
             println!("{} seed {seed}, coordinated slots:", load.display());
             println!("{}\n", simulate(&coordinated, seed));
         }
@@ -48,17 +48,17 @@
         return Ok(());
     };
     let coordinated = LoadSettings::load(load)?;
-    let alone = LoadSettings {
+    let uncoordinated = LoadSettings {
         is_coordinated: false,
         ..coordinated.clone()
     };
-    let (before, after) = (
-        simulate(&alone, arguments.seed),
+    let (uncoordinated_run, coordinated_run) = (
+        simulate(&uncoordinated, arguments.seed),
         simulate(&coordinated, arguments.seed),
     );
-    let plays = [
-        ("each instance alone", &before),
-        ("coordinated slots", &after),
+    let runs = [
+        ("each instance alone", &uncoordinated_run),
+        ("coordinated slots", &coordinated_run),
     ];
-    plot(path, &plays).map_err(|error| anyhow::anyhow!("{}: {error}", path.display()))
+    plot(path, &runs).map_err(|error| anyhow::anyhow!("{}: {error}", path.display()))
 }
--- a/crates/foxtide-testing/src/scenario/completion.rs
+++ b/crates/foxtide-testing/src/scenario/completion.rs
@@ -65,7 +65,7 @@
         }
         let step = copy
             .attempts
-            .ended(attempt.id, result, &mut state.budget, now);
+            .ended(attempt.id, result, &mut state.retry_budget, now);
         let gave_up = matches!(step, Step::GiveUp(_));
         if let (AttemptEnd::Refused, true, Some(steering)) = (end, gave_up, &mut process.steering) {
             steering.refused_by(&attempt.region, now);
--- a/crates/foxtide-testing/src/scenario/fleet.rs
+++ b/crates/foxtide-testing/src/scenario/fleet.rs
@@ -178,12 +178,12 @@
     }
 
     pub(super) fn start_process(&mut self, index: usize) {
-        let (now, rule) = (self.now, self.options.broken_rule);
+        let (now, broken_rule) = (self.now, self.options.broken_rule);
         let instance = &mut self.instances[index];
         instance.starts += 1;
         instance.started_at = now;
         instance.condition = Condition::Running;
-        let process = Process::new(instance.member(), instance.seed(), rule, now);
+        let process = Process::new(instance.member(), instance.seed(), broken_rule, now);
         instance.process = Some(process);
         self.join(index);
     }
--- a/crates/foxtide-testing/src/scenario/operators.rs
+++ b/crates/foxtide-testing/src/scenario/operators.rs
@@ -145,9 +145,9 @@
         self.organisation = document;
         self.record.accepted.push(AcceptedRevision { revision, at });
         self.record_drains();
-        let is_reachable = !matches!(self.store.fault(), StoreFault::Down);
+        let is_store_up = !matches!(self.store.fault(), StoreFault::Down);
         for index in 0..self.instances.len() {
-            if is_reachable && self.instances[index].is_awake() {
+            if is_store_up && self.instances[index].is_awake() {
                 self.watch_store(index);
             }
         }
--- a/crates/foxtide-testing/src/scenario/process.rs
+++ b/crates/foxtide-testing/src/scenario/process.rs
@@ -87,7 +87,7 @@
 /// A process's state of one service.
 #[derive(Debug)]
 pub(super) struct ServiceState {
-    pub(super) budget: RetryBudget,
+    pub(super) retry_budget: RetryBudget,
     pub(super) hedge_delay: HedgeDelay,
     pub(super) balancers: BTreeMap<RegionId, Balancer>,
 }
@@ -112,7 +112,7 @@
     region: RegionId,
     zone: AvailabilityZoneId,
     seed: u64,
-    rule: Option<BrokenRule>,
+    broken_rule: Option<BrokenRule>,
 }
 
 impl Process {
@@ -120,7 +120,7 @@
     pub(super) fn new(
         member: Member,
         seed: u64,
-        rule: Option<BrokenRule>,
+        broken_rule: Option<BrokenRule>,
         now: MonotonicTime,
     ) -> Self {
         let owner = OwnerId {
@@ -142,7 +142,7 @@
             had_drains: false,
             organisation: None,
             seed,
-            rule,
+            broken_rule,
         }
     }
 
@@ -155,13 +155,13 @@
     /// applied.
     pub(super) fn apply(&mut self, document: &Document, now: MonotonicTime) -> bool {
         let is_newer = self.documents.apply(document);
-        if !is_newer && self.rule != Some(BrokenRule::Revision) {
+        if !is_newer && self.broken_rule != Some(BrokenRule::Revision) {
             return false;
         }
         let Ok(organisation) = serde_json::from_slice(&document.bytes) else {
             return false;
         };
-        let organisation = Arc::new(distorted(&organisation, self.rule));
+        let organisation = Arc::new(distorted(&organisation, self.broken_rule));
         match &mut self.steering {
             Some(steering) => steering.configure(organisation.clone(), now),
             None => {
@@ -184,7 +184,7 @@
         for service in &organisation.services {
             let entry = self.services.entry(service.service.clone());
             let state = entry.or_insert_with(|| ServiceState {
-                budget: RetryBudget::new(RetryBudgetOptions::default(), now),
+                retry_budget: RetryBudget::new(RetryBudgetOptions::default(), now),
                 hedge_delay: HedgeDelay::default(),
                 balancers: BTreeMap::new(),
             });
--- a/crates/foxtide-testing/src/scenario/requests.rs
+++ b/crates/foxtide-testing/src/scenario/requests.rs
@@ -315,7 +315,7 @@
         let Some(state) = state else {
             return;
         };
-        if copy.attempts.hedge(&mut state.budget, now) == Step::Hedge {
+        if copy.attempts.hedge(&mut state.retry_budget, now) == Step::Hedge {
             copy.region = None;
             copy.queued_at = now;
             copy.draw = draw;
