--- a/crates/foxtide-testing/src/scenario/callers.rs
+++ b/crates/foxtide-testing/src/scenario/callers.rs
@@ -1,4 +1,4 @@
-//! Callers: when they come, which instance they ask, and when they ask again.
+//! Simulates callers: request arrivals, choice of an instance, timeouts and retries.
 
 use super::event::{
     Delivery,
@@ -22,40 +22,39 @@
 use rand::RngExt;
 use std::time::Duration;
 
-/// Callers come only after instances have had time to start.
+/// Time before the first request, in which instances start.
 pub(super) const WARM_UP: Duration = Duration::from_secs(5);
 
-/// The delay between a caller and the instances of its region, one way.
+/// One-way delay between a caller and an instance.
 const CALLER_DELAY: Duration = Duration::from_millis(1);
 
-/// Sets the loads apart, so that no two requests come at the same moment and
-/// none at a tick: their order would not be stated by a trace.
-const PHASE: Duration = Duration::from_micros(37);
+/// Offset between the first arrivals of successive loads. It keeps requests from
+/// coinciding with each other or with a tick, as a trace does not record the order of
+/// simultaneous events.
+const LOAD_OFFSET: Duration = Duration::from_micros(37);
 
-/// How long a caller waits before it sends a keyed request again.
-const AGAIN_AFTER: Duration = Duration::from_millis(500);
+/// Delay before a caller resends a request whose outcome it does not know.
+const RETRY_DELAY: Duration = Duration::from_millis(500);
 
-/// How many copies of a request a caller sends at most.
 const COPIES_MAX: u32 = 3;
 
-/// How much longer than its deadline a caller waits.
-const PATIENCE: Duration = Duration::from_millis(50);
+/// Time that a caller waits beyond the request's deadline.
+const TIMEOUT_MARGIN: Duration = Duration::from_millis(50);
 
-/// A steady stream of requests.
+/// Requests at a constant rate from the callers of one region to one service.
 #[derive(Clone, Debug)]
 pub(super) struct Load {
     pub(super) service: ServiceId,
     pub(super) region: RegionId,
     pub(super) rate: RequestRate,
     pub(super) kind: Kind,
-    /// How many requests have come.
-    came: usize,
-    /// Changes with the rate, so that arrivals of the old one end.
-    armed: bool,
+    arrivals: usize,
+    /// Whether the next arrival is in the schedule.
+    is_scheduled: bool,
 }
 
 impl Fleet {
-    /// Starts a stream of requests or changes its rate.
+    /// Sets the rate of a load, and adds the load if there is none.
     pub(super) fn set_load(
         &mut self,
         service: &ServiceId,
@@ -63,9 +62,9 @@
         kind: Kind,
         rate: RequestRate,
     ) {
-        let same =
+        let is_same =
             |load: &Load| load.service == *service && load.region == *region && load.kind == kind;
-        let index = match self.loads.iter().position(same) {
+        let index = match self.loads.iter().position(is_same) {
             Some(index) => index,
             None => {
                 self.loads.push(Load {
@@ -73,47 +72,47 @@
                     region: region.clone(),
                     rate,
                     kind,
-                    came: 0,
-                    armed: false,
+                    arrivals: 0,
+                    is_scheduled: false,
                 });
                 self.loads.len() - 1
             }
         };
         self.loads[index].rate = rate;
-        self.arm(index);
+        self.schedule_arrival(index);
     }
 
-    /// Plans the next arrival of a load, unless it is planned already.
-    fn arm(&mut self, index: usize) {
+    /// Schedules the next arrival of a load unless it is already scheduled.
+    fn schedule_arrival(&mut self, index: usize) {
         let load = &mut self.loads[index];
         let rate_rps = load.rate.get();
-        if load.armed || rate_rps <= 0.0 {
+        if load.is_scheduled || rate_rps <= 0.0 {
             return;
         }
-        load.armed = true;
-        let is_first = load.came == 0;
+        load.is_scheduled = true;
+        let is_first = load.arrivals == 0;
         let mut at = self.now + Duration::from_secs_f64(1.0 / rate_rps);
         if is_first {
-            at = at.max(MonotonicTime::ZERO + WARM_UP) + PHASE * (index as u32 + 1);
+            at = at.max(MonotonicTime::ZERO + WARM_UP) + LOAD_OFFSET * (index as u32 + 1);
         }
         self.schedule.add(at, Event::Arrival { load: index });
     }
 
-    /// Lets the next request of a load come.
-    pub(super) fn arrive(&mut self, index: usize) {
+    /// Starts the operation of an arrival and schedules the next arrival.
+    pub(super) fn handle_arrival(&mut self, index: usize) {
         let load = &mut self.loads[index];
-        load.armed = false;
+        load.is_scheduled = false;
         if load.rate.get() <= 0.0 {
             return;
         }
-        load.came += 1;
+        load.arrivals += 1;
         let (service, region) = (load.service.clone(), load.region.clone());
-        let (kind, turn) = (load.kind, load.came);
-        self.arm(index);
+        let (kind, turn) = (load.kind, load.arrivals);
+        self.schedule_arrival(index);
         self.begin_operation(service, region, kind, turn);
     }
 
-    /// Lets a caller want something now.
+    /// Creates an operation and sends its first copy.
     pub(super) fn begin_operation(
         &mut self,
         service: ServiceId,
@@ -142,24 +141,23 @@
         number
     }
 
-    /// Sends one more copy of a caller's request to the first instance that
-    /// takes its connection.
+    /// Sends another copy of a request to the first instance that accepts connections.
     pub(super) fn send_copy(&mut self, number: OperationNumber) {
         let chosen = self.choose_instance(number);
         let deadline = self.deadline_of(number);
-        let asked = chosen.map(|place| self.instances[place].id.clone());
+        let instance_id = chosen.map(|index| self.instances[index].id.clone());
         let Some(operation) = self.operations.get_mut(&number) else {
             return;
         };
         if operation.sent == 0 {
-            operation.first_instance = asked;
+            operation.first_instance = instance_id;
         }
         operation.sent += 1;
         operation.turn += 1;
         operation.told = None;
         let sent = operation.sent;
         let Some(instance) = chosen else {
-            self.tell(number, Told::Nothing);
+            self.notify_caller(number, Told::Nothing);
             return;
         };
         self.mint_key(number, instance);
@@ -168,40 +166,41 @@
             operation: number,
             sent,
         };
-        self.schedule.add(self.now + deadline + PATIENCE, event);
+        let times_out_at = self.now + deadline + TIMEOUT_MARGIN;
+        self.schedule.add(times_out_at, event);
     }
 
-    /// Returns how long a caller gives its request.
+    /// Returns the deadline of an operation's service.
     pub(super) fn deadline_of(&self, number: OperationNumber) -> Duration {
         let operation = self.operations.get(&number);
-        let service = operation.and_then(|o| self.contract.service(&o.service));
+        let service = operation.and_then(|o| self.organisation.service(&o.service));
         service.map_or(Duration::ZERO, |service| service.contract.deadline())
     }
 
-    /// Returns the instance that takes the connection: those of the caller's
-    /// own region come first, in turn.
+    /// Returns the first instance that accepts connections. Instances are tried in
+    /// rotation, those in the caller's region before all others.
     fn choose_instance(&self, number: OperationNumber) -> Option<usize> {
         let operation = self.operations.get(&number)?;
-        let places = 0..self.instances.len();
-        let is_near = |place: &usize| self.instances[*place].region == operation.region;
-        let (near, far): (Vec<usize>, Vec<usize>) = places.partition(is_near);
-        [near, far].iter().find_map(|places| {
-            let mut turns = (0..places.len()).map(|step| operation.turn + step);
+        let indices = 0..self.instances.len();
+        let is_local = |index: &usize| self.instances[*index].region == operation.region;
+        let (local, remote): (Vec<usize>, Vec<usize>) = indices.partition(is_local);
+        [local, remote].iter().find_map(|indices| {
+            let mut turns = (0..indices.len()).map(|step| operation.turn + step);
             turns.find_map(|turn| {
-                let place = places[turn % places.len()];
-                self.instances[place].takes_connections().then_some(place)
+                let index = indices[turn % indices.len()];
+                self.instances[index].takes_connections().then_some(index)
             })
         })
     }
 
-    /// Gives a request that must not run twice the key that names the
-    /// instance which the caller asks first.
+    /// Assigns a write its idempotency key, which names the instance that the first copy
+    /// goes to.
     fn mint_key(&mut self, number: OperationNumber, instance: usize) {
-        let random: [u8; 10] = self.chance.random();
+        let random: [u8; 10] = self.rng.random();
         let Some(process) = &self.instances[instance].process else {
             return;
         };
-        let owner = process.table.owner().clone();
+        let owner = process.key_table.owner().clone();
         let now = true_wall(self.now);
         let Some(operation) = self.operations.get_mut(&number) else {
             return;
@@ -211,8 +210,9 @@
         }
     }
 
-    /// Tells a caller how its request ended.
-    pub(super) fn tell(&mut self, number: OperationNumber, told: Told) {
+    /// Reports an outcome to a caller, which resends its request if the outcome is
+    /// unknown.
+    pub(super) fn notify_caller(&mut self, number: OperationNumber, result: Told) {
         let now = self.now;
         let Some(operation) = self.operations.get_mut(&number) else {
             return;
@@ -220,17 +220,18 @@
         if operation.told.is_some() {
             return;
         }
-        operation.told = Some(told);
+        operation.told = Some(result);
         operation.told_at = now;
-        operation.told_not_run |= told == Told::NotRun;
-        let unsure = matches!(told, Told::Unknown | Told::Nothing);
-        if unsure && operation.sent < COPIES_MAX {
-            self.schedule.add(now + AGAIN_AFTER, Event::Again(number));
+        operation.told_not_run |= result == Told::NotRun;
+        let uncertain = matches!(result, Told::Unknown | Told::Nothing);
+        if uncertain && operation.sent < COPIES_MAX {
+            self.schedule.add(now + RETRY_DELAY, Event::Again(number));
         }
     }
 
-    /// Makes a caller ask again after a time, as it was told to.
-    pub(super) fn tell_to_wait(&mut self, number: OperationNumber, wait: Duration) {
+    /// Makes a caller resend its request after the given delay; after the last copy the
+    /// outcome is unknown.
+    pub(super) fn defer_caller(&mut self, number: OperationNumber, wait: Duration) {
         let Some(operation) = self.operations.get_mut(&number) else {
             return;
         };
@@ -238,15 +239,15 @@
             let event = Event::Again(number);
             self.schedule.add(self.now + wait, event);
         } else {
-            self.tell(number, Told::Unknown);
+            self.notify_caller(number, Told::Unknown);
         }
     }
 
-    /// Ends the wait of a caller that got no answer to its latest copy.
-    pub(super) fn lose_patience(&mut self, number: OperationNumber, sent: u32) {
-        let waits = |operation: &Operation| operation.sent == sent && operation.told.is_none();
-        if self.operations.get(&number).is_some_and(waits) {
-            self.tell(number, Told::Nothing);
+    /// Times out a caller that has no answer to its latest copy.
+    pub(super) fn time_out_caller(&mut self, number: OperationNumber, sent: u32) {
+        let is_waiting = |operation: &Operation| operation.sent == sent && operation.told.is_none();
+        if self.operations.get(&number).is_some_and(is_waiting) {
+            self.notify_caller(number, Told::Nothing);
         }
     }
 }
--- a/crates/foxtide-testing/src/scenario/trouble.rs
+++ b/crates/foxtide-testing/src/scenario/fault_commands.rs
@@ -1,4 +1,4 @@
-//! The commands that make something go wrong.
+//! Runs the script commands that inject and clear faults.
 
 use super::command::{
     Command,
@@ -17,32 +17,32 @@
 use foxtide_core::ids::UpstreamId;
 use std::error::Error;
 
-/// How much slower a slow or a cold upstream is where a script does not say.
+/// Default factor by which a slow or cold upstream takes longer.
 const FACTOR_DEFAULT: f64 = 5.0;
 
 impl ScenarioRunner {
-    /// Makes something go wrong, or mends it.
-    pub(super) fn disturb(&mut self, command: &Command) -> CommandResult {
+    /// Runs a command that injects or clears a fault.
+    pub(super) fn inject_fault(&mut self, command: &Command) -> CommandResult {
         match command.clone() {
             Command::RegionDown(region) => self.fleet()?.region_down(&region),
             Command::RegionUp(region) => self.fleet()?.region_up(&region),
-            Command::Cut(one, other) => self.fleet()?.cut(&one, &other),
-            Command::Heal(one, other) => self.fleet()?.heal(&one, &other),
+            Command::Cut(first, second) => self.fleet()?.cut(&first, &second),
+            Command::Heal(first, second) => self.fleet()?.heal(&first, &second),
             Command::Kill(id) => {
-                let place = self.instance(&id)?;
-                self.fleet()?.kill(place);
+                let index = self.instance(&id)?;
+                self.fleet()?.kill(index);
             }
             Command::Restart(id) => {
-                let place = self.instance(&id)?;
-                self.fleet()?.restart(place);
+                let index = self.instance(&id)?;
+                self.fleet()?.restart(index);
             }
             Command::Pause(id, span) => {
-                let place = self.instance(&id)?;
-                self.fleet()?.pause(place, span.0);
+                let index = self.instance(&id)?;
+                self.fleet()?.pause(index, span.0);
             }
             Command::Stop(id) => {
-                let place = self.instance(&id)?;
-                self.fleet()?.stop(place);
+                let index = self.instance(&id)?;
+                self.fleet()?.stop(index);
             }
             Command::Measurements { state, by } => {
                 self.fleet()?.network.measurements = measurements(state, by);
@@ -56,13 +56,13 @@
                 state,
                 factor,
                 by,
-            } => self.disturb_upstreams(&name, state, factor, by)?,
+            } => self.set_upstream_states(&name, state, factor, by)?,
             other => return Err(format!("{other:?} is not expected here").into()),
         }
         Ok(String::new())
     }
 
-    fn disturb_upstreams(
+    fn set_upstream_states(
         &mut self,
         name: &str,
         state: UpstreamName,
@@ -71,7 +71,7 @@
     ) -> Result<(), Box<dyn Error>> {
         let fleet = self.fleet()?;
         let matches = |id: &&UpstreamId| match name.strip_suffix('*') {
-            Some(beginning) => id.as_str().starts_with(beginning),
+            Some(prefix) => id.as_str().starts_with(prefix),
             None => id.as_str() == name,
         };
         let chosen: Vec<UpstreamId> = fleet.upstreams.keys().filter(matches).cloned().collect();
@@ -106,7 +106,7 @@
     }
 }
 
-/// Returns the fault that a script names; none where the upstream drains.
+/// Returns the fault of a state in a script, or `None` for a draining upstream.
 fn upstream_fault(
     state: UpstreamName,
     factor: Option<f64>,
@@ -120,7 +120,7 @@
         UpstreamName::Shedding => UpstreamFault::Shedding,
         UpstreamName::LosingAnswers => UpstreamFault::LosingAnswers,
         UpstreamName::Late => UpstreamFault::Late(by.unwrap_or_default().0),
-        UpstreamName::Lying => UpstreamFault::Lying(factor.unwrap_or(0.0)),
+        UpstreamName::Lying => UpstreamFault::FixedUtilization(factor.unwrap_or(0.0)),
         UpstreamName::Cold => UpstreamFault::Cold(factor.unwrap_or(FACTOR_DEFAULT)),
         UpstreamName::Draining => return None,
     })
--- a/crates/foxtide-testing/src/scenario/faults.rs
+++ b/crates/foxtide-testing/src/scenario/faults.rs
@@ -1,7 +1,7 @@
-//! What goes wrong in a scenario, and what is planned.
+//! Injects faults into instances, upstreams and regions, and carries out planned stops.
 
-use super::event::AttemptEnd;
 use super::event::{
+    AttemptEnd,
     CopyNumber,
     Event, //
 };
@@ -25,91 +25,93 @@
 use foxtide_core::time::MonotonicTime;
 use std::time::Duration;
 
-/// How long callers may go on with what a look-up told them.
+/// Time for which callers may reuse the result of a look-up.
 const LOOKUP_TTL: Duration = Duration::from_secs(5);
 
-/// How often an instance that leaves looks whether it is idle.
-const IDLE_CHECK: Duration = Duration::from_millis(100);
+/// Interval at which a leaving instance checks whether it is idle.
+const IDLE_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
 impl Fleet {
-    /// Ends an instance's process at once.
-    pub(super) fn kill(&mut self, place: usize) {
+    /// Kills an instance's process; its callers lose their connections.
+    pub(super) fn kill(&mut self, index: usize) {
         let since = self.now;
-        self.instances[place].condition = Condition::Ended { since };
-        let on_it = self.copies_on(place);
-        for copy in on_it {
-            if let Some(copy) = self.close(copy, CompletionKind::Cancelled) {
-                self.tell(copy.operation, Told::Nothing);
+        self.instances[index].condition = Condition::Ended { since };
+        let copies = self.copies_at(index);
+        for copy in copies {
+            if let Some(copy) = self.close_copy(copy, CompletionKind::Cancelled) {
+                self.notify_caller(copy.operation, Told::Nothing);
             }
         }
-        self.instances[place].process = None;
+        self.instances[index].process = None;
     }
 
-    fn copies_on(&self, place: usize) -> Vec<CopyNumber> {
+    fn copies_at(&self, index: usize) -> Vec<CopyNumber> {
         let copies = self.copies.iter();
-        let on_it = copies.filter(|(_, copy)| copy.instance == place);
-        on_it.map(|(number, _)| *number).collect()
+        let copies = copies.filter(|(_, copy)| copy.instance == index);
+        copies.map(|(number, _)| *number).collect()
     }
 
-    /// Starts a new process on an instance that has none.
-    pub(super) fn restart(&mut self, place: usize) {
-        if self.instances[place].process.is_none() {
-            self.start_process(place);
+    /// Starts a process on an instance that has none.
+    pub(super) fn restart(&mut self, index: usize) {
+        if self.instances[index].process.is_none() {
+            self.start_process(index);
         }
     }
 
-    /// Makes an instance's process stand still for a time.
-    pub(super) fn pause(&mut self, place: usize, span: Duration) {
+    /// Pauses an instance's process.
+    pub(super) fn pause(&mut self, index: usize, span: Duration) {
         let until = self.now + span;
-        self.instances[place].condition = Condition::Paused { until };
-        self.schedule.add(until, Event::Wake { instance: place });
+        self.instances[index].condition = Condition::Paused { until };
+        self.schedule.add(until, Event::Wake { instance: index });
     }
 
-    /// Wakes a paused process.
-    pub(super) fn wake(&mut self, place: usize) {
+    /// Resumes a paused process whose pause is over.
+    pub(super) fn wake(&mut self, index: usize) {
         let now = self.now;
-        let instance = &mut self.instances[place];
+        let instance = &mut self.instances[index];
         if instance.wakes_at().is_some_and(|at| at <= now) {
             instance.condition = Condition::Running;
             instance.disturbed_at = now;
         }
     }
 
-    /// Stops an instance as planned: it leaves, ends what it has, and exits.
-    pub(super) fn stop(&mut self, place: usize) {
+    /// Stops an instance gracefully: it leaves the membership, completes its requests and
+    /// exits.
+    pub(super) fn stop(&mut self, index: usize) {
         let now = self.now;
         self.record.planned_stops += 1;
-        self.instances[place].condition = Condition::Leaving;
-        if let Some(process) = self.process(place) {
+        self.instances[index].condition = Condition::Leaving;
+        if let Some(process) = self.process(index) {
             let outputs = process.membership.leave(now);
-            self.carry_out(place, outputs);
+            self.carry_out(index, outputs);
         }
-        let event = Event::Leave { instance: place };
+        let event = Event::Leave { instance: index };
         self.schedule.add(now + LOOKUP_TTL, event);
     }
 
-    /// Ends a leaving instance that has nothing in flight.
-    pub(super) fn end_if_idle(&mut self, place: usize) {
-        if self.instances[place].condition != Condition::Leaving {
+    /// Ends a leaving instance once no request is in flight, and checks again later
+    /// otherwise.
+    pub(super) fn end_if_idle(&mut self, index: usize) {
+        if self.instances[index].condition != Condition::Leaving {
             return;
         }
-        if self.copies_on(place).is_empty() {
-            self.kill(place);
+        if self.copies_at(index).is_empty() {
+            self.kill(index);
             return;
         }
-        let event = Event::Leave { instance: place };
-        self.schedule.add(self.now + IDLE_CHECK, event);
+        let event = Event::Leave { instance: index };
+        self.schedule.add(self.now + IDLE_CHECK_INTERVAL, event);
     }
 
-    /// Sets what is wrong with an upstream.
+    /// Sets an upstream's fault and records when its region is disturbed.
     pub(super) fn set_upstream_fault(&mut self, id: &UpstreamId, fault: UpstreamFault) {
         let now = self.now;
         let Some(upstream) = self.upstreams.get_mut(id) else {
             return;
         };
         let region = upstream.settings.region.clone();
-        let broken = upstream.set_fault(fault);
-        self.break_attempts(broken);
+        let aborted = upstream.set_fault(fault);
+        self.fail_attempts(aborted);
         if fault == UpstreamFault::None {
             self.record.mend(&region, now);
         } else {
@@ -117,98 +119,100 @@
         }
     }
 
-    fn break_attempts(&mut self, broken: Vec<AttemptNumber>) {
-        for attempt in broken {
-            self.passages.remove(&attempt);
-            self.answer_attempt(attempt, AttemptEnd::Lost);
+    fn fail_attempts(&mut self, aborted: Vec<AttemptNumber>) {
+        for attempt in aborted {
+            self.sent_attempts.remove(&attempt);
+            self.send_attempt_end(attempt, AttemptEnd::Lost);
         }
     }
 
-    /// Ends everything that stands in a region.
+    /// Kills all instances and upstreams of a region.
     pub(super) fn region_down(&mut self, region: &RegionId) {
         self.record.disturb(region, self.now);
-        for place in self.instances_in(region) {
-            self.kill(place);
+        for index in self.instances_in(region) {
+            self.kill(index);
         }
         for upstream in self.upstreams_in(region) {
             self.set_upstream_fault(&upstream, UpstreamFault::Dead);
         }
     }
 
-    /// Starts everything that stands in a region again.
+    /// Restarts all instances and upstreams of a region.
     pub(super) fn region_up(&mut self, region: &RegionId) {
         for upstream in self.upstreams_in(region) {
             self.set_upstream_fault(&upstream, UpstreamFault::None);
         }
-        for place in self.instances_in(region) {
-            self.restart(place);
+        for index in self.instances_in(region) {
+            self.restart(index);
         }
         self.record.mend(region, self.now);
     }
 
     fn instances_in(&self, region: &RegionId) -> Vec<usize> {
-        let places = 0..self.instances.len();
-        let here = places.filter(|place| self.instances[*place].region == *region);
-        here.collect()
+        let indices = 0..self.instances.len();
+        let matching = indices.filter(|index| self.instances[*index].region == *region);
+        matching.collect()
     }
 
     fn upstreams_in(&self, region: &RegionId) -> Vec<UpstreamId> {
         let upstreams = self.upstreams.values();
-        let here = upstreams.filter(|upstream| upstream.settings.region == *region);
-        here.map(|upstream| upstream.settings.upstream.clone())
+        let matching = upstreams.filter(|upstream| upstream.settings.region == *region);
+        matching
+            .map(|upstream| upstream.settings.upstream.clone())
             .collect()
     }
 
-    /// Loses everything that is sent between two regions.
-    pub(super) fn cut(&mut self, one: &RegionId, other: &RegionId) {
-        self.network.cut(one, other);
-        self.record.disturb(one, self.now);
-        self.record.disturb(other, self.now);
+    /// Drops all messages between two regions.
+    pub(super) fn cut(&mut self, first: &RegionId, second: &RegionId) {
+        self.network.cut(first, second);
+        self.record.disturb(first, self.now);
+        self.record.disturb(second, self.now);
     }
 
-    /// Ends a cut between two regions.
-    pub(super) fn heal(&mut self, one: &RegionId, other: &RegionId) {
+    /// Restores the link between two regions.
+    pub(super) fn heal(&mut self, first: &RegionId, second: &RegionId) {
         let now = self.now;
-        self.network.heal(one, other);
-        for region in [one, other] {
+        self.network.heal(first, second);
+        for region in [first, second] {
             self.record.mend(region, now);
-            for place in self.instances_in(region) {
-                self.instances[place].disturbed_at = now;
+            for index in self.instances_in(region) {
+                self.instances[index].disturbed_at = now;
             }
         }
     }
 
-    /// Makes an upstream announce that it leaves; its process ends when the
-    /// contract's drain window is over.
+    /// Makes an upstream announce that it is draining. Its process ends after the
+    /// contract's drain window.
     pub(super) fn drain_upstream(&mut self, id: &UpstreamId) {
         let now = self.now;
         let service = self.service_of.get(id).cloned();
-        let service = service.and_then(|service| self.contract.service(&service));
+        let service = service.and_then(|service| self.organisation.service(&service));
         let window_s = service.map_or(0, |service| service.contract.drain_window_s);
         self.record.planned_stops += 1;
         if let Some(upstream) = self.upstreams.get_mut(id) {
-            upstream.drains_since = Some(now);
+            upstream.draining_since = Some(now);
             let upstream = id.clone();
             let at = now + Duration::from_secs(window_s.into());
             self.schedule.add(at, Event::Vacate { upstream });
         }
     }
 
-    /// Ends a drained upstream's process.
-    pub(super) fn vacate(&mut self, id: &UpstreamId) {
+    /// Ends a drained upstream's process; requests still in flight are recorded as a
+    /// breach.
+    pub(super) fn end_drained_upstream(&mut self, id: &UpstreamId) {
         let Some(upstream) = self.upstreams.get_mut(id) else {
             return;
         };
-        let cut = upstream.set_fault(UpstreamFault::Dead);
-        if !cut.is_empty() {
-            let breach = format!("{id} ended with {} requests in flight", cut.len());
+        let aborted = upstream.set_fault(UpstreamFault::Dead);
+        if !aborted.is_empty() {
+            let breach = format!("{id} ended with {} requests in flight", aborted.len());
             self.record.breaches.cut.push(breach);
         }
-        self.break_attempts(cut);
+        self.fail_attempts(aborted);
     }
 
-    /// Returns since when an upstream has been announced as leaving, by itself
-    /// or by an accepted drain.
+    /// Returns when an upstream was first announced as leaving, by itself or by an
+    /// accepted drain.
     pub(super) fn leaving_since(
         &self,
         service: &ServiceId,
@@ -216,13 +220,13 @@
     ) -> Option<MonotonicTime> {
         let upstream = self.upstreams.get(id)?;
         let wall = true_wall(self.now);
-        let leaves_at = leaves_at_us(&self.contract, service, &upstream.settings);
+        let leaves_at = leaves_at_us(&self.organisation, service, &upstream.settings);
         let accepted_at = self.record.drains.get(id).copied();
         let announced = leaves_at.filter(|at| *at <= wall).map(|at| {
-            let started = MonotonicTime::ZERO + (at - true_wall(MonotonicTime::ZERO));
-            started.max(accepted_at.unwrap_or(started))
+            let leaving_at = MonotonicTime::ZERO + (at - true_wall(MonotonicTime::ZERO));
+            leaving_at.max(accepted_at.unwrap_or(leaving_at))
         });
-        [announced, upstream.drains_since]
+        [announced, upstream.draining_since]
             .into_iter()
             .flatten()
             .min()
--- a/crates/foxtide-testing/src/scenario/fleet.rs
+++ b/crates/foxtide-testing/src/scenario/fleet.rs
@@ -1,15 +1,15 @@
-//! The instances, upstreams and callers of a scenario on one virtual clock.
+//! Holds the state of a scenario and runs its events on a virtual clock.
 
+use super::attempt::{
+    Attempt,
+    SentAttempt, //
+};
 use super::callers::Load;
 use super::event::{
     CopyNumber,
     Delivery,
     Event, //
 };
-use super::exchange::{
-    Attempt,
-    Passage, //
-};
 use super::instance::{
     Condition,
     ModelInstance, //
@@ -50,47 +50,47 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// How often processes do what is due.
-const TICK: Duration = Duration::from_millis(100);
+/// Interval at which processes run their periodic work.
+const TICK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// How often processes report.
-const REPORT: Duration = Duration::from_secs(1);
+/// Interval at which processes send reports to their peers.
+const REPORT_INTERVAL: Duration = Duration::from_secs(1);
 
-/// The time of a request at an upstream that the script says nothing of.
+/// Service time of a request where the script sets none.
 const SERVICE_TIME_DEFAULT: Duration = Duration::from_millis(10);
 
-/// The state of a scenario.
+/// The instances, upstreams and callers of a scenario.
 #[derive(Debug)]
 pub(super) struct Fleet {
     pub(super) options: ScenarioOptions,
     pub(super) now: MonotonicTime,
     pub(super) schedule: Schedule<Event>,
-    pub(super) chance: StdRng,
+    pub(super) rng: StdRng,
     pub(super) network: Network,
     pub(super) store: ModelStore,
-    /// The document that was accepted last.
-    pub(super) contract: Organisation,
+    /// The last accepted document.
+    pub(super) organisation: Organisation,
     pub(super) instances: Vec<ModelInstance>,
     pub(super) upstreams: BTreeMap<UpstreamId, ModelUpstream>,
     pub(super) service_of: BTreeMap<UpstreamId, ServiceId>,
     pub(super) loads: Vec<Load>,
-    pub(super) recorded: Vec<RecordedRequest>,
+    pub(super) recorded_requests: Vec<RecordedRequest>,
     pub(super) operations: BTreeMap<OperationNumber, Operation>,
     pub(super) copies: BTreeMap<CopyNumber, RequestCopy>,
     pub(super) attempts: BTreeMap<AttemptNumber, Attempt>,
-    pub(super) passages: BTreeMap<AttemptNumber, Passage>,
+    pub(super) sent_attempts: BTreeMap<AttemptNumber, SentAttempt>,
     pub(super) record: Record,
-    /// How many draws the attempts have used.
+    /// The number of draws taken so far.
     pub(super) draws: u64,
-    numbers: u64,
+    last_number: u64,
 }
 
 impl Fleet {
-    /// Starts all instances and upstreams of a setting.
+    /// Creates the instances and upstreams of a setting.
     ///
     /// # Errors
     ///
-    /// Fails where names do not fit.
+    /// Fails if the name of an instance is invalid.
     pub(super) fn new(
         setting: &Setting,
         options: ScenarioOptions,
@@ -99,42 +99,41 @@
             options,
             now: MonotonicTime::ZERO,
             schedule: Schedule::new(),
-            chance: StdRng::seed_from_u64(options.seed),
+            rng: StdRng::seed_from_u64(options.seed),
             network: Network::default(),
             store: ModelStore::default(),
-            contract: setting.organisation().clone(),
+            organisation: setting.organisation().clone(),
             instances: Vec::new(),
             upstreams: BTreeMap::new(),
             service_of: BTreeMap::new(),
             loads: Vec::new(),
-            recorded: Vec::new(),
+            recorded_requests: Vec::new(),
             operations: BTreeMap::new(),
             copies: BTreeMap::new(),
             attempts: BTreeMap::new(),
-            passages: BTreeMap::new(),
+            sent_attempts: BTreeMap::new(),
             record: Record::default(),
             draws: 0,
-            numbers: 0,
+            last_number: 0,
         };
-        fleet.place_links();
-        fleet.place_upstreams(setting);
-        fleet.place_instances(setting)?;
-        fleet.schedule.add(MonotonicTime::ZERO + TICK, Event::Tick);
-        fleet
-            .schedule
-            .add(MonotonicTime::ZERO + TICK, Event::Report);
+        fleet.add_links();
+        fleet.add_upstreams(setting);
+        fleet.add_instances(setting)?;
+        let first_tick = MonotonicTime::ZERO + TICK_INTERVAL;
+        fleet.schedule.add(first_tick, Event::Tick);
+        fleet.schedule.add(first_tick, Event::Report);
         Ok(fleet)
     }
 
-    fn place_links(&mut self) {
-        for link in &self.contract.links {
+    fn add_links(&mut self) {
+        for link in &self.organisation.links {
             let delay = Duration::from_secs_f64(link.delay_ms / 1e3);
             self.network.set_delay(&link.from, &link.to, delay);
         }
     }
 
-    fn place_upstreams(&mut self, setting: &Setting) {
-        for service in &self.contract.services {
+    fn add_upstreams(&mut self, setting: &Setting) {
+        for service in &self.organisation.services {
             let time = setting.service_times.get(&service.service);
             let time = time.copied().unwrap_or(SERVICE_TIME_DEFAULT);
             for upstream in &service.upstreams {
@@ -146,51 +145,50 @@
         }
     }
 
-    fn place_instances(&mut self, setting: &Setting) -> Result<(), foxtide_core::Error> {
-        for region in &self.contract.regions {
+    fn add_instances(&mut self, setting: &Setting) -> Result<(), foxtide_core::Error> {
+        for region in &self.organisation.regions {
             for number in 0..setting.instances_per_region {
                 let id: InstanceId = format!("{}-{}", region.region, number + 1).parse()?;
                 let zones = &region.availability_zones;
                 let zone = zones[number as usize % zones.len()].clone();
-                let place = self.instances.len();
-                let address = instance_address(place);
+                let index = self.instances.len();
+                let address = instance_address(index);
                 let region = region.region.clone();
-                let instance = ModelInstance::new(place, id, region, zone, address);
+                let instance = ModelInstance::new(index, id, region, zone, address);
                 self.instances.push(instance);
             }
         }
         Ok(())
     }
 
-    /// Returns a number that nothing else has.
+    /// Returns a number that is unique within the scenario.
     pub(super) fn next_number(&mut self) -> u64 {
-        self.numbers += 1;
-        self.numbers
+        self.last_number += 1;
+        self.last_number
     }
 
-    /// Finds an instance by its name.
-    pub(super) fn instance(&self, id: &InstanceId) -> Option<usize> {
+    /// Returns the index of an instance.
+    pub(super) fn instance_index(&self, id: &InstanceId) -> Option<usize> {
         self.instances.iter().position(|known| known.id == *id)
     }
 
-    /// Returns the process of an instance, if one runs and is awake.
-    pub(super) fn process(&mut self, instance: usize) -> Option<&mut Process> {
-        self.instances[instance].process.as_mut()
+    /// Returns an instance's process, if it has one.
+    pub(super) fn process(&mut self, index: usize) -> Option<&mut Process> {
+        self.instances[index].process.as_mut()
     }
 
-    /// Starts a new process on an instance.
-    pub(super) fn start_process(&mut self, place: usize) {
-        let (now, rule) = (self.now, self.options.broken_rule);
-        let instance = &mut self.instances[place];
+    pub(super) fn start_process(&mut self, index: usize) {
+        let (now, broken_rule) = (self.now, self.options.broken_rule);
+        let instance = &mut self.instances[index];
         instance.starts += 1;
         instance.started_at = now;
         instance.condition = Condition::Running;
-        let process = Process::new(instance.member(), instance.seed(), rule, now);
+        let process = Process::new(instance.member(), instance.seed(), broken_rule, now);
         instance.process = Some(process);
-        self.join(place);
+        self.join(index);
     }
 
-    /// Lets the time pass.
+    /// Advances the virtual clock and handles the events that fall due.
     pub(super) fn run_for(&mut self, span: Duration) {
         let until = self.now + span;
         while let Some((at, event)) = self.schedule.next(until) {
@@ -204,25 +202,26 @@
         match event {
             Event::Tick => self.tick_all(),
             Event::Report => self.report_all(),
-            Event::Arrival { load } => self.arrive(load),
+            Event::Arrival { load } => self.handle_arrival(load),
             Event::Recorded { index } => self.arrive_recorded(index),
             Event::Again(operation) => self.send_copy(operation),
-            Event::Patience { operation, sent } => self.lose_patience(operation, sent),
+            Event::Patience { operation, sent } => self.time_out_caller(operation, sent),
             Event::Deliver {
                 instance,
                 process,
                 delivery,
             } => self.deliver(instance, process, delivery),
-            Event::AttemptArrives(attempt) => self.attempt_arrives(attempt),
-            Event::CancelArrives(attempt) => self.cancel_arrives(attempt),
-            Event::ServiceEnds { upstream, attempt } => self.service_ends(&upstream, attempt),
+            Event::AttemptArrives(attempt) => self.receive_attempt(attempt),
+            Event::CancelArrives(attempt) => self.receive_cancel(attempt),
+            Event::ServiceEnds { upstream, attempt } => self.finish_service(&upstream, attempt),
             Event::Wake { instance } => self.wake(instance),
             Event::Leave { instance } => self.end_if_idle(instance),
-            Event::Vacate { upstream } => self.vacate(&upstream),
+            Event::Vacate { upstream } => self.end_drained_upstream(&upstream),
         }
     }
 
-    /// Adds a message to the process that now runs on an instance.
+    /// Sends a message to an instance's current process; a later process does not receive
+    /// it.
     pub(super) fn send(&mut self, instance: usize, after: Duration, delivery: Delivery) {
         let event = Event::Deliver {
             instance,
@@ -233,8 +232,8 @@
     }
 
     fn deliver(&mut self, instance: usize, process: u64, delivery: Box<Delivery>) {
-        let place = &self.instances[instance];
-        if let Some(until) = place.wakes_at() {
+        let target = &self.instances[instance];
+        if let Some(until) = target.wakes_at() {
             let event = Event::Deliver {
                 instance,
                 process,
@@ -243,13 +242,13 @@
             self.schedule.add(until, event);
             return;
         }
-        if place.starts != process || !place.is_awake() {
+        if target.starts != process || !target.is_awake() {
             return;
         }
-        self.take(instance, *delivery);
+        self.dispatch(instance, *delivery);
     }
 
-    fn take(&mut self, instance: usize, delivery: Delivery) {
+    fn dispatch(&mut self, instance: usize, delivery: Delivery) {
         match delivery {
             Delivery::Packet {
                 sender,
@@ -258,7 +257,7 @@
             } => self.take_packet(instance, &sender, from, packet),
             Delivery::Report { from, heard } => {
                 if let Some(process) = self.process(instance) {
-                    process.hear(from, heard);
+                    process.receive_report(from, heard);
                 }
             }
             Delivery::Snapshot(snapshot) => self.take_snapshot(instance, snapshot),
@@ -275,18 +274,18 @@
                     balancer.finish_poll(poll, result, now);
                 }
             }
-            Delivery::Proceed(copy) => self.proceed(copy),
-            Delivery::Hedge(copy) => self.hedge(copy),
-            Delivery::Deadline(copy) => self.deadline(copy),
-            Delivery::AttemptEnds { attempt, end } => self.attempt_ends(attempt, end),
-            Delivery::Request(operation) => self.receive(operation, instance),
+            Delivery::Proceed(copy) => self.send_next_attempt(copy),
+            Delivery::Hedge(copy) => self.send_hedge(copy),
+            Delivery::Deadline(copy) => self.expire_copy(copy),
+            Delivery::AttemptEnds { attempt, end } => self.finish_attempt(attempt, end),
+            Delivery::Request(operation) => self.receive_request(operation, instance),
         }
     }
 
     fn tick_all(&mut self) {
         let now = self.now;
-        for place in 0..self.instances.len() {
-            let instance = &mut self.instances[place];
+        for index in 0..self.instances.len() {
+            let instance = &mut self.instances[index];
             if !instance.is_awake() {
                 continue;
             }
@@ -294,31 +293,31 @@
             if let Some(process) = &mut instance.process {
                 process.tick(now, wall);
             }
-            self.tick_membership(place);
-            self.poll_upstreams(place);
+            self.tick_membership(index);
+            self.poll_upstreams(index);
         }
         self.check_revisions();
-        self.schedule.add(now + TICK, Event::Tick);
+        self.schedule.add(now + TICK_INTERVAL, Event::Tick);
     }
 
     fn report_all(&mut self) {
-        for place in 0..self.instances.len() {
-            if self.instances[place].is_awake() {
-                self.sample_rows(place);
-                self.report(place);
-                self.watch_store(place);
+        for index in 0..self.instances.len() {
+            if self.instances[index].is_awake() {
+                self.sample_rows(index);
+                self.report(index);
+                self.watch_store(index);
             }
         }
         self.record.arrivals.clear();
-        self.schedule.add(self.now + REPORT, Event::Report);
+        self.schedule.add(self.now + REPORT_INTERVAL, Event::Report);
     }
 
-    fn sample_rows(&mut self, place: usize) {
-        let instance = &self.instances[place];
+    fn sample_rows(&mut self, index: usize) {
+        let instance = &self.instances[index];
         let Some(steering) = instance.process.as_ref().and_then(|p| p.steering.as_ref()) else {
             return;
         };
-        for service in &self.contract.services {
+        for service in &self.organisation.services {
             let Some(row) = steering.row(&service.service) else {
                 continue;
             };
@@ -338,8 +337,9 @@
         }
     }
 
-    /// Returns the one-way delay between an instance and a region.
-    pub(super) fn delay_to(&self, instance: usize, region: &RegionId) -> Option<Duration> {
-        self.network.delay(&self.instances[instance].region, region)
+    /// Returns the one-way delay from an instance to a region, or `None` if the link is
+    /// cut.
+    pub(super) fn delay_to(&self, index: usize, region: &RegionId) -> Option<Duration> {
+        self.network.delay(&self.instances[index].region, region)
     }
 }
--- a/crates/foxtide-testing/src/scenario/operators.rs
+++ b/crates/foxtide-testing/src/scenario/operators.rs
@@ -1,5 +1,4 @@
-//! Operators of a scenario: they read the document, change it, and are told
-//! what became of the change.
+//! Simulates operators, who read the organisation's document and submit changes to it.
 
 use super::fleet::Fleet;
 use super::instance::true_wall;
@@ -34,10 +33,10 @@
     ShareRate, //
 };
 
-/// What an operator changes.
+/// A change to the document.
 #[derive(Clone, Debug)]
 pub(super) enum Edit {
-    /// Traffic of a service moves between two regions.
+    /// Adds a planned move of a service's traffic between two regions.
     Move {
         service: ServiceId,
         from: RegionId,
@@ -45,15 +44,15 @@
         share: Share,
         pace: ShareRate,
     },
-    /// Something leaves.
+    /// Adds a drain.
     Drain(DrainTarget),
-    /// A service's spill-over limit.
-    Spill { service: ServiceId, limit: Share },
-    /// A region's sold rate.
-    Sold { region: RegionId, rate: RequestRate },
+    /// Sets a service's spill-over limit.
+    SpillLimit { service: ServiceId, limit: Share },
+    /// Sets a region's sold rate.
+    SoldRate { region: RegionId, rate: RequestRate },
 }
 
-/// What a drain is of, in a script.
+/// The kind of a drain's target in a script.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum DrainKind {
     Upstream,
@@ -80,36 +79,37 @@
 }
 
 impl Fleet {
-    /// Puts the first document into the store and starts all instances.
+    /// Writes the first document to the store and starts all instances.
     ///
     /// # Errors
     ///
-    /// Fails where the document cannot be accepted.
-    pub(super) fn open(&mut self) -> Result<(), ChangeError> {
+    /// Fails if the document is not accepted.
+    pub(super) fn start(&mut self) -> Result<(), ChangeError> {
         let request = ChangeRequest {
             base: None,
-            document: self.contract.clone(),
+            document: self.organisation.clone(),
             author: "setting".to_owned(),
             summary: "the setting of the scenario".to_owned(),
         };
         let accepted = smol::block_on(accept(&self.store, request))?;
-        self.accepted(accepted.document);
-        for place in 0..self.instances.len() {
-            self.start_process(place);
+        self.record_acceptance(accepted.document);
+        for index in 0..self.instances.len() {
+            self.start_process(index);
         }
         Ok(())
     }
 
-    /// Lets an operator read the document.
+    /// Reads the document from the store.
     ///
     /// # Errors
     ///
-    /// Fails where the store does.
+    /// Fails if the store does.
     pub(super) fn read_document(&self) -> Result<Option<StoredDocument>, ChangeError> {
-        smol::block_on(load(&self.store, &self.contract.organisation))
+        smol::block_on(load(&self.store, &self.organisation.organisation))
     }
 
-    /// Lets an operator change what they have read. Returns what they are told.
+    /// Submits a change to the document `base` and returns the line that a script prints
+    /// for its result.
     pub(super) fn change(&mut self, operator: &str, base: StoredDocument, edit: &Edit) -> String {
         let mut document = base.document.clone();
         let number = document.revision.next();
@@ -123,14 +123,14 @@
             summary: edit.summary(),
         };
         match smol::block_on(accept(&self.store, request)) {
-            Ok(accepted) => self.told_accepted(accepted),
-            Err(error) => told_not_accepted(&error),
+            Ok(accepted) => self.acceptance_text(accepted),
+            Err(error) => rejection_text(&error),
         }
     }
 
-    fn told_accepted(&mut self, accepted: AcceptedChange) -> String {
+    fn acceptance_text(&mut self, accepted: AcceptedChange) -> String {
         let revision = accepted.document.revision;
-        self.accepted(accepted.document);
+        self.record_acceptance(accepted.document);
         if accepted.settled {
             format!("accepted {revision}, found by reading")
         } else {
@@ -138,28 +138,28 @@
         }
     }
 
-    /// Notes that a document was accepted, and wakes the store's watches.
-    fn accepted(&mut self, document: Organisation) {
+    /// Records an accepted document and wakes the instances that watch the store.
+    fn record_acceptance(&mut self, document: Organisation) {
         let at = self.now;
         let revision = document.revision;
-        self.contract = document;
+        self.organisation = document;
         self.record.accepted.push(AcceptedRevision { revision, at });
-        self.note_drains();
-        let watched = !matches!(self.store.fault(), StoreFault::Down);
-        for place in 0..self.instances.len() {
-            if watched && self.instances[place].is_awake() {
-                self.watch_store(place);
+        self.record_drains();
+        let is_store_up = !matches!(self.store.fault(), StoreFault::Down);
+        for index in 0..self.instances.len() {
+            if is_store_up && self.instances[index].is_awake() {
+                self.watch_store(index);
             }
         }
     }
 
-    /// Notes which upstreams have been announced as leaving.
-    fn note_drains(&mut self) {
-        for service in &self.contract.services {
+    /// Records when each leaving upstream was announced.
+    fn record_drains(&mut self) {
+        for service in &self.organisation.services {
             for upstream in &service.upstreams {
-                let leaves = leaves_at_us(&self.contract, &service.service, upstream);
+                let leaves_at = leaves_at_us(&self.organisation, &service.service, upstream);
                 let id = upstream.upstream.clone();
-                if leaves.is_some() {
+                if leaves_at.is_some() {
                     self.record.drains.entry(id).or_insert(self.now);
                 } else {
                     self.record.drains.remove(&id);
@@ -169,10 +169,11 @@
     }
 }
 
-/// Returns what an operator is told of a change that was not accepted.
+/// Returns the line that a script prints for a change that was not accepted.
 ///
-/// The words are the scenario's own: scripts do not follow those of the errors.
-pub(super) fn told_not_accepted(error: &ChangeError) -> String {
+/// The text is independent of the error's own message, so that scripts need not follow
+/// it.
+pub(super) fn rejection_text(error: &ChangeError) -> String {
     match error {
         ChangeError::Invalid(_) => "refused: invalid".to_owned(),
         ChangeError::NotFound(_) => "refused: no such organisation".to_owned(),
@@ -188,11 +189,11 @@
 }
 
 impl Edit {
-    /// Returns the drain of something by its name.
+    /// Returns the drain of a named target.
     ///
     /// # Errors
     ///
-    /// Fails where the name is no name, or an upstream's service is missing.
+    /// Fails if the name is invalid, or the service of an upstream is missing.
     pub(super) fn drain(
         kind: DrainKind,
         name: &str,
@@ -217,8 +218,8 @@
                 service, from, to, ..
             } => format!("move {service} from {from} to {to}"),
             Self::Drain(_) => "drain".to_owned(),
-            Self::Spill { service, .. } => format!("spill-over limit of {service}"),
-            Self::Sold { region, .. } => format!("sold rate of {region}"),
+            Self::SpillLimit { service, .. } => format!("spill-over limit of {service}"),
+            Self::SoldRate { region, .. } => format!("sold rate of {region}"),
         }
     }
 
@@ -250,13 +251,13 @@
                 target,
                 start_us: now,
             }),
-            Self::Spill { service, limit } => {
+            Self::SpillLimit { service, limit } => {
                 let mut services = document.services.iter_mut();
                 if let Some(service) = services.find(|known| known.service == service) {
                     service.contract.spill_limit_share = limit;
                 }
             }
-            Self::Sold { region, rate } => {
+            Self::SoldRate { region, rate } => {
                 let mut regions = document.regions.iter_mut();
                 if let Some(region) = regions.find(|known| known.region == region) {
                     region.sold_rate_rps = rate;
--- a/crates/foxtide-testing/src/scenario/process.rs
+++ b/crates/foxtide-testing/src/scenario/process.rs
@@ -1,4 +1,5 @@
-//! The decisions of one process of one instance, put together.
+//! Runs the decisions of an instance's process: steering, balancing, membership and
+//! idempotency.
 
 use super::operation::OperationNumber;
 use super::options::BrokenRule;
@@ -60,108 +61,107 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// How old a view of the fleet may become before it is put together anew.
-const VIEW_AGE: Duration = Duration::from_millis(500);
+/// Age at which a view of the fleet is rebuilt even without new reports.
+const VIEW_AGE_MAX: Duration = Duration::from_millis(500);
 
-/// The answer to a request that ran, as far as a scenario needs it.
+/// The stored answer of a request that ran, reduced to the request's number.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct KeptRun {
-    /// Which request it answers.
+pub(super) struct StoredAnswer {
     pub(super) operation: OperationNumber,
 }
 
-impl ReplayableAnswer for KeptRun {
+impl ReplayableAnswer for StoredAnswer {
     fn size(&self) -> ByteSize {
         ByteSize::from_bytes(size_of::<OperationNumber>() as u64)
     }
 }
 
-/// A peer's report and when it was made.
+/// An instance's report with its region and the time at which it was made.
 #[derive(Clone, Debug)]
-pub(super) struct Heard {
+pub(super) struct PeerReport {
     pub(super) region: RegionId,
     pub(super) made_at: MonotonicTime,
     pub(super) report: InstanceReport,
 }
 
-/// What a request needs of one service.
+/// A process's state of one service.
 #[derive(Debug)]
-pub(super) struct ServiceTools {
-    pub(super) budget: RetryBudget,
+pub(super) struct ServiceState {
+    pub(super) retry_budget: RetryBudget,
     pub(super) hedge_delay: HedgeDelay,
     pub(super) balancers: BTreeMap<RegionId, Balancer>,
 }
 
-/// Everything that a process holds in memory.
+/// The state of a process, which is lost when the process ends.
 #[derive(Debug)]
 pub(super) struct Process {
     pub(super) steering: Option<Steering>,
-    pub(super) services: BTreeMap<ServiceId, ServiceTools>,
-    pub(super) table: Table<KeptRun>,
+    pub(super) services: BTreeMap<ServiceId, ServiceState>,
+    pub(super) key_table: Table<StoredAnswer>,
     pub(super) membership: Membership,
     pub(super) documents: ConfigurationTable,
-    pub(super) heard: BTreeMap<InstanceId, Heard>,
-    /// The index up to which it has seen the store.
+    pub(super) reports: BTreeMap<InstanceId, PeerReport>,
+    /// The store index of the last read.
     pub(super) store_index: StoreIndex,
-    /// When its view of the fleet was put together.
-    viewed_at: MonotonicTime,
-    /// Whether a report came since.
-    heard_news: bool,
-    /// Whether the configuration held drains at the last tick.
+    view_built_at: MonotonicTime,
+    /// Whether a report has arrived since the view was built.
+    has_new_reports: bool,
+    /// Whether the configuration contained drains at the last tick.
     had_drains: bool,
     organisation: Option<Arc<Organisation>>,
     region: RegionId,
     zone: AvailabilityZoneId,
     seed: u64,
-    rule: Option<BrokenRule>,
+    broken_rule: Option<BrokenRule>,
 }
 
 impl Process {
-    /// Returns a process that has just started and knows nothing.
+    /// Returns a process without configuration and peers.
     pub(super) fn new(
-        own: Member,
+        member: Member,
         seed: u64,
-        rule: Option<BrokenRule>,
+        broken_rule: Option<BrokenRule>,
         now: MonotonicTime,
     ) -> Self {
         let owner = OwnerId {
-            instance: own.instance.clone(),
+            instance: member.instance.clone(),
             process: ProcessNumber::new(seed),
         };
         Self {
             steering: None,
             services: BTreeMap::new(),
-            table: Table::new(owner, TableOptions::default()),
-            region: own.region.clone(),
-            zone: own.availability_zone.clone(),
-            membership: Membership::new(own, MembershipOptions::default(), seed, now),
+            key_table: Table::new(owner, TableOptions::default()),
+            region: member.region.clone(),
+            zone: member.availability_zone.clone(),
+            membership: Membership::new(member, MembershipOptions::default(), seed, now),
             documents: ConfigurationTable::default(),
-            heard: BTreeMap::new(),
+            reports: BTreeMap::new(),
             store_index: StoreIndex::ABSENT,
-            viewed_at: MonotonicTime::ZERO,
-            heard_news: false,
+            view_built_at: MonotonicTime::ZERO,
+            has_new_reports: false,
             had_drains: false,
             organisation: None,
             seed,
-            rule,
+            broken_rule,
         }
     }
 
-    /// Returns the revision in force; none before the first.
+    /// Returns the revision in force, or `None` before the first document.
     pub(super) fn revision(&self) -> Option<Revision> {
         Some(self.organisation.as_ref()?.revision)
     }
 
-    /// Puts a document in force if it is newer. Tells whether it was.
+    /// Applies a document if it is newer than the current one, and returns whether it was
+    /// applied.
     pub(super) fn apply(&mut self, document: &Document, now: MonotonicTime) -> bool {
-        let newer = self.documents.apply(document);
-        if !newer && self.rule != Some(BrokenRule::Revision) {
+        let is_newer = self.documents.apply(document);
+        if !is_newer && self.broken_rule != Some(BrokenRule::Revision) {
             return false;
         }
         let Ok(organisation) = serde_json::from_slice(&document.bytes) else {
             return false;
         };
-        let organisation = Arc::new(distorted(&organisation, self.rule));
+        let organisation = Arc::new(distorted(&organisation, self.broken_rule));
         match &mut self.steering {
             Some(steering) => steering.configure(organisation.clone(), now),
             None => {
@@ -178,42 +178,43 @@
     }
 
     fn configure_balancers(&mut self, organisation: &Organisation, now: MonotonicTime) {
-        let running = |member: &&Member| member.state.is_running();
-        let sharing = self.membership.members().filter(running).count();
-        let sharing = u32::try_from(sharing).unwrap_or(u32::MAX);
+        let is_running = |member: &&Member| member.state.is_running();
+        let sharers = self.membership.members().filter(is_running).count();
+        let sharers = u32::try_from(sharers).unwrap_or(u32::MAX);
         for service in &organisation.services {
-            let known = self.services.entry(service.service.clone());
-            let tools = known.or_insert_with(|| ServiceTools {
-                budget: RetryBudget::new(RetryBudgetOptions::default(), now),
+            let entry = self.services.entry(service.service.clone());
+            let state = entry.or_insert_with(|| ServiceState {
+                retry_budget: RetryBudget::new(RetryBudgetOptions::default(), now),
                 hedge_delay: HedgeDelay::default(),
                 balancers: BTreeMap::new(),
             });
             for region in &organisation.regions {
-                let here = |upstream: &&Upstream| upstream.region == region.region;
-                let here: Vec<Upstream> = service.upstreams.iter().filter(here).cloned().collect();
+                let in_region = |upstream: &&Upstream| upstream.region == region.region;
+                let upstreams = service.upstreams.iter().filter(in_region);
+                let upstreams: Vec<Upstream> = upstreams.cloned().collect();
                 let options = BalancerOptions {
                     availability_zone: Some(self.zone.clone()),
                     ..Default::default()
                 };
-                let balancer = tools.balancers.entry(region.region.clone());
+                let balancer = state.balancers.entry(region.region.clone());
                 let balancer = balancer.or_insert_with(|| Balancer::new(options, self.seed));
-                balancer.configure(&here, sharing, now);
+                balancer.configure(&upstreams, sharers, now);
             }
         }
     }
 
-    /// Moves all decisions on to `now`.
+    /// Advances all decisions to `now`.
     pub(super) fn tick(&mut self, now: MonotonicTime, wall: WallTime) {
         let Some(organisation) = self.organisation.clone() else {
             return;
         };
-        let view = self.new_view(now);
-        self.leave_drained(&organisation, now, wall);
+        let view = self.build_view(now);
+        self.apply_drains(&organisation, now, wall);
         let Some(steering) = &mut self.steering else {
             return;
         };
-        for (service, tools) in &mut self.services {
-            for (region, balancer) in &mut tools.balancers {
+        for (service, state) in &mut self.services {
+            for (region, balancer) in &mut state.balancers {
                 let healthy = balancer.healthy_share(now);
                 steering.set_health(service, region, Some(healthy));
             }
@@ -224,21 +225,21 @@
         steering.tick(now, wall);
     }
 
-    fn leave_drained(&mut self, organisation: &Organisation, now: MonotonicTime, wall: WallTime) {
+    fn apply_drains(&mut self, organisation: &Organisation, now: MonotonicTime, wall: WallTime) {
         if organisation.drains.is_empty() && !self.had_drains {
             return;
         }
         self.had_drains = !organisation.drains.is_empty();
         for service in &organisation.services {
-            let Some(tools) = self.services.get_mut(&service.service) else {
+            let Some(state) = self.services.get_mut(&service.service) else {
                 continue;
             };
             for upstream in &service.upstreams {
                 let leaves_at = leaves_at_us(organisation, &service.service, upstream);
-                let balancer = tools.balancers.get_mut(&upstream.region);
-                let left = leaves_at.is_some_and(|at| at <= wall);
+                let balancer = state.balancers.get_mut(&upstream.region);
+                let has_left = leaves_at.is_some_and(|at| at <= wall);
                 match balancer {
-                    Some(balancer) if left => balancer.leave(&upstream.upstream, now),
+                    Some(balancer) if has_left => balancer.leave(&upstream.upstream, now),
                     Some(balancer) => balancer.rejoin(&upstream.upstream, now),
                     None => {}
                 }
@@ -246,47 +247,46 @@
         }
     }
 
-    /// Puts a view of the fleet together where there is news, or the last view
-    /// is old.
-    fn new_view(&mut self, now: MonotonicTime) -> Option<FleetView> {
-        let aged = now - self.viewed_at >= VIEW_AGE;
-        if !aged && !self.heard_news {
+    /// Rebuilds the view of the fleet if reports have arrived or the last view is too
+    /// old.
+    fn build_view(&mut self, now: MonotonicTime) -> Option<FleetView> {
+        let is_old = now - self.view_built_at >= VIEW_AGE_MAX;
+        if !is_old && !self.has_new_reports {
             return None;
         }
-        self.viewed_at = now;
-        self.heard_news = false;
-        let reports = self.heard.values().map(|heard| ReceivedReport {
-            origin: &heard.region,
-            made_at: heard.made_at,
-            report: &heard.report,
+        self.view_built_at = now;
+        self.has_new_reports = false;
+        let reports = self.reports.values().map(|report| ReceivedReport {
+            origin: &report.region,
+            made_at: report.made_at,
+            report: &report.report,
         });
         let view = FleetView::from_reports(reports, ViewOptions::default(), now);
         Some(view)
     }
 
-    /// Makes the report to be sent to all peers.
-    pub(super) fn report(&mut self, now: MonotonicTime) -> Option<Heard> {
+    /// Returns the report to send to all peers.
+    pub(super) fn report(&mut self, now: MonotonicTime) -> Option<PeerReport> {
         let report = self.steering.as_mut()?.report(now);
-        let heard = Heard {
+        let report = PeerReport {
             region: self.region.clone(),
             made_at: now,
             report,
         };
-        let own = self.membership.own().instance.clone();
-        self.heard.insert(own, heard.clone());
-        Some(heard)
+        let instance = self.membership.own().instance.clone();
+        self.reports.insert(instance, report.clone());
+        Some(report)
     }
 
-    /// Takes a peer's report, unless a newer one is known.
-    pub(super) fn hear(&mut self, from: InstanceId, heard: Heard) {
-        let known = self.heard.get(&from);
-        if known.is_none_or(|known| known.made_at <= heard.made_at) {
-            self.heard.insert(from, heard);
-            self.heard_news = true;
+    /// Stores a peer's report unless a newer one is known.
+    pub(super) fn receive_report(&mut self, from: InstanceId, report: PeerReport) {
+        let known = self.reports.get(&from);
+        if known.is_none_or(|known| known.made_at <= report.made_at) {
+            self.reports.insert(from, report);
+            self.has_new_reports = true;
         }
     }
 
-    /// Returns the balancer of a service in a region.
     pub(super) fn balancer(
         &mut self,
         service: &ServiceId,
