--- a/crates/foxtide/examples/measure/at_most_once.rs
+++ b/crates/foxtide/examples/measure/at_most_once.rs
@@ -1,10 +1,10 @@
 //! Non-idempotent requests under faults, by the chosen way and by others, and
 //! what the table of keys costs.
 
-mod accidents;
-mod faults;
 mod fleet;
 mod policy;
+mod process_faults;
+mod simulation;
 mod state;
 mod store_policy;
 
@@ -12,13 +12,9 @@
     Limit,
     Report, //
 };
-use faults::{
-    FaultOptions,
-    Tally, //
-};
 use fleet::{
     Fleet,
-    START, //
+    SIMULATION_START, //
 };
 use foxtide_core::idempotency::{
     Begin,
@@ -35,6 +31,10 @@
     fingerprint,
     owner, //
 };
+use simulation::{
+    SimulationOptions,
+    Tally, //
+};
 use std::fs;
 use std::time::{
     Duration,
@@ -59,41 +59,50 @@
 
 /// Measures all ways.
 pub(crate) fn run(report: &mut Report) {
-    let options = FaultOptions::default();
+    let options = SimulationOptions::default();
     let instances = options.instances;
     let chosen = simulate(NamedOwner::new(instances), options);
-    figures(report, "named_owner", &chosen, &options, Limit::AtMost(0.0));
+    report_tally(report, "named_owner", &chosen, &options, Limit::AtMost(0.0));
     let others = [
         (
             "leased_ranges",
-            simulate(LeasedRanges::new(instances, START), options),
+            simulate(LeasedRanges::new(instances, SIMULATION_START), options),
+        ),
+        (
+            "record_each",
+            simulate(RecordEach::new(SIMULATION_START), options),
         ),
-        ("record_each", simulate(RecordEach::new(START), options)),
         ("affinity", simulate(Affinity::new(instances), options)),
     ];
     for (name, tally) in others {
-        figures(report, name, &tally, &options, Limit::None);
+        report_tally(report, name, &tally, &options, Limit::None);
     }
     measure_table(report);
 }
 
-fn simulate<P: Policy>(policy: P, options: FaultOptions) -> Tally {
+fn simulate<P: Policy>(policy: P, options: SimulationOptions) -> Tally {
     Fleet::new(policy, options).run()
 }
 
-fn figures(report: &mut Report, way: &str, tally: &Tally, options: &FaultOptions, none: Limit) {
+fn report_tally(
+    report: &mut Report,
+    policy: &str,
+    tally: &Tally,
+    options: &SimulationOptions,
+    goal: Limit,
+) {
     let requests = options.requests as f64;
     let mut figure = |name: &str, value: f64, unit: &str, limit: Limit| {
-        report.figure(&format!("at_most_once.{way}.{name}"), value, unit, limit);
+        report.figure(&format!("at_most_once.{policy}.{name}"), value, unit, limit);
     };
-    figure("doubled_runs", tally.doubled as f64, "requests", none);
-    figure("false_not_run", tally.false_not_run as f64, "answers", none);
-    let untouched = tally.unknown_untouched as f64;
-    figure("unknown_without_a_fault", untouched, "requests", none);
+    figure("doubled_runs", tally.duplicated as f64, "requests", goal);
+    figure("false_not_run", tally.false_not_run as f64, "answers", goal);
+    let unknown = tally.unknown_without_fault as f64;
+    figure("unknown_without_a_fault", unknown, "requests", goal);
     let share = |count: u64| count as f64 / requests;
     figure(
         "touched_by_a_fault",
-        share(tally.touched),
+        share(tally.affected),
         "share",
         Limit::None,
     );
@@ -107,7 +116,7 @@
         Limit::None,
     );
     let writes = tally.store_writes as f64 / tally.seconds;
-    let writes_limit = match none {
+    let writes_limit = match goal {
         Limit::None => Limit::None,
         _ => Limit::AtMost(STORE_WRITES_PER_S),
     };
@@ -124,12 +133,12 @@
     let before_bytes = resident_bytes();
     let mut table: Table<Answer> = Table::new(owner.clone(), options);
     let mint = |number: usize| {
-        let minted_at = START + Duration::from_micros(number as u64 * 200);
+        let minted_at = SIMULATION_START + Duration::from_micros(number as u64 * 200);
         let mut random = [0; 10];
         random[..8].copy_from_slice(&(number as u64).to_le_bytes());
         IdempotencyKey::mint(owner.clone(), minted_at, random)
     };
-    let now = START + Duration::from_secs(200);
+    let now = SIMULATION_START + Duration::from_secs(200);
     for number in 0..TABLE_KEYS {
         let Begin::Run(claim) = table.begin(&mint(number), fingerprint(), now) else {
             unreachable!("the table has room");
--- a/crates/foxtide/examples/measure/at_most_once/fleet.rs
+++ b/crates/foxtide/examples/measure/at_most_once/fleet.rs
@@ -1,17 +1,17 @@
 //! A fleet in simulated time, with faults at every step of a request.
 
-use super::faults::{
-    FaultOptions,
-    Tally, //
-};
 use super::policy::{
     Decision,
     Policy,
-    Told,
+    Reply,
     View, //
 };
+use super::simulation::{
+    SimulationOptions,
+    Tally, //
+};
 use super::state::{
-    Copy,
+    Attempt,
     Event,
     Instance,
     KeyState,
@@ -29,44 +29,44 @@
 use std::time::Duration;
 
 /// How often time is let pass.
-pub(super) const TICK_US: u64 = 100_000;
+pub(super) const TICK_PERIOD_US: u64 = 100_000;
 
 /// How long it takes until all know that a process died or started.
 pub(super) const MEMBERSHIP_LAG_US: u64 = 1_000_000;
 
 /// When simulated time starts.
-pub(super) const START: WallTime = WallTime::from_ms(1_800_000_000_000);
+pub(super) const SIMULATION_START: WallTime = WallTime::from_ms(1_800_000_000_000);
 
 const SEED: u64 = 6_007;
-const COPIES_MAX: usize = 6;
+const ATTEMPTS_MAX: usize = 6;
 const CALLER_TIMEOUT_US: u64 = 500_000;
-const RETRY_US: u64 = 200_000;
-const SKEW_MAX_US: u64 = 250_000;
+const RETRY_DELAY_US: u64 = 200_000;
+const CLOCK_SKEW_MAX_US: u64 = 250_000;
 
 /// The fleet, its callers and its upstreams.
 pub(super) struct Fleet<P: Policy> {
     pub(super) policy: P,
-    pub(super) options: FaultOptions,
+    pub(super) options: SimulationOptions,
     pub(super) random: StdRng,
     pub(super) now_us: u64,
     pub(super) events: BinaryHeap<Reverse<(u64, u64, Event)>>,
     pub(super) scheduled: u64,
     pub(super) instances: Vec<Instance>,
     pub(super) requests: Vec<Request<P::Key>>,
-    pub(super) copies: Vec<Copy<P::Claim>>,
+    pub(super) attempts: Vec<Attempt<P::Claim>>,
     pub(super) tally: Tally,
 }
 
 impl<P: Policy> Fleet<P> {
     /// Returns a fleet whose requests have not come yet.
-    pub(super) fn new(policy: P, options: FaultOptions) -> Self {
+    pub(super) fn new(policy: P, options: SimulationOptions) -> Self {
         let mut random = StdRng::seed_from_u64(SEED);
         let instances = (0..options.instances).map(|_| Instance {
             process: 0,
             alive: true,
             changed_us: 0,
             paused_until_us: 0,
-            skew_us: random.random_range(0..=SKEW_MAX_US),
+            skew_us: random.random_range(0..=CLOCK_SKEW_MAX_US),
         });
         let instances = instances.collect();
         let mut fleet = Self {
@@ -78,16 +78,19 @@
             scheduled: 0,
             instances,
             requests: Vec::new(),
-            copies: Vec::new(),
+            attempts: Vec::new(),
             tally: Tally::default(),
         };
-        let gap_us = 1_000_000 / options.rate_rps;
+        let interval_us = 1_000_000 / options.rate_rps;
         // Membership is settled before the first request.
-        let begin_us = 2 * MEMBERSHIP_LAG_US;
+        let first_us = 2 * MEMBERSHIP_LAG_US;
         for request in 0..options.requests {
-            fleet.schedule_at(begin_us + request as u64 * gap_us, Event::Start { request });
+            fleet.schedule_at(
+                first_us + request as u64 * interval_us,
+                Event::Start { request },
+            );
         }
-        fleet.schedule(TICK_US, Event::Tick);
+        fleet.schedule(TICK_PERIOD_US, Event::Tick);
         fleet
     }
 
@@ -95,39 +98,39 @@
     pub(super) fn run(mut self) -> Tally {
         while let Some(Reverse((at_us, _, event))) = self.events.pop() {
             self.now_us = at_us;
-            self.happen(event);
+            self.handle(event);
         }
-        self.close()
+        self.into_tally()
     }
 
-    fn happen(&mut self, event: Event) {
+    fn handle(&mut self, event: Event) {
         match event {
             Event::Start { request } => self.start(request),
-            Event::Arrive { copy } => self.at_instance(copy, event, Self::arrive),
-            Event::Write { copy } => self.at_instance(copy, event, Self::write),
-            Event::UpstreamRuns { copy } => self.upstream_runs(copy),
-            Event::UpstreamAnswers { copy } => self.at_instance(copy, event, Self::answer),
-            Event::CallerTimeout { copy } => self.time_out(copy),
+            Event::Arrive { attempt } => self.at_instance(attempt, event, Self::arrive),
+            Event::Write { attempt } => self.at_instance(attempt, event, Self::write),
+            Event::UpstreamRuns { attempt } => self.upstream_runs(attempt),
+            Event::UpstreamAnswers { attempt } => self.at_instance(attempt, event, Self::answer),
+            Event::CallerTimeout { attempt } => self.time_out(attempt),
             Event::Retry { request } => self.send(request),
             Event::Tick => self.tick(),
             Event::Boot { instance } => self.boot(instance),
         }
     }
 
-    /// Does a copy's next step unless its process is gone or paused.
-    fn at_instance(&mut self, copy: usize, event: Event, step: fn(&mut Self, usize)) {
-        let instance = &self.instances[self.copies[copy].instance];
+    /// Does an attempt's next step unless its process is gone or paused.
+    fn at_instance(&mut self, attempt: usize, event: Event, step: fn(&mut Self, usize)) {
+        let instance = &self.instances[self.attempts[attempt].instance];
         let arriving = matches!(event, Event::Arrive { .. });
-        if !arriving && self.copies[copy].process != instance.process {
+        if !arriving && self.attempts[attempt].process != instance.process {
             return;
         }
         if instance.paused_until_us > self.now_us {
             let awake_us = instance.paused_until_us;
-            self.touch(copy);
+            self.mark_affected(attempt);
             self.schedule_at(awake_us, event);
             return;
         }
-        step(self, copy);
+        step(self, attempt);
     }
 
     fn start(&mut self, request: usize) {
@@ -135,8 +138,8 @@
         self.requests.push(Request {
             key: None,
             keys: Vec::new(),
-            copies: Vec::new(),
-            touched: false,
+            attempts: Vec::new(),
+            affected: false,
             result: None,
         });
         self.send(request);
@@ -146,11 +149,11 @@
         if self.requests[request].result.is_some() {
             return;
         }
-        if self.requests[request].copies.len() == COPIES_MAX {
+        if self.requests[request].attempts.len() == ATTEMPTS_MAX {
             self.give_up(request);
             return;
         }
-        let members = self.members();
+        let members = self.believed_members();
         let instance = loop {
             let instance = self.random.random_range(0..members.len());
             if members[instance] {
@@ -160,170 +163,170 @@
         if self.requests[request].key.is_none() {
             self.mint(request, instance);
         }
-        let copy = self.copies.len();
-        self.copies.push(Copy {
+        let attempt = self.attempts.len();
+        self.attempts.push(Attempt {
             request,
             key: self.requests[request].keys.len() - 1,
             instance,
             process: self.instances[instance].process,
             claim: None,
             unresolved: true,
-            waited_for: true,
+            caller_waiting: true,
         });
-        self.requests[request].copies.push(copy);
-        let way_us = self.random.random_range(500..8_000);
-        self.schedule(way_us, Event::Arrive { copy });
-        self.schedule(CALLER_TIMEOUT_US, Event::CallerTimeout { copy });
+        self.requests[request].attempts.push(attempt);
+        let delay_us = self.random.random_range(500..8_000);
+        self.schedule(delay_us, Event::Arrive { attempt });
+        self.schedule(CALLER_TIMEOUT_US, Event::CallerTimeout { attempt });
     }
 
     fn mint(&mut self, request: usize, instance: usize) {
-        let skew_us = self.random.random_range(0..=SKEW_MAX_US);
-        let minted_at = START + Duration::from_micros(self.now_us + skew_us);
+        let skew_us = self.random.random_range(0..=CLOCK_SKEW_MAX_US);
+        let minted_at = SIMULATION_START + Duration::from_micros(self.now_us + skew_us);
         let random = self.random.random();
         let key = self.policy.mint(instance, minted_at, random);
         self.requests[request].key = Some(key);
         self.requests[request].keys.push(KeyState::default());
     }
 
-    fn arrive(&mut self, copy: usize) {
-        let index = self.copies[copy].instance;
+    fn arrive(&mut self, attempt: usize) {
+        let index = self.attempts[attempt].instance;
         if !self.instances[index].alive {
-            // The connection is refused: this copy was not sent.
-            self.tell(copy, Told::Final(Outcome::NotRun));
+            // The connection is refused: this attempt was not sent.
+            self.receive_reply(attempt, Reply::Final(Outcome::NotRun));
             return;
         }
-        self.copies[copy].process = self.instances[index].process;
-        let members = self.members();
+        self.attempts[attempt].process = self.instances[index].process;
+        let members = self.believed_members();
         let skewed_us = self.now_us + self.instances[index].skew_us;
         let view = View {
             instance: index,
-            now: START + Duration::from_micros(skewed_us),
+            now: SIMULATION_START + Duration::from_micros(skewed_us),
             members: &members,
         };
-        let request = &self.requests[self.copies[copy].request];
+        let request = &self.requests[self.attempts[attempt].request];
         let Some(key) = request.key.clone() else {
             return; // The caller took another key since.
         };
-        if self.copies[copy].key + 1 != request.keys.len() {
+        if self.attempts[attempt].key + 1 != request.keys.len() {
             return;
         }
         match self.policy.begin(&view, &key) {
             Decision::Run(claim) => {
-                self.copies[copy].claim = Some(claim);
-                let gap_us = P::BEGIN_DELAY_US + self.random.random_range(0..2_000);
-                self.schedule(gap_us, Event::Write { copy });
+                self.attempts[attempt].claim = Some(claim);
+                let delay_us = P::BEGIN_DELAY_US + self.random.random_range(0..2_000);
+                self.schedule(delay_us, Event::Write { attempt });
             }
             Decision::Redirect(owner) => {
                 self.tally.redirects += 1;
-                self.copies[copy].instance = owner;
-                let way_us = self.random.random_range(1_000..16_000);
-                self.schedule(way_us, Event::Arrive { copy });
+                self.attempts[attempt].instance = owner;
+                let delay_us = self.random.random_range(1_000..16_000);
+                self.schedule(delay_us, Event::Arrive { attempt });
             }
-            Decision::Tell(told) => self.check_and_tell(copy, told),
+            Decision::Reply(reply) => self.send_reply(attempt, reply),
         }
     }
 
-    fn write(&mut self, copy: usize) {
-        let Copy { instance, .. } = self.copies[copy];
-        let Some(claim) = self.copies[copy].claim.take() else {
+    fn write(&mut self, attempt: usize) {
+        let Attempt { instance, .. } = self.attempts[attempt];
+        let Some(claim) = self.attempts[attempt].claim.take() else {
             return;
         };
-        self.policy.written(instance, &claim);
-        self.copies[copy].claim = Some(claim);
-        self.key_state(copy).sent += 1;
-        let way_us = self.random.random_range(1_000..20_000);
-        self.schedule(way_us, Event::UpstreamRuns { copy });
+        self.policy.mark_written(instance, &claim);
+        self.attempts[attempt].claim = Some(claim);
+        self.key_state(attempt).sent += 1;
+        let delay_us = self.random.random_range(1_000..20_000);
+        self.schedule(delay_us, Event::UpstreamRuns { attempt });
     }
 
-    fn upstream_runs(&mut self, copy: usize) {
-        if self.random.random_bool(self.options.broken_share) {
-            self.touch(copy);
-            self.lose(copy);
+    fn upstream_runs(&mut self, attempt: usize) {
+        if self.random.random_bool(self.options.connection_loss_share) {
+            self.mark_affected(attempt);
+            self.fail_exchange(attempt);
             return;
         }
-        if self.random.random_bool(self.options.refused_share) {
-            self.key_state(copy).sent -= 1;
-            self.refuse(copy);
+        if self.random.random_bool(self.options.rejected_share) {
+            self.key_state(attempt).sent -= 1;
+            self.reject(attempt);
             return;
         }
-        self.key_state(copy).runs += 1;
-        if self.random.random_bool(self.options.broken_share) {
-            self.touch(copy);
-            self.lose(copy);
+        self.key_state(attempt).runs += 1;
+        if self.random.random_bool(self.options.connection_loss_share) {
+            self.mark_affected(attempt);
+            self.fail_exchange(attempt);
             return;
         }
-        let way_us = self.random.random_range(1_000..5_000);
-        self.schedule(way_us, Event::UpstreamAnswers { copy });
+        let delay_us = self.random.random_range(1_000..5_000);
+        self.schedule(delay_us, Event::UpstreamAnswers { attempt });
     }
 
-    fn refuse(&mut self, copy: usize) {
-        if self.same_process(copy)
-            && let Some(claim) = &self.copies[copy].claim
+    fn reject(&mut self, attempt: usize) {
+        if self.is_same_process(attempt)
+            && let Some(claim) = &self.attempts[attempt].claim
         {
             self.policy
-                .proved_not_run(self.copies[copy].instance, claim);
-            self.lose(copy);
+                .mark_not_run(self.attempts[attempt].instance, claim);
+            self.fail_exchange(attempt);
         }
     }
 
     /// The exchange with the upstream ends without an answer.
-    fn lose(&mut self, copy: usize) {
-        if !self.same_process(copy) {
+    fn fail_exchange(&mut self, attempt: usize) {
+        if !self.is_same_process(attempt) {
             return;
         }
-        let instance = self.copies[copy].instance;
-        if let Some(claim) = self.copies[copy].claim.take() {
+        let instance = self.attempts[attempt].instance;
+        if let Some(claim) = self.attempts[attempt].claim.take() {
             let outcome = self.policy.abandon(instance, claim);
-            self.check_and_tell(copy, Told::Final(outcome));
+            self.send_reply(attempt, Reply::Final(outcome));
         }
     }
 
-    fn answer(&mut self, copy: usize) {
-        let instance = self.copies[copy].instance;
-        if let Some(claim) = self.copies[copy].claim.take() {
+    fn answer(&mut self, attempt: usize) {
+        let instance = self.attempts[attempt].instance;
+        if let Some(claim) = self.attempts[attempt].claim.take() {
             self.policy.finish(instance, claim);
-            self.check_and_tell(copy, Told::Final(Outcome::Done));
+            self.send_reply(attempt, Reply::Final(Outcome::Done));
         }
     }
 
     /// Checks what an instance says, and tells it unless the answer is lost.
-    fn check_and_tell(&mut self, copy: usize, told: Told) {
-        let key = self.key_state(copy);
-        if told == Told::Final(Outcome::NotRun) && key.runs + key.sent > 0 {
+    fn send_reply(&mut self, attempt: usize, reply: Reply) {
+        let key = self.key_state(attempt);
+        if reply == Reply::Final(Outcome::NotRun) && key.runs + key.sent > 0 {
             self.tally.false_not_run += 1;
         }
-        if self.random.random_bool(self.options.lost_share) {
-            self.touch(copy);
+        if self.random.random_bool(self.options.response_loss_share) {
+            self.mark_affected(attempt);
             return;
         }
-        self.tell(copy, told);
+        self.receive_reply(attempt, reply);
     }
 
-    fn tell(&mut self, copy: usize, told: Told) {
-        let request = self.copies[copy].request;
-        let listening = self.copies[copy].waited_for;
-        if !listening || self.requests[request].result.is_some() {
+    fn receive_reply(&mut self, attempt: usize, reply: Reply) {
+        let request = self.attempts[attempt].request;
+        let is_waiting = self.attempts[attempt].caller_waiting;
+        if !is_waiting || self.requests[request].result.is_some() {
             return;
         }
-        self.copies[copy].unresolved = false;
-        self.copies[copy].waited_for = false;
-        match told {
-            Told::Final(Outcome::NotRun) if !self.is_unresolved(request) => {
+        self.attempts[attempt].unresolved = false;
+        self.attempts[attempt].caller_waiting = false;
+        match reply {
+            Reply::Final(Outcome::NotRun) if !self.is_unresolved(request) => {
                 // Nothing of this key is under way: another may be used.
                 self.requests[request].key = None;
-                self.schedule(RETRY_US, Event::Retry { request });
+                self.schedule(RETRY_DELAY_US, Event::Retry { request });
             }
-            Told::Final(Outcome::NotRun) | Told::TryAgain => {
-                self.copies[copy].unresolved = told == Told::TryAgain;
-                self.schedule(RETRY_US, Event::Retry { request });
+            Reply::Final(Outcome::NotRun) | Reply::Retry => {
+                self.attempts[attempt].unresolved = reply == Reply::Retry;
+                self.schedule(RETRY_DELAY_US, Event::Retry { request });
             }
-            Told::Final(outcome) => self.requests[request].result = Some(outcome),
+            Reply::Final(outcome) => self.requests[request].result = Some(outcome),
         }
     }
 
-    fn time_out(&mut self, copy: usize) {
-        let request = self.copies[copy].request;
-        if std::mem::take(&mut self.copies[copy].waited_for) {
+    fn time_out(&mut self, attempt: usize) {
+        let request = self.attempts[attempt].request;
+        if std::mem::take(&mut self.attempts[attempt].caller_waiting) {
             self.schedule(0, Event::Retry { request });
         }
     }
@@ -337,27 +340,29 @@
         self.requests[request].result = Some(outcome);
     }
 
-    /// Tells whether a copy of the request may still run, for all that its
+    /// Tells whether an attempt of the request may still run, for all that its
     /// caller knows.
     fn is_unresolved(&self, request: usize) -> bool {
-        let copies = &self.requests[request].copies;
-        copies.iter().any(|copy| self.copies[*copy].unresolved)
+        let attempts = &self.requests[request].attempts;
+        attempts
+            .iter()
+            .any(|attempt| self.attempts[*attempt].unresolved)
     }
 
-    fn same_process(&self, copy: usize) -> bool {
-        let Copy {
+    fn is_same_process(&self, attempt: usize) -> bool {
+        let Attempt {
             instance, process, ..
-        } = self.copies[copy];
+        } = self.attempts[attempt];
         self.instances[instance].process == process
     }
 
-    pub(super) fn touch(&mut self, copy: usize) {
-        let request = self.copies[copy].request;
-        self.requests[request].touched = true;
+    pub(super) fn mark_affected(&mut self, attempt: usize) {
+        let request = self.attempts[attempt].request;
+        self.requests[request].affected = true;
     }
 
-    fn key_state(&mut self, copy: usize) -> &mut KeyState {
-        let Copy { request, key, .. } = self.copies[copy];
+    fn key_state(&mut self, attempt: usize) -> &mut KeyState {
+        let Attempt { request, key, .. } = self.attempts[attempt];
         &mut self.requests[request].keys[key]
     }
 
@@ -370,11 +375,11 @@
         self.events.push(Reverse((at_us, self.scheduled, event)));
     }
 
-    fn close(mut self) -> Tally {
+    fn into_tally(mut self) -> Tally {
         for request in &self.requests {
             let runs: u32 = request.keys.iter().map(|key| key.runs).sum();
-            self.tally.doubled += u64::from(runs > 1);
-            self.tally.touched += u64::from(request.touched);
+            self.tally.duplicated += u64::from(runs > 1);
+            self.tally.affected += u64::from(request.affected);
             match request.result {
                 Some(Outcome::Done) => self.tally.done += 1,
                 Some(Outcome::NotRun) => {
@@ -383,7 +388,7 @@
                 }
                 _ => {
                     self.tally.unknown += 1;
-                    self.tally.unknown_untouched += u64::from(!request.touched);
+                    self.tally.unknown_without_fault += u64::from(!request.affected);
                 }
             }
         }
--- a/crates/foxtide/examples/measure/at_most_once/policy.rs
+++ b/crates/foxtide/examples/measure/at_most_once/policy.rs
@@ -28,16 +28,16 @@
     /// Sends the caller to another instance.
     Redirect(usize),
     /// Answers.
-    Tell(Told),
+    Reply(Reply),
 }
 
 /// What a caller is told without a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Told {
+pub(super) enum Reply {
     /// Final: as the outcome says.
     Final(Outcome),
     /// It is to ask again with the same key.
-    TryAgain,
+    Retry,
 }
 
 /// What an instance sees when it decides.
@@ -66,9 +66,9 @@
     /// Decides about a copy.
     fn begin(&mut self, view: &View<'_>, key: &Self::Key) -> Decision<Self::Claim>;
     /// Notes that a byte goes out.
-    fn written(&mut self, instance: usize, claim: &Self::Claim);
+    fn mark_written(&mut self, instance: usize, claim: &Self::Claim);
     /// Notes that the upstream did not run it.
-    fn proved_not_run(&mut self, instance: usize, claim: &Self::Claim);
+    fn mark_not_run(&mut self, instance: usize, claim: &Self::Claim);
     /// Keeps the answer.
     fn finish(&mut self, instance: usize, claim: Self::Claim);
     /// Gives up without an answer.
@@ -108,8 +108,8 @@
     }
 }
 
-fn tell<C>(refusal: RefusalReason) -> Decision<C> {
-    Decision::Tell(Told::Final(refusal.outcome()))
+fn reject<C>(refusal: RefusalReason) -> Decision<C> {
+    Decision::Reply(Reply::Final(refusal.outcome()))
 }
 
 /// The tables of a fleet, each in one process.
@@ -130,7 +130,7 @@
     }
 
     /// Returns an instance's table.
-    pub(super) fn of(&mut self, instance: usize) -> &mut Table<Answer> {
+    pub(super) fn table(&mut self, instance: usize) -> &mut Table<Answer> {
         &mut self.tables[instance]
     }
 
@@ -146,16 +146,16 @@
         let table = &mut self.tables[view.instance];
         match table.begin(key, fingerprint(), view.now) {
             Begin::Run(claim) => Decision::Run(claim),
-            Begin::InProgress { .. } => Decision::Tell(Told::TryAgain),
-            Begin::Replay(Answer) => Decision::Tell(Told::Final(Outcome::Done)),
-            Begin::Refuse(refusal) => tell(refusal.reason),
+            Begin::InProgress { .. } => Decision::Reply(Reply::Retry),
+            Begin::Replay(Answer) => Decision::Reply(Reply::Final(Outcome::Done)),
+            Begin::Refuse(refusal) => reject(refusal.reason),
             Begin::Elsewhere => {
                 let name = key.owner().instance.as_str().trim_start_matches("entry-");
                 let owner: usize = name.parse().expect("the name ends in a number");
                 if view.members[owner] {
                     Decision::Redirect(owner)
                 } else {
-                    tell(RefusalReason::OwnerGone)
+                    reject(RefusalReason::OwnerGone)
                 }
             }
         }
@@ -164,20 +164,20 @@
 
 macro_rules! delegate_to_tables {
     () => {
-        fn written(&mut self, instance: usize, claim: &Claim) {
-            self.tables.of(instance).mark_written(claim);
+        fn mark_written(&mut self, instance: usize, claim: &Claim) {
+            self.tables.table(instance).mark_written(claim);
         }
 
-        fn proved_not_run(&mut self, instance: usize, claim: &Claim) {
-            self.tables.of(instance).mark_not_run(claim);
+        fn mark_not_run(&mut self, instance: usize, claim: &Claim) {
+            self.tables.table(instance).mark_not_run(claim);
         }
 
         fn finish(&mut self, instance: usize, claim: Claim) {
-            self.tables.of(instance).finish(claim, Answer);
+            self.tables.table(instance).finish(claim, Answer);
         }
 
         fn abandon(&mut self, instance: usize, claim: Claim) -> Outcome {
-            self.tables.of(instance).abandon(claim)
+            self.tables.table(instance).abandon(claim)
         }
     };
 }
@@ -202,7 +202,7 @@
     type Claim = Claim;
 
     fn mint(&mut self, instance: usize, minted_at: WallTime, random: KeyRandom) -> IdempotencyKey {
-        let owner = self.tables.of(instance).owner().clone();
+        let owner = self.tables.table(instance).owner().clone();
         IdempotencyKey::mint(owner, minted_at, random)
     }
 
@@ -228,7 +228,7 @@
 
 impl PlainKey {
     /// Returns the same key in the name of a table's process.
-    pub(super) fn named(&self, owner: &OwnerId) -> IdempotencyKey {
+    pub(super) fn with_owner(&self, owner: &OwnerId) -> IdempotencyKey {
         IdempotencyKey::mint(owner.clone(), self.minted_at, self.random)
     }
 
@@ -266,8 +266,8 @@
         match members.max_by_key(weight) {
             Some(owner) if owner != view.instance => Decision::Redirect(owner),
             _ => {
-                let named = key.named(self.tables.of(view.instance).owner());
-                self.tables.begin(view, &named)
+                let owned_key = key.with_owner(self.tables.table(view.instance).owner());
+                self.tables.begin(view, &owned_key)
             }
         }
     }
--- a/crates/foxtide/examples/measure/at_most_once/state.rs
+++ b/crates/foxtide/examples/measure/at_most_once/state.rs
@@ -7,17 +7,17 @@
 pub(super) enum Event {
     /// A caller has a new request.
     Start { request: usize },
-    /// A copy of a request arrives at an instance.
-    Arrive { copy: usize },
+    /// An attempt of a request arrives at an instance.
+    Arrive { attempt: usize },
     /// Its first byte goes to the upstream.
-    Write { copy: usize },
+    Write { attempt: usize },
     /// The upstream runs it.
-    UpstreamRuns { copy: usize },
+    UpstreamRuns { attempt: usize },
     /// The upstream's answer arrives.
-    UpstreamAnswers { copy: usize },
-    /// The caller waits for the copy no longer.
-    CallerTimeout { copy: usize },
-    /// The caller sends another copy.
+    UpstreamAnswers { attempt: usize },
+    /// The caller waits for the attempt no longer.
+    CallerTimeout { attempt: usize },
+    /// The caller sends another attempt.
     Retry { request: usize },
     /// Time passes: leases are renewed, processes die or are paused.
     Tick,
@@ -25,9 +25,9 @@
     Boot { instance: usize },
 }
 
-/// One copy of a request under way.
+/// One attempt of a request under way.
 #[derive(Debug)]
-pub(super) struct Copy<C> {
+pub(super) struct Attempt<C> {
     /// The request.
     pub(super) request: usize,
     /// Which of the request's keys it carries.
@@ -41,7 +41,7 @@
     /// Whether it may still run, for all that the caller knows.
     pub(super) unresolved: bool,
     /// Whether the caller still listens for its answer.
-    pub(super) waited_for: bool,
+    pub(super) caller_waiting: bool,
 }
 
 /// What became of one key.
@@ -56,14 +56,14 @@
 /// What a caller wants to be run once.
 #[derive(Debug)]
 pub(super) struct Request<K> {
-    /// The key that the next copy carries; none where another is to be minted.
+    /// The key that the next attempt carries; none where another is to be minted.
     pub(super) key: Option<K>,
     /// The states of all keys that the caller used for it.
     pub(super) keys: Vec<KeyState>,
-    /// Its copies.
-    pub(super) copies: Vec<usize>,
+    /// Its attempts.
+    pub(super) attempts: Vec<usize>,
     /// Whether a fault hit it while it was under way.
-    pub(super) touched: bool,
+    pub(super) affected: bool,
     /// What the caller knows in the end.
     pub(super) result: Option<Outcome>,
 }
--- a/crates/foxtide/examples/measure/at_most_once/store_policy.rs
+++ b/crates/foxtide/examples/measure/at_most_once/store_policy.rs
@@ -6,8 +6,8 @@
     KeyRandom,
     PlainKey,
     Policy,
+    Reply,
     Tables,
-    Told,
     View,
     delegate_to_tables, //
 };
@@ -23,9 +23,9 @@
 /// When the store is down, from the run's start.
 const OUTAGE: std::ops::Range<Duration> = Duration::from_secs(40)..Duration::from_secs(70);
 
-const LEASE: Duration = Duration::from_secs(10);
-const RENEWAL: Duration = Duration::from_secs(3);
-const RANGES: usize = 64;
+const LEASE_DURATION: Duration = Duration::from_secs(10);
+const RENEWAL_PERIOD: Duration = Duration::from_secs(3);
+const RANGE_COUNT: usize = 64;
 
 fn is_store_up(start: WallTime, now: WallTime) -> bool {
     !OUTAGE.contains(&now.since(start))
@@ -76,12 +76,12 @@
 
     fn begin(&mut self, view: &View<'_>, key: &PlainKey) -> Decision<RecordClaim> {
         if !is_store_up(self.start, view.now) {
-            return Decision::Tell(Told::TryAgain);
+            return Decision::Reply(Reply::Retry);
         }
         self.writes += 1;
         match self.records.get(&key.random) {
-            Some(Record::Done) => Decision::Tell(Told::Final(Outcome::Done)),
-            Some(Record::Begun) => Decision::Tell(Told::TryAgain),
+            Some(Record::Done) => Decision::Reply(Reply::Final(Outcome::Done)),
+            Some(Record::Begun) => Decision::Reply(Reply::Retry),
             None => {
                 self.records.insert(key.random, Record::Begun);
                 let key = key.random;
@@ -91,11 +91,11 @@
         }
     }
 
-    fn written(&mut self, _instance: usize, claim: &RecordClaim) {
+    fn mark_written(&mut self, _instance: usize, claim: &RecordClaim) {
         claim.written.set(true);
     }
 
-    fn proved_not_run(&mut self, _instance: usize, claim: &RecordClaim) {
+    fn mark_not_run(&mut self, _instance: usize, claim: &RecordClaim) {
         claim.written.set(false);
     }
 
@@ -124,7 +124,7 @@
 #[derive(Clone, Copy, Debug)]
 struct Range {
     owner: usize,
-    from: WallTime,
+    minted_from: WallTime,
 }
 
 /// Ranges of keys leased in the store, with one session an instance.
@@ -134,8 +134,8 @@
     start: WallTime,
     ranges: Vec<Range>,
     /// Until when each instance's lease lasts.
-    leases: Vec<WallTime>,
-    renewed: Vec<WallTime>,
+    lease_ends: Vec<WallTime>,
+    renewed_at: Vec<WallTime>,
     writes: u64,
 }
 
@@ -144,40 +144,40 @@
     pub(super) fn new(instances: usize, start: WallTime) -> Self {
         let range = |number| Range {
             owner: number % instances,
-            from: WallTime::ZERO,
+            minted_from: WallTime::ZERO,
         };
         Self {
             tables: Tables::new(instances),
             start,
-            ranges: (0..RANGES).map(range).collect(),
-            leases: vec![start + LEASE; instances],
-            renewed: vec![start; instances],
+            ranges: (0..RANGE_COUNT).map(range).collect(),
+            lease_ends: vec![start + LEASE_DURATION; instances],
+            renewed_at: vec![start; instances],
             writes: 0,
         }
     }
 
     fn renew(&mut self, now: WallTime, instance: usize) {
-        if now.since(self.renewed[instance]) >= RENEWAL {
+        if now.since(self.renewed_at[instance]) >= RENEWAL_PERIOD {
             self.writes += 1;
-            self.renewed[instance] = now;
-            self.leases[instance] = now + LEASE;
+            self.renewed_at[instance] = now;
+            self.lease_ends[instance] = now + LEASE_DURATION;
         }
     }
 
-    /// Gives the ranges of a lapsed lease to instances that hold theirs.
+    /// Gives the ranges of an expired lease to instances that hold theirs.
     fn take_over(&mut self, now: WallTime, instance: usize) {
-        let held = |other: &usize| self.leases[*other] > now;
-        let heirs: Vec<usize> = (0..self.leases.len()).filter(held).collect();
-        let lapsed = now.since(self.leases[instance]) > CLOCK_SKEW_MAX;
-        let owned = |range: &Range| range.owner == instance;
-        if !lapsed || heirs.is_empty() || !self.ranges.iter().any(owned) {
+        let is_valid = |other: &usize| self.lease_ends[*other] > now;
+        let successors: Vec<usize> = (0..self.lease_ends.len()).filter(is_valid).collect();
+        let expired = now.since(self.lease_ends[instance]) > CLOCK_SKEW_MAX;
+        let is_owned = |range: &Range| range.owner == instance;
+        if !expired || successors.is_empty() || !self.ranges.iter().any(is_owned) {
             return;
         }
         self.writes += 1;
         for (number, range) in self.ranges.iter_mut().enumerate() {
             if range.owner == instance {
-                range.owner = heirs[number % heirs.len()];
-                range.from = now + CLOCK_SKEW_MAX;
+                range.owner = successors[number % successors.len()];
+                range.minted_from = now + CLOCK_SKEW_MAX;
             }
         }
     }
@@ -192,19 +192,19 @@
     }
 
     fn begin(&mut self, view: &View<'_>, key: &PlainKey) -> Decision<Claim> {
-        let hash = usize::try_from(key.hash() % RANGES as u64).unwrap_or(0);
-        let range = self.ranges[hash];
+        let number = usize::try_from(key.hash() % RANGE_COUNT as u64).unwrap_or(0);
+        let range = self.ranges[number];
         if range.owner != view.instance {
             return Decision::Redirect(range.owner);
         }
-        if key.minted_at < range.from {
-            return Decision::Tell(Told::Final(Outcome::Unknown));
+        if key.minted_at < range.minted_from {
+            return Decision::Reply(Reply::Final(Outcome::Unknown));
         }
-        let named = key.named(self.tables.of(view.instance).owner());
-        match self.tables.begin(view, &named) {
-            Decision::Run(claim) if self.leases[view.instance] <= view.now => {
-                let outcome = self.tables.of(view.instance).abandon(claim);
-                Decision::Tell(Told::Final(outcome))
+        let owned_key = key.with_owner(self.tables.table(view.instance).owner());
+        match self.tables.begin(view, &owned_key) {
+            Decision::Run(claim) if self.lease_ends[view.instance] <= view.now => {
+                let outcome = self.tables.table(view.instance).abandon(claim);
+                Decision::Reply(Reply::Final(outcome))
             }
             decision => decision,
         }
@@ -212,7 +212,7 @@
 
     fn restart(&mut self, instance: usize) {
         self.tables.restart(instance);
-        self.leases[instance] = WallTime::ZERO;
+        self.lease_ends[instance] = WallTime::ZERO;
     }
 
     fn tick(&mut self, now: WallTime, running: &[bool]) {
