--- a/crates/foxtide/examples/measure/events/mod.rs
+++ b/crates/foxtide/examples/measure/events/mod.rs
@@ -58,24 +58,24 @@
 const INSTANCES: usize = 600;
 const ZONES: usize = 15;
 const REGIONS: usize = 7;
-const GROUP: usize = 8;
-const SECONDS: u64 = 3_600;
+const GROUP_SIZE: usize = 8;
+const DURATION_S: u64 = 3_600;
 /// Events a second above debug level on an ordinary day: 2,800 changes of
 /// configuration are 0.03; the rest is room for limits and upstreams.
 const EVENTS_PER_S: f64 = 0.25;
 /// An availability zone of 40 members goes: each is suspected and taken for dead.
 const BURST_EVENTS: usize = 80;
 /// Events recorded to time one.
-const RECORDED: u32 = 200_000;
+const RECORDED_EVENTS: u32 = 200_000;
 const TRIALS: usize = 20_000;
 const SEED: u64 = 89;
 
 /// Measures the time line.
 pub(crate) fn run(report: &mut Report) {
-    record_cost(report);
-    copies_cost(report);
-    parity_cost(report);
-    survival(report);
+    measure_recording(report);
+    measure_copies(report);
+    measure_parity(report);
+    measure_losses(report);
 }
 
 fn sample_event(clock: &mut HybridClock, number: usize) -> Event {
@@ -101,123 +101,123 @@
     )
 }
 
-fn record_cost(report: &mut Report) {
-    let each_us = record_each(Duration::from_secs(2));
-    let held_back_us = record_each(Duration::ZERO);
+fn measure_recording(report: &mut Report) {
+    let mean_us = mean_record_us(Duration::from_secs(2));
+    let held_back_us = mean_record_us(Duration::ZERO);
     let started = Instant::now();
-    for number in 0..RECORDED {
+    for number in 0..RECORDED_EVENTS {
         std::hint::black_box(format!("share=0.{number:04}"));
     }
-    let text_us = started.elapsed().as_secs_f64() * 1e6 / f64::from(RECORDED);
-    report.figure("events.record", each_us, "us", Limit::AtMost(5.0));
+    let text_us = started.elapsed().as_secs_f64() * 1e6 / f64::from(RECORDED_EVENTS);
+    report.figure("events.record", mean_us, "us", Limit::AtMost(5.0));
     report.figure("events.record_held_back", held_back_us, "us", Limit::None);
     report.figure("events.record.baseline_text", text_us, "us", Limit::None);
 }
 
 /// Returns the time that it takes to record an event, in microseconds, where
 /// so much time lies between two that say the same.
-fn record_each(pause: Duration) -> f64 {
+fn mean_record_us(interval: Duration) -> f64 {
     let wall = Arc::new(AtomicU64::new(0));
     let options = RecorderOptions {
         clock: WallClock::Manual(Arc::clone(&wall)),
         ..RecorderOptions::default()
     };
     let recorder = Recorder::new("k-1".parse().expect("a name"), options);
-    let pause_us = u64::try_from(pause.as_micros()).unwrap_or(u64::MAX);
+    let interval_us = u64::try_from(interval.as_micros()).unwrap_or(u64::MAX);
     let started = Instant::now();
-    for number in 0..RECORDED {
-        wall.fetch_add(pause_us, Ordering::Relaxed);
+    for number in 0..RECORDED_EVENTS {
+        wall.fetch_add(interval_us, Ordering::Relaxed);
         let detail = format!("share=0.{number:04}");
         recorder.record(EventCode::WeightsShifted, EventFields::detail(detail));
     }
-    started.elapsed().as_secs_f64() * 1e6 / f64::from(RECORDED)
+    started.elapsed().as_secs_f64() * 1e6 / f64::from(RECORDED_EVENTS)
 }
 
 /// Plays an hour of events through the sender to a number of peers.
-fn play_hour(copies: usize) -> Played {
+fn replicate_hour(copies: usize) -> ReplicationCost {
     let mut random = StdRng::seed_from_u64(SEED);
     let mut clock = HybridClock::default();
     let mut ring = EventRing::default();
-    let own: InstanceId = "khomas-17".parse().expect("a name");
-    let mut sender = BackupSender::new(own, SenderOptions::default(), MonotonicTime::ZERO);
+    let origin: InstanceId = "khomas-17".parse().expect("a name");
+    let mut sender = BackupSender::new(origin, SenderOptions::default(), MonotonicTime::ZERO);
     let peers = (0..copies).map(|number| format!("peer-{number}").parse().expect("a name"));
     sender.set_peers(peers.collect());
     let mut holders = vec![BackupHolder::default(); copies];
-    let mut played = Played::default();
-    for second in 1..=SECONDS {
-        let burst = if second == SECONDS / 2 {
+    let mut cost = ReplicationCost::default();
+    for second in 1..=DURATION_S {
+        let burst = if second == DURATION_S / 2 {
             BURST_EVENTS
         } else {
             0
         };
         let count = usize::from(random.random_bool(EVENTS_PER_S)) + burst;
         for _ in 0..count {
-            played.events += 1;
-            ring.push(sample_event(&mut clock, played.events));
+            cost.events += 1;
+            ring.push(sample_event(&mut clock, cost.events));
         }
         let started = Instant::now();
         let after = |sequence, limit| ring.notable_after(sequence, limit);
         let batches = sender.poll(MonotonicTime::from_ms(second * 1_000), after);
         for batch in batches {
-            played.sent_bytes += batch.copies.encoded_len() as u64 + BATCH_OVERHEAD_BYTES;
+            cost.sent_bytes += batch.copies.encoded_len() as u64 + BATCH_OVERHEAD_BYTES;
             let number: usize = batch.to.as_str()[5..].parse().expect("a peer's number");
             let ack = holders[number].accept(batch.copies).expect("a good origin");
             sender.acknowledge(&batch.to, ack.through);
         }
-        played.busy_s += started.elapsed().as_secs_f64();
+        cost.busy_s += started.elapsed().as_secs_f64();
     }
-    played.held_bytes = holders.iter().map(BackupHolder::size_bytes).sum();
-    played
+    cost.held_bytes = holders.iter().map(BackupHolder::size_bytes).sum();
+    cost
 }
 
 #[derive(Default)]
-struct Played {
+struct ReplicationCost {
     events: usize,
     sent_bytes: u64,
     held_bytes: usize,
     busy_s: f64,
 }
 
-fn copies_cost(report: &mut Report) {
+fn measure_copies(report: &mut Report) {
     for copies in [1, 2] {
-        let played = play_hour(copies);
-        let per_s = played.sent_bytes as f64 / SECONDS as f64;
-        let each_us = played.busy_s * 1e6 / played.events as f64;
+        let cost = replicate_hour(copies);
+        let per_s = cost.sent_bytes as f64 / DURATION_S as f64;
+        let mean_us = cost.busy_s * 1e6 / cost.events as f64;
         let name = |figure| format!("events.copies_{copies}.{figure}");
         report.figure(&name("sent"), per_s, "B/s", Limit::AtMost(256.0));
-        report.figure(&name("event"), each_us, "us", Limit::None);
-        let held = played.held_bytes as f64;
-        report.figure(&name("held_at_peers"), held, "bytes", Limit::None);
+        report.figure(&name("event"), mean_us, "us", Limit::None);
+        let held_bytes = cost.held_bytes as f64;
+        report.figure(&name("held_at_peers"), held_bytes, "bytes", Limit::None);
     }
 }
 
-fn parity_cost(report: &mut Report) {
+fn measure_parity(report: &mut Report) {
     let mut clock = HybridClock::default();
-    let mut group = ParityGroup::new(GROUP);
-    let per_member = (EVENTS_PER_S * SECONDS as f64) as usize + BURST_EVENTS;
+    let mut group = ParityGroup::new(GROUP_SIZE);
+    let per_member = (EVENTS_PER_S * DURATION_S as f64) as usize + BURST_EVENTS;
     let mut mask_bytes = 0;
     let started = Instant::now();
-    for number in 0..per_member * GROUP {
+    for number in 0..per_member * GROUP_SIZE {
         let message = EventMessage::from(&sample_event(&mut clock, number));
-        mask_bytes += group.append(number % GROUP, &message.encode_to_vec());
+        mask_bytes += group.append(number % GROUP_SIZE, &message.encode_to_vec());
     }
-    let each_us = started.elapsed().as_secs_f64() * 1e6 / (per_member * GROUP) as f64;
+    let mean_us = started.elapsed().as_secs_f64() * 1e6 / (per_member * GROUP_SIZE) as f64;
     // A packet for each second with events, as the copies are sent.
     let packets = per_member as u64 * (MASK_OVERHEAD_BYTES + BATCH_OVERHEAD_BYTES);
-    let per_s = (mask_bytes / GROUP as u64 + packets) as f64 / SECONDS as f64;
+    let per_s = (mask_bytes / GROUP_SIZE as u64 + packets) as f64 / DURATION_S as f64;
     report.figure("events.parity.sent", per_s, "B/s", Limit::None);
     report.figure("events.parity_2d.sent", 2.0 * per_s, "B/s", Limit::None);
-    report.figure("events.parity.event", each_us, "us", Limit::None);
-    let held = (BLOCK_BYTES / GROUP) as f64;
-    report.figure("events.parity.held_at_peers", held, "bytes", Limit::None);
-    let whole = group.reconstruct(3) == group.block(3);
+    report.figure("events.parity.event", mean_us, "us", Limit::None);
+    let size = (BLOCK_BYTES / GROUP_SIZE) as f64;
+    report.figure("events.parity.held_at_peers", size, "bytes", Limit::None);
+    let is_equal = group.reconstruct(3) == group.block(3);
     report.figure(
         "events.parity.read_whole",
-        f64::from(whole),
+        f64::from(is_equal),
         "bool",
         Limit::AtLeast(1.0),
     );
-    let read = (BLOCK_BYTES * GROUP) as f64;
+    let read = (BLOCK_BYTES * GROUP_SIZE) as f64;
     report.figure("events.parity.read_a_lost_line", read, "bytes", Limit::None);
     report.figure(
         "events.parity.rejoin_after_restart",
@@ -242,86 +242,86 @@
 
 /// The other members on which each member's line depends: any one of them left
 /// suffices (copies), or all of them are needed (parity).
-enum Dependence {
+enum RecoverySources {
     AnyOf(Vec<Vec<usize>>),
     AllOf(Vec<Vec<usize>>),
 }
 
-impl Dependence {
-    fn loses(&self, member: usize, gone: &HashSet<usize>) -> bool {
+impl RecoverySources {
+    fn loses(&self, member: usize, failed: &HashSet<usize>) -> bool {
         match self {
-            Self::AnyOf(holders) => holders[member].iter().all(|peer| gone.contains(peer)),
-            Self::AllOf(group) => group[member].iter().any(|peer| gone.contains(peer)),
+            Self::AnyOf(holders) => holders[member].iter().all(|peer| failed.contains(peer)),
+            Self::AllOf(group) => group[member].iter().any(|peer| failed.contains(peer)),
         }
     }
 }
 
-fn copies_of(fleet: &[BackupPeer], copies: usize) -> Dependence {
+fn copy_sources(fleet: &[BackupPeer], copies: usize) -> RecoverySources {
     let number = |id: &InstanceId| id.as_str()[2..].parse().expect("a member's number");
-    let holders = fleet.iter().map(|own| {
-        let chosen = choose_peers(own, fleet, copies);
-        chosen.iter().map(number).collect()
+    let holders = fleet.iter().map(|member| {
+        let peers = choose_peers(member, fleet, copies);
+        peers.iter().map(number).collect()
     });
-    Dependence::AnyOf(holders.collect())
+    RecoverySources::AnyOf(holders.collect())
 }
 
 /// Groups of data members and one parity member, all in different zones.
-fn parity_of() -> Dependence {
-    let size = GROUP + 1;
-    let group = |own: usize| {
-        let start = own / size * size;
+fn parity_sources() -> RecoverySources {
+    let size = GROUP_SIZE + 1;
+    let group = |number: usize| {
+        let start = number / size * size;
         let others = (start..start + size).map(|member| member % INSTANCES);
-        others.filter(|member| *member != own).collect()
+        others.filter(|member| *member != number).collect()
     };
-    Dependence::AllOf((0..INSTANCES).map(group).collect())
+    RecoverySources::AllOf((0..INSTANCES).map(group).collect())
 }
 
-/// The share of the lost members' lines that are gone after a loss.
-fn lost_share(dependence: &Dependence, losses: &[HashSet<usize>]) -> f64 {
+/// The share of the lost members' lines that are lost after a loss.
+fn lost_share(sources: &RecoverySources, failures: &[HashSet<usize>]) -> f64 {
     let mut lost = 0;
-    let mut asked = 0;
-    for gone in losses {
-        asked += gone.len();
-        lost += gone.iter().filter(|m| dependence.loses(**m, gone)).count();
+    let mut total = 0;
+    for failed in failures {
+        total += failed.len();
+        lost += failed.iter().filter(|m| sources.loses(**m, failed)).count();
     }
-    lost as f64 / asked as f64
+    lost as f64 / total as f64
 }
 
-fn survival(report: &mut Report) {
+fn measure_losses(report: &mut Report) {
     let fleet = fleet();
     let mut random = StdRng::seed_from_u64(SEED);
-    let mut random_losses = |count: usize| -> Vec<HashSet<usize>> {
-        let one = |_| {
+    let mut random_failures = |count: usize| -> Vec<HashSet<usize>> {
+        let failure = |_| {
             (0..count)
                 .map(|_| random.random_range(0..INSTANCES))
                 .collect()
         };
-        (0..TRIALS).map(one).collect()
+        (0..TRIALS).map(failure).collect()
     };
     let zones = (0..ZONES).map(|zone| (0..INSTANCES).filter(|m| m % ZONES == zone).collect());
     let cases = [
-        ("one", random_losses(1)),
-        ("two", random_losses(2)),
+        ("one", random_failures(1)),
+        ("two", random_failures(2)),
         // Restarts of a day, none of them copied again in between.
-        ("day_of_37", random_losses(37)),
+        ("day_of_37", random_failures(37)),
         ("zone", zones.collect()),
     ];
-    let ways = [
-        ("copies_1", copies_of(&fleet, 1)),
-        ("copies_2", copies_of(&fleet, 2)),
-        ("parity", parity_of()),
+    let schemes = [
+        ("copies_1", copy_sources(&fleet, 1)),
+        ("copies_2", copy_sources(&fleet, 2)),
+        ("parity", parity_sources()),
     ];
-    for (way, dependence) in &ways {
-        for (case, losses) in &cases {
-            let share = lost_share(dependence, losses);
-            let chosen = *way == "copies_2" && *case != "day_of_37";
-            let limit = if chosen {
+    for (scheme, sources) in &schemes {
+        for (case, failures) in &cases {
+            let share = lost_share(sources, failures);
+            let must_survive = *scheme == "copies_2" && *case != "day_of_37";
+            let limit = if must_survive {
                 Limit::AtMost(0.0)
             } else {
                 Limit::None
             };
             report.figure(
-                &format!("events.{way}.lost_after_{case}"),
+                &format!("events.{scheme}.lost_after_{case}"),
                 share,
                 "share",
                 limit,
--- a/crates/foxtide/examples/measure/events/parity.rs
+++ b/crates/foxtide/examples/measure/events/parity.rs
@@ -31,10 +31,10 @@
     pub(crate) fn append(&mut self, member: usize, record: &[u8]) -> u64 {
         let start = self.ends[member];
         for (offset, new) in record.iter().enumerate() {
-            let place = (start + offset) % BLOCK_BYTES;
-            let mask = self.blocks[member][place] ^ new;
-            self.blocks[member][place] = *new;
-            self.parity[place] ^= mask;
+            let position = (start + offset) % BLOCK_BYTES;
+            let mask = self.blocks[member][position] ^ new;
+            self.blocks[member][position] = *new;
+            self.parity[position] ^= mask;
         }
         self.ends[member] = (start + record.len()) % BLOCK_BYTES;
         record.len() as u64
@@ -50,8 +50,8 @@
         let mut block = self.parity.clone();
         let others = self.blocks.iter().enumerate();
         for (_, other) in others.filter(|(member, _)| *member != lost) {
-            for (byte, with) in block.iter_mut().zip(other) {
-                *byte ^= with;
+            for (byte, other_byte) in block.iter_mut().zip(other) {
+                *byte ^= other_byte;
             }
         }
         block
