--- a/crates/foxtide/examples/measure/membership.rs
+++ b/crates/foxtide/examples/measure/membership.rs
@@ -1,22 +1,20 @@
 //! What membership and load cost an instance, and how fast a killed instance is
 //! gone.
 
-use crate::fit::Line;
+use crate::linear_fit::LinearFit;
 use crate::mesh_fleet::{
     Fleet,
-    Shape,
-    TARGET,
-    TODAY,
+    Topology,
     organisation,
-    wait, //
+    wait_until, //
 };
 use crate::report::{
     Limit,
     Report, //
 };
-use crate::usage::{
-    memory_bytes,
-    processor_time, //
+use crate::resource_usage::{
+    cpu_time,
+    memory_bytes, //
 };
 use foxtide_mesh::MeshHandle;
 use std::time::{
@@ -24,10 +22,10 @@
     Instant, //
 };
 
-const SIZES: [usize; 5] = [10, 20, 40, 80, 160];
+const FLEET_SIZES: [usize; 5] = [10, 20, 40, 80, 160];
 
 /// A world in which the zones of 160 instances are as large as at target size.
-const LARGE_ZONES: Shape = Shape {
+const LARGE_ZONES: Topology = Topology {
     regions: 2,
     zones: 4,
 };
@@ -35,14 +33,14 @@
 /// The target: instances, and what each may spend on control.
 const TARGET_INSTANCES: f64 = 600.0;
 const SENT_MAX_BYTES_PER_S: f64 = 3_000.0;
-const PROCESSOR_MAX_PERCENT: f64 = 4.9;
+const CPU_MAX_PERCENT: f64 = 4.9;
 const MEMORY_MAX_KB: f64 = 32_000.0;
 
 /// How long each fleet is watched.
-const WATCH_SECONDS: u32 = 15;
+const MEASUREMENT_S: u32 = 15;
 
 /// The longest time in which a killed instance is gone everywhere, in seconds.
-const GONE_MAX_S: f64 = 3.0;
+const DETECTION_MAX_S: f64 = 3.0;
 
 const KILLS: usize = 20;
 
@@ -52,7 +50,7 @@
     sent_bytes_per_s: f64,
     received_bytes_per_s: f64,
     busiest_bytes_per_s: f64,
-    processor_percent: f64,
+    cpu_percent: f64,
     memory_kb: f64,
 }
 
@@ -61,47 +59,52 @@
     let mut costs = Vec::new();
     // Before any fleet, so that freed memory does not count as unused.
     let memory_before = memory_bytes();
-    for instances in SIZES {
-        let cost = cost(report, instances, TARGET, memory_before);
+    for instances in FLEET_SIZES {
+        let cost = measure_cost(report, instances, Topology::TARGET, memory_before);
         costs.push((instances as f64, cost));
     }
     extrapolate(report, &costs);
     // The fleet of today, and one whose zones are as large as at target size.
-    for (instances, shape) in [(10, TODAY), (160, LARGE_ZONES)] {
-        cost(report, instances, shape, memory_before);
+    for (instances, topology) in [(10, Topology::CURRENT), (160, LARGE_ZONES)] {
+        measure_cost(report, instances, topology, memory_before);
     }
-    detection(report);
+    measure_detection(report);
 }
 
-fn cost(report: &mut Report, instances: usize, shape: Shape, memory_before: f64) -> Cost {
-    let fleet = Fleet::start(instances, shape);
-    watch(&fleet, 5);
+fn measure_cost(
+    report: &mut Report,
+    instances: usize,
+    topology: Topology,
+    memory_before: f64,
+) -> Cost {
+    let fleet = Fleet::start(instances, topology);
+    publish_load_for(&fleet, 5);
     fleet.settle();
     let before = traffic(&fleet);
-    let silent_before = silent(&fleet);
-    let processor_before = processor_time();
+    let failed_before = failed_probes(&fleet);
+    let cpu_before = cpu_time();
     let started = Instant::now();
-    watch(&fleet, WATCH_SECONDS);
-    let passed_s = started.elapsed().as_secs_f64();
-    let used_s = (processor_time() - processor_before).as_secs_f64();
+    publish_load_for(&fleet, MEASUREMENT_S);
+    let elapsed_s = started.elapsed().as_secs_f64();
+    let cpu_s = (cpu_time() - cpu_before).as_secs_f64();
     let after = traffic(&fleet);
     let count = instances as f64;
     let rates = before.iter().zip(&after).map(|(before, after)| Traffic {
-        sent: (after.sent - before.sent) / passed_s,
-        received: (after.received - before.received) / passed_s,
+        sent: (after.sent - before.sent) / elapsed_s,
+        received: (after.received - before.received) / elapsed_s,
     });
     let rates: Vec<_> = rates.collect();
     let cost = Cost {
         sent_bytes_per_s: rates.iter().map(|rate| rate.sent).sum::<f64>() / count,
         received_bytes_per_s: rates.iter().map(|rate| rate.received).sum::<f64>() / count,
         busiest_bytes_per_s: rates.iter().map(|rate| rate.sent).fold(0.0, f64::max),
-        processor_percent: 100.0 * used_s / passed_s / count,
+        cpu_percent: 100.0 * cpu_s / elapsed_s / count,
         memory_kb: (memory_bytes() - memory_before) / 1e3 / count,
     };
-    let name = format!("membership.{instances}in{}", shape.zones);
-    show(report, &name, cost);
-    let silent = silent(&fleet) - silent_before;
-    let per_minute = silent * 60.0 / passed_s / count;
+    let name = format!("membership.{instances}in{}", topology.zones);
+    report_cost(report, &name, cost);
+    let failed = failed_probes(&fleet) - failed_before;
+    let per_minute = failed * 60.0 / elapsed_s / count;
     let unit = "/min/inst";
     report.figure(&format!("{name}.suspected"), per_minute, unit, Limit::None);
     let interval_s = fleet.handles[0].load_interval().as_secs_f64();
@@ -113,7 +116,7 @@
     );
     report.figure(
         &format!("{name}.load_age"),
-        oldest_s(&fleet),
+        oldest_load_s(&fleet),
         "s",
         Limit::None,
     );
@@ -122,7 +125,7 @@
 }
 
 /// Returns the age of the oldest load that any instance knows, in seconds.
-fn oldest_s(fleet: &Fleet) -> f64 {
+fn oldest_load_s(fleet: &Fleet) -> f64 {
     let views = fleet.handles.iter();
     let views = views.map(|handle| handle.fleet_view(&organisation()));
     let ages = views.flat_map(|view| {
@@ -134,7 +137,7 @@
 }
 
 /// Returns how many probes stayed without answer; all were wrong.
-fn silent(fleet: &Fleet) -> f64 {
+fn failed_probes(fleet: &Fleet) -> f64 {
     let counts = fleet.handles.iter().map(MeshHandle::counts);
     counts.map(|counts| counts.failed_probes as f64).sum()
 }
@@ -155,24 +158,24 @@
     traffic.collect()
 }
 
-fn watch(fleet: &Fleet, seconds: u32) {
+fn publish_load_for(fleet: &Fleet, seconds: u32) {
     for _ in 0..seconds {
         fleet.publish_load();
         std::thread::sleep(Duration::from_secs(1));
     }
 }
 
-fn show(report: &mut Report, name: &str, cost: Cost) {
-    let bytes = Limit::AtMost(SENT_MAX_BYTES_PER_S);
+fn report_cost(report: &mut Report, name: &str, cost: Cost) {
+    let limit = Limit::AtMost(SENT_MAX_BYTES_PER_S);
     let figures = [
-        ("sent", cost.sent_bytes_per_s, "B/s", bytes),
-        ("received", cost.received_bytes_per_s, "B/s", bytes),
-        ("sent_busiest", cost.busiest_bytes_per_s, "B/s", bytes),
+        ("sent", cost.sent_bytes_per_s, "B/s", limit),
+        ("received", cost.received_bytes_per_s, "B/s", limit),
+        ("sent_busiest", cost.busiest_bytes_per_s, "B/s", limit),
         (
             "processor",
-            cost.processor_percent,
+            cost.cpu_percent,
             "% core",
-            Limit::AtMost(PROCESSOR_MAX_PERCENT),
+            Limit::AtMost(CPU_MAX_PERCENT),
         ),
         ("memory", cost.memory_kb, "kB", Limit::AtMost(MEMORY_MAX_KB)),
     ];
@@ -185,32 +188,36 @@
 /// of so many instances in one process are mostly noise and what they share, so
 /// that the largest fleet is shown for them instead of a line.
 fn extrapolate(report: &mut Report, costs: &[(f64, Cost)]) {
-    let sent = line(costs, |cost| cost.sent_bytes_per_s);
+    let sent = fit(costs, |cost| cost.sent_bytes_per_s);
     report.figure("membership.sent.slope", sent.slope, "B/s/inst", Limit::None);
     let at_target = sent.at(TARGET_INSTANCES);
     let limit = Limit::AtMost(SENT_MAX_BYTES_PER_S);
     report.figure("membership.sent.at_600", at_target, "B/s", limit);
 }
 
-fn line(costs: &[(f64, Cost)], part: fn(&Cost) -> f64) -> Line {
+fn fit(costs: &[(f64, Cost)], part: fn(&Cost) -> f64) -> LinearFit {
     let points = costs.iter().map(|(size, cost)| (*size, part(cost)));
     let points: Vec<_> = points.collect();
-    Line::through(&points)
+    LinearFit::least_squares(&points)
 }
 
-fn detection(report: &mut Report) {
-    for (instances, shape) in [(10, TODAY), (160, TARGET), (160, LARGE_ZONES)] {
-        let mut fleet = Fleet::start(instances, shape);
+fn measure_detection(report: &mut Report) {
+    for (instances, topology) in [
+        (10, Topology::CURRENT),
+        (160, Topology::TARGET),
+        (160, LARGE_ZONES),
+    ] {
+        let mut fleet = Fleet::start(instances, topology);
         let mut longest_s: f64 = 0.0;
         let kills = KILLS.min(instances / 2);
         for kill in 0..kills {
             fleet.kill(kill % fleet.handles.len());
-            let took = wait(|| fleet.knows_itself());
+            let took = wait_until(|| fleet.is_converged());
             longest_s = longest_s.max(took.as_secs_f64());
         }
-        let zones = shape.zones;
+        let zones = topology.zones;
         let name = format!("membership.{instances}in{zones}.gone_longest_of_{kills}");
-        report.figure(&name, longest_s, "s", Limit::AtMost(GONE_MAX_S));
+        report.figure(&name, longest_s, "s", Limit::AtMost(DETECTION_MAX_S));
         fleet.stop();
     }
 }
--- a/crates/foxtide/examples/measure/membership_virtual.rs
+++ b/crates/foxtide/examples/measure/membership_virtual.rs
@@ -17,7 +17,7 @@
 const TARGET_INSTANCES: usize = 600;
 
 /// Every third instance is cut off; with zones these are whole regions.
-const CUT_STEP: usize = 3;
+const PARTITION_STEP: usize = 3;
 
 const KILLS: u64 = 10;
 
@@ -29,43 +29,43 @@
         let mut fleet = fleet(INSTANCES, zones, 0);
         fleet.run_for(PHASE);
         let name = format!("membership.scope.{name}");
-        let far_before = fleet.sent_across_regions();
-        let steady = sent_in_phase(&mut fleet);
-        show(report, &format!("{name}.steady"), steady);
-        let far = (fleet.sent_across_regions() - far_before) as f64
+        let across_before = fleet.sent_across_regions();
+        let steady = sent_per_s(&mut fleet);
+        report_rate(report, &format!("{name}.steady"), steady);
+        let across = (fleet.sent_across_regions() - across_before) as f64
             / INSTANCES as f64
             / PHASE.as_secs_f64();
-        show(report, &format!("{name}.steady_to_other_regions"), far);
-        fleet.partition((0..INSTANCES).step_by(CUT_STEP));
-        let cut = sent_in_phase(&mut fleet);
-        show(report, &format!("{name}.region_cut_off"), cut);
+        report_rate(report, &format!("{name}.steady_to_other_regions"), across);
+        fleet.partition((0..INSTANCES).step_by(PARTITION_STEP));
+        let partitioned = sent_per_s(&mut fleet);
+        report_rate(report, &format!("{name}.region_cut_off"), partitioned);
         fleet.heal();
         let took = fleet.run_until(PHASE, VirtualFleet::all_agree);
         let took_s = took.unwrap_or(PHASE).as_secs_f64();
         let figure = format!("{name}.all_agree_after_healing");
         report.figure(&figure, took_s, "s", Limit::None);
-        gone(report, &name, INSTANCES, zones);
+        measure_detection(report, &name, INSTANCES, zones);
     }
-    at_target(report);
-    suspicions(report);
+    measure_target_fleet(report);
+    measure_suspicions(report);
 }
 
 /// Measures the fleet at target size.
-fn at_target(report: &mut Report) {
+fn measure_target_fleet(report: &mut Report) {
     let name = "membership.scope.600in15";
     let mut fleet = fleet(TARGET_INSTANCES, 15, 0);
     fleet.run_for(PHASE / 2);
     let before = fleet.sent();
     fleet.run_for(PHASE / 2);
     let sent = (fleet.sent() - before) as f64 / TARGET_INSTANCES as f64;
-    show(
+    report_rate(
         report,
         &format!("{name}.steady"),
         sent / (PHASE / 2).as_secs_f64(),
     );
-    let wrong = fleet.false_detections().suspected as f64;
-    report.figure(&format!("{name}.suspected"), wrong, "", Limit::AtMost(0.0));
-    gone(report, name, TARGET_INSTANCES, 15);
+    let count = fleet.false_detections().suspected as f64;
+    report.figure(&format!("{name}.suspected"), count, "", Limit::AtMost(0.0));
+    measure_detection(report, name, TARGET_INSTANCES, 15);
 }
 
 /// Returns a fleet; where all are one group, every probe has to wait for the
@@ -85,46 +85,46 @@
 }
 
 /// Measures how long a killed instance stays a member somewhere.
-fn gone(report: &mut Report, name: &str, instances: usize, zones: usize) {
-    let took_s = (0..KILLS).map(|seed| {
+fn measure_detection(report: &mut Report, name: &str, instances: usize, zones: usize) {
+    let durations_s = (0..KILLS).map(|seed| {
         let mut fleet = fleet(instances, zones, seed);
         fleet.run_for(Duration::from_secs(2));
         fleet.kill(seed as usize);
         let took = fleet.run_until(PHASE, VirtualFleet::all_agree);
         took.unwrap_or(PHASE).as_secs_f64()
     });
-    let took_s: Vec<_> = took_s.collect();
-    let mean_s = took_s.iter().sum::<f64>() / KILLS as f64;
-    let longest_s = took_s.iter().copied().fold(0.0, f64::max);
+    let durations_s: Vec<_> = durations_s.collect();
+    let mean_s = durations_s.iter().sum::<f64>() / KILLS as f64;
+    let longest_s = durations_s.iter().copied().fold(0.0, f64::max);
     report.figure(&format!("{name}.gone_mean"), mean_s, "s", Limit::None);
     report.figure(&format!("{name}.gone_longest"), longest_s, "s", Limit::None);
 }
 
 /// Returns the datagrams of one instance in one second.
-fn sent_in_phase(fleet: &mut VirtualFleet) -> f64 {
+fn sent_per_s(fleet: &mut VirtualFleet) -> f64 {
     let before = fleet.sent();
     fleet.run_for(PHASE);
     (fleet.sent() - before) as f64 / INSTANCES as f64 / PHASE.as_secs_f64()
 }
 
-fn show(report: &mut Report, name: &str, sent: f64) {
+fn report_rate(report: &mut Report, name: &str, sent: f64) {
     report.figure(name, sent, "1/s/inst", Limit::None);
 }
 
 /// Suspicions of live instances while 20 % of the packets are lost, against
 /// probes without helpers and against a single ping. On a virtual clock.
-fn suspicions(report: &mut Report) {
-    let whole = MembershipOptions::default();
+fn measure_suspicions(report: &mut Report) {
+    let default = MembershipOptions::default();
     let without_helpers = MembershipOptions {
         indirect_probes: 0,
-        ..whole
+        ..default
     };
     let single_ping = MembershipOptions {
         probe_attempts: 1,
         ..without_helpers
     };
     let variants = [
-        ("whole", whole),
+        ("whole", default),
         ("without_helpers", without_helpers),
         ("single_ping", single_ping),
     ];
@@ -138,15 +138,20 @@
         });
         fleet.set_loss_rate(0.2);
         fleet.run_for(Duration::from_secs(60) * MINUTES);
-        let wrong = fleet.false_detections();
+        let counts = fleet.false_detections();
         let unit = "/1000min";
         let dead_limit = match name {
             "whole" => Limit::AtMost(0.0),
             _ => Limit::None,
         };
         let name = format!("membership.loss20.{name}");
-        let suspected = wrong.suspected as f64;
+        let suspected = counts.suspected as f64;
         report.figure(&format!("{name}.suspected"), suspected, unit, Limit::None);
-        report.figure(&format!("{name}.dead"), wrong.dead as f64, unit, dead_limit);
+        report.figure(
+            &format!("{name}.dead"),
+            counts.dead as f64,
+            unit,
+            dead_limit,
+        );
     }
 }
--- a/crates/foxtide/examples/measure/mesh_fleet.rs
+++ b/crates/foxtide/examples/measure/mesh_fleet.rs
@@ -33,20 +33,14 @@
     Instant, //
 };
 
-/// Regions of the fleet at target size.
-const REGIONS: usize = 7;
-
-/// Availability zones of the fleet at target size.
-const ZONES: usize = 15;
-
 /// Services of each organisation today.
 const SERVICES: [&str; 4] = ["viewer", "notices", "archive", "hazards"];
 
 /// Wait between two looks at a condition.
-const LOOK_INTERVAL: Duration = Duration::from_millis(2);
+const POLL_INTERVAL: Duration = Duration::from_millis(2);
 
 /// How long anything is waited for; beyond it the figure shows the limit.
-const PATIENCE: Duration = Duration::from_secs(60);
+const WAIT_MAX: Duration = Duration::from_secs(60);
 
 /// A fleet of instances.
 pub(crate) struct Fleet {
@@ -54,56 +48,58 @@
     pub(crate) handles: Vec<MeshHandle>,
     /// Loses their messages.
     pub(crate) faults: Faults,
-    shape: Shape,
+    topology: Topology,
     started: usize,
 }
 
 /// How a fleet is spread over the world.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Shape {
+pub(crate) struct Topology {
     /// Regions.
     pub(crate) regions: usize,
     /// Availability zones, dealt out to the regions in turn.
     pub(crate) zones: usize,
 }
 
-/// The world at target size.
-pub(crate) const TARGET: Shape = Shape {
-    regions: REGIONS,
-    zones: ZONES,
-};
+impl Topology {
+    /// The world at target size.
+    pub(crate) const TARGET: Self = Self {
+        regions: 7,
+        zones: 15,
+    };
 
-/// The world of each tenant today.
-pub(crate) const TODAY: Shape = Shape {
-    regions: 3,
-    zones: 6,
-};
+    /// The world of each tenant today.
+    pub(crate) const CURRENT: Self = Self {
+        regions: 3,
+        zones: 6,
+    };
+}
 
 impl Fleet {
     /// Starts instances and waits until all know all.
-    pub(crate) fn start(instances: usize, shape: Shape) -> Self {
+    pub(crate) fn start(instances: usize, topology: Topology) -> Self {
         let mut fleet = Self {
             handles: Vec::new(),
             faults: Faults::default(),
-            shape,
+            topology,
             started: 0,
         };
         for _ in 0..instances {
-            fleet.start_one();
+            fleet.start_instance();
         }
-        wait(|| fleet.knows_itself());
+        wait_until(|| fleet.is_converged());
         fleet
     }
 
     /// Starts one more instance, under a new name.
-    pub(crate) fn start_one(&mut self) {
+    pub(crate) fn start_instance(&mut self) {
         let number = self.started;
         self.started += 1;
-        let zone = number % self.shape.zones;
+        let zone = number % self.topology.zones;
         let loopback = SocketAddr::from(([127, 0, 0, 1], 0));
         let identity = Identity {
             instance: format!("i{number}").parse().expect("a name"),
-            region: region(zone % self.shape.regions),
+            region: region(zone % self.topology.regions),
             availability_zone: format!("zone-{zone}").parse().expect("a name"),
             peer_address: loopback,
             caller_address: loopback,
@@ -114,21 +110,21 @@
             seed: Some(number as u64),
             ..MeshOptions::default()
         };
-        let first = self.handles.iter().take(3);
-        let seeds: Vec<_> = first.map(MeshHandle::peer_address).collect();
+        let seeds = self.handles.iter().take(3);
+        let seeds: Vec<_> = seeds.map(MeshHandle::peer_address).collect();
         let handle = Mesh::start(identity, &seeds, options);
         self.handles.push(handle.expect("a free port on loopback"));
     }
 
     /// Kills an instance and returns it, as the others still know it.
-    pub(crate) fn kill(&mut self, place: usize) -> MeshHandle {
-        let killed = self.handles.swap_remove(place);
+    pub(crate) fn kill(&mut self, index: usize) -> MeshHandle {
+        let killed = self.handles.swap_remove(index);
         killed.stop();
         killed
     }
 
     /// Returns whether all know exactly those that run.
-    pub(crate) fn knows_itself(&self) -> bool {
+    pub(crate) fn is_converged(&self) -> bool {
         let count = self.handles.len();
         self.handles.iter().all(|handle| {
             let members = handle.members();
@@ -139,14 +135,14 @@
 
     /// Waits until the news of its own start has been spread.
     pub(crate) fn settle(&self) {
-        wait(|| {
+        wait_until(|| {
             let mut handles = self.handles.iter();
             handles.all(|handle| handle.waiting_rumours() == 0)
         });
     }
 
     /// Returns whether all hold at least this revision.
-    pub(crate) fn holds(&self, revision: u64) -> bool {
+    pub(crate) fn has_revision(&self, revision: u64) -> bool {
         self.handles.iter().all(|handle| {
             let documents = handle.configurations();
             documents
@@ -158,22 +154,22 @@
     /// Lets every instance report its load, as it does each second.
     pub(crate) fn publish_load(&self) {
         for handle in &self.handles {
-            handle.publish_load(&organisation(), report(self.shape.regions));
+            handle.publish_load(&organisation(), instance_report(self.topology.regions));
         }
     }
 
-    /// Returns the places of the instances that watch the store.
+    /// Returns the indices of the instances that watch the store.
     pub(crate) fn watchers(&self) -> Vec<usize> {
-        let places = 0..self.handles.len();
-        places
-            .filter(|place| self.handles[*place].is_watcher())
+        let indices = 0..self.handles.len();
+        indices
+            .filter(|index| self.handles[*index].is_watcher())
             .collect()
     }
 
     /// Cuts the first region off from all others.
-    pub(crate) fn cut_off_first_region(&self) {
+    pub(crate) fn partition_first_region(&self) {
         let first = region(0);
-        let (cut, rest): (Vec<_>, Vec<_>) = self
+        let (isolated, rest): (Vec<_>, Vec<_>) = self
             .handles
             .iter()
             .partition(|handle| handle.own().region == first);
@@ -181,7 +177,8 @@
             let addresses = side.into_iter().map(MeshHandle::peer_address);
             addresses.collect::<Vec<_>>()
         };
-        self.faults.partition(&[addresses(cut), addresses(rest)]);
+        self.faults
+            .partition(&[addresses(isolated), addresses(rest)]);
     }
 
     /// Ends all instances.
@@ -191,10 +188,10 @@
 }
 
 /// Waits until `condition` holds, and returns how long it took.
-pub(crate) fn wait(condition: impl Fn() -> bool) -> Duration {
+pub(crate) fn wait_until(condition: impl Fn() -> bool) -> Duration {
     let started = Instant::now();
-    while !condition() && started.elapsed() < PATIENCE {
-        std::thread::sleep(LOOK_INTERVAL);
+    while !condition() && started.elapsed() < WAIT_MAX {
+        std::thread::sleep(POLL_INTERVAL);
     }
     started.elapsed()
 }
@@ -219,7 +216,7 @@
     format!("region-{number}").parse().expect("a name")
 }
 
-fn report(regions: usize) -> InstanceReport {
+fn instance_report(regions: usize) -> InstanceReport {
     let rate = RequestRate::clamped(250.0);
     let share = Share::clamped(1.0 / regions as f64);
     let regions: Vec<_> = (0..regions).map(region).collect();
--- a/crates/foxtide/examples/measure/organisations.rs
+++ b/crates/foxtide/examples/measure/organisations.rs
@@ -4,7 +4,7 @@
     Limit,
     Report, //
 };
-use crate::usage::memory_bytes;
+use crate::resource_usage::memory_bytes;
 use foxtide_core::routing::{
     ApiKey,
     OrganisationEntry,
--- a/crates/foxtide/examples/measure/spread.rs
+++ b/crates/foxtide/examples/measure/spread.rs
@@ -3,10 +3,9 @@
 
 use crate::mesh_fleet::{
     Fleet,
-    TARGET,
-    TODAY,
+    Topology,
     document,
-    wait, //
+    wait_until, //
 };
 use crate::report::{
     Limit,
@@ -41,7 +40,7 @@
 const BYTES_MAX_PER_S: f64 = 3_000.0;
 
 /// How long a region is cut off; stands for a minute.
-const CUT: Duration = Duration::from_secs(10);
+const PARTITION_DURATION: Duration = Duration::from_secs(10);
 
 /// Time within which a watch tells of a change.
 const WATCH_INTERVAL: Duration = Duration::from_millis(50);
@@ -51,35 +50,35 @@
 
 /// Measures the spreading of configuration.
 pub(crate) fn run(report: &mut Report) {
-    healthy(report);
-    watchers_killed(report);
-    region_cut_off(report);
-    reverts(report);
+    measure_healthy(report);
+    measure_killed_watchers(report);
+    measure_partition(report);
+    measure_reverts(report);
 }
 
-fn healthy(report: &mut Report) {
-    let fleet = Fleet::start(INSTANCES, TARGET);
+fn measure_healthy(report: &mut Report) {
+    let fleet = Fleet::start(INSTANCES, Topology::TARGET);
     let mut rng = StdRng::seed_from_u64(SEED);
     fleet.settle();
-    let idle = sent_bytes_per_s(&fleet);
+    let idle_bytes_per_s = sent_bytes_per_s(&fleet);
     let before = sent_bytes(&fleet);
     let started = Instant::now();
-    let mut took_s = Vec::new();
+    let mut durations_s = Vec::new();
     for revision in 1..=CHANGES as u64 {
-        let place = rng.random_range(0..fleet.handles.len());
-        fleet.handles[place].publish_configuration(&document(revision));
-        took_s.push(wait(|| fleet.holds(revision)).as_secs_f64());
+        let index = rng.random_range(0..fleet.handles.len());
+        fleet.handles[index].publish_configuration(&document(revision));
+        durations_s.push(wait_until(|| fleet.has_revision(revision)).as_secs_f64());
     }
-    let sent = sent_bytes(&fleet) - before - idle * started.elapsed().as_secs_f64();
-    took_s.sort_by(f64::total_cmp);
+    let sent = sent_bytes(&fleet) - before - idle_bytes_per_s * started.elapsed().as_secs_f64();
+    durations_s.sort_by(f64::total_cmp);
     let name = format!("spread.{INSTANCES}in15");
     report.figure(
         &format!("{name}.median"),
-        took_s[CHANGES / 2],
+        durations_s[CHANGES / 2],
         "s",
         Limit::None,
     );
-    let p99 = took_s[CHANGES * 99 / 100 - 1];
+    let p99 = durations_s[CHANGES * 99 / 100 - 1];
     report.figure(&format!("{name}.p99"), p99, "s", Limit::AtMost(P99_MAX_S));
     let per_change = sent / CHANGES as f64 / INSTANCES as f64;
     report.figure(
@@ -116,53 +115,54 @@
 
 /// Tells every present watcher of the store's newest document until all hold
 /// it, as its watch would; one that becomes a watcher reads it then.
-fn until_all_hold(fleet: &Fleet, newest: &Document) -> Duration {
+fn wait_until_all_hold(fleet: &Fleet, newest: &Document) -> Duration {
     let started = Instant::now();
-    while !fleet.holds(newest.revision.get()) && started.elapsed().as_secs_f64() < FAULT_MAX_S * 3.0
+    while !fleet.has_revision(newest.revision.get())
+        && started.elapsed().as_secs_f64() < FAULT_MAX_S * 3.0
     {
         std::thread::sleep(WATCH_INTERVAL);
-        for place in fleet.watchers() {
-            fleet.handles[place].publish_configuration(newest);
+        for index in fleet.watchers() {
+            fleet.handles[index].publish_configuration(newest);
         }
     }
     started.elapsed()
 }
 
-fn watchers_killed(report: &mut Report) {
-    let mut fleet = Fleet::start(INSTANCES, TARGET);
+fn measure_killed_watchers(report: &mut Report) {
+    let mut fleet = Fleet::start(INSTANCES, Topology::TARGET);
     let mut longest_s: f64 = 0.0;
     for revision in 1..=ROUNDS_WITH_KILLED_WATCHERS {
         // The first half of the zones loses both of its watchers.
-        let mut doomed = fleet.watchers();
-        doomed.sort_by_key(|place| fleet.handles[*place].own().availability_zone);
-        doomed.truncate(doomed.len() / 2);
-        doomed.sort_unstable();
-        for place in doomed.into_iter().rev() {
-            fleet.kill(place);
+        let mut to_kill = fleet.watchers();
+        to_kill.sort_by_key(|index| fleet.handles[*index].own().availability_zone);
+        to_kill.truncate(to_kill.len() / 2);
+        to_kill.sort_unstable();
+        for index in to_kill.into_iter().rev() {
+            fleet.kill(index);
         }
-        let took = until_all_hold(&fleet, &document(revision));
+        let took = wait_until_all_hold(&fleet, &document(revision));
         longest_s = longest_s.max(took.as_secs_f64());
-        wait(|| fleet.knows_itself());
+        wait_until(|| fleet.is_converged());
     }
     let name = "spread.160in15.half_of_watchers_killed";
     report.figure(name, longest_s, "s", Limit::AtMost(FAULT_MAX_S));
     fleet.stop();
 }
 
-fn region_cut_off(report: &mut Report) {
-    let fleet = Fleet::start(INSTANCES, TODAY);
-    fleet.cut_off_first_region();
-    std::thread::sleep(CUT);
+fn measure_partition(report: &mut Report) {
+    let fleet = Fleet::start(INSTANCES, Topology::CURRENT);
+    fleet.partition_first_region();
+    std::thread::sleep(PARTITION_DURATION);
     // The store is on the larger side.
     let newest = document(1);
     fleet.handles[1].publish_configuration(&newest);
-    wait(|| fleet.handles[2].configurations().len() == 1);
+    wait_until(|| fleet.handles[2].configurations().len() == 1);
     fleet.faults.heal();
-    let took = wait(|| fleet.holds(1));
+    let took = wait_until(|| fleet.has_revision(1));
     let name = "spread.160in6.after_cut_healed";
     let limit = Limit::AtMost(FAULT_MAX_S);
     report.figure(name, took.as_secs_f64(), "s", limit);
-    let members = wait(|| fleet.knows_itself());
+    let members = wait_until(|| fleet.is_converged());
     let name = "spread.160in6.members_after_cut_healed";
     report.figure(name, (took + members).as_secs_f64(), "s", limit);
     fleet.stop();
@@ -170,33 +170,33 @@
 
 /// Changes while instances are replaced and a region is cut off now and then;
 /// no instance may ever take a lower revision after a higher one.
-fn reverts(report: &mut Report) {
+fn measure_reverts(report: &mut Report) {
     const CHANGES: u64 = 200;
-    const SMALL: usize = 20;
-    let mut fleet = Fleet::start(SMALL, TODAY);
+    const FLEET_SIZE: usize = 20;
+    let mut fleet = Fleet::start(FLEET_SIZE, Topology::CURRENT);
     let mut rng = StdRng::seed_from_u64(SEED);
     let mut streams: Vec<_> = fleet.handles.iter().map(changes_of).collect();
     for revision in 1..=CHANGES {
         match rng.random_range(0..20) {
             0 | 1 => {
-                fleet.kill(rng.random_range(0..SMALL));
-                fleet.start_one();
+                fleet.kill(rng.random_range(0..FLEET_SIZE));
+                fleet.start_instance();
                 streams.extend(fleet.handles.last().map(changes_of));
             }
-            2 => fleet.cut_off_first_region(),
+            2 => fleet.partition_first_region(),
             3..=6 => fleet.faults.heal(),
             _ => {}
         }
         // A lagging watcher tells of an older revision now and then.
         let lag = rng.random_range(0..3).min(revision - 1);
-        let places = [(); 2].map(|()| rng.random_range(0..SMALL));
-        fleet.handles[places[0]].publish_configuration(&document(revision));
-        fleet.handles[places[1]].publish_configuration(&document(revision - lag));
+        let indices = [(); 2].map(|()| rng.random_range(0..FLEET_SIZE));
+        fleet.handles[indices[0]].publish_configuration(&document(revision));
+        fleet.handles[indices[1]].publish_configuration(&document(revision - lag));
         std::thread::sleep(Duration::from_millis(50));
     }
     fleet.faults.heal();
-    let took = wait(|| fleet.holds(CHANGES));
-    let reverts: usize = streams.iter().map(reverts_in).sum();
+    let took = wait_until(|| fleet.has_revision(CHANGES));
+    let reverts: usize = streams.iter().map(count_reverts).sum();
     let name = format!("spread.20in6.reverts_in_{CHANGES}_changes");
     report.figure(&name, reverts as f64, "reverts", Limit::AtMost(0.0));
     let name = "spread.20in6.last_change_after_healing";
@@ -208,7 +208,7 @@
     handle.configuration_changes()
 }
 
-fn reverts_in(stream: &Receiver<Document>) -> usize {
+fn count_reverts(stream: &Receiver<Document>) -> usize {
     let mut newest = Revision::ZERO;
     let mut reverts = 0;
     while let Ok(change) = stream.try_recv() {
