--- a/crates/foxtide/examples/measure/document.rs
+++ b/crates/foxtide/examples/measure/document.rs
@@ -8,7 +8,7 @@
 use foxtide_core::store::VALUE_MAX_BYTES;
 use std::time::Instant;
 
-const ROUNDS: u32 = 200;
+const DECODE_ROUNDS: u32 = 200;
 
 /// A document of today's size: four services of twelve upstreams.
 fn document() -> String {
@@ -42,21 +42,21 @@
 pub(crate) fn run(report: &mut Report) {
     let text = document();
     let started = Instant::now();
-    for _ in 0..ROUNDS {
+    for _ in 0..DECODE_ROUNDS {
         let decoded: Result<Organisation, _> = serde_json::from_str(&text);
         assert!(decoded.is_ok(), "the document is valid");
     }
-    let each_us = started.elapsed().as_secs_f64() * 1e6 / f64::from(ROUNDS);
+    let mean_us = started.elapsed().as_secs_f64() * 1e6 / f64::from(DECODE_ROUNDS);
     let limit = Limit::AtMost(VALUE_MAX_BYTES as f64);
     report.figure("document.size", text.len() as f64, "bytes", limit);
-    report.figure("document.decode", each_us, "us", Limit::None);
-    let per_upstream = each_us / 48.0;
+    report.figure("document.decode", mean_us, "us", Limit::None);
+    let per_upstream = mean_us / 48.0;
     report.figure(
         "document.decode_per_upstream",
         per_upstream,
         "us",
         Limit::None,
     );
-    let rate = 1e6 / each_us;
+    let rate = 1e6 / mean_us;
     report.figure("document.decode_rate", rate, "1/s", Limit::AtLeast(100.0));
 }
--- a/crates/foxtide/examples/measure/explain.rs
+++ b/crates/foxtide/examples/measure/explain.rs
@@ -29,8 +29,8 @@
 
 /// Look-ups a second at one instance at target size: 590,000 over 600.
 const DECISIONS_PER_S: usize = 983;
-const SECONDS: usize = 60;
-const KEPT: usize = 20_480;
+const DURATION_S: usize = 60;
+const BASELINE_TEXTS: usize = 20_480;
 const SERVICES: usize = 4;
 const SIZE_MAX_BYTES: f64 = 4_194_304.0;
 
@@ -38,25 +38,25 @@
 pub(crate) fn run(report: &mut Report) {
     let explainer = Explainer::default();
     let started = Instant::now();
-    fill(&explainer);
-    let decisions = (DECISIONS_PER_S * SECONDS) as f64;
-    let each_us = started.elapsed().as_secs_f64() * 1e6 / decisions;
+    record_decisions(&explainer);
+    let decisions = (DECISIONS_PER_S * DURATION_S) as f64;
+    let mean_us = started.elapsed().as_secs_f64() * 1e6 / decisions;
     let size = explainer.size_bytes() as f64;
     let decision = size_of::<Decision>() as f64;
     report.figure("explain.decision", decision, "bytes", Limit::AtMost(128.0));
-    report.figure("explain.note", each_us, "us", Limit::AtMost(5.0));
+    report.figure("explain.note", mean_us, "us", Limit::AtMost(5.0));
     report.figure("explain.size", size, "bytes", Limit::AtMost(SIZE_MAX_BYTES));
-    let kept_s = explainer.select(&ExplainFilter::default()).len() as f64 / DECISIONS_PER_S as f64;
-    report.figure("explain.kept", kept_s, "s", Limit::AtLeast(10.0));
+    let span_s = explainer.select(&ExplainFilter::default()).len() as f64 / DECISIONS_PER_S as f64;
+    report.figure("explain.kept", span_s, "s", Limit::AtLeast(10.0));
     let started = Instant::now();
     let found = explainer.select(&ExplainFilter {
-        request: Some(request(DECISIONS_PER_S * SECONDS - 1)),
+        request: Some(request(DECISIONS_PER_S * DURATION_S - 1)),
         ..ExplainFilter::default()
     });
-    let ask_us = started.elapsed().as_secs_f64() * 1e6;
+    let select_us = started.elapsed().as_secs_f64() * 1e6;
     assert_eq!(found.len(), 1, "the latest request is kept");
-    report.figure("explain.ask", ask_us, "us", Limit::None);
-    baseline(report);
+    report.figure("explain.ask", select_us, "us", Limit::None);
+    measure_baseline(report);
 }
 
 fn request(number: usize) -> RequestId {
@@ -64,24 +64,24 @@
     text.parse().expect("a request id")
 }
 
-fn fill(explainer: &Explainer) {
+fn record_decisions(explainer: &Explainer) {
     let region: RegionId = "khomas".parse().expect("a name");
     let upstream: UpstreamId = "viewer-3".parse().expect("a name");
-    for second in 0..SECONDS {
+    for second in 0..DURATION_S {
         let now = WallTime::from_ms(second as u64 * 1_000);
         let views: Vec<_> = (0..SERVICES)
             .map(|service| explainer.publish(view(service, now)))
             .collect();
-        for place in 0..DECISIONS_PER_S {
-            let rule = if place % 20 == 0 {
+        for index in 0..DECISIONS_PER_S {
+            let rule = if index % 20 == 0 {
                 Rule::Spilled
             } else {
                 Rule::Weighted
             };
-            let place_in = Some(region.clone());
-            let view = views[place % SERVICES];
-            let decision = Decision::new(DecisionKind::Request, rule, view, place_in, now);
-            let mut decision = decision.with_request(&request(second * DECISIONS_PER_S + place));
+            let chosen_region = Some(region.clone());
+            let view = views[index % SERVICES];
+            let decision = Decision::new(DecisionKind::Request, rule, view, chosen_region, now);
+            let mut decision = decision.with_request(&request(second * DECISIONS_PER_S + index));
             decision.add_attempt(upstream.clone(), AttemptResult::Answered);
             explainer.record(decision);
         }
@@ -119,10 +119,10 @@
 }
 
 /// Keeps a text that holds the same figures for each request.
-fn baseline(report: &mut Report) {
-    let mut texts: VecDeque<String> = VecDeque::with_capacity(KEPT);
+fn measure_baseline(report: &mut Report) {
+    let mut texts: VecDeque<String> = VecDeque::with_capacity(BASELINE_TEXTS);
     let started = Instant::now();
-    for number in 0..KEPT {
+    for number in 0..BASELINE_TEXTS {
         let mut text = format!("{} weighted region=khomas", request(number));
         for candidate in 0..15 {
             let figures =
@@ -131,9 +131,9 @@
         }
         texts.push_back(text);
     }
-    let each_us = started.elapsed().as_secs_f64() * 1e6 / KEPT as f64;
+    let mean_us = started.elapsed().as_secs_f64() * 1e6 / BASELINE_TEXTS as f64;
     let size: usize = texts.iter().map(String::capacity).sum();
-    report.figure("explain.baseline_text.note", each_us, "us", Limit::None);
+    report.figure("explain.baseline_text.note", mean_us, "us", Limit::None);
     report.figure(
         "explain.baseline_text.size",
         size as f64,
--- a/crates/foxtide/examples/measure/main.rs
+++ b/crates/foxtide/examples/measure/main.rs
@@ -25,10 +25,10 @@
 use std::process::ExitCode;
 
 /// One group of figures.
-type Module = (&'static str, fn(&mut Report));
+type Measurement = (&'static str, fn(&mut Report));
 
 /// What each instance decides, against simpler baselines.
-const DECISIONS: &[Module] = &[
+const DECISIONS: &[Measurement] = &[
     ("at_most_once", at_most_once::run),
     ("blocks", blocks::run),
     ("organisations", organisations::run),
@@ -37,7 +37,7 @@
 ];
 
 /// What a fleet of instances costs and how fast it agrees.
-const FLEET: &[Module] = &[
+const FLEET: &[Measurement] = &[
     ("document", document::run),
     ("events", events::run),
     ("explain", explain::run),
@@ -52,7 +52,7 @@
 
 fn main() -> ExitCode {
     let arguments: Vec<String> = std::env::args().skip(1).collect();
-    let modules = match arguments.first().map(String::as_str) {
+    let measurements = match arguments.first().map(String::as_str) {
         Some("decisions") => DECISIONS,
         Some("fleet") => FLEET,
         _ => {
@@ -61,7 +61,7 @@
         }
     };
     let mut report = Report::default();
-    for (name, run) in modules {
+    for (name, run) in measurements {
         if arguments.get(1).is_none_or(|wanted| wanted == name) {
             run(&mut report);
         }
--- a/crates/foxtide/examples/measure/organisations.rs
+++ b/crates/foxtide/examples/measure/organisations.rs
@@ -33,39 +33,39 @@
                 burst: 10.0,
             }),
         },
-        keys: (0..KEYS_EACH).map(|place| key(number, place)).collect(),
+        keys: (0..KEYS_EACH).map(|index| key(number, index)).collect(),
     };
     (0..ORGANISATIONS).map(entry).collect()
 }
 
-fn key(organisation: usize, place: usize) -> ApiKey {
-    let text = format!("{:020x}", organisation * KEYS_EACH + place);
+fn key(organisation: usize, index: usize) -> ApiKey {
+    let text = format!("{:020x}", organisation * KEYS_EACH + index);
     text.parse().expect("the key is valid")
 }
 
 /// Measures 100,000 keys of 5,000 organisations.
 pub(crate) fn run(report: &mut Report) {
     let entries = entries();
-    let before_bytes = memory_bytes();
-    let began_at = Instant::now();
+    let memory_before = memory_bytes();
+    let started = Instant::now();
     let table = OrganisationTable::new(entries.clone());
-    let swap_ms = began_at.elapsed().as_secs_f64() * 1e3;
-    let grown_mb = (memory_bytes() - before_bytes) / 1e6;
+    let swap_ms = started.elapsed().as_secs_f64() * 1e3;
+    let memory_mb = (memory_bytes() - memory_before) / 1e6;
     report.figure(
         "organisations.keys",
         table.keys_count() as f64,
         "keys",
         Limit::None,
     );
-    report.figure("organisations.memory", grown_mb, "MB", Limit::AtMost(32.0));
+    report.figure("organisations.memory", memory_mb, "MB", Limit::AtMost(32.0));
     report.figure("organisations.swap", swap_ms, "ms", Limit::None);
-    let asked: Vec<ApiKey> = (0..1_000)
+    let keys: Vec<ApiKey> = (0..1_000)
         .map(|number| key(number * 5 % ORGANISATIONS, number % KEYS_EACH))
         .collect();
-    let began_at = Instant::now();
+    let started = Instant::now();
     for number in 0..LOOKUPS {
-        black_box(table.find(&asked[number % asked.len()]));
+        black_box(table.find(&keys[number % keys.len()]));
     }
-    let lookup_ns = began_at.elapsed().as_secs_f64() * 1e9 / LOOKUPS as f64;
+    let lookup_ns = started.elapsed().as_secs_f64() * 1e9 / LOOKUPS as f64;
     report.figure("organisations.lookup", lookup_ns, "ns", Limit::None);
 }
--- a/crates/foxtide/examples/measure/report.rs
+++ b/crates/foxtide/examples/measure/report.rs
@@ -15,7 +15,7 @@
 }
 
 impl Limit {
-    fn holds(self, value: f64) -> bool {
+    fn is_met(self, value: f64) -> bool {
         match self {
             Self::AtMost(most) => value <= most,
             Self::AtLeast(least) => value >= least,
@@ -37,22 +37,22 @@
 /// Prints figures as they come and counts those beyond their limit.
 #[derive(Debug, Default)]
 pub(crate) struct Report {
-    broken: usize,
+    violations: usize,
 }
 
 impl Report {
     /// Prints one figure.
     pub(crate) fn figure(&mut self, name: &str, value: f64, unit: &str, limit: Limit) {
-        let held = limit.holds(value);
-        let verdict = if held { "held" } else { "BROKEN" };
+        let is_met = limit.is_met(value);
+        let verdict = if is_met { "held" } else { "BROKEN" };
         println!("{name:<56} {value:>14.4} {unit:<12} {limit:>10} {verdict}");
-        self.broken += usize::from(!held);
+        self.violations += usize::from(!is_met);
     }
 
     /// Returns success where every figure kept its limit.
     pub(crate) fn exit_code(&self) -> ExitCode {
-        println!("{} figure(s) beyond their limit", self.broken);
-        if self.broken == 0 {
+        println!("{} figure(s) beyond their limit", self.violations);
+        if self.violations == 0 {
             ExitCode::SUCCESS
         } else {
             ExitCode::FAILURE
