--- a/crates/foxtide/examples/measure/document.rs
+++ b/crates/foxtide/examples/measure/document.rs
@@ -1,4 +1,4 @@
-//! Size and decoding time of an organisation's document.
+//! Measures the size and decoding time of an organisation's document.
 
 use crate::report::{
     Limit,
@@ -10,7 +10,7 @@
 
 const DECODE_ROUNDS: u32 = 200;
 
-/// A document of today's size: four services of twelve upstreams.
+/// Returns a document of typical size: four services with twelve upstreams each.
 fn document() -> String {
     let mut services = Vec::new();
     for service in ["viewer", "notices", "archive", "hazards"] {
@@ -38,13 +38,12 @@
     )
 }
 
-/// Measures the document of today's size.
 pub(crate) fn run(report: &mut Report) {
     let text = document();
     let started = Instant::now();
     for _ in 0..DECODE_ROUNDS {
         let decoded: Result<Organisation, _> = serde_json::from_str(&text);
-        assert!(decoded.is_ok(), "the document is valid");
+        assert!(decoded.is_ok(), "valid document");
     }
     let mean_us = started.elapsed().as_secs_f64() * 1e6 / f64::from(DECODE_ROUNDS);
     let limit = Limit::AtMost(VALUE_MAX_BYTES as f64);
--- a/crates/foxtide/examples/measure/explain.rs
+++ b/crates/foxtide/examples/measure/explain.rs
@@ -1,5 +1,5 @@
-//! What it costs to be able to explain every look-up and request, against
-//! keeping a text for each.
+//! Measures the time and memory of the explain log, compared with storing a
+//! formatted text for each request.
 
 use crate::report::{
     Limit,
@@ -27,14 +27,13 @@
 use std::collections::VecDeque;
 use std::time::Instant;
 
-/// Look-ups a second at one instance at target size: 590,000 over 600.
+/// Look-ups per second at one instance of the target fleet: 590,000 over 600.
 const DECISIONS_PER_S: usize = 983;
 const DURATION_S: usize = 60;
 const BASELINE_TEXTS: usize = 20_480;
 const SERVICES: usize = 4;
 const SIZE_MAX_BYTES: f64 = 4_194_304.0;
 
-/// Measures the explain log.
 pub(crate) fn run(report: &mut Report) {
     let explainer = Explainer::default();
     let started = Instant::now();
@@ -54,19 +53,19 @@
         ..ExplainFilter::default()
     });
     let select_us = started.elapsed().as_secs_f64() * 1e6;
-    assert_eq!(found.len(), 1, "the latest request is kept");
+    assert_eq!(found.len(), 1, "the latest request is in the log");
     report.figure("explain.ask", select_us, "us", Limit::None);
     measure_baseline(report);
 }
 
 fn request(number: usize) -> RequestId {
     let text = format!("0197f000-0000-7000-8000-{number:012}");
-    text.parse().expect("a request id")
+    text.parse().expect("valid request id")
 }
 
 fn record_decisions(explainer: &Explainer) {
-    let region: RegionId = "khomas".parse().expect("a name");
-    let upstream: UpstreamId = "viewer-3".parse().expect("a name");
+    let region: RegionId = "khomas".parse().expect("valid name");
+    let upstream: UpstreamId = "viewer-3".parse().expect("valid name");
     for second in 0..DURATION_S {
         let now = WallTime::from_ms(second as u64 * 1_000);
         let views: Vec<_> = (0..SERVICES)
@@ -88,7 +87,7 @@
     }
 }
 
-/// Three regions and twelve upstreams with four figures each.
+/// Returns a view of fifteen candidates with four figures each.
 fn view(service: usize, taken_us: WallTime) -> View {
     let figures = [
         FigureKind::WeightShare,
@@ -97,7 +96,7 @@
         FigureKind::LatencyMs,
     ];
     let candidate = |number: usize| Candidate {
-        name: CandidateName::Upstream(format!("viewer-{number}").parse().expect("a name")),
+        name: CandidateName::Upstream(format!("viewer-{number}").parse().expect("valid name")),
         region: None,
         excluded: None,
         figures: figures
@@ -110,15 +109,15 @@
             .collect(),
     };
     View {
-        organisation: "hamutenya".parse().expect("a name"),
-        service: format!("service-{service}").parse().expect("a name"),
+        organisation: "hamutenya".parse().expect("valid name"),
+        service: format!("service-{service}").parse().expect("valid name"),
         revision: 1,
         taken_us,
         candidates: (0..15).map(candidate).collect(),
     }
 }
 
-/// Keeps a text that holds the same figures for each request.
+/// Formats and stores the same figures as a text for each request.
 fn measure_baseline(report: &mut Report) {
     let mut texts: VecDeque<String> = VecDeque::with_capacity(BASELINE_TEXTS);
     let started = Instant::now();
--- a/crates/foxtide/examples/measure/linear_fit.rs
+++ b/crates/foxtide/examples/measure/linear_fit.rs
@@ -1,16 +1,14 @@
-//! A straight line through measured points.
+//! Least-squares fit of a straight line to measured points.
 
-/// A line `intercept + slope * x`.
+/// The line `intercept + slope * x`.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct LinearFit {
-    /// The value at zero.
     pub(crate) intercept: f64,
-    /// The growth for each one of `x`.
     pub(crate) slope: f64,
 }
 
 impl LinearFit {
-    /// Returns the line with the least squared distance from the points.
+    /// Fits a line by least squares of the vertical distances.
     pub(crate) fn least_squares(points: &[(f64, f64)]) -> Self {
         let count = points.len() as f64;
         let mean = |part: fn(&(f64, f64)) -> f64| points.iter().map(part).sum::<f64>() / count;
@@ -27,7 +25,6 @@
         }
     }
 
-    /// Returns the value at `x`.
     pub(crate) fn at(self, x: f64) -> f64 {
         self.intercept + self.slope * x
     }
--- a/crates/foxtide/examples/measure/main.rs
+++ b/crates/foxtide/examples/measure/main.rs
@@ -1,7 +1,8 @@
-//! Prints measured figures, one a line: `name value unit limit held`.
+//! Measures the components of foxtide and prints one figure per line:
+//! `name value unit limit held`.
 //!
-//! `cargo run --release --example measure -- decisions` or `-- fleet`, with
-//! the name of a single module after it to run just that one.
+//! Run with `cargo run --release --example measure -- decisions` or `-- fleet`.
+//! The name of a module as second argument restricts the run to that module.
 
 mod at_most_once;
 mod blocks;
@@ -24,10 +25,10 @@
 use report::Report;
 use std::process::ExitCode;
 
-/// One group of figures.
+/// A module's name on the command line and its entry point.
 type Measurement = (&'static str, fn(&mut Report));
 
-/// What each instance decides, against simpler baselines.
+/// Quality and cost of an instance's decisions, compared with simpler baselines.
 const DECISIONS: &[Measurement] = &[
     ("at_most_once", at_most_once::run),
     ("blocks", blocks::run),
@@ -36,7 +37,7 @@
     ("steering", steering::run),
 ];
 
-/// What a fleet of instances costs and how fast it agrees.
+/// Resource usage and convergence time of a fleet.
 const FLEET: &[Measurement] = &[
     ("document", document::run),
     ("events", events::run),
--- a/crates/foxtide/examples/measure/organisations.rs
+++ b/crates/foxtide/examples/measure/organisations.rs
@@ -1,4 +1,4 @@
-//! What the keys of organisations cost: memory, the swap of a version, a look-up.
+//! Measures the table of organisations' API keys: memory, rebuild and look-up time.
 
 use crate::report::{
     Limit,
@@ -25,7 +25,7 @@
         terms: OrganisationTerms {
             organisation: format!("organisation-{number}")
                 .parse()
-                .expect("the name is valid"),
+                .expect("valid name"),
             priority: None,
             home_regions: Vec::new(),
             quota: Some(Quota {
@@ -40,10 +40,9 @@
 
 fn key(organisation: usize, index: usize) -> ApiKey {
     let text = format!("{:020x}", organisation * KEYS_EACH + index);
-    text.parse().expect("the key is valid")
+    text.parse().expect("valid key")
 }
 
-/// Measures 100,000 keys of 5,000 organisations.
 pub(crate) fn run(report: &mut Report) {
     let entries = entries();
     let memory_before = memory_bytes();
--- a/crates/foxtide/examples/measure/report.rs
+++ b/crates/foxtide/examples/measure/report.rs
@@ -1,16 +1,16 @@
-//! Figures and whether they keep their limits.
+//! Prints figures and checks them against their limits.
 
 use std::fmt;
 use std::process::ExitCode;
 
-/// The bound that a figure is to keep.
+/// The limit of a figure.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum Limit {
-    /// The figure is to be at most this.
+    /// The maximum value.
     AtMost(f64),
-    /// The figure is to be at least this.
+    /// The minimum value.
     AtLeast(f64),
-    /// The figure is only told, often as another one's baseline.
+    /// No limit: the figure is informative, such as the baseline of another.
     None,
 }
 
@@ -34,14 +34,13 @@
     }
 }
 
-/// Prints figures as they come and counts those beyond their limit.
+/// Prints each figure and counts those outside their limits.
 #[derive(Debug, Default)]
 pub(crate) struct Report {
     violations: usize,
 }
 
 impl Report {
-    /// Prints one figure.
     pub(crate) fn figure(&mut self, name: &str, value: f64, unit: &str, limit: Limit) {
         let is_met = limit.is_met(value);
         let verdict = if is_met { "held" } else { "BROKEN" };
@@ -49,9 +48,9 @@
         self.violations += usize::from(!is_met);
     }
 
-    /// Returns success where every figure kept its limit.
+    /// Prints the number of violated limits; returns success if there are none.
     pub(crate) fn exit_code(&self) -> ExitCode {
-        println!("{} figure(s) beyond their limit", self.violations);
+        println!("{} figure(s) outside their limits", self.violations);
         if self.violations == 0 {
             ExitCode::SUCCESS
         } else {
--- a/crates/foxtide/examples/measure/resource_usage.rs
+++ b/crates/foxtide/examples/measure/resource_usage.rs
@@ -1,17 +1,16 @@
-//! What this process has used of the machine.
+//! CPU time and memory of this process, read from `/proc`.
 
 use std::time::Duration;
 
-/// The clock ticks in which Linux counts processor time, 10 ms each.
+/// Unit of the CPU times in `/proc/self/stat`, at the usual 100 ticks per second.
 const CLOCK_TICK: Duration = Duration::from_millis(10);
 
-/// The size of a page, in bytes.
 const PAGE_BYTES: f64 = 4_096.0;
 
-/// Returns the processor time used so far, by user and system.
+/// Returns the user and system CPU time used so far.
 pub(crate) fn cpu_time() -> Duration {
     let stat = std::fs::read_to_string("/proc/self/stat").unwrap_or_default();
-    // The name in parentheses may hold spaces; what follows does not.
+    // The process name, in parentheses, may contain spaces; later fields do not.
     let fields = stat.rsplit(')').next().unwrap_or_default();
     let fields: Vec<&str> = fields.split_whitespace().collect();
     let ticks = |index: usize| -> u32 {
@@ -21,7 +20,7 @@
     CLOCK_TICK * (ticks(11) + ticks(12))
 }
 
-/// Returns the resident memory, in bytes.
+/// Returns the resident set size, in bytes.
 pub(crate) fn memory_bytes() -> f64 {
     let statm = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
     let pages = statm.split_whitespace().nth(1);
