--- a/crates/foxtide/examples/measure/document.rs
+++ b/crates/foxtide/examples/measure/document.rs
@@ -11,7 +11,7 @@
 const DECODE_ROUNDS: u32 = 200;
 
 /// Returns a document of typical size: four services with twelve upstreams each.
-fn document() -> String {
+fn sample_document() -> String {
     let mut services = Vec::new();
     for service in ["viewer", "notices", "archive", "hazards"] {
         let mut upstreams = Vec::new();
@@ -39,7 +39,7 @@
 }
 
 pub(crate) fn run(report: &mut Report) {
-    let text = document();
+    let text = sample_document();
     let started = Instant::now();
     for _ in 0..DECODE_ROUNDS {
         let decoded: Result<Organisation, _> = serde_json::from_str(&text);
