--- a/crates/foxtide/examples/measure/membership.rs
+++ b/crates/foxtide/examples/measure/membership.rs
@@ -1,5 +1,5 @@
-//! What membership and load cost an instance, and how fast a killed instance is
-//! gone.
+//! Measures the network, CPU and memory usage of membership and load reports, and
+//! the detection time of killed instances.
 
 use crate::linear_fit::LinearFit;
 use crate::mesh_fleet::{
@@ -24,47 +24,44 @@
 
 const FLEET_SIZES: [usize; 5] = [10, 20, 40, 80, 160];
 
-/// A world in which the zones of 160 instances are as large as at target size.
+/// With 160 instances, zones as large as those of the target fleet: 40 instances.
 const LARGE_ZONES: Topology = Topology {
     regions: 2,
     zones: 4,
 };
 
-/// The target: instances, and what each may spend on control.
 const TARGET_INSTANCES: f64 = 600.0;
 const SENT_MAX_BYTES_PER_S: f64 = 3_000.0;
 const CPU_MAX_PERCENT: f64 = 4.9;
 const MEMORY_MAX_KB: f64 = 32_000.0;
 
-/// How long each fleet is watched.
 const MEASUREMENT_S: u32 = 15;
 
-/// The longest time in which a killed instance is gone everywhere, in seconds.
+/// Maximum time until no instance lists a killed instance as a member.
 const DETECTION_MAX_S: f64 = 3.0;
 
 const KILLS: usize = 20;
 
-/// What one instance spends.
+/// Average resource usage of one instance.
 #[derive(Clone, Copy, Debug, Default)]
 struct Cost {
     sent_bytes_per_s: f64,
     received_bytes_per_s: f64,
+    /// Sent by the busiest instance.
     busiest_bytes_per_s: f64,
     cpu_percent: f64,
     memory_kb: f64,
 }
 
-/// Measures membership.
 pub(crate) fn run(report: &mut Report) {
     let mut costs = Vec::new();
-    // Before any fleet, so that freed memory does not count as unused.
+    // Measured before any fleet starts: memory freed by one fleet remains resident.
     let memory_before = memory_bytes();
     for instances in FLEET_SIZES {
         let cost = measure_cost(report, instances, Topology::TARGET, memory_before);
         costs.push((instances as f64, cost));
     }
     extrapolate(report, &costs);
-    // The fleet of today, and one whose zones are as large as at target size.
     for (instances, topology) in [(10, Topology::CURRENT), (160, LARGE_ZONES)] {
         measure_cost(report, instances, topology, memory_before);
     }
@@ -124,7 +121,7 @@
     cost
 }
 
-/// Returns the age of the oldest load that any instance knows, in seconds.
+/// Returns the age of the oldest load report in use at any instance, in seconds.
 fn oldest_load_s(fleet: &Fleet) -> f64 {
     let views = fleet.handles.iter();
     let views = views.map(|handle| handle.fleet_view(&organisation()));
@@ -136,13 +133,13 @@
     ages.fold(0.0, f64::max)
 }
 
-/// Returns how many probes stayed without answer; all were wrong.
+/// Returns the number of failed probes; all are false, as every instance runs.
 fn failed_probes(fleet: &Fleet) -> f64 {
     let counts = fleet.handles.iter().map(MeshHandle::counts);
     counts.map(|counts| counts.failed_probes as f64).sum()
 }
 
-/// Bytes of one instance.
+/// Bytes sent and received by one instance.
 #[derive(Clone, Copy, Debug)]
 struct Traffic {
     sent: f64,
@@ -184,9 +181,8 @@
     }
 }
 
-/// Shows what the bytes sent come to at target size. Processor time and memory
-/// of so many instances in one process are mostly noise and what they share, so
-/// that the largest fleet is shown for them instead of a line.
+/// Extrapolates the bytes sent to the target fleet. CPU time and memory are not
+/// extrapolated: with many instances in one process, noise and shared memory dominate.
 fn extrapolate(report: &mut Report, costs: &[(f64, Cost)]) {
     let sent = fit(costs, |cost| cost.sent_bytes_per_s);
     report.figure("membership.sent.slope", sent.slope, "B/s/inst", Limit::None);
--- a/crates/foxtide/examples/measure/membership_virtual.rs
+++ b/crates/foxtide/examples/measure/membership_virtual.rs
@@ -1,5 +1,5 @@
-//! Membership on a virtual clock: probing within zones that delegates connect
-//! against one group of all instances, and how often live ones are suspected.
+//! Measures membership on a virtual clock: probing within zones, which delegates
+//! connect, compared with one group of all instances, and false detections.
 
 use crate::report::{
     Limit,
@@ -16,14 +16,13 @@
 
 const TARGET_INSTANCES: usize = 600;
 
-/// Every third instance is cut off; with zones these are whole regions.
+/// Every third instance is partitioned off; with zones these form whole regions.
 const PARTITION_STEP: usize = 3;
 
 const KILLS: u64 = 10;
 
 const PHASE: Duration = Duration::from_secs(60);
 
-/// Compares both groupings.
 pub(crate) fn run(report: &mut Report) {
     for (name, zones) in [("one_group", 1), ("zones", 15)] {
         let mut fleet = fleet(INSTANCES, zones, 0);
@@ -50,7 +49,6 @@
     measure_suspicions(report);
 }
 
-/// Measures the fleet at target size.
 fn measure_target_fleet(report: &mut Report) {
     let name = "membership.scope.600in15";
     let mut fleet = fleet(TARGET_INSTANCES, 15, 0);
@@ -68,8 +66,7 @@
     measure_detection(report, name, TARGET_INSTANCES, 15);
 }
 
-/// Returns a fleet; where all are one group, every probe has to wait for the
-/// regions furthest apart.
+/// Returns a fleet. In a single group, every probe has the timeout for other regions.
 fn fleet(instances: usize, zones: usize, seed: u64) -> VirtualFleet {
     let mut membership = MembershipOptions::default();
     if zones == 1 {
@@ -84,7 +81,7 @@
     })
 }
 
-/// Measures how long a killed instance stays a member somewhere.
+/// Measures the time until no instance lists a killed instance as a member.
 fn measure_detection(report: &mut Report, name: &str, instances: usize, zones: usize) {
     let durations_s = (0..KILLS).map(|seed| {
         let mut fleet = fleet(instances, zones, seed);
@@ -100,7 +97,7 @@
     report.figure(&format!("{name}.gone_longest"), longest_s, "s", Limit::None);
 }
 
-/// Returns the datagrams of one instance in one second.
+/// Returns the datagrams sent per second and instance.
 fn sent_per_s(fleet: &mut VirtualFleet) -> f64 {
     let before = fleet.sent();
     fleet.run_for(PHASE);
@@ -111,8 +108,8 @@
     report.figure(name, sent, "1/s/inst", Limit::None);
 }
 
-/// Suspicions of live instances while 20 % of the packets are lost, against
-/// probes without helpers and against a single ping. On a virtual clock.
+/// Counts false detections at 20 % packet loss, compared with direct probes only
+/// and with a single ping per probe.
 fn measure_suspicions(report: &mut Report) {
     let default = MembershipOptions::default();
     let without_helpers = MembershipOptions {
--- a/crates/foxtide/examples/measure/mesh_fleet.rs
+++ b/crates/foxtide/examples/measure/mesh_fleet.rs
@@ -1,4 +1,4 @@
-//! Real instances of the mesh on loopback, all in this process.
+//! A fleet of mesh instances on the loopback interface, all in this process.
 
 use foxtide_core::dissemination::Document;
 use foxtide_core::idempotency::ProcessNumber;
@@ -33,42 +33,38 @@
     Instant, //
 };
 
-/// Services of each organisation today.
 const SERVICES: [&str; 4] = ["viewer", "notices", "archive", "hazards"];
 
-/// Wait between two looks at a condition.
 const POLL_INTERVAL: Duration = Duration::from_millis(2);
 
-/// How long anything is waited for; beyond it the figure shows the limit.
+/// Maximum wait for a condition; a figure that reaches it means that it never held.
 const WAIT_MAX: Duration = Duration::from_secs(60);
 
-/// A fleet of instances.
 pub(crate) struct Fleet {
     /// The running instances.
     pub(crate) handles: Vec<MeshHandle>,
-    /// Loses their messages.
+    /// Injects packet loss and partitions.
     pub(crate) faults: Faults,
     topology: Topology,
     started: usize,
 }
 
-/// How a fleet is spread over the world.
+/// The numbers of regions and availability zones over which a fleet is spread.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Topology {
-    /// Regions.
     pub(crate) regions: usize,
-    /// Availability zones, dealt out to the regions in turn.
+    /// Availability zones, assigned to the regions in turn.
     pub(crate) zones: usize,
 }
 
 impl Topology {
-    /// The world at target size.
+    /// The topology of the target fleet of 600 instances.
     pub(crate) const TARGET: Self = Self {
         regions: 7,
         zones: 15,
     };
 
-    /// The world of each tenant today.
+    /// The topology of the current deployment of one tenant.
     pub(crate) const CURRENT: Self = Self {
         regions: 3,
         zones: 6,
@@ -76,7 +72,7 @@
 }
 
 impl Fleet {
-    /// Starts instances and waits until all know all.
+    /// Starts instances and waits until each knows all others.
     pub(crate) fn start(instances: usize, topology: Topology) -> Self {
         let mut fleet = Self {
             handles: Vec::new(),
@@ -91,16 +87,16 @@
         fleet
     }
 
-    /// Starts one more instance, under a new name.
+    /// Starts another instance, with a new name.
     pub(crate) fn start_instance(&mut self) {
         let number = self.started;
         self.started += 1;
         let zone = number % self.topology.zones;
         let loopback = SocketAddr::from(([127, 0, 0, 1], 0));
         let identity = Identity {
-            instance: format!("i{number}").parse().expect("a name"),
+            instance: format!("i{number}").parse().expect("valid name"),
             region: region(zone % self.topology.regions),
-            availability_zone: format!("zone-{zone}").parse().expect("a name"),
+            availability_zone: format!("zone-{zone}").parse().expect("valid name"),
             peer_address: loopback,
             caller_address: loopback,
             process: ProcessNumber::new(1),
@@ -113,17 +109,17 @@
         let seeds = self.handles.iter().take(3);
         let seeds: Vec<_> = seeds.map(MeshHandle::peer_address).collect();
         let handle = Mesh::start(identity, &seeds, options);
-        self.handles.push(handle.expect("a free port on loopback"));
+        self.handles.push(handle.expect("free port on loopback"));
     }
 
-    /// Kills an instance and returns it, as the others still know it.
+    /// Kills an instance, which does not announce it, and returns its handle.
     pub(crate) fn kill(&mut self, index: usize) -> MeshHandle {
         let killed = self.handles.swap_remove(index);
         killed.stop();
         killed
     }
 
-    /// Returns whether all know exactly those that run.
+    /// Returns whether every instance counts as many usable members as are running.
     pub(crate) fn is_converged(&self) -> bool {
         let count = self.handles.len();
         self.handles.iter().all(|handle| {
@@ -133,7 +129,7 @@
         })
     }
 
-    /// Waits until the news of its own start has been spread.
+    /// Waits until no instance has rumours left to send, such as those of the start.
     pub(crate) fn settle(&self) {
         wait_until(|| {
             let mut handles = self.handles.iter();
@@ -141,7 +137,7 @@
         });
     }
 
-    /// Returns whether all hold at least this revision.
+    /// Returns whether all instances have at least this revision.
     pub(crate) fn has_revision(&self, revision: u64) -> bool {
         self.handles.iter().all(|handle| {
             let documents = handle.configurations();
@@ -151,7 +147,7 @@
         })
     }
 
-    /// Lets every instance report its load, as it does each second.
+    /// Publishes a load report of every instance, as instances do each second.
     pub(crate) fn publish_load(&self) {
         for handle in &self.handles {
             handle.publish_load(&organisation(), instance_report(self.topology.regions));
@@ -166,7 +162,7 @@
             .collect()
     }
 
-    /// Cuts the first region off from all others.
+    /// Partitions the first region from all others.
     pub(crate) fn partition_first_region(&self) {
         let first = region(0);
         let (isolated, rest): (Vec<_>, Vec<_>) = self
@@ -181,13 +177,12 @@
             .partition(&[addresses(isolated), addresses(rest)]);
     }
 
-    /// Ends all instances.
     pub(crate) fn stop(self) {
         self.handles.iter().for_each(MeshHandle::stop);
     }
 }
 
-/// Waits until `condition` holds, and returns how long it took.
+/// Waits until `condition` holds, at most [`WAIT_MAX`]; returns the time taken.
 pub(crate) fn wait_until(condition: impl Fn() -> bool) -> Duration {
     let started = Instant::now();
     while !condition() && started.elapsed() < WAIT_MAX {
@@ -196,14 +191,13 @@
     started.elapsed()
 }
 
-/// Returns the organisation whose load and documents are spread.
+/// Returns the organisation of all load reports and documents.
 pub(crate) fn organisation() -> OrganisationId {
-    "hamutenya".parse().expect("a name")
+    "hamutenya".parse().expect("valid name")
 }
 
-/// Returns a document of the size that the organisation has today.
+/// Returns a document of typical size.
 pub(crate) fn document(revision: u64) -> Document {
-    /// As `document.size` shows.
     const SIZE_BYTES: usize = 7_000;
     Document {
         organisation: organisation(),
@@ -213,7 +207,7 @@
 }
 
 fn region(number: usize) -> RegionId {
-    format!("region-{number}").parse().expect("a name")
+    format!("region-{number}").parse().expect("valid name")
 }
 
 fn instance_report(regions: usize) -> InstanceReport {
@@ -225,7 +219,7 @@
         healthy_share: Some(Share::ONE),
         row: regions.iter().map(|id| (id.clone(), share)).collect(),
     };
-    let service = |name: &str| -> ServiceId { name.parse().expect("a name") };
+    let service = |name: &str| -> ServiceId { name.parse().expect("valid name") };
     let services = SERVICES.map(|name| (service(name), service_report.clone()));
     let claim = Claim {
         planned_rps: rate,
--- a/crates/foxtide/examples/measure/spread.rs
+++ b/crates/foxtide/examples/measure/spread.rs
@@ -1,5 +1,5 @@
-//! How fast a change of configuration is in force everywhere, under faults too,
-//! and what it costs.
+//! Measures the propagation time of configuration changes, also under faults, and
+//! the network traffic that they cause.
 
 use crate::mesh_fleet::{
     Fleet,
@@ -28,27 +28,26 @@
 const INSTANCES: usize = 160;
 const CHANGES: usize = 100;
 
-/// The longest time to all instances for 99 of 100 changes, in seconds.
+/// Maximum of the 99th percentile of the time to all instances.
 const P99_MAX_S: f64 = 2.0;
 
-/// The longest time to all instances under faults, in seconds.
+/// Maximum time to all instances after a fault.
 const FAULT_MAX_S: f64 = 18.0;
 
-/// Changes on a day at target size.
+/// Changes per day of the target fleet.
 const CHANGES_PER_DAY: f64 = 2_800.0;
 const DAY_S: f64 = 86_400.0;
 const BYTES_MAX_PER_S: f64 = 3_000.0;
 
-/// How long a region is cut off; stands for a minute.
+/// Shorter than the partition of a minute that it represents, to save time.
 const PARTITION_DURATION: Duration = Duration::from_secs(10);
 
-/// Time within which a watch tells of a change.
+/// Delay with which a watch of the store reports a change.
 const WATCH_INTERVAL: Duration = Duration::from_millis(50);
 
 const ROUNDS_WITH_KILLED_WATCHERS: u64 = 3;
 const SEED: u64 = 17;
 
-/// Measures the spreading of configuration.
 pub(crate) fn run(report: &mut Report) {
     measure_healthy(report);
     measure_killed_watchers(report);
@@ -113,8 +112,8 @@
     (sent_bytes(fleet) - before) / started.elapsed().as_secs_f64()
 }
 
-/// Tells every present watcher of the store's newest document until all hold
-/// it, as its watch would; one that becomes a watcher reads it then.
+/// Publishes the newest document at all current watchers, as their watches of the
+/// store would, until all instances have it; returns the time taken.
 fn wait_until_all_hold(fleet: &Fleet, newest: &Document) -> Duration {
     let started = Instant::now();
     while !fleet.has_revision(newest.revision.get())
@@ -132,7 +131,7 @@
     let mut fleet = Fleet::start(INSTANCES, Topology::TARGET);
     let mut longest_s: f64 = 0.0;
     for revision in 1..=ROUNDS_WITH_KILLED_WATCHERS {
-        // The first half of the zones loses both of its watchers.
+        // Half of the zones lose both of their watchers.
         let mut to_kill = fleet.watchers();
         to_kill.sort_by_key(|index| fleet.handles[*index].own().availability_zone);
         to_kill.truncate(to_kill.len() / 2);
@@ -153,7 +152,7 @@
     let fleet = Fleet::start(INSTANCES, Topology::CURRENT);
     fleet.partition_first_region();
     std::thread::sleep(PARTITION_DURATION);
-    // The store is on the larger side.
+    // The store is on the larger side of the partition.
     let newest = document(1);
     fleet.handles[1].publish_configuration(&newest);
     wait_until(|| fleet.handles[2].configurations().len() == 1);
@@ -168,8 +167,8 @@
     fleet.stop();
 }
 
-/// Changes while instances are replaced and a region is cut off now and then;
-/// no instance may ever take a lower revision after a higher one.
+/// Publishes changes while instances are replaced and a region is partitioned at
+/// random; counts the applied revisions that are not newer than the one before.
 fn measure_reverts(report: &mut Report) {
     const CHANGES: u64 = 200;
     const FLEET_SIZE: usize = 20;
@@ -187,7 +186,7 @@
             3..=6 => fleet.faults.heal(),
             _ => {}
         }
-        // A lagging watcher tells of an older revision now and then.
+        // A second, possibly lagging watcher reports the same or an older revision.
         let lag = rng.random_range(0..3).min(revision - 1);
         let indices = [(); 2].map(|()| rng.random_range(0..FLEET_SIZE));
         fleet.handles[indices[0]].publish_configuration(&document(revision));
--- a/crates/foxtide/examples/measure/store.rs
+++ b/crates/foxtide/examples/measure/store.rs
@@ -1,6 +1,5 @@
-//! Calls to the store as the fleet grows, and when the store returns after an
-//! outage, against instances that each keep a watch and retry at a fixed
-//! period.
+//! Measures the calls to the store by size of the fleet and after an outage, compared
+//! with instances that all watch the store and retry at a fixed period.
 
 use crate::report::{
     Limit,
@@ -43,55 +42,46 @@
     Instant, //
 };
 
-/// The sizes of fleets.
 const FLEET_SIZES: [u32; 3] = [10, 40, 160];
 
-/// The availability zones of the fleet, and the watching instances of each.
 const ZONES: u32 = 6;
 const WATCHERS_PER_ZONE: u32 = 2;
 
-/// How long the calls of a fleet at rest are counted.
 const STEADY_DURATION: Duration = Duration::from_secs(6);
 
-/// How long a watch waits; shorter than in operation so that the measurement
-/// sees several rounds. The calls a second of a watch are in inverse
-/// proportion.
+/// Wait of a watch call; shorter than in operation, so that the measurement covers
+/// several calls. The call rate of a watch is inversely proportional to it.
 const WATCH_WAIT: Duration = Duration::from_secs(2);
 
-/// How often the measured organisation changes.
+/// Interval between changes of the measured organisation.
 const CHANGE_PERIOD: Duration = Duration::from_millis(500);
 
-/// How long the store is away, and the fixed retry period of the baseline.
 const OUTAGE_DURATION: Duration = Duration::from_secs(6);
 const FIXED_RETRY_PERIOD: Duration = Duration::from_secs(1);
 
-/// How long calls are sampled after the store's return, in which span the
-/// busiest is looked for.
+/// Calls are sampled for this long after the outage, to find the peak rate.
 const RECOVERY_DURATION: Duration = Duration::from_secs(16);
 const SAMPLE_PERIOD: Duration = Duration::from_millis(50);
 const PEAK_SPAN_SAMPLES: usize = 4;
 
-/// The organisations and the size of each one's document where the bytes of a
-/// change are counted, and the number of changes.
 const ORGANISATIONS: u32 = 20;
 const DOCUMENT_BYTES: usize = 10_000;
 const CHANGES: u32 = 20;
 
-/// Changes of configuration a day at the target size.
+/// Configuration changes per day of the target fleet.
 const CHANGES_PER_DAY: f64 = 2_800.0;
 
-/// How the instances of a fleet behave.
+/// Which instances watch the store, and how they retry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum WatchMode {
-    /// Every instance watches and retries at a fixed period.
+    /// Every instance watches and retries at a fixed period: the baseline.
     FixedRetry,
-    /// Every instance watches, with budget and jittered back-off.
+    /// Every instance watches, with a call budget and jittered back-off.
     All,
-    /// The elected instances watch, with budget and jittered back-off.
+    /// The elected instances watch, with a call budget and jittered back-off.
     Elected,
 }
 
-/// Runs all measurements.
 pub(crate) fn run(report: &mut Report) {
     smol::block_on(async {
         measure_growth(report).await;
@@ -113,7 +103,7 @@
         let name = format!("store.calls.{instances}.baseline");
         report.figure(&name, baseline[index], "calls/s", Limit::None);
     }
-    // From the first fleet that has all its watchers on.
+    // The smallest fleet is left out: it has fewer instances than watchers.
     let added = f64::from(FLEET_SIZES[2] - FLEET_SIZES[1]);
     let slope = (elected[2] - elected[1]) / added;
     let baseline_slope = (baseline[2] - baseline[1]) / added;
@@ -131,7 +121,7 @@
     );
 }
 
-/// Returns the calls a second of a fleet whose organisation changes steadily.
+/// Returns the call rate of a fleet while an organisation changes at a fixed interval.
 async fn steady_calls_per_s(instances: u32, mode: WatchMode) -> f64 {
     let server = start_server().await;
     let _fleet = start_fleet(&server, instances, mode);
@@ -178,7 +168,7 @@
     );
 }
 
-/// Returns the most calls in a short span after the store has come back.
+/// Returns the maximum number of calls within 200 ms after an outage.
 async fn peak_after_outage(instances: u32, mode: WatchMode) -> f64 {
     let server = start_server().await;
     let _fleet = start_fleet(&server, instances, mode);
@@ -228,7 +218,7 @@
     );
 }
 
-/// Returns the bytes of answers that a change brings a watching instance.
+/// Returns the bytes that a watcher receives per change.
 async fn bytes_per_change(handle: &PrometheusHandle, individual_watches_max: usize) -> f64 {
     let server = start_server().await;
     for number in 0..ORGANISATIONS {
@@ -260,7 +250,7 @@
     );
 }
 
-/// Returns the bytes of all answers of the store so far.
+/// Returns the total bytes received from the store.
 fn answer_bytes(handle: &PrometheusHandle) -> f64 {
     let text = handle.render();
     let lines = text
@@ -272,7 +262,7 @@
 
 async fn start_server() -> StoreServer {
     let server = StoreServer::start(StoreOptions::default()).await;
-    let server = server.expect("a free port");
+    let server = server.expect("free port");
     server.set_value(&format!("{ORGANISATION_PREFIX}measured"), "first");
     server
 }
@@ -282,7 +272,7 @@
     calls.total(CallKind::Read) + calls.total(CallKind::Watch)
 }
 
-/// Starts the fleet's watches; they end with the tasks.
+/// Starts the watches of a fleet; dropping a task ends its watch.
 fn start_fleet(server: &StoreServer, instances: u32, mode: WatchMode) -> Vec<Task<()>> {
     let numbers = 0..instances;
     let tasks = numbers.map(|number| match mode {
@@ -325,7 +315,7 @@
     })
 }
 
-/// The baseline: a watch that is repeated, after a failure at a fixed period.
+/// Repeats a watch call; waits for a fixed period after a failure.
 async fn fixed_retry(store: HttpStore) {
     let mut after = StoreIndex::ABSENT;
     loop {
