--- a/crates/foxtide/examples/measure/at_most_once.rs
+++ b/crates/foxtide/examples/measure/at_most_once.rs
@@ -1,5 +1,5 @@
-//! Non-idempotent requests under faults, by the chosen way and by others, and
-//! what the table of keys costs.
+//! Simulates non-idempotent requests under faults with several at-most-once policies,
+//! and measures the table of idempotency keys.
 
 mod fleet;
 mod policy;
@@ -45,19 +45,18 @@
     RecordEach, //
 };
 
-/// The store's writes a second, for everything.
+/// Maximum rate of writes to the store, for all purposes.
 const STORE_WRITES_PER_S: f64 = 300.0;
 
 const TABLE_KEYS: usize = 1_000_000;
 const PAGE_BYTES: f64 = 4_096.0;
 
-/// Look-ups a second at target size, instances, and the part of each caller's
-/// requests that is taken to be non-idempotent.
 const TARGET_RPS: f64 = 590_000.0;
 const TARGET_INSTANCES: f64 = 600.0;
+
+/// Share of the requests that are non-idempotent and carry a key.
 const TARGET_KEYED_SHARE: f64 = 0.1;
 
-/// Measures all ways.
 pub(crate) fn run(report: &mut Report) {
     let options = SimulationOptions::default();
     let instances = options.instances;
@@ -112,7 +111,7 @@
     figure(
         "redirects",
         share(tally.redirects),
-        "a request",
+        "1/request",
         Limit::None,
     );
     let writes = tally.store_writes as f64 / tally.seconds;
@@ -123,7 +122,7 @@
     figure("store_writes", writes, "1/s", writes_limit);
 }
 
-/// Fills a table with keys that have ended, then times new ones.
+/// Fills a table with ended keys to find their size, then times new keys.
 fn measure_table(report: &mut Report) {
     let owner = owner(0, 0);
     let options = TableOptions {
@@ -200,7 +199,7 @@
     );
 }
 
-/// Returns the memory that the process has in use (proc(5), `statm`).
+/// Returns the resident set size (proc(5), `statm`).
 fn resident_bytes() -> f64 {
     let statm = fs::read_to_string("/proc/self/statm").unwrap_or_default();
     let pages = statm.split_whitespace().nth(1).and_then(|p| p.parse().ok());
--- a/crates/foxtide/examples/measure/at_most_once/fleet.rs
+++ b/crates/foxtide/examples/measure/at_most_once/fleet.rs
@@ -1,4 +1,4 @@
-//! A fleet in simulated time, with faults at every step of a request.
+//! Discrete-event simulation of a fleet, with faults at every step of a request.
 
 use super::policy::{
     Decision,
@@ -28,13 +28,11 @@
 use std::collections::BinaryHeap;
 use std::time::Duration;
 
-/// How often time is let pass.
 pub(super) const TICK_PERIOD_US: u64 = 100_000;
 
-/// How long it takes until all know that a process died or started.
+/// Delay until all instances and callers know that a process crashed or started.
 pub(super) const MEMBERSHIP_LAG_US: u64 = 1_000_000;
 
-/// When simulated time starts.
 pub(super) const SIMULATION_START: WallTime = WallTime::from_ms(1_800_000_000_000);
 
 const SEED: u64 = 6_007;
@@ -58,7 +56,7 @@
 }
 
 impl<P: Policy> Fleet<P> {
-    /// Returns a fleet whose requests have not come yet.
+    /// Creates a fleet and schedules the start of all requests.
     pub(super) fn new(policy: P, options: SimulationOptions) -> Self {
         let mut random = StdRng::seed_from_u64(SEED);
         let instances = (0..options.instances).map(|_| Instance {
@@ -94,7 +92,7 @@
         fleet
     }
 
-    /// Runs all requests to their end.
+    /// Runs the simulation until all requests have ended.
     pub(super) fn run(mut self) -> Tally {
         while let Some(Reverse((at_us, _, event))) = self.events.pop() {
             self.now_us = at_us;
@@ -117,7 +115,8 @@
         }
     }
 
-    /// Does an attempt's next step unless its process is gone or paused.
+    /// Executes an attempt's next step; drops it if the process has crashed since, and
+    /// postpones it if the process is paused.
     fn at_instance(&mut self, attempt: usize, event: Event, step: fn(&mut Self, usize)) {
         let instance = &self.instances[self.attempts[attempt].instance];
         let arriving = matches!(event, Event::Arrive { .. });
@@ -191,7 +190,7 @@
     fn arrive(&mut self, attempt: usize) {
         let index = self.attempts[attempt].instance;
         if !self.instances[index].alive {
-            // The connection is refused: this attempt was not sent.
+            // The connection is refused, so the caller knows that this attempt is not run.
             self.receive_reply(attempt, Reply::Final(Outcome::NotRun));
             return;
         }
@@ -205,7 +204,7 @@
         };
         let request = &self.requests[self.attempts[attempt].request];
         let Some(key) = request.key.clone() else {
-            return; // The caller took another key since.
+            return; // The caller has discarded the key since.
         };
         if self.attempts[attempt].key + 1 != request.keys.len() {
             return;
@@ -269,7 +268,7 @@
         }
     }
 
-    /// The exchange with the upstream ends without an answer.
+    /// Ends the exchange with the upstream without a response.
     fn fail_exchange(&mut self, attempt: usize) {
         if !self.is_same_process(attempt) {
             return;
@@ -289,7 +288,7 @@
         }
     }
 
-    /// Checks what an instance says, and tells it unless the answer is lost.
+    /// Verifies an instance's reply and delivers it to the caller unless it is lost.
     fn send_reply(&mut self, attempt: usize, reply: Reply) {
         let key = self.key_state(attempt);
         if reply == Reply::Final(Outcome::NotRun) && key.runs + key.sent > 0 {
@@ -312,7 +311,7 @@
         self.attempts[attempt].caller_waiting = false;
         match reply {
             Reply::Final(Outcome::NotRun) if !self.is_unresolved(request) => {
-                // Nothing of this key is under way: another may be used.
+                // No attempt with this key is in flight, so a new key is safe.
                 self.requests[request].key = None;
                 self.schedule(RETRY_DELAY_US, Event::Retry { request });
             }
@@ -340,8 +339,7 @@
         self.requests[request].result = Some(outcome);
     }
 
-    /// Tells whether an attempt of the request may still run, for all that its
-    /// caller knows.
+    /// Returns whether, as far as its caller knows, an attempt may still run.
     fn is_unresolved(&self, request: usize) -> bool {
         let attempts = &self.requests[request].attempts;
         attempts
--- a/crates/foxtide/examples/measure/at_most_once/policy.rs
+++ b/crates/foxtide/examples/measure/at_most_once/policy.rs
@@ -1,4 +1,4 @@
-//! Ways to run a request at most once, as the simulated fleet sees them.
+//! The interface of at-most-once policies, and the policies without a store.
 
 use foxtide_core::idempotency::{
     Begin,
@@ -17,74 +17,72 @@
 use foxtide_core::units::ByteSize;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// The random bytes of a key.
 pub(super) type KeyRandom = [u8; 10];
 
-/// What an instance does with a copy of a request.
+/// What an instance does with an attempt.
 #[derive(Debug)]
 pub(super) enum Decision<C> {
-    /// Runs it, once the way's own work is done.
+    /// Runs the request after [`Policy::BEGIN_DELAY_US`].
     Run(C),
-    /// Sends the caller to another instance.
+    /// Redirects the caller to another instance.
     Redirect(usize),
-    /// Answers.
+    /// Replies without running the request.
     Reply(Reply),
 }
 
-/// What a caller is told without a run.
+/// A reply to the caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Reply {
-    /// Final: as the outcome says.
+    /// The outcome of the request or of the key.
     Final(Outcome),
-    /// It is to ask again with the same key.
+    /// The caller is to retry with the same key.
     Retry,
 }
 
-/// What an instance sees when it decides.
+/// The state of an instance on which a policy decides.
 #[derive(Debug)]
 pub(super) struct View<'a> {
-    /// The instance that decides.
     pub(super) instance: usize,
-    /// Its clock.
+    /// The instance's clock.
     pub(super) now: WallTime,
-    /// Which instances it believes to be members.
+    /// For each instance, whether it is believed to be a member.
     pub(super) members: &'a [bool],
 }
 
-/// A way to run a request at most once.
+/// A policy that runs requests at most once.
 pub(super) trait Policy {
-    /// A key as the caller holds it.
+    /// The key that a caller sends.
     type Key: Clone;
-    /// The right to run it.
+    /// The right to run a key.
     type Claim;
 
-    /// How long the way's own work takes before the first byte goes out.
+    /// Duration of the policy's own work before the first byte is sent.
     const BEGIN_DELAY_US: u64 = 0;
 
-    /// Mints a key for a request that is to go to `instance` first.
+    /// Mints a key for a request whose first attempt goes to `instance`.
     fn mint(&mut self, instance: usize, minted_at: WallTime, random: KeyRandom) -> Self::Key;
-    /// Decides about a copy.
+    /// Decides on an attempt.
     fn begin(&mut self, view: &View<'_>, key: &Self::Key) -> Decision<Self::Claim>;
-    /// Notes that a byte goes out.
+    /// Records that a byte is sent to the upstream.
     fn mark_written(&mut self, instance: usize, claim: &Self::Claim);
-    /// Notes that the upstream did not run it.
+    /// Records that the upstream did not run the request.
     fn mark_not_run(&mut self, instance: usize, claim: &Self::Claim);
-    /// Keeps the answer.
+    /// Stores the response.
     fn finish(&mut self, instance: usize, claim: Self::Claim);
-    /// Gives up without an answer.
+    /// Ends the request without a response and returns its outcome.
     fn abandon(&mut self, instance: usize, claim: Self::Claim) -> Outcome;
-    /// Starts another process in a dead one's place.
+    /// Replaces the state of a crashed process by that of a new one.
     fn restart(&mut self, instance: usize);
-    /// Lets time pass: what the way does by itself. `running` tells which
-    /// processes neither died nor are paused.
+    /// Performs periodic work. `running` tells which processes are neither crashed
+    /// nor paused.
     fn tick(&mut self, _now: WallTime, _running: &[bool]) {}
-    /// Returns how often the store was written so far.
+    /// Returns the number of writes to the store so far.
     fn store_writes(&self) -> u64 {
         0
     }
 }
 
-/// An answer of a kilobyte.
+/// A response of 1 KiB.
 #[derive(Clone, Debug)]
 pub(super) struct Answer;
 
@@ -94,16 +92,16 @@
     }
 }
 
-/// Returns the fingerprint that all requests have here.
+/// Returns the fingerprint of all simulated requests.
 pub(super) fn fingerprint() -> Fingerprint {
     Fingerprint::of([b"unlock".as_slice()])
 }
 
-/// Returns the name of a process.
+/// Returns the owner id of a process.
 pub(super) fn owner(instance: usize, process: u64) -> OwnerId {
     let name = format!("entry-{instance}");
     OwnerId {
-        instance: name.parse().expect("the name is valid"),
+        instance: name.parse().expect("valid name"),
         process: ProcessNumber::new(process),
     }
 }
@@ -112,7 +110,7 @@
     Decision::Reply(Reply::Final(refusal.outcome()))
 }
 
-/// The tables of a fleet, each in one process.
+/// The tables of idempotency keys of a fleet, one per process.
 #[derive(Debug)]
 pub(super) struct Tables {
     tables: Vec<Table<Answer>>,
@@ -120,7 +118,7 @@
 }
 
 impl Tables {
-    /// Starts one process an instance.
+    /// Creates the tables of the first process of each instance.
     pub(super) fn new(instances: usize) -> Self {
         let start = |instance| Table::new(owner(instance, 0), TableOptions::default());
         Self {
@@ -129,19 +127,18 @@
         }
     }
 
-    /// Returns an instance's table.
     pub(super) fn table(&mut self, instance: usize) -> &mut Table<Answer> {
         &mut self.tables[instance]
     }
 
-    /// Starts another process in a dead one's place.
+    /// Replaces the table of a crashed process by an empty one with a new owner.
     pub(super) fn restart(&mut self, instance: usize) {
         self.processes += 1;
         let owner = owner(instance, self.processes);
         self.tables[instance] = Table::new(owner, TableOptions::default());
     }
 
-    /// Decides by an instance's table about a key that names its process.
+    /// Decides on a key that names its owner; redirects to the owner if it is a member.
     pub(super) fn begin(&mut self, view: &View<'_>, key: &IdempotencyKey) -> Decision<Claim> {
         let table = &mut self.tables[view.instance];
         match table.begin(key, fingerprint(), view.now) {
@@ -151,7 +148,7 @@
             Begin::Refuse(refusal) => reject(refusal.reason),
             Begin::Elsewhere => {
                 let name = key.owner().instance.as_str().trim_start_matches("entry-");
-                let owner: usize = name.parse().expect("the name ends in a number");
+                let owner: usize = name.parse().expect("the name ends with a number");
                 if view.members[owner] {
                     Decision::Redirect(owner)
                 } else {
@@ -183,14 +180,13 @@
 }
 pub(super) use delegate_to_tables;
 
-/// The way that was chosen: a key names the process that may run it.
+/// The policy of foxtide: a key names the process that may run it.
 #[derive(Debug)]
 pub(super) struct NamedOwner {
     tables: Tables,
 }
 
 impl NamedOwner {
-    /// Returns the way for a fleet of this size.
     pub(super) fn new(instances: usize) -> Self {
         let tables = Tables::new(instances);
         Self { tables }
@@ -217,35 +213,31 @@
     delegate_to_tables!();
 }
 
-/// A plain key: its time and its random bytes.
+/// A key that does not name an owner.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct PlainKey {
-    /// When it was minted.
     pub(super) minted_at: WallTime,
-    /// What tells it from others.
     pub(super) random: KeyRandom,
 }
 
 impl PlainKey {
-    /// Returns the same key in the name of a table's process.
+    /// Returns the same key with an owner.
     pub(super) fn with_owner(&self, owner: &OwnerId) -> IdempotencyKey {
         IdempotencyKey::mint(owner.clone(), self.minted_at, self.random)
     }
 
-    /// Returns the key's hash.
     pub(super) fn hash(&self) -> u64 {
         xxh3_64(&self.random)
     }
 }
 
-/// Affinity alone: the member with the highest rendezvous hash runs the key.
+/// Affinity only: the member with the highest rendezvous hash runs the key.
 #[derive(Debug)]
 pub(super) struct Affinity {
     tables: Tables,
 }
 
 impl Affinity {
-    /// Returns the way for a fleet of this size.
     pub(super) fn new(instances: usize) -> Self {
         let tables = Tables::new(instances);
         Self { tables }
--- a/crates/foxtide/examples/measure/at_most_once/process_faults.rs
+++ b/crates/foxtide/examples/measure/at_most_once/process_faults.rs
@@ -1,4 +1,4 @@
-//! Deaths and pauses of processes, and who is believed to be a member.
+//! Crashes, restarts and pauses of processes, and the delayed view of the membership.
 
 use super::fleet::{
     Fleet,
@@ -69,7 +69,8 @@
         instance.changed_us = self.now_us;
     }
 
-    /// Returns who is believed to be a member: what was true a while ago.
+    /// Returns which instances are believed to be members: the true state, delayed by
+    /// [`MEMBERSHIP_LAG_US`].
     pub(super) fn believed_members(&self) -> Vec<bool> {
         let believed = |instance: &Instance| {
             let settled = self.now_us >= instance.changed_us + MEMBERSHIP_LAG_US;
--- a/crates/foxtide/examples/measure/at_most_once/simulation.rs
+++ b/crates/foxtide/examples/measure/at_most_once/simulation.rs
@@ -1,26 +1,24 @@
-//! What goes wrong in the simulated fleet, and what comes of it.
+//! Options of the simulation, and counts of its outcomes.
 
-/// What goes wrong, and how often.
+/// Load and fault rates of the simulation.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct SimulationOptions {
-    /// Requests in all.
+    /// Total number of requests.
     pub(super) requests: usize,
-    /// Requests a second.
     pub(super) rate_rps: u64,
-    /// Instances.
     pub(super) instances: usize,
-    /// A process dies about this often.
+    /// Mean time between crashes of processes in the fleet.
     pub(super) crash_period_ms: u64,
-    /// A process is paused about this often.
+    /// Mean time between pauses of processes in the fleet.
     pub(super) pause_period_ms: u64,
-    /// The longest pause.
+    /// Maximum duration of a pause.
     pub(super) pause_max_ms: u64,
-    /// The share of exchanges that break before the upstream runs the request,
-    /// and again after it did.
+    /// Share of exchanges whose connection is lost before the upstream runs the
+    /// request, and again the share after it did.
     pub(super) connection_loss_share: f64,
-    /// The share that an upstream refuses.
+    /// Share of requests that an upstream rejects without running them.
     pub(super) rejected_share: f64,
-    /// The share of answers lost on their way to the caller.
+    /// Share of replies that are lost on their way to the caller.
     pub(super) response_loss_share: f64,
 }
 
@@ -40,27 +38,26 @@
     }
 }
 
-/// What came of all requests.
+/// Counts of the outcomes of all requests.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Tally {
-    /// Requests whose callers got the answer.
+    /// Requests whose callers received the response.
     pub(super) done: u64,
-    /// Requests that were given up without a run.
+    /// Requests that callers abandoned, knowing that they were not run.
     pub(super) not_run: u64,
-    /// Requests whose callers do not know.
+    /// Requests whose callers do not know whether they were run.
     pub(super) unknown: u64,
-    /// Those of them that no fault touched while they were under way.
+    /// Those of the unknown requests that no fault affected while in flight.
     pub(super) unknown_without_fault: u64,
-    /// Requests that a fault touched while they were under way.
+    /// Requests that a fault affected while in flight.
     pub(super) affected: u64,
     /// Requests that were run more than once.
     pub(super) duplicated: u64,
-    /// Times that not-run was said of a key that may have run.
+    /// Replies of `NotRun` for a key that may have been run.
     pub(super) false_not_run: u64,
-    /// Copies that were sent to another instance.
+    /// Attempts that were redirected to another instance.
     pub(super) redirects: u64,
-    /// Writes to the store.
     pub(super) store_writes: u64,
-    /// How long the run took, in simulated seconds.
+    /// Duration in simulated time.
     pub(super) seconds: f64,
 }
--- a/crates/foxtide/examples/measure/at_most_once/state.rs
+++ b/crates/foxtide/examples/measure/at_most_once/state.rs
@@ -1,84 +1,82 @@
-//! The parts of the simulated fleet.
+//! State of the simulation: events, attempts, keys, requests and instances.
 
 use foxtide_core::outcome::Outcome;
 
-/// What happens next, to whom.
+/// A scheduled event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Event {
-    /// A caller has a new request.
+    /// A caller starts a request.
     Start { request: usize },
-    /// An attempt of a request arrives at an instance.
+    /// An attempt arrives at an instance.
     Arrive { attempt: usize },
-    /// Its first byte goes to the upstream.
+    /// The instance writes the first byte to the upstream.
     Write { attempt: usize },
-    /// The upstream runs it.
+    /// The upstream runs the request.
     UpstreamRuns { attempt: usize },
-    /// The upstream's answer arrives.
+    /// The upstream's response arrives at the instance.
     UpstreamAnswers { attempt: usize },
-    /// The caller waits for the attempt no longer.
+    /// The caller stops waiting for the attempt.
     CallerTimeout { attempt: usize },
     /// The caller sends another attempt.
     Retry { request: usize },
-    /// Time passes: leases are renewed, processes die or are paused.
+    /// Periodic: policies renew leases, and processes crash or are paused.
     Tick,
-    /// A process starts in a dead one's place.
+    /// A process starts in place of a crashed one.
     Boot { instance: usize },
 }
 
-/// One attempt of a request under way.
+/// A caller's attempt to have a request run.
 #[derive(Debug)]
 pub(super) struct Attempt<C> {
-    /// The request.
     pub(super) request: usize,
-    /// Which of the request's keys it carries.
+    /// Index of its key in [`Request::keys`].
     pub(super) key: usize,
-    /// Where it is.
+    /// The instance that has it.
     pub(super) instance: usize,
-    /// The process there that took it.
+    /// Number of the process that accepted it.
     pub(super) process: u64,
-    /// The right to run it, once given.
+    /// The right to run it, if granted.
     pub(super) claim: Option<C>,
-    /// Whether it may still run, for all that the caller knows.
+    /// Whether, as far as the caller knows, it may still run.
     pub(super) unresolved: bool,
-    /// Whether the caller still listens for its answer.
+    /// Whether the caller still waits for its reply.
     pub(super) caller_waiting: bool,
 }
 
-/// What became of one key.
+/// The uses of one key.
 #[derive(Debug, Default)]
 pub(super) struct KeyState {
-    /// How often an upstream ran it.
+    /// Number of times that an upstream ran it.
     pub(super) runs: u32,
-    /// Copies written to an upstream that has not refused them.
+    /// Attempts written to an upstream that has not rejected them.
     pub(super) sent: u32,
 }
 
-/// What a caller wants to be run once.
+/// A request that is to be run at most once.
 #[derive(Debug)]
 pub(super) struct Request<K> {
-    /// The key that the next attempt carries; none where another is to be minted.
+    /// The key of the next attempt; `None` if a new one is to be minted.
     pub(super) key: Option<K>,
-    /// The states of all keys that the caller used for it.
+    /// All keys used so far.
     pub(super) keys: Vec<KeyState>,
-    /// Its attempts.
+    /// Indices of its attempts.
     pub(super) attempts: Vec<usize>,
-    /// Whether a fault hit it while it was under way.
+    /// Whether a fault affected it while in flight.
     pub(super) affected: bool,
-    /// What the caller knows in the end.
+    /// The outcome as known to the caller, once final.
     pub(super) result: Option<Outcome>,
 }
 
-/// One instance.
 #[derive(Debug)]
 pub(super) struct Instance {
-    /// The number of its process.
+    /// Number of its current process.
     pub(super) process: u64,
-    /// Whether it runs.
+    /// Whether its process runs, paused or not.
     pub(super) alive: bool,
-    /// When that last changed.
+    /// When `alive` last changed.
     pub(super) changed_us: u64,
-    /// Until when its process is paused.
+    /// End of the current or last pause.
     pub(super) paused_until_us: u64,
-    /// How far its clock is ahead.
+    /// How far its clock is ahead of simulated time.
     pub(super) skew_us: u64,
 }
--- a/crates/foxtide/examples/measure/at_most_once/store_policy.rs
+++ b/crates/foxtide/examples/measure/at_most_once/store_policy.rs
@@ -1,4 +1,4 @@
-//! Ways that need the store.
+//! Policies that depend on the store.
 
 use super::policy::{
     Answer,
@@ -20,7 +20,7 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// When the store is down, from the run's start.
+/// When the store is unavailable, from the start of the simulation.
 const OUTAGE: std::ops::Range<Duration> = Duration::from_secs(40)..Duration::from_secs(70);
 
 const LEASE_DURATION: Duration = Duration::from_secs(10);
@@ -37,7 +37,7 @@
     Done,
 }
 
-/// A record in the store before each request, and one after it.
+/// Writes a record to the store before and after each request.
 #[derive(Debug)]
 pub(super) struct RecordEach {
     start: WallTime,
@@ -45,7 +45,7 @@
     writes: u64,
 }
 
-/// The right to run a request whose record was written.
+/// The right to run a request whose first record has been written.
 #[derive(Debug)]
 pub(super) struct RecordClaim {
     key: KeyRandom,
@@ -53,7 +53,6 @@
 }
 
 impl RecordEach {
-    /// Returns the way for a fleet that starts at `start`.
     pub(super) fn new(start: WallTime) -> Self {
         Self {
             start,
@@ -67,7 +66,7 @@
     type Key = PlainKey;
     type Claim = RecordClaim;
 
-    /// The store answers in milliseconds.
+    /// Latency of a write to the store.
     const BEGIN_DELAY_US: u64 = 3_000;
 
     fn mint(&mut self, _instance: usize, minted_at: WallTime, random: KeyRandom) -> PlainKey {
@@ -120,27 +119,26 @@
     }
 }
 
-/// A range of keys and who may run those minted from a time on.
+/// A range of keys; its owner may run those minted at or after `minted_from`.
 #[derive(Clone, Copy, Debug)]
 struct Range {
     owner: usize,
     minted_from: WallTime,
 }
 
-/// Ranges of keys leased in the store, with one session an instance.
+/// Leases ranges of keys in the store, with one lease per instance.
 #[derive(Debug)]
 pub(super) struct LeasedRanges {
     tables: Tables,
     start: WallTime,
     ranges: Vec<Range>,
-    /// Until when each instance's lease lasts.
+    /// When the lease of each instance expires.
     lease_ends: Vec<WallTime>,
     renewed_at: Vec<WallTime>,
     writes: u64,
 }
 
 impl LeasedRanges {
-    /// Returns the way for a fleet that starts at `start`.
     pub(super) fn new(instances: usize, start: WallTime) -> Self {
         let range = |number| Range {
             owner: number % instances,
@@ -164,7 +162,7 @@
         }
     }
 
-    /// Gives the ranges of an expired lease to instances that hold theirs.
+    /// Reassigns the ranges of an expired lease to instances with a valid one.
     fn take_over(&mut self, now: WallTime, instance: usize) {
         let is_valid = |other: &usize| self.lease_ends[*other] > now;
         let successors: Vec<usize> = (0..self.lease_ends.len()).filter(is_valid).collect();
--- a/crates/foxtide/examples/measure/events/mod.rs
+++ b/crates/foxtide/examples/measure/events/mod.rs
@@ -1,5 +1,5 @@
-//! What the time line costs, and what of it survives losses: copies at peers
-//! against parity over a group of peers.
+//! Measures event recording, and compares two ways to replicate events to peers,
+//! copies and parity, by their cost and by the share lost when instances fail.
 
 mod parity;
 
@@ -60,17 +60,15 @@
 const REGIONS: usize = 7;
 const GROUP_SIZE: usize = 8;
 const DURATION_S: u64 = 3_600;
-/// Events a second above debug level on an ordinary day: 2,800 changes of
-/// configuration are 0.03; the rest is room for limits and upstreams.
+/// Events per second above debug level: 0.03 for 2,800 configuration changes per day,
+/// the rest for events of limits and upstreams.
 const EVENTS_PER_S: f64 = 0.25;
-/// An availability zone of 40 members goes: each is suspected and taken for dead.
+/// An availability zone of 40 members fails: each is suspected, then declared dead.
 const BURST_EVENTS: usize = 80;
-/// Events recorded to time one.
 const RECORDED_EVENTS: u32 = 200_000;
 const TRIALS: usize = 20_000;
 const SEED: u64 = 89;
 
-/// Measures the time line.
 pub(crate) fn run(report: &mut Report) {
     measure_recording(report);
     measure_copies(report);
@@ -86,13 +84,13 @@
         EventCode::MemberFailed,
     ];
     let fields = EventFields {
-        organisation: Some("hamutenya".parse().expect("a name")),
-        service: Some("viewer".parse().expect("a name")),
+        organisation: Some("hamutenya".parse().expect("valid name")),
+        service: Some("viewer".parse().expect("valid name")),
         detail: format!("share=0.{number:04} was=0.0417 age_ms={number}"),
         ..EventFields::default()
     };
     let wall = WallTime::from_ms(1_750_000_000_000 + number as u64);
-    let instance = "khomas-17".parse().expect("a name");
+    let instance = "khomas-17".parse().expect("valid name");
     Event::new(
         clock.tick(wall),
         instance,
@@ -114,15 +112,15 @@
     report.figure("events.record.baseline_text", text_us, "us", Limit::None);
 }
 
-/// Returns the time that it takes to record an event, in microseconds, where
-/// so much time lies between two that say the same.
+/// Returns the mean time to record an event, in microseconds, if similar events are
+/// `interval` apart.
 fn mean_record_us(interval: Duration) -> f64 {
     let wall = Arc::new(AtomicU64::new(0));
     let options = RecorderOptions {
         clock: WallClock::Manual(Arc::clone(&wall)),
         ..RecorderOptions::default()
     };
-    let recorder = Recorder::new("k-1".parse().expect("a name"), options);
+    let recorder = Recorder::new("k-1".parse().expect("valid name"), options);
     let interval_us = u64::try_from(interval.as_micros()).unwrap_or(u64::MAX);
     let started = Instant::now();
     for number in 0..RECORDED_EVENTS {
@@ -133,14 +131,14 @@
     started.elapsed().as_secs_f64() * 1e6 / f64::from(RECORDED_EVENTS)
 }
 
-/// Plays an hour of events through the sender to a number of peers.
+/// Replicates the events of an hour to `copies` peers.
 fn replicate_hour(copies: usize) -> ReplicationCost {
     let mut random = StdRng::seed_from_u64(SEED);
     let mut clock = HybridClock::default();
     let mut ring = EventRing::default();
-    let origin: InstanceId = "khomas-17".parse().expect("a name");
+    let origin: InstanceId = "khomas-17".parse().expect("valid name");
     let mut sender = BackupSender::new(origin, SenderOptions::default(), MonotonicTime::ZERO);
-    let peers = (0..copies).map(|number| format!("peer-{number}").parse().expect("a name"));
+    let peers = (0..copies).map(|number| format!("peer-{number}").parse().expect("valid name"));
     sender.set_peers(peers.collect());
     let mut holders = vec![BackupHolder::default(); copies];
     let mut cost = ReplicationCost::default();
@@ -160,8 +158,8 @@
         let batches = sender.poll(MonotonicTime::from_ms(second * 1_000), after);
         for batch in batches {
             cost.sent_bytes += batch.copies.encoded_len() as u64 + BATCH_OVERHEAD_BYTES;
-            let number: usize = batch.to.as_str()[5..].parse().expect("a peer's number");
-            let ack = holders[number].accept(batch.copies).expect("a good origin");
+            let number: usize = batch.to.as_str()[5..].parse().expect("peer number");
+            let ack = holders[number].accept(batch.copies).expect("valid origin");
             sender.acknowledge(&batch.to, ack.through);
         }
         cost.busy_s += started.elapsed().as_secs_f64();
@@ -202,7 +200,7 @@
         mask_bytes += group.append(number % GROUP_SIZE, &message.encode_to_vec());
     }
     let mean_us = started.elapsed().as_secs_f64() * 1e6 / (per_member * GROUP_SIZE) as f64;
-    // A packet for each second with events, as the copies are sent.
+    // One packet per second with events, as for copies.
     let packets = per_member as u64 * (MASK_OVERHEAD_BYTES + BATCH_OVERHEAD_BYTES);
     let per_s = (mask_bytes / GROUP_SIZE as u64 + packets) as f64 / DURATION_S as f64;
     report.figure("events.parity.sent", per_s, "B/s", Limit::None);
@@ -227,21 +225,21 @@
     );
 }
 
-/// The members of the target fleet, its zones spread over its regions.
+/// Returns the members of the target fleet.
 fn fleet() -> Vec<BackupPeer> {
     let member = |number: usize| {
         let zone = number % ZONES;
         BackupPeer {
-            instance: format!("i-{number}").parse().expect("a name"),
-            availability_zone: format!("z-{zone}").parse().expect("a name"),
-            region: format!("r-{}", zone % REGIONS).parse().expect("a name"),
+            instance: format!("i-{number}").parse().expect("valid name"),
+            availability_zone: format!("z-{zone}").parse().expect("valid name"),
+            region: format!("r-{}", zone % REGIONS).parse().expect("valid name"),
         }
     };
     (0..INSTANCES).map(member).collect()
 }
 
-/// The other members on which each member's line depends: any one of them left
-/// suffices (copies), or all of them are needed (parity).
+/// For each member, the peers from which its events can be recovered: from any one of
+/// them (copies), or only from all of them (parity).
 enum RecoverySources {
     AnyOf(Vec<Vec<usize>>),
     AllOf(Vec<Vec<usize>>),
@@ -257,7 +255,7 @@
 }
 
 fn copy_sources(fleet: &[BackupPeer], copies: usize) -> RecoverySources {
-    let number = |id: &InstanceId| id.as_str()[2..].parse().expect("a member's number");
+    let number = |id: &InstanceId| id.as_str()[2..].parse().expect("member number");
     let holders = fleet.iter().map(|member| {
         let peers = choose_peers(member, fleet, copies);
         peers.iter().map(number).collect()
@@ -265,7 +263,7 @@
     RecoverySources::AnyOf(holders.collect())
 }
 
-/// Groups of data members and one parity member, all in different zones.
+/// Groups of [`GROUP_SIZE`] data members and a parity member, all in different zones.
 fn parity_sources() -> RecoverySources {
     let size = GROUP_SIZE + 1;
     let group = |number: usize| {
@@ -276,7 +274,7 @@
     RecoverySources::AllOf((0..INSTANCES).map(group).collect())
 }
 
-/// The share of the lost members' lines that are lost after a loss.
+/// Returns the share of failed members whose events cannot be recovered.
 fn lost_share(sources: &RecoverySources, failures: &[HashSet<usize>]) -> f64 {
     let mut lost = 0;
     let mut total = 0;
@@ -302,7 +300,7 @@
     let cases = [
         ("one", random_failures(1)),
         ("two", random_failures(2)),
-        // Restarts of a day, none of them copied again in between.
+        // The restarts of a day, without new copies in between.
         ("day_of_37", random_failures(37)),
         ("zone", zones.collect()),
     ];
--- a/crates/foxtide/examples/measure/events/parity.rs
+++ b/crates/foxtide/examples/measure/events/parity.rs
@@ -1,15 +1,15 @@
-//! Parity over a group of peers, the other way to keep a time line: each
-//! member's ring is a block, and one peer holds the exclusive or of the
-//! blocks, kept up by change masks (Stonebraker, "Distributed RAID", UCB/ERL
-//! M89/56, section 3.2). Only measured, not used.
+//! Parity over a group of peers, as an alternative to copies of events.
+//!
+//! The ring of each member is a block. One peer holds the exclusive or of all blocks,
+//! updated by change masks (Stonebraker, "Distributed RAID", UCB/ERL M89/56, section
+//! 3.2). Used for comparison only.
 
-/// The size of a member's block.
 pub(crate) const BLOCK_BYTES: usize = 128 << 10;
 
-/// What names a change: block, offset, length and unique identifier.
+/// Header of a change mask: block, offset, length and unique identifier.
 pub(crate) const MASK_OVERHEAD_BYTES: u64 = 28;
 
-/// A group of members and their parity.
+/// The blocks of a group of members and their parity.
 pub(crate) struct ParityGroup {
     blocks: Vec<Vec<u8>>,
     ends: Vec<usize>,
@@ -17,7 +17,6 @@
 }
 
 impl ParityGroup {
-    /// Returns a group of empty blocks.
     pub(crate) fn new(members: usize) -> Self {
         Self {
             blocks: vec![vec![0; BLOCK_BYTES]; members],
@@ -26,8 +25,8 @@
         }
     }
 
-    /// Appends a record to a member's block, over the oldest where it is full;
-    /// returns the size of the change mask that goes to the parity's holder.
+    /// Appends a record to a member's block, overwriting the oldest if it is full;
+    /// returns the size of the change mask to send to the holder of the parity.
     pub(crate) fn append(&mut self, member: usize, record: &[u8]) -> u64 {
         let start = self.ends[member];
         for (offset, new) in record.iter().enumerate() {
@@ -40,12 +39,11 @@
         record.len() as u64
     }
 
-    /// Returns a member's block.
     pub(crate) fn block(&self, member: usize) -> &[u8] {
         &self.blocks[member]
     }
 
-    /// Returns a lost member's block from the parity and all other blocks.
+    /// Recomputes a lost block from the parity and all other blocks.
     pub(crate) fn reconstruct(&self, lost: usize) -> Vec<u8> {
         let mut block = self.parity.clone();
         let others = self.blocks.iter().enumerate();
