--- a/crates/foxtide/examples/measure/at_most_once.rs
+++ b/crates/foxtide/examples/measure/at_most_once.rs
@@ -60,9 +60,9 @@
 pub(crate) fn run(report: &mut Report) {
     let options = SimulationOptions::default();
     let instances = options.instances;
-    let chosen = simulate(NamedOwner::new(instances), options);
-    report_tally(report, "named_owner", &chosen, &options, Limit::AtMost(0.0));
-    let others = [
+    let tally = simulate(NamedOwner::new(instances), options);
+    report_tally(report, "named_owner", &tally, &options, Limit::AtMost(0.0));
+    let alternatives = [
         (
             "leased_ranges",
             simulate(LeasedRanges::new(instances, SIMULATION_START), options),
@@ -73,7 +73,7 @@
         ),
         ("affinity", simulate(Affinity::new(instances), options)),
     ];
-    for (name, tally) in others {
+    for (name, tally) in alternatives {
         report_tally(report, name, &tally, &options, Limit::None);
     }
     measure_table(report);
--- a/crates/foxtide/examples/measure/at_most_once/fleet.rs
+++ b/crates/foxtide/examples/measure/at_most_once/fleet.rs
@@ -124,9 +124,9 @@
             return;
         }
         if instance.paused_until_us > self.now_us {
-            let awake_us = instance.paused_until_us;
+            let resume_us = instance.paused_until_us;
             self.mark_affected(attempt);
-            self.schedule_at(awake_us, event);
+            self.schedule_at(resume_us, event);
             return;
         }
         step(self, attempt);
@@ -196,10 +196,10 @@
         }
         self.attempts[attempt].process = self.instances[index].process;
         let members = self.believed_members();
-        let skewed_us = self.now_us + self.instances[index].skew_us;
+        let clock_us = self.now_us + self.instances[index].skew_us;
         let view = View {
             instance: index,
-            now: SIMULATION_START + Duration::from_micros(skewed_us),
+            now: SIMULATION_START + Duration::from_micros(clock_us),
             members: &members,
         };
         let request = &self.requests[self.attempts[attempt].request];
--- a/crates/foxtide/examples/measure/events/parity.rs
+++ b/crates/foxtide/examples/measure/events/parity.rs
@@ -12,7 +12,7 @@
 /// The blocks of a group of members and their parity.
 pub(crate) struct ParityGroup {
     blocks: Vec<Vec<u8>>,
-    ends: Vec<usize>,
+    write_offsets: Vec<usize>,
     parity: Vec<u8>,
 }
 
@@ -20,7 +20,7 @@
     pub(crate) fn new(members: usize) -> Self {
         Self {
             blocks: vec![vec![0; BLOCK_BYTES]; members],
-            ends: vec![0; members],
+            write_offsets: vec![0; members],
             parity: vec![0; BLOCK_BYTES],
         }
     }
@@ -28,14 +28,14 @@
     /// Appends a record to a member's block, overwriting the oldest if it is full;
     /// returns the size of the change mask to send to the holder of the parity.
     pub(crate) fn append(&mut self, member: usize, record: &[u8]) -> u64 {
-        let start = self.ends[member];
+        let start = self.write_offsets[member];
         for (offset, new) in record.iter().enumerate() {
             let position = (start + offset) % BLOCK_BYTES;
             let mask = self.blocks[member][position] ^ new;
             self.blocks[member][position] = *new;
             self.parity[position] ^= mask;
         }
-        self.ends[member] = (start + record.len()) % BLOCK_BYTES;
+        self.write_offsets[member] = (start + record.len()) % BLOCK_BYTES;
         record.len() as u64
     }
 
--- a/crates/foxtide/examples/measure/linear_fit.rs
+++ b/crates/foxtide/examples/measure/linear_fit.rs
@@ -11,7 +11,7 @@
     /// Fits a line by least squares of the vertical distances.
     pub(crate) fn least_squares(points: &[(f64, f64)]) -> Self {
         let count = points.len() as f64;
-        let mean = |part: fn(&(f64, f64)) -> f64| points.iter().map(part).sum::<f64>() / count;
+        let mean = |value: fn(&(f64, f64)) -> f64| points.iter().map(value).sum::<f64>() / count;
         let (mean_x, mean_y) = (mean(|point| point.0), mean(|point| point.1));
         let sum_xx: f64 = points.iter().map(|(x, _)| (x - mean_x).powi(2)).sum();
         let sum_xy: f64 = points
--- a/crates/foxtide/examples/measure/membership.rs
+++ b/crates/foxtide/examples/measure/membership.rs
@@ -191,8 +191,8 @@
     report.figure("membership.sent.at_600", at_target, "B/s", limit);
 }
 
-fn fit(costs: &[(f64, Cost)], part: fn(&Cost) -> f64) -> LinearFit {
-    let points = costs.iter().map(|(size, cost)| (*size, part(cost)));
+fn fit(costs: &[(f64, Cost)], value: fn(&Cost) -> f64) -> LinearFit {
+    let points = costs.iter().map(|(size, cost)| (*size, value(cost)));
     let points: Vec<_> = points.collect();
     LinearFit::least_squares(&points)
 }
--- a/crates/foxtide/examples/measure/mesh_fleet.rs
+++ b/crates/foxtide/examples/measure/mesh_fleet.rs
@@ -138,7 +138,7 @@
     }
 
     /// Returns whether all instances have at least this revision.
-    pub(crate) fn has_revision(&self, revision: u64) -> bool {
+    pub(crate) fn all_have_revision(&self, revision: u64) -> bool {
         self.handles.iter().all(|handle| {
             let documents = handle.configurations();
             documents
--- a/crates/foxtide/examples/measure/spread.rs
+++ b/crates/foxtide/examples/measure/spread.rs
@@ -66,7 +66,7 @@
     for revision in 1..=CHANGES as u64 {
         let index = rng.random_range(0..fleet.handles.len());
         fleet.handles[index].publish_configuration(&document(revision));
-        durations_s.push(wait_until(|| fleet.has_revision(revision)).as_secs_f64());
+        durations_s.push(wait_until(|| fleet.all_have_revision(revision)).as_secs_f64());
     }
     let sent = sent_bytes(&fleet) - before - idle_bytes_per_s * started.elapsed().as_secs_f64();
     durations_s.sort_by(f64::total_cmp);
@@ -94,9 +94,9 @@
         "B/B",
         Limit::None,
     );
-    let daily = per_change * CHANGES_PER_DAY / DAY_S;
+    let per_s = per_change * CHANGES_PER_DAY / DAY_S;
     let limit = Limit::AtMost(BYTES_MAX_PER_S);
-    report.figure(&format!("{name}.sent_at_2800_a_day"), daily, "B/s", limit);
+    report.figure(&format!("{name}.sent_at_2800_a_day"), per_s, "B/s", limit);
     fleet.stop();
 }
 
@@ -114,9 +114,9 @@
 
 /// Publishes the newest document at all current watchers, as their watches of the
 /// store would, until all instances have it; returns the time taken.
-fn wait_until_all_hold(fleet: &Fleet, newest: &Document) -> Duration {
+fn publish_until_all_have(fleet: &Fleet, newest: &Document) -> Duration {
     let started = Instant::now();
-    while !fleet.has_revision(newest.revision.get())
+    while !fleet.all_have_revision(newest.revision.get())
         && started.elapsed().as_secs_f64() < FAULT_MAX_S * 3.0
     {
         std::thread::sleep(WATCH_INTERVAL);
@@ -139,7 +139,7 @@
         for index in to_kill.into_iter().rev() {
             fleet.kill(index);
         }
-        let took = wait_until_all_hold(&fleet, &document(revision));
+        let took = publish_until_all_have(&fleet, &document(revision));
         longest_s = longest_s.max(took.as_secs_f64());
         wait_until(|| fleet.is_converged());
     }
@@ -157,13 +157,13 @@
     fleet.handles[1].publish_configuration(&newest);
     wait_until(|| fleet.handles[2].configurations().len() == 1);
     fleet.faults.heal();
-    let took = wait_until(|| fleet.has_revision(1));
+    let took = wait_until(|| fleet.all_have_revision(1));
     let name = "spread.160in6.after_cut_healed";
     let limit = Limit::AtMost(FAULT_MAX_S);
     report.figure(name, took.as_secs_f64(), "s", limit);
-    let members = wait_until(|| fleet.is_converged());
+    let converged = wait_until(|| fleet.is_converged());
     let name = "spread.160in6.members_after_cut_healed";
-    report.figure(name, (took + members).as_secs_f64(), "s", limit);
+    report.figure(name, (took + converged).as_secs_f64(), "s", limit);
     fleet.stop();
 }
 
@@ -194,7 +194,7 @@
         std::thread::sleep(Duration::from_millis(50));
     }
     fleet.faults.heal();
-    let took = wait_until(|| fleet.has_revision(CHANGES));
+    let took = wait_until(|| fleet.all_have_revision(CHANGES));
     let reverts: usize = streams.iter().map(count_reverts).sum();
     let name = format!("spread.20in6.reverts_in_{CHANGES}_changes");
     report.figure(&name, reverts as f64, "reverts", Limit::AtMost(0.0));
