--- a/crates/foxtide/examples/measure/at_most_once/fleet.rs
+++ b/crates/foxtide/examples/measure/at_most_once/fleet.rs
@@ -47,7 +47,9 @@
     pub(super) options: SimulationOptions,
     pub(super) random: StdRng,
     pub(super) now_us: u64,
+    /// Pending events by time, then by the order of scheduling.
     pub(super) events: BinaryHeap<Reverse<(u64, u64, Event)>>,
+    /// Number of events scheduled so far.
     pub(super) scheduled: u64,
     pub(super) instances: Vec<Instance>,
     pub(super) requests: Vec<Request<P::Key>>,
@@ -190,7 +192,7 @@
     fn arrive(&mut self, attempt: usize) {
         let index = self.attempts[attempt].instance;
         if !self.instances[index].alive {
-            // The connection is refused, so the caller knows that this attempt is not run.
+            // The connection is refused, so the caller knows that it was not run.
             self.receive_reply(attempt, Reply::Final(Outcome::NotRun));
             return;
         }
--- a/crates/foxtide/examples/measure/at_most_once/process_faults.rs
+++ b/crates/foxtide/examples/measure/at_most_once/process_faults.rs
@@ -1,4 +1,4 @@
-//! Crashes, restarts and pauses of processes, and the delayed view of the membership.
+//! Injects crashes, restarts and pauses of processes; delays their effect on membership.
 
 use super::fleet::{
     Fleet,
--- a/crates/foxtide/examples/measure/at_most_once/simulation.rs
+++ b/crates/foxtide/examples/measure/at_most_once/simulation.rs
@@ -7,9 +7,9 @@
     pub(super) requests: usize,
     pub(super) rate_rps: u64,
     pub(super) instances: usize,
-    /// Mean time between crashes of processes in the fleet.
+    /// Mean time between crashes in the fleet.
     pub(super) crash_period_ms: u64,
-    /// Mean time between pauses of processes in the fleet.
+    /// Mean time between pauses in the fleet.
     pub(super) pause_period_ms: u64,
     /// Maximum duration of a pause.
     pub(super) pause_max_ms: u64,
--- a/crates/foxtide/examples/measure/events/mod.rs
+++ b/crates/foxtide/examples/measure/events/mod.rs
@@ -60,11 +60,14 @@
 const REGIONS: usize = 7;
 const GROUP_SIZE: usize = 8;
 const DURATION_S: u64 = 3_600;
+
 /// Events per second above debug level: 0.03 for 2,800 configuration changes per day,
 /// the rest for events of limits and upstreams.
 const EVENTS_PER_S: f64 = 0.25;
+
 /// An availability zone of 40 members fails: each is suspected, then declared dead.
 const BURST_EVENTS: usize = 80;
+
 const RECORDED_EVENTS: u32 = 200_000;
 const TRIALS: usize = 20_000;
 const SEED: u64 = 89;
@@ -263,7 +266,8 @@
     RecoverySources::AnyOf(holders.collect())
 }
 
-/// Groups of [`GROUP_SIZE`] data members and a parity member, all in different zones.
+/// Returns the other members of each member's parity group: [`GROUP_SIZE`] data members
+/// and a parity member, all in different zones.
 fn parity_sources() -> RecoverySources {
     let size = GROUP_SIZE + 1;
     let group = |number: usize| {
--- a/crates/foxtide/examples/measure/events/parity.rs
+++ b/crates/foxtide/examples/measure/events/parity.rs
@@ -12,6 +12,7 @@
 /// The blocks of a group of members and their parity.
 pub(crate) struct ParityGroup {
     blocks: Vec<Vec<u8>>,
+    /// The offset of the next record of each member.
     write_offsets: Vec<usize>,
     parity: Vec<u8>,
 }
--- a/crates/foxtide/examples/measure/membership.rs
+++ b/crates/foxtide/examples/measure/membership.rs
@@ -42,12 +42,12 @@
 
 const KILLS: usize = 20;
 
-/// Average resource usage of one instance.
+/// Resource usage per instance.
 #[derive(Clone, Copy, Debug, Default)]
 struct Cost {
     sent_bytes_per_s: f64,
     received_bytes_per_s: f64,
-    /// Sent by the busiest instance.
+    /// Maximum over all instances of the rate sent.
     busiest_bytes_per_s: f64,
     cpu_percent: f64,
     memory_kb: f64,
--- a/crates/foxtide/examples/measure/mesh_fleet.rs
+++ b/crates/foxtide/examples/measure/mesh_fleet.rs
@@ -37,7 +37,7 @@
 
 const POLL_INTERVAL: Duration = Duration::from_millis(2);
 
-/// Maximum wait for a condition; a figure that reaches it means that it never held.
+/// Maximum wait for a condition; a figure of this length means that it timed out.
 const WAIT_MAX: Duration = Duration::from_secs(60);
 
 pub(crate) struct Fleet {
@@ -112,7 +112,7 @@
         self.handles.push(handle.expect("free port on loopback"));
     }
 
-    /// Kills an instance, which does not announce it, and returns its handle.
+    /// Stops an instance without notifying its peers; returns its handle.
     pub(crate) fn kill(&mut self, index: usize) -> MeshHandle {
         let killed = self.handles.swap_remove(index);
         killed.stop();
@@ -147,7 +147,7 @@
         })
     }
 
-    /// Publishes a load report of every instance, as instances do each second.
+    /// Publishes a load report of every instance; instances do so every second.
     pub(crate) fn publish_load(&self) {
         for handle in &self.handles {
             handle.publish_load(&organisation(), instance_report(self.topology.regions));
