--- a/crates/foxtide/examples/measure/at_most_once.rs
+++ b/crates/foxtide/examples/measure/at_most_once.rs
@@ -1,10 +1,10 @@
-//! Non-idempotent requests under faults, by the chosen way and by others, and
-//! what the table of keys costs.
+//! Simulates non-idempotent requests under faults with several at-most-once policies,
+//! and measures the table of idempotency keys.
 
-mod accidents;
-mod faults;
 mod fleet;
 mod policy;
+mod process_faults;
+mod simulation;
 mod state;
 mod store_policy;
 
@@ -12,13 +12,9 @@
     Limit,
     Report, //
 };
-use faults::{
-    FaultOptions,
-    Tally, //
-};
 use fleet::{
     Fleet,
-    START, //
+    SIMULATION_START, //
 };
 use foxtide_core::idempotency::{
     Begin,
@@ -35,6 +31,10 @@
     fingerprint,
     owner, //
 };
+use simulation::{
+    SimulationOptions,
+    Tally, //
+};
 use std::fs;
 use std::time::{
     Duration,
@@ -45,55 +45,63 @@
     RecordEach, //
 };
 
-/// The store's writes a second, for everything.
+/// Maximum rate of writes to the store, for all purposes.
 const STORE_WRITES_PER_S: f64 = 300.0;
 
 const TABLE_KEYS: usize = 1_000_000;
 const PAGE_BYTES: f64 = 4_096.0;
 
-/// Look-ups a second at target size, instances, and the part of each caller's
-/// requests that is taken to be non-idempotent.
 const TARGET_RPS: f64 = 590_000.0;
 const TARGET_INSTANCES: f64 = 600.0;
+
+/// Share of the requests that are non-idempotent and carry a key.
 const TARGET_KEYED_SHARE: f64 = 0.1;
 
-/// Measures all ways.
 pub(crate) fn run(report: &mut Report) {
-    let options = FaultOptions::default();
+    let options = SimulationOptions::default();
     let instances = options.instances;
-    let chosen = simulate(NamedOwner::new(instances), options);
-    figures(report, "named_owner", &chosen, &options, Limit::AtMost(0.0));
-    let others = [
+    let tally = simulate(NamedOwner::new(instances), options);
+    report_tally(report, "named_owner", &tally, &options, Limit::AtMost(0.0));
+    let alternatives = [
         (
             "leased_ranges",
-            simulate(LeasedRanges::new(instances, START), options),
+            simulate(LeasedRanges::new(instances, SIMULATION_START), options),
+        ),
+        (
+            "record_each",
+            simulate(RecordEach::new(SIMULATION_START), options),
         ),
-        ("record_each", simulate(RecordEach::new(START), options)),
         ("affinity", simulate(Affinity::new(instances), options)),
     ];
-    for (name, tally) in others {
-        figures(report, name, &tally, &options, Limit::None);
+    for (name, tally) in alternatives {
+        report_tally(report, name, &tally, &options, Limit::None);
     }
     measure_table(report);
 }
 
-fn simulate<P: Policy>(policy: P, options: FaultOptions) -> Tally {
+fn simulate<P: Policy>(policy: P, options: SimulationOptions) -> Tally {
     Fleet::new(policy, options).run()
 }
 
-fn figures(report: &mut Report, way: &str, tally: &Tally, options: &FaultOptions, none: Limit) {
+fn report_tally(
+    report: &mut Report,
+    policy: &str,
+    tally: &Tally,
+    options: &SimulationOptions,
+    goal: Limit,
+) {
     let requests = options.requests as f64;
     let mut figure = |name: &str, value: f64, unit: &str, limit: Limit| {
-        report.figure(&format!("at_most_once.{way}.{name}"), value, unit, limit);
+        report.figure(&format!("at_most_once.{policy}.{name}"), value, unit, limit);
     };
-    figure("doubled_runs", tally.doubled as f64, "requests", none);
-    figure("false_not_run", tally.false_not_run as f64, "answers", none);
-    let untouched = tally.unknown_untouched as f64;
-    figure("unknown_without_a_fault", untouched, "requests", none);
+    figure("doubled_runs", tally.duplicated as f64, "requests", goal);
+    figure("false_not_run", tally.false_not_run as f64, "answers", goal);
+    let unknown = tally.unknown_without_fault as f64;
+    figure("unknown_without_a_fault", unknown, "requests", goal);
     let share = |count: u64| count as f64 / requests;
     figure(
         "touched_by_a_fault",
-        share(tally.touched),
+        share(tally.affected),
         "share",
         Limit::None,
     );
@@ -103,18 +111,18 @@
     figure(
         "redirects",
         share(tally.redirects),
-        "a request",
+        "1/request",
         Limit::None,
     );
     let writes = tally.store_writes as f64 / tally.seconds;
-    let writes_limit = match none {
+    let writes_limit = match goal {
         Limit::None => Limit::None,
         _ => Limit::AtMost(STORE_WRITES_PER_S),
     };
     figure("store_writes", writes, "1/s", writes_limit);
 }
 
-/// Fills a table with keys that have ended, then times new ones.
+/// Fills a table with ended keys to find their size, then times new keys.
 fn measure_table(report: &mut Report) {
     let owner = owner(0, 0);
     let options = TableOptions {
@@ -124,12 +132,12 @@
     let before_bytes = resident_bytes();
     let mut table: Table<Answer> = Table::new(owner.clone(), options);
     let mint = |number: usize| {
-        let minted_at = START + Duration::from_micros(number as u64 * 200);
+        let minted_at = SIMULATION_START + Duration::from_micros(number as u64 * 200);
         let mut random = [0; 10];
         random[..8].copy_from_slice(&(number as u64).to_le_bytes());
         IdempotencyKey::mint(owner.clone(), minted_at, random)
     };
-    let now = START + Duration::from_secs(200);
+    let now = SIMULATION_START + Duration::from_secs(200);
     for number in 0..TABLE_KEYS {
         let Begin::Run(claim) = table.begin(&mint(number), fingerprint(), now) else {
             unreachable!("the table has room");
@@ -191,7 +199,7 @@
     );
 }
 
-/// Returns the memory that the process has in use (proc(5), `statm`).
+/// Returns the resident set size (proc(5), `statm`).
 fn resident_bytes() -> f64 {
     let statm = fs::read_to_string("/proc/self/statm").unwrap_or_default();
     let pages = statm.split_whitespace().nth(1).and_then(|p| p.parse().ok());
--- a/crates/foxtide/examples/measure/document.rs
+++ b/crates/foxtide/examples/measure/document.rs
@@ -1,4 +1,4 @@
-//! Size and decoding time of an organisation's document.
+//! Measures the size and decoding time of an organisation's document.
 
 use crate::report::{
     Limit,
@@ -8,10 +8,10 @@
 use foxtide_core::store::VALUE_MAX_BYTES;
 use std::time::Instant;
 
-const ROUNDS: u32 = 200;
+const DECODE_ROUNDS: u32 = 200;
 
-/// A document of today's size: four services of twelve upstreams.
-fn document() -> String {
+/// Returns a document of typical size: four services with twelve upstreams each.
+fn sample_document() -> String {
     let mut services = Vec::new();
     for service in ["viewer", "notices", "archive", "hazards"] {
         let mut upstreams = Vec::new();
@@ -38,25 +38,24 @@
     )
 }
 
-/// Measures the document of today's size.
 pub(crate) fn run(report: &mut Report) {
-    let text = document();
+    let text = sample_document();
     let started = Instant::now();
-    for _ in 0..ROUNDS {
+    for _ in 0..DECODE_ROUNDS {
         let decoded: Result<Organisation, _> = serde_json::from_str(&text);
-        assert!(decoded.is_ok(), "the document is valid");
+        assert!(decoded.is_ok(), "valid document");
     }
-    let each_us = started.elapsed().as_secs_f64() * 1e6 / f64::from(ROUNDS);
+    let mean_us = started.elapsed().as_secs_f64() * 1e6 / f64::from(DECODE_ROUNDS);
     let limit = Limit::AtMost(VALUE_MAX_BYTES as f64);
     report.figure("document.size", text.len() as f64, "bytes", limit);
-    report.figure("document.decode", each_us, "us", Limit::None);
-    let per_upstream = each_us / 48.0;
+    report.figure("document.decode", mean_us, "us", Limit::None);
+    let per_upstream = mean_us / 48.0;
     report.figure(
         "document.decode_per_upstream",
         per_upstream,
         "us",
         Limit::None,
     );
-    let rate = 1e6 / each_us;
+    let rate = 1e6 / mean_us;
     report.figure("document.decode_rate", rate, "1/s", Limit::AtLeast(100.0));
 }
--- a/crates/foxtide/examples/measure/main.rs
+++ b/crates/foxtide/examples/measure/main.rs
@@ -1,7 +1,8 @@
-//! Prints measured figures, one a line: `name value unit limit held`.
+//! Measures the components of foxtide and prints one figure per line:
+//! `name value unit limit held`.
 //!
-//! `cargo run --release --example measure -- decisions` or `-- fleet`, with
-//! the name of a single module after it to run just that one.
+//! Run with `cargo run --release --example measure -- decisions` or `-- fleet`.
+//! The name of a module as second argument restricts the run to that module.
 
 mod at_most_once;
 mod blocks;
@@ -9,26 +10,26 @@
 mod document;
 mod events;
 mod explain;
-mod fit;
+mod linear_fit;
 mod membership;
 mod membership_virtual;
 mod mesh_fleet;
 mod organisations;
 mod proxy;
 mod report;
+mod resource_usage;
 mod spread;
 mod steering;
 mod store;
-mod usage;
 
 use report::Report;
 use std::process::ExitCode;
 
-/// One group of figures.
-type Module = (&'static str, fn(&mut Report));
+/// A module's name on the command line and its entry point.
+type Measurement = (&'static str, fn(&mut Report));
 
-/// What each instance decides, against simpler baselines.
-const DECISIONS: &[Module] = &[
+/// Quality and cost of an instance's decisions, compared with simpler baselines.
+const DECISIONS: &[Measurement] = &[
     ("at_most_once", at_most_once::run),
     ("blocks", blocks::run),
     ("organisations", organisations::run),
@@ -36,8 +37,8 @@
     ("steering", steering::run),
 ];
 
-/// What a fleet of instances costs and how fast it agrees.
-const FLEET: &[Module] = &[
+/// Resource usage and convergence time of a fleet.
+const FLEET: &[Measurement] = &[
     ("document", document::run),
     ("events", events::run),
     ("explain", explain::run),
@@ -52,7 +53,7 @@
 
 fn main() -> ExitCode {
     let arguments: Vec<String> = std::env::args().skip(1).collect();
-    let modules = match arguments.first().map(String::as_str) {
+    let measurements = match arguments.first().map(String::as_str) {
         Some("decisions") => DECISIONS,
         Some("fleet") => FLEET,
         _ => {
@@ -61,7 +62,7 @@
         }
     };
     let mut report = Report::default();
-    for (name, run) in modules {
+    for (name, run) in measurements {
         if arguments.get(1).is_none_or(|wanted| wanted == name) {
             run(&mut report);
         }
