--- a/crates/foxtide-core/src/steering/admission.rs
+++ b/crates/foxtide-core/src/steering/admission.rs
@@ -20,9 +20,9 @@
         retry_in: Duration,
     },
     /// Reject the request without running it.
-    Refuse {
+    Reject {
         /// Why the request is rejected.
-        reason: RefusalReason,
+        reason: RejectionReason,
         /// The time after which the caller may retry.
         retry_after: Duration,
     },
@@ -30,7 +30,7 @@
 
 /// The reason why a request is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum RefusalReason {
+pub enum RejectionReason {
     /// The instance has not yet synchronised its rows with its peers.
     NotReady,
     /// The organisation has no such service.
@@ -45,7 +45,7 @@
     LinkLimit,
 }
 
-impl fmt::Display for RefusalReason {
+impl fmt::Display for RejectionReason {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             Self::NotReady => "not-ready",
--- a/crates/foxtide-core/src/steering/decide.rs
+++ b/crates/foxtide-core/src/steering/decide.rs
@@ -2,7 +2,7 @@
 
 use super::admission::{
     Admission,
-    RefusalReason, //
+    RejectionReason, //
 };
 use super::destinations::{
     LimitExhausted,
@@ -72,7 +72,7 @@
         now: MonotonicTime,
     ) -> Admission {
         let Some(index) = self.names.service(service) else {
-            return refuse(RefusalReason::UnknownService, RETRY_AFTER_MAX);
+            return reject(RejectionReason::UnknownService, RETRY_AFTER_MAX);
         };
         let ready = self.rows_are_current(now);
         let state = &mut self.flows[flows].services[index];
@@ -80,24 +80,24 @@
             state.count_arrival();
         }
         if !ready || state.row.is_none() {
-            return refuse(RefusalReason::NotReady, self.options.startup_wait);
+            return reject(RejectionReason::NotReady, self.options.startup_wait);
         }
         let Some(drawn) = state.draw(draw) else {
-            return refuse_unserved(state);
+            return reject_unserved(state);
         };
         match self.destinations.try_acquire(drawn.index, now) {
             Ok(()) => self.send(drawn),
             Err(exhausted) => {
                 let without_capacity = self.retry_without_capacity();
                 let state = &self.flows[flows].services[index];
-                wait_or_refuse(state, exhausted, waited, without_capacity)
+                wait_or_reject(state, exhausted, waited, without_capacity)
             }
         }
     }
 
     /// Reduces this instance's rate to a region that refused a request.
-    pub fn refused_by(&mut self, region: &RegionId, now: MonotonicTime) {
-        self.destinations.refused(region, now);
+    pub fn record_rejection(&mut self, region: &RegionId, now: MonotonicTime) {
+        self.destinations.record_rejection(region, now);
     }
 
     /// Returns the retry-after when no token will come. An instance that has
@@ -117,17 +117,17 @@
     }
 }
 
-fn refuse_unserved(state: &ServiceState) -> Admission {
+fn reject_unserved(state: &ServiceState) -> Admission {
     let served_later = state.wanted.iter().any(|share| *share > 0.0);
     let reason = if served_later {
-        RefusalReason::ShiftCap
+        RejectionReason::ShiftCap
     } else {
-        RefusalReason::NoRegion
+        RejectionReason::NoRegion
     };
-    refuse(reason, state.time_to_full_service())
+    reject(reason, state.time_to_full_service())
 }
 
-fn wait_or_refuse(
+fn wait_or_reject(
     state: &ServiceState,
     exhausted: LimitExhausted,
     waited: Duration,
@@ -136,14 +136,14 @@
     let retry_in = exhausted.next_in.map(|next| next.max(RETRY_IN_MIN));
     match retry_in.filter(|next| waited + *next <= state.priority.queue_max) {
         Some(retry_in) => Admission::Wait { retry_in },
-        None => refuse(
+        None => reject(
             exhausted.limit.into(),
             exhausted.next_in.unwrap_or(without_capacity),
         ),
     }
 }
 
-impl From<LimitKind> for RefusalReason {
+impl From<LimitKind> for RejectionReason {
     fn from(limit: LimitKind) -> Self {
         match limit {
             LimitKind::Region => Self::RegionLimit,
@@ -152,8 +152,8 @@
     }
 }
 
-fn refuse(reason: RefusalReason, retry_after: Duration) -> Admission {
-    Admission::Refuse {
+fn reject(reason: RejectionReason, retry_after: Duration) -> Admission {
+    Admission::Reject {
         reason,
         retry_after: retry_after.clamp(RETRY_AFTER_MIN, RETRY_AFTER_MAX),
     }
--- a/crates/foxtide-core/src/steering/destinations.rs
+++ b/crates/foxtide-core/src/steering/destinations.rs
@@ -227,7 +227,7 @@
     }
 
     /// Reduces the rate to a region that refused a request.
-    pub(crate) fn refused(&mut self, region: &RegionId, now: MonotonicTime) {
+    pub(crate) fn record_rejection(&mut self, region: &RegionId, now: MonotonicTime) {
         let mut destinations = self.regions.iter().zip(&mut self.destinations);
         if let Some((_, destination)) = destinations.find(|(id, _)| *id == region) {
             destination.region.refused(now);
--- a/crates/foxtide-core/src/steering/mod.rs
+++ b/crates/foxtide-core/src/steering/mod.rs
@@ -27,7 +27,7 @@
 
 pub use admission::{
     Admission,
-    RefusalReason, //
+    RejectionReason, //
 };
 pub use engine::Steering;
 pub use options::{
--- a/crates/foxtide-core/tests/steering/decider.rs
+++ b/crates/foxtide-core/tests/steering/decider.rs
@@ -45,7 +45,7 @@
     /// Decides on one attempt to send a request.
     fn admit(&mut self, attempt: &Attempt<'_>, now: MonotonicTime) -> Admission;
     /// Records that a region refused a request.
-    fn refused_by(&mut self, region: &RegionId, now: MonotonicTime);
+    fn record_rejection(&mut self, region: &RegionId, now: MonotonicTime);
     /// Returns the current row for callers of an origin.
     fn row(&self, service: &ServiceId, origin: &RegionId) -> Option<BTreeMap<RegionId, Share>>;
 }
@@ -108,8 +108,8 @@
         )
     }
 
-    fn refused_by(&mut self, region: &RegionId, now: MonotonicTime) {
-        Steering::refused_by(self, region, now);
+    fn record_rejection(&mut self, region: &RegionId, now: MonotonicTime) {
+        Steering::record_rejection(self, region, now);
     }
 
     fn row(&self, service: &ServiceId, origin: &RegionId) -> Option<BTreeMap<RegionId, Share>> {
--- a/crates/foxtide-core/tests/steering/fleet.rs
+++ b/crates/foxtide-core/tests/steering/fleet.rs
@@ -377,7 +377,7 @@
                 let to = region_index_of(&self.regions, &region);
                 let shed = self.shedding[to] && self.rng.random_bool(0.3);
                 if shed {
-                    node.decider.refused_by(&region, now);
+                    node.decider.record_rejection(&region, now);
                 }
                 let served = self.healthy[to] && !shed;
                 let from = node.region;
@@ -391,7 +391,9 @@
                     ..request
                 },
             }),
-            Admission::Refuse { reason, .. } => self.tally.refused(request.service, reason),
+            Admission::Reject { reason, .. } => {
+                self.tally.record_rejection(request.service, reason)
+            }
         }
     }
 
--- a/crates/foxtide-core/tests/steering/rows.rs
+++ b/crates/foxtide-core/tests/steering/rows.rs
@@ -22,7 +22,7 @@
     InstanceReport,
     PlannedRows,
     ReceivedReport,
-    RefusalReason,
+    RejectionReason,
     Steering,
     SteeringOptions,
     ViewOptions, //
@@ -183,19 +183,19 @@
     instance.run(1);
     assert_close(&[instance.share("khomas")], &[0.0]);
     assert!(instance.share("erongo") <= 0.002 + 1e-9);
-    let refused = instance
+    let rejected = instance
         .steering
         .admit(&viewer(), 0.9, Duration::ZERO, instance.now);
-    let by_cap = |refused| {
+    let by_cap = |rejected| {
         matches!(
-            refused,
-            Admission::Refuse {
-                reason: RefusalReason::ShiftCap,
+            rejected,
+            Admission::Reject {
+                reason: RejectionReason::ShiftCap,
                 ..
             }
         )
     };
-    assert!(by_cap(refused));
+    assert!(by_cap(rejected));
     instance.run(400);
     assert_close(
         &[instance.share("erongo"), instance.share("oshana")],
@@ -242,8 +242,8 @@
     let not_ready = |early| {
         matches!(
             early,
-            Admission::Refuse {
-                reason: RefusalReason::NotReady,
+            Admission::Reject {
+                reason: RejectionReason::NotReady,
                 ..
             }
         )
@@ -331,8 +331,8 @@
     let admission = started
         .steering
         .admit(&viewer(), 0.0, Duration::ZERO, started.now);
-    let Admission::Refuse {
-        reason: RefusalReason::RegionLimit,
+    let Admission::Reject {
+        reason: RejectionReason::RegionLimit,
         retry_after,
     } = admission
     else {
--- a/crates/foxtide-core/tests/steering/tally.rs
+++ b/crates/foxtide-core/tests/steering/tally.rs
@@ -8,7 +8,7 @@
 };
 use super::fleet::STEP_MS;
 use super::scenario::Scenario;
-use foxtide_core::steering::RefusalReason;
+use foxtide_core::steering::RejectionReason;
 use std::collections::VecDeque;
 
 /// The window over which sold rates are checked, in steps.
@@ -56,9 +56,9 @@
     /// Requests that spilled over to another region.
     pub(crate) spilled: u64,
     /// Requests refused for lack of capacity.
-    pub(crate) refused_for_capacity: u64,
+    pub(crate) rejected_for_capacity: u64,
     /// Requests refused for other reasons, mostly the shift cap.
-    pub(crate) refused_for_cap: u64,
+    pub(crate) rejected_for_cap: u64,
 }
 
 /// The counts and violations of a scenario.
@@ -86,12 +86,12 @@
     /// The shares of the last step.
     pub(crate) last_shares: Shares,
     /// Requests refused for lack of capacity while some region had free capacity.
-    pub(crate) refused_with_capacity: f64,
-    refused_for_cap_ms: Option<u64>,
+    pub(crate) rejected_with_capacity: f64,
+    rejected_for_cap_ms: Option<u64>,
     window: VecDeque<Sent>,
     shares: VecDeque<Shares>,
-    refused_in_step: u64,
-    refused_window: VecDeque<u64>,
+    rejected_in_step: u64,
+    rejected_window: VecDeque<u64>,
     counted: VecDeque<[Spilled; SERVICES.len()]>,
     spill_limit_share: f64,
     steps: usize,
@@ -113,12 +113,12 @@
             seconds: 0,
             fullest_region: 0.0,
             last_shares: Default::default(),
-            refused_with_capacity: 0.0,
-            refused_for_cap_ms: None,
+            rejected_with_capacity: 0.0,
+            rejected_for_cap_ms: None,
             window: VecDeque::from([Sent::default()]),
             shares: VecDeque::new(),
-            refused_in_step: 0,
-            refused_window: VecDeque::new(),
+            rejected_in_step: 0,
+            rejected_window: VecDeque::new(),
             counted: VecDeque::new(),
             spill_limit_share: scenario.options.spill_limit_share,
             steps: 0,
@@ -133,16 +133,16 @@
         self.services[service].asked += 1;
     }
 
-    pub(crate) fn refused(&mut self, service: usize, reason: RefusalReason) {
+    pub(crate) fn record_rejection(&mut self, service: usize, reason: RejectionReason) {
         let counts = &mut self.services[service];
         match reason {
-            RefusalReason::RegionLimit | RefusalReason::LinkLimit => {
-                counts.refused_for_capacity += 1;
-                self.refused_in_step += 1;
+            RejectionReason::RegionLimit | RejectionReason::LinkLimit => {
+                counts.rejected_for_capacity += 1;
+                self.rejected_in_step += 1;
             }
             _ => {
-                counts.refused_for_cap += 1;
-                self.refused_for_cap_ms = Some(self.steps as u64 * STEP_MS);
+                counts.rejected_for_cap += 1;
+                self.rejected_for_cap_ms = Some(self.steps as u64 * STEP_MS);
             }
         }
     }
@@ -166,7 +166,7 @@
     /// Returns the time from `since_ms` to the last refusal for the shift cap, in
     /// seconds.
     pub(crate) fn recovered_after_s(&self, since_ms: u64) -> f64 {
-        let last_ms = self.refused_for_cap_ms.unwrap_or(since_ms);
+        let last_ms = self.rejected_for_cap_ms.unwrap_or(since_ms);
         last_ms.saturating_sub(since_ms) as f64 / 1_000.0
     }
 
@@ -208,8 +208,8 @@
     }
 
     fn check_rates(&mut self) {
-        self.refused_window
-            .push_back(std::mem::take(&mut self.refused_in_step));
+        self.rejected_window
+            .push_back(std::mem::take(&mut self.rejected_in_step));
         if self.window.len() < RATE_STEPS {
             self.window.push_back(Sent::default());
             return;
@@ -229,9 +229,9 @@
             let over = links.filter(|from| sum(*from, to) as f64 > self.link_rps);
             self.seconds_over_link += over.count() as u64;
         }
-        let refused: u64 = self.refused_window.iter().sum();
-        self.refused_with_capacity += (refused as f64).min(free_rps) / RATE_STEPS as f64;
-        self.refused_window.pop_front();
+        let rejected: u64 = self.rejected_window.iter().sum();
+        self.rejected_with_capacity += (rejected as f64).min(free_rps) / RATE_STEPS as f64;
+        self.rejected_window.pop_front();
         self.window.pop_front();
         self.window.push_back(Sent::default());
     }
--- a/crates/foxtide-entry/src/proxy/admission.rs
+++ b/crates/foxtide-entry/src/proxy/admission.rs
@@ -3,7 +3,7 @@
 use crate::answer::Refusal;
 use foxtide_core::explain::Rule;
 use foxtide_core::ids::RegionId;
-use foxtide_core::steering::RefusalReason;
+use foxtide_core::steering::RejectionReason;
 use http_types::StatusCode;
 use std::time::Duration;
 
@@ -34,14 +34,14 @@
     }
 
     /// Returns the error for a refusal by the steering.
-    pub(super) fn not_admitted(reason: RefusalReason, retry_after: Duration) -> Self {
+    pub(super) fn not_admitted(reason: RejectionReason, retry_after: Duration) -> Self {
         let (rule, reason) = match reason {
-            RefusalReason::NotReady => (Rule::NoUpstream, "not-ready"),
-            RefusalReason::UnknownService => (Rule::Malformed, "unknown-service"),
-            RefusalReason::NoRegion => (Rule::NoUpstream, "no-region"),
-            RefusalReason::ShiftCap => (Rule::SpillLimit, "shift-cap"),
-            RefusalReason::RegionLimit => (Rule::RegionLimit, "region-limit"),
-            RefusalReason::LinkLimit => (Rule::LinkLimit, "link-limit"),
+            RejectionReason::NotReady => (Rule::NoUpstream, "not-ready"),
+            RejectionReason::UnknownService => (Rule::Malformed, "unknown-service"),
+            RejectionReason::NoRegion => (Rule::NoUpstream, "no-region"),
+            RejectionReason::ShiftCap => (Rule::SpillLimit, "shift-cap"),
+            RejectionReason::RegionLimit => (Rule::RegionLimit, "region-limit"),
+            RejectionReason::LinkLimit => (Rule::LinkLimit, "link-limit"),
         };
         let refusal = Refusal::not_run(StatusCode::ServiceUnavailable, reason);
         let refusal = Refusal {
--- a/crates/foxtide-entry/src/proxy/queue.rs
+++ b/crates/foxtide-entry/src/proxy/queue.rs
@@ -51,7 +51,7 @@
                     Timer::after(retry_in).await;
                     now = self.deps.clock().now();
                 }
-                Admission::Refuse {
+                Admission::Reject {
                     reason,
                     retry_after,
                 } => return Err(AdmissionError::not_admitted(reason, retry_after)),
--- a/crates/foxtide-entry/src/traffic/organisation.rs
+++ b/crates/foxtide-entry/src/traffic/organisation.rs
@@ -167,7 +167,7 @@
 
     /// Records that upstreams of a region refused a request.
     pub(crate) fn refused_by(&self, region: &RegionId, now: MonotonicTime) {
-        self.steering.lock().refused_by(region, now);
+        self.steering.lock().record_rejection(region, now);
     }
 
     /// Runs `inspect` on the locked steering.
--- a/crates/foxtide-testing/src/scenario/endings.rs
+++ b/crates/foxtide-testing/src/scenario/endings.rs
@@ -66,7 +66,7 @@
             .ended(attempt.id, result, &mut tools.budget, now);
         let gave_up = matches!(step, Step::GiveUp(_));
         if let (AttemptEnd::Refused, true, Some(steering)) = (end, gave_up, &mut process.steering) {
-            steering.refused_by(&attempt.region, now);
+            steering.record_rejection(&attempt.region, now);
         }
         self.follow(attempt.copy, step);
     }
--- a/crates/foxtide-testing/src/scenario/requests.rs
+++ b/crates/foxtide-testing/src/scenario/requests.rs
@@ -38,7 +38,7 @@
 };
 use foxtide_core::steering::{
     Admission,
-    RefusalReason, //
+    RejectionReason, //
 };
 use foxtide_core::time::MonotonicTime;
 use rand::RngExt;
@@ -62,7 +62,7 @@
     pub(super) region: Option<RegionId>,
     tried: Vec<UpstreamId>,
     pub(super) claim: Option<Claim>,
-    pub(super) refused_for: Option<RefusalReason>,
+    pub(super) refused_for: Option<RejectionReason>,
     pub(super) received_at: MonotonicTime,
     /// When it began to wait for its next attempt.
     pub(super) queued_at: MonotonicTime,
@@ -262,7 +262,7 @@
                 self.send(place, retry_in, Delivery::Proceed(number));
                 None
             }
-            Admission::Refuse { reason, .. } => {
+            Admission::Reject { reason, .. } => {
                 self.copies.get_mut(&number)?.refused_for = Some(reason);
                 self.cannot_send(number);
                 None
--- a/crates/foxtide/examples/measure/steering/baselines.rs
+++ b/crates/foxtide/examples/measure/steering/baselines.rs
@@ -15,7 +15,7 @@
     FleetView,
     InstanceReport,
     PlannedRows,
-    RefusalReason,
+    RejectionReason,
     SteeringOptions, //
 };
 use foxtide_core::time::{
@@ -144,7 +144,7 @@
         refuse()
     }
 
-    fn refused_by(&mut self, _region: &RegionId, _now: MonotonicTime) {}
+    fn record_rejection(&mut self, _region: &RegionId, _now: MonotonicTime) {}
 
     fn row(&self, service: &ServiceId, _origin: &RegionId) -> Option<BTreeMap<RegionId, Share>> {
         let row = self.healthy_row(service).into_iter();
@@ -247,7 +247,7 @@
         }
     }
 
-    fn refused_by(&mut self, _region: &RegionId, _now: MonotonicTime) {}
+    fn record_rejection(&mut self, _region: &RegionId, _now: MonotonicTime) {}
 
     fn row(&self, service: &ServiceId, origin: &RegionId) -> Option<BTreeMap<RegionId, Share>> {
         self.way.row(service, origin)
@@ -266,8 +266,8 @@
 }
 
 fn refuse() -> Admission {
-    Admission::Refuse {
-        reason: RefusalReason::RegionLimit,
+    Admission::Reject {
+        reason: RejectionReason::RegionLimit,
         retry_after: RETRY_AFTER,
     }
 }
