--- a/crates/foxtide-core/src/blocks/codec.rs
+++ b/crates/foxtide-core/src/blocks/codec.rs
@@ -228,13 +228,13 @@
 
 /// Returns the first address of the block `step` blocks of `length` bits after `last`.
 fn next_start<F: Family>(last: u64, step: u64, length: u8) -> BlocksResult<u64> {
-    let bad = || BlocksError::decode("a block is outside of the address space");
-    let shift = u32::from(F::BITS.checked_sub(length).ok_or_else(bad)?);
+    let out_of_range = || BlocksError::decode("a block is outside of the address space");
+    let shift = u32::from(F::BITS.checked_sub(length).ok_or_else(out_of_range)?);
     let position = last.checked_shr(shift).unwrap_or(0);
-    let position = position.checked_add(step).ok_or_else(bad)?;
+    let position = position.checked_add(step).ok_or_else(out_of_range)?;
     let blocks = 1u128 << length;
     if u128::from(position) >= blocks {
-        return Err(bad());
+        return Err(out_of_range());
     }
     Ok(position.checked_shl(shift).unwrap_or(0))
 }
--- a/crates/foxtide-core/src/blocks/columns.rs
+++ b/crates/foxtide-core/src/blocks/columns.rs
@@ -148,9 +148,9 @@
 
     fn find_narrow(&self, address: u64) -> Option<SiteIndex> {
         let (bucket, rest) = Self::split(address).ok()?;
-        let number = self.buckets.binary_search(&bucket).ok()?;
-        let begin = self.offsets[number] as usize;
-        let end = self.offsets[number + 1] as usize;
+        let bucket_index = self.buckets.binary_search(&bucket).ok()?;
+        let begin = self.offsets[bucket_index] as usize;
+        let end = self.offsets[bucket_index + 1] as usize;
         let blocks: Bucket<'_, F> = Bucket {
             starts: &self.starts[begin..end],
             lengths: &self.lengths[begin..end],
@@ -200,10 +200,11 @@
     }
 
     fn narrow_entries(&self) -> impl Iterator<Item = Entry> + '_ {
-        let bucket_of = self.buckets.iter().enumerate();
-        bucket_of.flat_map(move |(number, bucket)| {
+        let buckets = self.buckets.iter().enumerate();
+        buckets.flat_map(move |(bucket_index, bucket)| {
             let first: u64 = (*bucket).into();
-            let indices = self.offsets[number] as usize..self.offsets[number + 1] as usize;
+            let indices =
+                self.offsets[bucket_index] as usize..self.offsets[bucket_index + 1] as usize;
             indices.map(move |index| self.narrow_entry(first, index))
         })
     }
--- a/crates/foxtide-core/src/blocks/errors.rs
+++ b/crates/foxtide-core/src/blocks/errors.rs
@@ -41,7 +41,7 @@
     },
     /// A site is defined twice, or an alternative does not exist.
     #[error("client blocks, sites: `{site}` {problem}")]
-    BadSite {
+    InvalidSite {
         /// The site.
         site: SiteId,
         /// The cause.
--- a/crates/foxtide-core/src/blocks/manifest.rs
+++ b/crates/foxtide-core/src/blocks/manifest.rs
@@ -134,8 +134,8 @@
     ///
     /// Fails like [`Manifest::encode`].
     pub fn needs_rewrite(&self) -> BlocksResult<bool> {
-        let many = self.deltas.len() >= DELTAS_MAX;
-        Ok(many || (!self.deltas.is_empty() && self.encode()?.len() > SIZE_MAX_BYTES))
+        let has_many = self.deltas.len() >= DELTAS_MAX;
+        Ok(has_many || (!self.deltas.is_empty() && self.encode()?.len() > SIZE_MAX_BYTES))
     }
 
     /// Encodes the manifest as a value for the store.
--- a/crates/foxtide-core/src/blocks/site.rs
+++ b/crates/foxtide-core/src/blocks/site.rs
@@ -67,12 +67,12 @@
         let mut names = HashSet::new();
         for site in &sites {
             if !names.insert(&site.site) {
-                return Err(bad_site(&site.site, "is defined twice"));
+                return Err(invalid_site(&site.site, "is defined twice"));
             }
         }
         for name in sites.iter().flat_map(|site| &site.alternatives) {
             if !names.contains(name) {
-                return Err(bad_site(
+                return Err(invalid_site(
                     name,
                     "is listed as an alternative but not defined",
                 ));
@@ -121,8 +121,8 @@
     }
 }
 
-fn bad_site(site: &SiteId, problem: &'static str) -> BlocksError {
-    BlocksError::BadSite {
+fn invalid_site(site: &SiteId, problem: &'static str) -> BlocksError {
+    BlocksError::InvalidSite {
         site: site.clone(),
         problem,
     }
--- a/crates/foxtide-core/src/dissemination/fetch.rs
+++ b/crates/foxtide-core/src/dissemination/fetch.rs
@@ -62,7 +62,7 @@
 impl FetchQueue {
     /// Adds a peer as a source of an announced revision.
     pub fn add_source(&mut self, announcement: &Announcement, by: SocketAddr) {
-        let fresh = || PendingFetch {
+        let new_fetch = || PendingFetch {
             revision: announcement.revision,
             sources: Vec::new(),
             next: 0,
@@ -70,12 +70,12 @@
             retry_at: MonotonicTime::ZERO,
         };
         let organisation = announcement.organisation.clone();
-        let pending = self.pending.entry(organisation).or_insert_with(fresh);
+        let pending = self.pending.entry(organisation).or_insert_with(new_fetch);
         if announcement.revision < pending.revision {
             return;
         }
         if announcement.revision > pending.revision {
-            *pending = fresh();
+            *pending = new_fetch();
         }
         let known = pending.sources.contains(&by);
         if !known && pending.sources.len() < self.options.sources_max {
--- a/crates/foxtide-core/src/dissemination/load/aggregator.rs
+++ b/crates/foxtide-core/src/dissemination/load/aggregator.rs
@@ -136,17 +136,17 @@
         let levels_below = self.position.depth_max - self.position.depth;
         let sum_phase = self.options.level_delay * levels_below;
         let broadcast_phase = sum_phase + self.options.inter_region_delay;
-        let mut sends = Vec::new();
+        let mut envelopes = Vec::new();
         if self.is_due(self.summed_at, sum_phase, now) {
             self.summed_at = now;
-            self.send_sum(now, &mut sends);
+            self.send_sum(now, &mut envelopes);
         }
         if self.position.is_root() && self.is_due(self.broadcast_at, broadcast_phase, now) {
             self.broadcast_at = now;
             let table = self.table.values().cloned().collect();
-            self.send_to_children(&LoadMessage::Table(table), &mut sends);
+            self.send_to_children(&LoadMessage::Table(table), &mut envelopes);
         }
-        sends
+        envelopes
     }
 
     /// Handles a message of `sender` and returns the messages that forward it.
@@ -156,7 +156,7 @@
         message: LoadMessage,
         now: WallTime,
     ) -> Vec<LoadEnvelope> {
-        let mut sends = Vec::new();
+        let mut envelopes = Vec::new();
         match message {
             LoadMessage::Sum(mut records) => {
                 records.retain(|record| record.region == self.own.region);
@@ -170,11 +170,11 @@
                 let newer = self.merge_newer(records, now);
                 // Roots collect the sums of all regions and send one table in `tick`.
                 if !newer.is_empty() && !self.position.is_root() {
-                    self.send_to_children(&LoadMessage::Table(newer), &mut sends);
+                    self.send_to_children(&LoadMessage::Table(newer), &mut envelopes);
                 }
             }
         }
-        sends
+        envelopes
     }
 
     /// Merges records of whole regions and returns those that were newer.
@@ -204,26 +204,26 @@
     fn is_due(&self, last: WallTime, phase: Duration, now: WallTime) -> bool {
         let interval_us = self.interval().as_micros().max(1) as u64;
         let since_phase_us = now.saturating_sub(phase).as_us();
-        let turn = WallTime::from_us(since_phase_us / interval_us * interval_us) + phase;
+        let due_at = WallTime::from_us(since_phase_us / interval_us * interval_us) + phase;
         // Sends also after the clock was set back.
-        last < turn || now < last
+        last < due_at || now < last
     }
 
-    fn send_sum(&mut self, now: WallTime, sends: &mut Vec<LoadEnvelope>) {
+    fn send_sum(&mut self, now: WallTime, envelopes: &mut Vec<LoadEnvelope>) {
         let mut records = self.sum(now);
         if records.is_empty() {
             return;
         }
         if let Some(to) = self.position.parent {
             let message = LoadMessage::Sum(records);
-            sends.push(LoadEnvelope { to, message });
+            envelopes.push(LoadEnvelope { to, message });
             return;
         }
         self.limit_changes(&mut records, now);
         self.merge_newer(records.clone(), now);
         for to in &self.position.other_roots {
             let message = LoadMessage::Table(records.clone());
-            sends.push(LoadEnvelope { to: *to, message });
+            envelopes.push(LoadEnvelope { to: *to, message });
         }
     }
 
@@ -247,10 +247,10 @@
         }
     }
 
-    fn send_to_children(&self, message: &LoadMessage, sends: &mut Vec<LoadEnvelope>) {
+    fn send_to_children(&self, message: &LoadMessage, envelopes: &mut Vec<LoadEnvelope>) {
         for to in self.position.children.values() {
             let message = message.clone();
-            sends.push(LoadEnvelope { to: *to, message });
+            envelopes.push(LoadEnvelope { to: *to, message });
         }
     }
 
@@ -260,7 +260,7 @@
         let mut sums: BTreeMap<OrganisationId, LoadRecord> = BTreeMap::new();
         let region = &self.own.region;
         let own = self.reports.iter().map(|(organisation, own)| {
-            LoadRecord::single(organisation, region, &own.report, own.made_at)
+            LoadRecord::of_instance(organisation, region, &own.report, own.made_at)
         });
         let below = self.children.values().flat_map(|child| &child.records);
         for mut record in own.chain(below.cloned()) {
--- a/crates/foxtide-core/src/dissemination/load/record.rs
+++ b/crates/foxtide-core/src/dissemination/load/record.rs
@@ -47,7 +47,7 @@
 
 impl LoadRecord {
     /// Creates the record of a single instance.
-    pub(super) fn single(
+    pub(super) fn of_instance(
         organisation: &OrganisationId,
         region: &RegionId,
         report: &InstanceReport,
--- a/crates/foxtide-core/src/membership/machine.rs
+++ b/crates/foxtide-core/src/membership/machine.rs
@@ -14,7 +14,7 @@
 use super::probe::ProbeSchedule;
 use super::queue::{
     RumourQueue,
-    transmissions, //
+    transmission_limit, //
 };
 use super::rendezvous::{
     Role,
@@ -162,7 +162,7 @@
 
     /// Returns whether this instance ranks among the first `count` usable instances of
     /// its zone for `role`.
-    pub fn holds(&self, role: Role, count: usize) -> bool {
+    pub fn has_role(&self, role: Role, count: usize) -> bool {
         let zone = &self.own.availability_zone;
         let usable = self
             .table
@@ -211,7 +211,7 @@
         for rumour in packet.rumours {
             self.apply_rumour(rumour, from, now, &mut outputs);
         }
-        self.answer(from, packet.message, now, &mut outputs);
+        self.handle_message(from, packet.message, now, &mut outputs);
         if self.has_unsent_rumours && now - self.gossiped_at >= EAGER_GOSSIP_INTERVAL {
             self.gossip(now, &mut outputs);
         }
@@ -221,18 +221,18 @@
     /// Queues a rumour of this instance and gossips at once.
     pub fn spread(&mut self, rumour: Rumour, now: MonotonicTime) -> Vec<Output> {
         let mut outputs = Vec::new();
-        self.push(rumour);
+        self.queue_rumour(rumour);
         self.gossip(now, &mut outputs);
         outputs
     }
 
-    pub(super) fn push(&mut self, rumour: Rumour) {
+    pub(super) fn queue_rumour(&mut self, rumour: Rumour) {
         self.queue.push(rumour);
         self.has_unsent_rumours = true;
     }
 
     /// Handles a packet's message.
-    fn answer(
+    fn handle_message(
         &mut self,
         from: SocketAddr,
         message: Message,
@@ -277,7 +277,7 @@
     }
 
     pub(super) fn packet(&mut self, message: Message) -> Packet {
-        let limit = transmissions(self.options.rumour_factor, self.scope.size());
+        let limit = transmission_limit(self.options.rumour_factor, self.scope.size());
         let rumours = self.queue.take(RUMOURS_MAX_BYTES, limit);
         Packet { message, rumours }
     }
--- a/crates/foxtide-core/src/membership/message.rs
+++ b/crates/foxtide-core/src/membership/message.rs
@@ -54,7 +54,7 @@
 
 impl Rumour {
     /// Returns whether this rumour supersedes `older`.
-    pub(crate) fn covers(&self, older: &Self) -> bool {
+    pub(crate) fn supersedes(&self, older: &Self) -> bool {
         match (self, older) {
             (Self::Member(one), Self::Member(two)) => one.instance == two.instance,
             (Self::Member(one), Self::Suspicion(two)) => one.instance == two.member.instance,
--- a/crates/foxtide-core/src/membership/probe.rs
+++ b/crates/foxtide-core/src/membership/probe.rs
@@ -47,7 +47,7 @@
 pub(crate) struct ProbeSchedule {
     last_id: u64,
     round: Vec<InstanceId>,
-    waiting: Vec<Probe>,
+    pending: Vec<Probe>,
     relays: Vec<Relay>,
 }
 
@@ -78,7 +78,7 @@
         now: MonotonicTime,
     ) -> ProbeId {
         let id = self.next_id();
-        self.waiting.push(Probe {
+        self.pending.push(Probe {
             id,
             target,
             attempts: 1,
@@ -106,8 +106,8 @@
     }
 
     /// Completes a probe; returns the origin and number of a relayed one.
-    pub(crate) fn answered(&mut self, id: ProbeId) -> Option<(SocketAddr, ProbeId)> {
-        self.waiting.retain(|probe| probe.id != id);
+    pub(crate) fn complete(&mut self, id: ProbeId) -> Option<(SocketAddr, ProbeId)> {
+        self.pending.retain(|probe| probe.id != id);
         let index = self.relays.iter().position(|relay| relay.id == id)?;
         let relay = self.relays.swap_remove(index);
         Some((relay.origin, relay.origin_probe))
@@ -118,7 +118,7 @@
     pub(crate) fn overdue(&mut self, attempts: u32, now: MonotonicTime) -> Overdue {
         self.relays.retain(|relay| now < relay.expires_at);
         let mut overdue = Overdue::default();
-        self.waiting.retain_mut(|probe| {
+        self.pending.retain_mut(|probe| {
             if now < probe.deadline {
                 return true;
             }
@@ -135,8 +135,8 @@
     }
 
     /// Drops all pending probes, as after a pause of this process.
-    pub(crate) fn restart(&mut self) {
-        self.waiting.clear();
+    pub(crate) fn clear(&mut self) {
+        self.pending.clear();
         self.relays.clear();
     }
 }
--- a/crates/foxtide-core/src/membership/probing.rs
+++ b/crates/foxtide-core/src/membership/probing.rs
@@ -30,7 +30,7 @@
     /// during it prove nothing, and the member table is stale.
     pub(super) fn detect_pause(&mut self, now: MonotonicTime, outputs: &mut Vec<Output>) {
         if now - self.ticked_at > self.options.pause_limit {
-            self.probes.restart();
+            self.probes.clear();
             self.suspicions.restart(now);
             self.due.digest_at = now;
             self.counts.pauses += 1;
@@ -139,7 +139,7 @@
     }
 
     pub(super) fn forward_ack(&mut self, probe: ProbeId, outputs: &mut Vec<Output>) {
-        if let Some((origin, probe)) = self.probes.answered(probe) {
+        if let Some((origin, probe)) = self.probes.complete(probe) {
             let packet = self.packet(Message::Ack { probe });
             outputs.push(Output::Send { to: origin, packet });
         }
@@ -152,7 +152,7 @@
             return;
         }
         self.due.digest_at = now + self.options.digest_interval;
-        self.table.forget(self.options.dead_retention, now);
+        self.table.prune_dead(self.options.dead_retention, now);
         let zone_peer = self.scope.zone_peers.choose(&mut self.rng);
         let foreign = self.scope.foreign_delegates.choose(&mut self.rng);
         let peers = zone_peer.into_iter().chain(foreign);
--- a/crates/foxtide-core/src/membership/table.rs
+++ b/crates/foxtide-core/src/membership/table.rs
@@ -61,7 +61,7 @@
     }
 
     /// Removes members that have been dead for `retention`.
-    pub(crate) fn forget(&mut self, retention: Duration, now: MonotonicTime) {
+    pub(crate) fn prune_dead(&mut self, retention: Duration, now: MonotonicTime) {
         let before = self.entries.len();
         self.entries.retain(|_, entry| {
             entry.member.state.is_running() || now - entry.changed_at < retention
--- a/crates/foxtide-core/src/membership/updates.rs
+++ b/crates/foxtide-core/src/membership/updates.rs
@@ -71,7 +71,7 @@
             }
         }
         if discovered {
-            self.push(Rumour::Member(self.own.clone()));
+            self.queue_rumour(Rumour::Member(self.own.clone()));
         }
         outputs
     }
@@ -178,7 +178,7 @@
         }
         if self.table.apply(&member, now) {
             self.suspicions.end(&member.instance);
-            self.push(Rumour::Member(member.clone()));
+            self.queue_rumour(Rumour::Member(member.clone()));
             outputs.push(Output::Changed(member));
         }
     }
@@ -196,7 +196,7 @@
     /// Stores and gossips this instance's own state.
     fn announce_self(&mut self, now: MonotonicTime, outputs: &mut Vec<Output>) {
         self.table.put(self.own.clone(), now);
-        self.push(Rumour::Member(self.own.clone()));
+        self.queue_rumour(Rumour::Member(self.own.clone()));
         outputs.push(Output::Changed(self.own.clone()));
         self.gossip(now, outputs);
     }
@@ -222,7 +222,7 @@
             .suspicions
             .suspect(&member.instance, member.incarnation, &source, now);
         if is_new {
-            self.push(rumour(member.clone(), source));
+            self.queue_rumour(rumour(member.clone(), source));
         }
         if changed {
             outputs.push(Output::Changed(member));
--- a/crates/foxtide-core/src/placement/health.rs
+++ b/crates/foxtide-core/src/placement/health.rs
@@ -73,8 +73,8 @@
     pub fn end(&mut self, result: AttemptResult, now: MonotonicTime) {
         self.in_flight = self.in_flight.saturating_sub(1);
         match result {
-            AttemptResult::Answered { latency } => self.succeeded(latency),
-            AttemptResult::Faulty => self.failed(now),
+            AttemptResult::Answered { latency } => self.record_success(latency),
+            AttemptResult::Faulty => self.record_failure(now),
             AttemptResult::Unreachable => self.eject(now),
             AttemptResult::Full | AttemptResult::Abandoned => {}
         }
@@ -115,7 +115,7 @@
         reported.max(self.in_flight)
     }
 
-    fn succeeded(&mut self, latency: Duration) {
+    fn record_success(&mut self, latency: Duration) {
         self.failure_share *= 1.0 - FAILURE_WEIGHT;
         self.ejections = 0;
         let latency_s = latency.as_secs_f64();
@@ -123,7 +123,7 @@
         self.latency_s = Some(mean_s + LATENCY_WEIGHT * (latency_s - mean_s));
     }
 
-    fn failed(&mut self, now: MonotonicTime) {
+    fn record_failure(&mut self, now: MonotonicTime) {
         self.failure_share += FAILURE_WEIGHT * (1.0 - self.failure_share);
         if self.failure_share >= EJECTION_SHARE {
             self.eject(now);
--- a/crates/foxtide-core/src/promises/monitor.rs
+++ b/crates/foxtide-core/src/promises/monitor.rs
@@ -75,7 +75,7 @@
 
 /// The latest measurement of one promise.
 #[derive(Clone, Debug, Default)]
-struct Measure {
+struct Measurement {
     limit: f64,
     now: f64,
     worst_of_limit: HourlyMaximum,
@@ -85,7 +85,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct PromiseMonitor {
     window: VecDeque<Sample>,
-    measures: BTreeMap<Key, Measure>,
+    measurements: BTreeMap<Key, Measurement>,
 }
 
 impl PromiseMonitor {
@@ -101,7 +101,7 @@
 
     /// Returns every promise, ordered by kind, service and region.
     pub fn promises(&self) -> Vec<Promise> {
-        self.measures.iter().map(promise).collect()
+        self.measurements.iter().map(to_promise).collect()
     }
 
     fn measure(&mut self, organisation: &Organisation, now: MonotonicTime) {
@@ -113,14 +113,14 @@
             return;
         }
         let allowed_rps = self.largest_allowed_rps();
-        let found = compare(organisation, &allowed_rps, first, last);
-        self.measures
-            .retain(|key, _| found.iter().any(|(known, ..)| known == key));
-        for (key, limit, value) in found {
-            let measure = self.measures.entry(key).or_default();
-            measure.limit = limit;
-            measure.now = value;
-            measure
+        let values = compare(organisation, &allowed_rps, first, last);
+        self.measurements
+            .retain(|key, _| values.iter().any(|(known, ..)| known == key));
+        for (key, limit, value) in values {
+            let measurement = self.measurements.entry(key).or_default();
+            measurement.limit = limit;
+            measurement.now = value;
+            measurement
                 .worst_of_limit
                 .add(ratio_to_limit(value, limit), now);
         }
@@ -140,15 +140,15 @@
     }
 }
 
-fn promise((key, measure): (&Key, &Measure)) -> Promise {
+fn to_promise((key, measurement): (&Key, &Measurement)) -> Promise {
     let (kind, service, region) = key;
-    let worst_of_limit = measure.worst_of_limit.get();
+    let worst_of_limit = measurement.worst_of_limit.get();
     Promise {
         promise: *kind,
         service: service.clone(),
         region: region.clone(),
-        limit: measure.limit,
-        now: measure.now,
+        limit: measurement.limit,
+        now: measurement.now,
         worst_of_limit,
         unit: match kind {
             PromiseKind::ShiftCap => "share/s",
@@ -178,7 +178,7 @@
     last: &Sample,
 ) -> Vec<(Key, f64, f64)> {
     let passed_s = last.taken_at.since(first.taken_at).as_secs_f64();
-    let mut found = Vec::new();
+    let mut values = Vec::new();
     for service in &organisation.services {
         let id = &service.service;
         let (Some(before), Some(after)) = (first.services.get(id), last.services.get(id)) else {
@@ -187,11 +187,11 @@
         let cap = service.contract.shift_cap_share_per_s.get();
         for (region, increase) in share_increases(before, after) {
             let key = (PromiseKind::ShiftCap, Some(id.clone()), Some(region));
-            found.push((key, cap, increase / passed_s));
+            values.push((key, cap, increase / passed_s));
         }
         let key = (PromiseKind::SpillLimit, Some(id.clone()), None);
         let limit = service.contract.spill_limit_share.get();
-        found.push((key, limit, spilled_share(before, after)));
+        values.push((key, limit, spilled_share(before, after)));
     }
     for (region, after) in &last.regions {
         let Some(before) = first.regions.get(region) else {
@@ -201,9 +201,9 @@
         let allowed_rps =
             allowed_rps.get(region).copied().unwrap_or(0.0) * (1.0 + BURST_TOLERANCE_SHARE);
         let key = (PromiseKind::SoldRate, None, Some(region.clone()));
-        found.push((key, allowed_rps, sent as f64 / passed_s));
+        values.push((key, allowed_rps, sent as f64 / passed_s));
     }
-    found
+    values
 }
 
 /// Returns the increase of each region's share. The first row is a start and
--- a/crates/foxtide-core/src/registry/departures.rs
+++ b/crates/foxtide-core/src/registry/departures.rs
@@ -20,7 +20,7 @@
 #[derive(Clone, Copy, Debug)]
 struct Departure {
     born_at: Option<WallTime>,
-    since: MonotonicTime,
+    recorded_at: MonotonicTime,
     /// Whether the store was restored from an older copy since then.
     is_withheld: bool,
 }
@@ -34,7 +34,7 @@
     pub(super) fn record_departure(&mut self, registration: &Registration, now: MonotonicTime) {
         let departure = Departure {
             born_at: registration.born_at,
-            since: now,
+            recorded_at: now,
             is_withheld: self.is_withheld(registration, now),
         };
         self.0.insert(registration.upstream.clone(), departure);
@@ -63,7 +63,7 @@
         }
         for departure in self.0.values_mut() {
             departure.is_withheld = true;
-            departure.since = now;
+            departure.recorded_at = now;
         }
     }
 
@@ -74,7 +74,7 @@
         departure.is_some_and(|departure| {
             departure.is_withheld
                 && departure.born_at == registration.born_at
-                && now - departure.since < DEPARTURE_RETENTION
+                && now - departure.recorded_at < DEPARTURE_RETENTION
                 && registration.state == UpstreamState::Ready
         })
     }
@@ -82,6 +82,6 @@
     /// Removes old departures.
     pub(super) fn prune(&mut self, now: MonotonicTime) {
         self.0
-            .retain(|_, departure| now - departure.since < DEPARTURE_RETENTION);
+            .retain(|_, departure| now - departure.recorded_at < DEPARTURE_RETENTION);
     }
 }
--- a/crates/foxtide-core/src/registry/follower_backoff.rs
+++ b/crates/foxtide-core/src/registry/follower_backoff.rs
@@ -18,14 +18,14 @@
 pub struct FollowerBackoff {
     due_at: Option<MonotonicTime>,
     /// Whether the store's last answer went to this instance itself.
-    is_served: bool,
+    is_served_directly: bool,
 }
 
 impl FollowerBackoff {
     /// Records that the store did not answer; `draw`, from 0 to 1, adds jitter.
     pub fn store_failed(&mut self, now: MonotonicTime, draw: f64) {
         self.due_at = Some(now + jittered(FOLLOWER_RETRY_INTERVAL, draw));
-        self.is_served = false;
+        self.is_served_directly = false;
     }
 
     /// Records that live watchers get no answer from the store; `draw` as above.
@@ -34,7 +34,7 @@
     /// off. The instance then keeps calling the store: another delay would let it
     /// alternate between available and unavailable and keep upstreams that have left.
     pub fn watchers_failed(&mut self, now: MonotonicTime, draw: f64) {
-        if !self.is_served {
+        if !self.is_served_directly {
             self.due_at
                 .get_or_insert(now + jittered(WATCHER_GRACE, draw));
         }
@@ -43,7 +43,7 @@
     /// Records that the store answered this instance itself.
     pub fn store_answered(&mut self) {
         self.due_at = None;
-        self.is_served = true;
+        self.is_served_directly = true;
     }
 
     /// Records that a watcher answered in place of the store.
--- a/crates/foxtide-core/src/registry/incarnations.rs
+++ b/crates/foxtide-core/src/registry/incarnations.rs
@@ -33,7 +33,7 @@
 #[derive(Clone, Copy, Debug)]
 struct Discarded {
     born_at: Option<WallTime>,
-    since: MonotonicTime,
+    discarded_at: MonotonicTime,
 }
 
 /// Known incarnations, independent of current registrations.
@@ -78,7 +78,7 @@
     pub(super) fn discard(&mut self, registration: &Registration, now: MonotonicTime) {
         let discarded = Discarded {
             born_at: registration.born_at,
-            since: now,
+            discarded_at: now,
         };
         self.discarded
             .insert(registration.upstream.clone(), discarded);
@@ -91,7 +91,7 @@
         is_registered: impl Fn(&UpstreamId) -> bool,
     ) {
         self.discarded
-            .retain(|_, discarded| now - discarded.since < DISCARDED_RETENTION);
+            .retain(|_, discarded| now - discarded.discarded_at < DISCARDED_RETENTION);
         self.newest.retain(|upstream, (_, seen_at)| {
             is_registered(upstream) || now - *seen_at < NEWEST_START_RETENTION
         });
--- a/crates/foxtide-core/src/registry/members.rs
+++ b/crates/foxtide-core/src/registry/members.rs
@@ -248,16 +248,16 @@
         own: &RegionId,
     ) -> Vec<&Member> {
         let seed = xxh3_64(organisation.as_str().as_bytes());
-        self.of_each_region(seed, 1, own)
+        self.best_per_region(seed, 1, own)
     }
 
     /// Returns the members that aggregate the failures of upstreams per request, those
     /// of the region `own` first. Each region has several, since some may be absent.
     pub fn aggregators(&self, fingerprint: Fingerprint, own: &RegionId) -> Vec<&Member> {
-        self.of_each_region(fingerprint.hash(), AGGREGATORS_PER_REGION, own)
+        self.best_per_region(fingerprint.hash(), AGGREGATORS_PER_REGION, own)
     }
 
-    fn of_each_region(&self, seed: u64, count: usize, own: &RegionId) -> Vec<&Member> {
+    fn best_per_region(&self, seed: u64, count: usize, own: &RegionId) -> Vec<&Member> {
         let mut of_regions: BTreeMap<&RegionId, Vec<(u64, &Member)>> = BTreeMap::new();
         for member in self.all() {
             let draw = xxh3_64_with_seed(member.instance.as_str().as_bytes(), seed);
--- a/crates/foxtide-core/src/registry/table.rs
+++ b/crates/foxtide-core/src/registry/table.rs
@@ -259,7 +259,7 @@
             registration: Arc::new(registration),
         };
         self.remove(&upstream);
-        self.index(&registered);
+        self.add_to_index(&registered);
         self.entries.insert(upstream.clone(), registered);
         match (was_eligible, self.is_eligible(&upstream)) {
             (true, false) => RegistryChange::Left(upstream),
@@ -308,7 +308,7 @@
     }
 
     /// Adds an eligible upstream to the index.
-    fn index(&mut self, entry: &Registered) {
+    fn add_to_index(&mut self, entry: &Registered) {
         if !self.takes_requests(entry) {
             return;
         }
@@ -325,7 +325,7 @@
         self.generation += 1;
         let entries: Vec<Registered> = self.entries.values().cloned().collect();
         for entry in &entries {
-            self.index(entry);
+            self.add_to_index(entry);
         }
     }
 }
--- a/crates/foxtide-core/src/routing/organisations.rs
+++ b/crates/foxtide-core/src/routing/organisations.rs
@@ -101,22 +101,22 @@
         for OrganisationEntry { terms, keys } in entries {
             let terms = Arc::new(terms);
             for key in keys {
-                let holder = by_key
+                let owner = by_key
                     .entry(key)
                     .or_insert_with(|| Some(Arc::clone(&terms)));
-                let holds = holder
+                let is_owner = owner
                     .as_ref()
-                    .is_some_and(|holder| holder.organisation == terms.organisation);
-                if !holds {
-                    *holder = None;
+                    .is_some_and(|owner| owner.organisation == terms.organisation);
+                if !is_owner {
+                    *owner = None;
                     disputed.push(terms.organisation.clone());
                 }
             }
         }
-        let held = by_key.into_iter();
+        let owned = by_key.into_iter();
         Self {
-            by_key: held
-                .filter_map(|(key, holder)| Some((key, holder?)))
+            by_key: owned
+                .filter_map(|(key, owner)| Some((key, owner?)))
                 .collect(),
             disputed,
         }
@@ -133,7 +133,7 @@
     }
 
     /// Returns the number of keys.
-    pub fn keys_count(&self) -> usize {
+    pub fn key_count(&self) -> usize {
         self.by_key.len()
     }
 
--- a/crates/foxtide-core/src/routing/table.rs
+++ b/crates/foxtide-core/src/routing/table.rs
@@ -107,7 +107,7 @@
     }
 
     /// Returns the number of routes.
-    pub fn routes_count(&self) -> usize {
+    pub fn route_count(&self) -> usize {
         self.by_host.values().map(Vec::len).sum()
     }
 }
--- a/crates/foxtide-core/src/routing/weighted_round_robin.rs
+++ b/crates/foxtide-core/src/routing/weighted_round_robin.rs
@@ -24,7 +24,7 @@
         for weighted in services.iter().filter(|weighted| weighted.weight > 0.0) {
             let credit = self.credits.entry(weighted.service.clone()).or_default();
             *credit += weighted.weight;
-            if chosen.is_none_or(|(_, most)| *credit > most) {
+            if chosen.is_none_or(|(_, highest)| *credit > highest) {
                 chosen = Some((&weighted.service, *credit));
             }
         }
--- a/crates/foxtide-core/src/steering/adopt.rs
+++ b/crates/foxtide-core/src/steering/adopt.rs
@@ -4,11 +4,11 @@
     RowSync,
     Steering, //
 };
-use super::flows::{
+use super::name_index::NamedRow;
+use super::origin_state::{
     Adoption,
-    OriginFlows, //
+    OriginState, //
 };
-use super::name_index::NamedRow;
 use super::view::{
     FleetView,
     ServiceView, //
@@ -28,72 +28,72 @@
 impl Steering {
     /// Updates the peers' rows, and adopts those of other origins that are idle.
     pub(super) fn adopt_rows(&mut self) {
-        self.remember_rows();
-        for (index, flows) in self.flows.iter_mut().enumerate() {
-            let own = own_rows(&self.view, &flows.origin);
+        self.update_last_rows();
+        for (index, origin) in self.origins.iter_mut().enumerate() {
+            let own = own_rows(&self.view, &origin.region);
             if index == 0 {
-                flows.set_peer_rows(&own, &self.names);
-                flows.update_peer_demand(&self.view, &self.names);
+                origin.set_peer_rows(&own, &self.names);
+                origin.update_peer_demand(&self.view, &self.names);
                 continue;
             }
             // The origin's own instances are authoritative, but their old reports
             // must not overwrite a row that is in use here.
-            if flows.is_idle() {
-                flows.adopt(&own, &self.names, Adoption::All);
+            if origin.is_idle() {
+                origin.adopt(&own, &self.names, Adoption::All);
             }
-            let foreign = rows_of(&self.view.foreign(&flows.origin));
-            flows.set_peer_rows(&foreign, &self.names);
+            let foreign = rows_of(&self.view.foreign(&origin.region));
+            origin.set_peer_rows(&foreign, &self.names);
         }
     }
 
     /// Completes the row synchronisation after its waiting time, and initialises
     /// missing rows.
-    pub(super) fn start_rows(&mut self, now: MonotonicTime) {
+    pub(super) fn initialise_rows(&mut self, now: MonotonicTime) {
         if let RowSync::Waiting { since } = self.row_sync {
             let waited = now.since(since);
-            let may_receive = self.is_missing_peers() && waited < self.options.claim_hold;
-            if waited < self.adoption_wait() || may_receive {
+            let may_receive_rows = self.awaits_peer_rows() && waited < self.options.claim_hold;
+            if waited < self.adoption_wait() || may_receive_rows {
                 return;
             }
             self.row_sync = RowSync::Done;
-            for flows in &mut self.flows {
-                let foreign = rows_of(&self.view.foreign(&flows.origin));
-                flows.adopt(&foreign, &self.names, Adoption::All);
-                let own = own_rows(&self.view, &flows.origin);
-                flows.adopt(&own, &self.names, Adoption::All);
+            for origin in &mut self.origins {
+                let foreign = rows_of(&self.view.foreign(&origin.region));
+                origin.adopt(&foreign, &self.names, Adoption::All);
+                let own = own_rows(&self.view, &origin.region);
+                origin.adopt(&own, &self.names, Adoption::All);
             }
         }
-        self.start_own();
+        self.initialise_own_rows();
         let sees_majority = self.view.sees_majority();
-        for flows in self.flows.iter_mut().skip(1) {
-            let region = self.view.regions.get(&flows.origin);
+        for origin in self.origins.iter_mut().skip(1) {
+            let region = self.view.regions.get(&origin.region);
             let had_instances = region.is_some_and(|region| region.known_instances > 0);
-            flows.start_missing(sees_majority && !had_instances);
+            origin.initialise_missing(sees_majority && !had_instances);
         }
     }
 
     /// Initialises missing rows of this instance's own origin.
-    fn start_own(&mut self) {
-        let cut_off = self.is_missing_peers();
-        let flows = &mut self.flows[0];
-        if !flows.has_missing_rows() {
+    fn initialise_own_rows(&mut self) {
+        let cut_off = self.awaits_peer_rows();
+        let origin = &mut self.origins[0];
+        if !origin.has_missing_rows() {
             return;
         }
         let services = self.names.services.iter();
         let rows = services.filter_map(|(id, _)| {
-            let row = row_elsewhere(&self.view, &flows.origin, id)?;
+            let row = foreign_row(&self.view, &origin.region, id)?;
             Some((id.clone(), row))
         });
         if !cut_off {
-            flows.adopt(&rows.collect(), &self.names, Adoption::Missing);
+            origin.adopt(&rows.collect(), &self.names, Adoption::Missing);
         }
-        flows.start_missing(self.view.sees_majority() && !cut_off);
+        origin.initialise_missing(self.view.sees_majority() && !cut_off);
     }
 
     /// Returns whether no row of this origin is reported while some of its known
     /// instances are not live.
-    fn is_missing_peers(&self) -> bool {
-        let origin = &self.flows[0].origin;
+    fn awaits_peer_rows(&self) -> bool {
+        let origin = &self.origins[0].region;
         let has_rows = !own_rows(&self.view, origin).is_empty();
         let here = self.view.regions.get(origin);
         let all_live = here.is_none_or(|here| here.live_instances >= here.known_instances);
@@ -110,40 +110,40 @@
         wait.max(self.options.view_age_max)
     }
 
-    /// Returns the index of the flows of an origin, creating them if needed.
-    pub(super) fn flows_of(&mut self, origin: &RegionId) -> usize {
-        let known = self.flows.iter().position(|flows| flows.origin == *origin);
-        match known {
+    /// Returns the index of the state of an origin, creating them if needed.
+    pub(super) fn origin_index(&mut self, origin: &RegionId) -> usize {
+        let mut origins = self.origins.iter();
+        match origins.position(|state| state.region == *origin) {
             Some(index) => index,
             // Callers outside all of the organisation's regions use the own row.
             None if self.names.region(origin).is_none() => 0,
-            None => self.add_flows(origin),
+            None => self.add_origin(origin),
         }
     }
 
-    fn add_flows(&mut self, origin: &RegionId) -> usize {
+    fn add_origin(&mut self, origin: &RegionId) -> usize {
         let organisation = &self.organisation;
-        let mut flows = OriginFlows::new(
+        let mut state = OriginState::new(
             organisation,
             origin.clone(),
             &self.options,
             &self.destinations,
         );
-        flows.share_health(&self.flows[0]);
+        state.share_health(&self.origins[0]);
         // Prefers the current rows of other instances that serve these callers.
         let foreign = rows_of(&self.view.foreign(origin));
-        flows.adopt(&foreign, &self.names, Adoption::Missing);
+        state.adopt(&foreign, &self.names, Adoption::Missing);
         if let Some(rows) = self.last_rows.get(origin) {
-            flows.adopt(rows, &self.names, Adoption::Missing);
+            state.adopt(rows, &self.names, Adoption::Missing);
         }
-        self.flows.push(flows);
+        self.origins.push(state);
         self.adopt_rows();
-        self.flows.len() - 1
+        self.origins.len() - 1
     }
 
     /// Stores each origin's rows, with which other instances continue when the
     /// origin's instances fail.
-    fn remember_rows(&mut self) {
+    fn update_last_rows(&mut self) {
         for (origin, region) in &self.view.regions {
             let rows = rows_of(&region.services);
             if !rows.is_empty() {
@@ -175,7 +175,7 @@
 ///
 /// Without a row for the origin, this is the mean of the other regions' rows,
 /// weighted by demand.
-fn row_elsewhere(view: &FleetView, origin: &RegionId, service: &ServiceId) -> Option<NamedRow> {
+fn foreign_row(view: &FleetView, origin: &RegionId, service: &ServiceId) -> Option<NamedRow> {
     let mut foreign = view.foreign(origin);
     if let Some(foreign) = foreign
         .remove(service)
--- a/crates/foxtide-core/src/steering/decide.rs
+++ b/crates/foxtide-core/src/steering/decide.rs
@@ -59,13 +59,13 @@
         waited: Duration,
         now: MonotonicTime,
     ) -> Admission {
-        let flows = self.flows_of(origin);
-        self.admit_at(flows, service, draw, waited, now)
+        let origin = self.origin_index(origin);
+        self.admit_at(origin, service, draw, waited, now)
     }
 
     fn admit_at(
         &mut self,
-        flows: usize,
+        origin: usize,
         service: &ServiceId,
         draw: f64,
         waited: Duration,
@@ -75,7 +75,7 @@
             return reject(RejectionReason::UnknownService, RETRY_AFTER_MAX);
         };
         let ready = self.rows_are_current(now);
-        let state = &mut self.flows[flows].services[index];
+        let state = &mut self.origins[origin].services[index];
         if waited.is_zero() {
             state.count_arrival();
         }
@@ -89,7 +89,7 @@
             Ok(()) => self.send(drawn),
             Err(exhausted) => {
                 let without_capacity = self.retry_without_capacity();
-                let state = &self.flows[flows].services[index];
+                let state = &self.origins[origin].services[index];
                 wait_or_reject(state, exhausted, waited, without_capacity)
             }
         }
--- a/crates/foxtide-core/src/steering/destinations.rs
+++ b/crates/foxtide-core/src/steering/destinations.rs
@@ -111,12 +111,12 @@
         self.settled
     }
 
-    fn note_settled(&mut self) {
-        let own = self
+    fn update_settled(&mut self) {
+        let own_index = self
             .regions
             .iter()
             .position(|region| *region == self.origin);
-        let destination = self.destinations.get(own.unwrap_or_default());
+        let destination = self.destinations.get(own_index.unwrap_or_default());
         self.settled |= destination.is_none_or(|destination| destination.region.is_settled());
     }
 
@@ -195,7 +195,7 @@
             let input = inputs.link_input(sold, &self.origin, floors.link_share());
             destination.link.update(input, times, passed, now);
         }
-        self.note_settled();
+        self.update_settled();
     }
 
     /// Takes a token for one request from the region's and the link's limits.
--- a/crates/foxtide-core/src/steering/engine.rs
+++ b/crates/foxtide-core/src/steering/engine.rs
@@ -1,13 +1,13 @@
 //! The steering state of one instance for one organisation.
 
 use super::destinations::Destinations;
-use super::flows::OriginFlows;
 use super::known_instances::KnownInstances;
 use super::name_index::{
     NameIndex,
     NamedRow, //
 };
 use super::options::SteeringOptions;
+use super::origin_state::OriginState;
 use super::service::ServiceState;
 use super::view::{
     FleetView,
@@ -41,8 +41,8 @@
     pub(super) organisation: Arc<Organisation>,
     pub(super) options: SteeringOptions,
     pub(super) names: NameIndex,
-    /// The flows by origin, the own region first.
-    pub(super) flows: Vec<OriginFlows>,
+    /// The state per origin, the own region first.
+    pub(super) origins: Vec<OriginState>,
     pub(super) destinations: Destinations,
     pub(super) view: FleetView,
     known_instances: KnownInstances,
@@ -72,12 +72,12 @@
         options: SteeringOptions,
     ) -> Self {
         let destinations = Destinations::new(&organisation, &origin, MonotonicTime::ZERO);
-        let flows = OriginFlows::new(&organisation, origin, &options, &destinations);
+        let own_origin = OriginState::new(&organisation, origin, &options, &destinations);
         Self {
             names: NameIndex::new(&organisation),
             organisation,
             options,
-            flows: vec![flows],
+            origins: vec![own_origin],
             destinations,
             view: FleetView::default(),
             known_instances: KnownInstances::default(),
@@ -95,13 +95,13 @@
     pub fn configure(&mut self, organisation: Arc<Organisation>, now: MonotonicTime) {
         self.destinations.configure(&organisation, now);
         let names = NameIndex::new(&organisation);
-        for flows in &mut self.flows {
-            let origin = flows.origin.clone();
+        for origin in &mut self.origins {
+            let region = origin.region.clone();
             let mut new =
-                OriginFlows::new(&organisation, origin, &self.options, &self.destinations);
-            new.restore(flows, &self.names, &names);
+                OriginState::new(&organisation, region, &self.options, &self.destinations);
+            new.restore(origin, &self.names, &names);
             new.update_reported_health(&self.view, &names);
-            *flows = new;
+            *origin = new;
         }
         self.organisation = organisation;
         self.names = names;
@@ -119,8 +119,8 @@
         let hold = self.options.lost_region_hold;
         self.known_instances.apply_to(&mut self.view, hold, now);
         self.destinations.observe(&self.view);
-        for flows in &mut self.flows {
-            flows.update_reported_health(&self.view, &self.names);
+        for origin in &mut self.origins {
+            origin.update_reported_health(&self.view, &self.names);
         }
         self.adopt_rows();
     }
@@ -132,8 +132,8 @@
         let (Some(service), Some(region)) = indices else {
             return;
         };
-        for flows in &mut self.flows {
-            flows.services[service].observed_health[region] = healthy;
+        for origin in &mut self.origins {
+            origin.services[service].observed_health[region] = healthy;
         }
     }
 
@@ -144,13 +144,14 @@
         }
         let since_last = self.ticked_at.map_or(Duration::ZERO, |at| now.since(at));
         self.ticked_at = Some(now);
-        for flows in &mut self.flows {
-            flows.update_wanted(wall, since_last);
+        for origin in &mut self.origins {
+            origin.update_wanted(wall, since_last);
         }
         self.update_spill(now);
-        self.start_rows(now);
+        self.initialise_rows(now);
         let passed = since_last.min(self.options.tick_max);
-        for service in self.flows.iter_mut().flat_map(|flows| &mut flows.services) {
+        let origins = self.origins.iter_mut();
+        for service in origins.flat_map(|origin| &mut origin.services) {
             service.step(passed);
         }
         self.destinations
@@ -177,11 +178,11 @@
     /// Returns the report to publish and records its claims as published.
     pub fn report(&mut self, now: MonotonicTime) -> InstanceReport {
         let ready = self.rows_are_current(now);
-        let report = |flows: &OriginFlows| flows.report(&self.names, ready);
-        let foreign = self.flows.iter().skip(1);
-        let foreign = foreign.map(|flows| (flows.origin.clone(), report(flows)));
+        let report = |origin: &OriginState| origin.report(&self.names, ready);
+        let foreign = self.origins.iter().skip(1);
+        let foreign = foreign.map(|origin| (origin.region.clone(), report(origin)));
         InstanceReport {
-            services: report(&self.flows[0]),
+            services: report(&self.origins[0]),
             foreign: foreign.collect(),
             limits: self.destinations.publish(now),
         }
@@ -190,7 +191,7 @@
     /// Returns the current share of a service's requests that goes to each
     /// region; the remainder to 1 is refused.
     pub fn row(&self, service: &ServiceId) -> Option<BTreeMap<RegionId, Share>> {
-        self.row_from(service, &self.flows[0].origin)
+        self.row_from(service, &self.origins[0].region)
     }
 
     /// Returns the current row of a service for the callers of any region, or
@@ -200,14 +201,15 @@
         service: &ServiceId,
         origin: &RegionId,
     ) -> Option<BTreeMap<RegionId, Share>> {
-        let flows = self.flows.iter().find(|flows| flows.origin == *origin)?;
-        let state = &flows.services[self.names.service(service)?];
+        let mut origins = self.origins.iter();
+        let origin = origins.find(|state| state.region == *origin)?;
+        let state = &origin.services[self.names.service(service)?];
         Some(self.names.named(state.row.as_ref()?))
     }
 
     /// Returns the row wanted by the plan, given the health of the regions.
     pub fn wanted_row(&self, service: &ServiceId) -> Option<BTreeMap<RegionId, Share>> {
-        let state = &self.flows[0].services[self.names.service(service)?];
+        let state = &self.origins[0].services[self.names.service(service)?];
         Some(self.names.named(&state.wanted))
     }
 
@@ -221,7 +223,8 @@
     fn update_spill(&mut self, now: MonotonicTime) {
         let indices = 0..self.names.regions.len();
         let wanted_rps: Vec<f64> = indices.map(|region| self.wanted_rps(region)).collect();
-        for service in self.flows.iter_mut().flat_map(|flows| &mut flows.services) {
+        let origins = self.origins.iter_mut();
+        for service in origins.flat_map(|origin| &mut origin.services) {
             let spill_at_share = service.priority.spill_at_share;
             let regions = wanted_rps.iter().enumerate();
             let capacities =
@@ -229,8 +232,8 @@
             service.update_spill(&capacities.collect::<Vec<_>>());
         }
         let started_at = *self.started_at.get_or_insert(now);
-        let joining = now.since(started_at) < self.options.joining;
-        let least_share = if joining {
+        let is_joining = now.since(started_at) < self.options.joining_period;
+        let min_claim_share = if is_joining {
             1.0
         } else {
             self.options.idle_claim_share
@@ -238,10 +241,10 @@
         for region in 0..self.names.regions.len() {
             let claims = self
                 .services()
-                .map(|service| service.claim(region, least_share));
+                .map(|service| service.claim(region, min_claim_share));
             let need = claims.fold(Claim::default(), Claim::plus);
-            let least = self.destinations.idle_claim(region, &self.options);
-            self.destinations.set_need(region, need.max(least));
+            let idle_claim = self.destinations.idle_claim(region, &self.options);
+            self.destinations.set_need(region, need.max(idle_claim));
         }
     }
 
@@ -252,6 +255,6 @@
     }
 
     fn services(&self) -> impl Iterator<Item = &ServiceState> {
-        self.flows.iter().flat_map(|flows| &flows.services)
+        self.origins.iter().flat_map(|origin| &origin.services)
     }
 }
--- a/crates/foxtide-core/src/steering/mod.rs
+++ b/crates/foxtide-core/src/steering/mod.rs
@@ -11,12 +11,12 @@
 mod decide;
 mod destinations;
 mod engine;
-mod flows;
 mod known_instances;
 mod limit_inputs;
 mod merge;
 mod name_index;
 mod options;
+mod origin_state;
 mod planned;
 mod row_band;
 mod service;
@@ -35,7 +35,7 @@
     SteeringOptions, //
 };
 pub use planned::PlannedRows;
-pub use steps::leaves_at_us;
+pub use steps::upstream_leaves_at;
 pub use view::{
     FleetView,
     InstanceReport,
--- a/crates/foxtide-core/src/steering/options.rs
+++ b/crates/foxtide-core/src/steering/options.rs
@@ -56,7 +56,7 @@
     /// there, so that a burst of new callers finds capacity.
     pub idle_claim_of_floor: f64,
     /// The time for which a new instance claims its peers' mean demand.
-    pub joining: Duration,
+    pub joining_period: Duration,
     /// The maximum number of instances per region, which sizes the floors.
     pub instances_per_region_max: u32,
     /// The minimum time before a new instance adopts its peers' rows. With peers
@@ -96,7 +96,7 @@
             lost_region_hold: Duration::from_secs(7_200),
             idle_claim_share: 0.1,
             idle_claim_of_floor: 0.25,
-            joining: Duration::from_secs(30),
+            joining_period: Duration::from_secs(30),
             instances_per_region_max: 6,
             startup_wait: Duration::from_secs(2),
             tick_max: Duration::from_millis(200),
--- a/crates/foxtide-core/src/steering/flows.rs
+++ b/crates/foxtide-core/src/steering/origin_state.rs
@@ -33,9 +33,9 @@
 /// An instance also serves callers of regions without live instances. These
 /// keep the row of their own origin, so that their traffic does not shift.
 #[derive(Clone, Debug)]
-pub(crate) struct OriginFlows {
+pub(crate) struct OriginState {
     /// The region of the callers.
-    pub(crate) origin: RegionId,
+    pub(crate) region: RegionId,
     /// The services in the order of the configuration.
     pub(crate) services: Vec<ServiceState>,
     planned: PlannedRows,
@@ -50,7 +50,7 @@
     All,
 }
 
-impl OriginFlows {
+impl OriginState {
     /// Creates the flows of an origin, without rows.
     pub(crate) fn new(
         organisation: &Organisation,
@@ -67,7 +67,7 @@
             services.push(state);
         }
         Self {
-            origin,
+            region: origin,
             services,
             planned,
         }
@@ -123,7 +123,7 @@
 
     /// Updates the mean demand per peer of the same origin.
     pub(crate) fn update_peer_demand(&mut self, view: &FleetView, names: &NameIndex) {
-        let here = view.regions.get(&self.origin);
+        let here = view.regions.get(&self.region);
         for (id, index) in &names.services {
             let service = here.and_then(|here| here.services.get(id));
             let mean = service.map(|s| s.demand_rps.get() / f64::from(s.instances.max(1)));
@@ -158,7 +158,7 @@
     /// If a majority of instances is live and none has a row, there is no traffic
     /// to shift and the row starts at its target. Otherwise it starts empty and
     /// rises under the shift cap.
-    pub(crate) fn start_missing(&mut self, sees_majority: bool) {
+    pub(crate) fn initialise_missing(&mut self, sees_majority: bool) {
         for state in self.services.iter_mut().filter(|state| state.row.is_none()) {
             if sees_majority {
                 state.start_at_target();
@@ -183,7 +183,7 @@
         names: &NameIndex,
         ready: bool,
     ) -> BTreeMap<ServiceId, ServiceReport> {
-        let own = names.region(&self.origin);
+        let own = names.region(&self.region);
         let services = names.services.iter();
         let services = services.map(|(id, index)| {
             let state = &self.services[*index];
--- a/crates/foxtide-core/src/steering/row_band.rs
+++ b/crates/foxtide-core/src/steering/row_band.rs
@@ -17,20 +17,20 @@
     band_share: f64,
     usable: &[bool],
 ) -> Row {
-    let most = |index: usize| {
-        let most = (peers[index] + band_share).min(1.0);
-        if usable[index] { most } else { 0.0 }
+    let upper = |index: usize| {
+        let upper = (peers[index] + band_share).min(1.0);
+        if usable[index] { upper } else { 0.0 }
     };
-    let least = |index: usize| (peers[index] - band_share).clamp(0.0, most(index));
+    let lower = |index: usize| (peers[index] - band_share).clamp(0.0, upper(index));
     let indices = 0..target.len();
-    let inside = indices.map(|index| target[index].clamp(least(index), most(index)));
-    let mut row: Row = inside.collect();
+    let clamped = indices.map(|index| target[index].clamp(lower(index), upper(index)));
+    let mut row: Row = clamped.collect();
     let missing = target.iter().sum::<f64>() - row.iter().sum::<f64>();
     let slack = |index: usize, share: f64| {
         if missing > 0.0 {
-            most(index) - share
+            upper(index) - share
         } else {
-            least(index) - share
+            lower(index) - share
         }
     };
     let shares = row.iter().enumerate();
--- a/crates/foxtide-core/src/steering/service.rs
+++ b/crates/foxtide-core/src/steering/service.rs
@@ -68,14 +68,14 @@
     spill_limit_share: f64,
     planned: Option<Row>,
     planned_next: Row,
-    arrived: u32,
+    arrivals: u32,
 }
 
 impl ServiceState {
     /// Creates the state of a service; `homes` holds the home weight of each
     /// region.
     pub(crate) fn new(service: &Service, homes: &[f64], options: &SteeringOptions) -> Self {
-        let nowhere = vec![0.0; homes.len()];
+        let no_shares = vec![0.0; homes.len()];
         let contract = &service.contract;
         let cap_per_s = contract.shift_cap_share_per_s.get() * options.shift_cap_factor;
         Self {
@@ -86,9 +86,9 @@
             observed_health: vec![None; homes.len()],
             reported_health: vec![None; homes.len()],
             row: None,
-            wanted: nowhere.clone(),
-            target: nowhere.clone(),
-            spill_claims: nowhere,
+            wanted: no_shares.clone(),
+            target: no_shares.clone(),
+            spill_claims: no_shares,
             peer_row: None,
             peer_demand_rps: 0.0,
             cap_per_s,
@@ -96,18 +96,18 @@
             spill_limit_share: contract.spill_limit_share.get(),
             planned: None,
             planned_next: Row::new(),
-            arrived: 0,
+            arrivals: 0,
         }
     }
 
     /// Counts a new request.
     pub(crate) fn count_arrival(&mut self) {
-        self.arrived = self.arrived.saturating_add(1);
+        self.arrivals = self.arrivals.saturating_add(1);
     }
 
     /// Returns whether no requests have arrived recently.
     pub(crate) fn is_idle(&self) -> bool {
-        self.arrived == 0 && self.demand_rps < IDLE_RPS
+        self.arrivals == 0 && self.demand_rps < IDLE_RPS
     }
 
     /// Updates the measured demand with the arrivals since the last tick.
@@ -116,7 +116,7 @@
         if passed_s <= 0.0 {
             return;
         }
-        let rate = f64::from(std::mem::take(&mut self.arrived)) / passed_s;
+        let rate = f64::from(std::mem::take(&mut self.arrivals)) / passed_s;
         let decay = (-passed_s / DEMAND_TIME_CONSTANT_S).exp();
         self.demand_rps = self.demand_rps * decay + rate * (1.0 - decay);
     }
@@ -124,20 +124,20 @@
     /// Restores the row and measurements from the previous configuration.
     pub(crate) fn restore(&mut self, old: &Self, old_names: &NameIndex, names: &NameIndex) {
         self.demand_rps = old.demand_rps;
-        self.arrived = old.arrived;
+        self.arrivals = old.arrivals;
         let row = old.row.as_ref();
         self.row = row.map(|row| names.indexed(&old_names.named(row)));
-        for (region, seen) in names.regions.iter().zip(&mut self.observed_health) {
+        for (region, observed) in names.regions.iter().zip(&mut self.observed_health) {
             let index = old_names.region(region);
-            *seen = index.and_then(|index| old.observed_health[index]);
+            *observed = index.and_then(|index| old.observed_health[index]);
         }
     }
 
     /// Returns the claim on a region's limit, for a demand of at least
-    /// `least_share` of the peers' mean.
-    pub(crate) fn claim(&self, region: usize, least_share: f64) -> Claim {
-        let least_rps = (self.peer_demand_rps * least_share).max(CLAIM_MIN_RPS);
-        let planned_rps = self.demand_rps.max(least_rps) * self.wanted[region];
+    /// `min_share` of the peers' mean.
+    pub(crate) fn claim(&self, region: usize, min_share: f64) -> Claim {
+        let min_rps = (self.peer_demand_rps * min_share).max(CLAIM_MIN_RPS);
+        let planned_rps = self.demand_rps.max(min_rps) * self.wanted[region];
         let with_reserve_rps = planned_rps * (1.0 + self.priority.reserve_share);
         Claim {
             planned_rps: RequestRate::clamped(with_reserve_rps),
@@ -179,7 +179,7 @@
     pub(crate) fn update_spill(&mut self, capacities: &[FreeCapacity]) {
         let usable = self.usable();
         let homes = self.homes.iter().zip(usable);
-        let takes: Vec<bool> = homes
+        let can_take: Vec<bool> = homes
             .map(|(weight, usable)| usable && *weight > 0.0)
             .collect();
         self.target.clone_from(&self.wanted);
@@ -191,7 +191,7 @@
         spill(
             &mut self.target,
             &mut self.spill_claims,
-            &takes,
+            &can_take,
             capacities,
             limit,
         );
@@ -228,16 +228,16 @@
 
     /// Selects a region by a draw from `[0, 1)`; `None` if the request is refused.
     pub(crate) fn draw(&self, draw: f64) -> Option<Drawn> {
-        let mut left = draw;
+        let mut remaining = draw;
         for (index, share) in self.row.as_ref()?.iter().enumerate() {
-            if left < *share {
+            if remaining < *share {
                 // `wanted` and `target` are empty until the first tick.
                 let wanted = self.wanted.get(index).copied().unwrap_or(*share);
                 let target = self.target.get(index).copied().unwrap_or(wanted);
-                let spilled = left >= wanted && target > wanted;
+                let spilled = remaining >= wanted && target > wanted;
                 return Some(Drawn { index, spilled });
             }
-            left -= share;
+            remaining -= share;
         }
         None
     }
--- a/crates/foxtide-core/src/steering/steps.rs
+++ b/crates/foxtide-core/src/steering/steps.rs
@@ -15,7 +15,7 @@
 use std::time::Duration;
 
 /// The minimum pace with which the drain of a whole region is scheduled.
-const SLOWEST_PER_S: f64 = 1e-5;
+const PACE_MIN_PER_S: f64 = 1e-5;
 
 /// A planned change of a service's rows.
 #[derive(Clone, Debug)]
@@ -29,7 +29,7 @@
     /// The start time.
     pub(crate) start: WallTime,
     /// The time of a pause, from which the step no longer advances.
-    pub(crate) paused: Option<WallTime>,
+    pub(crate) paused_at: Option<WallTime>,
 }
 
 /// The change that a step makes; regions are indices into the configuration.
@@ -70,7 +70,7 @@
                 share: 1.0,
                 pace_per_s: cap_per_s,
                 start,
-                paused: None,
+                paused_at: None,
             });
         }
     }
@@ -87,7 +87,7 @@
         share: planned.share.get(),
         pace_per_s: planned.pace_share_per_s.get().min(cap_per_s),
         start: planned.start_us,
-        paused: planned.paused_us,
+        paused_at: planned.paused_us,
     })
 }
 
@@ -105,7 +105,7 @@
     let drained = organisation.drains.iter();
     let drained = drained.filter(|drain| drain.target == DrainTarget::Region(region.clone()));
     let announced = drained.map(|drain| drain.start_us).min();
-    let whole_move = Duration::from_secs_f64(1.0 / cap_per_s.max(SLOWEST_PER_S));
+    let whole_move = Duration::from_secs_f64(1.0 / cap_per_s.max(PACE_MIN_PER_S));
     let emptied = emptied_at(organisation, service, region);
     let emptied = emptied.map(|at| at.saturating_sub(whole_move));
     announced.into_iter().chain(emptied).min()
@@ -120,7 +120,7 @@
     let here = service.upstreams.iter().filter(|u| u.region == *region);
     let mut last = None;
     for upstream in here {
-        last = last.max(Some(leaves_at_us(
+        last = last.max(Some(upstream_leaves_at(
             organisation,
             &service.service,
             upstream,
@@ -134,12 +134,12 @@
 ///
 /// The drain of a region removes no upstream; its traffic moves away under the
 /// shift cap.
-pub fn leaves_at_us(
+pub fn upstream_leaves_at(
     organisation: &Organisation,
     service: &ServiceId,
     upstream: &Upstream,
 ) -> Option<WallTime> {
-    let takes = |target: &DrainTarget| match target {
+    let removes = |target: &DrainTarget| match target {
         DrainTarget::Upstream {
             service: of,
             upstream: id,
@@ -148,7 +148,7 @@
         DrainTarget::Region(_) | DrainTarget::Instance(_) => false,
     };
     let drains = organisation.drains.iter();
-    let drains = drains.filter(|drain| takes(&drain.target));
+    let drains = drains.filter(|drain| removes(&drain.target));
     drains.map(|drain| drain.start_us).min()
 }
 
@@ -163,21 +163,21 @@
     };
     while at < wall {
         let running = |(step, moved): &(&Step, &f64)| {
-            let paused = step.paused.is_some_and(|paused| paused <= at);
+            let paused = step.paused_at.is_some_and(|paused| paused <= at);
             step.start <= at && !paused && **moved < step.share
         };
         let paces = steps.iter().zip(&moved).filter(running);
         let sum: f64 = paces.map(|(step, _)| step.pace_per_s).sum();
-        let slowed = if sum > cap_per_s {
+        let pace_factor = if sum > cap_per_s {
             cap_per_s / sum
         } else {
             1.0
         };
-        let until = next_change(steps, &moved, slowed, at).min(wall);
+        let until = next_change(steps, &moved, pace_factor, at).min(wall);
         let passed_s = until.since(at).as_secs_f64();
         for (step, moved) in steps.iter().zip(&mut moved) {
             if running(&(step, &*moved)) {
-                let grown = *moved + step.pace_per_s * slowed * passed_s;
+                let grown = *moved + step.pace_per_s * pace_factor * passed_s;
                 *moved = grown.min(step.share);
             }
         }
@@ -187,16 +187,16 @@
 }
 
 /// Returns the next time after `at` at which a step starts, pauses or ends.
-fn next_change(steps: &[Step], moved: &[f64], slowed: f64, at: WallTime) -> WallTime {
+fn next_change(steps: &[Step], moved: &[f64], pace_factor: f64, at: WallTime) -> WallTime {
     let mut next = WallTime::from_us(u64::MAX);
     for (step, moved) in steps.iter().zip(moved) {
-        let left_s = (step.share - moved).max(0.0) / (step.pace_per_s * slowed);
+        let remaining_s = (step.share - moved).max(0.0) / (step.pace_per_s * pace_factor);
         // Rounded up, so that the step is complete and the loop advances.
-        let end = Duration::from_secs_f64(left_s.min(1e9)) + Duration::from_micros(1);
+        let end = Duration::from_secs_f64(remaining_s.min(1e9)) + Duration::from_micros(1);
         let running = step.start <= at && *moved < step.share;
         let ends = running.then(|| at + end);
         let starts = Some(step.start).filter(|start| *start > at);
-        let pauses = step.paused.filter(|paused| *paused > at);
+        let pauses = step.paused_at.filter(|paused| *paused > at);
         next = [ends, starts, pauses]
             .into_iter()
             .flatten()
--- a/crates/foxtide-core/src/steering/target.rs
+++ b/crates/foxtide-core/src/steering/target.rs
@@ -38,29 +38,29 @@
 pub(crate) fn spill(
     row: &mut Row,
     claimed: &mut Row,
-    takes: &[bool],
+    can_take: &[bool],
     capacities: &[FreeCapacity],
     limit: SpillLimit,
 ) {
     let excess = |index: usize| row[index] * capacities[index].excess_share;
-    let wanted: f64 = (0..row.len()).map(excess).sum();
-    let spilled = wanted.min(limit.limit_share);
-    let takers = |index: &usize| takes[*index] && capacities[*index].excess_share <= 0.0;
-    let takers: Vec<usize> = (0..row.len()).filter(takers).collect();
-    if spilled <= 0.0 || takers.is_empty() || limit.demand_rps <= 0.0 {
+    let total_excess: f64 = (0..row.len()).map(excess).sum();
+    let spilled = total_excess.min(limit.limit_share);
+    let targets = |index: &usize| can_take[*index] && capacities[*index].excess_share <= 0.0;
+    let targets: Vec<usize> = (0..row.len()).filter(targets).collect();
+    if spilled <= 0.0 || targets.is_empty() || limit.demand_rps <= 0.0 {
         return;
     }
     let free = |index: &usize| capacities[*index].free_rps / limit.demand_rps;
-    let free_share: f64 = takers.iter().map(free).sum();
-    let found = spilled.min(free_share);
+    let free_share: f64 = targets.iter().map(free).sum();
+    let moved = spilled.min(free_share);
     let planned = row.clone();
     for (index, share) in row.iter_mut().enumerate() {
-        *share -= planned[index] * capacities[index].excess_share * found / wanted;
+        *share -= planned[index] * capacities[index].excess_share * moved / total_excess;
     }
-    for index in &takers {
-        claimed[*index] += spilled / takers.len() as f64;
+    for index in &targets {
+        claimed[*index] += spilled / targets.len() as f64;
         if free_share > 0.0 {
-            row[*index] += found * free(index) / free_share;
+            row[*index] += moved * free(index) / free_share;
         }
     }
 }
--- a/crates/foxtide-core/tests/blocks.rs
+++ b/crates/foxtide-core/tests/blocks.rs
@@ -210,7 +210,7 @@
 }
 
 #[test]
-fn verify_bad_blocks_are_refused() {
+fn verify_invalid_blocks_are_rejected() {
     let new = |blocks: &[Block]| ClientBlocks::new(1, sites(), blocks).unwrap_err();
     let twice = [block("10.0.0.0/8", 1), block("10.0.0.0/8", 2)];
     assert_eq!(new(&twice), BlocksError::Order);
@@ -222,7 +222,7 @@
 }
 
 #[test]
-fn verify_delta_of_another_revision_is_refused() {
+fn verify_a_delta_of_another_revision_is_rejected() {
     let table = ClientBlocks::new(5, sites(), &[]).unwrap();
     let delta = Delta {
         base_revision: 4,
--- a/crates/foxtide-core/tests/routing.rs
+++ b/crates/foxtide-core/tests/routing.rs
@@ -132,7 +132,7 @@
     assert_eq!(find("c").as_deref(), Some("two"));
     assert_eq!(find("both"), None);
     assert_eq!(find("d"), None);
-    assert_eq!(table.keys_count(), 3);
+    assert_eq!(table.key_count(), 3);
     assert_eq!(table.disputed(), ["two".parse().unwrap()]);
     let key: ApiKey = "s3cret".parse().unwrap();
     assert!(!format!("{key:?}{key}").contains("s3cret"));
--- a/crates/foxtide-core/tests/steering/fleet.rs
+++ b/crates/foxtide-core/tests/steering/fleet.rs
@@ -13,9 +13,9 @@
     region, //
 };
 use super::node::{
-    Known,
     Node,
-    Waiting, //
+    PeerReport,
+    PendingRequest, //
 };
 use super::poisson::poisson;
 use super::scenario::{
@@ -66,7 +66,7 @@
 struct Arrival {
     at_us: u64,
     index: usize,
-    request: Waiting,
+    request: PendingRequest,
 }
 
 /// The instances, their network and their callers.
@@ -99,9 +99,9 @@
         for step in 0..steps {
             fleet.now_ms = step * STEP_MS;
             fleet.apply_due_events();
-            fleet.exchange(step);
+            fleet.exchange_reports(step);
             fleet.tick(step);
-            fleet.serve();
+            fleet.process_arrivals();
             fleet.record_shares();
         }
         fleet.tally
@@ -212,7 +212,7 @@
     }
 
     /// Publishes due reports and delivers those that have arrived.
-    fn exchange(&mut self, step: u64) {
+    fn exchange_reports(&mut self, step: u64) {
         for from in 0..self.nodes.len() {
             if is_due(step, from) && self.nodes[from].runs(self.now_ms) {
                 self.publish(from);
@@ -231,7 +231,7 @@
                 .get(&sent.from)
                 .is_none_or(|known| known.made_ms < sent.made_ms);
             if newer && node.runs(now_ms) && sent.made_ms >= node.started_ms {
-                let known = Known {
+                let known = PeerReport {
                     made_ms: sent.made_ms,
                     report: sent.report,
                 };
@@ -286,9 +286,9 @@
     }
 
     /// Processes the arrivals of one step in the order of time.
-    fn serve(&mut self) {
+    fn process_arrivals(&mut self) {
         for origin in 0..REGIONS.len() {
-            for (index, part) in self.callers_instances(origin) {
+            for (index, part) in self.instances_of_callers(origin) {
                 for service in 0..SERVICES.len() {
                     let rps = self.scenario.demand_rps[origin][service] * self.burst[origin] * part;
                     self.add_arrivals(index, (origin, service), rps);
@@ -302,7 +302,7 @@
             }
             let arrival = next.remove();
             if arrival.request.waited.is_zero() {
-                self.tally.asked(arrival.request.service);
+                self.tally.record_arrival(arrival.request.service);
             }
             if self.nodes[arrival.index].runs(self.now_ms) {
                 self.attempt(arrival);
@@ -317,7 +317,7 @@
     }
 
     /// Returns the instances that an origin's callers use, with their shares.
-    fn callers_instances(&self, origin: usize) -> Vec<(usize, f64)> {
+    fn instances_of_callers(&self, origin: usize) -> Vec<(usize, f64)> {
         // Look-ups return only instances that are ready.
         let runs = |index: &usize| {
             let node = &self.nodes[*index];
@@ -344,7 +344,7 @@
         let mean = rps * STEP_MS as f64 / 1_000.0;
         for _ in 0..poisson(&mut self.rng, mean) {
             let after_us = self.rng.random_range(0..STEP_MS * 1_000);
-            let request = Waiting {
+            let request = PendingRequest {
                 service,
                 origin,
                 draw: self.rng.random(),
@@ -381,12 +381,13 @@
                 }
                 let served = self.healthy[to] && !shed;
                 let from = node.region;
-                self.tally.sent(from, to, request.service, spilled, served);
+                self.tally
+                    .record_send(from, to, request.service, spilled, served);
             }
             Admission::Wait { retry_in } => self.push(Arrival {
                 at_us: at_us + retry_in.as_micros() as u64,
                 index,
-                request: Waiting {
+                request: PendingRequest {
                     waited: request.waited + retry_in,
                     ..request
                 },
@@ -403,7 +404,7 @@
             let mut shares = [0.0; REGIONS.len()];
             for origin in 0..REGIONS.len() {
                 let weight = self.scenario.origin_weight(origin, service);
-                for (index, part) in self.callers_instances(origin) {
+                for (index, part) in self.instances_of_callers(origin) {
                     let decider = &self.nodes[index].decider;
                     let row = decider.row(&self.services[service], &self.regions[origin]);
                     for (share, region) in shares.iter_mut().zip(&self.regions) {
@@ -412,7 +413,7 @@
                     }
                 }
             }
-            self.tally.shares(service, shares);
+            self.tally.record_shares(service, shares);
         }
         self.tally.end_step();
     }
--- a/crates/foxtide-core/tests/steering/node.rs
+++ b/crates/foxtide-core/tests/steering/node.rs
@@ -23,13 +23,13 @@
 const REPORT_HOLD_MS: u64 = 20_000;
 
 /// The newest report received from a peer.
-pub(super) struct Known {
+pub(super) struct PeerReport {
     pub(super) made_ms: u64,
     pub(super) report: Arc<InstanceReport>,
 }
 
 /// A request to be admitted.
-pub(super) struct Waiting {
+pub(super) struct PendingRequest {
     pub(super) service: usize,
     pub(super) origin: usize,
     pub(super) draw: f64,
@@ -48,7 +48,7 @@
     pub(super) stopped_ms: u64,
     pub(super) paused_until_ms: u64,
     pub(super) demand_weight: f64,
-    pub(super) known: BTreeMap<usize, Known>,
+    pub(super) known: BTreeMap<usize, PeerReport>,
     pub(super) pending_health: Vec<(u64, usize, Share)>,
     pub(super) pending_configurations: Vec<(u64, Arc<Organisation>)>,
 }
--- a/crates/foxtide-core/tests/steering/rows.rs
+++ b/crates/foxtide-core/tests/steering/rows.rs
@@ -254,8 +254,8 @@
             (region("khomas"), report.clone()),
             (region("oshana"), other.clone()),
         ];
-        let seen = view(&reports, restarted.now);
-        restarted.steering.observe(&seen, restarted.now);
+        let peer_view = view(&reports, restarted.now);
+        restarted.steering.observe(&peer_view, restarted.now);
         restarted.now = restarted.now + Duration::from_millis(100);
         restarted.steering.tick(restarted.now, restarted.wall);
         if restarted.steering.row(&viewer()).is_some() {
@@ -303,8 +303,8 @@
     let steering = &mut instance.steering;
     steering.set_health(&viewer(), &region("khomas"), Some(Share::ZERO));
     for _ in 0..300 {
-        let seen = view(&[(region("khomas"), report.clone())], instance.now);
-        instance.steering.observe(&seen, instance.now);
+        let peer_view = view(&[(region("khomas"), report.clone())], instance.now);
+        instance.steering.observe(&peer_view, instance.now);
         instance.now = instance.now + Duration::from_millis(100);
         instance.steering.tick(instance.now, instance.wall);
     }
--- a/crates/foxtide-core/tests/steering/tally.rs
+++ b/crates/foxtide-core/tests/steering/tally.rs
@@ -32,7 +32,7 @@
 
 /// A service's cumulative counts.
 #[derive(Clone, Copy, Debug, Default)]
-struct Spilled {
+struct SpillCounts {
     asked: u64,
     spilled: u64,
 }
@@ -41,7 +41,7 @@
 #[derive(Clone, Debug, Default)]
 struct Sent {
     /// Counts by the sending instance's region, then the upstream's region.
-    over: ByRegion<ByRegion<u64>>,
+    counts: ByRegion<ByRegion<u64>>,
 }
 
 /// The counts of one service since the end of the warm-up.
@@ -88,11 +88,11 @@
     /// Requests refused for lack of capacity while some region had free capacity.
     pub(crate) rejected_with_capacity: f64,
     rejected_for_cap_ms: Option<u64>,
-    window: VecDeque<Sent>,
+    sent_window: VecDeque<Sent>,
     shares: VecDeque<Shares>,
     rejected_in_step: u64,
     rejected_window: VecDeque<u64>,
-    counted: VecDeque<[Spilled; SERVICES.len()]>,
+    spill_window: VecDeque<[SpillCounts; SERVICES.len()]>,
     spill_limit_share: f64,
     steps: usize,
     cap_per_s: f64,
@@ -115,11 +115,11 @@
             last_shares: Default::default(),
             rejected_with_capacity: 0.0,
             rejected_for_cap_ms: None,
-            window: VecDeque::from([Sent::default()]),
+            sent_window: VecDeque::from([Sent::default()]),
             shares: VecDeque::new(),
             rejected_in_step: 0,
             rejected_window: VecDeque::new(),
-            counted: VecDeque::new(),
+            spill_window: VecDeque::new(),
             spill_limit_share: scenario.options.spill_limit_share,
             steps: 0,
             cap_per_s: scenario.options.shift_cap_share_per_s,
@@ -129,7 +129,7 @@
     }
 
     /// Counts a new request.
-    pub(crate) fn asked(&mut self, service: usize) {
+    pub(crate) fn record_arrival(&mut self, service: usize) {
         self.services[service].asked += 1;
     }
 
@@ -147,7 +147,7 @@
         }
     }
 
-    pub(crate) fn sent(
+    pub(crate) fn record_send(
         &mut self,
         from: usize,
         to: usize,
@@ -159,8 +159,8 @@
         counts.sent += 1;
         counts.spilled += u64::from(spilled);
         counts.served += u64::from(served);
-        let step = self.window.back_mut().expect("a step is open");
-        step.over[from][to] += 1;
+        let step = self.sent_window.back_mut().expect("a step is open");
+        step.counts[from][to] += 1;
     }
 
     /// Returns the time from `since_ms` to the last refusal for the shift cap, in
@@ -171,7 +171,7 @@
     }
 
     /// Records the share of a service that goes to each region.
-    pub(crate) fn shares(&mut self, service: usize, shares: ByRegion<f64>) {
+    pub(crate) fn record_shares(&mut self, service: usize, shares: ByRegion<f64>) {
         self.last_shares[service] = shares;
     }
 
@@ -180,7 +180,7 @@
         self.steps += 1;
         if self.steps == WARM_UP_STEPS {
             self.services = Default::default();
-            self.counted.clear();
+            self.spill_window.clear();
         }
         self.check_spill();
         self.check_rates();
@@ -188,15 +188,15 @@
     }
 
     fn check_spill(&mut self) {
-        let counts = self.services.each_ref().map(|counts| Spilled {
+        let counts = self.services.each_ref().map(|counts| SpillCounts {
             asked: counts.asked,
             spilled: counts.spilled,
         });
-        self.counted.push_back(counts);
-        if self.counted.len() <= SHIFT_STEPS {
+        self.spill_window.push_back(counts);
+        if self.spill_window.len() <= SHIFT_STEPS {
             return;
         }
-        let Some(before) = self.counted.pop_front() else {
+        let Some(before) = self.spill_window.pop_front() else {
             return;
         };
         for (before, now) in before.iter().zip(&counts) {
@@ -210,12 +210,15 @@
     fn check_rates(&mut self) {
         self.rejected_window
             .push_back(std::mem::take(&mut self.rejected_in_step));
-        if self.window.len() < RATE_STEPS {
-            self.window.push_back(Sent::default());
+        if self.sent_window.len() < RATE_STEPS {
+            self.sent_window.push_back(Sent::default());
             return;
         }
         let sum = |from: usize, to: usize| -> u64 {
-            self.window.iter().map(|sent| sent.over[from][to]).sum()
+            self.sent_window
+                .iter()
+                .map(|sent| sent.counts[from][to])
+                .sum()
         };
         self.seconds += 1;
         let mut free_rps = 0.0;
@@ -232,8 +235,8 @@
         let rejected: u64 = self.rejected_window.iter().sum();
         self.rejected_with_capacity += (rejected as f64).min(free_rps) / RATE_STEPS as f64;
         self.rejected_window.pop_front();
-        self.window.pop_front();
-        self.window.push_back(Sent::default());
+        self.sent_window.pop_front();
+        self.sent_window.push_back(Sent::default());
     }
 
     fn check_shares(&mut self) {
--- a/crates/foxtide-entry/src/traffic/service.rs
+++ b/crates/foxtide-entry/src/traffic/service.rs
@@ -27,7 +27,7 @@
     RetryBudget,
     Step, //
 };
-use foxtide_core::steering::leaves_at_us;
+use foxtide_core::steering::upstream_leaves_at;
 use foxtide_core::time::{
     MonotonicTime,
     WallTime, //
@@ -129,7 +129,7 @@
             let Some(region) = regions.get(&upstream.region) else {
                 continue;
             };
-            let drains_at = leaves_at_us(organisation, &self.service, upstream);
+            let drains_at = upstream_leaves_at(organisation, &self.service, upstream);
             let drained = drains_at.is_some_and(|at| at <= wall);
             region.with_balancer(|balancer| match drained {
                 true => balancer.leave(&upstream.upstream, now),
--- a/crates/foxtide-gateway/src/journal/state_changes.rs
+++ b/crates/foxtide-gateway/src/journal/state_changes.rs
@@ -122,7 +122,7 @@
     let Some(organisations) = routes.organisations() else {
         return;
     };
-    metrics::gauge!("foxtide_caller_keys").set(organisations.keys_count() as f64);
+    metrics::gauge!("foxtide_caller_keys").set(organisations.key_count() as f64);
     for organisation in organisations.disputed() {
         log_event!(
             EventCode::CallerKeyDisputed,
--- a/crates/foxtide-gateway/src/state/facts.rs
+++ b/crates/foxtide-gateway/src/state/facts.rs
@@ -109,7 +109,7 @@
         }
         let routes = RouteTable::new(document);
         state_changes::organisations_in_force(&routes);
-        state_changes::configuration_in_force(routes.version(), in_force, routes.routes_count());
+        state_changes::configuration_in_force(routes.version(), in_force, routes.route_count());
         self.homed.initialise(&routes, self.clock.now());
         self.routes = Some(Arc::new(routes));
     }
--- a/crates/foxtide-mesh/src/handle.rs
+++ b/crates/foxtide-mesh/src/handle.rs
@@ -179,7 +179,7 @@
     pub fn is_watcher(&self) -> bool {
         let count = self.shared.options.watchers_per_zone;
         let state = self.shared.state.lock();
-        state.membership.holds(Role::Watcher, count)
+        state.membership.has_role(Role::Watcher, count)
     }
 
     /// Publishes a document read from the store; returns whether it is newer
--- a/crates/foxtide-testing/src/scenario/faults.rs
+++ b/crates/foxtide-testing/src/scenario/faults.rs
@@ -21,7 +21,7 @@
     ServiceId,
     UpstreamId, //
 };
-use foxtide_core::steering::leaves_at_us;
+use foxtide_core::steering::upstream_leaves_at;
 use foxtide_core::time::MonotonicTime;
 use std::time::Duration;
 
@@ -216,7 +216,7 @@
     ) -> Option<MonotonicTime> {
         let upstream = self.upstreams.get(id)?;
         let wall = true_wall(self.now);
-        let leaves_at = leaves_at_us(&self.contract, service, &upstream.settings);
+        let leaves_at = upstream_leaves_at(&self.contract, service, &upstream.settings);
         let accepted_at = self.record.drains.get(id).copied();
         let announced = leaves_at.filter(|at| *at <= wall).map(|at| {
             let started = MonotonicTime::ZERO + (at - true_wall(MonotonicTime::ZERO));
--- a/crates/foxtide-testing/src/scenario/operators.rs
+++ b/crates/foxtide-testing/src/scenario/operators.rs
@@ -26,7 +26,7 @@
     Organisation,
     PlannedMove, //
 };
-use foxtide_core::steering::leaves_at_us;
+use foxtide_core::steering::upstream_leaves_at;
 use foxtide_core::time::WallTime;
 use foxtide_core::units::{
     RequestRate,
@@ -157,7 +157,7 @@
     fn note_drains(&mut self) {
         for service in &self.contract.services {
             for upstream in &service.upstreams {
-                let leaves = leaves_at_us(&self.contract, &service.service, upstream);
+                let leaves = upstream_leaves_at(&self.contract, &service.service, upstream);
                 let id = upstream.upstream.clone();
                 if leaves.is_some() {
                     self.record.drains.entry(id).or_insert(self.now);
--- a/crates/foxtide-testing/src/scenario/process.rs
+++ b/crates/foxtide-testing/src/scenario/process.rs
@@ -45,7 +45,7 @@
     Steering,
     SteeringOptions,
     ViewOptions,
-    leaves_at_us, //
+    upstream_leaves_at, //
 };
 use foxtide_core::store::StoreIndex;
 use foxtide_core::time::{
@@ -234,7 +234,7 @@
                 continue;
             };
             for upstream in &service.upstreams {
-                let leaves_at = leaves_at_us(organisation, &service.service, upstream);
+                let leaves_at = upstream_leaves_at(organisation, &service.service, upstream);
                 let balancer = tools.balancers.get_mut(&upstream.region);
                 let left = leaves_at.is_some_and(|at| at <= wall);
                 match balancer {
--- a/crates/foxtide-testing/src/scenario/spread.rs
+++ b/crates/foxtide-testing/src/scenario/spread.rs
@@ -218,7 +218,9 @@
         if self.network.is_cut_from_store(region) {
             return;
         }
-        let watches = process.membership.holds(Role::Watcher, WATCHERS_PER_ZONE);
+        let watches = process
+            .membership
+            .has_role(Role::Watcher, WATCHERS_PER_ZONE);
         if !watches && process.revision().is_some() {
             return;
         }
--- a/crates/foxtide/examples/measure/organisations.rs
+++ b/crates/foxtide/examples/measure/organisations.rs
@@ -53,7 +53,7 @@
     let grown_mb = (memory_bytes() - before_bytes) / 1e6;
     report.figure(
         "organisations.keys",
-        table.keys_count() as f64,
+        table.key_count() as f64,
         "keys",
         Limit::None,
     );
