--- a/crates/foxtide-core/src/steering/admission.rs
+++ b/crates/foxtide-core/src/steering/admission.rs
@@ -14,7 +14,7 @@
         /// Whether the request spills over from its planned region.
         spilled: bool,
     },
-    /// Ask for admission again with the same draw.
+    /// Ask for admission again after a delay, with the same draw.
     Wait {
         /// The time to wait before asking again.
         retry_in: Duration,
--- a/crates/foxtide-core/src/steering/adopt.rs
+++ b/crates/foxtide-core/src/steering/adopt.rs
@@ -90,8 +90,8 @@
         origin.initialise_missing(self.view.sees_majority() && !cut_off);
     }
 
-    /// Returns whether no row of this origin is reported while some of its known
-    /// instances are not live.
+    /// Returns whether no peer reports a row of this origin, but some of its known
+    /// instances are not live and may still do so.
     fn awaits_peer_rows(&self) -> bool {
         let origin = &self.origins[0].region;
         let has_rows = !own_rows(&self.view, origin).is_empty();
@@ -100,8 +100,8 @@
         !has_rows && !all_live
     }
 
-    /// Returns how long to wait for peers' rows. By then reports from before the
-    /// start have expired; their senders may have died.
+    /// Returns the time to wait for peers' rows. Reports from before the start, whose
+    /// senders may have failed, expire within it.
     fn adoption_wait(&self) -> Duration {
         let wait = self.options.startup_wait;
         if wait.is_zero() || self.view.is_alone() {
@@ -110,12 +110,12 @@
         wait.max(self.options.view_age_max)
     }
 
-    /// Returns the index of the state of an origin, creating them if needed.
+    /// Returns the index of an origin's state, which is created if needed.
     pub(super) fn origin_index(&mut self, origin: &RegionId) -> usize {
         let mut origins = self.origins.iter();
         match origins.position(|state| state.region == *origin) {
             Some(index) => index,
-            // Callers outside all of the organisation's regions use the own row.
+            // Callers outside of the organisation's regions use this instance's row.
             None if self.names.region(origin).is_none() => 0,
             None => self.add_origin(origin),
         }
@@ -141,8 +141,8 @@
         self.origins.len() - 1
     }
 
-    /// Stores each origin's rows, with which other instances continue when the
-    /// origin's instances fail.
+    /// Stores each origin's latest rows, which other instances use when the origin's
+    /// own instances fail.
     fn update_last_rows(&mut self) {
         for (origin, region) in &self.view.regions {
             let rows = rows_of(&region.services);
@@ -170,11 +170,10 @@
         .collect()
 }
 
-/// Returns the row of an origin without other instances, as known by instances
-/// of other regions that served its callers.
+/// Returns the row that instances of other regions use for the callers of an origin.
 ///
-/// Without a row for the origin, this is the mean of the other regions' rows,
-/// weighted by demand.
+/// If there is none, returns the mean of the other regions' own rows, weighted by
+/// demand.
 fn foreign_row(view: &FleetView, origin: &RegionId, service: &ServiceId) -> Option<NamedRow> {
     let mut foreign = view.foreign(origin);
     if let Some(foreign) = foreign
--- a/crates/foxtide-core/src/steering/decide.rs
+++ b/crates/foxtide-core/src/steering/decide.rs
@@ -1,4 +1,4 @@
-//! Admits or refuses attempts to send a request.
+//! Admits or rejects attempts to send a request.
 
 use super::admission::{
     Admission,
@@ -20,17 +20,17 @@
 use crate::time::MonotonicTime;
 use std::time::Duration;
 
-/// The minimum retry-after of a refusal.
+/// The minimum retry-after of a rejected request.
 const RETRY_AFTER_MIN: Duration = Duration::from_secs(1);
 
-/// The maximum retry-after of a refusal.
+/// The maximum retry-after of a rejected request.
 const RETRY_AFTER_MAX: Duration = Duration::from_secs(30);
 
 /// The minimum time between two attempts of a waiting request.
 const RETRY_IN_MIN: Duration = Duration::from_millis(1);
 
 impl Steering {
-    /// Decides on one attempt to send a request of the own region's callers.
+    /// Decides on one attempt for a caller of this instance's region.
     ///
     /// Every attempt needs admission, including retries and hedges, as the
     /// region receives each of them. `draw` is uniform in `[0, 1)` and constant
@@ -95,13 +95,13 @@
         }
     }
 
-    /// Reduces this instance's rate to a region that refused a request.
+    /// Reduces this instance's rate to a region that rejected a request.
     pub fn record_rejection(&mut self, region: &RegionId, now: MonotonicTime) {
         self.destinations.record_rejection(region, now);
     }
 
-    /// Returns the retry-after when no token will come. An instance that has
-    /// just started gets its allocation after the growth window.
+    /// Returns the retry-after while the allocation is zero. A new instance gets its
+    /// allocation after the growth window.
     fn retry_without_capacity(&self) -> Duration {
         match self.destinations.has_settled() {
             true => RETRY_AFTER_MAX,
--- a/crates/foxtide-core/src/steering/destinations.rs
+++ b/crates/foxtide-core/src/steering/destinations.rs
@@ -52,7 +52,6 @@
 /// The error of a request that exceeds the instance's allocation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct LimitExhausted {
-    /// The exhausted limit.
     pub(crate) limit: LimitKind,
     /// The time until the next request may pass; `None` if the rate is zero.
     pub(crate) next_in: Option<Duration>,
@@ -226,7 +225,7 @@
         Ok(())
     }
 
-    /// Reduces the rate to a region that refused a request.
+    /// Reduces the rate to a region that rejected a request.
     pub(crate) fn record_rejection(&mut self, region: &RegionId, now: MonotonicTime) {
         let mut destinations = self.regions.iter().zip(&mut self.destinations);
         if let Some((_, destination)) = destinations.find(|(id, _)| *id == region) {
--- a/crates/foxtide-core/src/steering/engine.rs
+++ b/crates/foxtide-core/src/steering/engine.rs
@@ -41,7 +41,7 @@
     pub(super) organisation: Arc<Organisation>,
     pub(super) options: SteeringOptions,
     pub(super) names: NameIndex,
-    /// The state per origin, the own region first.
+    /// The state by origin, that of this instance's region first.
     pub(super) origins: Vec<OriginState>,
     pub(super) destinations: Destinations,
     pub(super) view: FleetView,
@@ -56,10 +56,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum RowSync {
     /// The process has started or was paused, and waits for its peers' rows.
-    Waiting {
-        /// The start of the wait.
-        since: MonotonicTime,
-    },
+    Waiting { since: MonotonicTime },
     /// The rows are up to date.
     Done,
 }
@@ -189,7 +186,7 @@
     }
 
     /// Returns the current share of a service's requests that goes to each
-    /// region; the remainder to 1 is refused.
+    /// region; the remainder to 1 is rejected.
     pub fn row(&self, service: &ServiceId) -> Option<BTreeMap<RegionId, Share>> {
         self.row_from(service, &self.origins[0].region)
     }
--- a/crates/foxtide-core/src/steering/mod.rs
+++ b/crates/foxtide-core/src/steering/mod.rs
@@ -1,4 +1,4 @@
-//! Chooses a region for each request, or refuses the request.
+//! Chooses a region for each request, or rejects the request.
 //!
 //! For every service an instance holds a row: the share of requests sent to
 //! each region. Planned moves are a function of the wall clock ([`planned`]);
--- a/crates/foxtide-core/src/steering/name_index.rs
+++ b/crates/foxtide-core/src/steering/name_index.rs
@@ -22,7 +22,6 @@
 }
 
 impl NameIndex {
-    /// Creates the index of a configuration.
     pub(crate) fn new(organisation: &Organisation) -> Self {
         let regions = organisation.regions.iter();
         let services = organisation.services.iter().enumerate();
@@ -35,12 +34,10 @@
         names
     }
 
-    /// Returns the index of a region.
     pub(crate) fn region(&self, id: &RegionId) -> Option<usize> {
         self.regions.iter().position(|region| region == id)
     }
 
-    /// Returns the index of a service.
     pub(crate) fn service(&self, id: &ServiceId) -> Option<usize> {
         let found = self.services.binary_search_by(|(name, _)| name.cmp(id));
         found.ok().map(|index| self.services[index].1)
--- a/crates/foxtide-core/src/steering/origin_state.rs
+++ b/crates/foxtide-core/src/steering/origin_state.rs
@@ -44,14 +44,12 @@
 /// The rows that are adopted from peers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Adoption {
-    /// Only those that are missing.
     Missing,
-    /// All rows.
     All,
 }
 
 impl OriginState {
-    /// Creates the flows of an origin, without rows.
+    /// Creates the state of an origin without rows.
     pub(crate) fn new(
         organisation: &Organisation,
         origin: RegionId,
@@ -73,7 +71,7 @@
         }
     }
 
-    /// Restores rows and measurements from the flows of the previous configuration.
+    /// Restores rows and measurements from the state under the previous configuration.
     pub(crate) fn restore(&mut self, old: &Self, old_names: &NameIndex, names: &NameIndex) {
         for (id, index) in &names.services {
             if let Some(old_index) = old_names.service(id) {
@@ -83,7 +81,7 @@
         }
     }
 
-    /// Copies the health of the upstreams from other flows of the instance.
+    /// Copies the health of the upstreams from another origin's state.
     pub(crate) fn share_health(&mut self, other: &Self) {
         for (state, other) in self.services.iter_mut().zip(&other.services) {
             state.observed_health.clone_from(&other.observed_health);
--- a/crates/foxtide-core/src/steering/row_band.rs
+++ b/crates/foxtide-core/src/steering/row_band.rs
@@ -9,8 +9,8 @@
 /// Clamps the shares of `target` to within `band_share` of the peers' mean row,
 /// and redistributes the difference within the bands.
 ///
-/// Unusable regions get no share. What does not fit into the bands is left out,
-/// so that those requests are refused.
+/// Unusable regions get no share. Shares that do not fit into the bands are dropped,
+/// and their requests are rejected.
 pub(crate) fn clamp_to_band(
     target: &[f64],
     peers: &[f64],
--- a/crates/foxtide-core/src/steering/service.rs
+++ b/crates/foxtide-core/src/steering/service.rs
@@ -100,7 +100,6 @@
         }
     }
 
-    /// Counts a new request.
     pub(crate) fn count_arrival(&mut self) {
         self.arrivals = self.arrivals.saturating_add(1);
     }
@@ -226,7 +225,7 @@
         self.row = Some(vec![0.0; self.target.len()]);
     }
 
-    /// Selects a region by a draw from `[0, 1)`; `None` if the request is refused.
+    /// Selects a region by a draw from `[0, 1)`; `None` if the request is rejected.
     pub(crate) fn draw(&self, draw: f64) -> Option<Drawn> {
         let mut remaining = draw;
         for (index, share) in self.row.as_ref()?.iter().enumerate() {
--- a/crates/foxtide-core/src/steering/shift.rs
+++ b/crates/foxtide-core/src/steering/shift.rs
@@ -1,7 +1,7 @@
 //! Moves a row towards its target under the shift cap.
 
 /// The share of requests that goes to each region, in the order of the
-/// configuration. The remainder to 1 is refused.
+/// configuration. The remainder to 1 is rejected.
 pub(crate) type Row = Vec<f64>;
 
 /// The sum of shares below which nothing is left to move.
@@ -27,7 +27,7 @@
     }
 }
 
-/// Removes a region from a row at once; its requests are refused until other
+/// Removes a region from a row at once; its requests are rejected until other
 /// regions may take them under the shift cap.
 pub(crate) fn drop_region(row: &mut Row, region: usize) {
     row[region] = 0.0;
@@ -35,7 +35,7 @@
 
 /// Moves `row` towards `target`, each region by no more than `limit` allows.
 ///
-/// Shares fall no faster than others rise, so that no request is refused that
+/// Shares fall no faster than others rise, so that no request is rejected that
 /// its current region could still serve.
 pub(crate) fn step_towards(row: &mut Row, target: &[f64], limit: impl Fn(usize) -> StepLimit) {
     let free = (1.0 - row.iter().sum::<f64>()).max(0.0);
--- a/crates/foxtide-core/src/steering/steps.rs
+++ b/crates/foxtide-core/src/steering/steps.rs
@@ -14,21 +14,19 @@
 use crate::time::WallTime;
 use std::time::Duration;
 
-/// The minimum pace with which the drain of a whole region is scheduled.
+/// The minimum pace assumed when the drain of a whole region is scheduled.
 const PACE_MIN_PER_S: f64 = 1e-5;
 
 /// A planned change of a service's rows.
 #[derive(Clone, Debug)]
 pub(crate) struct Step {
-    /// The change to the row.
     pub(crate) change: Change,
     /// The part that has moved when the step is complete.
     pub(crate) share: f64,
     /// The pace while no other step is running.
     pub(crate) pace_per_s: f64,
-    /// The start time.
     pub(crate) start: WallTime,
-    /// The time of a pause, from which the step no longer advances.
+    /// The time of a pause, after which the step no longer advances.
     pub(crate) paused_at: Option<WallTime>,
 }
 
@@ -36,17 +34,9 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum Change {
     /// Moves a part of one region's share to another region.
-    Move {
-        /// The source region.
-        from: usize,
-        /// The destination region.
-        to: usize,
-    },
+    Move { from: usize, to: usize },
     /// Moves a region's whole share to the homes that remain.
-    Leave {
-        /// The region.
-        region: usize,
-    },
+    Leave { region: usize },
 }
 
 impl Change {
@@ -129,8 +119,8 @@
     last
 }
 
-/// Returns when an upstream leaves by an announced drain of its own or of its
-/// availability zone.
+/// Returns when an announced drain of an upstream or of its availability zone
+/// removes the upstream.
 ///
 /// The drain of a region removes no upstream; its traffic moves away under the
 /// shift cap.
--- a/crates/foxtide-core/src/steering/view.rs
+++ b/crates/foxtide-core/src/steering/view.rs
@@ -22,10 +22,11 @@
 pub struct InstanceReport {
     /// The reports by service.
     pub services: BTreeMap<ServiceId, ServiceReport>,
-    /// The reports by service for callers of other regions that use it.
+    /// The reports by origin and service for callers of other regions that use the
+    /// instance.
     #[serde(default)]
     pub foreign: BTreeMap<RegionId, BTreeMap<ServiceId, ServiceReport>>,
-    /// Its use of each region's limits.
+    /// The instance's use of each region's limits.
     pub limits: BTreeMap<RegionId, LimitUse>,
 }
 
@@ -44,9 +45,9 @@
 /// A report with its origin and time.
 #[derive(Clone, Copy, Debug)]
 pub struct ReceivedReport<'a> {
-    /// The region of the instance that made it.
+    /// The region of the reporting instance.
     pub origin: &'a RegionId,
-    /// When it was made, on the reader's clock; must not be later than the truth.
+    /// When it was made, on the reader's clock; must not be later than the actual time.
     pub made_at: MonotonicTime,
     /// The report.
     pub report: &'a InstanceReport,
@@ -89,7 +90,7 @@
     pub counted_instances: u32,
     /// The number of instances with a recent report.
     pub live_instances: u32,
-    /// The number of instances, live or silent, that are not known to have ended.
+    /// The number of instances, live or silent, that are not known to have stopped.
     pub known_instances: u32,
     /// The views by service.
     pub services: BTreeMap<ServiceId, ServiceView>,
@@ -118,7 +119,7 @@
     /// reader's own.
     ///
     /// The last report of a silent instance must be passed in until the instance
-    /// is known to have ended, or at least for [`ViewOptions::claim_hold`].
+    /// is known to have stopped, or at least for [`ViewOptions::claim_hold`].
     pub fn from_reports<'a>(
         reports: impl IntoIterator<Item = ReceivedReport<'a>>,
         options: ViewOptions,
--- a/crates/foxtide-core/tests/steering/decider.rs
+++ b/crates/foxtide-core/tests/steering/decider.rs
@@ -22,21 +22,18 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// The decisions of one instance: those of [`Steering`] or a simpler baseline.
+/// Decides for one instance: [`Steering`] or a simpler baseline.
 pub(crate) trait Decider {
-    /// Creates the decisions of a starting instance.
+    /// Creates the decider of a starting instance.
     fn start(
         organisation: &Arc<Organisation>,
         origin: &RegionId,
         options: &SteeringOptions,
     ) -> Self;
-    /// Applies a configuration.
     fn configure(&mut self, organisation: &Arc<Organisation>, now: MonotonicTime);
-    /// Applies a view of the fleet.
     fn observe(&mut self, view: &FleetView, now: MonotonicTime);
     /// Sets a region's health as observed by the instance.
     fn set_health(&mut self, region: &RegionId, healthy: Share);
-    /// Advances to the given times.
     fn tick(&mut self, now: MonotonicTime, wall: WallTime);
     /// Returns the report to publish.
     fn report(&mut self, now: MonotonicTime) -> InstanceReport;
@@ -44,13 +41,11 @@
     fn is_ready(&self, now: MonotonicTime) -> bool;
     /// Decides on one attempt to send a request.
     fn admit(&mut self, attempt: &Attempt<'_>, now: MonotonicTime) -> Admission;
-    /// Records that a region refused a request.
     fn record_rejection(&mut self, region: &RegionId, now: MonotonicTime);
     /// Returns the current row for callers of an origin.
     fn row(&self, service: &ServiceId, origin: &RegionId) -> Option<BTreeMap<RegionId, Share>>;
 }
 
-/// One attempt to send a request.
 #[derive(Clone, Debug)]
 pub(crate) struct Attempt<'a> {
     pub(crate) service: &'a ServiceId,
--- a/crates/foxtide-core/tests/steering/limits.rs
+++ b/crates/foxtide-core/tests/steering/limits.rs
@@ -1,4 +1,4 @@
-//! Tests of claims and of the allocation of sold rates.
+//! Tests claims and the allocation of sold rates.
 
 use foxtide_core::limits::{
     Claim,
--- a/crates/foxtide-core/tests/steering/main.rs
+++ b/crates/foxtide-core/tests/steering/main.rs
@@ -1,4 +1,4 @@
-//! Tests of steering and of the limits.
+//! Tests steering and the limits.
 
 mod decider;
 mod fixture;
--- a/crates/foxtide-core/tests/steering/node.rs
+++ b/crates/foxtide-core/tests/steering/node.rs
@@ -18,8 +18,7 @@
 /// The time for which the platform's list contains an instance that has stopped.
 const LIST_LAG_MS: u64 = 10_000;
 
-/// The time for which an unlisted instance's report is kept; longer than its
-/// claims count.
+/// The time for which an unlisted instance's report is kept; longer than the claim hold.
 const REPORT_HOLD_MS: u64 = 20_000;
 
 /// The newest report received from a peer.
--- a/crates/foxtide-core/tests/steering/rows.rs
+++ b/crates/foxtide-core/tests/steering/rows.rs
@@ -1,4 +1,4 @@
-//! Tests of rows: plans, failures, reconfiguration and restarts.
+//! Tests rows: plans, failures, reconfiguration and restarts.
 
 use super::fixture::{
     OrganisationOptions,
--- a/crates/foxtide-core/tests/steering/scenario.rs
+++ b/crates/foxtide-core/tests/steering/scenario.rs
@@ -42,7 +42,6 @@
 /// An event of a scenario; regions and instances are given by index.
 #[derive(Clone, Debug)]
 pub(crate) enum Event {
-    /// Stops an instance.
     Stop(usize),
     /// Starts an instance without state.
     Start(usize),
@@ -56,7 +55,7 @@
     ReportLoss(bool),
     /// Sets the factor applied to the demand of a region's callers.
     Burst(usize, f64),
-    /// Sets whether a region's upstreams refuse a part of the requests.
+    /// Sets whether a region's upstreams reject a part of the requests.
     Shed(usize, bool),
     /// Sets an instance's share of its region's demand, as a weight.
     Skew(usize, f64),
@@ -69,7 +68,6 @@
 pub(crate) struct Scenario {
     /// The seed of the simulation's randomness.
     pub(crate) seed: u64,
-    /// The duration.
     pub(crate) length_ms: u64,
     /// The parameters of the organisation.
     pub(crate) options: OrganisationOptions,
--- a/crates/foxtide-core/tests/steering/scenarios.rs
+++ b/crates/foxtide-core/tests/steering/scenarios.rs
@@ -1,4 +1,4 @@
-//! Checks the promises on caps and limits in seeded scenarios.
+//! Tests that caps and limits hold in seeded scenarios.
 
 use super::fixture::OrganisationOptions;
 use super::fleet::Fleet;
--- a/crates/foxtide-core/tests/steering/tally.rs
+++ b/crates/foxtide-core/tests/steering/tally.rs
@@ -55,9 +55,9 @@
     pub(crate) served: u64,
     /// Requests that spilled over to another region.
     pub(crate) spilled: u64,
-    /// Requests refused for lack of capacity.
+    /// Requests rejected for lack of capacity.
     pub(crate) rejected_for_capacity: u64,
-    /// Requests refused for other reasons, mostly the shift cap.
+    /// Requests rejected for other reasons, mostly the shift cap.
     pub(crate) rejected_for_cap: u64,
 }
 
@@ -85,7 +85,7 @@
     pub(crate) fullest_region: f64,
     /// The shares of the last step.
     pub(crate) last_shares: Shares,
-    /// Requests refused for lack of capacity while some region had free capacity.
+    /// Requests rejected for lack of capacity while some region had free capacity.
     pub(crate) rejected_with_capacity: f64,
     rejected_for_cap_ms: Option<u64>,
     sent_window: VecDeque<Sent>,
@@ -163,7 +163,7 @@
         step.counts[from][to] += 1;
     }
 
-    /// Returns the time from `since_ms` to the last refusal for the shift cap, in
+    /// Returns the time from `since_ms` to the last rejection for the shift cap, in
     /// seconds.
     pub(crate) fn recovered_after_s(&self, since_ms: u64) -> f64 {
         let last_ms = self.rejected_for_cap_ms.unwrap_or(since_ms);
