--- a/crates/foxtide-core/src/membership/machine.rs
+++ b/crates/foxtide-core/src/membership/machine.rs
@@ -37,7 +37,7 @@
 /// Bytes available for rumours in one datagram.
 const RUMOURS_MAX_BYTES: usize = DATAGRAM_MAX_BYTES - HEADER_MAX_BYTES;
 
-/// Minimum interval between packets for new rumours.
+/// Minimum interval between gossip rounds that new rumours trigger.
 const EAGER_GOSSIP_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Queue length above which digests are ignored: while many rumours are in flight,
@@ -52,7 +52,7 @@
 pub struct MembershipCounts {
     /// Probes started.
     pub probes: u64,
-    /// Probes of which no attempt was answered.
+    /// Probes without an answer to any attempt.
     pub failed_probes: u64,
     /// Suspicions of this instance that it refuted.
     pub refutations: u64,
--- a/crates/foxtide-core/src/membership/options.rs
+++ b/crates/foxtide-core/src/membership/options.rs
@@ -8,7 +8,7 @@
 pub struct MembershipOptions {
     /// Interval between probes of this instance. Default 200 ms.
     pub probe_interval: Duration,
-    /// Timeout of a probe within the own zone. Default 100 ms.
+    /// Timeout of a probe within the instance's zone. Default 100 ms.
     pub near_timeout: Duration,
     /// Timeout of a probe of another zone; must exceed the round trip between the most
     /// distant regions. Default 200 ms.
@@ -31,8 +31,8 @@
     pub delegates_per_zone: usize,
     /// Interval between attempts to contact a dead member. Default 1 s.
     pub reconnect_interval: Duration,
-    /// Time for which dead members are kept; must exceed the partitions between regions
-    /// that are to heal. Default 2 h.
+    /// Time for which dead members are kept; must exceed the longest partition that is
+    /// expected to heal. Default 2 h.
     pub dead_retention: Duration,
     /// Gap between two ticks that counts as a pause of the process. Default 1 s.
     pub pause_limit: Duration,
--- a/crates/foxtide-core/src/membership/probe.rs
+++ b/crates/foxtide-core/src/membership/probe.rs
@@ -70,7 +70,6 @@
         ProbeId(self.last_id)
     }
 
-    /// Starts a probe of `target`.
     pub(crate) fn start(
         &mut self,
         target: InstanceId,
--- a/crates/foxtide-core/src/membership/probing.rs
+++ b/crates/foxtide-core/src/membership/probing.rs
@@ -26,8 +26,8 @@
 const SYNCHRONISED_PEERS: usize = 2;
 
 impl Membership {
-    /// Detects a pause of this process and restarts all timers: timeouts that ran
-    /// during it prove nothing, and the member table is stale.
+    /// Detects a pause of this process and restarts all timers: timeouts that expired
+    /// during it are no evidence of failures, and the member table is stale.
     pub(super) fn detect_pause(&mut self, now: MonotonicTime, outputs: &mut Vec<Output>) {
         if now - self.ticked_at > self.options.pause_limit {
             self.probes.clear();
--- a/crates/foxtide-core/src/membership/scope.rs
+++ b/crates/foxtide-core/src/membership/scope.rs
@@ -27,7 +27,7 @@
 /// The peers of an instance.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Scope {
-    /// The other running members of the own availability zone.
+    /// The other running members of the instance's availability zone.
     pub(crate) zone_peers: Vec<Member>,
     /// The delegates of the other zones; empty unless this instance is a delegate.
     pub(crate) foreign_delegates: Vec<Member>,
--- a/crates/foxtide-core/src/membership/suspicion.rs
+++ b/crates/foxtide-core/src/membership/suspicion.rs
@@ -1,4 +1,4 @@
-//! Suspicion timers: the time in which a suspect may refute before it is dead.
+//! Suspicion timers: the time in which a suspect may refute before it is declared dead.
 //!
 //! The timeout starts long and shrinks with each further instance that confirms the
 //! suspicion (Lifeguard, section IV-B).
@@ -31,9 +31,8 @@
     }
 }
 
-/// Factor of the timeout where this instance did not observe the failure itself. The
-/// refutation may be lost here; a digest then corrects the state, which takes a few of
-/// its intervals.
+/// Factor of the timeout if this instance did not observe the failure itself. It covers
+/// the few digest intervals after which a lost refutation is corrected.
 const INDIRECT_TIMEOUT_FACTOR: u32 = 10;
 
 /// Origin of a suspicion.
@@ -56,7 +55,6 @@
     }
 }
 
-/// A running suspicion timer.
 #[derive(Clone, Debug)]
 struct SuspicionTimer {
     incarnation: Incarnation,
@@ -115,7 +113,7 @@
         observed.map(|(subject, _)| subject)
     }
 
-    /// Removes and returns the suspects whose timeout is over.
+    /// Removes and returns the suspects whose timeout has expired.
     pub(crate) fn expired(
         &mut self,
         bounds: &SuspicionBounds,
--- a/crates/foxtide-core/src/membership/table.rs
+++ b/crates/foxtide-core/src/membership/table.rs
@@ -37,8 +37,8 @@
 }
 
 impl MemberTable {
-    /// Applies an update that replaces the current entry and returns whether it did. An
-    /// unknown dead instance is not added.
+    /// Applies an update if it replaces the current entry and returns whether it did.
+    /// An unknown dead instance is not added.
     pub(crate) fn apply(&mut self, member: &Member, now: MonotonicTime) -> bool {
         let newer = match self.entries.get(&member.instance) {
             Some(entry) => member.replaces(&entry.member),
--- a/crates/foxtide-core/src/membership/updates.rs
+++ b/crates/foxtide-core/src/membership/updates.rs
@@ -151,7 +151,8 @@
         }
     }
 
-    /// Refutes a peer's suspicion of this instance, to all and to that peer directly.
+    /// Refutes a suspicion of this instance, by gossip and directly to the peer that
+    /// sent it.
     fn refute_to_peer(
         &mut self,
         update: &Member,
@@ -229,7 +230,7 @@
         }
     }
 
-    /// Suspects a member that did not answer a probe; a leaving one is dead.
+    /// Suspects a member that did not answer a probe, or declares a leaving one dead.
     pub(super) fn handle_probe_failure(
         &mut self,
         target: &InstanceId,
--- a/crates/foxtide-core/src/registry/departures.rs
+++ b/crates/foxtide-core/src/registry/departures.rs
@@ -1,4 +1,4 @@
-//! Recent departures of upstreams, which a restored store may not know.
+//! Recent departures of upstreams, which a restored store may not contain.
 
 use super::{
     Registration,
@@ -30,7 +30,6 @@
 pub(super) struct Departures(HashMap<UpstreamId, Departure>);
 
 impl Departures {
-    /// Records that an upstream has left.
     pub(super) fn record_departure(&mut self, registration: &Registration, now: MonotonicTime) {
         let departure = Departure {
             born_at: registration.born_at,
@@ -79,7 +78,6 @@
         })
     }
 
-    /// Removes old departures.
     pub(super) fn prune(&mut self, now: MonotonicTime) {
         self.0
             .retain(|_, departure| now - departure.recorded_at < DEPARTURE_RETENTION);
--- a/crates/foxtide-core/src/registry/follower_backoff.rs
+++ b/crates/foxtide-core/src/registry/follower_backoff.rs
@@ -3,9 +3,9 @@
 use crate::time::MonotonicTime;
 use std::time::Duration;
 
-/// Mean interval at which a follower retries a store that failed it. The watchers retry
-/// more often and report the store's return; this covers a store that rejects all known
-/// watchers.
+/// Mean interval at which a follower retries the store after a failed call. The watchers
+/// retry more often and report the store's return; this covers a store that rejects all
+/// known watchers.
 const FOLLOWER_RETRY_INTERVAL: Duration = Duration::from_millis(3_000);
 
 /// Mean delay before a follower calls the store itself while its live watchers get no
@@ -17,7 +17,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct FollowerBackoff {
     due_at: Option<MonotonicTime>,
-    /// Whether the store's last answer went to this instance itself.
+    /// Whether the store last answered this instance directly.
     is_served_directly: bool,
 }
 
@@ -28,7 +28,8 @@
         self.is_served_directly = false;
     }
 
-    /// Records that live watchers get no answer from the store; `draw` as above.
+    /// Records that live watchers get no answer from the store; `draw`, from 0 to
+    /// 1, adds jitter.
     ///
     /// If the store has just answered this instance directly, only the watchers are cut
     /// off. The instance then keeps calling the store: another delay would let it
--- a/crates/foxtide-core/src/registry/incarnations.rs
+++ b/crates/foxtide-core/src/registry/incarnations.rs
@@ -29,7 +29,6 @@
     Undated,
 }
 
-/// A discarded incarnation.
 #[derive(Clone, Copy, Debug)]
 struct Discarded {
     born_at: Option<WallTime>,
@@ -47,7 +46,6 @@
 }
 
 impl Incarnations {
-    /// Returns the age of an incarnation.
     pub(super) fn age_of(&self, registration: &Registration) -> Age {
         let upstream = &registration.upstream;
         if let Some((newest, _)) = self.newest.get(upstream) {
@@ -65,7 +63,6 @@
         }
     }
 
-    /// Records the registration of an incarnation.
     pub(super) fn record(&mut self, registration: &Registration, now: MonotonicTime) {
         let upstream = &registration.upstream;
         self.discarded.remove(upstream);
@@ -74,7 +71,7 @@
         }
     }
 
-    /// Records that an incarnation is gone for good.
+    /// Records that an incarnation has ended and cannot return.
     pub(super) fn discard(&mut self, registration: &Registration, now: MonotonicTime) {
         let discarded = Discarded {
             born_at: registration.born_at,
--- a/crates/foxtide-core/src/registry/registered.rs
+++ b/crates/foxtide-core/src/registry/registered.rs
@@ -36,8 +36,8 @@
     /// An upstream restarted under its name. State of its earlier incarnation is
     /// obsolete; it is eligible unless its availability zone is evacuated.
     Restarted(UpstreamId),
-    /// An upstream is leaving or gone.
+    /// An upstream is draining or was removed.
     Left(UpstreamId),
-    /// An upstream is missing after an outage of the store and is kept for now.
+    /// An upstream is missing after an outage of the store and not yet removed.
     Missing(UpstreamId),
 }
--- a/crates/foxtide-core/src/registry/registrar.rs
+++ b/crates/foxtide-core/src/registry/registrar.rs
@@ -140,7 +140,7 @@
         self.entries.insert(entry.member.instance.clone(), entry);
     }
 
-    /// Handles that the store has no record of an instance.
+    /// Handles the absence of an instance's record from the store.
     pub fn observe_missing(&mut self, instance: &InstanceId) {
         let Some(entry) = self.entries.get_mut(instance) else {
             return;
--- a/crates/foxtide-core/src/registry/startup.rs
+++ b/crates/foxtide-core/src/registry/startup.rs
@@ -11,8 +11,8 @@
 /// Returns the delay before an instance reads the pages after the first one. The first
 /// page names `instances`, all of which may be starting; `draw` is from 0 to 1.
 ///
-/// Without the delay all instances would share the store's link and finish only at the
-/// end; with it, the first ones are ready early.
+/// Without the delay all instances would share the store's link and finish late at about
+/// the same time; with it, the first ones are ready early.
 pub fn startup_read_delay(instances: usize, draw: f64) -> Duration {
     let instances = u32::try_from(instances).unwrap_or(u32::MAX);
     let spread = READ_TIME_PER_INSTANCE
--- a/crates/foxtide-core/src/registry/table.rs
+++ b/crates/foxtide-core/src/registry/table.rs
@@ -91,7 +91,7 @@
         self.insert(registration, now)
     }
 
-    /// Handles that a registration has disappeared.
+    /// Handles the disappearance of a registration.
     pub fn unregister(&mut self, upstream: &UpstreamId, now: MonotonicTime) -> RegistryChange {
         self.handle_missing(upstream, now)
     }
@@ -191,7 +191,7 @@
         self.phase
     }
 
-    /// Returns whether a missing upstream is kept for now.
+    /// Returns whether any upstream is missing but not yet removed.
     pub fn has_missing(&self) -> bool {
         !self.missing.is_empty()
     }
--- a/crates/foxtide-core/tests/membership.rs
+++ b/crates/foxtide-core/tests/membership.rs
@@ -175,7 +175,6 @@
 
 #[test]
 fn verify_two_instances_cut_off_together_stay_alive_to_each_other() {
-    // Two instances that are cut off together still reach each other.
     let mut fleet = fleet(12, 6, 11);
     fleet.partition([0, 6]);
     fleet.run_for(Duration::from_secs(10));
--- a/crates/foxtide-core/tests/store_restore.rs
+++ b/crates/foxtide-core/tests/store_restore.rs
@@ -1,6 +1,5 @@
-//! Restores of the store from an older backup.
-//!
-//! Replicas at different positions must never replace newer state by older, and converge.
+//! Tests restores of the store from an older backup: replicas at different positions must
+//! converge and never replace newer state by older.
 
 use foxtide_core::ids::UpstreamId;
 use foxtide_core::records::{
