--- a/crates/foxtide-core/src/blocks/builder.rs
+++ b/crates/foxtide-core/src/blocks/builder.rs
@@ -36,7 +36,7 @@
     }
 }
 
-/// A builder that decodes one chunk at a time to bound the memory of a load.
+/// A builder that decodes one chunk at a time to bound its memory use.
 #[derive(Debug)]
 pub struct ClientBlocksBuilder {
     table: ClientBlocks,
--- a/crates/foxtide-core/src/blocks/codec.rs
+++ b/crates/foxtide-core/src/blocks/codec.rs
@@ -257,7 +257,6 @@
     chunks
 }
 
-/// Decodes a chunk.
 pub(super) fn decode_chunk(value: &[u8]) -> BlocksResult<ColumnsMessage> {
     let payload = verified_payload(value, "a chunk")?;
     ColumnsMessage::decode(&payload[..]).map_err(BlocksError::decode)
--- a/crates/foxtide-core/src/blocks/columns.rs
+++ b/crates/foxtide-core/src/blocks/columns.rs
@@ -130,7 +130,6 @@
         Ok(())
     }
 
-    /// Releases unused capacity.
     pub(super) fn shrink(&mut self) {
         self.wide.shrink_to_fit();
         self.buckets.shrink_to_fit();
--- a/crates/foxtide-core/src/blocks/family.rs
+++ b/crates/foxtide-core/src/blocks/family.rs
@@ -22,7 +22,6 @@
 impl Half for u16 {}
 impl Half for u32 {}
 
-/// An address family.
 pub(super) trait Family {
     /// The maximum prefix length of a block.
     const BITS: u8;
@@ -34,7 +33,6 @@
     fn to_net(prefix: Prefix) -> IpNet;
 }
 
-/// IPv4.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct V4;
 
--- a/crates/foxtide-core/src/dissemination/configuration.rs
+++ b/crates/foxtide-core/src/dissemination/configuration.rs
@@ -28,15 +28,14 @@
     }
 }
 
-/// The documents that an instance holds; revisions only increase.
+/// The documents of an instance; revisions only increase.
 #[derive(Clone, Debug, Default)]
 pub struct ConfigurationTable {
     documents: BTreeMap<OrganisationId, Document>,
 }
 
 impl ConfigurationTable {
-    /// Stores a document if it is newer than the one held, and returns whether it
-    /// was.
+    /// Stores a document if it is newer than the stored one; returns whether it is.
     pub fn apply(&mut self, document: &Document) -> bool {
         let newer = self.is_newer(&document.announcement());
         if newer {
@@ -46,7 +45,7 @@
         newer
     }
 
-    /// Returns whether an announced revision is newer than the one held.
+    /// Returns whether an announced revision is newer than the stored one.
     pub fn is_newer(&self, announcement: &Announcement) -> bool {
         let held = self.documents.get(&announcement.organisation);
         held.is_none_or(|held| announcement.revision > held.revision)
@@ -62,12 +61,12 @@
         self.documents.values()
     }
 
-    /// Returns the held revision of each organisation.
+    /// Returns the stored revision of each organisation.
     pub fn revisions(&self) -> Vec<Announcement> {
         self.documents().map(Document::announcement).collect()
     }
 
-    /// Returns a hash of the held organisations and revisions.
+    /// Returns a hash of the stored organisations and revisions.
     pub fn hash(&self) -> u64 {
         let mut hasher = Xxh3::new();
         for document in self.documents() {
--- a/crates/foxtide-core/src/dissemination/fetch.rs
+++ b/crates/foxtide-core/src/dissemination/fetch.rs
@@ -36,7 +36,7 @@
 /// A fetch to start.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Fetch {
-    /// The document; a newer revision will do as well.
+    /// The document; a newer revision is accepted too.
     pub announcement: Announcement,
     /// The address of the peer to fetch from.
     pub from: SocketAddr,
@@ -120,7 +120,7 @@
         }
     }
 
-    /// Removes the pending fetch of a revision that is now held, or of an older one.
+    /// Removes the pending fetch of a revision that is now stored, or of an older one.
     pub fn mark_held(&mut self, announcement: &Announcement) {
         let pending = self.pending.get(&announcement.organisation);
         if pending.is_some_and(|pending| pending.revision <= announcement.revision) {
--- a/crates/foxtide-core/src/dissemination/load/aggregator.rs
+++ b/crates/foxtide-core/src/dissemination/load/aggregator.rs
@@ -205,7 +205,7 @@
         let interval_us = self.interval().as_micros().max(1) as u64;
         let since_phase_us = now.saturating_sub(phase).as_us();
         let due_at = WallTime::from_us(since_phase_us / interval_us * interval_us) + phase;
-        // Sends also after the clock was set back.
+        // A clock that was set back must not delay the next message.
         last < due_at || now < last
     }
 
--- a/crates/foxtide-core/src/dissemination/load/options.rs
+++ b/crates/foxtide-core/src/dissemination/load/options.rs
@@ -1,4 +1,4 @@
-//! Options of the aggregation of load.
+//! Options of load aggregation.
 
 use crate::steering::ViewOptions;
 use crate::time::CLOCK_SKEW_MAX;
@@ -14,8 +14,8 @@
     pub interval_min: Duration,
     /// The maximum interval between rounds. Default 30 s.
     pub interval_max: Duration,
-    /// The bandwidth limit of an instance in bytes per second; the interval grows
-    /// with the size of the table to keep it. Default 1,400.
+    /// The bandwidth limit of an instance in bytes per second. The interval grows with
+    /// the size of the table to stay within it. Default 1,400.
     pub budget_bytes_per_s: u32,
     /// The number of children of an instance in the tree. Default 2.
     pub fan_out: usize,
@@ -51,7 +51,7 @@
 
 impl LoadOptions {
     /// Returns the interval between rounds at which an instance with `fan_out`
-    /// children keeps the bandwidth limit.
+    /// children stays within the bandwidth limit.
     pub fn interval(&self, table_bytes: usize) -> Duration {
         // Adds one message for the exchange between roots.
         let round_bytes = table_bytes.saturating_mul(self.fan_out + 1) as u64;
--- a/crates/foxtide-core/src/dissemination/load/tree.rs
+++ b/crates/foxtide-core/src/dissemination/load/tree.rs
@@ -22,7 +22,6 @@
 pub(super) struct TreePosition {
     /// The parent; `None` for the root of a region.
     pub(super) parent: Option<SocketAddr>,
-    /// The children.
     pub(super) children: BTreeMap<InstanceId, SocketAddr>,
     /// The running instances of the region that are not children.
     pub(super) other_members: BTreeSet<InstanceId>,
@@ -62,7 +61,6 @@
 }
 
 impl TreePosition {
-    /// Returns whether this is the root of its region.
     pub(super) fn is_root(&self) -> bool {
         self.parent.is_none()
     }
--- a/crates/foxtide-core/src/explain/decision.rs
+++ b/crates/foxtide-core/src/explain/decision.rs
@@ -1,4 +1,4 @@
-//! Decision on one look-up or request.
+//! The decision on one look-up or request.
 
 use super::{
     Rule,
@@ -21,7 +21,7 @@
 use std::str::FromStr;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// The number of attempts kept; later ones are only counted.
+/// The number of attempts stored per decision; later ones are only counted.
 pub const ATTEMPTS_MAX: usize = 3;
 
 /// The kind of a decision.
@@ -30,7 +30,7 @@
 pub enum DecisionKind {
     /// The instances returned to a caller.
     Lookup,
-    /// The upstream or refusal chosen for a request.
+    /// The upstream chosen for a request, or its rejection.
     Request,
 }
 
@@ -61,7 +61,7 @@
 pub enum AttemptResult {
     /// The upstream answered completely.
     Answered,
-    /// The upstream refused the request without running it.
+    /// The upstream rejected the request without running it.
     Refused,
     /// No byte of the request was sent.
     NotSent,
--- a/crates/foxtide-core/src/explain/log.rs
+++ b/crates/foxtide-core/src/explain/log.rs
@@ -57,9 +57,9 @@
     pub request: Option<RequestId>,
     /// Only those of this kind.
     pub kind: Option<DecisionKind>,
-    /// Only those of this organisation whose views are still kept.
+    /// Only those of this organisation whose views are still stored.
     pub organisation: Option<OrganisationId>,
-    /// Only those of this service whose views are still kept.
+    /// Only those of this service whose views are still stored.
     pub service: Option<ServiceId>,
     /// Only those that deviated from the plan.
     pub unusual: bool,
@@ -100,7 +100,7 @@
     /// The age of the view at the decision, in milliseconds, to which the age of
     /// each figure adds.
     pub view_age_ms: u64,
-    /// The view; `None` where it is no longer kept.
+    /// The view; `None` if it was evicted.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub view: Option<Arc<View>>,
 }
--- a/crates/foxtide-core/src/explain/mod.rs
+++ b/crates/foxtide-core/src/explain/mod.rs
@@ -4,7 +4,7 @@
 //! shared by all requests of a service in between. They are stored once as a
 //! [`View`]; each look-up and request adds a small [`Decision`] with the id of
 //! its view. An [`ExplainLog`] keeps the latest of both in bounded queues and
-//! joins them to an [`Explanation`] on query.
+//! joins them into an [`Explanation`] on query.
 //!
 //! The request path calls it as follows:
 //!
--- a/crates/foxtide-core/src/explain/rule.rs
+++ b/crates/foxtide-core/src/explain/rule.rs
@@ -16,8 +16,8 @@
     Weighted,
     /// A planned move directs this share of the traffic.
     PlannedMove,
-    /// The planned region was at a limit; another home took it within the
-    /// contract's spill-over limit.
+    /// The planned region was at a limit; the request went to another home within
+    /// the contract's spill-over limit.
     Spilled,
     /// The planned region has no usable upstream.
     RegionFailed,
@@ -25,27 +25,27 @@
     KeyOwner,
     /// The idempotency key is known: the stored answer was returned.
     KeyReplayed,
-    /// Refused: this instance's part of a region's sold rate is used up.
+    /// Rejected: this instance's part of a region's sold rate is used up.
     RegionLimit,
-    /// Refused: this instance's part of a link's sold rate is used up.
+    /// Rejected: this instance's part of a link's sold rate is used up.
     LinkLimit,
-    /// Refused: the contract's spill-over limit is reached.
+    /// Rejected: the contract's spill-over limit is reached.
     SpillLimit,
-    /// Refused: the request would have waited beyond its deadline.
+    /// Rejected: the request would have waited beyond its deadline.
     Deadline,
-    /// Refused: no upstream is usable.
+    /// Rejected: no upstream is usable.
     NoUpstream,
-    /// Refused: the idempotency key cannot be accepted.
+    /// Rejected: the idempotency key cannot be accepted.
     KeyRefused,
-    /// Refused: the request is malformed or names an unknown service.
+    /// Rejected: the request is malformed or names an unknown service.
     Malformed,
     /// Look-up: the instances of the client's region.
     ClientRegion,
     /// Look-up: the client's address block belongs to a site.
     ClientBlock,
-    /// Look-up: no instance is live in the client's region; the next region's.
+    /// Look-up: the instances of the next region, as none is live in the client's.
     NextRegion,
-    /// Look-up: the client's location is unknown; any live instances.
+    /// Look-up: any live instances, as the client's location is unknown.
     AnyInstance,
 }
 
--- a/crates/foxtide-core/src/placement/cold.rs
+++ b/crates/foxtide-core/src/placement/cold.rs
@@ -12,8 +12,8 @@
 /// allowance for varying delays of requests.
 const TOKEN_PERIOD: Duration = Duration::from_millis(1_150);
 
-/// Share of the permitted rate that is issued. Instances whose members differ for a
-/// moment may both own a token, so only half of the rate is safe.
+/// Share of the permitted rate that is issued. Instances with different
+/// member lists may both own a token, so only half of the rate is safe.
 const ISSUED_SHARE: f64 = 0.5;
 
 /// Rate limit of a cold upstream for all instances together.
--- a/crates/foxtide-core/src/placement/health.rs
+++ b/crates/foxtide-core/src/placement/health.rs
@@ -10,8 +10,8 @@
 /// by then.
 const EJECTION_TIME_MAX: Duration = Duration::from_secs(4);
 
-/// Weight of the newest result in the failure share. With a quarter, three consecutive
-/// failures exceed one half.
+/// Weight of the newest result in the failure share. At 0.25, three consecutive
+/// failures eject an upstream.
 const FAILURE_WEIGHT: f64 = 0.25;
 
 /// Failure share at which an upstream is ejected.
--- a/crates/foxtide-core/src/placement/mod.rs
+++ b/crates/foxtide-core/src/placement/mod.rs
@@ -1,4 +1,4 @@
-//! Placement of requests on upstreams, computed alike by every instance.
+//! Places requests on upstreams; every instance computes the same placement.
 //!
 //! An upstream serves recently used objects much faster, so all instances should send
 //! the same object to the same upstream. [`rank`] orders upstreams for an object
--- a/crates/foxtide-core/src/placement/overflow.rs
+++ b/crates/foxtide-core/src/placement/overflow.rs
@@ -11,14 +11,14 @@
     Share, //
 };
 
-/// Share of its own requests below which a region lacks capacity. Above it the overflow
-/// costs more, since the objects are not cached elsewhere, than it saves.
+/// Share of its own requests below which a region lacks capacity. Above it the cache
+/// misses in other regions would cost more than the overflow saves.
 const OWN_SHARE_MIN: f64 = 0.25;
 
-/// Share of an instance's requests that may overflow, and the number of overflows that
-/// it saves up. Together they limit the traffic that moves at once to what
-/// organisations are usually promised.
+/// Share of an instance's requests that may overflow, which keeps the moved traffic
+/// within common contracts.
 const OVERFLOW_SHARE: f64 = 0.11;
+/// Maximum number of unused overflows that accumulate.
 const OVERFLOW_SAVED_MAX: f64 = 2.0;
 
 /// Returns whether a region that serves `own_share` of its requests may overflow those
--- a/crates/foxtide-core/src/placement/regions.rs
+++ b/crates/foxtide-core/src/placement/regions.rs
@@ -85,7 +85,7 @@
 /// `slots` are those of the service in each region. A region serves first the requests
 /// that are bound to it, then its own. Requests beyond its capacity go to regions with
 /// spare capacity, in proportion to it. The shares depend only on the upstreams and the
-/// configuration, so load alone moves no request.
+/// configuration, so changes in load move no requests.
 pub fn region_shares(
     origin: &RegionId,
     slots: &BTreeMap<RegionId, u32>,
--- a/crates/foxtide-core/src/promises/hourly_maximum.rs
+++ b/crates/foxtide-core/src/promises/hourly_maximum.rs
@@ -33,7 +33,7 @@
         }
     }
 
-    /// Returns the largest value, zero where there is none.
+    /// Returns the largest value, or zero if there is none.
     pub(super) fn get(&self) -> f64 {
         self.buckets
             .iter()
--- a/crates/foxtide-core/src/promises/mod.rs
+++ b/crates/foxtide-core/src/promises/mod.rs
@@ -1,4 +1,4 @@
-//! Monitoring of contract promises by one instance.
+//! Monitors whether an instance keeps the promises of contracts.
 //!
 //! The caller passes a [`Sample`] of an organisation about once a second to a
 //! [`PromiseMonitor`], which compares it with the contract and keeps the largest
--- a/crates/foxtide-core/src/promises/monitor.rs
+++ b/crates/foxtide-core/src/promises/monitor.rs
@@ -1,4 +1,4 @@
-//! Comparison of samples with the contracts of an organisation.
+//! Compares samples with the contracts of an organisation.
 
 use super::hourly_maximum::HourlyMaximum;
 use super::sample::{
@@ -55,17 +55,17 @@
 pub struct Promise {
     /// The kind.
     pub promise: PromiseKind,
-    /// The service, where the promise concerns one.
+    /// The service, if the promise concerns one.
     pub service: Option<ServiceId>,
-    /// The region, where the promise concerns one.
+    /// The region, if the promise concerns one.
     pub region: Option<RegionId>,
     /// The limit.
     pub limit: f64,
-    /// The value measured last.
+    /// The latest value.
     pub now: f64,
     /// The largest ratio of value to limit in the last hour.
     pub worst_of_limit: f64,
-    /// The unit of limit and value.
+    /// The unit of the limit and the value.
     pub unit: &'static str,
     /// Whether the promise was kept throughout the last hour.
     pub held: bool,
@@ -206,8 +206,8 @@
     values
 }
 
-/// Returns the increase of each region's share. The first row is a start and
-/// counts as no increase.
+/// Returns the increase of each region's share. The first row of a service does not
+/// count as an increase.
 fn share_increases(before: &ServiceSample, after: &ServiceSample) -> Vec<(RegionId, f64)> {
     if before.row.is_empty() {
         return Vec::new();
--- a/crates/foxtide-core/src/routing/document.rs
+++ b/crates/foxtide-core/src/routing/document.rs
@@ -34,7 +34,7 @@
     pub path_prefix: String,
     /// Whether a request may be executed more than once.
     pub is_idempotent: bool,
-    /// Maximum time until the caller gets an answer.
+    /// Maximum time until the response.
     pub timeout: Duration,
     /// Target latency.
     pub latency_objective: Duration,
--- a/crates/foxtide-core/src/routing/organisations.rs
+++ b/crates/foxtide-core/src/routing/organisations.rs
@@ -88,13 +88,13 @@
 #[derive(Clone, Debug, Default)]
 pub struct OrganisationTable {
     by_key: HashMap<ApiKey, Arc<OrganisationTerms>>,
-    /// Organisations with a key that another one also has.
+    /// Organisations that share a key with an earlier one.
     disputed: Vec<OrganisationId>,
 }
 
 impl OrganisationTable {
-    /// Builds the index. A key of two organisations identifies neither: its requests
-    /// would be charged to whichever came first.
+    /// Builds the index. A key that two organisations share identifies neither, since
+    /// its requests could be charged to the wrong one.
     pub fn new(entries: Vec<OrganisationEntry>) -> Self {
         let mut by_key: HashMap<ApiKey, Option<Arc<OrganisationTerms>>> = HashMap::new();
         let mut disputed = Vec::new();
@@ -127,7 +127,7 @@
         self.by_key.get(key)
     }
 
-    /// Returns the organisations with a key that an earlier one also has.
+    /// Returns the organisations that share a key with an earlier one.
     pub fn disputed(&self) -> &[OrganisationId] {
         &self.disputed
     }
@@ -137,9 +137,9 @@
         self.by_key.len()
     }
 
-    /// Returns the share of all requests that organisations' home regions bind,
-    /// estimated from their quotas. An organisation without a quota counts as the mean
-    /// of the others.
+    /// Returns the share of all requests that is restricted to home regions, estimated
+    /// from the organisations' quotas. An organisation without a quota counts as the
+    /// mean of the others.
     pub fn homed_load(&self) -> HomedLoad {
         let mut rates: BTreeMap<&OrganisationId, (&OrganisationTerms, Option<f64>)> =
             BTreeMap::new();
--- a/crates/foxtide-core/src/routing/table.rs
+++ b/crates/foxtide-core/src/routing/table.rs
@@ -88,7 +88,7 @@
         self.quotas.get(organisation).copied()
     }
 
-    /// Returns the share of all requests that organisations' home regions bind.
+    /// Returns the share of all requests that is restricted to home regions.
     pub fn homed_load(&self) -> &HomedLoad {
         &self.homed_load
     }
--- a/crates/foxtide-core/tests/blocks.rs
+++ b/crates/foxtide-core/tests/blocks.rs
@@ -1,4 +1,4 @@
-//! Client blocks compared with a reference model, and invalid input.
+//! Tests client blocks against a reference model and with invalid input.
 
 use foxtide_core::blocks::{
     Block,
--- a/crates/foxtide-core/tests/dissemination.rs
+++ b/crates/foxtide-core/tests/dissemination.rs
@@ -1,4 +1,4 @@
-//! Configuration documents, fetches and load aggregation, without a network.
+//! Tests configuration documents, fetches and load aggregation without a network.
 
 use foxtide_core::dissemination::{
     ClockReading,
--- a/crates/foxtide-core/tests/explain.rs
+++ b/crates/foxtide-core/tests/explain.rs
@@ -1,4 +1,4 @@
-//! Tests of the explain log: selection, capacity and events for changes.
+//! Tests the explain log: selection, capacity and events for changes.
 
 use foxtide_core::events::{
     EventCode,
--- a/crates/foxtide-core/tests/promises.rs
+++ b/crates/foxtide-core/tests/promises.rs
@@ -1,4 +1,4 @@
-//! Tests of the monitor of contract promises.
+//! Tests the monitor of contract promises.
 
 use foxtide_core::ids::{
     RegionId,
