--- a/crates/foxtide-core/src/blocks/codec.rs
+++ b/crates/foxtide-core/src/blocks/codec.rs
@@ -1,6 +1,6 @@
 //! The encoding of client blocks in the store.
 //!
-//! A value is a [`SealedMessage`]: a payload and its XXH3 checksum. The payload
+//! A value is a [`ChecksummedMessage`]: a payload and its XXH3 checksum. The payload
 //! is a [`ColumnsMessage`], [`DeltaMessage`] or [`ManifestMessage`]. Columns hold
 //! blocks in ascending order. Each first address is delta-encoded against the
 //! previous one, in units of the block's own size, mostly in a single byte.
@@ -32,7 +32,7 @@
 
 /// A payload and its checksum.
 #[derive(Clone, PartialEq, prost::Message)]
-pub(super) struct SealedMessage {
+pub(super) struct ChecksummedMessage {
     #[prost(fixed64, tag = "1")]
     checksum: u64,
     #[prost(bytes = "vec", tag = "2")]
@@ -83,7 +83,7 @@
 
 /// The expected checksum and size of a chunk.
 #[derive(Clone, Copy, PartialEq, prost::Message)]
-pub(super) struct PartMessage {
+pub(super) struct ChunkMessage {
     #[prost(fixed64, tag = "1")]
     pub(super) checksum: u64,
     #[prost(uint64, tag = "2")]
@@ -104,7 +104,7 @@
     #[prost(message, repeated, tag = "5")]
     pub(super) sites: Vec<SiteMessage>,
     #[prost(message, repeated, tag = "6")]
-    pub(super) chunks: Vec<PartMessage>,
+    pub(super) chunks: Vec<ChunkMessage>,
     /// Encoded deltas with their checksums, in order.
     #[prost(bytes = "vec", repeated, tag = "7")]
     pub(super) deltas: Vec<Vec<u8>>,
@@ -113,17 +113,17 @@
 /// Encodes a payload with its checksum.
 pub(super) fn with_checksum(payload: Vec<u8>) -> Vec<u8> {
     let checksum = xxh3_64(&payload);
-    SealedMessage { checksum, payload }.encode_to_vec()
+    ChecksummedMessage { checksum, payload }.encode_to_vec()
 }
 
 /// Decodes a value and verifies the checksum of its payload.
 pub(super) fn verified_payload(value: &[u8], part: &str) -> BlocksResult<Vec<u8>> {
-    let sealed = SealedMessage::decode(value).map_err(BlocksError::decode)?;
-    if xxh3_64(&sealed.payload) != sealed.checksum {
+    let message = ChecksummedMessage::decode(value).map_err(BlocksError::decode)?;
+    if xxh3_64(&message.payload) != message.checksum {
         let part = part.to_owned();
         return Err(BlocksError::Checksum { part });
     }
-    Ok(sealed.payload)
+    Ok(message.payload)
 }
 
 /// Encodes blocks in ascending order as columns.
--- a/crates/foxtide-core/src/blocks/manifest.rs
+++ b/crates/foxtide-core/src/blocks/manifest.rs
@@ -6,8 +6,8 @@
 //! instance with an older table needs only the manifest.
 
 use super::codec::{
+    ChunkMessage,
     ManifestMessage,
-    PartMessage,
     SiteMessage,
     verified_payload,
     with_checksum, //
@@ -151,7 +151,7 @@
             v4_blocks: self.base_blocks.v4_blocks as u64,
             v6_blocks: self.base_blocks.v6_blocks as u64,
             sites: self.sites.sites().iter().map(to_site_message).collect(),
-            chunks: self.chunks.iter().map(to_part_message).collect(),
+            chunks: self.chunks.iter().map(to_chunk_message).collect(),
             deltas: deltas?,
         };
         Ok(with_checksum(message.encode_to_vec()))
@@ -242,14 +242,14 @@
     })
 }
 
-fn to_part_message(chunk: &ChunkRef) -> PartMessage {
-    PartMessage {
+fn to_chunk_message(chunk: &ChunkRef) -> ChunkMessage {
+    ChunkMessage {
         checksum: chunk.checksum.0,
         size_bytes: chunk.size_bytes,
     }
 }
 
-fn to_chunk_ref(message: PartMessage) -> ChunkRef {
+fn to_chunk_ref(message: ChunkMessage) -> ChunkRef {
     ChunkRef {
         checksum: Checksum(message.checksum),
         size_bytes: message.size_bytes,
--- a/crates/foxtide-core/src/dissemination/load/aggregator.rs
+++ b/crates/foxtide-core/src/dissemination/load/aggregator.rs
@@ -267,7 +267,7 @@
             if now - record.oldest_at > self.options.view.claim_hold {
                 continue;
             }
-            if now - record.live_since > self.options.live_age_max {
+            if now - record.oldest_live_at > self.options.live_age_max {
                 record.exclude_from_live();
             }
             record.summed_at = now;
--- a/crates/foxtide-core/src/dissemination/load/record.rs
+++ b/crates/foxtide-core/src/dissemination/load/record.rs
@@ -40,7 +40,7 @@
     /// The time of the oldest report in the sum.
     pub oldest_at: WallTime,
     /// The time of the oldest report of an instance that counts as live.
-    pub live_since: WallTime,
+    pub oldest_live_at: WallTime,
     /// The sum; its `oldest_at` is unused.
     pub sum: RegionView,
 }
@@ -67,7 +67,7 @@
             region: region.clone(),
             summed_at: made_at,
             oldest_at: made_at,
-            live_since: made_at,
+            oldest_live_at: made_at,
             sum,
         }
     }
@@ -75,10 +75,10 @@
     /// Adds another record to the sum.
     pub(super) fn merge(&mut self, other: &Self) {
         self.oldest_at = self.oldest_at.min(other.oldest_at);
-        self.live_since = match (self.sum.live_instances, other.sum.live_instances) {
-            (_, 0) => self.live_since,
-            (0, _) => other.live_since,
-            _ => self.live_since.min(other.live_since),
+        self.oldest_live_at = match (self.sum.live_instances, other.sum.live_instances) {
+            (_, 0) => self.oldest_live_at,
+            (0, _) => other.oldest_live_at,
+            _ => self.oldest_live_at.min(other.oldest_live_at),
         };
         self.sum.merge(&other.sum);
     }
--- a/crates/foxtide-core/src/dissemination/load/view.rs
+++ b/crates/foxtide-core/src/dissemination/load/view.rs
@@ -58,8 +58,8 @@
 
     fn region_view(&self, record: &LoadRecord, now: ClockReading) -> RegionView {
         let mut record = record.clone();
-        let live_since = self.to_own_clock(record.live_since, now);
-        if now.monotonic - live_since > self.options.view.view_age_max {
+        let oldest_live_at = self.to_own_clock(record.oldest_live_at, now);
+        if now.monotonic - oldest_live_at > self.options.view.view_age_max {
             record.exclude_from_live();
         }
         RegionView {
--- a/crates/foxtide-core/src/explain/changes.rs
+++ b/crates/foxtide-core/src/explain/changes.rs
@@ -74,7 +74,7 @@
     pub(super) fn take(&mut self, now: WallTime) -> Vec<EventDraft> {
         let mut ended = Vec::new();
         for ((organisation, id), service) in &mut self.services {
-            let changes = service.episodes.end(now);
+            let changes = service.episodes.take_ended(now);
             ended.push((organisation.clone(), id.clone(), changes));
         }
         for (organisation, service, changes) in ended {
--- a/crates/foxtide-core/src/explain/episodes.rs
+++ b/crates/foxtide-core/src/explain/episodes.rs
@@ -71,7 +71,7 @@
     }
 
     /// Returns events for the episodes that have ended.
-    pub(super) fn end(&mut self, now: WallTime) -> Vec<EventDraft> {
+    pub(super) fn take_ended(&mut self, now: WallTime) -> Vec<EventDraft> {
         let mut ended = Vec::new();
         for (kind, episode) in EPISODE_KINDS.iter().zip(&mut self.0) {
             if episode.requests > 0 && now.since(episode.last_at) >= QUIET_PERIOD {
--- a/crates/foxtide-core/src/explain/log.rs
+++ b/crates/foxtide-core/src/explain/log.rs
@@ -158,7 +158,7 @@
     }
 
     /// Returns events for the changes of the services since the last call.
-    pub fn changes(&mut self, now: WallTime) -> Vec<EventDraft> {
+    pub fn take_changes(&mut self, now: WallTime) -> Vec<EventDraft> {
         self.changes.take(now)
     }
 
--- a/crates/foxtide-core/src/membership/machine.rs
+++ b/crates/foxtide-core/src/membership/machine.rs
@@ -293,7 +293,7 @@
     }
 
     fn expire_suspicions(&mut self, now: MonotonicTime, outputs: &mut Vec<Output>) {
-        for subject in self.suspicions.expired(&self.options.suspicion, now) {
+        for subject in self.suspicions.take_expired(&self.options.suspicion, now) {
             self.declare_dead(&subject, now, outputs);
         }
     }
--- a/crates/foxtide-core/src/membership/probe.rs
+++ b/crates/foxtide-core/src/membership/probe.rs
@@ -114,7 +114,7 @@
 
     /// Removes expired relays and returns the timed-out probes, which fail after
     /// `attempts` attempts.
-    pub(crate) fn overdue(&mut self, attempts: u32, now: MonotonicTime) -> Overdue {
+    pub(crate) fn take_overdue(&mut self, attempts: u32, now: MonotonicTime) -> Overdue {
         self.relays.retain(|relay| now < relay.expires_at);
         let mut overdue = Overdue::default();
         self.pending.retain_mut(|probe| {
--- a/crates/foxtide-core/src/membership/probing.rs
+++ b/crates/foxtide-core/src/membership/probing.rs
@@ -50,7 +50,7 @@
     }
 
     pub(super) fn check_probes(&mut self, now: MonotonicTime, outputs: &mut Vec<Output>) {
-        let overdue = self.probes.overdue(self.options.probe_attempts, now);
+        let overdue = self.probes.take_overdue(self.options.probe_attempts, now);
         for probe in overdue.retries {
             self.send_ping(probe.id, &probe.target, outputs);
             self.send_ping_requests(&probe, outputs);
--- a/crates/foxtide-core/src/membership/suspicion.rs
+++ b/crates/foxtide-core/src/membership/suspicion.rs
@@ -103,7 +103,7 @@
     }
 
     /// Cancels the timer of `subject`.
-    pub(crate) fn end(&mut self, subject: &InstanceId) {
+    pub(crate) fn cancel(&mut self, subject: &InstanceId) {
         self.timers.remove(subject);
     }
 
@@ -114,7 +114,7 @@
     }
 
     /// Removes and returns the suspects whose timeout has expired.
-    pub(crate) fn expired(
+    pub(crate) fn take_expired(
         &mut self,
         bounds: &SuspicionBounds,
         now: MonotonicTime,
--- a/crates/foxtide-core/src/membership/updates.rs
+++ b/crates/foxtide-core/src/membership/updates.rs
@@ -178,7 +178,7 @@
             return;
         }
         if self.table.apply(&member, now) {
-            self.suspicions.end(&member.instance);
+            self.suspicions.cancel(&member.instance);
             self.queue_rumour(Rumour::Member(member.clone()));
             outputs.push(Output::Changed(member));
         }
--- a/crates/foxtide-core/src/placement/regions.rs
+++ b/crates/foxtide-core/src/placement/regions.rs
@@ -71,7 +71,7 @@
 
 impl Demand {
     /// Returns the demand of `origins` regions without restrictions.
-    pub fn unbound(origins: usize) -> Self {
+    pub fn unrestricted(origins: usize) -> Self {
         Self {
             origins,
             homed: HomedLoad::default(),
@@ -97,14 +97,14 @@
     }
     let homed = demand.homed.by_region(slots);
     let homed_total: f64 = homed.values().sum();
-    let unbound = total * (1.0 - homed_total).max(f64::EPSILON) / demand.origins.max(1) as f64;
+    let unrestricted = total * (1.0 - homed_total).max(f64::EPSILON) / demand.origins.max(1) as f64;
     let capacity = |region: &RegionId| {
         let slots = slots.get(region).copied().map_or(0.0, f64::from);
         let homed = homed.get(region).copied().unwrap_or_default();
         (slots - total * homed).max(0.0)
     };
-    let own_share = (capacity(origin) / unbound).min(1.0);
-    let spare = |region: &RegionId| (capacity(region) - unbound).max(0.0);
+    let own_share = (capacity(origin) / unrestricted).min(1.0);
+    let spare = |region: &RegionId| (capacity(region) - unrestricted).max(0.0);
     let spare_total: f64 = slots.keys().map(spare).sum();
     let rest = 1.0 - own_share;
     slots
--- a/crates/foxtide-core/src/steering/destinations.rs
+++ b/crates/foxtide-core/src/steering/destinations.rs
@@ -136,7 +136,7 @@
         let floors = Floors::new(options, self.regions.len());
         let floor_share = floors.region_share(&self.origin, &self.origin);
         let idle_rps =
-            self.destinations[index].sold.get() * floor_share * options.idle_claim_of_floor;
+            self.destinations[index].sold.get() * floor_share * options.idle_claim_floor_share;
         Claim {
             planned_rps: RequestRate::clamped(idle_rps),
             ..Claim::default()
--- a/crates/foxtide-core/src/steering/options.rs
+++ b/crates/foxtide-core/src/steering/options.rs
@@ -54,7 +54,7 @@
     pub idle_claim_share: f64,
     /// The minimum claim of an instance on its own region as a share of its floor
     /// there, so that a burst of new callers finds capacity.
-    pub idle_claim_of_floor: f64,
+    pub idle_claim_floor_share: f64,
     /// The time for which a new instance claims its peers' mean demand.
     pub joining_period: Duration,
     /// The maximum number of instances per region, which sizes the floors.
@@ -95,7 +95,7 @@
             local_floors_share: 0.8,
             lost_region_hold: Duration::from_secs(7_200),
             idle_claim_share: 0.1,
-            idle_claim_of_floor: 0.25,
+            idle_claim_floor_share: 0.25,
             joining_period: Duration::from_secs(30),
             instances_per_region_max: 6,
             startup_wait: Duration::from_secs(2),
--- a/crates/foxtide-core/tests/dissemination.rs
+++ b/crates/foxtide-core/tests/dissemination.rs
@@ -67,11 +67,11 @@
         let newest = *revisions.iter().max().unwrap();
         let mut tables = [ConfigurationTable::default(), ConfigurationTable::default()];
         for table in &mut tables {
-            let mut held = Revision::ZERO;
+            let mut newest_applied = Revision::ZERO;
             for revision in &revisions {
                 let applied = table.apply(&document(*revision));
-                prop_assert_eq!(applied, Revision::new(*revision) > held);
-                held = held.max(Revision::new(*revision));
+                prop_assert_eq!(applied, Revision::new(*revision) > newest_applied);
+                newest_applied = newest_applied.max(Revision::new(*revision));
             }
             revisions.reverse();
         }
@@ -146,7 +146,7 @@
     members: Vec<Member>,
     now: WallTime,
     version: u64,
-    sends: usize,
+    envelopes: usize,
 }
 
 impl LoadFleet {
@@ -162,7 +162,7 @@
             members,
             now: WallTime::from_ms(1_000_000),
             version: 0,
-            sends: 0,
+            envelopes: 0,
         }
     }
 
@@ -182,20 +182,20 @@
     }
 
     fn step(&mut self) {
-        let mut sends = Vec::new();
+        let mut envelopes = Vec::new();
         for (address, aggregator) in &mut self.aggregators {
             aggregator.publish(organisation(), report(), self.now);
             aggregator.observe(self.members.iter(), self.version, self.now);
             let own = aggregator.tick(self.now).into_iter();
-            sends.extend(own.map(|send| (*address, send)));
+            envelopes.extend(own.map(|send| (*address, send)));
         }
-        while let Some((from, send)) = sends.pop() {
-            self.sends += 1;
+        while let Some((from, send)) = envelopes.pop() {
+            self.envelopes += 1;
             let sender = self.members.iter().find(|it| it.peer_address == from);
             let sender = sender.unwrap().instance.clone();
             if let Some(receiver) = self.aggregators.get_mut(&send.to) {
                 let next = receiver.receive(&sender, send.message, self.now);
-                sends.extend(next.into_iter().map(|next| (send.to, next)));
+                envelopes.extend(next.into_iter().map(|next| (send.to, next)));
             }
         }
     }
@@ -353,11 +353,11 @@
 
 #[test]
 fn verify_the_messages_of_an_instance_do_not_grow_with_the_fleet() {
-    let sends = |instances| {
+    let envelopes = |instances| {
         let mut fleet = LoadFleet::new(instances, 3);
         fleet.run_for(Duration::from_secs(10));
-        fleet.sends as f64 / instances as f64
+        fleet.envelopes as f64 / instances as f64
     };
-    let (few, many) = (sends(30), sends(240));
+    let (few, many) = (envelopes(30), envelopes(240));
     assert!(many <= few * 1.2, "{few} each of 30, {many} each of 240");
 }
--- a/crates/foxtide-core/tests/explain.rs
+++ b/crates/foxtide-core/tests/explain.rs
@@ -198,7 +198,7 @@
         candidates,
         ..view(WallTime::ZERO)
     });
-    let changes = log.changes(WallTime::ZERO);
+    let changes = log.take_changes(WallTime::ZERO);
     changes.into_iter().map(|change| change.code).collect()
 }
 
@@ -247,11 +247,11 @@
     for at_ms in 1_000..1_100 {
         log.record(decision(Rule::Spilled, id, at_ms, "r-1"));
     }
-    let started = log.changes(WallTime::from_ms(2_000));
+    let started = log.take_changes(WallTime::from_ms(2_000));
     assert_eq!(started.len(), 1);
     assert_eq!(started[0].code, EventCode::SpillStarted);
-    assert!(log.changes(WallTime::from_ms(11_000)).is_empty());
-    let ended = log.changes(WallTime::from_ms(12_000));
+    assert!(log.take_changes(WallTime::from_ms(11_000)).is_empty());
+    let ended = log.take_changes(WallTime::from_ms(12_000));
     assert_eq!(ended[0].code, EventCode::SpillStopped);
     assert_eq!(ended[0].fields.detail, "requests=100");
     assert_eq!(ended[0].fields.service, Some("viewer".parse().unwrap()));
--- a/crates/foxtide-core/tests/placement.rs
+++ b/crates/foxtide-core/tests/placement.rs
@@ -76,12 +76,12 @@
 #[test]
 fn verify_requests_beyond_a_regions_capacity_go_to_regions_with_spare_capacity() {
     let slots = regions([24, 8, 16]);
-    let shares = region_shares(&"erongo".parse().unwrap(), &slots, &Demand::unbound(3));
+    let shares = region_shares(&"erongo".parse().unwrap(), &slots, &Demand::unrestricted(3));
     let of = |region: &str| shares[&region.parse::<RegionId>().unwrap()];
     assert!((of("erongo") - 0.5).abs() < 1e-9);
     assert!((of("khomas") - 0.5).abs() < 1e-9);
     assert!(of("oshana").abs() < 1e-9);
-    let shares = region_shares(&"khomas".parse().unwrap(), &slots, &Demand::unbound(3));
+    let shares = region_shares(&"khomas".parse().unwrap(), &slots, &Demand::unrestricted(3));
     assert!((shares[&"khomas".parse::<RegionId>().unwrap()] - 1.0).abs() < 1e-9);
 }
 
@@ -89,7 +89,7 @@
 fn verify_a_region_without_upstreams_is_served_by_the_others() {
     let mut slots = regions([24, 0, 24]);
     slots.remove(&"erongo".parse::<RegionId>().unwrap());
-    let shares = region_shares(&"erongo".parse().unwrap(), &slots, &Demand::unbound(3));
+    let shares = region_shares(&"erongo".parse().unwrap(), &slots, &Demand::unrestricted(3));
     let total: f64 = shares.values().sum();
     assert!((total - 1.0).abs() < 1e-9, "{shares:?}");
 }
@@ -118,7 +118,7 @@
         assert!((utilisation - 1.0).abs() < 1e-9, "{region}: {utilisation}");
     }
     // Without the homed load the region would be overloaded.
-    let share_ignoring_homes = region_shares(&erongo, &slots, &Demand::unbound(3))[&erongo];
+    let share_ignoring_homes = region_shares(&erongo, &slots, &Demand::unrestricted(3))[&erongo];
     assert!((94.0 / 12.0 + share_ignoring_homes * unhomed_of_origin) / 10.0 > 1.6);
 }
 
--- a/crates/foxtide-core/tests/registry.rs
+++ b/crates/foxtide-core/tests/registry.rs
@@ -254,11 +254,11 @@
             availability_zone: &own.availability_zone,
             region: &own.region,
         };
-        let mut asked = members.watchers_nearest_first(&region);
-        Members::sort_by_proximity(&mut asked, &requester);
-        assert!(asked[..7].iter().all(|watcher| watcher.region == region));
-        assert_eq!(asked[0].availability_zone, own.availability_zone);
-        *followers.entry(asked[0].instance.clone()).or_default() += 1;
+        let mut watchers = members.watchers_nearest_first(&region);
+        Members::sort_by_proximity(&mut watchers, &requester);
+        assert!(watchers[..7].iter().all(|watcher| watcher.region == region));
+        assert_eq!(watchers[0].availability_zone, own.availability_zone);
+        *followers.entry(watchers[0].instance.clone()).or_default() += 1;
     }
     assert_eq!(followers.len(), 7);
     assert!(
@@ -301,15 +301,15 @@
 #[test]
 fn verify_a_follower_rarely_retries_a_failed_store() {
     let mut backoff = FollowerBackoff::default();
-    let mut asked = 0;
+    let mut calls = 0;
     for ms in 0..8_000 {
         let now = at(ms);
         if backoff.is_due(now) {
-            asked += 1;
+            calls += 1;
             backoff.store_failed(now, 0.5);
         }
     }
-    assert_eq!(asked, 3);
+    assert_eq!(calls, 3);
     backoff.store_failed(at(8_000), 0.0);
     assert!(!backoff.is_due(at(9_499)));
     assert!(backoff.is_due(at(9_500)));
--- a/crates/foxtide-core/tests/steering/fleet.rs
+++ b/crates/foxtide-core/tests/steering/fleet.rs
@@ -79,7 +79,7 @@
     arrivals: BTreeMap<(u64, u64), Arrival>,
     arrivals_added: u64,
     healthy: [bool; REGIONS.len()],
-    cut: [bool; REGIONS.len()],
+    partitioned: [bool; REGIONS.len()],
     reports_lost: bool,
     burst: [f64; REGIONS.len()],
     shedding: [bool; REGIONS.len()],
@@ -135,7 +135,7 @@
             arrivals: BTreeMap::new(),
             arrivals_added: 0,
             healthy: [true; REGIONS.len()],
-            cut: [false; REGIONS.len()],
+            partitioned: [false; REGIONS.len()],
             reports_lost: false,
             burst: [1.0; REGIONS.len()],
             shedding: [false; REGIONS.len()],
@@ -169,7 +169,9 @@
             Event::Start(node) => self.start(node),
             Event::Pause(node, for_ms) => self.nodes[node].paused_until_ms = self.now_ms + for_ms,
             Event::Health(region_index, healthy) => self.set_health(region_index, healthy),
-            Event::Cut(region_index, cut) => self.cut[region_index] = cut,
+            Event::Partition(region_index, is_partitioned) => {
+                self.partitioned[region_index] = is_partitioned
+            }
             Event::ReportLoss(reports_lost) => self.reports_lost = reports_lost,
             Event::Burst(region_index, factor) => self.burst[region_index] = factor,
             Event::Shed(region_index, shedding) => self.shedding[region_index] = shedding,
@@ -245,8 +247,8 @@
         let report = Arc::new(self.nodes[from].decider.report(now));
         for to in 0..self.nodes.len() {
             let (a, b) = (self.nodes[from].region, self.nodes[to].region);
-            let cut = a != b && (self.cut[a] || self.cut[b]);
-            if to != from && (cut || self.reports_lost || self.rng.random_bool(0.05)) {
+            let is_partitioned = a != b && (self.partitioned[a] || self.partitioned[b]);
+            if to != from && (is_partitioned || self.reports_lost || self.rng.random_bool(0.05)) {
                 continue;
             }
             let delay_ms = if to == from {
--- a/crates/foxtide-core/tests/steering/limits.rs
+++ b/crates/foxtide-core/tests/steering/limits.rs
@@ -28,7 +28,7 @@
     [one(), one()]
 }
 
-fn least(claims: &[Claim; 2]) -> Claim {
+fn minimum(claims: &[Claim; 2]) -> Claim {
     let [a, b] = claims;
     claim(
         a.planned_rps.get().min(b.planned_rps.get()),
@@ -42,12 +42,12 @@
         fleet in proptest::collection::vec((two_claims(), any::<u16>()), 1..12),
     ) {
         let mut total = 0.0;
-        for (own, knows) in &fleet {
+        for (own, known_claims) in &fleet {
             let mut all = Claims::default();
             for (index, (claims, _)) in fleet.iter().enumerate() {
-                all.add(claims[usize::from(knows >> index & 1)]);
+                all.add(claims[usize::from(known_claims >> index & 1)]);
             }
-            total += allocate(RequestRate::clamped(SOLD_RPS), least(own), all).get();
+            total += allocate(RequestRate::clamped(SOLD_RPS), minimum(own), all).get();
         }
         prop_assert!(total <= SOLD_RPS * (1.0 + 1e-9), "{total}");
     }
--- a/crates/foxtide-core/tests/steering/scenario.rs
+++ b/crates/foxtide-core/tests/steering/scenario.rs
@@ -50,7 +50,7 @@
     /// Sets whether a region's upstreams are healthy.
     Health(usize, bool),
     /// Sets whether a region's instances are partitioned from other regions.
-    Cut(usize, bool),
+    Partition(usize, bool),
     /// Sets whether all reports are lost.
     ReportLoss(bool),
     /// Sets the factor applied to the demand of a region's callers.
@@ -155,9 +155,9 @@
             4 => self.lose_region(at_ms, region_index, later_ms),
             5 => self.between(
                 at_ms,
-                Event::Cut(region_index, true),
+                Event::Partition(region_index, true),
                 later_ms,
-                Event::Cut(region_index, false),
+                Event::Partition(region_index, false),
             ),
             6 => self.between(
                 at_ms,
--- a/crates/foxtide-core/tests/steering/scenarios.rs
+++ b/crates/foxtide-core/tests/steering/scenarios.rs
@@ -150,7 +150,7 @@
     let mut scenario = Scenario::quiet(3, options, 260.0);
     scenario.demand_rps[0] = [60.0, 60.0];
     scenario.platform_list = false;
-    scenario.at(30_000, Event::Cut(0, true));
+    scenario.at(30_000, Event::Partition(0, true));
     scenario.at(55_000, Event::Burst(0, 2.0));
     scenario
 }
--- a/crates/foxtide-events/src/explainer.rs
+++ b/crates/foxtide-events/src/explainer.rs
@@ -58,7 +58,7 @@
 
     /// Returns the changes of services since the last call, as events to record.
     pub fn changes(&self, now: WallTime) -> Vec<EventDraft> {
-        self.log.lock().changes(now)
+        self.log.lock().take_changes(now)
     }
 
     /// Returns explanations of the decisions that match a filter, latest first.
--- a/crates/foxtide-gateway/tests/gateway/small_region.rs
+++ b/crates/foxtide-gateway/tests/gateway/small_region.rs
@@ -76,7 +76,7 @@
             *slots.entry(registration.region.clone()).or_default() += registration.slots;
         }
         let own: RegionId = "erongo".parse().unwrap();
-        let weights = UpstreamWeights::new(&own, slots, &Demand::unbound(REGIONS));
+        let weights = UpstreamWeights::new(&own, slots, &Demand::unrestricted(REGIONS));
         let candidates: Vec<Candidate> = registrations
             .iter()
             .map(|one| Candidate::new(&one.upstream, weights.of(&one.region, one.slots)))
--- a/crates/foxtide-mesh/src/wire/load/mod.rs
+++ b/crates/foxtide-mesh/src/wire/load/mod.rs
@@ -134,7 +134,7 @@
             region: region.clone(),
             summed_at: WallTime::from_us(9_000),
             oldest_at: WallTime::from_us(4_000),
-            live_since: WallTime::from_us(8_000),
+            oldest_live_at: WallTime::from_us(8_000),
             sum: RegionView {
                 counted_instances: 3,
                 live_instances: 2,
@@ -162,7 +162,7 @@
         }
         assert!(read[0].sum.foreign.keys().eq(sent.sum.foreign.keys()));
         assert_eq!(read[0].oldest_at, sent.oldest_at);
-        assert_eq!(read[0].live_since, sent.live_since);
+        assert_eq!(read[0].oldest_live_at, sent.oldest_live_at);
         assert_eq!(read[0].sum.live_instances, 2);
         assert_eq!(Load::from(&LoadMessage::Table(read)), message);
     }
--- a/crates/foxtide-mesh/src/wire/load/read.rs
+++ b/crates/foxtide-mesh/src/wire/load/read.rs
@@ -82,7 +82,7 @@
         region: name::<RegionId>(names, record.region)?,
         summed_at: before(0),
         oldest_at: before(record.oldest_age_us),
-        live_since: before(record.live_age_us),
+        oldest_live_at: before(record.live_age_us),
         sum,
     })
 }
--- a/crates/foxtide-mesh/src/wire/load/write.rs
+++ b/crates/foxtide-mesh/src/wire/load/write.rs
@@ -94,7 +94,7 @@
         region: names.index(record.region.as_str()),
         summed_at_us: record.summed_at.as_us(),
         oldest_age_us: age_us(record, record.oldest_at),
-        live_age_us: age_us(record, record.live_since),
+        live_age_us: age_us(record, record.oldest_live_at),
         counted_instances: record.sum.counted_instances,
         live_instances: record.sum.live_instances,
         services: write_services(&record.sum.services, names),
--- a/crates/foxtide-testing/src/load_model/fleet.rs
+++ b/crates/foxtide-testing/src/load_model/fleet.rs
@@ -112,7 +112,7 @@
                 *slots.entry(self.regions[*region].clone()).or_default() += settings.slots;
             }
         }
-        let demand = Demand::unbound(self.regions.len());
+        let demand = Demand::unrestricted(self.regions.len());
         let of_origin = |origin: &RegionId| {
             let weights = UpstreamWeights::new(origin, slots.clone(), &demand);
             let candidate = |(number, (name, region)): (usize, &(UpstreamId, usize))| {
