--- a/crates/foxtide-core/src/dissemination/fetch.rs
+++ b/crates/foxtide-core/src/dissemination/fetch.rs
@@ -36,7 +36,7 @@
 /// A fetch to start.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Fetch {
-    /// The document; a newer revision will do as well.
+    /// The document; a newer revision is accepted too.
     pub announcement: Announcement,
     /// The address of the peer to fetch from.
     pub from: SocketAddr,
@@ -62,7 +62,7 @@
 impl FetchQueue {
     /// Adds a peer as a source of an announced revision.
     pub fn add_source(&mut self, announcement: &Announcement, by: SocketAddr) {
-        let fresh = || PendingFetch {
+        let new_fetch = || PendingFetch {
             revision: announcement.revision,
             sources: Vec::new(),
             next: 0,
@@ -70,12 +70,12 @@
             retry_at: MonotonicTime::ZERO,
         };
         let organisation = announcement.organisation.clone();
-        let pending = self.pending.entry(organisation).or_insert_with(fresh);
+        let pending = self.pending.entry(organisation).or_insert_with(new_fetch);
         if announcement.revision < pending.revision {
             return;
         }
         if announcement.revision > pending.revision {
-            *pending = fresh();
+            *pending = new_fetch();
         }
         let known = pending.sources.contains(&by);
         if !known && pending.sources.len() < self.options.sources_max {
@@ -120,7 +120,7 @@
         }
     }
 
-    /// Removes the pending fetch of a revision that is now held, or of an older one.
+    /// Removes the pending fetch of a revision that is now stored, or of an older one.
     pub fn mark_held(&mut self, announcement: &Announcement) {
         let pending = self.pending.get(&announcement.organisation);
         if pending.is_some_and(|pending| pending.revision <= announcement.revision) {
--- a/crates/foxtide-core/src/membership/probe.rs
+++ b/crates/foxtide-core/src/membership/probe.rs
@@ -47,7 +47,7 @@
 pub(crate) struct ProbeSchedule {
     last_id: u64,
     round: Vec<InstanceId>,
-    waiting: Vec<Probe>,
+    pending: Vec<Probe>,
     relays: Vec<Relay>,
 }
 
@@ -70,7 +70,6 @@
         ProbeId(self.last_id)
     }
 
-    /// Starts a probe of `target`.
     pub(crate) fn start(
         &mut self,
         target: InstanceId,
@@ -78,7 +77,7 @@
         now: MonotonicTime,
     ) -> ProbeId {
         let id = self.next_id();
-        self.waiting.push(Probe {
+        self.pending.push(Probe {
             id,
             target,
             attempts: 1,
@@ -106,8 +105,8 @@
     }
 
     /// Completes a probe; returns the origin and number of a relayed one.
-    pub(crate) fn answered(&mut self, id: ProbeId) -> Option<(SocketAddr, ProbeId)> {
-        self.waiting.retain(|probe| probe.id != id);
+    pub(crate) fn complete(&mut self, id: ProbeId) -> Option<(SocketAddr, ProbeId)> {
+        self.pending.retain(|probe| probe.id != id);
         let index = self.relays.iter().position(|relay| relay.id == id)?;
         let relay = self.relays.swap_remove(index);
         Some((relay.origin, relay.origin_probe))
@@ -115,10 +114,10 @@
 
     /// Removes expired relays and returns the timed-out probes, which fail after
     /// `attempts` attempts.
-    pub(crate) fn overdue(&mut self, attempts: u32, now: MonotonicTime) -> Overdue {
+    pub(crate) fn take_overdue(&mut self, attempts: u32, now: MonotonicTime) -> Overdue {
         self.relays.retain(|relay| now < relay.expires_at);
         let mut overdue = Overdue::default();
-        self.waiting.retain_mut(|probe| {
+        self.pending.retain_mut(|probe| {
             if now < probe.deadline {
                 return true;
             }
@@ -135,8 +134,8 @@
     }
 
     /// Drops all pending probes, as after a pause of this process.
-    pub(crate) fn restart(&mut self) {
-        self.waiting.clear();
+    pub(crate) fn clear(&mut self) {
+        self.pending.clear();
         self.relays.clear();
     }
 }
--- a/crates/foxtide-core/src/membership/updates.rs
+++ b/crates/foxtide-core/src/membership/updates.rs
@@ -71,7 +71,7 @@
             }
         }
         if discovered {
-            self.push(Rumour::Member(self.own.clone()));
+            self.queue_rumour(Rumour::Member(self.own.clone()));
         }
         outputs
     }
@@ -151,7 +151,8 @@
         }
     }
 
-    /// Refutes a peer's suspicion of this instance, to all and to that peer directly.
+    /// Refutes a suspicion of this instance, by gossip and directly to the peer that
+    /// sent it.
     fn refute_to_peer(
         &mut self,
         update: &Member,
@@ -177,8 +178,8 @@
             return;
         }
         if self.table.apply(&member, now) {
-            self.suspicions.end(&member.instance);
-            self.push(Rumour::Member(member.clone()));
+            self.suspicions.cancel(&member.instance);
+            self.queue_rumour(Rumour::Member(member.clone()));
             outputs.push(Output::Changed(member));
         }
     }
@@ -196,7 +197,7 @@
     /// Stores and gossips this instance's own state.
     fn announce_self(&mut self, now: MonotonicTime, outputs: &mut Vec<Output>) {
         self.table.put(self.own.clone(), now);
-        self.push(Rumour::Member(self.own.clone()));
+        self.queue_rumour(Rumour::Member(self.own.clone()));
         outputs.push(Output::Changed(self.own.clone()));
         self.gossip(now, outputs);
     }
@@ -222,14 +223,14 @@
             .suspicions
             .suspect(&member.instance, member.incarnation, &source, now);
         if is_new {
-            self.push(rumour(member.clone(), source));
+            self.queue_rumour(rumour(member.clone(), source));
         }
         if changed {
             outputs.push(Output::Changed(member));
         }
     }
 
-    /// Suspects a member that did not answer a probe; a leaving one is dead.
+    /// Suspects a member that did not answer a probe, or declares a leaving one dead.
     pub(super) fn handle_probe_failure(
         &mut self,
         target: &InstanceId,
--- a/crates/foxtide-core/src/registry/incarnations.rs
+++ b/crates/foxtide-core/src/registry/incarnations.rs
@@ -29,11 +29,10 @@
     Undated,
 }
 
-/// A discarded incarnation.
 #[derive(Clone, Copy, Debug)]
 struct Discarded {
     born_at: Option<WallTime>,
-    since: MonotonicTime,
+    discarded_at: MonotonicTime,
 }
 
 /// Known incarnations, independent of current registrations.
@@ -47,7 +46,6 @@
 }
 
 impl Incarnations {
-    /// Returns the age of an incarnation.
     pub(super) fn age_of(&self, registration: &Registration) -> Age {
         let upstream = &registration.upstream;
         if let Some((newest, _)) = self.newest.get(upstream) {
@@ -65,7 +63,6 @@
         }
     }
 
-    /// Records the registration of an incarnation.
     pub(super) fn record(&mut self, registration: &Registration, now: MonotonicTime) {
         let upstream = &registration.upstream;
         self.discarded.remove(upstream);
@@ -74,11 +71,11 @@
         }
     }
 
-    /// Records that an incarnation is gone for good.
+    /// Records that an incarnation has ended and cannot return.
     pub(super) fn discard(&mut self, registration: &Registration, now: MonotonicTime) {
         let discarded = Discarded {
             born_at: registration.born_at,
-            since: now,
+            discarded_at: now,
         };
         self.discarded
             .insert(registration.upstream.clone(), discarded);
@@ -91,7 +88,7 @@
         is_registered: impl Fn(&UpstreamId) -> bool,
     ) {
         self.discarded
-            .retain(|_, discarded| now - discarded.since < DISCARDED_RETENTION);
+            .retain(|_, discarded| now - discarded.discarded_at < DISCARDED_RETENTION);
         self.newest.retain(|upstream, (_, seen_at)| {
             is_registered(upstream) || now - *seen_at < NEWEST_START_RETENTION
         });
--- a/crates/foxtide-core/src/routing/organisations.rs
+++ b/crates/foxtide-core/src/routing/organisations.rs
@@ -88,35 +88,35 @@
 #[derive(Clone, Debug, Default)]
 pub struct OrganisationTable {
     by_key: HashMap<ApiKey, Arc<OrganisationTerms>>,
-    /// Organisations with a key that another one also has.
+    /// Organisations that share a key with an earlier one.
     disputed: Vec<OrganisationId>,
 }
 
 impl OrganisationTable {
-    /// Builds the index. A key of two organisations identifies neither: its requests
-    /// would be charged to whichever came first.
+    /// Builds the index. A key that two organisations share identifies neither, since
+    /// its requests could be charged to the wrong one.
     pub fn new(entries: Vec<OrganisationEntry>) -> Self {
         let mut by_key: HashMap<ApiKey, Option<Arc<OrganisationTerms>>> = HashMap::new();
         let mut disputed = Vec::new();
         for OrganisationEntry { terms, keys } in entries {
             let terms = Arc::new(terms);
             for key in keys {
-                let holder = by_key
+                let owner = by_key
                     .entry(key)
                     .or_insert_with(|| Some(Arc::clone(&terms)));
-                let holds = holder
+                let is_owner = owner
                     .as_ref()
-                    .is_some_and(|holder| holder.organisation == terms.organisation);
-                if !holds {
-                    *holder = None;
+                    .is_some_and(|owner| owner.organisation == terms.organisation);
+                if !is_owner {
+                    *owner = None;
                     disputed.push(terms.organisation.clone());
                 }
             }
         }
-        let held = by_key.into_iter();
+        let owned = by_key.into_iter();
         Self {
-            by_key: held
-                .filter_map(|(key, holder)| Some((key, holder?)))
+            by_key: owned
+                .filter_map(|(key, owner)| Some((key, owner?)))
                 .collect(),
             disputed,
         }
@@ -127,19 +127,19 @@
         self.by_key.get(key)
     }
 
-    /// Returns the organisations with a key that an earlier one also has.
+    /// Returns the organisations that share a key with an earlier one.
     pub fn disputed(&self) -> &[OrganisationId] {
         &self.disputed
     }
 
     /// Returns the number of keys.
-    pub fn keys_count(&self) -> usize {
+    pub fn key_count(&self) -> usize {
         self.by_key.len()
     }
 
-    /// Returns the share of all requests that organisations' home regions bind,
-    /// estimated from their quotas. An organisation without a quota counts as the mean
-    /// of the others.
+    /// Returns the share of all requests that is restricted to home regions, estimated
+    /// from the organisations' quotas. An organisation without a quota counts as the
+    /// mean of the others.
     pub fn homed_load(&self) -> HomedLoad {
         let mut rates: BTreeMap<&OrganisationId, (&OrganisationTerms, Option<f64>)> =
             BTreeMap::new();
--- a/crates/foxtide-core/src/steering/destinations.rs
+++ b/crates/foxtide-core/src/steering/destinations.rs
@@ -52,7 +52,6 @@
 /// The error of a request that exceeds the instance's allocation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct LimitExhausted {
-    /// The exhausted limit.
     pub(crate) limit: LimitKind,
     /// The time until the next request may pass; `None` if the rate is zero.
     pub(crate) next_in: Option<Duration>,
@@ -111,12 +110,12 @@
         self.settled
     }
 
-    fn note_settled(&mut self) {
-        let own = self
+    fn update_settled(&mut self) {
+        let own_index = self
             .regions
             .iter()
             .position(|region| *region == self.origin);
-        let destination = self.destinations.get(own.unwrap_or_default());
+        let destination = self.destinations.get(own_index.unwrap_or_default());
         self.settled |= destination.is_none_or(|destination| destination.region.is_settled());
     }
 
@@ -137,7 +136,7 @@
         let floors = Floors::new(options, self.regions.len());
         let floor_share = floors.region_share(&self.origin, &self.origin);
         let idle_rps =
-            self.destinations[index].sold.get() * floor_share * options.idle_claim_of_floor;
+            self.destinations[index].sold.get() * floor_share * options.idle_claim_floor_share;
         Claim {
             planned_rps: RequestRate::clamped(idle_rps),
             ..Claim::default()
@@ -195,7 +194,7 @@
             let input = inputs.link_input(sold, &self.origin, floors.link_share());
             destination.link.update(input, times, passed, now);
         }
-        self.note_settled();
+        self.update_settled();
     }
 
     /// Takes a token for one request from the region's and the link's limits.
@@ -226,8 +225,8 @@
         Ok(())
     }
 
-    /// Reduces the rate to a region that refused a request.
-    pub(crate) fn refused(&mut self, region: &RegionId, now: MonotonicTime) {
+    /// Reduces the rate to a region that rejected a request.
+    pub(crate) fn record_rejection(&mut self, region: &RegionId, now: MonotonicTime) {
         let mut destinations = self.regions.iter().zip(&mut self.destinations);
         if let Some((_, destination)) = destinations.find(|(id, _)| *id == region) {
             destination.region.refused(now);
--- a/crates/foxtide-core/src/steering/mod.rs
+++ b/crates/foxtide-core/src/steering/mod.rs
@@ -1,4 +1,4 @@
-//! Chooses a region for each request, or refuses the request.
+//! Chooses a region for each request, or rejects the request.
 //!
 //! For every service an instance holds a row: the share of requests sent to
 //! each region. Planned moves are a function of the wall clock ([`planned`]);
@@ -11,12 +11,12 @@
 mod decide;
 mod destinations;
 mod engine;
-mod flows;
 mod known_instances;
 mod limit_inputs;
 mod merge;
 mod name_index;
 mod options;
+mod origin_state;
 mod planned;
 mod row_band;
 mod service;
@@ -27,7 +27,7 @@
 
 pub use admission::{
     Admission,
-    RefusalReason, //
+    RejectionReason, //
 };
 pub use engine::Steering;
 pub use options::{
@@ -35,7 +35,7 @@
     SteeringOptions, //
 };
 pub use planned::PlannedRows;
-pub use steps::leaves_at_us;
+pub use steps::upstream_leaves_at;
 pub use view::{
     FleetView,
     InstanceReport,
--- a/crates/foxtide-core/src/steering/flows.rs
+++ b/crates/foxtide-core/src/steering/origin_state.rs
@@ -33,9 +33,9 @@
 /// An instance also serves callers of regions without live instances. These
 /// keep the row of their own origin, so that their traffic does not shift.
 #[derive(Clone, Debug)]
-pub(crate) struct OriginFlows {
+pub(crate) struct OriginState {
     /// The region of the callers.
-    pub(crate) origin: RegionId,
+    pub(crate) region: RegionId,
     /// The services in the order of the configuration.
     pub(crate) services: Vec<ServiceState>,
     planned: PlannedRows,
@@ -44,14 +44,12 @@
 /// The rows that are adopted from peers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Adoption {
-    /// Only those that are missing.
     Missing,
-    /// All rows.
     All,
 }
 
-impl OriginFlows {
-    /// Creates the flows of an origin, without rows.
+impl OriginState {
+    /// Creates the state of an origin without rows.
     pub(crate) fn new(
         organisation: &Organisation,
         origin: RegionId,
@@ -67,13 +65,13 @@
             services.push(state);
         }
         Self {
-            origin,
+            region: origin,
             services,
             planned,
         }
     }
 
-    /// Restores rows and measurements from the flows of the previous configuration.
+    /// Restores rows and measurements from the state under the previous configuration.
     pub(crate) fn restore(&mut self, old: &Self, old_names: &NameIndex, names: &NameIndex) {
         for (id, index) in &names.services {
             if let Some(old_index) = old_names.service(id) {
@@ -83,7 +81,7 @@
         }
     }
 
-    /// Copies the health of the upstreams from other flows of the instance.
+    /// Copies the health of the upstreams from another origin's state.
     pub(crate) fn share_health(&mut self, other: &Self) {
         for (state, other) in self.services.iter_mut().zip(&other.services) {
             state.observed_health.clone_from(&other.observed_health);
@@ -123,7 +121,7 @@
 
     /// Updates the mean demand per peer of the same origin.
     pub(crate) fn update_peer_demand(&mut self, view: &FleetView, names: &NameIndex) {
-        let here = view.regions.get(&self.origin);
+        let here = view.regions.get(&self.region);
         for (id, index) in &names.services {
             let service = here.and_then(|here| here.services.get(id));
             let mean = service.map(|s| s.demand_rps.get() / f64::from(s.instances.max(1)));
@@ -158,7 +156,7 @@
     /// If a majority of instances is live and none has a row, there is no traffic
     /// to shift and the row starts at its target. Otherwise it starts empty and
     /// rises under the shift cap.
-    pub(crate) fn start_missing(&mut self, sees_majority: bool) {
+    pub(crate) fn initialise_missing(&mut self, sees_majority: bool) {
         for state in self.services.iter_mut().filter(|state| state.row.is_none()) {
             if sees_majority {
                 state.start_at_target();
@@ -183,7 +181,7 @@
         names: &NameIndex,
         ready: bool,
     ) -> BTreeMap<ServiceId, ServiceReport> {
-        let own = names.region(&self.origin);
+        let own = names.region(&self.region);
         let services = names.services.iter();
         let services = services.map(|(id, index)| {
             let state = &self.services[*index];
--- a/crates/foxtide-core/tests/steering/node.rs
+++ b/crates/foxtide-core/tests/steering/node.rs
@@ -18,18 +18,17 @@
 /// The time for which the platform's list contains an instance that has stopped.
 const LIST_LAG_MS: u64 = 10_000;
 
-/// The time for which an unlisted instance's report is kept; longer than its
-/// claims count.
+/// The time for which an unlisted instance's report is kept; longer than the claim hold.
 const REPORT_HOLD_MS: u64 = 20_000;
 
 /// The newest report received from a peer.
-pub(super) struct Known {
+pub(super) struct PeerReport {
     pub(super) made_ms: u64,
     pub(super) report: Arc<InstanceReport>,
 }
 
 /// A request to be admitted.
-pub(super) struct Waiting {
+pub(super) struct PendingRequest {
     pub(super) service: usize,
     pub(super) origin: usize,
     pub(super) draw: f64,
@@ -48,7 +47,7 @@
     pub(super) stopped_ms: u64,
     pub(super) paused_until_ms: u64,
     pub(super) demand_weight: f64,
-    pub(super) known: BTreeMap<usize, Known>,
+    pub(super) known: BTreeMap<usize, PeerReport>,
     pub(super) pending_health: Vec<(u64, usize, Share)>,
     pub(super) pending_configurations: Vec<(u64, Arc<Organisation>)>,
 }
--- a/crates/foxtide-core/tests/steering/tally.rs
+++ b/crates/foxtide-core/tests/steering/tally.rs
@@ -8,7 +8,7 @@
 };
 use super::fleet::STEP_MS;
 use super::scenario::Scenario;
-use foxtide_core::steering::RefusalReason;
+use foxtide_core::steering::RejectionReason;
 use std::collections::VecDeque;
 
 /// The window over which sold rates are checked, in steps.
@@ -32,7 +32,7 @@
 
 /// A service's cumulative counts.
 #[derive(Clone, Copy, Debug, Default)]
-struct Spilled {
+struct SpillCounts {
     asked: u64,
     spilled: u64,
 }
@@ -41,7 +41,7 @@
 #[derive(Clone, Debug, Default)]
 struct Sent {
     /// Counts by the sending instance's region, then the upstream's region.
-    over: ByRegion<ByRegion<u64>>,
+    counts: ByRegion<ByRegion<u64>>,
 }
 
 /// The counts of one service since the end of the warm-up.
@@ -55,10 +55,10 @@
     pub(crate) served: u64,
     /// Requests that spilled over to another region.
     pub(crate) spilled: u64,
-    /// Requests refused for lack of capacity.
-    pub(crate) refused_for_capacity: u64,
-    /// Requests refused for other reasons, mostly the shift cap.
-    pub(crate) refused_for_cap: u64,
+    /// Requests rejected for lack of capacity.
+    pub(crate) rejected_for_capacity: u64,
+    /// Requests rejected for other reasons, mostly the shift cap.
+    pub(crate) rejected_for_cap: u64,
 }
 
 /// The counts and violations of a scenario.
@@ -85,14 +85,14 @@
     pub(crate) fullest_region: f64,
     /// The shares of the last step.
     pub(crate) last_shares: Shares,
-    /// Requests refused for lack of capacity while some region had free capacity.
-    pub(crate) refused_with_capacity: f64,
-    refused_for_cap_ms: Option<u64>,
-    window: VecDeque<Sent>,
+    /// Requests rejected for lack of capacity while some region had free capacity.
+    pub(crate) rejected_with_capacity: f64,
+    rejected_for_cap_ms: Option<u64>,
+    sent_window: VecDeque<Sent>,
     shares: VecDeque<Shares>,
-    refused_in_step: u64,
-    refused_window: VecDeque<u64>,
-    counted: VecDeque<[Spilled; SERVICES.len()]>,
+    rejected_in_step: u64,
+    rejected_window: VecDeque<u64>,
+    spill_window: VecDeque<[SpillCounts; SERVICES.len()]>,
     spill_limit_share: f64,
     steps: usize,
     cap_per_s: f64,
@@ -113,13 +113,13 @@
             seconds: 0,
             fullest_region: 0.0,
             last_shares: Default::default(),
-            refused_with_capacity: 0.0,
-            refused_for_cap_ms: None,
-            window: VecDeque::from([Sent::default()]),
+            rejected_with_capacity: 0.0,
+            rejected_for_cap_ms: None,
+            sent_window: VecDeque::from([Sent::default()]),
             shares: VecDeque::new(),
-            refused_in_step: 0,
-            refused_window: VecDeque::new(),
-            counted: VecDeque::new(),
+            rejected_in_step: 0,
+            rejected_window: VecDeque::new(),
+            spill_window: VecDeque::new(),
             spill_limit_share: scenario.options.spill_limit_share,
             steps: 0,
             cap_per_s: scenario.options.shift_cap_share_per_s,
@@ -129,25 +129,25 @@
     }
 
     /// Counts a new request.
-    pub(crate) fn asked(&mut self, service: usize) {
+    pub(crate) fn record_arrival(&mut self, service: usize) {
         self.services[service].asked += 1;
     }
 
-    pub(crate) fn refused(&mut self, service: usize, reason: RefusalReason) {
+    pub(crate) fn record_rejection(&mut self, service: usize, reason: RejectionReason) {
         let counts = &mut self.services[service];
         match reason {
-            RefusalReason::RegionLimit | RefusalReason::LinkLimit => {
-                counts.refused_for_capacity += 1;
-                self.refused_in_step += 1;
+            RejectionReason::RegionLimit | RejectionReason::LinkLimit => {
+                counts.rejected_for_capacity += 1;
+                self.rejected_in_step += 1;
             }
             _ => {
-                counts.refused_for_cap += 1;
-                self.refused_for_cap_ms = Some(self.steps as u64 * STEP_MS);
+                counts.rejected_for_cap += 1;
+                self.rejected_for_cap_ms = Some(self.steps as u64 * STEP_MS);
             }
         }
     }
 
-    pub(crate) fn sent(
+    pub(crate) fn record_send(
         &mut self,
         from: usize,
         to: usize,
@@ -159,19 +159,19 @@
         counts.sent += 1;
         counts.spilled += u64::from(spilled);
         counts.served += u64::from(served);
-        let step = self.window.back_mut().expect("a step is open");
-        step.over[from][to] += 1;
+        let step = self.sent_window.back_mut().expect("a step is open");
+        step.counts[from][to] += 1;
     }
 
-    /// Returns the time from `since_ms` to the last refusal for the shift cap, in
+    /// Returns the time from `since_ms` to the last rejection for the shift cap, in
     /// seconds.
     pub(crate) fn recovered_after_s(&self, since_ms: u64) -> f64 {
-        let last_ms = self.refused_for_cap_ms.unwrap_or(since_ms);
+        let last_ms = self.rejected_for_cap_ms.unwrap_or(since_ms);
         last_ms.saturating_sub(since_ms) as f64 / 1_000.0
     }
 
     /// Records the share of a service that goes to each region.
-    pub(crate) fn shares(&mut self, service: usize, shares: ByRegion<f64>) {
+    pub(crate) fn record_shares(&mut self, service: usize, shares: ByRegion<f64>) {
         self.last_shares[service] = shares;
     }
 
@@ -180,7 +180,7 @@
         self.steps += 1;
         if self.steps == WARM_UP_STEPS {
             self.services = Default::default();
-            self.counted.clear();
+            self.spill_window.clear();
         }
         self.check_spill();
         self.check_rates();
@@ -188,15 +188,15 @@
     }
 
     fn check_spill(&mut self) {
-        let counts = self.services.each_ref().map(|counts| Spilled {
+        let counts = self.services.each_ref().map(|counts| SpillCounts {
             asked: counts.asked,
             spilled: counts.spilled,
         });
-        self.counted.push_back(counts);
-        if self.counted.len() <= SHIFT_STEPS {
+        self.spill_window.push_back(counts);
+        if self.spill_window.len() <= SHIFT_STEPS {
             return;
         }
-        let Some(before) = self.counted.pop_front() else {
+        let Some(before) = self.spill_window.pop_front() else {
             return;
         };
         for (before, now) in before.iter().zip(&counts) {
@@ -208,14 +208,17 @@
     }
 
     fn check_rates(&mut self) {
-        self.refused_window
-            .push_back(std::mem::take(&mut self.refused_in_step));
-        if self.window.len() < RATE_STEPS {
-            self.window.push_back(Sent::default());
+        self.rejected_window
+            .push_back(std::mem::take(&mut self.rejected_in_step));
+        if self.sent_window.len() < RATE_STEPS {
+            self.sent_window.push_back(Sent::default());
             return;
         }
         let sum = |from: usize, to: usize| -> u64 {
-            self.window.iter().map(|sent| sent.over[from][to]).sum()
+            self.sent_window
+                .iter()
+                .map(|sent| sent.counts[from][to])
+                .sum()
         };
         self.seconds += 1;
         let mut free_rps = 0.0;
@@ -229,11 +232,11 @@
             let over = links.filter(|from| sum(*from, to) as f64 > self.link_rps);
             self.seconds_over_link += over.count() as u64;
         }
-        let refused: u64 = self.refused_window.iter().sum();
-        self.refused_with_capacity += (refused as f64).min(free_rps) / RATE_STEPS as f64;
-        self.refused_window.pop_front();
-        self.window.pop_front();
-        self.window.push_back(Sent::default());
+        let rejected: u64 = self.rejected_window.iter().sum();
+        self.rejected_with_capacity += (rejected as f64).min(free_rps) / RATE_STEPS as f64;
+        self.rejected_window.pop_front();
+        self.sent_window.pop_front();
+        self.sent_window.push_back(Sent::default());
     }
 
     fn check_shares(&mut self) {
--- a/crates/foxtide-testing/src/scenario/completion.rs
+++ b/crates/foxtide-testing/src/scenario/completion.rs
@@ -68,7 +68,7 @@
             .ended(attempt.id, result, &mut state.retry_budget, now);
         let gave_up = matches!(step, Step::GiveUp(_));
         if let (AttemptEnd::Refused, true, Some(steering)) = (end, gave_up, &mut process.steering) {
-            steering.refused_by(&attempt.region, now);
+            steering.record_rejection(&attempt.region, now);
         }
         self.apply_step(attempt.copy, step);
     }
--- a/crates/foxtide-testing/src/scenario/operators.rs
+++ b/crates/foxtide-testing/src/scenario/operators.rs
@@ -25,7 +25,7 @@
     Organisation,
     PlannedMove, //
 };
-use foxtide_core::steering::leaves_at_us;
+use foxtide_core::steering::upstream_leaves_at;
 use foxtide_core::time::WallTime;
 use foxtide_core::units::{
     RequestRate,
@@ -157,7 +157,7 @@
     fn record_drains(&mut self) {
         for service in &self.organisation.services {
             for upstream in &service.upstreams {
-                let leaves_at = leaves_at_us(&self.organisation, &service.service, upstream);
+                let leaves_at = upstream_leaves_at(&self.organisation, &service.service, upstream);
                 let id = upstream.upstream.clone();
                 if leaves_at.is_some() {
                     self.record.drains.entry(id).or_insert(self.now);
--- a/crates/foxtide-testing/src/scenario/requests.rs
+++ b/crates/foxtide-testing/src/scenario/requests.rs
@@ -39,7 +39,7 @@
 };
 use foxtide_core::steering::{
     Admission,
-    RefusalReason, //
+    RejectionReason, //
 };
 use foxtide_core::time::MonotonicTime;
 use rand::RngExt;
@@ -64,7 +64,7 @@
     pub(super) region: Option<RegionId>,
     tried: Vec<UpstreamId>,
     pub(super) claim: Option<Claim>,
-    pub(super) rejection: Option<RefusalReason>,
+    pub(super) rejection: Option<RejectionReason>,
     pub(super) received_at: MonotonicTime,
     /// When it started to wait for its next attempt.
     pub(super) queued_at: MonotonicTime,
@@ -265,7 +265,7 @@
                 self.send(index, retry_in, Delivery::Proceed(number));
                 None
             }
-            Admission::Refuse { reason, .. } => {
+            Admission::Reject { reason, .. } => {
                 self.copies.get_mut(&number)?.rejection = Some(reason);
                 self.fail_without_upstream(number);
                 None
--- a/crates/foxtide/examples/measure/organisations.rs
+++ b/crates/foxtide/examples/measure/organisations.rs
@@ -52,7 +52,7 @@
     let memory_mb = (memory_bytes() - memory_before) / 1e6;
     report.figure(
         "organisations.keys",
-        table.keys_count() as f64,
+        table.key_count() as f64,
         "keys",
         Limit::None,
     );
