--- a/crates/foxtide-config/src/blocks/chunks.rs
+++ b/crates/foxtide-config/src/blocks/chunks.rs
@@ -89,7 +89,7 @@
             Err(error) => return Err(error.into()),
         }
     }
-    let conflict = || StoreError::Refused {
+    let conflict = || StoreError::Rejected {
         step: "write a chunk",
         peer: key.to_owned(),
         status: 409,
--- a/crates/foxtide-config/src/instance_list.rs
+++ b/crates/foxtide-config/src/instance_list.rs
@@ -61,7 +61,7 @@
     match error {
         StoreError::NotSent { cause, .. }
         | StoreError::Unknown { cause, .. }
-        | StoreError::Refused { cause, .. } => cause,
+        | StoreError::Rejected { cause, .. } => cause,
         StoreError::OverBudget { .. } => "call budget exceeded".to_owned(),
     }
 }
--- a/crates/foxtide-config/src/store/budgeted.rs
+++ b/crates/foxtide-config/src/store/budgeted.rs
@@ -77,7 +77,7 @@
 
 /// Returns whether the store answered; a refusal is an answer too.
 fn is_answered<T>(result: &StoreResult<T>) -> bool {
-    matches!(result, Ok(_) | Err(StoreError::Refused { .. }))
+    matches!(result, Ok(_) | Err(StoreError::Rejected { .. }))
 }
 
 impl<S: Store> Store for BudgetedStore<S> {
--- a/crates/foxtide-config/src/store/exchange.rs
+++ b/crates/foxtide-config/src/store/exchange.rs
@@ -109,7 +109,7 @@
         if answer.status >= 500 {
             return self.unknown(format!("status {}: {cause}", answer.status));
         }
-        StoreError::Refused {
+        StoreError::Rejected {
             step: self.step,
             peer: self.peer.to_string(),
             status: answer.status,
--- a/crates/foxtide-config/src/store/http.rs
+++ b/crates/foxtide-config/src/store/http.rs
@@ -162,7 +162,7 @@
         Ok(_) => "answered",
         Err(StoreError::NotSent { .. }) => "not_sent",
         Err(StoreError::Unknown { .. }) => "unknown",
-        Err(StoreError::Refused { .. }) => "refused",
+        Err(StoreError::Rejected { .. }) => "refused",
         Err(StoreError::OverBudget { .. }) => "over_budget",
     };
     let answer_bytes = result.as_ref().map_or(0, |answer| answer.body.len());
--- a/crates/foxtide-config/tests/http_store.rs
+++ b/crates/foxtide-config/tests/http_store.rs
@@ -221,7 +221,7 @@
             .write(KEY, b"one".to_vec(), StoreIndex::ABSENT)
             .await
             .unwrap_err();
-        let StoreError::Refused { status, cause, .. } = error else {
+        let StoreError::Rejected { status, cause, .. } = error else {
             panic!("{error}");
         };
         assert_eq!((status, cause.as_str()), (429, "slow down"));
--- a/crates/foxtide-core/src/admission/coordinator.rs
+++ b/crates/foxtide-core/src/admission/coordinator.rs
@@ -102,7 +102,7 @@
 
     fn remove_rejected(&mut self, answers: &[AddressedAnswer]) {
         for (ticket, answer) in answers {
-            if matches!(answer, Answer::Refused { .. } | Answer::Busy) {
+            if matches!(answer, Answer::Rejected { .. } | Answer::Busy) {
                 self.upstreams.remove(ticket);
             }
         }
--- a/crates/foxtide-core/src/admission/mod.rs
+++ b/crates/foxtide-core/src/admission/mod.rs
@@ -6,7 +6,7 @@
 //!
 //! ```text
 //! ask -> Answer::Granted | Answer::Waiting (another answer follows) | Answer::Busy
-//!        | Answer::Refused
+//!        | Answer::Rejected
 //! record_ungranted -> counted without a grant
 //! end -> frees the slot for a waiting request
 //! ```
--- a/crates/foxtide-core/src/admission/queue.rs
+++ b/crates/foxtide-core/src/admission/queue.rs
@@ -160,7 +160,7 @@
         }
         if served_at > waiting.deadline {
             let retry_after = self.retry_after();
-            return Answer::Refused { retry_after };
+            return Answer::Rejected { retry_after };
         }
         Answer::Waiting
     }
@@ -260,7 +260,7 @@
             let expected = times.expected(access).unwrap_or_default();
             let is_expired = now + expected > waiting.deadline;
             if is_expired {
-                answers.push((waiting.ticket, Answer::Refused { retry_after }));
+                answers.push((waiting.ticket, Answer::Rejected { retry_after }));
             }
             !is_expired
         });
--- a/crates/foxtide-core/src/admission/request.rs
+++ b/crates/foxtide-core/src/admission/request.rs
@@ -65,7 +65,7 @@
     /// The wait would exceed the patience of the request.
     Busy,
     /// The request cannot be served before its deadline.
-    Refused {
+    Rejected {
         /// When a slot is expected to be free.
         retry_after: Duration,
     },
--- a/crates/foxtide-core/src/choice/balancer.rs
+++ b/crates/foxtide-core/src/choice/balancer.rs
@@ -215,7 +215,7 @@
         };
         match completion.kind {
             CompletionKind::Answered => self.refusal_budget.answered(&self.options),
-            CompletionKind::Refused => self.refusal_budget.refused(),
+            CompletionKind::Rejected => self.refusal_budget.refused(),
             _ => {}
         }
         let candidate = &mut self.candidates[index];
--- a/crates/foxtide-core/src/choice/candidate.rs
+++ b/crates/foxtide-core/src/choice/candidate.rs
@@ -228,7 +228,7 @@
         }
         match completion.kind {
             CompletionKind::Answered => self.answered(completion, common, now),
-            CompletionKind::Refused => self.refused(options, common, now),
+            CompletionKind::Rejected => self.refused(options, common, now),
             _ => {}
         }
     }
--- a/crates/foxtide-core/src/choice/completion.rs
+++ b/crates/foxtide-core/src/choice/completion.rs
@@ -11,7 +11,7 @@
     /// A complete answer arrived and is a server error.
     Failed,
     /// The upstream refused the request without running it.
-    Refused,
+    Rejected,
     /// No connection could be opened; no byte of the request was sent.
     NotSent,
     /// The connection broke before the answer was complete.
@@ -25,7 +25,7 @@
 impl CompletionKind {
     /// Returns whether the upstream responded.
     pub(crate) const fn is_response(self) -> bool {
-        matches!(self, Self::Answered | Self::Failed | Self::Refused)
+        matches!(self, Self::Answered | Self::Failed | Self::Rejected)
     }
 
     /// Returns whether the attempt counts as a failure towards ejection; `None`
@@ -34,7 +34,7 @@
         match self {
             Self::Answered => Some(false),
             Self::Failed | Self::NotSent | Self::Lost | Self::TimedOut => Some(true),
-            Self::Refused | Self::Cancelled => None,
+            Self::Rejected | Self::Cancelled => None,
         }
     }
 }
--- a/crates/foxtide-core/src/quota/coordinator.rs
+++ b/crates/foxtide-core/src/quota/coordinator.rs
@@ -34,7 +34,7 @@
         tokens: u32,
     },
     /// This part of the quota is used up.
-    Refused {
+    Rejected {
         /// The time until a token is available that is not assigned to an earlier refusal.
         retry_after: Duration,
     },
@@ -91,7 +91,7 @@
         let wanted = request.wanted;
         match entry.bucket.take(wanted, priority, rate_rps, parts, now) {
             Ok(tokens) => QuotaAnswer::Granted { tokens },
-            Err(retry_after) => QuotaAnswer::Refused { retry_after },
+            Err(retry_after) => QuotaAnswer::Rejected { retry_after },
         }
     }
 
--- a/crates/foxtide-core/src/quota/mod.rs
+++ b/crates/foxtide-core/src/quota/mod.rs
@@ -7,7 +7,7 @@
 //! tokens left, so that the whole quota is available everywhere.
 //!
 //! ```text
-//! request -> QuotaAnswer::Granted | QuotaAnswer::Refused | QuotaAnswer::NotCoordinator
+//! request -> QuotaAnswer::Granted | QuotaAnswer::Rejected | QuotaAnswer::NotCoordinator
 //! ```
 //!
 //! The total stays below the bound during failures because:
--- a/crates/foxtide-core/src/retry/attempts.rs
+++ b/crates/foxtide-core/src/retry/attempts.rs
@@ -40,7 +40,7 @@
     /// No byte of the request was sent.
     NotSent,
     /// The upstream refused the request and stated that it did not run.
-    Refused {
+    Rejected {
         /// The retry delay that the upstream asked for.
         retry_after: Option<Duration>,
     },
@@ -58,7 +58,7 @@
 impl AttemptResult {
     /// Tells whether the request is known not to have run in this attempt.
     pub const fn is_not_run(self) -> bool {
-        matches!(self, Self::NotSent | Self::Refused { .. })
+        matches!(self, Self::NotSent | Self::Rejected { .. })
     }
 }
 
@@ -212,7 +212,7 @@
     ) -> Step {
         self.running = self.running.saturating_sub(1);
         self.may_have_run |= !result.is_not_run();
-        if let AttemptResult::Refused { retry_after } = result {
+        if let AttemptResult::Rejected { retry_after } = result {
             self.refused += 1;
             self.retry_after = self.retry_after.max(retry_after);
         }
@@ -223,7 +223,7 @@
         if self.running != 0 {
             return Step::Await;
         }
-        let was_refused = matches!(result, AttemptResult::Refused { .. });
+        let was_refused = matches!(result, AttemptResult::Rejected { .. });
         if was_refused && self.may_retry_refused(now) {
             return Step::Retry {
                 after: Duration::ZERO,
--- a/crates/foxtide-core/src/store.rs
+++ b/crates/foxtide-core/src/store.rs
@@ -147,7 +147,7 @@
     },
     /// The store refused the call; nothing was changed.
     #[error("store {peer}, {step}: refused with status {status}: {cause}")]
-    Refused {
+    Rejected {
         /// The step that failed.
         step: &'static str,
         /// The store's address.
@@ -171,7 +171,7 @@
 ///
 /// # Contract
 ///
-/// Implementations return [`StoreError::NotSent`] and [`StoreError::Refused`]
+/// Implementations return [`StoreError::NotSent`] and [`StoreError::Rejected`]
 /// only if nothing was changed, and [`StoreError::Unknown`] in any other case.
 /// Every call has a documented time limit. Callers resolve an unknown write by
 /// reading the key again, and never block client requests on a call.
--- a/crates/foxtide-core/tests/admission.rs
+++ b/crates/foxtide-core/tests/admission.rs
@@ -213,7 +213,7 @@
         let answers = coordinator.ask(&object_request(number, 1), SLOTS, at(5_000));
         match answers[..] {
             [(_, Answer::Waiting)] => {}
-            [(_, Answer::Refused { retry_after })] => break retry_after,
+            [(_, Answer::Rejected { retry_after })] => break retry_after,
             ref other => panic!("{other:?}"),
         }
     };
@@ -235,7 +235,7 @@
         [(ticket(1), Answer::Waiting)]
     );
     let answers = coordinator.ask(&object_request(2, 2), SLOTS, at(5_200));
-    assert!(matches!(answers[0], (name, Answer::Refused { .. }) if name == ticket(1)));
+    assert!(matches!(answers[0], (name, Answer::Rejected { .. }) if name == ticket(1)));
 }
 
 #[test]
--- a/crates/foxtide-core/tests/choice_balancer.rs
+++ b/crates/foxtide-core/tests/choice_balancer.rs
@@ -328,7 +328,7 @@
     serve_reporting(&mut balancer, 0.0);
     for draw in 0..8 {
         let ticket = pick(&mut balancer, at(200), draw);
-        finish(&mut balancer, ticket, CompletionKind::Refused, at(200));
+        finish(&mut balancer, ticket, CompletionKind::Rejected, at(200));
     }
     assert!(!balancer.has_spare_capacity());
 }
--- a/crates/foxtide-core/tests/choice_properties.rs
+++ b/crates/foxtide-core/tests/choice_properties.rs
@@ -58,7 +58,7 @@
         2 => Just(CompletionKind::Lost),
         1 => Just(CompletionKind::TimedOut),
         1 => Just(CompletionKind::NotSent),
-        2 => Just(CompletionKind::Refused),
+        2 => Just(CompletionKind::Rejected),
         1 => Just(CompletionKind::Cancelled),
     ]
 }
--- a/crates/foxtide-core/tests/quota_model/fleet.rs
+++ b/crates/foxtide-core/tests/quota_model/fleet.rs
@@ -244,7 +244,7 @@
                         OTHER_REGION_MS
                     });
                 }
-                QuotaAnswer::Refused { .. } => {}
+                QuotaAnswer::Rejected { .. } => {}
                 QuotaAnswer::NotCoordinator => is_silent = true,
             }
         }
--- a/crates/foxtide-core/tests/retry_attempts.rs
+++ b/crates/foxtide-core/tests/retry_attempts.rs
@@ -16,7 +16,7 @@
 
 const START: MonotonicTime = MonotonicTime::from_ms(1_000);
 
-const REFUSED: AttemptResult = AttemptResult::Refused { retry_after: None };
+const REFUSED: AttemptResult = AttemptResult::Rejected { retry_after: None };
 
 fn attempts(idempotent: bool) -> Attempts {
     let terms = RequestTerms {
--- a/crates/foxtide-core/tests/retry_properties.rs
+++ b/crates/foxtide-core/tests/retry_properties.rs
@@ -20,7 +20,7 @@
 fn result() -> impl Strategy<Value = AttemptResult> {
     prop_oneof![
         Just(AttemptResult::NotSent),
-        Just(AttemptResult::Refused { retry_after: None }),
+        Just(AttemptResult::Rejected { retry_after: None }),
         Just(AttemptResult::Answered),
         Just(AttemptResult::ServerError),
         Just(AttemptResult::Lost),
--- a/crates/foxtide-entry/src/proxy/attempt.rs
+++ b/crates/foxtide-entry/src/proxy/attempt.rs
@@ -45,7 +45,7 @@
         match self {
             Self::Answered(answer) if answer.status.is_server_error() => AttemptResult::ServerError,
             Self::Answered(_) => AttemptResult::Answered,
-            Self::Refused(answer) => AttemptResult::Refused {
+            Self::Refused(answer) => AttemptResult::Rejected {
                 retry_after: retry_after(&answer.headers),
             },
             Self::Failed(failure) if failure.outcome() == Outcome::NotRun => AttemptResult::NotSent,
@@ -72,7 +72,7 @@
         match self {
             Self::Answered(answer) if answer.status.is_server_error() => CompletionKind::Failed,
             Self::Answered(_) => CompletionKind::Answered,
-            Self::Refused(_) => CompletionKind::Refused,
+            Self::Refused(_) => CompletionKind::Rejected,
             Self::Failed(failure) => match (&failure.kind, failure.step) {
                 (_, Step::Connect) => CompletionKind::NotSent,
                 (FailureKind::TimedOut, _) => CompletionKind::TimedOut,
@@ -87,7 +87,7 @@
             AttemptResult::Answered | AttemptResult::ServerError => {
                 explain::AttemptResult::Answered
             }
-            AttemptResult::Refused { .. } => explain::AttemptResult::Refused,
+            AttemptResult::Rejected { .. } => explain::AttemptResult::Refused,
             AttemptResult::NotSent => explain::AttemptResult::NotSent,
             AttemptResult::Lost | AttemptResult::TimedOut => explain::AttemptResult::Unknown,
         }
--- a/crates/foxtide-entry/src/proxy/give_up.rs
+++ b/crates/foxtide-entry/src/proxy/give_up.rs
@@ -15,7 +15,7 @@
     let late = last == AttemptResult::TimedOut || give_up.reason == GiveUpReason::Deadline;
     let (status, reason) = match (give_up.outcome, give_up.reason) {
         (Outcome::NotRun, GiveUpReason::Deadline) => (StatusCode::ServiceUnavailable, "deadline"),
-        (Outcome::NotRun, _) if matches!(last, AttemptResult::Refused { .. }) => {
+        (Outcome::NotRun, _) if matches!(last, AttemptResult::Rejected { .. }) => {
             (StatusCode::ServiceUnavailable, "refused-by-upstream")
         }
         (Outcome::NotRun, _) => (StatusCode::ServiceUnavailable, "upstream-unreachable"),
--- a/crates/foxtide-entry/src/proxy/run.rs
+++ b/crates/foxtide-entry/src/proxy/run.rs
@@ -294,7 +294,7 @@
         run.decision.add_attempt(upstream.upstream, end.explained());
         let service = &run.context.service;
         let step = service.ended(&mut run.attempts, ended.id, result, now);
-        let refused = matches!(result, AttemptResult::Refused { .. });
+        let refused = matches!(result, AttemptResult::Rejected { .. });
         // A refusal counts against the region only if no other upstream could
         // take the request.
         if refused && matches!(step, Step::GiveUp(_)) {
--- a/crates/foxtide-gateway/src/admission/client.rs
+++ b/crates/foxtide-gateway/src/admission/client.rs
@@ -161,7 +161,7 @@
                     return Admitted::Granted(Some(slot));
                 }
                 Some(Answer::Busy) => return Admitted::Busy,
-                Some(Answer::Refused { retry_after }) => return Admitted::Refused { retry_after },
+                Some(Answer::Rejected { retry_after }) => return Admitted::Refused { retry_after },
                 Some(Answer::Waiting) if is_eligible() => {}
                 Some(Answer::Waiting) => return Admitted::PickAgain,
                 None => {
--- a/crates/foxtide-gateway/src/datagram/quota.rs
+++ b/crates/foxtide-gateway/src/datagram/quota.rs
@@ -54,7 +54,7 @@
                 tokens: Some(tokens),
                 retry_after_ms: None,
             },
-            QuotaAnswer::Refused { retry_after } => QuotaAnswerMessage {
+            QuotaAnswer::Rejected { retry_after } => QuotaAnswerMessage {
                 tokens: None,
                 retry_after_ms: Some(milliseconds(retry_after)),
             },
@@ -87,7 +87,7 @@
     pub(crate) fn answer(&self) -> QuotaAnswer {
         match (self.tokens, self.retry_after_ms) {
             (Some(tokens @ 1..), _) => QuotaAnswer::Granted { tokens },
-            (_, Some(retry_after_ms)) => QuotaAnswer::Refused {
+            (_, Some(retry_after_ms)) => QuotaAnswer::Rejected {
                 retry_after: Duration::from_millis(retry_after_ms.into()),
             },
             _ => QuotaAnswer::NotCoordinator,
--- a/crates/foxtide-gateway/src/datagram/slots.rs
+++ b/crates/foxtide-gateway/src/datagram/slots.rs
@@ -90,7 +90,7 @@
     /// Returns an answer.
     pub(crate) fn answer(number: u64, answer: Answer) -> Self {
         let retry_after_ms = match answer {
-            Answer::Refused { retry_after } => Some(milliseconds(retry_after)),
+            Answer::Rejected { retry_after } => Some(milliseconds(retry_after)),
             Answer::Granted | Answer::Waiting | Answer::Busy => None,
         };
         let is_granted = answer == Answer::Granted;
@@ -146,7 +146,7 @@
     /// Returns the answer.
     pub(crate) fn answer(&self) -> Answer {
         match self.retry_after_ms {
-            Some(retry_after_ms) => Answer::Refused {
+            Some(retry_after_ms) => Answer::Rejected {
                 retry_after: Duration::from_millis(retry_after_ms.into()),
             },
             None if self.is_granted => Answer::Granted,
--- a/crates/foxtide-gateway/src/quotas/ask.rs
+++ b/crates/foxtide-gateway/src/quotas/ask.rs
@@ -100,7 +100,7 @@
 impl CoordinatorAnswers {
     fn add(&mut self, answer: QuotaAnswer) {
         match answer {
-            QuotaAnswer::Refused { retry_after } => {
+            QuotaAnswer::Rejected { retry_after } => {
                 let earliest = self.retry_after.unwrap_or(retry_after);
                 self.retry_after = Some(earliest.min(retry_after));
             }
@@ -150,7 +150,7 @@
 fn answer_label(answer: Option<QuotaAnswer>) -> &'static str {
     match answer {
         Some(QuotaAnswer::Granted { .. }) => "granted",
-        Some(QuotaAnswer::Refused { .. }) => "refused",
+        Some(QuotaAnswer::Rejected { .. }) => "refused",
         Some(QuotaAnswer::NotCoordinator) => "not_mine",
         None => "unanswered",
     }
@@ -171,7 +171,7 @@
     }
     let now = shared.clock.now();
     if let Some(retry_after) = quotas.recent_refusal(&request.organisation, source.address, now) {
-        return Some(QuotaAnswer::Refused { retry_after });
+        return Some(QuotaAnswer::Rejected { retry_after });
     }
     let (times, time) = if source.is_own_region {
         (REQUESTS_OWN_REGION, admission.answer_time())
@@ -181,7 +181,7 @@
     let answer = exchange(shared, source.address, request, times, time).await;
     match answer {
         None => admission.mark_unresponsive(source.address),
-        Some(QuotaAnswer::Refused { retry_after }) if !source.is_own_region => {
+        Some(QuotaAnswer::Rejected { retry_after }) if !source.is_own_region => {
             let until = shared.clock.now() + REFUSAL_TTL;
             let key = (request.organisation.clone(), source.address);
             quotas
--- a/crates/foxtide-gateway/tests/gateway/support/store.rs
+++ b/crates/foxtide-gateway/tests/gateway/support/store.rs
@@ -217,7 +217,7 @@
         let mut contents = self.contents.lock().unwrap();
         contents.calls += 1;
         if contents.is_unavailable || *self.is_rejected.lock().unwrap() {
-            return Err(StoreError::Refused {
+            return Err(StoreError::Rejected {
                 step,
                 peer: "store".to_owned(),
                 status: 503,
--- a/crates/foxtide-testing/src/load_model/slot_requests.rs
+++ b/crates/foxtide-testing/src/load_model/slot_requests.rs
@@ -199,7 +199,7 @@
             Answer::Granted => self.send(id),
             Answer::Waiting => {}
             Answer::Busy => self.handle_busy(id),
-            Answer::Refused { retry_after } => {
+            Answer::Rejected { retry_after } => {
                 if !self.overflow(id) {
                     self.end(id, Cause::RefusedNoSlot, retry_after);
                 }
--- a/crates/foxtide-testing/src/scenario/endings.rs
+++ b/crates/foxtide-testing/src/scenario/endings.rs
@@ -180,7 +180,7 @@
 fn completion_kind(end: AttemptEnd) -> CompletionKind {
     match end {
         AttemptEnd::NotSent => CompletionKind::NotSent,
-        AttemptEnd::Refused => CompletionKind::Refused,
+        AttemptEnd::Refused => CompletionKind::Rejected,
         AttemptEnd::Answered => CompletionKind::Answered,
         AttemptEnd::Lost => CompletionKind::Lost,
     }
@@ -189,7 +189,7 @@
 fn attempt_result(end: AttemptEnd) -> AttemptResult {
     match end {
         AttemptEnd::NotSent => AttemptResult::NotSent,
-        AttemptEnd::Refused => AttemptResult::Refused { retry_after: None },
+        AttemptEnd::Refused => AttemptResult::Rejected { retry_after: None },
         AttemptEnd::Answered => AttemptResult::Answered,
         AttemptEnd::Lost => AttemptResult::Lost,
     }
--- a/crates/foxtide-testing/src/scenario/store.rs
+++ b/crates/foxtide-testing/src/scenario/store.rs
@@ -101,7 +101,7 @@
 }
 
 fn no_sessions<T>(step: &'static str) -> StoreResult<T> {
-    Err(StoreError::Refused {
+    Err(StoreError::Rejected {
         step,
         peer: PEER.to_owned(),
         status: 501,
--- a/crates/foxtide/examples/measure/choice/fleet.rs
+++ b/crates/foxtide/examples/measure/choice/fleet.rs
@@ -301,7 +301,7 @@
         match self.upstreams[upstream].receive(number, self.now) {
             Reception::Runs => self.start_run(number),
             Reception::Refused => {
-                let refused = AttemptResult::Refused { retry_after: None };
+                let refused = AttemptResult::Rejected { retry_after: None };
                 self.answer(number, refused);
             }
             Reception::Waits | Reception::Swallowed => {}
@@ -378,7 +378,7 @@
         };
         let instance = self.requests[attempt.request].instance;
         self.instances[instance].way.finished(end, self.now);
-        if kind == CompletionKind::Refused && self.counts() {
+        if kind == CompletionKind::Rejected && self.counts() {
             self.summary.refused_attempts += 1;
         }
     }
@@ -471,7 +471,7 @@
 fn completion_kind(result: AttemptResult) -> CompletionKind {
     match result {
         AttemptResult::NotSent => CompletionKind::NotSent,
-        AttemptResult::Refused { .. } => CompletionKind::Refused,
+        AttemptResult::Rejected { .. } => CompletionKind::Rejected,
         AttemptResult::Answered => CompletionKind::Answered,
         AttemptResult::ServerError => CompletionKind::Failed,
         AttemptResult::Lost => CompletionKind::Lost,
