--- a/crates/foxtide-core/src/idempotency/key.rs
+++ b/crates/foxtide-core/src/idempotency/key.rs
@@ -34,7 +34,7 @@
     },
     /// The last part is not a UUID of version 7.
     #[error("key part `{text}` is not a UUID of version 7 (RFC 9562, section 5.7)")]
-    Unique {
+    Uuid {
         /// The last part.
         text: String,
     },
@@ -51,9 +51,9 @@
         Self::Owner { text }
     }
 
-    fn unique(text: &str) -> Self {
+    fn uuid(text: &str) -> Self {
         let text = text.to_owned();
-        Self::Unique { text }
+        Self::Uuid { text }
     }
 }
 
@@ -137,14 +137,14 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct IdempotencyKey {
     owner: OwnerId,
-    unique: Uuid,
+    uuid: Uuid,
 }
 
 impl IdempotencyKey {
     /// Returns a new key for `owner`, minted at `now` with the given random bytes.
     pub fn mint(owner: OwnerId, now: WallTime, random: [u8; UUID_RANDOM_BYTES]) -> Self {
-        let unique = Builder::from_unix_timestamp_millis(now.as_ms(), &random).into_uuid();
-        Self { owner, unique }
+        let uuid = Builder::from_unix_timestamp_millis(now.as_ms(), &random).into_uuid();
+        Self { owner, uuid }
     }
 
     /// Returns the process that may run the key.
@@ -153,25 +153,25 @@
     }
 
     /// Returns the UUID, which is unique per owner.
-    pub(crate) fn unique(&self) -> Uuid {
-        self.unique
+    pub(crate) fn uuid(&self) -> Uuid {
+        self.uuid
     }
 
     /// Returns when the caller minted the key, by the caller's clock.
     pub fn minted_at(&self) -> WallTime {
-        minted_at(self.unique)
+        minted_at(self.uuid)
     }
 }
 
 /// Returns the timestamp of a UUID of version 7, its first 48 bits.
-pub(super) fn minted_at(unique: Uuid) -> WallTime {
-    let ms = unique.as_u128() >> UUID_TIME_SHIFT;
+pub(super) fn minted_at(uuid: Uuid) -> WallTime {
+    let ms = uuid.as_u128() >> UUID_TIME_SHIFT;
     WallTime::from_ms(u64::try_from(ms).unwrap_or(u64::MAX))
 }
 
 impl fmt::Display for IdempotencyKey {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}{OWNER_SEPARATOR}{}", self.owner, self.unique)
+        write!(f, "{}{OWNER_SEPARATOR}{}", self.owner, self.uuid)
     }
 }
 
@@ -183,10 +183,10 @@
     fn from_str(text: &str) -> Result<Self, KeyError> {
         let text = unquoted(text.trim());
         let parts = text.rsplit_once(OWNER_SEPARATOR);
-        let (owner, unique) = parts.ok_or_else(|| KeyError::no_owner(text))?;
+        let (owner, uuid) = parts.ok_or_else(|| KeyError::no_owner(text))?;
         let owner = owner.parse()?;
-        let unique = parse_time_ordered(unique)?;
-        Ok(Self { owner, unique })
+        let uuid = parse_time_ordered(uuid)?;
+        Ok(Self { owner, uuid })
     }
 }
 
@@ -198,9 +198,9 @@
 }
 
 fn parse_time_ordered(text: &str) -> Result<Uuid, KeyError> {
-    let unique = Uuid::try_parse(text).map_err(|_| KeyError::unique(text))?;
-    if unique.get_version_num() != UUID_VERSION_TIME_ORDERED {
-        return Err(KeyError::unique(text));
+    let uuid = Uuid::try_parse(text).map_err(|_| KeyError::uuid(text))?;
+    if uuid.get_version_num() != UUID_VERSION_TIME_ORDERED {
+        return Err(KeyError::uuid(text));
     }
-    Ok(unique)
+    Ok(uuid)
 }
--- a/crates/foxtide-core/src/idempotency/mod.rs
+++ b/crates/foxtide-core/src/idempotency/mod.rs
@@ -28,7 +28,7 @@
 mod fingerprint;
 mod key;
 mod options;
-mod refusal;
+mod rejection;
 mod table;
 
 pub use fingerprint::Fingerprint;
@@ -39,9 +39,9 @@
     ProcessNumber, //
 };
 pub use options::TableOptions;
-pub use refusal::{
-    Refusal,
-    RefusalReason, //
+pub use rejection::{
+    Rejection,
+    RejectionReason, //
 };
 pub use table::{
     Begin,
--- a/crates/foxtide-core/src/idempotency/refusal.rs
+++ b/crates/foxtide-core/src/idempotency/rejection.rs
@@ -6,7 +6,7 @@
 
 /// Why a request with a key is not run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum RefusalReason {
+pub enum RejectionReason {
     /// The process that owns the key has ended, and its table is lost.
     OwnerGone,
     /// The key was used for another request.
@@ -23,7 +23,7 @@
     TableFull,
 }
 
-impl RefusalReason {
+impl RejectionReason {
     /// Returns the name of the reason in responses, events and metrics.
     pub const fn as_str(self) -> &'static str {
         match self {
@@ -63,7 +63,7 @@
     }
 }
 
-impl fmt::Display for RefusalReason {
+impl fmt::Display for RejectionReason {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(self.as_str())
     }
@@ -71,16 +71,16 @@
 
 /// The response to a request whose key is not run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Refusal {
+pub struct Rejection {
     /// Why the key is not run.
-    pub reason: RefusalReason,
+    pub reason: RejectionReason,
     /// When the same key may be retried; `None` if never.
     pub retry_after: Option<Duration>,
 }
 
-impl Refusal {
+impl Rejection {
     /// Returns the refusal of a key that may not be retried.
-    pub(crate) const fn permanent(reason: RefusalReason) -> Self {
+    pub(crate) const fn permanent(reason: RejectionReason) -> Self {
         let retry_after = None;
         Self {
             reason,
@@ -89,7 +89,7 @@
     }
 
     /// Returns the refusal of a key that may be retried after a delay.
-    pub(crate) const fn temporary(reason: RefusalReason, retry_after: Duration) -> Self {
+    pub(crate) const fn temporary(reason: RejectionReason, retry_after: Duration) -> Self {
         let retry_after = Some(retry_after);
         Self {
             reason,
--- a/crates/foxtide-core/src/idempotency/table.rs
+++ b/crates/foxtide-core/src/idempotency/table.rs
@@ -5,8 +5,8 @@
     Fingerprint,
     IdempotencyKey,
     OwnerId,
-    Refusal,
-    RefusalReason,
+    Rejection,
+    RejectionReason,
     TableOptions, //
 };
 use crate::outcome::Outcome;
@@ -44,17 +44,17 @@
     /// The request was run before with this response.
     Replay(A),
     /// Another instance owns the key. Redirect the caller to it, or refuse the request with
-    /// [`RefusalReason::OwnerGone`] if that instance is no longer a member.
-    Elsewhere,
+    /// [`RejectionReason::OwnerGone`] if that instance is no longer a member.
+    NotOwner,
     /// Refuse the request.
-    Refuse(Refusal),
+    Reject(Rejection),
 }
 
 /// The exclusive right to run one key.
 #[derive(Debug, PartialEq, Eq)]
 #[must_use = "a dropped claim leaves its key marked as running"]
 pub struct Claim {
-    unique: Uuid,
+    uuid: Uuid,
 }
 
 /// The contents of a table, as counts and sizes.
@@ -134,20 +134,20 @@
         if *key.owner() != self.owner {
             return self.begin_foreign(key);
         }
-        if let Some(known) = self.begin_known(key.unique(), fingerprint) {
+        if let Some(known) = self.begin_known(key.uuid(), fingerprint) {
             return known;
         }
-        if let Some(refusal) = self.refuse_new(key, now) {
-            return Begin::Refuse(refusal);
+        if let Some(rejection) = self.reject_new(key, now) {
+            return Begin::Reject(rejection);
         }
-        let unique = key.unique();
+        let uuid = key.uuid();
         let written = false;
         let running = Running {
             fingerprint,
             written,
         };
-        self.running.insert(unique, running);
-        Begin::Run(Claim { unique })
+        self.running.insert(uuid, running);
+        Begin::Run(Claim { uuid })
     }
 
     /// Records that the request may reach an upstream. Must be called before its first byte
@@ -170,7 +170,7 @@
         }
         let size_bytes = answer.size().get();
         if self.end(&claim, RunResult::Answered(answer)) {
-            self.answered.insert(claim.unique);
+            self.answered.insert(claim.uuid);
             self.answers_bytes += size_bytes;
             self.drop_oldest_answers();
         }
@@ -190,9 +190,9 @@
     ///
     /// If nothing was written, the key may begin again.
     pub fn abandon(&mut self, claim: Claim) -> Outcome {
-        let running = self.running.get(&claim.unique);
+        let running = self.running.get(&claim.uuid);
         if running.is_some_and(|running| !running.written) {
-            self.running.remove(&claim.unique);
+            self.running.remove(&claim.uuid);
             return Outcome::NotRun;
         }
         self.end(&claim, RunResult::AnswerLost);
@@ -217,14 +217,14 @@
 
     fn begin_foreign(&self, key: &IdempotencyKey) -> Begin<A> {
         if key.owner().instance == self.owner.instance {
-            return Begin::Refuse(Refusal::permanent(RefusalReason::OwnerGone));
+            return Begin::Reject(Rejection::permanent(RejectionReason::OwnerGone));
         }
-        Begin::Elsewhere
+        Begin::NotOwner
     }
 
-    fn begin_known(&self, unique: Uuid, fingerprint: Fingerprint) -> Option<Begin<A>> {
-        let reused = Begin::Refuse(Refusal::permanent(RefusalReason::KeyReused));
-        if let Some(running) = self.running.get(&unique) {
+    fn begin_known(&self, uuid: Uuid, fingerprint: Fingerprint) -> Option<Begin<A>> {
+        let reused = Begin::Reject(Rejection::permanent(RejectionReason::KeyReused));
+        if let Some(running) = self.running.get(&uuid) {
             let same = running.fingerprint == fingerprint;
             let retry_after = self.options.in_progress_retry;
             return Some(if same {
@@ -233,24 +233,27 @@
                 reused
             });
         }
-        let ended = self.ended.get(&unique)?;
+        let ended = self.ended.get(&uuid)?;
         let same = ended.fingerprint == fingerprint;
         Some(if same { ended.begin() } else { reused })
     }
 
-    fn refuse_new(&mut self, key: &IdempotencyKey, now: WallTime) -> Option<Refusal> {
+    fn reject_new(&mut self, key: &IdempotencyKey, now: WallTime) -> Option<Rejection> {
         let minted_at = key.minted_at();
         let expired = minted_at + self.options.validity < now;
-        if expired || key.unique() <= self.evicted_through {
-            return Some(Refusal::permanent(RefusalReason::KeyExpired));
+        if expired || key.uuid() <= self.evicted_through {
+            return Some(Rejection::permanent(RejectionReason::KeyExpired));
         }
         let ahead = minted_at.since(now + self.options.clock_skew_max);
         if ahead > Duration::ZERO {
-            return Some(Refusal::temporary(RefusalReason::KeyFromFuture, ahead));
+            return Some(Rejection::temporary(RejectionReason::KeyFromFuture, ahead));
         }
         if !self.evict_if_full(now) {
             let retry_after = self.retry_after_full(now);
-            return Some(Refusal::temporary(RefusalReason::TableFull, retry_after));
+            return Some(Rejection::temporary(
+                RejectionReason::TableFull,
+                retry_after,
+            ));
         }
         None
     }
@@ -271,20 +274,20 @@
     /// Returns the time until the oldest key can be evicted.
     fn retry_after_full(&self, now: WallTime) -> Duration {
         let oldest = self.ended.first_key_value();
-        let free_at = oldest.map(|(unique, _)| minted_at(*unique) + self.options.validity_min);
+        let free_at = oldest.map(|(uuid, _)| minted_at(*uuid) + self.options.validity_min);
         let free_in = free_at.map_or(Duration::ZERO, |free_at| free_at.since(now));
         free_in.max(self.options.in_progress_retry)
     }
 
     fn set_written(&mut self, claim: &Claim, written: bool) {
-        if let Some(running) = self.running.get_mut(&claim.unique) {
+        if let Some(running) = self.running.get_mut(&claim.uuid) {
             running.written = written;
         }
     }
 
     /// Ends a run. Tells whether it was running.
     fn end(&mut self, claim: &Claim, result: RunResult<A>) -> bool {
-        let Some(running) = self.running.remove(&claim.unique) else {
+        let Some(running) = self.running.remove(&claim.uuid) else {
             return false;
         };
         let fingerprint = running.fingerprint;
@@ -292,7 +295,7 @@
             fingerprint,
             result,
         };
-        self.ended.insert(claim.unique, ended);
+        self.ended.insert(claim.uuid, ended);
         true
     }
 
@@ -306,21 +309,21 @@
             if minted_at(*oldest.key()) + age >= now {
                 return;
             }
-            let (unique, ended) = oldest.remove_entry();
-            self.evicted_through = self.evicted_through.max(unique);
+            let (uuid, ended) = oldest.remove_entry();
+            self.evicted_through = self.evicted_through.max(uuid);
             if let RunResult::Answered(answer) = ended.result {
                 self.answers_bytes -= answer.size().get();
-                self.answered.remove(&unique);
+                self.answered.remove(&uuid);
             }
         }
     }
 
     fn drop_oldest_answers(&mut self) {
         while self.answers_bytes > self.options.answers_max.get() {
-            let Some(unique) = self.answered.pop_first() else {
+            let Some(uuid) = self.answered.pop_first() else {
                 return;
             };
-            let Some(ended) = self.ended.get_mut(&unique) else {
+            let Some(ended) = self.ended.get_mut(&uuid) else {
                 continue;
             };
             let dropped = std::mem::replace(&mut ended.result, RunResult::AnswerDropped);
@@ -336,9 +339,11 @@
         match &self.result {
             RunResult::Answered(answer) => Begin::Replay(answer.clone()),
             RunResult::AnswerDropped => {
-                Begin::Refuse(Refusal::permanent(RefusalReason::AnswerDropped))
+                Begin::Reject(Rejection::permanent(RejectionReason::AnswerDropped))
+            }
+            RunResult::AnswerLost => {
+                Begin::Reject(Rejection::permanent(RejectionReason::AnswerLost))
             }
-            RunResult::AnswerLost => Begin::Refuse(Refusal::permanent(RefusalReason::AnswerLost)),
         }
     }
 }
--- a/crates/foxtide-core/tests/idempotency_key.rs
+++ b/crates/foxtide-core/tests/idempotency_key.rs
@@ -54,7 +54,7 @@
     }
     for text in [format!("{OWNER}:{UUID_V4}"), format!("{OWNER}:17")] {
         let error = text.parse::<IdempotencyKey>().unwrap_err();
-        assert!(matches!(error, KeyError::Unique { .. }), "{text}: {error}");
+        assert!(matches!(error, KeyError::Uuid { .. }), "{text}: {error}");
     }
 }
 
--- a/crates/foxtide-core/tests/idempotency_model/mod.rs
+++ b/crates/foxtide-core/tests/idempotency_model/mod.rs
@@ -9,7 +9,7 @@
     IdempotencyKey,
     OwnerId,
     ProcessNumber,
-    RefusalReason,
+    RejectionReason,
     ReplayableAnswer,
     Table,
     TableOptions, //
@@ -277,8 +277,8 @@
             Begin::Run(claim) => self.copies[copy].stage = Stage::Claimed(claim),
             Begin::InProgress { .. } => self.end(copy, Outcome::Unknown),
             Begin::Replay(Answer) => self.end(copy, Outcome::Done),
-            Begin::Refuse(refusal) => self.end(copy, refusal.outcome()),
-            Begin::Elsewhere => self.redirect(copy, owner_gone),
+            Begin::Reject(rejection) => self.end(copy, rejection.outcome()),
+            Begin::NotOwner => self.redirect(copy, owner_gone),
         }
     }
 
@@ -299,7 +299,7 @@
             let outcome = if self.bug == InjectedBug::OwnerGoneIsNotRun {
                 Outcome::NotRun
             } else {
-                RefusalReason::OwnerGone.outcome()
+                RejectionReason::OwnerGone.outcome()
             };
             self.end(copy, outcome);
         } else {
@@ -447,5 +447,5 @@
 }
 
 fn is_full(begin: &Begin<Answer>) -> bool {
-    matches!(begin, Begin::Refuse(refusal) if refusal.reason == RefusalReason::TableFull)
+    matches!(begin, Begin::Reject(rejection) if rejection.reason == RejectionReason::TableFull)
 }
--- a/crates/foxtide-core/tests/idempotency_table.rs
+++ b/crates/foxtide-core/tests/idempotency_table.rs
@@ -6,7 +6,7 @@
     Fingerprint,
     IdempotencyKey,
     OwnerId,
-    RefusalReason,
+    RejectionReason,
     ReplayableAnswer,
     Table,
     TableOptions,
@@ -61,9 +61,9 @@
     }
 }
 
-fn refusal_at(table: &mut Table<Text>, key: &IdempotencyKey, now: WallTime) -> RefusalReason {
+fn rejection_at(table: &mut Table<Text>, key: &IdempotencyKey, now: WallTime) -> RejectionReason {
     match table.begin(key, request(), now) {
-        Begin::Refuse(refusal) => refusal.reason,
+        Begin::Reject(rejection) => rejection.reason,
         other => panic!("{other:?}"),
     }
 }
@@ -100,8 +100,8 @@
     let claim = run(&mut table, &key(1));
     table.mark_written(&claim);
     assert_eq!(table.abandon(claim), Outcome::Unknown);
-    let reason = refusal_at(&mut table, &key(1), START);
-    assert_eq!(reason, RefusalReason::AnswerLost);
+    let reason = rejection_at(&mut table, &key(1), START);
+    assert_eq!(reason, RejectionReason::AnswerLost);
     assert_eq!(reason.outcome(), Outcome::Unknown);
 }
 
@@ -112,14 +112,14 @@
     let claim = run(&mut table, &key(1));
     for _ in 0..2 {
         let begin = table.begin(&key(1), other, START);
-        let Begin::Refuse(refusal) = begin else {
+        let Begin::Reject(rejection) = begin else {
             panic!("{begin:?}");
         };
-        assert_eq!(refusal.reason, RefusalReason::KeyReused);
+        assert_eq!(rejection.reason, RejectionReason::KeyReused);
     }
     table.finish(claim, Text("opened"));
     let begin = table.begin(&key(1), other, START);
-    assert!(matches!(begin, Begin::Refuse(_)), "{begin:?}");
+    assert!(matches!(begin, Begin::Reject(_)), "{begin:?}");
 }
 
 #[test]
@@ -136,14 +136,14 @@
         TableOptions::default(),
     );
     let begin = elsewhere.begin(&key(1), request(), START);
-    assert!(matches!(begin, Begin::Elsewhere), "{begin:?}");
+    assert!(matches!(begin, Begin::NotOwner), "{begin:?}");
 
     let mut restarted: Table<Text> = Table::new(
         "entry-1.00000000000000ab".parse().unwrap(),
         TableOptions::default(),
     );
-    let reason = refusal_at(&mut restarted, &key(1), START);
-    assert_eq!(reason, RefusalReason::OwnerGone);
+    let reason = rejection_at(&mut restarted, &key(1), START);
+    assert_eq!(reason, RejectionReason::OwnerGone);
     assert_eq!(reason.outcome(), Outcome::Unknown);
 }
 
@@ -158,8 +158,8 @@
     let claim = run_at(&mut table, &key_at(later, 1), later);
     assert_eq!(table.usage().ended, 0, "both are evicted");
     for number in 1..=3 {
-        let reason = refusal_at(&mut table, &key(number), START);
-        assert_eq!(reason, RefusalReason::KeyExpired);
+        let reason = rejection_at(&mut table, &key(number), START);
+        assert_eq!(reason, RejectionReason::KeyExpired);
     }
     // A key newer than every evicted one is still accepted.
     let newer = run_at(&mut table, &key(4), START);
@@ -176,8 +176,8 @@
     let begin = table.begin(&key(1), request(), later);
     assert!(matches!(begin, Begin::InProgress { .. }), "{begin:?}");
     table.finish(claim, Text("opened"));
-    let reason = refusal_at(&mut table, &key(1), later);
-    assert_eq!(reason, RefusalReason::KeyExpired);
+    let reason = rejection_at(&mut table, &key(1), later);
+    assert_eq!(reason, RejectionReason::KeyExpired);
 }
 
 #[test]
@@ -185,11 +185,11 @@
     let mut table = table(TableOptions::default());
     let key = key_at(START + Duration::from_millis(700), 1);
     let begin = table.begin(&key, request(), START);
-    let Begin::Refuse(refusal) = begin else {
+    let Begin::Reject(rejection) = begin else {
         panic!("{begin:?}");
     };
-    assert_eq!(refusal.reason, RefusalReason::KeyFromFuture);
-    let wait = refusal.retry_after.unwrap();
+    assert_eq!(rejection.reason, RejectionReason::KeyFromFuture);
+    let wait = rejection.retry_after.unwrap();
     assert_eq!(wait, Duration::from_millis(200));
     let claim = run_at(&mut table, &key, START + wait);
     assert_eq!(table.abandon(claim), Outcome::NotRun);
@@ -205,11 +205,11 @@
     table.finish(first, Text("opened"));
     let second = run(&mut table, &key(2));
     let begin = table.begin(&key(3), request(), START);
-    let Begin::Refuse(refusal) = begin else {
+    let Begin::Reject(rejection) = begin else {
         panic!("{begin:?}");
     };
-    assert_eq!(refusal.outcome(), Outcome::NotRun);
-    assert_eq!(refusal.retry_after, Some(VALIDITY_MIN));
+    assert_eq!(rejection.outcome(), Outcome::NotRun);
+    assert_eq!(rejection.retry_after, Some(VALIDITY_MIN));
     assert!(is_replay(&mut table, &key(1), &Text("opened")));
     assert_eq!(table.abandon(second), Outcome::NotRun);
     let third = run(&mut table, &key(3));
@@ -232,8 +232,8 @@
     let claim = run_at(&mut table, &key_at(later, 3), later);
     table.finish(claim, Text("opened"));
     for number in [1, 2] {
-        let reason = refusal_at(&mut table, &key(number), later);
-        assert_eq!(reason, RefusalReason::KeyExpired);
+        let reason = rejection_at(&mut table, &key(number), later);
+        assert_eq!(reason, RejectionReason::KeyExpired);
     }
 }
 
@@ -251,8 +251,8 @@
     assert_eq!(table.usage().answers_size, ByteSize::from_bytes(5));
     assert!(is_replay(&mut table, &key(2), &Text("fours")));
     for number in [1, 3] {
-        let reason = refusal_at(&mut table, &key(number), START);
-        assert_eq!(reason, RefusalReason::AnswerDropped);
+        let reason = rejection_at(&mut table, &key(number), START);
+        assert_eq!(reason, RejectionReason::AnswerDropped);
         assert_eq!(reason.outcome(), Outcome::Done);
     }
 }
--- a/crates/foxtide-entry/src/proxy/keys.rs
+++ b/crates/foxtide-entry/src/proxy/keys.rs
@@ -25,7 +25,7 @@
     Fingerprint,
     IdempotencyKey,
     KeyError,
-    RefusalReason,
+    RejectionReason,
     ReplayableAnswer,
     Table, //
 };
@@ -197,11 +197,11 @@
         }),
         Begin::Replay(stored) => Err(ImmediateAnswer::replayed(&stored)),
         Begin::InProgress { retry_after } => Err(ImmediateAnswer::in_progress(retry_after)),
-        Begin::Refuse(refusal) => Err(ImmediateAnswer::refused(
-            refusal.reason,
-            refusal.retry_after,
+        Begin::Reject(rejection) => Err(ImmediateAnswer::refused(
+            rejection.reason,
+            rejection.retry_after,
         )),
-        Begin::Elsewhere => Err(redirect_to_owner(deps, request, &key)),
+        Begin::NotOwner => Err(redirect_to_owner(deps, request, &key)),
     }
 }
 
@@ -232,7 +232,7 @@
         let reason = match error {
             KeyError::NoOwner { .. } => "key-without-owner",
             KeyError::Owner { .. } => "key-with-malformed-owner",
-            KeyError::Unique { .. } => "key-without-uuid-v7",
+            KeyError::Uuid { .. } => "key-without-uuid-v7",
         };
         Self {
             answer: Err(Refusal::not_run(StatusCode::BadRequest, reason)),
@@ -241,7 +241,7 @@
         }
     }
 
-    fn refused(reason: RefusalReason, retry_after: Option<Duration>) -> Self {
+    fn refused(reason: RejectionReason, retry_after: Option<Duration>) -> Self {
         let status = StatusCode::try_from(reason.status());
         let refusal = Refusal {
             status: status.unwrap_or(StatusCode::Conflict),
@@ -251,21 +251,21 @@
         };
         Self {
             answer: Err(refusal),
-            code: refusal_code(reason),
+            code: rejection_code(reason),
             rule: Rule::KeyRefused,
         }
     }
 }
 
-fn refusal_code(reason: RefusalReason) -> EventCode {
+fn rejection_code(reason: RejectionReason) -> EventCode {
     match reason {
-        RefusalReason::OwnerGone => EventCode::KeyOwnerGone,
-        RefusalReason::KeyReused => EventCode::KeyReused,
-        RefusalReason::AnswerLost => EventCode::KeyAnswerLost,
-        RefusalReason::AnswerDropped => EventCode::KeyAnswerDropped,
-        RefusalReason::KeyExpired => EventCode::KeyExpired,
-        RefusalReason::KeyFromFuture => EventCode::KeyFromFuture,
-        RefusalReason::TableFull => EventCode::KeyTableFull,
+        RejectionReason::OwnerGone => EventCode::KeyOwnerGone,
+        RejectionReason::KeyReused => EventCode::KeyReused,
+        RejectionReason::AnswerLost => EventCode::KeyAnswerLost,
+        RejectionReason::AnswerDropped => EventCode::KeyAnswerDropped,
+        RejectionReason::KeyExpired => EventCode::KeyExpired,
+        RejectionReason::KeyFromFuture => EventCode::KeyFromFuture,
+        RejectionReason::TableFull => EventCode::KeyTableFull,
     }
 }
 
@@ -298,7 +298,7 @@
     key: &IdempotencyKey,
 ) -> ImmediateAnswer {
     let Some(address) = deps.directory().address_of(&key.owner().instance) else {
-        return ImmediateAnswer::refused(RefusalReason::OwnerGone, None);
+        return ImmediateAnswer::refused(RejectionReason::OwnerGone, None);
     };
     let refusal = Refusal {
         status: StatusCode::TemporaryRedirect,
--- a/crates/foxtide-testing/src/scenario/requests.rs
+++ b/crates/foxtide-testing/src/scenario/requests.rs
@@ -93,8 +93,8 @@
             Begin::Run(claim) => self.start_copy(number, place, Some(claim)),
             Begin::InProgress { retry_after } => self.tell_to_wait(number, retry_after),
             Begin::Replay(run) => self.tell_answer(number, run.operation),
-            Begin::Elsewhere => self.redirect(number, place),
-            Begin::Refuse(refusal) => self.tell(number, refusal.outcome().into()),
+            Begin::NotOwner => self.redirect(number, place),
+            Begin::Reject(rejection) => self.tell(number, rejection.outcome().into()),
         }
     }
 
--- a/crates/foxtide/examples/measure/at_most_once/policy.rs
+++ b/crates/foxtide/examples/measure/at_most_once/policy.rs
@@ -7,7 +7,7 @@
     IdempotencyKey,
     OwnerId,
     ProcessNumber,
-    RefusalReason,
+    RejectionReason,
     ReplayableAnswer,
     Table,
     TableOptions, //
@@ -108,8 +108,8 @@
     }
 }
 
-fn tell<C>(refusal: RefusalReason) -> Decision<C> {
-    Decision::Tell(Told::Final(refusal.outcome()))
+fn tell<C>(rejection: RejectionReason) -> Decision<C> {
+    Decision::Tell(Told::Final(rejection.outcome()))
 }
 
 /// The tables of a fleet, each in one process.
@@ -148,14 +148,14 @@
             Begin::Run(claim) => Decision::Run(claim),
             Begin::InProgress { .. } => Decision::Tell(Told::TryAgain),
             Begin::Replay(Answer) => Decision::Tell(Told::Final(Outcome::Done)),
-            Begin::Refuse(refusal) => tell(refusal.reason),
-            Begin::Elsewhere => {
+            Begin::Reject(rejection) => tell(rejection.reason),
+            Begin::NotOwner => {
                 let name = key.owner().instance.as_str().trim_start_matches("entry-");
                 let owner: usize = name.parse().expect("the name ends in a number");
                 if view.members[owner] {
                     Decision::Redirect(owner)
                 } else {
-                    tell(RefusalReason::OwnerGone)
+                    tell(RejectionReason::OwnerGone)
                 }
             }
         }
