--- a/crates/foxtide-core/src/admission/queue.rs
+++ b/crates/foxtide-core/src/admission/queue.rs
@@ -140,11 +140,11 @@
     /// gets an idle slot only, so that objects do not spread to neighbours that are equally
     /// busy.
     fn has_immediate_room(&self, object: Option<ObjectKey>) -> bool {
-        let places = match self.access(object) {
+        let limit = match self.access(object) {
             ObjectAccess::Repeated => self.slots + UPSTREAM_BACKLOG,
             ObjectAccess::First => self.slots,
         };
-        self.running.len() < places
+        self.running.len() < limit
     }
 
     /// Returns the answer to a request that has no slot yet.
@@ -224,7 +224,7 @@
             answers.push((next.ticket, Answer::Granted));
             self.grant(&next, now);
         }
-        self.refuse_expired(now, answers);
+        self.reject_expired(now, answers);
     }
 
     fn grant(&mut self, waiting: &Waiting, now: MonotonicTime) {
@@ -251,7 +251,7 @@
         self.running.insert(ticket, running);
     }
 
-    fn refuse_expired(&mut self, now: MonotonicTime, answers: &mut Vec<(Ticket, Answer)>) {
+    fn reject_expired(&mut self, now: MonotonicTime, answers: &mut Vec<(Ticket, Answer)>) {
         let retry_after = self.retry_after();
         let times = self.times;
         let objects = &self.objects;
--- a/crates/foxtide-core/src/choice/balancer.rs
+++ b/crates/foxtide-core/src/choice/balancer.rs
@@ -2,9 +2,9 @@
 
 use super::candidate::{
     Candidate,
-    Common, //
+    PoolStats, //
 };
-use super::refusal_budget::RefusalBudget;
+use super::rejection_budget::RejectionBudget;
 use super::status::UpstreamStatus;
 use super::subset::Assignment;
 use super::{
@@ -36,10 +36,10 @@
     pub(super) options: BalancerOptions,
     seed: u64,
     pub(super) candidates: Vec<Candidate>,
-    pub(super) common: Common,
+    pub(super) stats: PoolStats,
     sharing_instances: u32,
     rank: Option<Rank>,
-    pub(super) refusal_budget: RefusalBudget,
+    pub(super) rejection_budget: RejectionBudget,
     next_incarnation: u64,
 }
 
@@ -51,10 +51,10 @@
             options,
             seed,
             candidates: Vec::new(),
-            common: Common::default(),
+            stats: PoolStats::default(),
             sharing_instances: 1,
             rank: None,
-            refusal_budget: RefusalBudget::new(),
+            rejection_budget: RejectionBudget::new(),
             next_incarnation: 0,
         }
     }
@@ -138,8 +138,8 @@
     /// Chooses an upstream for a request, avoiding those in `tried` unless no
     /// other has a free slot.
     pub fn pick_avoiding(&mut self, now: MonotonicTime, draw: u64, tried: &[UpstreamId]) -> Pick {
-        self.refusal_budget
-            .refill(&self.options, self.common.latency(), now);
+        self.rejection_budget
+            .refill(&self.options, self.stats.latency(), now);
         let best = self
             .best(now, draw, |c| !tried.contains(c.id()))
             .or_else(|| self.best(now, draw, |_| true));
@@ -147,7 +147,7 @@
             return self.wait_or_empty(now);
         };
         let candidate = &mut self.candidates[index];
-        candidate.sent(&self.options, now);
+        candidate.record_sent(&self.options, now);
         Pick::Take(Ticket {
             upstream: Arc::clone(&candidate.upstream),
             incarnation: candidate.incarnation,
@@ -169,7 +169,7 @@
                 continue;
             }
             let jitter = JITTER_WEIGHT * unit_jitter(draw, index);
-            let score = candidate.score(&self.options, &self.common, now) + jitter;
+            let score = candidate.score(&self.options, &self.stats, now) + jitter;
             if score < best_score {
                 best_score = score;
                 best = Some(index);
@@ -182,8 +182,8 @@
         let has_free_slot = candidate.free_at(now).is_some_and(|from| from <= now);
         has_free_slot
             && self.is_open(candidate, now)
-            && (self.refusal_budget.allows_speculation()
-                || candidate.expects_free_slot(&self.options, &self.common, now))
+            && (self.rejection_budget.allows_speculation()
+                || candidate.expects_free_slot(&self.options, &self.stats, now))
     }
 
     /// Returns whether an upstream accepts new requests, free slots aside.
@@ -194,8 +194,8 @@
 
     fn wait_or_empty(&self, now: MonotonicTime) -> Pick {
         let open = self.candidates.iter().filter(|c| self.is_open(c, now));
-        let latency = self.common.latency();
-        let token_in = self.refusal_budget.next_token_in(&self.options, latency);
+        let latency = self.stats.latency();
+        let token_in = self.rejection_budget.next_token_in(&self.options, latency);
         let wait_for = |candidate: &Candidate| match candidate.free_at(now) {
             Some(from) => (from - now).max(token_in),
             None => latency,
@@ -214,13 +214,13 @@
             return;
         };
         match completion.kind {
-            CompletionKind::Answered => self.refusal_budget.answered(&self.options),
-            CompletionKind::Rejected => self.refusal_budget.refused(),
+            CompletionKind::Answered => self.rejection_budget.record_answer(&self.options),
+            CompletionKind::Rejected => self.rejection_budget.record_rejection(),
             _ => {}
         }
         let candidate = &mut self.candidates[index];
         let was_eligible = candidate.is_eligible();
-        candidate.finished(&completion, &self.options, &mut self.common, now);
+        candidate.record_completion(&completion, &self.options, &mut self.stats, now);
         if candidate.is_eligible() != was_eligible {
             self.reassign(now);
         }
@@ -230,9 +230,7 @@
     fn eject_if_outlier(&mut self, index: usize, now: MonotonicTime) {
         let options = &self.options.ejection;
         let candidate = &self.candidates[index];
-        let outlier = candidate
-            .failures
-            .is_outlier(&self.common.failures, options);
+        let outlier = candidate.failures.is_outlier(&self.stats.failures, options);
         if !outlier
             || !self.is_open(candidate, now)
             || self.unavailable_count(now) >= self.unavailable_limit()
@@ -265,7 +263,7 @@
         let options = &self.options;
         let mut candidates = self.candidates.iter_mut();
         let candidate = candidates.find(|c| c.poll_is_due(options, now))?;
-        candidate.poll_sent(options, now);
+        candidate.record_poll_sent(options, now);
         Some(Poll {
             upstream: Arc::clone(&candidate.upstream),
             incarnation: candidate.incarnation,
@@ -279,7 +277,7 @@
         };
         let candidate = &mut self.candidates[index];
         let was_eligible = candidate.is_eligible();
-        candidate.polled(&result, &self.options, &mut self.common, now);
+        candidate.record_poll(&result, &self.options, &mut self.stats, now);
         if candidate.is_eligible() != was_eligible {
             self.reassign(now);
         }
--- a/crates/foxtide-core/src/choice/candidate.rs
+++ b/crates/foxtide-core/src/choice/candidate.rs
@@ -23,11 +23,11 @@
 const LATENCY_FACTOR_MAX: f64 = 8.0;
 
 /// The longest time for which a refusal alone excludes an upstream.
-const REFUSAL_HOLD_MAX: Duration = Duration::from_millis(100);
+const REJECTION_HOLD_MAX: Duration = Duration::from_millis(100);
 
 /// Statistics over all candidates of a balancer.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Common {
+pub(crate) struct PoolStats {
     /// The smoothed latency over all upstreams; 0 before the first answer.
     pub(crate) latency_us: f64,
     /// The smoothed utilization that the upstreams report; 0 without reports.
@@ -38,7 +38,7 @@
     pub(crate) failures: FailureRecord,
 }
 
-impl Common {
+impl PoolStats {
     pub(crate) fn latency(&self) -> Duration {
         Duration::from_secs_f64(self.latency_us / 1e6)
     }
@@ -150,10 +150,10 @@
     pub(crate) fn expects_free_slot(
         &self,
         options: &BalancerOptions,
-        common: &Common,
+        stats: &PoolStats,
         now: MonotonicTime,
     ) -> bool {
-        let lifetime = common
+        let lifetime = stats
             .latency()
             .mul_f64(options.freed_slot_lifetime_latencies);
         let freed = self.freed_at.is_some_and(|at| now - at <= lifetime);
@@ -165,29 +165,29 @@
         let Some(from) = self.ramp_started_at else {
             return 1.0;
         };
-        let passed = (now - from).as_secs_f64() / options.ramp.as_secs_f64().max(1e-3);
-        passed.clamp(options.ramp_floor.get(), 1.0)
+        let elapsed = (now - from).as_secs_f64() / options.ramp.as_secs_f64().max(1e-3);
+        elapsed.clamp(options.ramp_floor.get(), 1.0)
     }
 
     /// Returns the average use of this upstream by other instances, in slots.
-    fn average_others(&self, common: &Common) -> f64 {
-        common.others_per_slot * f64::from(self.upstream.slots)
+    fn average_others(&self, stats: &PoolStats) -> f64 {
+        stats.others_per_slot * f64::from(self.upstream.slots)
     }
 
     /// Returns the expected load with one more request; lower is better.
     pub(crate) fn score(
         &self,
         options: &BalancerOptions,
-        common: &Common,
+        stats: &PoolStats,
         now: MonotonicTime,
     ) -> f64 {
-        let lifetime_us = common.latency_us * options.report_lifetime_latencies;
+        let lifetime_us = stats.latency_us * options.report_lifetime_latencies;
         let others = self
             .occupancy
-            .estimate(self.average_others(common), lifetime_us, now);
+            .estimate(self.average_others(stats), lifetime_us, now);
         let requests = others.max(0.0) + f64::from(self.in_flight) + 1.0;
         let slots = f64::from(self.upstream.slots.max(1)) * self.weight(options, now);
-        let mut load = requests / slots * self.latency_factor(common);
+        let mut load = requests / slots * self.latency_factor(stats);
         if self.in_other_zone {
             load += options.other_zone_penalty;
         }
@@ -198,25 +198,25 @@
     }
 
     /// Returns the ratio of the upstream's latency to the average.
-    fn latency_factor(&self, common: &Common) -> f64 {
-        if self.latency_us == 0.0 || common.latency_us == 0.0 {
+    fn latency_factor(&self, stats: &PoolStats) -> f64 {
+        if self.latency_us == 0.0 || stats.latency_us == 0.0 {
             return 1.0;
         }
-        let factor = self.latency_us / common.latency_us;
+        let factor = self.latency_us / stats.latency_us;
         factor.clamp(1.0 / LATENCY_FACTOR_MAX, LATENCY_FACTOR_MAX)
     }
 
-    pub(crate) fn sent(&mut self, options: &BalancerOptions, now: MonotonicTime) {
+    pub(crate) fn record_sent(&mut self, options: &BalancerOptions, now: MonotonicTime) {
         self.in_flight += 1;
         self.freed_at = None;
-        self.liveness.sent(&options.liveness, now);
+        self.liveness.record_sent(&options.liveness, now);
     }
 
-    pub(crate) fn finished(
+    pub(crate) fn record_completion(
         &mut self,
         completion: &Completion,
         options: &BalancerOptions,
-        common: &mut Common,
+        stats: &mut PoolStats,
         now: MonotonicTime,
     ) {
         self.in_flight = self.in_flight.saturating_sub(1);
@@ -224,11 +224,11 @@
         self.update_liveness(completion.kind, options, now);
         if let Some(failed) = completion.kind.failure() {
             self.failures.record(failed);
-            common.failures.record(failed);
+            stats.failures.record(failed);
         }
         match completion.kind {
-            CompletionKind::Answered => self.answered(completion, common, now),
-            CompletionKind::Rejected => self.refused(options, common, now),
+            CompletionKind::Answered => self.record_answer(completion, stats, now),
+            CompletionKind::Rejected => self.record_rejection(options, stats, now),
             _ => {}
         }
     }
@@ -242,9 +242,9 @@
         if kind.is_response() {
             self.record_response(now);
         } else if kind == CompletionKind::NotSent {
-            self.liveness.unreachable(&options.liveness);
+            self.liveness.record_unreachable(&options.liveness);
         } else if kind != CompletionKind::Cancelled {
-            self.liveness.unanswered(now);
+            self.liveness.record_unanswered(now);
         }
     }
 
@@ -256,15 +256,20 @@
         }
     }
 
-    fn answered(&mut self, completion: &Completion, common: &mut Common, now: MonotonicTime) {
+    fn record_answer(
+        &mut self,
+        completion: &Completion,
+        stats: &mut PoolStats,
+        now: MonotonicTime,
+    ) {
         let sample_us = completion.latency.as_micros() as f64;
         smooth(&mut self.latency_us, sample_us);
-        smooth(&mut common.latency_us, sample_us);
+        smooth(&mut stats.latency_us, sample_us);
         self.full_until = MonotonicTime::ZERO;
         self.freed_at = Some(now);
-        self.occupancy.served();
+        self.occupancy.record_served();
         if let Some(load) = &completion.load {
-            self.reported(load.utilization, common, now);
+            self.record_report(load.utilization, stats, now);
         }
     }
 
@@ -276,20 +281,20 @@
                 .poll_is_due(&options.liveness, self.in_flight == 0, now)
     }
 
-    pub(crate) fn poll_sent(&mut self, options: &BalancerOptions, now: MonotonicTime) {
+    pub(crate) fn record_poll_sent(&mut self, options: &BalancerOptions, now: MonotonicTime) {
         self.liveness
-            .poll_sent(&options.liveness, self.in_flight == 0, now);
+            .record_poll_sent(&options.liveness, self.in_flight == 0, now);
     }
 
     /// Records the result of a poll, which alone can end a draining state.
-    pub(crate) fn polled(
+    pub(crate) fn record_poll(
         &mut self,
         result: &PollResult,
         options: &BalancerOptions,
-        common: &mut Common,
+        stats: &mut PoolStats,
         now: MonotonicTime,
     ) {
-        self.liveness.poll_ended();
+        self.liveness.record_poll_ended();
         match result {
             PollResult::Answered { load, draining } => {
                 self.record_response(now);
@@ -298,34 +303,39 @@
                 }
                 self.draining = *draining;
                 if let Some(load) = load {
-                    self.reported(load.utilization, common, now);
+                    self.record_report(load.utilization, stats, now);
                 }
             }
-            PollResult::Unreachable => self.liveness.unreachable(&options.liveness),
-            PollResult::TimedOut => self.liveness.unanswered(now),
+            PollResult::Unreachable => self.liveness.record_unreachable(&options.liveness),
+            PollResult::TimedOut => self.liveness.record_unanswered(now),
         }
     }
 
-    fn reported(&mut self, utilization: f64, common: &mut Common, now: MonotonicTime) {
-        smooth(&mut common.utilization, utilization);
+    fn record_report(&mut self, utilization: f64, stats: &mut PoolStats, now: MonotonicTime) {
+        smooth(&mut stats.utilization, utilization);
         let slots = f64::from(self.upstream.slots);
         let others = (utilization * slots - f64::from(self.in_flight)).max(0.0);
-        common.others_per_slot +=
-            SMOOTHING_WEIGHT * (others / slots.max(1.0) - common.others_per_slot);
+        stats.others_per_slot +=
+            SMOOTHING_WEIGHT * (others / slots.max(1.0) - stats.others_per_slot);
         self.occupancy
-            .reported(others, self.average_others(common), now);
+            .record_report(others, self.average_others(stats), now);
     }
 
     /// Records a refusal: every slot was in use, and one is expected to be freed
     /// after about the latency divided by the number of slots.
-    fn refused(&mut self, options: &BalancerOptions, common: &Common, now: MonotonicTime) {
+    fn record_rejection(
+        &mut self,
+        options: &BalancerOptions,
+        stats: &PoolStats,
+        now: MonotonicTime,
+    ) {
         self.freed_at = None;
         let slots = f64::from(self.upstream.slots.max(1));
         let others = (slots - f64::from(self.in_flight)).max(0.0);
-        let lifetime_us = common.latency_us * options.report_lifetime_latencies;
-        self.occupancy.refused(others, lifetime_us, now);
-        let frees_in = Duration::from_secs_f64(common.latency_us / slots / 1e6);
-        self.full_until = now + frees_in.min(REFUSAL_HOLD_MAX);
+        let lifetime_us = stats.latency_us * options.report_lifetime_latencies;
+        self.occupancy.record_rejection(others, lifetime_us, now);
+        let frees_in = Duration::from_secs_f64(stats.latency_us / slots / 1e6);
+        self.full_until = now + frees_in.min(REJECTION_HOLD_MAX);
     }
 }
 
--- a/crates/foxtide-core/src/choice/ejection.rs
+++ b/crates/foxtide-core/src/choice/ejection.rs
@@ -50,7 +50,10 @@
 
     pub(crate) fn eject(&mut self, options: &EjectionOptions, now: MonotonicTime) {
         let factor = 1u32 << self.ejections.min(DOUBLINGS_MAX);
-        let duration = options.base.saturating_mul(factor).min(options.longest);
+        let duration = options
+            .first_duration
+            .saturating_mul(factor)
+            .min(options.duration_max);
         self.ejected_until = Some(now + duration);
         self.ejections += 1;
         self.completions = 0;
--- a/crates/foxtide-core/src/choice/liveness.rs
+++ b/crates/foxtide-core/src/choice/liveness.rs
@@ -38,8 +38,8 @@
         self.dead || self.dead_at.is_some_and(|at| now >= at)
     }
 
-    pub(crate) fn sent(&mut self, options: &LivenessOptions, now: MonotonicTime) {
-        self.dead_at.get_or_insert(now + options.silence_limit);
+    pub(crate) fn record_sent(&mut self, options: &LivenessOptions, now: MonotonicTime) {
+        self.dead_at.get_or_insert(now + options.response_timeout);
     }
 
     /// Records a response of any kind; returns whether the upstream was dead.
@@ -53,14 +53,14 @@
     }
 
     /// Records that no connection could be opened.
-    pub(crate) fn unreachable(&mut self, options: &LivenessOptions) {
+    pub(crate) fn record_unreachable(&mut self, options: &LivenessOptions) {
         self.consecutive_unreachable += 1;
         self.dead |= self.consecutive_unreachable >= options.unreachable_limit;
     }
 
     /// Records that an attempt or a poll ended without a response; an upstream
     /// that is dead by then stays dead.
-    pub(crate) fn unanswered(&mut self, now: MonotonicTime) {
+    pub(crate) fn record_unanswered(&mut self, now: MonotonicTime) {
         self.dead |= self.is_dead(now);
     }
 
@@ -75,28 +75,28 @@
         } else {
             options.poll_after
         };
-        let quiet = now - self.last_response_at >= after;
-        let rested = now - self.polled_at >= after;
-        quiet && rested && !self.poll_in_flight
+        let no_recent_response = now - self.last_response_at >= after;
+        let no_recent_poll = now - self.polled_at >= after;
+        no_recent_response && no_recent_poll && !self.poll_in_flight
     }
 
-    pub(crate) fn poll_sent(
+    pub(crate) fn record_poll_sent(
         &mut self,
         options: &LivenessOptions,
         is_idle: bool,
         now: MonotonicTime,
     ) {
         let limit = if is_idle {
-            options.idle_silence_limit
+            options.idle_response_timeout
         } else {
-            options.silence_limit
+            options.response_timeout
         };
         self.dead_at.get_or_insert(now + limit);
         self.polled_at = now;
         self.poll_in_flight = true;
     }
 
-    pub(crate) fn poll_ended(&mut self) {
+    pub(crate) fn record_poll_ended(&mut self) {
         self.poll_in_flight = false;
     }
 }
--- a/crates/foxtide-core/src/choice/mod.rs
+++ b/crates/foxtide-core/src/choice/mod.rs
@@ -24,7 +24,7 @@
 mod occupancy;
 mod options;
 mod pick;
-mod refusal_budget;
+mod rejection_budget;
 mod sharing;
 mod status;
 mod subset;
--- a/crates/foxtide-core/src/choice/occupancy.rs
+++ b/crates/foxtide-core/src/choice/occupancy.rs
@@ -49,18 +49,18 @@
     }
 
     /// Records a report of `others` slots in use by other instances.
-    pub(crate) fn reported(&mut self, others: f64, average: f64, now: MonotonicTime) {
+    pub(crate) fn record_report(&mut self, others: f64, average: f64, now: MonotonicTime) {
         self.others = average + (others - average) * self.trust;
         self.observed_at = now;
     }
 
     /// Records a served request, which confirms the reports.
-    pub(crate) fn served(&mut self) {
+    pub(crate) fn record_served(&mut self) {
         self.trust += TRUST_GAIN * (1.0 - self.trust);
     }
 
     /// Records a refusal: other instances must have used `others` slots.
-    pub(crate) fn refused(&mut self, others: f64, lifetime_us: f64, now: MonotonicTime) {
+    pub(crate) fn record_rejection(&mut self, others: f64, lifetime_us: f64, now: MonotonicTime) {
         let is_report_wrong =
             self.others + 1.0 <= others && self.freshness(lifetime_us, now) > TRUST_DECAY;
         if is_report_wrong {
--- a/crates/foxtide-core/src/choice/options.rs
+++ b/crates/foxtide-core/src/choice/options.rs
@@ -22,10 +22,10 @@
     /// Default: 1.
     pub report_lifetime_latencies: f64,
     /// The refusals that an instance may cause for each answer. Default: 0.2.
-    pub refusals_per_answer: f64,
+    pub rejections_per_answer: f64,
     /// The refusals that an instance may cause in addition within each smoothed
     /// latency. Default: 2.
-    pub refusals_per_latency: f64,
+    pub rejections_per_latency: f64,
     /// The highest smoothed utilization of the upstreams at which hedged
     /// attempts may be sent. Default: 0.6.
     pub hedge_utilization_max: f64,
@@ -56,8 +56,8 @@
             ramp: Duration::from_secs(10),
             ramp_floor: Share::clamped(0.1),
             report_lifetime_latencies: 1.0,
-            refusals_per_answer: 0.2,
-            refusals_per_latency: 2.0,
+            rejections_per_answer: 0.2,
+            rejections_per_latency: 2.0,
             hedge_utilization_max: 0.6,
             own_slot_bonus: 0.3,
             freed_slot_lifetime_latencies: 0.5,
@@ -76,15 +76,15 @@
     /// flight is polled. Default: 500 ms.
     pub poll_after: Duration,
     /// The time without a response after which an idle upstream is polled.
-    /// Default: 1.8 s; with `idle_silence_limit` it must stay below 3 s.
+    /// Default: 1.8 s; with `idle_response_timeout` it must stay below 3 s.
     pub idle_poll_after: Duration,
     /// The time for which a poll of an idle upstream may stay unanswered
     /// before the upstream counts as dead. Default: 1 s.
-    pub idle_silence_limit: Duration,
+    pub idle_response_timeout: Duration,
     /// The time for which a request may stay unanswered, without any other
     /// response, before the upstream counts as dead. Default: 2 s; with
     /// `poll_after` it must stay below 3 s.
-    pub silence_limit: Duration,
+    pub response_timeout: Duration,
     /// The consecutive failures to connect after which an upstream counts as
     /// dead. Default: 2.
     pub unreachable_limit: u32,
@@ -95,8 +95,8 @@
         Self {
             poll_after: Duration::from_millis(500),
             idle_poll_after: Duration::from_millis(1_800),
-            idle_silence_limit: Duration::from_secs(1),
-            silence_limit: Duration::from_secs(2),
+            idle_response_timeout: Duration::from_secs(1),
+            response_timeout: Duration::from_secs(2),
             unreachable_limit: 2,
         }
     }
@@ -115,9 +115,9 @@
     pub completions_min: u32,
     /// The duration of the first ejection; each later one doubles it.
     /// Default: 5 s.
-    pub base: Duration,
+    pub first_duration: Duration,
     /// The longest duration of an ejection. Default: 60 s.
-    pub longest: Duration,
+    pub duration_max: Duration,
 }
 
 impl Default for EjectionOptions {
@@ -126,8 +126,8 @@
             ejected_max: Share::clamped(0.34),
             excess_failures: Share::clamped(0.4),
             completions_min: 8,
-            base: Duration::from_secs(5),
-            longest: Duration::from_secs(60),
+            first_duration: Duration::from_secs(5),
+            duration_max: Duration::from_secs(60),
         }
     }
 }
--- a/crates/foxtide-core/src/choice/refusal_budget.rs
+++ b/crates/foxtide-core/src/choice/rejection_budget.rs
@@ -14,12 +14,12 @@
 
 /// The refusals that an instance may still cause.
 #[derive(Clone, Debug)]
-pub(crate) struct RefusalBudget {
+pub(crate) struct RejectionBudget {
     tokens: f64,
     refilled_at: MonotonicTime,
 }
 
-impl RefusalBudget {
+impl RejectionBudget {
     /// Returns a full bucket.
     pub(crate) const fn new() -> Self {
         Self {
@@ -45,23 +45,23 @@
         latency: Duration,
         now: MonotonicTime,
     ) {
-        let passed = now - self.refilled_at;
+        let elapsed = now - self.refilled_at;
         self.refilled_at = self.refilled_at.max(now);
-        let latencies = passed.as_secs_f64() / latency.as_secs_f64().max(1e-6);
-        self.add(latencies * options.refusals_per_latency);
+        let latencies = elapsed.as_secs_f64() / latency.as_secs_f64().max(1e-6);
+        self.add(latencies * options.rejections_per_latency);
     }
 
     /// Returns the time until speculation is allowed.
     pub(crate) fn next_token_in(&self, options: &BalancerOptions, latency: Duration) -> Duration {
         let missing = (1.0 - self.tokens).max(0.0);
-        latency.mul_f64(missing / options.refusals_per_latency.max(0.1))
+        latency.mul_f64(missing / options.rejections_per_latency.max(0.1))
     }
 
-    pub(crate) fn answered(&mut self, options: &BalancerOptions) {
-        self.add(options.refusals_per_answer);
+    pub(crate) fn record_answer(&mut self, options: &BalancerOptions) {
+        self.add(options.rejections_per_answer);
     }
 
-    pub(crate) fn refused(&mut self) {
+    pub(crate) fn record_rejection(&mut self) {
         self.tokens -= 1.0;
     }
 
--- a/crates/foxtide-core/src/choice/sharing.rs
+++ b/crates/foxtide-core/src/choice/sharing.rs
@@ -36,17 +36,17 @@
 }
 
 impl Sharing {
-    /// Returns how the instance `own` shares the upstreams with `members`, all
-    /// serving instances, `own` included.
+    /// Returns how the instance `local` shares the upstreams with `members`, all
+    /// serving instances, `local` included.
     pub fn among<'a>(
-        own: &InstanceId,
+        local: &InstanceId,
         members: impl Iterator<Item = (&'a InstanceId, &'a RegionId)> + Clone,
     ) -> Self {
         let instances = u32::try_from(members.clone().count()).unwrap_or(u32::MAX);
-        let own_region = members.clone().find(|(name, _)| *name == own);
-        let rank = own_region.map(|(_, own_region)| {
-            let local = members.filter(|(_, region)| *region == own_region);
-            rank_by_name(own, local.map(|(name, _)| name))
+        let local_region = members.clone().find(|(name, _)| *name == local);
+        let rank = local_region.map(|(_, local_region)| {
+            let in_region = members.filter(|(_, region)| *region == local_region);
+            rank_by_name(local, in_region.map(|(name, _)| name))
         });
         Self {
             instances: instances.max(1),
@@ -55,11 +55,11 @@
     }
 }
 
-fn rank_by_name<'a>(own: &InstanceId, names: impl Iterator<Item = &'a InstanceId>) -> Rank {
+fn rank_by_name<'a>(local: &InstanceId, names: impl Iterator<Item = &'a InstanceId>) -> Rank {
     let mut rank = Rank { index: 0, total: 0 };
     for name in names {
         rank.total += 1;
-        rank.index += u32::from(name < own);
+        rank.index += u32::from(name < local);
     }
     rank
 }
--- a/crates/foxtide-core/src/choice/subset.rs
+++ b/crates/foxtide-core/src/choice/subset.rs
@@ -70,8 +70,8 @@
     ) -> usize {
         let usable = candidates.iter().filter(|c| c.is_eligible());
         let connections: u64 = usable.map(|c| u64::from(c.upstream.connections)).sum();
-        let wanted_each = u64::from(options.connections_min.max(1));
-        let affordable = connections / u64::from(self.instances) / wanted_each;
+        let per_upstream = u64::from(options.connections_min.max(1));
+        let affordable = connections / u64::from(self.instances) / per_upstream;
         let size = usize::try_from(affordable).unwrap_or(usize::MAX);
         size.max(options.subset_min).min(eligible)
     }
@@ -88,11 +88,11 @@
         let Some(rank) = self.rank else {
             return;
         };
-        let mut dealt = 0;
+        let mut slot = 0;
         for candidate in candidates.iter_mut().filter(|c| c.is_eligible()) {
             for _ in 0..candidate.upstream.slots {
-                candidate.own_slots += u32::from(dealt % rank.total.max(1) == rank.index);
-                dealt += 1;
+                candidate.own_slots += u32::from(slot % rank.total.max(1) == rank.index);
+                slot += 1;
             }
         }
     }
--- a/crates/foxtide-core/src/choice/view.rs
+++ b/crates/foxtide-core/src/choice/view.rs
@@ -13,14 +13,14 @@
     ///
     /// Latency-sensitive requests should not wait much longer for an upstream.
     pub fn latency(&self) -> Duration {
-        self.common.latency()
+        self.stats.latency()
     }
 
     /// Returns whether the upstreams have capacity for hedged attempts, which
     /// would slow all requests down on busy upstreams.
     pub fn has_spare_capacity(&self) -> bool {
-        let is_idle = self.common.utilization <= self.options.hedge_utilization_max;
-        is_idle && self.refusal_budget.is_ample()
+        let is_idle = self.stats.utilization <= self.options.hedge_utilization_max;
+        is_idle && self.rejection_budget.is_ample()
     }
 
     /// Returns each upstream with its status.
--- a/crates/foxtide-core/src/events/backup/peers.rs
+++ b/crates/foxtide-core/src/events/backup/peers.rs
@@ -19,19 +19,19 @@
     pub region: RegionId,
 }
 
-/// Selects up to `copies` peers to store the events of `own`.
+/// Selects up to `copies` peers to store the events of `origin`.
 ///
 /// The first is preferably in another availability zone of the same region, so
 /// that it stays reachable when regions are disconnected, and the others are
 /// preferably in other regions. Rendezvous hashing (Thaler and Ravishankar, 1998)
 /// decides among equals, which keeps changes small when members join or leave.
-pub fn choose_peers(own: &BackupPeer, members: &[BackupPeer], copies: usize) -> Vec<InstanceId> {
+pub fn choose_peers(origin: &BackupPeer, members: &[BackupPeer], copies: usize) -> Vec<InstanceId> {
     let mut chosen: Vec<&BackupPeer> = Vec::new();
     for _ in 0..copies {
         let free = members
             .iter()
-            .filter(|peer| peer.instance != own.instance && !chosen.contains(peer));
-        let Some(best) = free.min_by_key(|peer| rank(own, peer, &chosen)) else {
+            .filter(|peer| peer.instance != origin.instance && !chosen.contains(peer));
+        let Some(best) = free.min_by_key(|peer| rank(origin, peer, &chosen)) else {
             break;
         };
         chosen.push(best);
@@ -41,14 +41,14 @@
 }
 
 /// Returns the rank of a candidate; lower is better.
-fn rank(own: &BackupPeer, peer: &BackupPeer, chosen: &[&BackupPeer]) -> (u8, Reverse<u64>) {
-    let new_zone = peer.availability_zone != own.availability_zone
+fn rank(origin: &BackupPeer, peer: &BackupPeer, chosen: &[&BackupPeer]) -> (u8, Reverse<u64>) {
+    let new_zone = peer.availability_zone != origin.availability_zone
         && chosen
             .iter()
             .all(|c| c.availability_zone != peer.availability_zone);
-    let new_region = peer.region != own.region && chosen.iter().all(|c| c.region != peer.region);
+    let new_region = peer.region != origin.region && chosen.iter().all(|c| c.region != peer.region);
     let wanted = if chosen.is_empty() {
-        peer.region == own.region
+        peer.region == origin.region
     } else {
         new_region
     };
@@ -57,10 +57,10 @@
         (true, false) => 1,
         (false, _) => 2,
     };
-    (tier, Reverse(weight(own, peer)))
+    (tier, Reverse(weight(origin, peer)))
 }
 
-fn weight(own: &BackupPeer, peer: &BackupPeer) -> u64 {
-    let seed = xxh3_64_with_seed(own.instance.as_str().as_bytes(), 0);
+fn weight(origin: &BackupPeer, peer: &BackupPeer) -> u64 {
+    let seed = xxh3_64_with_seed(origin.instance.as_str().as_bytes(), 0);
     xxh3_64_with_seed(peer.instance.as_str().as_bytes(), seed)
 }
--- a/crates/foxtide-core/src/events/backup/sender.rs
+++ b/crates/foxtide-core/src/events/backup/sender.rs
@@ -14,7 +14,7 @@
 /// frame and the packet headers.
 pub const BATCH_OVERHEAD_BYTES: u64 = 128;
 
-const BATCH_EVENTS: usize = 64;
+const BATCH_EVENTS_MAX: usize = 64;
 
 /// Options of [`BackupSender`].
 #[derive(Clone, Copy, Debug)]
@@ -67,8 +67,8 @@
 
     /// Resumes after the last acknowledged event if an acknowledgement is overdue.
     fn rewind_if_overdue(&mut self, now: MonotonicTime, timeout: Duration) {
-        let waits = self.sent > self.acknowledged;
-        if waits && now.since(self.sent_at) >= timeout {
+        let is_unacknowledged = self.sent > self.acknowledged;
+        if is_unacknowledged && now.since(self.sent_at) >= timeout {
             self.sent = self.acknowledged;
         }
     }
@@ -77,7 +77,7 @@
 /// Sends an instance's events to its peers within a bandwidth limit (token bucket).
 #[derive(Clone, Debug)]
 pub struct BackupSender {
-    own: InstanceId,
+    origin: InstanceId,
     options: SenderOptions,
     cursors: Vec<Cursor>,
     tokens_bytes: f64,
@@ -87,9 +87,9 @@
 
 impl BackupSender {
     /// Creates a sender without peers and with a full token bucket.
-    pub fn new(own: InstanceId, options: SenderOptions, now: MonotonicTime) -> Self {
+    pub fn new(origin: InstanceId, options: SenderOptions, now: MonotonicTime) -> Self {
         Self {
-            own,
+            origin,
             options,
             cursors: Vec::new(),
             tokens_bytes: options.burst_bytes as f64,
@@ -121,7 +121,7 @@
         for index in 0..self.cursors.len() {
             let timeout = self.options.acknowledge_timeout;
             self.cursors[index].rewind_if_overdue(now, timeout);
-            let entries = events_after(self.cursors[index].sent, BATCH_EVENTS);
+            let entries = events_after(self.cursors[index].sent, BATCH_EVENTS_MAX);
             self.count_lost(index, &entries);
             let remaining_peers = self.cursors.len() - index;
             if let Some(copies) = self.pack(entries, self.tokens_bytes / remaining_peers as f64) {
@@ -150,10 +150,10 @@
     }
 
     fn refill(&mut self, now: MonotonicTime) {
-        let passed_s = now.since(self.refilled_at).as_secs_f64();
-        let earned = passed_s * self.options.budget_bytes_per_s as f64;
-        let most = self.options.burst_bytes as f64;
-        self.tokens_bytes = (self.tokens_bytes + earned).min(most);
+        let elapsed_s = now.since(self.refilled_at).as_secs_f64();
+        let refill_bytes = elapsed_s * self.options.budget_bytes_per_s as f64;
+        let capacity_bytes = self.options.burst_bytes as f64;
+        self.tokens_bytes = (self.tokens_bytes + refill_bytes).min(capacity_bytes);
         self.refilled_at = now;
     }
 
@@ -174,7 +174,7 @@
     fn pack(&mut self, entries: Vec<RingEntry>, allowance_bytes: f64) -> Option<EventCopies> {
         let mut cost_bytes = BATCH_OVERHEAD_BYTES as f64;
         let mut copies = EventCopies {
-            origin: self.own.to_string(),
+            origin: self.origin.to_string(),
             ..EventCopies::default()
         };
         for entry in entries {
--- a/crates/foxtide-core/src/events/clock.rs
+++ b/crates/foxtide-core/src/events/clock.rs
@@ -67,11 +67,11 @@
     type Err = Error;
 
     fn from_str(text: &str) -> Result<Self> {
-        let bad = || Error::parse(text, EXPECTED);
-        let (wall, counter) = text.split_once('+').ok_or_else(bad)?;
+        let invalid = || Error::parse(text, EXPECTED);
+        let (wall, counter) = text.split_once('+').ok_or_else(invalid)?;
         Ok(Self {
-            wall_us: WallTime::from_us(wall.parse().map_err(|_| bad())?),
-            counter: counter.parse().map_err(|_| bad())?,
+            wall_us: WallTime::from_us(wall.parse().map_err(|_| invalid())?),
+            counter: counter.parse().map_err(|_| invalid())?,
         })
     }
 }
--- a/crates/foxtide-core/src/limits/bucket.rs
+++ b/crates/foxtide-core/src/limits/bucket.rs
@@ -88,9 +88,9 @@
     }
 
     fn refill(&mut self, now: MonotonicTime) {
-        let passed = now.since(self.refilled_at).as_secs_f64();
+        let elapsed = now.since(self.refilled_at).as_secs_f64();
         self.refilled_at = self.refilled_at.max(now);
-        self.tokens = (self.tokens + passed * self.refill_per_s).min(self.burst);
+        self.tokens = (self.tokens + elapsed * self.refill_per_s).min(self.burst);
     }
 }
 
--- a/crates/foxtide-core/src/limits/claim.rs
+++ b/crates/foxtide-core/src/limits/claim.rs
@@ -104,7 +104,7 @@
 pub struct ClaimWindow {
     published: VecDeque<(MonotonicTime, Claim)>,
     usable: Claim,
-    known: bool,
+    is_known: bool,
     connected_since: Option<MonotonicTime>,
 }
 
@@ -137,7 +137,7 @@
     /// This is the minimum of the claims in force since `now - window`, or zero
     /// if none is that old. It grows only after a whole window of full
     /// connectivity: an unreachable peer may not receive published claims.
-    pub fn settle(&mut self, window: Duration, connectivity: Connectivity, now: MonotonicTime) {
+    pub fn update(&mut self, window: Duration, connectivity: Connectivity, now: MonotonicTime) {
         let is_known = |(at, _): &(MonotonicTime, Claim)| now.since(*at) >= window;
         while self.published.get(1).is_some_and(is_known) {
             self.published.pop_front();
@@ -155,9 +155,9 @@
             let since = *self.connected_since.get_or_insert(now);
             now.since(since) >= window
         };
-        self.known = match connectivity {
+        self.is_known = match connectivity {
             Connectivity::Isolated => false,
-            _ => self.known || (may_grow && published),
+            _ => self.is_known || (may_grow && published),
         };
         self.usable = match connectivity {
             Connectivity::Isolated => Claim::default(),
@@ -168,10 +168,10 @@
 
     /// Returns whether all peers know a claim of this instance.
     pub fn is_known(&self) -> bool {
-        self.known
+        self.is_known
     }
 
-    /// Returns the claim computed by [`Self::settle`].
+    /// Returns the claim computed by [`Self::update`].
     pub fn usable(&self) -> Claim {
         self.usable
     }
@@ -179,8 +179,8 @@
 
 fn with_hysteresis(published: RequestRate, need: RequestRate) -> RequestRate {
     let (published_rps, need_rps) = (published.get(), need.get());
-    let within = need_rps <= published_rps && need_rps >= published_rps * LOWER_BELOW_SHARE;
-    if within {
+    let is_close = need_rps <= published_rps && need_rps >= published_rps * LOWER_BELOW_SHARE;
+    if is_close {
         return published;
     }
     RequestRate::clamped(need_rps * RAISE_FACTOR)
--- a/crates/foxtide-core/src/limits/limit.rs
+++ b/crates/foxtide-core/src/limits/limit.rs
@@ -37,11 +37,11 @@
     /// The sum of the floors of all instances that may use theirs.
     pub(crate) reserved: RequestRate,
     /// The claims of all instances.
-    pub(crate) all: Claims,
+    pub(crate) claims: Claims,
     /// Whether some of these claims are stale.
-    pub(crate) stale: bool,
+    pub(crate) has_stale_claims: bool,
     /// Whether there is no other instance.
-    pub(crate) alone: bool,
+    pub(crate) is_only_instance: bool,
 }
 
 /// How an instance obtains its allocation.
@@ -93,34 +93,34 @@
     }
 
     /// Returns whether the instance has an allocation, by claims or as its floor.
-    pub(crate) fn is_settled(&self) -> bool {
+    pub(crate) fn has_allocation(&self) -> bool {
         self.is_shared() || self.usable() > RequestRate::ZERO
     }
 
-    /// Recomputes the allocation, `passed` after the last update.
+    /// Recomputes the allocation, `elapsed` after the last update.
     pub(crate) fn update(
         &mut self,
         input: LimitInput,
         times: LimitTimes,
-        passed: Duration,
+        elapsed: Duration,
         now: MonotonicTime,
     ) {
         let sees_majority = self.majority.is_recent(times.majority_hold, now);
-        let connectivity = match (sees_majority, input.stale) {
+        let connectivity = match (sees_majority, input.has_stale_claims) {
             (false, _) => Connectivity::Isolated,
             (true, true) => Connectivity::Partial,
             (true, false) => Connectivity::Full,
         };
-        self.claims.settle(times.growth_window, connectivity, now);
+        self.claims.update(times.growth_window, connectivity, now);
         self.change_mode(sees_majority, now);
         let allocation = match self.mode {
-            _ if input.alone => input.sold,
+            _ if input.is_only_instance => input.sold,
             Mode::Shared => {
                 let shared = input.sold.get() - input.reserved.get();
                 allocate(
                     RequestRate::clamped(shared),
                     self.claims.usable(),
-                    input.all,
+                    input.claims,
                 )
             }
             // By then all sharing instances reserve the floor.
@@ -129,7 +129,7 @@
                 RequestRate::clamped(self.fallback_max.get().min(input.floor.get()))
             }
         };
-        self.limiter.update(allocation, passed, now);
+        self.limiter.update(allocation, elapsed, now);
     }
 
     fn change_mode(&mut self, sees_majority: bool, now: MonotonicTime) {
@@ -144,8 +144,8 @@
     }
 
     /// Reduces the usable rate because the receiver refused a request.
-    pub(crate) fn refused(&mut self, now: MonotonicTime) {
-        self.limiter.refused(now);
+    pub(crate) fn record_rejection(&mut self, now: MonotonicTime) {
+        self.limiter.record_rejection(now);
     }
 
     /// Returns the rate at which the instance may send.
--- a/crates/foxtide-core/src/limits/rate_limiter.rs
+++ b/crates/foxtide-core/src/limits/rate_limiter.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 /// The factor by which a refusal reduces the usable share.
-const REFUSAL_FACTOR: f64 = 0.7;
+const REJECTION_FACTOR: f64 = 0.7;
 
 /// The minimum usable share; some requests must pass to detect recovery.
 const USABLE_SHARE_MIN: f64 = 0.05;
@@ -15,7 +15,7 @@
 const RECOVERY_SHARE_PER_S: f64 = 0.05;
 
 /// The minimum time between refusals that count separately.
-const REFUSAL_INTERVAL_MIN: Duration = Duration::from_millis(100);
+const REJECTION_INTERVAL_MIN: Duration = Duration::from_millis(100);
 
 /// An instance's allocation of a region's or a link's sold rate.
 #[derive(Clone, Debug)]
@@ -23,7 +23,7 @@
     bucket: TokenBucket,
     allocation: RequestRate,
     usable_share: f64,
-    refused_at: Option<MonotonicTime>,
+    rejected_at: Option<MonotonicTime>,
 }
 
 impl RateLimiter {
@@ -33,13 +33,18 @@
             bucket: TokenBucket::new(RequestRate::ZERO, now),
             allocation: RequestRate::ZERO,
             usable_share: 1.0,
-            refused_at: None,
+            rejected_at: None,
         }
     }
 
-    /// Sets the allocation, `passed` after the last update.
-    pub(crate) fn update(&mut self, allocation: RequestRate, passed: Duration, now: MonotonicTime) {
-        let recovered = self.usable_share + passed.as_secs_f64() * RECOVERY_SHARE_PER_S;
+    /// Sets the allocation, `elapsed` after the last update.
+    pub(crate) fn update(
+        &mut self,
+        allocation: RequestRate,
+        elapsed: Duration,
+        now: MonotonicTime,
+    ) {
+        let recovered = self.usable_share + elapsed.as_secs_f64() * RECOVERY_SHARE_PER_S;
         self.usable_share = recovered.min(1.0);
         self.allocation = allocation;
         self.bucket.set_rate(self.usable(), now);
@@ -51,13 +56,13 @@
     }
 
     /// Reduces the usable rate because the receiver refused a request.
-    pub(crate) fn refused(&mut self, now: MonotonicTime) {
-        let again = self.refused_at.map(|at| now.since(at));
-        if again.is_some_and(|passed| passed < REFUSAL_INTERVAL_MIN) {
+    pub(crate) fn record_rejection(&mut self, now: MonotonicTime) {
+        let since_last = self.rejected_at.map(|at| now.since(at));
+        if since_last.is_some_and(|elapsed| elapsed < REJECTION_INTERVAL_MIN) {
             return;
         }
-        self.refused_at = Some(now);
-        self.usable_share = (self.usable_share * REFUSAL_FACTOR).max(USABLE_SHARE_MIN);
+        self.rejected_at = Some(now);
+        self.usable_share = (self.usable_share * REJECTION_FACTOR).max(USABLE_SHARE_MIN);
         self.bucket.set_rate(self.usable(), now);
     }
 
--- a/crates/foxtide-core/src/limits/split.rs
+++ b/crates/foxtide-core/src/limits/split.rs
@@ -37,13 +37,13 @@
 
 /// Returns an instance's allocation of a sold rate.
 ///
-/// `own` is the lowest claim that a peer may know of the instance; `all` is the
+/// `local` is the lowest claim that a peer may know of the instance; `all` is the
 /// sum of the claims that it knows, including its own.
-pub fn allocate(sold: RequestRate, own: Claim, all: Claims) -> RequestRate {
+pub fn allocate(sold: RequestRate, local: Claim, all: Claims) -> RequestRate {
     let sold_rps = sold.get();
     // Guards against a view that holds less than the instance's own claim.
-    let planned_sum = all.planned_rps.max(own.planned_rps.get());
-    let spilled_sum = all.spilled_rps.max(own.spilled_rps.get());
+    let planned_sum = all.planned_rps.max(local.planned_rps.get());
+    let spilled_sum = all.spilled_rps.max(local.spilled_rps.get());
     let spilled_taken = spilled_sum.min((sold_rps - planned_sum).max(0.0));
     let total = planned_sum + spilled_taken;
     if total <= 0.0 {
@@ -54,6 +54,6 @@
     } else {
         0.0
     };
-    let weight = own.planned_rps.get() + own.spilled_rps.get() * spilled_scale;
+    let weight = local.planned_rps.get() + local.spilled_rps.get() * spilled_scale;
     RequestRate::clamped(sold_rps * weight / total)
 }
--- a/crates/foxtide-core/src/owned_tokens.rs
+++ b/crates/foxtide-core/src/owned_tokens.rs
@@ -28,19 +28,19 @@
 
 impl<K: Clone + Display + Eq + Hash> OwnedTokens<K> {
     /// Takes one of the `count` tokens of `key` for `period` and returns whether one was
-    /// free. `instances` are the members believed alive, including `own`.
+    /// free. `instances` are the members believed alive, including `local`.
     pub(crate) fn try_take(
         &mut self,
         key: &K,
         count: u64,
         period: Duration,
-        own: &InstanceId,
+        local: &InstanceId,
         instances: &[InstanceId],
         now: MonotonicTime,
     ) -> bool {
         let name = key.to_string();
         for token in 0..count {
-            if owner(&name, token, instances) != Some(own) {
+            if owner(&name, token, instances) != Some(local) {
                 continue;
             }
             let used_until = self.used_until.entry((key.clone(), token)).or_insert(now);
--- a/crates/foxtide-core/src/poison/quarantine.rs
+++ b/crates/foxtide-core/src/poison/quarantine.rs
@@ -48,8 +48,8 @@
 impl QuarantineEntry {
     /// Returns the entry with one more trial, unless none is left.
     pub fn with_trial(self) -> Option<Self> {
-        let is_left = self.ends.saturating_add(self.trials) < ENDS_AND_TRIALS_MAX;
-        is_left.then(|| Self {
+        let has_trial = self.ends.saturating_add(self.trials) < ENDS_AND_TRIALS_MAX;
+        has_trial.then(|| Self {
             trials: self.trials + 1,
             ..self
         })
--- a/crates/foxtide-core/src/quota/bucket.rs
+++ b/crates/foxtide-core/src/quota/bucket.rs
@@ -6,10 +6,10 @@
 
 /// The share of a bucket's capacity that is reserved for the organisation's
 /// highest-priority requests.
-const URGENT_RESERVE_SHARE: f64 = 0.1;
+const PRIORITY_RESERVE_SHARE: f64 = 0.1;
 
 /// How long the reserve is held after the last highest-priority request.
-const URGENT_RESERVE_TIME: Duration = Duration::from_secs(5);
+const PRIORITY_RESERVE_TIME: Duration = Duration::from_secs(5);
 
 /// The share of the capacity below which tokens are handed out one at a time, since tokens
 /// cached at one instance are missing at the others.
@@ -34,7 +34,7 @@
     /// When the latest assigned token becomes available.
     last_retry_at: MonotonicTime,
     /// The highest recent priority, and when it was last seen.
-    most_urgent: (u32, MonotonicTime),
+    highest_priority: (u32, MonotonicTime),
 }
 
 impl Bucket {
@@ -44,7 +44,7 @@
             tokens,
             refilled_at: now,
             last_retry_at: now,
-            most_urgent: (priority, now),
+            highest_priority: (priority, now),
         }
     }
 
@@ -74,19 +74,19 @@
     }
 
     fn refill(&mut self, rate_rps: f64, capacity: f64, now: MonotonicTime) {
-        let passed_s = (now - self.refilled_at).as_secs_f64();
+        let elapsed_s = (now - self.refilled_at).as_secs_f64();
         self.refilled_at = self.refilled_at.max(now);
-        self.tokens = (self.tokens + passed_s * rate_rps).min(capacity);
+        self.tokens = (self.tokens + elapsed_s * rate_rps).min(capacity);
     }
 
     /// Returns the tokens that are reserved for requests of higher priority.
     fn reserve(&mut self, priority: u32, capacity: f64, now: MonotonicTime) -> f64 {
-        let (most_urgent, seen_at) = self.most_urgent;
-        if priority <= most_urgent || now - seen_at > URGENT_RESERVE_TIME {
-            self.most_urgent = (priority, now);
+        let (highest_priority, seen_at) = self.highest_priority;
+        if priority <= highest_priority || now - seen_at > PRIORITY_RESERVE_TIME {
+            self.highest_priority = (priority, now);
             return 0.0;
         }
-        capacity * URGENT_RESERVE_SHARE
+        capacity * PRIORITY_RESERVE_SHARE
     }
 
     /// Assigns the next unassigned token to a refusal and returns the time until it is
--- a/crates/foxtide-core/src/quota/fallback.rs
+++ b/crates/foxtide-core/src/quota/fallback.rs
@@ -23,19 +23,19 @@
 
 impl FallbackTokens {
     /// Takes a token for one request and tells whether there was one. `instances` are those
-    /// considered alive, including `own`.
+    /// considered alive, including `local`.
     pub fn try_take(
         &mut self,
         organisation: &OrganisationId,
         parts: &QuotaParts,
-        own: &InstanceId,
+        local: &InstanceId,
         instances: &[InstanceId],
         now: MonotonicTime,
     ) -> bool {
         let count = parts.fallback_requests().min(TOKENS_MAX) as u64;
         let period = parts.window() + PERIOD_MARGIN;
         self.tokens
-            .try_take(organisation, count, period, own, instances, now)
+            .try_take(organisation, count, period, local, instances, now)
     }
 
     /// Drops the records of tokens that are available again.
--- a/crates/foxtide-core/src/quota/token_cache.rs
+++ b/crates/foxtide-core/src/quota/token_cache.rs
@@ -47,12 +47,12 @@
         true
     }
 
-    /// Adds tokens that were requested at `asked_at`.
-    pub fn put(&mut self, tokens: u32, asked_at: MonotonicTime) {
+    /// Adds tokens that were requested at `requested_at`.
+    pub fn put(&mut self, tokens: u32, requested_at: MonotonicTime) {
         if tokens > 0 {
             self.batches.push_back(Batch {
                 tokens,
-                expires_at: asked_at + TOKEN_TIME,
+                expires_at: requested_at + TOKEN_TIME,
             });
         }
     }
--- a/crates/foxtide-core/src/records.rs
+++ b/crates/foxtide-core/src/records.rs
@@ -7,7 +7,7 @@
 };
 
 /// The maximum number of tombstones of removed keys.
-const REMOVED_MAX: usize = 4_096;
+const TOMBSTONES_MAX: usize = 4_096;
 
 /// The maximum number of gaps; a full read of the store makes one.
 const GAPS_MAX: usize = 8;
@@ -36,7 +36,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct RecordLog {
     records: BTreeMap<String, Record>,
-    removed: usize,
+    tombstones: usize,
     /// The log holds all changes after this index; `None` before the first read.
     complete_after: Option<StoreIndex>,
     index: StoreIndex,
@@ -52,7 +52,7 @@
     /// unchanged values keep their index, so that peers get only the difference.
     pub fn replace(&mut self, records: &[Record], index: StoreIndex) {
         if self.complete_after.is_some() && self.index < index {
-            self.note_gap(index);
+            self.record_gap(index);
         }
         let present: HashSet<&str> = records.iter().map(|record| record.key.as_str()).collect();
         let missing: Vec<Record> = self
@@ -76,17 +76,17 @@
         self.append(&changed, index);
     }
 
-    fn note_gap(&mut self, index: StoreIndex) {
+    fn record_gap(&mut self, index: StoreIndex) {
         self.gaps.push((self.index, index));
         if self.gaps.len() > GAPS_MAX {
-            let (_, forgotten_to) = self.gaps.remove(0);
-            self.complete_after = self.complete_after.max(Some(forgotten_to));
+            let (_, gap_end) = self.gaps.remove(0);
+            self.complete_after = self.complete_after.max(Some(gap_end));
         }
     }
 
     fn is_in_gap(&self, index: StoreIndex) -> bool {
-        let holds = |&(from, to): &(StoreIndex, StoreIndex)| from < index && index < to;
-        self.gaps.iter().any(holds)
+        let contains = |&(from, to): &(StoreIndex, StoreIndex)| from < index && index < to;
+        self.gaps.iter().any(contains)
     }
 
     /// Appends changes, the oldest first.
@@ -94,13 +94,13 @@
         for record in records {
             let before = self.records.insert(record.key.clone(), record.clone());
             let was_removed = before.is_some_and(|before| before.value.is_none());
-            self.removed += usize::from(record.value.is_none());
-            self.removed -= usize::from(was_removed);
+            self.tombstones += usize::from(record.value.is_none());
+            self.tombstones -= usize::from(was_removed);
         }
         self.index = self.index.max(index);
-        if self.removed > REMOVED_MAX {
+        if self.tombstones > TOMBSTONES_MAX {
             self.records.retain(|_, record| record.value.is_some());
-            self.removed = 0;
+            self.tombstones = 0;
             self.complete_after = Some(self.index);
         }
     }
--- a/crates/foxtide-core/src/retry/attempts.rs
+++ b/crates/foxtide-core/src/retry/attempts.rs
@@ -120,7 +120,7 @@
 
 /// Tracks one request over its attempts.
 ///
-/// Call [`begin`](Self::begin) when an attempt starts and [`ended`](Self::ended) with its
+/// Call [`begin`](Self::begin) when an attempt starts and [`end`](Self::end) with its
 /// result, and carry out the returned step.
 #[derive(Clone, Debug)]
 pub struct Attempts {
@@ -128,7 +128,7 @@
     options: RetryOptions,
     begun: u32,
     running: u32,
-    refused: u32,
+    rejected: u32,
     retries: u32,
     /// Whether an ended attempt may have run.
     may_have_run: bool,
@@ -145,7 +145,7 @@
             options,
             begun: 0,
             running: 0,
-            refused: 0,
+            rejected: 0,
             retries: 0,
             may_have_run: false,
             begun_at: MonotonicTime::ZERO,
@@ -203,7 +203,7 @@
     }
 
     /// Records how an attempt ended and decides the next step.
-    pub fn ended(
+    pub fn end(
         &mut self,
         id: AttemptId,
         result: AttemptResult,
@@ -213,7 +213,7 @@
         self.running = self.running.saturating_sub(1);
         self.may_have_run |= !result.is_not_run();
         if let AttemptResult::Rejected { retry_after } = result {
-            self.refused += 1;
+            self.rejected += 1;
             self.retry_after = self.retry_after.max(retry_after);
         }
         if result == AttemptResult::Answered {
@@ -223,8 +223,8 @@
         if self.running != 0 {
             return Step::Await;
         }
-        let was_refused = matches!(result, AttemptResult::Rejected { .. });
-        if was_refused && self.may_retry_refused(now) {
+        let was_rejected = matches!(result, AttemptResult::Rejected { .. });
+        if was_rejected && self.may_retry_rejected(now) {
             return Step::Retry {
                 after: Duration::ZERO,
             };
@@ -256,14 +256,14 @@
 
     /// Tells whether a request that was just refused may be retried without using the
     /// budget.
-    fn may_retry_refused(&self, now: MonotonicTime) -> bool {
+    fn may_retry_rejected(&self, now: MonotonicTime) -> bool {
         let is_safe = self.terms.idempotent || !self.may_have_run;
-        is_safe && self.refused <= self.options.refusals_max && self.has_time(now)
+        is_safe && self.rejected <= self.options.rejections_max && self.has_time(now)
     }
 
     /// Returns the number of attempts that count towards `attempts_max`.
     fn counted_attempts(&self) -> u32 {
-        self.begun - self.refused.min(self.options.refusals_max)
+        self.begun - self.rejected.min(self.options.rejections_max)
     }
 
     /// Takes a retry from the budget, or returns why the request may not be retried.
--- a/crates/foxtide-core/src/retry/budget.rs
+++ b/crates/foxtide-core/src/retry/budget.rs
@@ -37,9 +37,9 @@
 
     /// Takes one retry or hedge from the budget, if available.
     pub fn try_spend(&mut self, now: MonotonicTime) -> bool {
-        let passed_s = (now - self.refilled_at).as_secs_f64();
+        let elapsed_s = (now - self.refilled_at).as_secs_f64();
         self.refilled_at = self.refilled_at.max(now);
-        self.add_tokens(passed_s * self.options.floor_rps.get());
+        self.add_tokens(elapsed_s * self.options.floor_rps.get());
         if self.tokens < 1.0 {
             return false;
         }
--- a/crates/foxtide-core/src/retry/hedge.rs
+++ b/crates/foxtide-core/src/retry/hedge.rs
@@ -33,8 +33,8 @@
     /// Records the latency of a response.
     pub fn record(&mut self, latency: Duration) {
         let slower = latency.as_micros() as f64 > self.estimate_us;
-        let part = if slower { QUANTILE } else { QUANTILE - 1.0 };
-        self.estimate_us = (self.estimate_us * (1.0 + STEP_SHARE * part)).max(1.0);
+        let step = if slower { QUANTILE } else { QUANTILE - 1.0 };
+        self.estimate_us = (self.estimate_us * (1.0 + STEP_SHARE * step)).max(1.0);
     }
 
     /// Returns the time to wait before a hedge is sent.
--- a/crates/foxtide-core/src/retry/options.rs
+++ b/crates/foxtide-core/src/retry/options.rs
@@ -31,12 +31,12 @@
 #[derive(Clone, Debug)]
 pub struct RetryOptions {
     /// The maximum number of attempts of a request, including hedges but not the refusals
-    /// that `refusals_max` exempts. Default: 3.
+    /// that `rejections_max` exempts. Default: 3.
     pub attempts_max: u32,
     /// The number of refused attempts of a request that do not use the budget; further ones
     /// count as attempts. Refusals are cheap for the upstream, and the balancer limits
     /// their rate. Default: 16.
-    pub refusals_max: u32,
+    pub rejections_max: u32,
     /// The delay before the first retry; it doubles with each further retry. Default: 2 ms.
     pub backoff: Duration,
     /// The maximum delay before a retry. Default: 50 ms.
@@ -52,7 +52,7 @@
     fn default() -> Self {
         Self {
             attempts_max: 3,
-            refusals_max: 16,
+            rejections_max: 16,
             backoff: Duration::from_millis(2),
             backoff_max: Duration::from_millis(50),
             attempt_min: Duration::from_millis(5),
--- a/crates/foxtide-core/src/steering/destinations.rs
+++ b/crates/foxtide-core/src/steering/destinations.rs
@@ -117,7 +117,7 @@
             .iter()
             .position(|region| *region == self.origin);
         let destination = self.destinations.get(own.unwrap_or_default());
-        self.settled |= destination.is_none_or(|destination| destination.region.is_settled());
+        self.settled |= destination.is_none_or(|destination| destination.region.has_allocation());
     }
 
     /// Sets the rates that the instance needs to send to a region.
@@ -230,7 +230,7 @@
     pub(crate) fn refused(&mut self, region: &RegionId, now: MonotonicTime) {
         let mut destinations = self.regions.iter().zip(&mut self.destinations);
         if let Some((_, destination)) = destinations.find(|(id, _)| *id == region) {
-            destination.region.refused(now);
+            destination.region.record_rejection(now);
         }
     }
 
--- a/crates/foxtide-core/src/steering/limit_inputs.rs
+++ b/crates/foxtide-core/src/steering/limit_inputs.rs
@@ -89,9 +89,9 @@
             sold,
             floor: RequestRate::clamped(sold.get() * floor_share(own)),
             reserved: RequestRate::clamped(sold.get() * reserved_share),
-            all,
-            alone: self.view.is_alone(),
-            stale: self
+            claims: all,
+            is_only_instance: self.view.is_alone(),
+            has_stale_claims: self
                 .view
                 .regions
                 .values()
@@ -118,9 +118,9 @@
             sold,
             floor: RequestRate::clamped(floor_rps),
             reserved: RequestRate::clamped(floor_rps * f64::from(others)),
-            all,
-            alone: self.view.is_alone(),
-            stale: source.is_some_and(|source| self.is_stale(source)),
+            claims: all,
+            is_only_instance: self.view.is_alone(),
+            has_stale_claims: source.is_some_and(|source| self.is_stale(source)),
         }
     }
 
--- a/crates/foxtide-core/tests/retry_attempts.rs
+++ b/crates/foxtide-core/tests/retry_attempts.rs
@@ -16,7 +16,7 @@
 
 const START: MonotonicTime = MonotonicTime::from_ms(1_000);
 
-const REFUSED: AttemptResult = AttemptResult::Rejected { retry_after: None };
+const REJECTED: AttemptResult = AttemptResult::Rejected { retry_after: None };
 
 fn attempts(idempotent: bool) -> Attempts {
     let terms = RequestTerms {
@@ -43,17 +43,17 @@
     for result in [AttemptResult::Lost, AttemptResult::TimedOut] {
         let mut attempts = attempts(false);
         let id = attempts.begin(START);
-        let end = give_up(attempts.ended(id, result, &mut budget(), START));
+        let end = give_up(attempts.end(id, result, &mut budget(), START));
         assert_eq!(end, (Outcome::Unknown, GiveUpReason::NotIdempotent));
     }
 }
 
 #[test]
 fn verify_non_idempotent_is_retried_when_it_has_not_run() {
-    for result in [AttemptResult::NotSent, REFUSED] {
+    for result in [AttemptResult::NotSent, REJECTED] {
         let mut attempts = attempts(false);
         let id = attempts.begin(START);
-        let step = attempts.ended(id, result, &mut budget(), START);
+        let step = attempts.end(id, result, &mut budget(), START);
         assert!(matches!(step, Step::Retry { .. }));
     }
 }
@@ -64,9 +64,9 @@
     let mut budget = budget();
     let mut step = Step::Await;
     let options = RetryOptions::default();
-    for _ in 0..options.refusals_max + options.attempts_max {
+    for _ in 0..options.rejections_max + options.attempts_max {
         let id = attempts.begin(START);
-        step = attempts.ended(id, REFUSED, &mut budget, START);
+        step = attempts.end(id, REJECTED, &mut budget, START);
     }
     assert_eq!(
         give_up(step),
@@ -78,7 +78,7 @@
 fn verify_server_error_is_passed_on_when_it_cannot_be_retried() {
     let mut attempts = attempts(false);
     let id = attempts.begin(START);
-    let step = attempts.ended(id, AttemptResult::ServerError, &mut budget(), START);
+    let step = attempts.end(id, AttemptResult::ServerError, &mut budget(), START);
     assert_eq!(step, Step::Answer(id));
 }
 
@@ -94,9 +94,9 @@
     assert_eq!(attempts.hedge(&mut budget, at), Step::Hedge);
     let second = attempts.begin(at);
     assert_eq!(attempts.hedge_at(), None);
-    let lost = attempts.ended(first, AttemptResult::Lost, &mut budget, at);
+    let lost = attempts.end(first, AttemptResult::Lost, &mut budget, at);
     assert_eq!(lost, Step::Await);
-    let step = attempts.ended(second, AttemptResult::Answered, &mut budget, at);
+    let step = attempts.end(second, AttemptResult::Answered, &mut budget, at);
     assert_eq!(step, Step::Answer(second));
 }
 
@@ -112,7 +112,7 @@
     let mut attempts = attempts(true);
     let id = attempts.begin(START);
     let late = START + Duration::from_millis(1_999);
-    let end = give_up(attempts.ended(id, REFUSED, &mut budget(), late));
+    let end = give_up(attempts.end(id, REJECTED, &mut budget(), late));
     assert_eq!(end, (Outcome::NotRun, GiveUpReason::Deadline));
 }
 
@@ -122,7 +122,7 @@
     while budget.try_spend(START) {}
     let mut attempts = attempts(true);
     let id = attempts.begin(START);
-    let end = give_up(attempts.ended(id, AttemptResult::NotSent, &mut budget, START));
+    let end = give_up(attempts.end(id, AttemptResult::NotSent, &mut budget, START));
     assert_eq!(end, (Outcome::NotRun, GiveUpReason::BudgetSpent));
 }
 
@@ -131,9 +131,9 @@
     let mut budget = budget();
     while budget.try_spend(START) {}
     let mut attempts = attempts(false);
-    for _ in 0..RetryOptions::default().refusals_max {
+    for _ in 0..RetryOptions::default().rejections_max {
         let id = attempts.begin(START);
-        let step = attempts.ended(id, REFUSED, &mut budget, START);
+        let step = attempts.end(id, REJECTED, &mut budget, START);
         assert!(matches!(step, Step::Retry { .. }));
     }
 }
--- a/crates/foxtide-core/tests/retry_properties.rs
+++ b/crates/foxtide-core/tests/retry_properties.rs
@@ -67,7 +67,7 @@
     fn end(&mut self, result: AttemptResult) -> bool {
         let id = self.running.remove(0);
         self.may_have_run |= !result.is_not_run();
-        let step = self.attempts.ended(id, result, &mut self.budget, self.now);
+        let step = self.attempts.end(id, result, &mut self.budget, self.now);
         match step {
             Step::Retry { after } => {
                 self.now = self.now + after;
--- a/crates/foxtide-core/tests/steering/limits.rs
+++ b/crates/foxtide-core/tests/steering/limits.rs
@@ -70,19 +70,19 @@
     let mut window = ClaimWindow::default();
     let at = |s: u64| MonotonicTime::from_ms(s * 1_000);
     window.publish(claim(10.0, 0.0), at(0));
-    window.settle(WINDOW, Connectivity::Full, at(0));
-    window.settle(WINDOW, Connectivity::Full, at(3));
+    window.update(WINDOW, Connectivity::Full, at(0));
+    window.update(WINDOW, Connectivity::Full, at(3));
     assert_eq!(window.usable(), Claim::default());
-    window.settle(WINDOW, Connectivity::Full, at(4));
+    window.update(WINDOW, Connectivity::Full, at(4));
     let first = window.usable().planned_rps.get();
     assert!(first >= 10.0);
     window.publish(claim(40.0, 0.0), at(5));
-    window.settle(WINDOW, Connectivity::Full, at(8));
+    window.update(WINDOW, Connectivity::Full, at(8));
     assert!(window.usable().planned_rps.get() <= first);
-    window.settle(WINDOW, Connectivity::Full, at(9));
+    window.update(WINDOW, Connectivity::Full, at(9));
     assert!(window.usable().planned_rps.get() >= 40.0);
     window.publish(claim(4.0, 0.0), at(9));
-    window.settle(WINDOW, Connectivity::Full, at(9));
+    window.update(WINDOW, Connectivity::Full, at(9));
     assert!(window.usable().planned_rps.get() <= 5.0);
 }
 
@@ -91,10 +91,10 @@
     let mut window = ClaimWindow::default();
     let at = |s: u64| MonotonicTime::from_ms(s * 1_000);
     window.publish(claim(10.0, 0.0), at(0));
-    window.settle(WINDOW, Connectivity::Full, at(0));
-    window.settle(WINDOW, Connectivity::Full, at(4));
+    window.update(WINDOW, Connectivity::Full, at(0));
+    window.update(WINDOW, Connectivity::Full, at(4));
     let before = window.usable();
     window.publish(claim(50.0, 0.0), at(5));
-    window.settle(WINDOW, Connectivity::Partial, at(60));
+    window.update(WINDOW, Connectivity::Partial, at(60));
     assert_eq!(window.usable(), before);
 }
--- a/crates/foxtide-entry/src/traffic/service.rs
+++ b/crates/foxtide-entry/src/traffic/service.rs
@@ -161,7 +161,7 @@
         result: AttemptResult,
         now: MonotonicTime,
     ) -> Step {
-        attempts.ended(id, result, &mut self.retries.lock().budget, now)
+        attempts.end(id, result, &mut self.retries.lock().budget, now)
     }
 
     /// Decides whether to send a second attempt in parallel.
--- a/crates/foxtide-testing/src/scenario/endings.rs
+++ b/crates/foxtide-testing/src/scenario/endings.rs
@@ -63,7 +63,7 @@
         }
         let step = copy
             .attempts
-            .ended(attempt.id, result, &mut tools.budget, now);
+            .end(attempt.id, result, &mut tools.budget, now);
         let gave_up = matches!(step, Step::GiveUp(_));
         if let (AttemptEnd::Refused, true, Some(steering)) = (end, gave_up, &mut process.steering) {
             steering.refused_by(&attempt.region, now);
--- a/crates/foxtide/examples/measure/choice/fleet.rs
+++ b/crates/foxtide/examples/measure/choice/fleet.rs
@@ -220,7 +220,7 @@
             attempts: Attempts::new(
                 terms,
                 RetryOptions {
-                    refusals_max: W::REFUSALS_MAX,
+                    rejections_max: W::REFUSALS_MAX,
                     ..RetryOptions::default()
                 },
             ),
@@ -361,7 +361,7 @@
         let instance = request.instance;
         let budget = &mut self.instances[instance].budget;
         let id = self.attempts[number].id;
-        let step = request.attempts.ended(id, result, budget, self.now);
+        let step = request.attempts.end(id, result, budget, self.now);
         self.obey(request_number, step, result);
         self.serve_waiting(instance);
     }
