--- a/crates/foxtide-core/src/admission/mod.rs
+++ b/crates/foxtide-core/src/admission/mod.rs
@@ -1,8 +1,8 @@
 //! Admission of requests to upstream slots across all instances.
 //!
 //! Each upstream has one coordinator: an instance of the upstream's region that all
-//! instances derive from the same member list. It counts the requests of all instances in
-//! progress, and the others ask it for a slot before they send a request.
+//! instances derive from the same member list. It counts the requests in progress from all
+//! instances, which ask it for a slot before they send a request.
 //!
 //! ```text
 //! ask -> Answer::Granted | Answer::Waiting (another answer follows) | Answer::Busy
@@ -11,9 +11,9 @@
 //! end -> frees the slot for a waiting request
 //! ```
 //!
-//! Grants are advisory; the upstream has the final say. A grant expires by itself, a new
-//! coordinator starts with all slots free, and a request is sent without a grant when the
-//! coordinator does not answer.
+//! Grants are advisory: the upstream may still reject the request. A grant that is not
+//! released expires, a new coordinator starts with all slots free, and a request is sent
+//! without a grant if the coordinator does not answer.
 
 mod coordinator;
 mod objects;
--- a/crates/foxtide-core/src/admission/queue.rs
+++ b/crates/foxtide-core/src/admission/queue.rs
@@ -25,12 +25,12 @@
 /// The multiple of the expected service time after which an unreleased grant expires.
 const GRANT_TIMEOUT_FACTOR: u32 = 4;
 
-/// Bounds of the retry delay in refusals.
+/// Bounds of the retry delay in rejections.
 const RETRY_AFTER_MIN: Duration = Duration::from_millis(100);
 const RETRY_AFTER_MAX: Duration = Duration::from_millis(1_000);
 
 /// The share of the latency objective within which a request must be expected to finish to
-/// wait at its own upstream; otherwise it tries a neighbour. The rest covers network
+/// wait at its preferred upstream; otherwise it tries another one. The rest covers network
 /// latency, varying service times and newer requests that are served first.
 const OBJECTIVE_WAIT_SHARE: f64 = 0.5;
 
@@ -55,8 +55,8 @@
     priority: u32,
     queued_at: MonotonicTime,
     objective_at: MonotonicTime,
-    /// The latest expected completion at which it still waits here rather than tries a
-    /// neighbour.
+    /// The latest expected completion at which it waits here rather than tries another
+    /// upstream.
     wait_until: MonotonicTime,
     deadline: MonotonicTime,
 }
@@ -88,7 +88,7 @@
         self.slots = slots.max(1) as usize;
     }
 
-    /// Tells whether a request waits or holds a slot.
+    /// Returns whether a request waits or holds a slot.
     pub(super) fn contains(&self, ticket: Ticket) -> bool {
         let is_waiting = self.waiting.iter().any(|waiting| waiting.ticket == ticket);
         is_waiting || self.running.contains_key(&ticket)
@@ -112,7 +112,7 @@
             answers.push((ticket, Answer::Busy));
             return;
         }
-        if !self.waiting.iter().any(|waiting| waiting.ticket == ticket) {
+        if !self.waiting.iter().any(|one| one.ticket == ticket) {
             self.waiting.push(Waiting {
                 ticket,
                 object: request.object,
@@ -124,21 +124,21 @@
             });
         }
         self.dispatch(now, answers);
-        let Some(at) = self.waiting.iter().position(|one| one.ticket == ticket) else {
+        let Some(index) = self.waiting.iter().position(|one| one.ticket == ticket) else {
             return;
         };
-        let answer = self.decide(&self.waiting[at], request.patience, now);
+        let answer = self.decide(&self.waiting[index], request.patience, now);
         if answer != Answer::Waiting {
-            self.waiting.remove(at);
+            self.waiting.remove(index);
         }
         answers.push((ticket, answer));
     }
 
-    /// Tells whether a request that does not wait may have a slot.
+    /// Returns whether a request that does not wait may have a slot.
     ///
     /// A first access takes longer here than at the upstream that cached the object. It
-    /// gets an idle slot only, so that objects do not spread to neighbours that are equally
-    /// busy.
+    /// gets an idle slot only, so that objects do not spread to other upstreams that are
+    /// equally busy.
     fn has_immediate_room(&self, object: Option<ObjectKey>) -> bool {
         let limit = match self.access(object) {
             ObjectAccess::Repeated => self.slots + UPSTREAM_BACKLOG,
@@ -212,15 +212,15 @@
         self.running.retain(|_, running| now < running.expires_at);
     }
 
-    /// Grants free slots and refuses waiting requests that can no longer meet their
+    /// Grants free slots and rejects waiting requests that can no longer meet their
     /// deadline.
     fn dispatch(&mut self, now: MonotonicTime, answers: &mut Vec<(Ticket, Answer)>) {
         self.drop_expired_grants(now);
         while self.running.len() < self.slots + UPSTREAM_BACKLOG {
-            let Some(at) = self.next_waiting(now) else {
+            let Some(index) = self.next_waiting(now) else {
                 break;
             };
-            let next = self.waiting.remove(at);
+            let next = self.waiting.remove(index);
             answers.push((next.ticket, Answer::Granted));
             self.grant(&next, now);
         }
@@ -269,8 +269,8 @@
     /// Returns the index of the request to serve next: by priority, then class, then newest
     /// first, since the newest has the latest deadline.
     fn next_waiting(&self, now: MonotonicTime) -> Option<usize> {
-        (0..self.waiting.len()).min_by_key(|&at| {
-            let waiting = &self.waiting[at];
+        (0..self.waiting.len()).min_by_key(|&index| {
+            let waiting = &self.waiting[index];
             (
                 waiting.priority,
                 self.class_of(waiting, now),
--- a/crates/foxtide-core/src/admission/request.rs
+++ b/crates/foxtide-core/src/admission/request.rs
@@ -40,18 +40,18 @@
     pub objective_left: Duration,
     /// The time left until the deadline of the caller or the route.
     pub time_left: Duration,
-    /// How long the request may wait.
+    /// The limit of the wait for a slot.
     pub patience: Patience,
 }
 
-/// How long a request may wait for a slot.
+/// The limit of a request's wait for a slot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Patience {
-    /// Not at all.
+    /// The request does not wait.
     NoWait,
-    /// While its answer is expected well within the latency objective.
+    /// It waits while its response is expected well within the latency objective.
     WithinObjective,
-    /// While it can still be served before its deadline.
+    /// It waits while it can be served before its deadline.
     UntilDeadline,
 }
 
--- a/crates/foxtide-core/src/ids.rs
+++ b/crates/foxtide-core/src/ids.rs
@@ -159,7 +159,7 @@
     }
 
     #[test]
-    fn verify_bad_names_are_refused() {
+    fn verify_invalid_names_are_rejected() {
         for text in ["", "Khomas", "a b", "a/b", &"a".repeat(64)] {
             assert!(text.parse::<RegionId>().is_err(), "{text}");
         }
--- a/crates/foxtide-core/src/limits/claim.rs
+++ b/crates/foxtide-core/src/limits/claim.rs
@@ -1,4 +1,4 @@
-//! Claims of instances on a limit, and the lowest claim that peers may know.
+//! Claims of instances on a limit, and the part of a claim that all peers know.
 
 use crate::time::MonotonicTime;
 use crate::units::RequestRate;
@@ -144,8 +144,8 @@
         }
         let claims = self.published.iter().map(|(_, claim)| *claim);
         let mut least = claims.reduce(Claim::min).unwrap_or_default();
-        let published = self.published.front().is_some_and(is_known);
-        if !published {
+        let is_published = self.published.front().is_some_and(is_known);
+        if !is_published {
             least = Claim::default();
         }
         if connectivity != Connectivity::Full {
@@ -157,7 +157,7 @@
         };
         self.is_known = match connectivity {
             Connectivity::Isolated => false,
-            _ => self.is_known || (may_grow && published),
+            _ => self.is_known || (may_grow && is_published),
         };
         self.usable = match connectivity {
             Connectivity::Isolated => Claim::default(),
--- a/crates/foxtide-core/src/limits/limit.rs
+++ b/crates/foxtide-core/src/limits/limit.rs
@@ -143,7 +143,7 @@
         }
     }
 
-    /// Reduces the usable rate because the receiver refused a request.
+    /// Reduces the usable rate because the receiver rejected a request.
     pub(crate) fn record_rejection(&mut self, now: MonotonicTime) {
         self.limiter.record_rejection(now);
     }
--- a/crates/foxtide-core/src/limits/majority.rs
+++ b/crates/foxtide-core/src/limits/majority.rs
@@ -5,7 +5,7 @@
 
 /// The last contact with more than half of a region's known instances.
 ///
-/// After a partition each side may take the other for dead. Only the majority
+/// After a partition each side may consider the other failed. Only the majority
 /// side keeps sharing the region's limit; the other instances fall back to
 /// their floors.
 #[derive(Clone, Debug, Default)]
--- a/crates/foxtide-core/src/limits/rate_limiter.rs
+++ b/crates/foxtide-core/src/limits/rate_limiter.rs
@@ -1,20 +1,20 @@
-//! Limits one instance's rate to its allocation, reduced after refusals.
+//! Limits one instance's rate to its allocation, reduced after rejections.
 
 use super::bucket::TokenBucket;
 use crate::time::MonotonicTime;
 use crate::units::RequestRate;
 use std::time::Duration;
 
-/// The factor by which a refusal reduces the usable share.
+/// The factor by which a rejection reduces the usable share.
 const REJECTION_FACTOR: f64 = 0.7;
 
 /// The minimum usable share; some requests must pass to detect recovery.
 const USABLE_SHARE_MIN: f64 = 0.05;
 
-/// The recovery of the usable share after refusals, per second.
+/// The recovery of the usable share after rejections, per second.
 const RECOVERY_SHARE_PER_S: f64 = 0.05;
 
-/// The minimum time between refusals that count separately.
+/// The minimum time between rejections that count separately.
 const REJECTION_INTERVAL_MIN: Duration = Duration::from_millis(100);
 
 /// An instance's allocation of a region's or a link's sold rate.
@@ -50,12 +50,12 @@
         self.bucket.set_rate(self.usable(), now);
     }
 
-    /// Returns the allocation before reductions for refusals.
+    /// Returns the allocation before reductions for rejections.
     pub(crate) fn allocation(&self) -> RequestRate {
         self.allocation
     }
 
-    /// Reduces the usable rate because the receiver refused a request.
+    /// Reduces the usable rate because the receiver rejected a request.
     pub(crate) fn record_rejection(&mut self, now: MonotonicTime) {
         let since_last = self.rejected_at.map(|at| now.since(at));
         if since_last.is_some_and(|elapsed| elapsed < REJECTION_INTERVAL_MIN) {
--- a/crates/foxtide-core/src/quota/bucket.rs
+++ b/crates/foxtide-core/src/quota/bucket.rs
@@ -8,7 +8,7 @@
 /// highest-priority requests.
 const PRIORITY_RESERVE_SHARE: f64 = 0.1;
 
-/// How long the reserve is held after the last highest-priority request.
+/// The time after the last highest-priority request for which the reserve is held.
 const PRIORITY_RESERVE_TIME: Duration = Duration::from_secs(5);
 
 /// The share of the capacity below which tokens are handed out one at a time, since tokens
@@ -16,17 +16,17 @@
 const PREFETCH_RESERVE_SHARE: f64 = 0.5;
 
 /// The share of its refill rate that a newly started process uses, since another instance
-/// may still hand out the same part for a moment.
+/// may briefly hand out the same part.
 pub(super) const STARTUP_RATE_SHARE: f64 = 0.65;
 
-/// How long a process refills at the reduced rate: as long as a membership change takes to
-/// reach all instances.
+/// The time for which a process refills at the reduced rate, in which a membership change
+/// reaches all instances.
 pub(super) const STARTUP_TIME: Duration = Duration::from_secs(3);
 
-/// The longest retry delay in a refusal.
+/// The longest retry delay in a rejection.
 const RETRY_AFTER_MAX: Duration = Duration::from_secs(10);
 
-/// A token bucket that assigns future tokens to refused requests in order of arrival.
+/// A token bucket that assigns future tokens to rejected requests in order of arrival.
 #[derive(Clone, Debug)]
 pub(super) struct Bucket {
     tokens: f64,
@@ -89,7 +89,7 @@
         capacity * PRIORITY_RESERVE_SHARE
     }
 
-    /// Assigns the next unassigned token to a refusal and returns the time until it is
+    /// Assigns the next unassigned token to a rejection and returns the time until it is
     /// available.
     fn schedule_retry(&mut self, missing: f64, rate_rps: f64, now: MonotonicTime) -> Duration {
         if rate_rps <= 0.0 {
--- a/crates/foxtide-core/src/quota/coordinator.rs
+++ b/crates/foxtide-core/src/quota/coordinator.rs
@@ -11,7 +11,7 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// How long an unused bucket is retained; a new one would hold as many tokens by then.
+/// The time after which an unused bucket is dropped; a new one holds as many tokens by then.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(120);
 
 /// A request for tokens of a quota.
@@ -35,7 +35,7 @@
     },
     /// This part of the quota is used up.
     Rejected {
-        /// The time until a token is available that is not assigned to an earlier refusal.
+        /// The time until a token is available that is not assigned to an earlier rejection.
         retry_after: Duration,
     },
     /// The instance does not coordinate this quota or cannot tell whether it does.
--- a/crates/foxtide-core/src/quota/fallback.rs
+++ b/crates/foxtide-core/src/quota/fallback.rs
@@ -12,7 +12,7 @@
 /// The maximum number of tokens per organisation, which bounds the search for an owned one.
 const TOKENS_MAX: f64 = 64.0;
 
-/// How long a used token stays unavailable beyond the window, since request latencies vary.
+/// The time beyond the window for which a used token is unavailable, since latencies vary.
 const PERIOD_MARGIN: Duration = Duration::from_millis(500);
 
 /// Tokens that are each owned by one live instance and need no coordination.
@@ -22,7 +22,7 @@
 }
 
 impl FallbackTokens {
-    /// Takes a token for one request and tells whether there was one. `instances` are those
+    /// Takes a token for one request and returns whether there was one. `instances` are those
     /// considered alive, including `local`.
     pub fn try_take(
         &mut self,
--- a/crates/foxtide-core/src/quota/parts.rs
+++ b/crates/foxtide-core/src/quota/parts.rs
@@ -89,7 +89,6 @@
         (self.bounds.requests_max(&self.quota) - allowed) * FALLBACK_SHARE
     }
 
-    /// Returns the window in which requests are counted.
     pub(super) fn window(&self) -> Duration {
         self.bounds.window
     }
--- a/crates/foxtide-core/src/quota/token_cache.rs
+++ b/crates/foxtide-core/src/quota/token_cache.rs
@@ -4,8 +4,8 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// How long a token is valid after it was requested. It is short because cached tokens add
-/// to the requests that can run in a window.
+/// The validity of a token from its request. It is short because cached tokens add to the
+/// requests that can run in a window.
 pub const TOKEN_TIME: Duration = Duration::from_millis(300);
 
 /// The period of expected requests for which tokens are prefetched; well below
@@ -66,7 +66,7 @@
         1 + prefetched.min(WANTED_MAX) as u32
     }
 
-    /// Tells whether no request has come for longer than `time`.
+    /// Returns whether no request has arrived for longer than `time`.
     pub fn is_unused(&self, time: Duration, now: MonotonicTime) -> bool {
         self.last_request_at
             .is_none_or(|last_request_at| now - last_request_at > time)
--- a/crates/foxtide-core/src/records.rs
+++ b/crates/foxtide-core/src/records.rs
@@ -1,4 +1,4 @@
-//! A log of the store's records, from which peers are served changes.
+//! A log of the store's records that serves their changes to peers.
 
 use crate::store::StoreIndex;
 use std::collections::{
@@ -9,10 +9,10 @@
 /// The maximum number of tombstones of removed keys.
 const TOMBSTONES_MAX: usize = 4_096;
 
-/// The maximum number of gaps; a full read of the store makes one.
+/// The maximum number of gaps; a full read of the store adds one.
 const GAPS_MAX: usize = 8;
 
-/// The maximum total size of relayed records, as a watcher sends them to many peers.
+/// The maximum total size of relayed records, since a watcher sends them to many peers.
 const RELAYED_BYTES_MAX: usize = 128 * 1_024;
 
 /// Returns whether records are small enough to relay; peers read larger ones from the store.
--- a/crates/foxtide-core/src/store.rs
+++ b/crates/foxtide-core/src/store.rs
@@ -132,7 +132,7 @@
         step: &'static str,
         /// The store's address.
         peer: String,
-        /// Why.
+        /// The cause.
         cause: String,
     },
     /// The response was lost or late; the call may have taken effect.
@@ -142,11 +142,11 @@
         step: &'static str,
         /// The store's address.
         peer: String,
-        /// Why.
+        /// The cause.
         cause: String,
     },
-    /// The store refused the call; nothing was changed.
-    #[error("store {peer}, {step}: refused with status {status}: {cause}")]
+    /// The store rejected the call; nothing was changed.
+    #[error("store {peer}, {step}: rejected with status {status}: {cause}")]
     Rejected {
         /// The step that failed.
         step: &'static str,
@@ -220,9 +220,8 @@
         async move { self.watch(prefix, after, wait).await.map(StoreNames::from) }
     }
 
-    /// Writes a key if its index still is `expected`
-    /// ([`StoreIndex::ABSENT`]: if there is no such key). Returns whether it was
-    /// written.
+    /// Writes a key if its index is still `expected`; [`StoreIndex::ABSENT`] creates
+    /// it. Returns whether it was written.
     fn write(
         &self,
         key: &str,
@@ -230,7 +229,7 @@
         expected: StoreIndex,
     ) -> impl Future<Output = StoreResult<bool>> + Send;
 
-    /// Deletes a key if its index still is `expected`. Returns whether it was
+    /// Deletes a key if its index is still `expected`. Returns whether it was
     /// deleted.
     fn delete(
         &self,
--- a/crates/foxtide-core/src/units.rs
+++ b/crates/foxtide-core/src/units.rs
@@ -219,7 +219,7 @@
     }
 
     #[test]
-    fn verify_values_out_of_range_are_refused() {
+    fn verify_values_out_of_range_are_rejected() {
         assert!(RequestRate::new(-1.0).is_err());
         assert!(RequestRate::new(f64::NAN).is_err());
         assert!(Share::new(1.1).is_err());
