--- a/crates/foxtide-core/src/idempotency/fingerprint.rs
+++ b/crates/foxtide-core/src/idempotency/fingerprint.rs
@@ -4,7 +4,7 @@
 
 /// A digest of what a request asks for.
 ///
-/// A key that arrives again with another fingerprint is refused
+/// A repeated key with another fingerprint is rejected
 /// (draft-ietf-httpapi-idempotency-key-header, section 2.7). The digest includes the
 /// organisation, so that no organisation receives the response of another.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
--- a/crates/foxtide-core/src/idempotency/options.rs
+++ b/crates/foxtide-core/src/idempotency/options.rs
@@ -7,14 +7,14 @@
 /// The limits of a [`Table`](super::Table).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TableOptions {
-    /// How long after it was minted a key may be retried. Default: 5 minutes, which exceeds
-    /// the longest deadline plus a few retries.
+    /// The time for which a key may be retried after it was minted. Default: 5 minutes, which
+    /// exceeds the longest deadline plus a few retries.
     pub validity: Duration,
     /// The minimum time for which a key may be retried. A full table evicts older keys and
-    /// refuses them from then on. Default: 1 minute.
+    /// rejects them from then on. Default: 1 minute.
     pub validity_min: Duration,
-    /// How far in the future a key's time may be. Default: [`CLOCK_SKEW_MAX`]. Keys beyond
-    /// it are refused, since they would stay in the table beyond their validity.
+    /// The maximum lead of a key's time over the clock. Default: [`CLOCK_SKEW_MAX`]. Keys
+    /// beyond it are rejected, since they would stay in the table beyond their validity.
     pub clock_skew_max: Duration,
     /// The maximum number of keys, running and ended. Default: 65,536.
     pub keys_max: usize,
--- a/crates/foxtide-core/src/idempotency/rejection.rs
+++ b/crates/foxtide-core/src/idempotency/rejection.rs
@@ -1,4 +1,4 @@
-//! Refusals of requests with an idempotency key.
+//! Rejections of requests with an idempotency key.
 
 use crate::outcome::Outcome;
 use std::fmt;
@@ -79,7 +79,7 @@
 }
 
 impl Rejection {
-    /// Returns the refusal of a key that may not be retried.
+    /// Returns the rejection of a key that may not be retried.
     pub(crate) const fn permanent(reason: RejectionReason) -> Self {
         let retry_after = None;
         Self {
@@ -88,7 +88,7 @@
         }
     }
 
-    /// Returns the refusal of a key that may be retried after a delay.
+    /// Returns the rejection of a key that may be retried after a delay.
     pub(crate) const fn temporary(reason: RejectionReason, retry_after: Duration) -> Self {
         let retry_after = Some(retry_after);
         Self {
--- a/crates/foxtide-core/src/idempotency/table.rs
+++ b/crates/foxtide-core/src/idempotency/table.rs
@@ -43,10 +43,10 @@
     },
     /// The request was run before with this response.
     Replay(A),
-    /// Another instance owns the key. Redirect the caller to it, or refuse the request with
+    /// Another instance owns the key. Redirect the caller to it, or reject the request with
     /// [`RejectionReason::OwnerGone`] if that instance is no longer a member.
     NotOwner,
-    /// Refuse the request.
+    /// Reject the request.
     Reject(Rejection),
 }
 
@@ -77,7 +77,7 @@
     options: TableOptions,
     running: BTreeMap<Uuid, Running>,
     ended: BTreeMap<Uuid, Ended<A>>,
-    /// The newest evicted key. Unknown keys up to it are refused.
+    /// The newest evicted key. Unknown keys up to it are rejected.
     evicted_through: Uuid,
     /// The keys with stored responses, oldest first.
     answered: BTreeSet<Uuid>,
@@ -181,7 +181,7 @@
         self.end(&claim, RunResult::AnswerDropped);
     }
 
-    /// Tells whether a response of this size is stored.
+    /// Returns whether a response of this size is stored.
     pub fn can_store(&self, size: ByteSize) -> bool {
         size <= self.options.answer_max
     }
@@ -258,7 +258,7 @@
         None
     }
 
-    /// Evicts keys older than the minimum validity if the table is full. Tells whether
+    /// Evicts keys older than the minimum validity if the table is full. Returns whether
     /// there is room for a key.
     fn evict_if_full(&mut self, now: WallTime) -> bool {
         if self.is_full() {
@@ -285,7 +285,7 @@
         }
     }
 
-    /// Ends a run. Tells whether it was running.
+    /// Ends a run. Returns whether the key was running.
     fn end(&mut self, claim: &Claim, result: RunResult<A>) -> bool {
         let Some(running) = self.running.remove(&claim.uuid) else {
             return false;
@@ -299,8 +299,7 @@
         true
     }
 
-    /// Evicts at most `max_count` of the oldest keys, which were minted more than `age`
-    /// ago.
+    /// Evicts up to `max_count` of the oldest keys that were minted more than `age` ago.
     fn evict(&mut self, now: WallTime, age: Duration, max_count: usize) {
         for _ in 0..max_count {
             let Some(oldest) = self.ended.first_entry() else {
--- a/crates/foxtide-core/src/poison/quarantine.rs
+++ b/crates/foxtide-core/src/poison/quarantine.rs
@@ -17,20 +17,20 @@
     Duration::from_secs(600),
 ];
 
-/// The largest random addition to a trial's delay, as a share of it: it spreads the claims of
-/// the instances.
+/// The largest random addition to a trial's delay, as a share of it; spreads the claims of the
+/// instances.
 const TRIAL_JITTER: f64 = 0.2;
 
 /// The retry delay for callers of a request that has no trial due.
 const RETRY_AFTER_NO_TRIAL: Duration = Duration::from_secs(60);
 
-/// How long an instance waits for another one to write an entry before writing it itself.
+/// The time for which an instance waits for a peer to write an entry before it does so itself.
 const PEER_WRITE_DELAY: Duration = Duration::from_secs(3);
 
 /// The time over which instances spread such writes.
 const PEER_WRITE_JITTER: Duration = Duration::from_secs(3);
 
-/// How long a write may stay unconfirmed by the store before it is repeated.
+/// The time after which a write is repeated unless the store has confirmed it.
 const WRITE_CONFIRM_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// The capacity of the table; the oldest entry is evicted for a new one.
@@ -203,7 +203,7 @@
         now: MonotonicTime,
     ) -> Vec<Fingerprint> {
         let is_stored =
-            |fingerprint: Fingerprint| stored.iter().any(|one| one.fingerprint == fingerprint);
+            |fingerprint: Fingerprint| stored.iter().any(|entry| entry.fingerprint == fingerprint);
         self.0.retain(|&fingerprint, request| {
             if request.index.is_none() || is_stored(fingerprint) {
                 return true;
@@ -212,9 +212,9 @@
             request.write_at = now + PEER_WRITE_JITTER.mul_f64(draw);
             is_restored
         });
-        let is_new = |one: &&StoredEntry| self.merge_stored(one, draw, now);
+        let is_new = |entry: &&StoredEntry| self.merge_stored(entry, draw, now);
         let new = stored.iter().filter(is_new);
-        new.map(|one| one.fingerprint).collect()
+        new.map(|entry| entry.fingerprint).collect()
     }
 
     /// Releases a request; returns whether it was quarantined.
--- a/crates/foxtide-core/src/poison/suspects.rs
+++ b/crates/foxtide-core/src/poison/suspects.rs
@@ -1,4 +1,4 @@
-//! Counts of upstream ends by request.
+//! Counts the upstreams that ended under each request.
 
 use super::Fingerprint;
 use crate::ids::UpstreamId;
@@ -9,12 +9,12 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// The delay before a request is retried after an upstream ended under it. It is longer than
-/// reports and quarantines take within a region, and than the upstreams of a failing zone take
-/// to end one after another.
+/// The delay before a request is retried after an upstream ended under it. It exceeds the
+/// time in which reports and quarantines spread within a region, and the time between the first
+/// and the last end of a failing zone.
 pub const RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// How long ends are kept after the last report.
+/// The time for which ends are retained after the last report.
 const RETENTION: Duration = Duration::from_secs(600);
 
 /// The capacity of the table; the least recently reported request is evicted for a new one.
@@ -33,8 +33,8 @@
 
 /// Options of [`Suspects`].
 ///
-/// All requests in flight at an ended upstream are counted alike: an unrelated one is served on
-/// its retry, which clears it.
+/// All requests in flight at an ended upstream are counted alike: an unrelated one is served when
+/// it is retried, which clears its ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EvidenceOptions {
     /// The number of ends, without the request being served in between, at which it is
--- a/crates/foxtide-core/src/retry/attempts.rs
+++ b/crates/foxtide-core/src/retry/attempts.rs
@@ -39,7 +39,7 @@
 pub enum AttemptResult {
     /// No byte of the request was sent.
     NotSent,
-    /// The upstream refused the request and stated that it did not run.
+    /// The upstream rejected the request and stated that it did not run.
     Rejected {
         /// The retry delay that the upstream asked for.
         retry_after: Option<Duration>,
@@ -56,7 +56,7 @@
 }
 
 impl AttemptResult {
-    /// Tells whether the request is known not to have run in this attempt.
+    /// Returns whether the request is known not to have run in this attempt.
     pub const fn is_not_run(self) -> bool {
         matches!(self, Self::NotSent | Self::Rejected { .. })
     }
@@ -254,7 +254,7 @@
         }
     }
 
-    /// Tells whether a request that was just refused may be retried without using the
+    /// Returns whether a request that was just rejected may be retried without using the
     /// budget.
     fn may_retry_rejected(&self, now: MonotonicTime) -> bool {
         let is_safe = self.terms.idempotent || !self.may_have_run;
--- a/crates/foxtide-core/src/retry/options.rs
+++ b/crates/foxtide-core/src/retry/options.rs
@@ -30,11 +30,11 @@
 /// Settings of the attempts of one request.
 #[derive(Clone, Debug)]
 pub struct RetryOptions {
-    /// The maximum number of attempts of a request, including hedges but not the refusals
+    /// The maximum number of attempts of a request, including hedges but not the rejections
     /// that `rejections_max` exempts. Default: 3.
     pub attempts_max: u32,
-    /// The number of refused attempts of a request that do not use the budget; further ones
-    /// count as attempts. Refusals are cheap for the upstream, and the balancer limits
+    /// The number of rejected attempts of a request that do not use the budget; further ones
+    /// count as attempts. Rejections are cheap for the upstream, and the balancer limits
     /// their rate. Default: 16.
     pub rejections_max: u32,
     /// The delay before the first retry; it doubles with each further retry. Default: 2 ms.
