--- a/crates/foxtide-core/src/choice/balancer.rs
+++ b/crates/foxtide-core/src/choice/balancer.rs
@@ -100,7 +100,7 @@
 
     /// Sets this instance's rank among those that share the slots. With a rank,
     /// each slot is owned by one instance, which prefers it. Ranks that
-    /// temporarily disagree between instances only cause refusals.
+    /// temporarily disagree between instances only cause rejections.
     pub fn set_rank(&mut self, rank: Option<Rank>, now: MonotonicTime) {
         if self.rank != rank {
             self.rank = rank;
--- a/crates/foxtide-core/src/choice/candidate.rs
+++ b/crates/foxtide-core/src/choice/candidate.rs
@@ -22,7 +22,7 @@
 /// The largest factor by which latency may raise or lower a score.
 const LATENCY_FACTOR_MAX: f64 = 8.0;
 
-/// The longest time for which a refusal alone excludes an upstream.
+/// The longest time for which a rejection alone excludes an upstream.
 const REJECTION_HOLD_MAX: Duration = Duration::from_millis(100);
 
 /// Statistics over all candidates of a balancer.
@@ -55,7 +55,7 @@
     /// The number of slots owned by this instance.
     pub(crate) own_slots: u32,
     pub(crate) in_subset: bool,
-    /// Whether foxtide was told that the upstream is leaving.
+    /// Whether [`Balancer::leave`](super::Balancer::leave) was called for the upstream.
     pub(crate) leaving: bool,
     /// Whether the upstream itself announced that it is draining.
     pub(crate) draining: bool,
@@ -100,7 +100,6 @@
         &self.upstream.upstream
     }
 
-    /// Starts the ramp-up of the upstream.
     pub(crate) fn start_ramp(&mut self, now: MonotonicTime) {
         self.ramp_started_at = Some(now);
     }
@@ -321,7 +320,7 @@
             .record_report(others, self.average_others(stats), now);
     }
 
-    /// Records a refusal: every slot was in use, and one is expected to be freed
+    /// Records a rejection: every slot was in use, and one is expected to be freed
     /// after about the latency divided by the number of slots.
     fn record_rejection(
         &mut self,
--- a/crates/foxtide-core/src/choice/completion.rs
+++ b/crates/foxtide-core/src/choice/completion.rs
@@ -6,17 +6,17 @@
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum CompletionKind {
-    /// A complete answer arrived, other than a server error.
+    /// A complete response arrived that is not a server error.
     Answered,
-    /// A complete answer arrived and is a server error.
+    /// A complete response arrived that is a server error.
     Failed,
-    /// The upstream refused the request without running it.
+    /// The upstream rejected the request without running it.
     Rejected,
     /// No connection could be opened; no byte of the request was sent.
     NotSent,
-    /// The connection broke before the answer was complete.
+    /// The connection broke before the response was complete.
     Lost,
-    /// The attempt timed out before the answer was complete.
+    /// The attempt timed out before the response was complete.
     TimedOut,
     /// The caller disconnected, or another attempt answered first.
     Cancelled,
@@ -44,9 +44,9 @@
 pub struct Completion {
     /// How the attempt ended.
     pub kind: CompletionKind,
-    /// The time from sending to the end of the answer, without connecting.
+    /// The time from sending to the end of the response, without connecting.
     pub latency: Duration,
-    /// The load reported in the answer.
+    /// The load reported in the response.
     pub load: Option<LoadReport>,
     /// Whether the upstream announced that it is draining.
     pub draining: bool,
@@ -67,15 +67,15 @@
 /// The result of polling an upstream's load endpoint.
 #[derive(Clone, Debug, PartialEq)]
 pub enum PollResult {
-    /// Any complete answer arrived.
+    /// Any complete response arrived.
     Answered {
-        /// The load, where the answer reports one.
+        /// The load, if the response reports one.
         load: Option<LoadReport>,
         /// Whether the upstream announced that it is draining.
         draining: bool,
     },
     /// No connection could be opened.
     Unreachable,
-    /// No answer arrived in time.
+    /// No response arrived in time.
     TimedOut,
 }
--- a/crates/foxtide-core/src/choice/ejection.rs
+++ b/crates/foxtide-core/src/choice/ejection.rs
@@ -38,9 +38,9 @@
         COMPLETIONS_PER_EJECTION.saturating_mul(self.ejections.max(1))
     }
 
-    /// Returns whether this upstream fails far more often than all together.
-    pub(crate) fn is_outlier(&self, all: &Self, options: &EjectionOptions) -> bool {
-        let excess = self.failure_share - all.failure_share;
+    /// Returns whether this upstream fails far more often than the pool.
+    pub(crate) fn is_outlier(&self, pool: &Self, options: &EjectionOptions) -> bool {
+        let excess = self.failure_share - pool.failure_share;
         self.completions >= options.completions_min && excess >= options.excess_failures.get()
     }
 
@@ -60,7 +60,6 @@
         self.failure_share = 0.0;
     }
 
-    /// Ends the ejection early.
     pub(crate) fn end_ejection(&mut self) {
         self.ejected_until = None;
     }
--- a/crates/foxtide-core/src/choice/liveness.rs
+++ b/crates/foxtide-core/src/choice/liveness.rs
@@ -1,6 +1,6 @@
 //! Failure detection for one upstream.
 //!
-//! Any response, including a refusal or an answered poll, proves the upstream
+//! Any response, including a rejection or an answered poll, proves the upstream
 //! alive. Without responses it is polled: early while requests are in flight,
 //! later while it is idle. When a request or a poll stays unanswered for its
 //! limit without any other response, the upstream is dead and gets no requests
--- a/crates/foxtide-core/src/choice/mod.rs
+++ b/crates/foxtide-core/src/choice/mod.rs
@@ -1,7 +1,7 @@
 //! Load balancing across the upstreams of one service in one region.
 //!
-//! A [`Balancer`] estimates the load of each upstream from this instance's own
-//! observations (requests in flight, latency, refusals) and, with less weight,
+//! A [`Balancer`] estimates the load of each upstream from this instance's
+//! observations (requests in flight, latency, rejections) and, with less weight,
 //! from load reports. It excludes upstreams that are leaving, unresponsive or
 //! failing far more often than the rest.
 //!
--- a/crates/foxtide-core/src/choice/occupancy.rs
+++ b/crates/foxtide-core/src/choice/occupancy.rs
@@ -2,7 +2,7 @@
 //!
 //! A load report gives the slots in use at one moment. Its weight decays within
 //! about one latency, after which the estimate is the average over all
-//! upstreams. A refusal proves that every slot was in use; reports that refusals
+//! upstreams. A rejection proves that every slot was in use; reports that rejections
 //! contradict lose weight.
 
 use crate::time::MonotonicTime;
@@ -59,7 +59,7 @@
         self.trust += TRUST_GAIN * (1.0 - self.trust);
     }
 
-    /// Records a refusal: other instances must have used `others` slots.
+    /// Records a rejection: other instances must have used `others` slots.
     pub(crate) fn record_rejection(&mut self, others: f64, lifetime_us: f64, now: MonotonicTime) {
         let is_report_wrong =
             self.others + 1.0 <= others && self.freshness(lifetime_us, now) > TRUST_DECAY;
--- a/crates/foxtide-core/src/choice/options.rs
+++ b/crates/foxtide-core/src/choice/options.rs
@@ -21,9 +21,9 @@
     /// The decay time of a load report, as a multiple of the smoothed latency.
     /// Default: 1.
     pub report_lifetime_latencies: f64,
-    /// The refusals that an instance may cause for each answer. Default: 0.2.
+    /// The rejections that an instance may cause for each answer. Default: 0.2.
     pub rejections_per_answer: f64,
-    /// The refusals that an instance may cause in addition within each smoothed
+    /// The rejections that an instance may cause in addition within each smoothed
     /// latency. Default: 2.
     pub rejections_per_latency: f64,
     /// The highest smoothed utilization of the upstreams at which hedged
@@ -33,7 +33,7 @@
     /// owns a free slot, as a share; see [`Balancer::set_rank`](super::Balancer::set_rank).
     /// Default: 0.3.
     pub own_slot_bonus: f64,
-    /// How long after an answer its slot is still expected to be free, as a
+    /// The time after an answer for which its slot is expected to be free, as a
     /// multiple of the smoothed latency. Default: 0.5.
     pub freed_slot_lifetime_latencies: f64,
     /// The fewest connections to keep to each upstream; an instance with a
--- a/crates/foxtide-core/src/choice/rejection_budget.rs
+++ b/crates/foxtide-core/src/choice/rejection_budget.rs
@@ -1,8 +1,8 @@
-//! Token bucket that limits the refusals which an instance causes.
+//! Token bucket that limits the rejections that an instance causes.
 //!
-//! A request sent without recent knowledge of the upstream may be refused. This
-//! finds free slots cheaply, but unlimited speculation would overload the
-//! upstreams with refusals. Each refusal costs a token; answers and time refill
+//! A request sent without recent knowledge of the upstream may be rejected. Such
+//! speculation finds free slots cheaply, but without a limit it would overload
+//! the upstreams with rejections. Each rejection costs a token; answers and time refill
 //! the bucket. While it is empty, requests go only to upstreams that are
 //! expected to have a free slot.
 
@@ -12,7 +12,7 @@
 
 const TOKENS_MAX: f64 = 10.0;
 
-/// The refusals that an instance may still cause.
+/// The rejections that an instance may still cause.
 #[derive(Clone, Debug)]
 pub(crate) struct RejectionBudget {
     tokens: f64,
@@ -33,7 +33,7 @@
         self.tokens >= 1.0
     }
 
-    /// Returns whether refusals have been rare recently.
+    /// Returns whether rejections have been rare recently.
     pub(crate) fn is_ample(&self) -> bool {
         self.tokens >= TOKENS_MAX / 2.0
     }
@@ -65,7 +65,7 @@
         self.tokens -= 1.0;
     }
 
-    fn add(&mut self, refusals: f64) {
-        self.tokens = (self.tokens + refusals).min(TOKENS_MAX);
+    fn add(&mut self, tokens: f64) {
+        self.tokens = (self.tokens + tokens).min(TOKENS_MAX);
     }
 }
--- a/crates/foxtide-core/src/choice/view.rs
+++ b/crates/foxtide-core/src/choice/view.rs
@@ -1,4 +1,4 @@
-//! Read access to the state of a balancer.
+//! Queries of a balancer's state.
 
 use super::balancer::Balancer;
 use super::candidate::Candidate;
@@ -11,7 +11,7 @@
 impl Balancer {
     /// Returns the smoothed latency over all upstreams, 0 before any answer.
     ///
-    /// Latency-sensitive requests should not wait much longer for an upstream.
+    /// Latency-sensitive requests should not wait much longer than this.
     pub fn latency(&self) -> Duration {
         self.stats.latency()
     }
