--- a/crates/foxtide-core/tests/admission.rs
+++ b/crates/foxtide-core/tests/admission.rs
@@ -36,7 +36,7 @@
     }
 }
 
-/// A request for an object of its own, with a latency objective of 600 ms.
+/// A request for a distinct object, with a latency objective of 600 ms.
 fn request(number: u64) -> SlotRequest {
     SlotRequest {
         ticket: ticket(number),
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn verify_slots_and_one_more_are_granted_and_the_next_when_one_ends() {
+fn verify_one_request_beyond_the_slots_is_granted() {
     let mut coordinator = Coordinator::default();
     for number in 0..ADMITTED_MAX {
         let answers = coordinator.ask(&request(number), SLOTS, at(0));
@@ -99,7 +99,7 @@
 }
 
 #[test]
-fn verify_asking_again_is_answered_again_and_changes_nothing() {
+fn verify_repeated_requests_change_nothing() {
     let mut coordinator = Coordinator::default();
     for _ in 0..3 {
         let answers = coordinator.ask(&request(1), SLOTS, at(0));
@@ -130,7 +130,7 @@
 }
 
 #[test]
-fn verify_in_time_requests_go_newest_first_and_late_ones_last() {
+fn verify_in_time_requests_are_granted_newest_first_and_late_ones_last() {
     let mut coordinator = warmed_coordinator();
     fill(&mut coordinator, at(5_000));
     let late_newest = SlotRequest {
@@ -155,7 +155,7 @@
 }
 
 #[test]
-fn verify_a_higher_priority_goes_first() {
+fn verify_a_higher_priority_is_granted_first() {
     let mut coordinator = warmed_coordinator();
     fill(&mut coordinator, at(5_000));
     let low = SlotRequest {
@@ -171,7 +171,7 @@
 
 /// An object counts as cached from the start of its first request, not only from its end.
 #[test]
-fn verify_an_object_is_known_from_the_beginning_of_its_first_request() {
+fn verify_an_object_counts_as_cached_from_the_start_of_its_first_request() {
     let mut coordinator = warmed_coordinator();
     assert_eq!(
         granted(&coordinator.ask(&object_request(1, 9), SLOTS, at(5_000))),
@@ -191,7 +191,7 @@
 }
 
 #[test]
-fn verify_an_object_whose_first_request_failed_is_not_known() {
+fn verify_an_object_whose_first_request_failed_is_not_cached() {
     let mut coordinator = warmed_coordinator();
     coordinator.ask(&object_request(1, 9), SLOTS, at(5_000));
     coordinator.end(ticket(1), Ending::NotServed, at(5_010));
@@ -204,11 +204,11 @@
 }
 
 #[test]
-fn verify_a_request_that_cannot_meet_its_deadline_is_refused_at_once() {
+fn verify_a_request_that_cannot_meet_its_deadline_is_rejected_immediately() {
     let mut coordinator = warmed_coordinator();
     fill(&mut coordinator, at(5_000));
     let mut number = 0;
-    let refused = loop {
+    let retry_after = loop {
         number += 1;
         let answers = coordinator.ask(&object_request(number, 1), SLOTS, at(5_000));
         match answers[..] {
@@ -217,13 +217,13 @@
             ref other => panic!("{other:?}"),
         }
     };
-    // 1.5 s less its own 240 ms leave time for 15 requests at 80 ms each.
+    // 1.5 s less the request's 240 ms leave time for 15 requests at 80 ms each.
     assert!((14..=17).contains(&number), "{number}");
-    assert!(refused >= Duration::from_millis(500), "{refused:?}");
+    assert!(retry_after >= Duration::from_millis(500), "{retry_after:?}");
 }
 
 #[test]
-fn verify_a_waiting_request_is_refused_before_its_deadline() {
+fn verify_a_waiting_request_is_rejected_before_its_deadline() {
     let mut coordinator = warmed_coordinator();
     fill(&mut coordinator, at(5_000));
     let short_deadline = SlotRequest {
@@ -235,7 +235,7 @@
         [(ticket(1), Answer::Waiting)]
     );
     let answers = coordinator.ask(&object_request(2, 2), SLOTS, at(5_200));
-    assert!(matches!(answers[0], (name, Answer::Rejected { .. }) if name == ticket(1)));
+    assert!(matches!(answers[0], (of, Answer::Rejected { .. }) if of == ticket(1)));
 }
 
 #[test]
@@ -246,9 +246,9 @@
     let slow = coordinator.ask(&object_request(9, 3), SLOTS, at(5_900));
     assert_eq!(slow, [(ticket(9), Answer::Waiting)]);
     coordinator.end(ticket(9), Ending::NotServed, at(5_910));
-    let lapsed = at(5_000 + 4 * REPEATED_MS);
+    let expired = at(5_000 + 4 * REPEATED_MS);
     assert_eq!(
-        granted(&coordinator.ask(&object_request(1, 2), SLOTS, lapsed)),
+        granted(&coordinator.ask(&object_request(1, 2), SLOTS, expired)),
         [1]
     );
 }
@@ -267,7 +267,7 @@
 }
 
 #[test]
-fn verify_upstreams_that_are_gone_are_forgotten() {
+fn verify_queues_of_unknown_upstreams_are_dropped() {
     let mut coordinator = warmed_coordinator();
     fill(&mut coordinator, at(5_000));
     coordinator.retain(|_, _| false);
@@ -278,20 +278,20 @@
 }
 
 #[test]
-fn verify_a_request_within_objective_is_busy_when_it_would_be_late() {
+fn verify_a_request_that_would_miss_its_objective_is_busy() {
     let mut coordinator = warmed_coordinator();
     fill(&mut coordinator, at(5_000));
-    let early_only = |number| SlotRequest {
+    let within_objective = |number| SlotRequest {
         patience: Patience::WithinObjective,
         objective_left: Duration::from_millis(1_120),
         ..object_request(number, 1)
     };
-    // Half of 1,120 ms less its own 240 ms leaves time for four requests at 80 ms each.
+    // Half of 1,120 ms less the request's 240 ms leaves time for four requests at 80 ms each.
     for number in 1..=4 {
-        let answers = coordinator.ask(&early_only(number), SLOTS, at(5_000));
+        let answers = coordinator.ask(&within_objective(number), SLOTS, at(5_000));
         assert_eq!(answers, [(ticket(number), Answer::Waiting)]);
     }
-    let answers = coordinator.ask(&early_only(5), SLOTS, at(5_000));
+    let answers = coordinator.ask(&within_objective(5), SLOTS, at(5_000));
     assert_eq!(answers, [(ticket(5), Answer::Busy)]);
     // It is not queued: the released slot goes to another request.
     let answers = coordinator.end(ticket(200), Ending::Served, at(5_010));
--- a/crates/foxtide-core/tests/backup.rs
+++ b/crates/foxtide-core/tests/backup.rs
@@ -127,18 +127,19 @@
     }
     assert!(origin.poll(60_000).is_empty());
     let everything = EventFilter::default();
-    let own = origin.ring.select(&everything);
+    let recorded = origin.ring.select(&everything);
     drop(origin);
-    assert_eq!(holder.select(&everything), own);
+    assert_eq!(holder.select(&everything), recorded);
 }
 
 #[test]
-fn verify_lost_message_is_sent_again_and_kept_once() {
+fn verify_unacknowledged_events_are_resent_and_stored_once() {
     let mut origin = Origin::new(SenderOptions::default(), 100);
     let mut holder = BackupHolder::default();
     origin.record(2);
-    let lost_answer = origin.poll(1_000);
-    holder.accept(lost_answer[0].copies.clone()).unwrap();
+    let first = origin.poll(1_000);
+    // The acknowledgement is lost.
+    holder.accept(first[0].copies.clone()).unwrap();
     assert!(origin.poll(2_000).is_empty());
     let again = origin.poll(6_000);
     holder.accept(again[0].copies.clone()).unwrap();
@@ -146,7 +147,7 @@
 }
 
 #[test]
-fn verify_budget_holds_under_a_flood() {
+fn verify_the_bandwidth_limit_holds_under_many_events() {
     let options = SenderOptions::default();
     let mut origin = Origin::new(options, 4_096);
     let mut sent_bytes = 0;
@@ -158,13 +159,13 @@
             origin.sender.acknowledge(&batch.to, batch.copies.through);
         }
     }
-    let most = options.burst_bytes + seconds * options.budget_bytes_per_s;
-    assert!(sent_bytes <= most, "{sent_bytes} above {most}");
+    let limit = options.burst_bytes + seconds * options.budget_bytes_per_s;
+    assert!(sent_bytes <= limit, "{sent_bytes} above {limit}");
     assert!(origin.sender.lost() > 0);
 }
 
 #[test]
-fn verify_new_peer_gets_what_is_kept() {
+fn verify_a_new_peer_gets_all_events_in_the_ring() {
     let mut origin = Origin::new(SenderOptions::default(), 100);
     origin.record(3);
     for batch in origin.poll(1_000) {
@@ -194,16 +195,16 @@
         holder.accept(copies).unwrap();
     }
     assert!(holder.size_bytes() <= 30_000);
-    let mut held: HashMap<InstanceId, usize> = HashMap::new();
+    let mut stored: HashMap<InstanceId, usize> = HashMap::new();
     for event in holder.select(&EventFilter::default()) {
-        *held.entry(event.instance).or_default() += 1;
+        *stored.entry(event.instance).or_default() += 1;
     }
-    assert_eq!(held[&"i-3".parse::<InstanceId>().unwrap()], 5);
-    assert_eq!(held.len(), 3);
+    assert_eq!(stored[&"i-3".parse::<InstanceId>().unwrap()], 5);
+    assert_eq!(stored.len(), 3);
 }
 
 #[test]
-fn verify_unknown_codes_and_bad_origins_do_no_harm() {
+fn verify_unknown_codes_are_ignored_and_invalid_origins_rejected() {
     let mut holder = BackupHolder::default();
     let mut origin = Origin::new(SenderOptions::default(), 100);
     origin.record(2);
--- a/crates/foxtide-core/tests/choice_balancer.rs
+++ b/crates/foxtide-core/tests/choice_balancer.rs
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn verify_leaving_upstream_gets_nothing() {
+fn verify_leaving_upstream_gets_no_requests() {
     let mut balancer = balancer(3, 1);
     balancer.leave(&id(1), at(5));
     let seen = serve(&mut balancer, 5..500);
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn verify_upstream_that_says_it_drains_gets_nothing_until_a_poll_denies_it() {
+fn verify_draining_upstream_gets_no_requests_until_a_poll_clears_it() {
     let mut balancer = balancer(1, 1);
     let ticket = pick(&mut balancer, at(0), 0);
     let mut completion = Completion::new(CompletionKind::Answered, LATENCY);
@@ -91,16 +91,16 @@
     let poll = balancer
         .next_poll(at(2_000))
         .expect("a draining upstream is polled");
-    let denial = PollResult::Answered {
+    let not_draining = PollResult::Answered {
         load: None,
         draining: false,
     };
-    balancer.finish_poll(poll, denial, at(2_001));
+    balancer.finish_poll(poll, not_draining, at(2_001));
     assert!(matches!(balancer.pick(at(2_001), 0), Pick::Take(_)));
 }
 
 #[test]
-fn verify_full_upstreams_ask_to_wait() {
+fn verify_pick_waits_while_all_upstreams_are_full() {
     let mut balancer = balancer(1, 1);
     let tickets: Vec<Ticket> = (0..4).map(|n| pick(&mut balancer, at(0), n)).collect();
     assert!(matches!(balancer.pick(at(0), 9), Pick::Wait { .. }));
@@ -111,7 +111,7 @@
 }
 
 #[test]
-fn verify_silent_upstream_gets_nothing_after_three_seconds() {
+fn verify_unresponsive_upstream_gets_no_requests_after_three_seconds() {
     let mut balancer = balancer(3, 1);
     let mut polls = Vec::new();
     let mut last_sent_ms = 0;
@@ -189,7 +189,7 @@
 }
 
 #[test]
-fn verify_failing_upstream_is_ejected_and_returns_slowly() {
+fn verify_failing_upstream_is_ejected_and_ramps_up_afterwards() {
     let mut balancer = balancer(4, 1);
     fail_upstream(&mut balancer, &[2], 200, 0);
     assert_eq!(count(&balancer, UpstreamStatus::Ejected, at(200)), 1);
@@ -215,7 +215,7 @@
 }
 
 #[test]
-fn verify_tried_upstream_is_avoided_while_another_has_room() {
+fn verify_tried_upstream_is_avoided_while_another_has_a_free_slot() {
     let mut balancer = balancer(2, 1);
     for draw in 0..50 {
         let pick = balancer.pick_avoiding(at(draw), draw, &[id(0)]);
@@ -228,23 +228,23 @@
 }
 
 #[test]
-fn verify_new_upstream_gets_a_growing_part() {
+fn verify_new_upstream_gets_a_growing_share() {
     let mut balancer = balancer(3, 1);
     balancer.configure(&list(4), 1, at(1_000));
-    let part = |balancer: &mut Balancer, start_ms: u64| {
+    let new_share = |balancer: &mut Balancer, start_ms: u64| {
         let mut taken = Vec::new();
         for draw in 0..8 {
             taken.push(pick(balancer, at(start_ms), draw));
         }
         let to_new = taken.iter().filter(|t| t.upstream().upstream == id(3));
-        let part = to_new.count();
+        let count = to_new.count();
         for ticket in taken {
             finish(balancer, ticket, CompletionKind::Answered, at(start_ms));
         }
-        part
+        count
     };
-    assert_eq!(part(&mut balancer, 1_000), 0);
-    assert!(part(&mut balancer, 20_000) >= 1);
+    assert_eq!(new_share(&mut balancer, 1_000), 0);
+    assert!(new_share(&mut balancer, 20_000) >= 1);
 }
 
 #[test]
@@ -277,7 +277,7 @@
     }
     assert_eq!(connections.len(), 12);
     assert!(
-        connections.values().all(|most| *most <= 360),
+        connections.values().all(|total| *total <= 360),
         "{connections:?}"
     );
 }
@@ -290,8 +290,8 @@
     for index in 0..INSTANCES {
         let mut balancer = balancer(12, INSTANCES);
         balancer.set_rank(Some(rank(index, INSTANCES)), at(0));
-        let own = SLOTS / INSTANCES + u32::from(index < SLOTS % INSTANCES);
-        for draw in 0..own {
+        let own_slots = SLOTS / INSTANCES + u32::from(index < SLOTS % INSTANCES);
+        for draw in 0..own_slots {
             let ticket = pick(&mut balancer, at(0), draw.into());
             let name = ticket.upstream().upstream.clone();
             *taken.entry(name).or_insert(0) += 1;
@@ -323,7 +323,7 @@
 }
 
 #[test]
-fn verify_refusals_stop_hedging_despite_reported_idleness() {
+fn verify_rejections_stop_hedging_despite_reported_idleness() {
     let mut balancer = balancer(12, 10);
     serve_reporting(&mut balancer, 0.0);
     for draw in 0..8 {
@@ -357,7 +357,7 @@
 }
 
 #[test]
-fn verify_idle_upstream_is_known_dead_after_three_seconds() {
+fn verify_idle_upstream_is_detected_dead_within_three_seconds() {
     const TICK_MS: u64 = 100;
     let mut balancer = balancer(3, 1);
     let answer = PollResult::Answered {
@@ -365,11 +365,11 @@
         draining: false,
     };
     let failed_at_ms = 4_000;
-    let mut open = Vec::new();
+    let mut unfinished = Vec::new();
     for ms in (0..=failed_at_ms + 3_000).step_by(TICK_MS as usize) {
         while let Some(poll) = balancer.next_poll(at(ms)) {
             if ms >= failed_at_ms {
-                open.push(poll);
+                unfinished.push(poll);
             } else {
                 balancer.finish_poll(poll, answer.clone(), at(ms));
             }
--- a/crates/foxtide-core/tests/choice_properties.rs
+++ b/crates/foxtide-core/tests/choice_properties.rs
@@ -124,10 +124,10 @@
                 instances,
             } => {
                 self.leaving
-                    .retain(|left| (0..upstreams).any(|number| id(number) == *left));
+                    .retain(|name| (0..upstreams).any(|number| id(number) == *name));
                 self.balancer.configure(&list(upstreams), instances, now);
-                for left in &self.leaving {
-                    self.balancer.leave(left, now);
+                for name in &self.leaving {
+                    self.balancer.leave(name, now);
                 }
             }
             Op::Advance { ms } => self.now = now + Duration::from_millis(ms),
@@ -176,7 +176,6 @@
         self.balancer.finish_poll(poll, result, self.now);
     }
 
-    /// Checks the invariants.
     fn check(&self) {
         let statuses: Vec<UpstreamStatus> = self
             .balancer
--- a/crates/foxtide-core/tests/events.rs
+++ b/crates/foxtide-core/tests/events.rs
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn verify_long_details_are_cut_between_characters() {
+fn verify_long_details_are_truncated_between_characters() {
     let fields = EventFields::detail("ä".repeat(DETAIL_MAX_BYTES) + "x");
     let clock = HybridTime::default();
     let event = Event::new(
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn verify_clock_stays_above_a_wall_clock_that_goes_back() {
+fn verify_clock_is_monotonic_when_the_wall_clock_goes_back() {
     let mut clock = HybridClock::default();
     let before = clock.tick(WallTime::from_ms(1_000));
     let after = clock.tick(WallTime::from_ms(10));
@@ -86,17 +86,17 @@
 }
 
 #[test]
-fn verify_clock_does_not_follow_a_broken_one() {
-    let mut broken = HybridClock::default();
-    let mut sound = HybridClock::default();
+fn verify_timestamps_far_ahead_are_ignored() {
+    let mut fast = HybridClock::default();
+    let mut local = HybridClock::default();
     let wall = WallTime::from_ms(10_000);
-    let sent = broken.tick(WallTime::from_ms(60_000));
+    let sent = fast.tick(WallTime::from_ms(60_000));
     assert!(sent.is_ahead(wall));
-    assert_eq!(sound.observe(sent, wall).wall_us, wall);
+    assert_eq!(local.observe(sent, wall).wall_us, wall);
 }
 
 #[test]
-fn verify_counter_overflow_moves_the_time_on() {
+fn verify_counter_overflow_advances_the_time() {
     let full = HybridTime {
         wall_us: WallTime::from_us(7),
         counter: u32::MAX,
@@ -106,7 +106,7 @@
 }
 
 #[test]
-fn verify_flood_of_requests_keeps_notable_events() {
+fn verify_debug_events_do_not_evict_notable_events() {
     let mut ring = EventRing::new(EventRingOptions {
         notable: 2,
         debug: 3,
@@ -126,7 +126,7 @@
 }
 
 #[test]
-fn verify_filter_selects() {
+fn verify_filter_selects_by_level_and_limit() {
     let mut ring = EventRing::default();
     let mut clock = HybridClock::default();
     for code in EventCode::ALL {
@@ -143,7 +143,7 @@
 }
 
 #[test]
-fn verify_filter_reads_its_fields() {
+fn verify_filter_parses_query_parameters() {
     let mut filter = EventFilter::default();
     for (name, text) in [
         ("level", "warn"),
@@ -184,10 +184,10 @@
         let copies = lines[0].clone();
         let merged = merge(lines.into_iter().chain([copies]));
         prop_assert_eq!(merged.len(), total);
-        let place = |clock| merged.iter().position(|e| e.clock == clock);
+        let position = |clock| merged.iter().position(|e| e.clock == clock);
         for (sent, arrived) in arrivals {
             prop_assert!(sent < arrived);
-            prop_assert!(place(sent) < place(arrived));
+            prop_assert!(position(sent) < position(arrived));
         }
     }
 }
--- a/crates/foxtide-core/tests/idempotency_exploration.rs
+++ b/crates/foxtide-core/tests/idempotency_exploration.rs
@@ -1,4 +1,5 @@
-//! Explores every order of events in a small model and random orders in a larger one.
+//! Model checking of the idempotency table: every order of events in a small model and random
+//! orders in a larger one.
 
 mod idempotency_model;
 
@@ -78,9 +79,9 @@
             return (seen.len(), Some(found));
         }
         for step in model.steps() {
-            let mut longer = path.clone();
-            longer.push(step);
-            paths.push_back(longer);
+            let mut next = path.clone();
+            next.push(step);
+            paths.push_back(next);
         }
     }
     (seen.len(), None)
@@ -106,7 +107,7 @@
 }
 
 #[test]
-fn verify_every_order_with_a_death_and_clock_jumps() {
+fn verify_every_order_with_a_restart_and_clock_jumps() {
     assert_holds(SMALL, 10_000);
 }
 
@@ -117,7 +118,7 @@
 
 #[test]
 fn verify_affinity_without_ownership_is_detected() {
-    assert_detected(SMALL, InjectedBug::AnyInstanceRuns, Violation::DoubledRun);
+    assert_detected(SMALL, InjectedBug::AnyInstanceRuns, Violation::RanTwice);
 }
 
 #[test]
@@ -125,33 +126,29 @@
     assert_detected(
         SMALL,
         InjectedBug::SameNameAfterRestart,
-        Violation::DoubledRun,
+        Violation::RanTwice,
     );
 }
 
 #[test]
-fn verify_forgetting_when_full_is_detected() {
-    assert_detected(CROWDED, InjectedBug::ForgetsWhenFull, Violation::DoubledRun);
+fn verify_dropping_keys_of_a_full_table_is_detected() {
+    assert_detected(CROWDED, InjectedBug::DropsKeysWhenFull, Violation::RanTwice);
 }
 
 #[test]
-fn verify_forgetting_without_a_bound_is_detected() {
-    assert_detected(
-        SMALL,
-        InjectedBug::ForgetsWithoutBound,
-        Violation::DoubledRun,
-    );
+fn verify_dropping_expired_keys_is_detected() {
+    assert_detected(SMALL, InjectedBug::DropsExpiredKeys, Violation::RanTwice);
 }
 
 #[test]
 fn verify_a_resent_request_is_detected() {
-    assert_detected(SMALL, InjectedBug::ResendsAfterWrite, Violation::DoubledRun);
+    assert_detected(SMALL, InjectedBug::ResendsAfterWrite, Violation::RanTwice);
 }
 
 #[test]
 fn verify_a_false_not_run_is_detected() {
     let expected = Violation::FalseNotRun;
-    assert_detected(SMALL, InjectedBug::WriteNotNoted, expected);
+    assert_detected(SMALL, InjectedBug::WriteNotRecorded, expected);
     assert_detected(SMALL, InjectedBug::OwnerGoneIsNotRun, expected);
 }
 
--- a/crates/foxtide-core/tests/idempotency_key.rs
+++ b/crates/foxtide-core/tests/idempotency_key.rs
@@ -26,14 +26,14 @@
 }
 
 #[test]
-fn verify_a_key_may_stand_in_quotes() {
+fn verify_quoted_keys_are_accepted() {
     let plain: IdempotencyKey = format!("{OWNER}:{UUID_V7}").parse().unwrap();
     let quoted: IdempotencyKey = format!("\"{OWNER}:{UUID_V7}\"").parse().unwrap();
     assert_eq!(plain, quoted);
 }
 
 #[test]
-fn verify_a_plain_uuid_names_no_owner() {
+fn verify_a_plain_uuid_has_no_owner() {
     for text in [UUID_V7, UUID_V4, "notice-17", ""] {
         let error = text.parse::<IdempotencyKey>().unwrap_err();
         assert!(matches!(error, KeyError::NoOwner { .. }), "{text}: {error}");
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn verify_malformed_keys_tell_the_part() {
+fn verify_errors_name_the_malformed_part() {
     for text in [
         format!("entry-3:{UUID_V7}"),
         format!("entry-3.9f2c:{UUID_V7}"),
@@ -77,7 +77,7 @@
     }
 
     #[test]
-    fn verify_no_text_makes_the_parser_panic(text in "\\PC{0,80}") {
+    fn verify_the_parser_never_panics(text in "\\PC{0,80}") {
         let _ = text.parse::<IdempotencyKey>();
     }
 }
--- a/crates/foxtide-core/tests/idempotency_model/mod.rs
+++ b/crates/foxtide-core/tests/idempotency_model/mod.rs
@@ -1,6 +1,5 @@
-//! A model of copies of non-idempotent requests under faults: instances, requests sent to
-//! the upstream and a caller that retries. Pauses are covered by the arbitrary order of
-//! steps.
+//! A model of instances, an upstream and a caller that sends copies of non-idempotent
+//! requests. Steps in any order cover pauses.
 
 use foxtide_core::idempotency::{
     Begin,
@@ -44,11 +43,11 @@
     /// A restarted process reuses the name of its predecessor.
     SameNameAfterRestart,
     /// A full table drops its keys and continues.
-    ForgetsWhenFull,
-    /// A table drops expired keys without refusing them afterwards.
-    ForgetsWithoutBound,
+    DropsKeysWhenFull,
+    /// A table drops expired keys without rejecting them afterwards.
+    DropsExpiredKeys,
     /// A byte is sent before it is recorded in the table.
-    WriteNotNoted,
+    WriteNotRecorded,
     /// An attempt without a response is sent again.
     ResendsAfterWrite,
     /// An instance that cannot reach the owner reports that the request was not run.
@@ -59,7 +58,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Violation {
     /// A key was run more than once.
-    DoubledRun,
+    RanTwice,
     /// A key was reported as not run although it was run or may still be.
     FalseNotRun,
     /// A key was reported as done although it was not run.
@@ -92,8 +91,8 @@
     WriteFails { copy: usize },
     /// The copy's deadline passes or its caller disconnects.
     GiveUp { copy: usize },
-    /// The upstream refuses to run the copy.
-    UpstreamRefuses { copy: usize },
+    /// The upstream rejects the copy without running it.
+    UpstreamRejects { copy: usize },
     /// The upstream runs a request that reached it.
     UpstreamRuns { sent: usize },
     /// The upstream's complete response arrives.
@@ -138,10 +137,9 @@
 enum SentState {
     UnderWay,
     Ran,
-    Refused,
+    Rejected,
 }
 
-/// The state of the model.
 #[derive(Debug)]
 pub(crate) struct Model {
     bounds: Bounds,
@@ -223,9 +221,9 @@
             Stage::Written { sent, .. } => {
                 steps.push(Step::GiveUp { copy });
                 match self.sent[*sent].state {
-                    SentState::UnderWay => steps.push(Step::UpstreamRefuses { copy }),
+                    SentState::UnderWay => steps.push(Step::UpstreamRejects { copy }),
                     SentState::Ran => steps.push(Step::Answered { copy }),
-                    SentState::Refused => {}
+                    SentState::Rejected => {}
                 }
             }
             Stage::Ended => {}
@@ -244,7 +242,6 @@
         }
     }
 
-    /// Applies one step.
     pub(crate) fn take(&mut self, step: Step) {
         match step {
             Step::Send { key, instance } => self.copies.push(RequestCopy {
@@ -256,7 +253,7 @@
             Step::Write { copy } => self.write(copy),
             Step::WriteFails { copy } => self.fail_write(copy),
             Step::GiveUp { copy } => self.give_up(copy),
-            Step::UpstreamRefuses { copy } => self.refuse(copy),
+            Step::UpstreamRejects { copy } => self.reject(copy),
             Step::UpstreamRuns { sent } => self.run(sent),
             Step::Answered { copy } => self.answer(copy),
             Step::Restart { instance } => self.restart(instance),
@@ -268,7 +265,7 @@
     fn arrive(&mut self, copy: usize, owner_gone: bool) {
         let RequestCopy { key, instance, .. } = self.copies[copy];
         let mut begin = self.begin(key, instance);
-        if self.bug == InjectedBug::ForgetsWhenFull && is_full(&begin) {
+        if self.bug == InjectedBug::DropsKeysWhenFull && is_full(&begin) {
             let owner = self.instances[instance].table.owner().clone();
             self.instances[instance].table = table_of(owner, self.bounds);
             begin = self.begin(key, instance);
@@ -312,7 +309,7 @@
             unreachable!("only a claimed copy is written");
         };
         let key = self.copies[copy].key;
-        if self.bug != InjectedBug::WriteNotNoted {
+        if self.bug != InjectedBug::WriteNotRecorded {
             self.table(copy).mark_written(&claim);
         }
         let sent = self.send_upstream(key);
@@ -347,11 +344,11 @@
         }
     }
 
-    fn refuse(&mut self, copy: usize) {
+    fn reject(&mut self, copy: usize) {
         let Stage::Written { claim, sent } = self.take_stage(copy) else {
-            unreachable!("only a written copy is refused");
+            unreachable!("only a written copy is rejected");
         };
-        self.sent[sent].state = SentState::Refused;
+        self.sent[sent].state = SentState::Rejected;
         self.table(copy).mark_not_run(&claim);
         let outcome = self.table(copy).abandon(claim);
         self.end(copy, outcome);
@@ -360,7 +357,7 @@
     fn run(&mut self, sent: usize) {
         self.sent[sent].state = SentState::Ran;
         if self.runs(self.sent[sent].key) > 1 {
-            self.violations.push(Violation::DoubledRun);
+            self.violations.push(Violation::RanTwice);
         }
     }
 
@@ -393,7 +390,7 @@
         let instance = &mut self.instances[instance];
         let before = instance.now;
         instance.now = change(before, by);
-        if self.bug == InjectedBug::ForgetsWithoutBound && instance.now > before {
+        if self.bug == InjectedBug::DropsExpiredKeys && instance.now > before {
             let owner = instance.table.owner().clone();
             instance.table = table_of(owner, self.bounds);
         }
@@ -415,9 +412,9 @@
         self.sent.iter().filter(ran).count()
     }
 
-    /// Tells whether a key was run or is still on its way to the upstream.
+    /// Returns whether a key was run or is still on its way to the upstream.
     fn may_run(&self, key: usize) -> bool {
-        let may = |sent: &SentRequest| sent.key == key && sent.state != SentState::Refused;
+        let may = |sent: &SentRequest| sent.key == key && sent.state != SentState::Rejected;
         self.sent.iter().any(may)
     }
 
--- a/crates/foxtide-core/tests/idempotency_table.rs
+++ b/crates/foxtide-core/tests/idempotency_table.rs
@@ -1,4 +1,4 @@
-//! Behaviour of the idempotency table, case by case.
+//! Tests of the idempotency table: runs, replays, rejections and eviction.
 
 use foxtide_core::idempotency::{
     Begin,
@@ -69,11 +69,11 @@
 }
 
 fn is_replay(table: &mut Table<Text>, key: &IdempotencyKey, answer: &Text) -> bool {
-    matches!(table.begin(key, request(), START), Begin::Replay(kept) if kept == *answer)
+    matches!(table.begin(key, request(), START), Begin::Replay(stored) if stored == *answer)
 }
 
 #[test]
-fn verify_a_whole_answer_is_given_again() {
+fn verify_a_stored_answer_is_replayed() {
     let mut table = table(TableOptions::default());
     let claim = run(&mut table, &key(1));
     let again = table.begin(&key(1), request(), START);
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn verify_an_attempt_without_a_byte_is_not_run() {
+fn verify_an_attempt_that_sent_nothing_is_not_run() {
     let mut table = table(TableOptions::default());
     let claim = run(&mut table, &key(1));
     assert_eq!(table.abandon(claim), Outcome::NotRun);
@@ -106,7 +106,7 @@
 }
 
 #[test]
-fn verify_a_reused_key_is_refused() {
+fn verify_a_reused_key_is_rejected() {
     let mut table = table(TableOptions::default());
     let other = Fingerprint::of([b"unlock".as_slice(), b"locker=8"]);
     let claim = run(&mut table, &key(1));
@@ -123,7 +123,7 @@
 }
 
 #[test]
-fn verify_fingerprints_count_the_lengths_of_parts() {
+fn verify_fingerprints_delimit_parts() {
     let left = Fingerprint::of([b"ab".as_slice(), b"c"]);
     let right = Fingerprint::of([b"a".as_slice(), b"bc"]);
     assert_ne!(left, right);
@@ -131,11 +131,11 @@
 
 #[test]
 fn verify_only_the_owning_process_runs_a_key() {
-    let mut elsewhere: Table<Text> = Table::new(
+    let mut other_instance: Table<Text> = Table::new(
         "entry-2.00000000000000bb".parse().unwrap(),
         TableOptions::default(),
     );
-    let begin = elsewhere.begin(&key(1), request(), START);
+    let begin = other_instance.begin(&key(1), request(), START);
     assert!(matches!(begin, Begin::NotOwner), "{begin:?}");
 
     let mut restarted: Table<Text> = Table::new(
@@ -148,7 +148,7 @@
 }
 
 #[test]
-fn verify_an_evicted_key_is_refused_also_when_the_clock_goes_back() {
+fn verify_an_evicted_key_is_rejected_when_the_clock_goes_back() {
     let mut table = table(TableOptions::default());
     for number in [1, 3] {
         let claim = run(&mut table, &key(number));
@@ -181,7 +181,7 @@
 }
 
 #[test]
-fn verify_a_key_from_the_future_is_refused_until_its_time() {
+fn verify_a_key_from_the_future_is_rejected_until_its_time() {
     let mut table = table(TableOptions::default());
     let key = key_at(START + Duration::from_millis(700), 1);
     let begin = table.begin(&key, request(), START);
@@ -196,7 +196,7 @@
 }
 
 #[test]
-fn verify_a_full_table_refuses_new_keys_and_keeps_existing_ones() {
+fn verify_a_full_table_rejects_new_keys_and_keeps_existing_ones() {
     let mut table = table(TableOptions {
         keys_max: 2,
         ..TableOptions::default()
@@ -217,7 +217,7 @@
 }
 
 #[test]
-fn verify_a_full_table_evicts_old_keys_and_refuses_them() {
+fn verify_a_full_table_evicts_old_keys_and_rejects_them() {
     let mut table = table(TableOptions {
         keys_max: 2,
         ..TableOptions::default()
@@ -238,7 +238,7 @@
 }
 
 #[test]
-fn verify_answers_are_dropped_but_their_keys_stay() {
+fn verify_keys_are_retained_when_their_answers_are_dropped() {
     let mut table = table(TableOptions {
         answers_max: ByteSize::from_bytes(10),
         answer_max: ByteSize::from_bytes(8),
@@ -258,7 +258,7 @@
 }
 
 #[test]
-fn verify_a_tick_gives_memory_back() {
+fn verify_a_tick_evicts_expired_keys() {
     let mut table = table(TableOptions::default());
     for number in 1..=40 {
         let claim = run(&mut table, &key(number));
--- a/crates/foxtide-core/tests/poison.rs
+++ b/crates/foxtide-core/tests/poison.rs
@@ -60,10 +60,10 @@
         ("c", None),
         ("d", Some(4)),
     ];
-    for (number, (upstream, verdict)) in ends.into_iter().enumerate() {
+    for (number, (upstream, expected)) in ends.into_iter().enumerate() {
         let now = at(number as u64 * 1_000);
         let report = end(1, upstream);
-        assert_eq!(suspects.report(&report, now), verdict);
+        assert_eq!(suspects.report(&report, now), expected);
     }
 }
 
@@ -90,8 +90,8 @@
     for upstream in ["c", "d", "e"] {
         others.report(&end(1, upstream), at(0));
     }
-    let again = partitioned.reports(Fingerprint::from_hash(1));
-    let ends = again.iter().map(|report| others.report(report, at(1)));
+    let reports = partitioned.reports(Fingerprint::from_hash(1));
+    let ends = reports.iter().map(|report| others.report(report, at(1)));
     let ends: Vec<Option<u32>> = ends.collect();
     assert_eq!(ends, [Some(4), Some(5)]);
 }
@@ -363,7 +363,7 @@
 }
 
 #[test]
-fn verify_unrelated_ends_quarantine_almost_nothing() {
+fn verify_unrelated_ends_quarantine_few_requests() {
     let faults = [
         Fault::None,
         Fault::ZoneLost,
--- a/crates/foxtide-core/tests/poison_model/faults.rs
+++ b/crates/foxtide-core/tests/poison_model/faults.rs
@@ -10,7 +10,7 @@
     /// The share of messages between instances that are lost.
     pub(crate) loss: f64,
     /// A region is partitioned from the others and the store.
-    pub(crate) is_region_cut: bool,
+    pub(crate) is_region_partitioned: bool,
     /// The share of instances that are frozen.
     pub(crate) frozen_share: f64,
     /// All instances are restarted, two a second.
@@ -34,7 +34,7 @@
 pub(crate) struct Strategy {
     pub(crate) name: &'static str,
     pub(crate) evidence: EvidenceOptions,
-    /// Whether the quarantine is kept in the store.
+    /// Whether the quarantine is written to the store.
     pub(crate) has_store: bool,
     /// The number of aggregators in each region.
     pub(crate) aggregators: usize,
@@ -45,7 +45,7 @@
 /// The strategy of the instances.
 pub(crate) fn default_strategy() -> Strategy {
     Strategy {
-        name: "chosen",
+        name: "default",
         evidence: EvidenceOptions::default(),
         has_store: true,
         aggregators: 3,
@@ -82,15 +82,15 @@
         load: 1,
         ..Faults::default()
     };
-    let is_region_cut = true;
+    let is_region_partitioned = true;
     let is_store_down = true;
     vec![
         ("alone", alone),
         ("lost messages", Faults { loss: 0.3, ..alone }),
         (
-            "a region cut off",
+            "a partitioned region",
             Faults {
-                is_region_cut,
+                is_region_partitioned,
                 ..alone
             },
         ),
@@ -116,14 +116,14 @@
             },
         ),
         (
-            "store away",
+            "store unreachable",
             Faults {
                 is_store_down,
                 ..alone
             },
         ),
         (
-            "store older",
+            "restored store",
             Faults {
                 is_store_restored: true,
                 ..alone
@@ -141,7 +141,7 @@
             "all together",
             Faults {
                 loss: 0.1,
-                is_region_cut,
+                is_region_partitioned,
                 frozen_share: 0.3,
                 is_rolling: true,
                 is_store_down,
@@ -168,14 +168,14 @@
             },
         ),
         (
-            "an end each 1.4 s",
+            "an end every 1.4 s",
             Faults {
                 flap_ms: Some(1_400),
                 ..alone
             },
         ),
         (
-            "an end each 1.4 s under load",
+            "an end every 1.4 s under load",
             Faults {
                 flap_ms: Some(1_400),
                 load: 6,
@@ -183,7 +183,7 @@
             },
         ),
         (
-            "ends while the store is away",
+            "ends while the store is unreachable",
             Faults {
                 flap_ms: Some(700),
                 is_store_down: true,
@@ -200,5 +200,5 @@
         flap_ms: Some(300),
         ..Faults::default()
     };
-    ("an end each 0.3 s", faults)
+    ("an end every 0.3 s", faults)
 }
--- a/crates/foxtide-core/tests/poison_model/main.rs
+++ b/crates/foxtide-core/tests/poison_model/main.rs
@@ -1,5 +1,5 @@
 //! Simulation of the quarantine of poison requests under faults of instances, network and store,
-//! which must neither allow too many sends nor refuse other requests.
+//! which must neither allow too many sends nor reject other requests.
 
 mod faults;
 mod simulation;
@@ -18,18 +18,18 @@
 /// The most sends of the poison request after the third end.
 const SENDS_AFTER_MAX: usize = 3;
 
-/// The largest share of other requests that may be refused.
-const REFUSED_SHARE_MAX: f64 = 0.000_5;
+/// The largest share of other requests that may be rejected.
+const REJECTED_SHARE_MAX: f64 = 0.000_5;
 
 /// The index of the partitioned region among the fault cases, and the seeds with which the
 /// poison request starts as the partition begins.
-const CUT_OFF: usize = 2;
-const CUT_OFF_SEEDS: [u64; 10] = [40, 66, 107, 147, 383, 450, 520, 547, 609, 956];
+const PARTITION: usize = 2;
+const PARTITION_SEEDS: [u64; 10] = [40, 66, 107, 147, 383, 450, 520, 547, 609, 956];
 
 fn seeds() -> u64 {
-    let asked = std::env::var("FOXTIDE_MODEL_SEEDS").ok();
-    asked.map_or(SEEDS, |asked| {
-        asked.parse().expect("FOXTIDE_MODEL_SEEDS is a number")
+    let text = std::env::var("FOXTIDE_MODEL_SEEDS").ok();
+    text.map_or(SEEDS, |text| {
+        text.parse().expect("FOXTIDE_MODEL_SEEDS is a number")
     })
 }
 
@@ -39,7 +39,7 @@
     sends_after_max: usize,
     over: usize,
     falsely_quarantined: usize,
-    refused: usize,
+    rejected: usize,
     requests: usize,
 }
 
@@ -50,7 +50,7 @@
         totals.sends_after_max = totals.sends_after_max.max(outcome.sends_after);
         totals.over += usize::from(outcome.sends_after > SENDS_AFTER_MAX);
         totals.falsely_quarantined += outcome.falsely_quarantined.len();
-        totals.refused += outcome.refused;
+        totals.rejected += outcome.rejected;
         totals.requests += outcome.requests;
     }
     totals
@@ -59,13 +59,13 @@
 fn show(strategy: Strategy, name: &str, totals: &Totals) {
     println!(
         "{:28} {name:30} sends after the third end: {:2} at most, over 3 in {} of {}; \
-         other contents quarantined {}, requests refused {} of {}",
+         other contents quarantined {}, requests rejected {} of {}",
         strategy.name,
         totals.sends_after_max,
         totals.over,
         seeds(),
         totals.falsely_quarantined,
-        totals.refused,
+        totals.rejected,
         totals.requests,
     );
 }
@@ -87,8 +87,8 @@
 /// Guards against a region that is partitioned as the request starts and counts its own ends.
 #[test]
 fn verify_at_most_three_sends_follow_the_third_end_beside_a_region_that_counts_alone() {
-    let faults = faults::with_poison()[CUT_OFF].1;
-    for seed in CUT_OFF_SEEDS {
+    let faults = faults::with_poison()[PARTITION].1;
+    for seed in PARTITION_SEEDS {
         let outcome = Simulation::new(default_strategy(), faults, seed).run();
         assert!(
             outcome.sends_after <= SENDS_AFTER_MAX,
@@ -99,13 +99,13 @@
 
 /// Prints the seeds of runs with too many sends if `FOXTIDE_MODEL_COMPARE` is set.
 #[test]
-fn verify_seeds_of_a_partitioned_region_can_be_found() {
+fn verify_seeds_with_too_many_sends_can_be_listed() {
     if std::env::var_os("FOXTIDE_MODEL_COMPARE").is_none() {
         return;
     }
     for seed in 0..seeds() {
         let outcome =
-            Simulation::new(default_strategy(), faults::with_poison()[CUT_OFF].1, seed).run();
+            Simulation::new(default_strategy(), faults::with_poison()[PARTITION].1, seed).run();
         if outcome.sends_after > SENDS_AFTER_MAX {
             println!("seed {seed}: {} sends", outcome.sends_after);
         }
@@ -114,16 +114,16 @@
 
 /// Guards against quarantining requests for unrelated ends of upstreams.
 #[test]
-fn verify_requests_beside_unrelated_ends_are_served() {
+fn verify_unrelated_ends_cause_few_rejections() {
     for (name, faults) in faults::without_poison() {
         let totals = run(default_strategy(), faults);
         show(default_strategy(), name, &totals);
-        let share = totals.refused as f64 / totals.requests as f64;
-        assert!(share <= REFUSED_SHARE_MAX, "{name}: {totals:?}");
+        let share = totals.rejected as f64 / totals.requests as f64;
+        assert!(share <= REJECTED_SHARE_MAX, "{name}: {totals:?}");
     }
 }
 
-/// Guards against a quarantine that is kept by instances but not by the store.
+/// Guards against a quarantine that is in the memory of instances but not in the store.
 #[test]
 fn verify_quarantine_in_memory_does_not_survive_restarts() {
     let [_, in_memory, _] = alternatives();
--- a/crates/foxtide-core/tests/poison_model/simulation.rs
+++ b/crates/foxtide-core/tests/poison_model/simulation.rs
@@ -35,15 +35,15 @@
 const INSTANCES: usize = 9;
 const UPSTREAMS: usize = 12;
 const OBJECTS: u64 = 138;
-const ARRIVAL_MS: u64 = 23;
+const ARRIVAL_INTERVAL_MS: u64 = 23;
 const WORK_MS: u64 = 300;
 const POISON_WORK_MS: u64 = 100;
-const CALLER_RETRY_MS: u64 = 50;
-const NEAR_MS: u64 = 1;
-const FAR_MS: u64 = 40;
-const COPY_AFTER_MS: u64 = 60;
+const CALLER_RETRY_DELAY_MS: u64 = 50;
+const SAME_REGION_MS: u64 = 1;
+const OTHER_REGION_MS: u64 = 40;
+const COPY_INTERVAL_MS: u64 = 60;
 /// The interval at which instances read changes from the store.
-const FOLLOW_MS: u64 = 800;
+const FOLLOW_INTERVAL_MS: u64 = 800;
 const UPSTREAM_RESTART_MS: u64 = 2_500;
 const RESTART_MS: u64 = 500;
 const ATTEMPTS_MAX: u32 = 2;
@@ -121,8 +121,8 @@
     pub(crate) sends_after: usize,
     /// Other requests that an instance quarantined.
     pub(crate) falsely_quarantined: BTreeSet<u64>,
-    /// Other requests that were refused as quarantined.
-    pub(crate) refused: usize,
+    /// Other requests that were rejected as quarantined.
+    pub(crate) rejected: usize,
     pub(crate) requests: usize,
 }
 
@@ -190,7 +190,7 @@
     }
 
     fn schedule_events(&mut self) {
-        let period_ms = (ARRIVAL_MS / self.faults.load).max(1);
+        let period_ms = (ARRIVAL_INTERVAL_MS / self.faults.load).max(1);
         for ms in (0..DURATION_MS).step_by(period_ms as usize) {
             let is_poison = self.rng.f64() < self.faults.poison_share;
             let request = match is_poison {
@@ -244,24 +244,26 @@
         self.are_faults_active() && self.frozen.contains(&instance)
     }
 
-    fn is_cut(&self, instance: usize) -> bool {
-        self.faults.is_region_cut && self.are_faults_active() && instance.is_multiple_of(REGIONS)
+    fn is_partitioned(&self, instance: usize) -> bool {
+        self.faults.is_region_partitioned
+            && self.are_faults_active()
+            && instance.is_multiple_of(REGIONS)
     }
 
     fn reaches_store(&self, instance: usize) -> bool {
         let is_down = self.faults.is_store_down && self.are_faults_active();
-        !is_down && !self.is_cut(instance)
+        !is_down && !self.is_partitioned(instance)
     }
 
     fn handle(&mut self, event: Event) {
         // Events of a frozen instance are delayed until it runs again.
-        let concerned = match &event {
+        let instance = match &event {
             Event::Repeat(attempt) => Some(attempt.instance),
             Event::Message { to, .. } => Some(*to),
             Event::Follow(instance) => Some(*instance),
             _ => None,
         };
-        if concerned.is_some_and(|instance| self.is_frozen(instance)) {
+        if instance.is_some_and(|instance| self.is_frozen(instance)) {
             self.schedule(FAULTS_MS.1, event);
             return;
         }
@@ -296,7 +298,7 @@
             self.instances
                 .get(peer)
                 .is_some_and(|one| one.is_up && !self.is_frozen(peer))
-                && self.is_cut(peer) == self.is_cut(instance)
+                && self.is_partitioned(peer) == self.is_partitioned(instance)
         });
         let reaches_store = self.reaches_store(instance);
         if !reaches_store && peer.is_none() {
@@ -315,8 +317,8 @@
         }
         self.instances[instance] = new;
         self.read_store(instance, false);
-        let follow_ms = self.now_ms + self.rng.u64(1..FOLLOW_MS);
-        self.schedule(follow_ms, Event::Follow(instance));
+        let next_ms = self.now_ms + self.rng.u64(1..FOLLOW_INTERVAL_MS);
+        self.schedule(next_ms, Event::Follow(instance));
     }
 
     fn read_store(&mut self, instance: usize, is_restored: bool) {
@@ -338,9 +340,10 @@
 
     fn follow(&mut self, instance: usize) {
         if self.instances[instance].is_up {
-            let is_restored = self.era > 0 && self.now_ms < STORE_RESTORED_MS + 2 * FOLLOW_MS;
+            let is_restored =
+                self.era > 0 && self.now_ms < STORE_RESTORED_MS + 2 * FOLLOW_INTERVAL_MS;
             self.read_store(instance, is_restored);
-            self.schedule(self.now_ms + FOLLOW_MS, Event::Follow(instance));
+            self.schedule(self.now_ms + FOLLOW_INTERVAL_MS, Event::Follow(instance));
         }
     }
 
@@ -415,7 +418,7 @@
             return;
         }
         if !self.may_send(attempt.request, attempt.instance) {
-            self.outcome.refused += usize::from(attempt.request != POISON);
+            self.outcome.rejected += usize::from(attempt.request != POISON);
             return;
         }
         let object = ObjectKey::new(&attempt.request.to_le_bytes());
@@ -473,10 +476,10 @@
         let incarnation = self.incarnation[upstream];
         self.incarnation[upstream] += 1;
         self.down_until_ms[upstream] = self.now_ms + UPSTREAM_RESTART_MS;
-        let there = self.running.extract_if(.., |_, one| {
+        let affected = self.running.extract_if(.., |_, one| {
             one.upstream == upstream && one.incarnation == incarnation
         });
-        let broken: Vec<Attempt> = there.map(|(_, one)| one.attempt).collect();
+        let broken: Vec<Attempt> = affected.map(|(_, one)| one.attempt).collect();
         for attempt in &broken {
             self.record_end(attempt, upstream, incarnation);
             let repeat = Attempt {
@@ -488,7 +491,7 @@
                 self.schedule(self.now_ms + wait_ms, Event::Repeat(repeat));
             } else if attempt.retries {
                 self.schedule(
-                    self.now_ms + CALLER_RETRY_MS,
+                    self.now_ms + CALLER_RETRY_DELAY_MS,
                     Event::Arrive {
                         request: attempt.request,
                         retries: false,
@@ -519,7 +522,7 @@
 
     /// Returns the aggregators of a request in all regions.
     fn aggregators(&self, request: u64) -> Vec<usize> {
-        let place = |region: usize, number: usize| {
+        let aggregator = |region: usize, number: usize| {
             let of_region = INSTANCES / REGIONS;
             region + REGIONS * ((request as usize + number) % of_region)
         };
@@ -527,7 +530,7 @@
         let of_regions = (0..REGIONS).flat_map(|region| {
             numbers
                 .iter()
-                .map(move |&number| place(region, number))
+                .map(move |&number| aggregator(region, number))
                 .collect::<Vec<_>>()
         });
         of_regions.collect()
@@ -540,13 +543,17 @@
     }
 
     fn send_message(&mut self, from: usize, to: usize, message: &Message) {
-        let is_near = from % REGIONS == to % REGIONS;
-        let delay_ms = if is_near { NEAR_MS } else { FAR_MS };
+        let is_same_region = from % REGIONS == to % REGIONS;
+        let delay_ms = if is_same_region {
+            SAME_REGION_MS
+        } else {
+            OTHER_REGION_MS
+        };
         for copy in 0..u64::from(self.strategy.copies) {
             let is_lost = from != to && self.rng.f64() < self.faults.loss;
-            if !is_lost && self.is_cut(from) == self.is_cut(to) {
+            if !is_lost && self.is_partitioned(from) == self.is_partitioned(to) {
                 let message = message.clone();
-                let due_ms = self.now_ms + delay_ms + copy * COPY_AFTER_MS;
+                let due_ms = self.now_ms + delay_ms + copy * COPY_INTERVAL_MS;
                 self.schedule(due_ms, Event::Message { to, from, message });
             }
         }
--- a/crates/foxtide-core/tests/quarantine.rs
+++ b/crates/foxtide-core/tests/quarantine.rs
@@ -41,7 +41,7 @@
 
 /// Guards against quarantines that expire.
 #[test]
-fn verify_a_quarantine_does_not_end_by_time() {
+fn verify_a_quarantine_does_not_expire() {
     let mut quarantine = Quarantine::default();
     quarantine.merge(request(), entry(3, 0), Origin::Own, 0.5, at(0));
     for ms in [0, 30_000, 60_000, DAY_MS, 365 * DAY_MS] {
@@ -55,7 +55,7 @@
 
 /// Guards against trials that end one upstream after another.
 #[test]
-fn verify_a_request_that_keeps_ending_upstreams_is_tried_once_after_three() {
+fn verify_a_request_with_three_ends_gets_one_trial() {
     let mut quarantine = Quarantine::default();
     let mut entry_in_store = entry(3, 0);
     let mut trials = 0;
--- a/crates/foxtide-core/tests/quota_model/equal_shares.rs
+++ b/crates/foxtide-core/tests/quota_model/equal_shares.rs
@@ -13,11 +13,11 @@
     let mut tokens = vec![capacity; callers];
     let mut served = 0;
     for tick in 0..seconds * 100 {
-        for (at, tokens) in tokens.iter_mut().enumerate() {
+        for (caller, tokens) in tokens.iter_mut().enumerate() {
             *tokens = (*tokens + part_rps / 100.0).min(capacity);
             // Together the callers request a multiple of the quota, in turn.
-            let is_asked = (tick as usize + at).is_multiple_of(callers.div_ceil(8));
-            if is_asked && *tokens >= 1.0 {
+            let has_request = (tick as usize + caller).is_multiple_of(callers.div_ceil(8));
+            if has_request && *tokens >= 1.0 {
                 *tokens -= 1.0;
                 served += 1;
             }
@@ -29,9 +29,9 @@
 /// Equal shares serve little of the quota if all callers are at one instance, and exceed
 /// the bound of small quotas if callers are everywhere.
 #[test]
-fn verify_equal_parts_fail_where_callers_lie_unevenly() {
+fn verify_equal_shares_fail_with_unevenly_distributed_callers() {
     assert!(served_share(60.0, 77, 1, 20) < 0.05);
     assert!(served_share(60.0, 77, 77, 20) > 0.97);
-    let at_once = 77.0;
-    assert!(at_once > QuotaBounds::default().requests_max(&quota(4.0)));
+    let burst = 77.0;
+    assert!(burst > QuotaBounds::default().requests_max(&quota(4.0)));
 }
--- a/crates/foxtide-core/tests/quota_model/fleet.rs
+++ b/crates/foxtide-core/tests/quota_model/fleet.rs
@@ -97,7 +97,7 @@
     bounds: QuotaBounds,
     pub(crate) random: Random,
     pub(crate) runs: Vec<Run>,
-    pub(crate) refused: u64,
+    pub(crate) rejected: u64,
 }
 
 impl Fleet {
@@ -121,7 +121,7 @@
             bounds: QuotaBounds::default(),
             random: Random::new(seed),
             runs: Vec::new(),
-            refused: 0,
+            rejected: 0,
         }
     }
 
@@ -210,7 +210,7 @@
                 sent_ms: now_ms,
                 run_ms: now_ms + latency_ms,
             }),
-            None => self.refused += 1,
+            None => self.rejected += 1,
         }
     }
 
@@ -233,7 +233,7 @@
             .iter()
             .map(|member| (number(member), member.region == own))
             .collect();
-        let mut is_silent = false;
+        let mut is_unanswered = false;
         for (source, is_same_region) in sources {
             match self.answer(at, source, &request, now_ms) {
                 QuotaAnswer::Granted { tokens } => {
@@ -245,10 +245,10 @@
                     });
                 }
                 QuotaAnswer::Rejected { .. } => {}
-                QuotaAnswer::NotCoordinator => is_silent = true,
+                QuotaAnswer::NotCoordinator => is_unanswered = true,
             }
         }
-        (is_silent && self.take_fallback(at, now)).then_some(OTHER_REGION_MS)
+        (is_unanswered && self.take_fallback(at, now)).then_some(OTHER_REGION_MS)
     }
 
     fn take_fallback(&mut self, at: usize, now: MonotonicTime) -> bool {
@@ -284,7 +284,7 @@
             .ask(request, &parts, since, time(now_ms))
     }
 
-    /// Tells whether an instance considers itself the coordinator of its region and its
+    /// Returns whether an instance considers itself the coordinator of its region and its
     /// member list is recent.
     fn is_coordinator(&self, instance: usize, now_ms: u64) -> bool {
         let one = &self.instances[instance];
--- a/crates/foxtide-core/tests/quota_model/rules.rs
+++ b/crates/foxtide-core/tests/quota_model/rules.rs
@@ -26,11 +26,11 @@
     Quota(f64),
 }
 
-/// Runs steps while an organisation requests `asked_rps` at random instances of `callers`.
+/// Runs steps while an organisation requests `demand_rps` at random instances of `callers`.
 fn run_steps(
     fleet: &mut Fleet,
     steps: &[(u64, Step)],
-    asked_rps: f64,
+    demand_rps: f64,
     length_ms: u64,
     callers: &[usize],
 ) {
@@ -45,7 +45,7 @@
         if now_ms < LEAD_MS {
             continue;
         }
-        due_requests += asked_rps / 100.0;
+        due_requests += demand_rps / 100.0;
         while due_requests >= 1.0 {
             due_requests -= 1.0;
             let at = callers[fleet.random.below(callers.len() as u64) as usize];
@@ -104,7 +104,7 @@
 }
 
 #[test]
-fn verify_no_window_holds_more_than_the_bound_whatever_fails() {
+fn verify_no_window_exceeds_the_bound_under_faults() {
     let mut broken = Vec::new();
     for seed in 0..1_000 {
         let rate_rps = [1.0, 4.0, 15.0, 40.0][seed as usize % 4];
@@ -131,7 +131,7 @@
 }
 
 #[test]
-fn verify_a_lowered_quota_binds_and_a_raised_one_serves() {
+fn verify_quota_changes_take_effect() {
     for (before, after) in [(40.0, 4.0), (40.0, 1.0), (4.0, 40.0)] {
         let mut fleet = Fleet::new(18, quota(before), 7);
         let callers: Vec<usize> = (0..18).collect();
@@ -150,7 +150,7 @@
 }
 
 #[test]
-fn verify_all_that_a_quota_allows_is_served_with_all_callers_at_one_instance() {
+fn verify_one_instance_can_serve_the_whole_quota() {
     for rate_rps in [2.0, 15.0, 150.0] {
         let mut fleet = Fleet::new(77, quota(rate_rps), 3);
         run_steps(&mut fleet, &[], rate_rps * DEMAND_FACTOR, 20_000, &[5]);
@@ -162,12 +162,12 @@
 }
 
 #[test]
-fn verify_nothing_below_a_quota_is_refused_in_steady_state() {
+fn verify_no_request_below_the_quota_is_rejected_in_steady_state() {
     for rate_rps in [2.0, 15.0, 150.0] {
         for callers in [vec![5], (0..77).collect::<Vec<_>>()] {
             let mut fleet = Fleet::new(77, quota(rate_rps), 3);
             run_steps(&mut fleet, &[], rate_rps * 0.95, 20_000, &callers);
-            assert_eq!(fleet.refused, 0, "{rate_rps}");
+            assert_eq!(fleet.rejected, 0, "{rate_rps}");
         }
     }
 }
@@ -175,7 +175,7 @@
 /// All instances restart together while the organisation requests its usual rate; a quota
 /// is 1.6 times that.
 #[test]
-fn verify_a_common_start_refuses_little_of_the_usual_load() {
+fn verify_a_restart_of_all_instances_rejects_few_requests() {
     let rate_rps = 60.0;
     let mut fleet = Fleet::new(77, quota(rate_rps), 3);
     let all: Vec<usize> = (0..77).collect();
@@ -184,6 +184,6 @@
         (2_200, Step::Start(all.clone())),
     ];
     run_steps(&mut fleet, &steps, rate_rps / 1.6, 8_000, &all);
-    let share = fleet.refused as f64 / (fleet.runs.len() as f64);
+    let share = fleet.rejected as f64 / (fleet.runs.len() as f64);
     assert!(share < 0.03, "{share}");
 }
--- a/crates/foxtide-core/tests/records.rs
+++ b/crates/foxtide-core/tests/records.rs
@@ -1,4 +1,4 @@
-//! The changes that the log of store records yields.
+//! Tests of the log of store records.
 
 use foxtide_core::records::{
     Record,
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn verify_changes_come_in_order_with_removals() {
+fn verify_changes_are_ordered_and_include_removals() {
     let mut log = RecordLog::default();
     log.replace(
         &[record("a", Some("1"), 3), record("b", Some("1"), 4)],
@@ -48,7 +48,7 @@
     assert_eq!(log.all(), [record("a", Some("2"), 7)]);
 }
 
-/// A full read must not make followers of the log receive all records again.
+/// Guards against followers that receive all records again after a full read.
 #[test]
 fn verify_a_second_read_yields_the_difference() {
     let mut log = RecordLog::default();
@@ -79,7 +79,7 @@
     assert_eq!(log.changes_after(at(5_001)).unwrap(), []);
 }
 
-/// Relaying a large configuration over a watcher's slow link delays its followers.
+/// Guards against relays of a large configuration over a watcher's slow link.
 #[test]
 fn verify_large_changes_exceed_the_relay_limit() {
     let routes = "r".repeat(700_000);
--- a/crates/foxtide-core/tests/retry_attempts.rs
+++ b/crates/foxtide-core/tests/retry_attempts.rs
@@ -1,4 +1,4 @@
-//! The next step after each result of an attempt.
+//! Tests of the next step after each result of an attempt.
 
 use foxtide_core::outcome::Outcome;
 use foxtide_core::retry::{
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn verify_non_idempotent_is_never_resent_after_a_byte_went_out() {
+fn verify_non_idempotent_is_never_resent_after_a_byte_was_sent() {
     for result in [AttemptResult::Lost, AttemptResult::TimedOut] {
         let mut attempts = attempts(false);
         let id = attempts.begin(START);
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn verify_not_run_is_told_after_refusals_alone() {
+fn verify_not_run_is_reported_after_rejections_only() {
     let mut attempts = attempts(false);
     let mut budget = budget();
     let mut step = Step::Await;
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn verify_server_error_is_passed_on_when_it_cannot_be_retried() {
+fn verify_server_error_is_forwarded_when_it_cannot_be_retried() {
     let mut attempts = attempts(false);
     let id = attempts.begin(START);
     let step = attempts.end(id, AttemptResult::ServerError, &mut budget(), START);
@@ -127,7 +127,7 @@
 }
 
 #[test]
-fn verify_refusals_take_nothing_from_the_budget() {
+fn verify_rejections_do_not_use_the_budget() {
     let mut budget = budget();
     while budget.try_spend(START) {}
     let mut attempts = attempts(false);
--- a/crates/foxtide-core/tests/retry_properties.rs
+++ b/crates/foxtide-core/tests/retry_properties.rs
@@ -63,7 +63,7 @@
         self.running.push(self.attempts.begin(self.now));
     }
 
-    /// Ends an attempt; tells whether the request continues.
+    /// Ends an attempt; returns whether the request continues.
     fn end(&mut self, result: AttemptResult) -> bool {
         let id = self.running.remove(0);
         self.may_have_run |= !result.is_not_run();
@@ -111,7 +111,7 @@
     })]
 
     #[test]
-    fn verify_outcome_is_true_and_nothing_runs_twice(
+    fn verify_outcomes_are_correct_and_nothing_runs_twice(
         idempotent in any::<bool>(),
         steps in proptest::collection::vec((result(), any::<bool>(), 0..300u64), 1..40),
     ) {
--- a/crates/foxtide-core/tests/startup.rs
+++ b/crates/foxtide-core/tests/startup.rs
@@ -62,14 +62,14 @@
 }
 
 #[test]
-fn verify_the_delay_lets_the_first_finish_earlier_and_the_last_hardly_later() {
-    let together = finish_times_ms(|_| 0);
-    let spread =
+fn verify_the_delay_speeds_up_most_instances_and_hardly_delays_the_last() {
+    let undelayed = finish_times_ms(|_| 0);
+    let delayed =
         finish_times_ms(|number| startup_read_delay(INSTANCES, draw(number)).as_millis() as u64);
     let quarter = INSTANCES / 4;
-    assert!(spread[quarter] + 150 < together[quarter]);
-    assert!(spread[INSTANCES / 2] < together[INSTANCES / 2]);
-    assert!(spread[INSTANCES - 1] < together[INSTANCES - 1] + 150);
+    assert!(delayed[quarter] + 150 < undelayed[quarter]);
+    assert!(delayed[INSTANCES / 2] < undelayed[INSTANCES / 2]);
+    assert!(delayed[INSTANCES - 1] < undelayed[INSTANCES - 1] + 150);
 }
 
 #[test]
--- a/crates/foxtide-core/tests/store_restore.rs
+++ b/crates/foxtide-core/tests/store_restore.rs
@@ -1,6 +1,6 @@
 //! Restores of the store from an older backup.
 //!
-//! Replicas at different positions must never replace newer state by older, and converge.
+//! Replicas must converge and never replace newer state by older.
 
 use foxtide_core::ids::UpstreamId;
 use foxtide_core::records::{
@@ -214,13 +214,13 @@
                 update(&mut replicas, index, &store, index % 2);
             }
         }
-        let held: BTreeMap<String, Vec<u8>> = store
+        let expected: BTreeMap<String, Vec<u8>> = store
             .all()
             .into_iter()
             .filter_map(|record| Some((record.key, record.value?)))
             .collect();
         for (number, replica) in replicas.iter().enumerate() {
-            assert_eq!(replica.known, held, "seed {seed}, replica {number}");
+            assert_eq!(replica.known, expected, "seed {seed}, replica {number}");
             assert!(
                 replica.positions.is_sorted(),
                 "seed {seed}, replica {number}: {:?}",
--- a/crates/foxtide-core/tests/upstreams/mod.rs
+++ b/crates/foxtide-core/tests/upstreams/mod.rs
@@ -3,7 +3,6 @@
 use foxtide_core::ids::UpstreamId;
 use foxtide_core::organisation::Upstream;
 
-/// Returns the name of one upstream.
 pub(crate) fn id(number: usize) -> UpstreamId {
     let name = format!("viewer-{number}");
     name.parse().expect("the name is valid")
