--- a/crates/foxtide-core/src/choice/balancer.rs
+++ b/crates/foxtide-core/src/choice/balancer.rs
@@ -208,7 +208,7 @@
         }
     }
 
-    /// Returns a ticket and records the result of its request.
+    /// Takes back a ticket and records the result of its request.
     pub fn finish(&mut self, ticket: Ticket, completion: Completion, now: MonotonicTime) {
         let Some(index) = self.position(ticket.incarnation) else {
             return;
@@ -270,7 +270,7 @@
         })
     }
 
-    /// Returns a poll and records its result.
+    /// Takes back a poll and records its result.
     pub fn finish_poll(&mut self, poll: Poll, result: PollResult, now: MonotonicTime) {
         let Some(index) = self.position(poll.incarnation) else {
             return;
--- a/crates/foxtide-core/src/choice/candidate.rs
+++ b/crates/foxtide-core/src/choice/candidate.rs
@@ -22,7 +22,7 @@
 /// The largest factor by which latency may raise or lower a score.
 const LATENCY_FACTOR_MAX: f64 = 8.0;
 
-/// The longest time for which a rejection alone excludes an upstream.
+/// The maximum time for which a rejection alone excludes an upstream.
 const REJECTION_HOLD_MAX: Duration = Duration::from_millis(100);
 
 /// Statistics over all candidates of a balancer.
@@ -128,12 +128,12 @@
         UpstreamStatus::Serving
     }
 
-    /// Returns the most requests that this instance may have in flight here.
+    /// Returns the maximum number of this instance's requests in flight.
     fn in_flight_limit(&self) -> u32 {
         self.upstream.slots.min(self.connection_limit).max(1)
     }
 
-    /// Returns when the upstream is expected to have a free slot; `None` where
+    /// Returns when the upstream is expected to have a free slot; `None` if
     /// one of this instance's requests has to finish first.
     pub(crate) fn free_at(&self, now: MonotonicTime) -> Option<MonotonicTime> {
         (self.in_flight < self.in_flight_limit()).then_some(self.full_until.max(now))
--- a/crates/foxtide-core/src/choice/completion.rs
+++ b/crates/foxtide-core/src/choice/completion.rs
@@ -29,7 +29,7 @@
     }
 
     /// Returns whether the attempt counts as a failure towards ejection; `None`
-    /// where it counts neither way.
+    /// if it counts neither way.
     pub(crate) const fn failure(self) -> Option<bool> {
         match self {
             Self::Answered => Some(false),
--- a/crates/foxtide-core/src/choice/liveness.rs
+++ b/crates/foxtide-core/src/choice/liveness.rs
@@ -3,7 +3,7 @@
 //! Any response, including a rejection or an answered poll, proves the upstream
 //! alive. Without responses it is polled: early while requests are in flight,
 //! later while it is idle. When a request or a poll stays unanswered for its
-//! limit without any other response, the upstream is dead and gets no requests
+//! timeout without any other response, the upstream is dead and gets no requests
 //! until it responds again.
 
 use super::LivenessOptions;
--- a/crates/foxtide-core/src/choice/load_report.rs
+++ b/crates/foxtide-core/src/choice/load_report.rs
@@ -20,7 +20,7 @@
 /// The load that an upstream reports.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LoadReport {
-    /// The share of the upstream's slots in use; above 1 where requests queue.
+    /// The share of the upstream's slots in use; above 1 if requests queue.
     pub utilization: f64,
 }
 
@@ -32,7 +32,7 @@
 }
 
 impl OrcaReport {
-    /// Returns the utilization where it is plausible.
+    /// Returns the utilization if it is plausible.
     fn utilization(&self) -> Option<f64> {
         let stated = self.application_utilization.or(self.cpu_utilization);
         stated.filter(|value| (0.0..=UTILIZATION_MAX).contains(value))
--- a/crates/foxtide-core/src/choice/options.rs
+++ b/crates/foxtide-core/src/choice/options.rs
@@ -29,18 +29,18 @@
     /// The highest smoothed utilization of the upstreams at which hedged
     /// attempts may be sent. Default: 0.6.
     pub hedge_utilization_max: f64,
-    /// The load subtracted from the score of an upstream where this instance
+    /// The load subtracted from the score of an upstream at which this instance
     /// owns a free slot, as a share; see [`Balancer::set_rank`](super::Balancer::set_rank).
     /// Default: 0.3.
     pub own_slot_bonus: f64,
     /// The time after an answer for which its slot is expected to be free, as a
     /// multiple of the smoothed latency. Default: 0.5.
     pub freed_slot_lifetime_latencies: f64,
-    /// The fewest connections to keep to each upstream; an instance with a
+    /// The minimum number of connections to each upstream; an instance with a
     /// smaller share uses fewer upstreams. Default: 2.
     pub connections_min: u32,
-    /// The fewest upstreams that an instance uses, however small its share of
-    /// the connections. Default: 3.
+    /// The minimum number of upstreams that an instance uses, whatever its share
+    /// of the connections. Default: 3.
     pub subset_min: usize,
     /// Options of failure detection.
     pub liveness: LivenessOptions,
@@ -105,18 +105,18 @@
 /// Options of the ejection of upstreams that fail more than the rest.
 #[derive(Clone, Debug)]
 pub struct EjectionOptions {
-    /// The largest share of the upstreams that may be ejected or dead before
+    /// The maximum share of the upstreams that may be ejected or dead before
     /// ejections stop. Default: 0.34.
     pub ejected_max: Share,
     /// How far an upstream's smoothed failure share must exceed that of all
     /// upstreams. Default: 0.4.
     pub excess_failures: Share,
-    /// The fewest completions before an ejection. Default: 8.
+    /// The minimum number of completions before an ejection. Default: 8.
     pub completions_min: u32,
     /// The duration of the first ejection; each later one doubles it.
     /// Default: 5 s.
     pub first_duration: Duration,
-    /// The longest duration of an ejection. Default: 60 s.
+    /// The maximum duration of an ejection. Default: 60 s.
     pub duration_max: Duration,
 }
 
--- a/crates/foxtide-core/src/choice/pick.rs
+++ b/crates/foxtide-core/src/choice/pick.rs
@@ -39,7 +39,7 @@
         &self.upstream
     }
 
-    /// Returns the most connections that this instance may keep to the upstream.
+    /// Returns the maximum number of this instance's connections to the upstream.
     pub fn connection_limit(&self) -> u32 {
         self.connection_limit
     }
--- a/crates/foxtide-core/src/choice/sharing.rs
+++ b/crates/foxtide-core/src/choice/sharing.rs
@@ -21,7 +21,7 @@
     /// included.
     pub instances: u32,
     /// This instance's rank among those of its region, which share the slots
-    /// there; `None` where it is unknown.
+    /// there; `None` if it is unknown.
     pub rank: Option<Rank>,
 }
 
--- a/crates/foxtide-core/src/choice/subset.rs
+++ b/crates/foxtide-core/src/choice/subset.rs
@@ -17,7 +17,7 @@
     pub(crate) instances: u32,
     /// This instance's rank among those that share the slots.
     pub(crate) rank: Option<Rank>,
-    /// The instance's seed, used where the rank is unknown.
+    /// The instance's seed, used if the rank is unknown.
     pub(crate) seed: u64,
 }
 
@@ -60,8 +60,8 @@
         order
     }
 
-    /// Returns the largest number of upstreams to each of which this instance
-    /// may still keep the least number of connections.
+    /// Returns the number of upstreams to use: as many as its share of the
+    /// connections covers at `connections_min` each, but at least `subset_min`.
     fn subset_size(
         &self,
         candidates: &[Candidate],
--- a/crates/foxtide-core/src/choice/view.rs
+++ b/crates/foxtide-core/src/choice/view.rs
@@ -34,14 +34,14 @@
             .map(move |c| (&*c.upstream, status(c)))
     }
 
-    /// Returns the upstreams of this instance's subset, each with the most
-    /// connections that the instance may keep to it.
+    /// Returns the upstreams of this instance's subset, each with the
+    /// maximum number of the instance's connections to it.
     pub fn connection_limits(&self) -> impl Iterator<Item = (&Upstream, u32)> {
         let in_subset = self.candidates.iter().filter(|c| c.in_subset);
         in_subset.map(|c| (&*c.upstream, c.connection_limit))
     }
 
-    /// Returns the bytes of state for each upstream, without its configuration.
+    /// Returns the size of one upstream's state in bytes, without its configuration.
     pub const fn state_bytes_per_upstream() -> usize {
         size_of::<Candidate>()
     }
--- a/crates/foxtide-core/src/idempotency/table.rs
+++ b/crates/foxtide-core/src/idempotency/table.rs
@@ -1,4 +1,4 @@
-//! The states of the keys that a process owns.
+//! Table of the idempotency keys that a process owns.
 
 use super::key::minted_at;
 use super::{
--- a/crates/foxtide-core/src/limits/bucket.rs
+++ b/crates/foxtide-core/src/limits/bucket.rs
@@ -117,7 +117,7 @@
     }
 
     #[test]
-    fn verify_no_second_holds_more_than_the_rate() {
+    fn verify_no_second_exceeds_the_rate() {
         for rate in [1.5, 2.0, 7.0, 25.0, 250.0] {
             assert!(sent_in_busiest_second(rate) as f64 <= rate, "{rate}");
         }
@@ -125,7 +125,7 @@
     }
 
     #[test]
-    fn verify_a_rate_of_nothing_passes_nothing() {
+    fn verify_a_rate_of_zero_passes_nothing() {
         let mut bucket = TokenBucket::new(RequestRate::ZERO, MonotonicTime::ZERO);
         assert!(!bucket.has_token(MonotonicTime::from_ms(60_000)));
         assert_eq!(bucket.next_token_in(), None);
--- a/crates/foxtide-core/src/poison/quarantine.rs
+++ b/crates/foxtide-core/src/poison/quarantine.rs
@@ -102,7 +102,7 @@
 #[derive(Clone, Copy, Debug)]
 struct QuarantinedRequest {
     entry: QuarantineEntry,
-    /// The index of the entry in the store; `None` where it is not known to be stored.
+    /// The index of the entry in the store; `None` if it is not known to be stored.
     index: Option<StoreIndex>,
     quarantined_at: MonotonicTime,
     trial_at: MonotonicTime,
@@ -223,7 +223,7 @@
     }
 
     /// Returns the entry with which this instance may claim the next trial in the store;
-    /// `None` where none is due.
+    /// `None` if none is due.
     pub fn next_trial(&self, fingerprint: Fingerprint, now: MonotonicTime) -> Option<StoredEntry> {
         if self.status(fingerprint, now) != QuarantineStatus::TrialDue {
             return None;
--- a/crates/foxtide-core/src/poison/suspects.rs
+++ b/crates/foxtide-core/src/poison/suspects.rs
@@ -76,7 +76,7 @@
         }
     }
 
-    /// Records an end; returns the number of ends where the request is to be quarantined.
+    /// Records an end; returns the number of ends if the request is to be quarantined.
     pub fn report(&mut self, report: &EndReport, now: MonotonicTime) -> Option<u32> {
         let fingerprint = report.fingerprint;
         if self.suspects.len() >= SUSPECTS_MAX && !self.suspects.contains_key(&fingerprint) {
--- a/crates/foxtide-core/src/quota/fallback.rs
+++ b/crates/foxtide-core/src/quota/fallback.rs
@@ -1,4 +1,4 @@
-//! The requests that an instance may forward while its quota coordinators do not answer.
+//! Tokens that an instance may use while its quota coordinators do not answer.
 
 use super::parts::QuotaParts;
 use crate::ids::{
--- a/crates/foxtide-core/src/quota/mod.rs
+++ b/crates/foxtide-core/src/quota/mod.rs
@@ -4,7 +4,7 @@
 //! an instance of the region that all instances derive from the same member list. It holds
 //! the token bucket and hands out tokens. An instance asks the coordinator of its own
 //! region before it forwards a request, and those of the other regions if that one has no
-//! tokens left, so that the whole quota is available everywhere.
+//! tokens left, so that the whole quota is available in every region.
 //!
 //! ```text
 //! request -> QuotaAnswer::Granted | QuotaAnswer::Rejected | QuotaAnswer::NotCoordinator
--- a/crates/foxtide-core/src/quota/parts.rs
+++ b/crates/foxtide-core/src/quota/parts.rs
@@ -1,4 +1,4 @@
-//! How much of a quota's bound each mechanism may use.
+//! Divides the bound of a quota between buckets and fallback tokens.
 
 use crate::routing::Quota;
 use std::time::Duration;
--- a/crates/foxtide-core/src/quota/token_cache.rs
+++ b/crates/foxtide-core/src/quota/token_cache.rs
@@ -1,4 +1,4 @@
-//! The quota tokens that an instance holds for one organisation.
+//! Cache of quota tokens for one organisation.
 
 use crate::time::MonotonicTime;
 use std::collections::VecDeque;
--- a/crates/foxtide-core/src/records.rs
+++ b/crates/foxtide-core/src/records.rs
@@ -26,7 +26,7 @@
 pub struct Record {
     /// The key.
     pub key: String,
-    /// The value; `None` where the key was removed.
+    /// The value; `None` if the key was removed.
     pub value: Option<Vec<u8>>,
     /// The index of the last change.
     pub index: StoreIndex,
--- a/crates/foxtide-core/src/store.rs
+++ b/crates/foxtide-core/src/store.rs
@@ -19,7 +19,7 @@
 /// indices are ordered by era first.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct StoreIndex {
-    /// The number of restores; 0 where the store does not report it.
+    /// The number of restores; 0 if the store does not report it.
     era: u64,
     number: u64,
 }
--- a/crates/foxtide-core/src/time.rs
+++ b/crates/foxtide-core/src/time.rs
@@ -45,7 +45,7 @@
                 self.0 / 1_000
             }
 
-            /// Returns the time since `earlier`, or zero where that is later.
+            /// Returns the time since `earlier`, or zero if that is later.
             pub fn since(self, earlier: Self) -> Duration {
                 Duration::from_micros(self.0.saturating_sub(earlier.0))
             }
@@ -67,7 +67,7 @@
         impl Sub<$name> for $name {
             type Output = Duration;
 
-            /// Returns the time since `earlier`, or zero where that is later.
+            /// Returns the time since `earlier`, or zero if that is later.
             fn sub(self, earlier: Self) -> Duration {
                 self.since(earlier)
             }
