--- a/crates/foxtide-core/src/choice/ejection.rs
+++ b/crates/foxtide-core/src/choice/ejection.rs
@@ -38,9 +38,9 @@
         COMPLETIONS_PER_EJECTION.saturating_mul(self.ejections.max(1))
     }
 
-    /// Returns whether this upstream fails far more often than all together.
-    pub(crate) fn is_outlier(&self, all: &Self, options: &EjectionOptions) -> bool {
-        let excess = self.failure_share - all.failure_share;
+    /// Returns whether this upstream fails far more often than the pool.
+    pub(crate) fn is_outlier(&self, pool: &Self, options: &EjectionOptions) -> bool {
+        let excess = self.failure_share - pool.failure_share;
         self.completions >= options.completions_min && excess >= options.excess_failures.get()
     }
 
@@ -50,14 +50,16 @@
 
     pub(crate) fn eject(&mut self, options: &EjectionOptions, now: MonotonicTime) {
         let factor = 1u32 << self.ejections.min(DOUBLINGS_MAX);
-        let duration = options.base.saturating_mul(factor).min(options.longest);
+        let duration = options
+            .first_duration
+            .saturating_mul(factor)
+            .min(options.duration_max);
         self.ejected_until = Some(now + duration);
         self.ejections += 1;
         self.completions = 0;
         self.failure_share = 0.0;
     }
 
-    /// Ends the ejection early.
     pub(crate) fn end_ejection(&mut self) {
         self.ejected_until = None;
     }
--- a/crates/foxtide-core/src/choice/subset.rs
+++ b/crates/foxtide-core/src/choice/subset.rs
@@ -17,7 +17,7 @@
     pub(crate) instances: u32,
     /// This instance's rank among those that share the slots.
     pub(crate) rank: Option<Rank>,
-    /// The instance's seed, used where the rank is unknown.
+    /// The instance's seed, used if the rank is unknown.
     pub(crate) seed: u64,
 }
 
@@ -60,8 +60,8 @@
         order
     }
 
-    /// Returns the largest number of upstreams to each of which this instance
-    /// may still keep the least number of connections.
+    /// Returns the number of upstreams to use: as many as its share of the
+    /// connections covers at `connections_min` each, but at least `subset_min`.
     fn subset_size(
         &self,
         candidates: &[Candidate],
@@ -70,8 +70,8 @@
     ) -> usize {
         let usable = candidates.iter().filter(|c| c.is_eligible());
         let connections: u64 = usable.map(|c| u64::from(c.upstream.connections)).sum();
-        let wanted_each = u64::from(options.connections_min.max(1));
-        let affordable = connections / u64::from(self.instances) / wanted_each;
+        let per_upstream = u64::from(options.connections_min.max(1));
+        let affordable = connections / u64::from(self.instances) / per_upstream;
         let size = usize::try_from(affordable).unwrap_or(usize::MAX);
         size.max(options.subset_min).min(eligible)
     }
@@ -88,11 +88,11 @@
         let Some(rank) = self.rank else {
             return;
         };
-        let mut dealt = 0;
+        let mut slot = 0;
         for candidate in candidates.iter_mut().filter(|c| c.is_eligible()) {
             for _ in 0..candidate.upstream.slots {
-                candidate.own_slots += u32::from(dealt % rank.total.max(1) == rank.index);
-                dealt += 1;
+                candidate.own_slots += u32::from(slot % rank.total.max(1) == rank.index);
+                slot += 1;
             }
         }
     }
--- a/crates/foxtide-core/src/choice/view.rs
+++ b/crates/foxtide-core/src/choice/view.rs
@@ -1,4 +1,4 @@
-//! Read access to the state of a balancer.
+//! Queries of a balancer's state.
 
 use super::balancer::Balancer;
 use super::candidate::Candidate;
@@ -11,16 +11,16 @@
 impl Balancer {
     /// Returns the smoothed latency over all upstreams, 0 before any answer.
     ///
-    /// Latency-sensitive requests should not wait much longer for an upstream.
+    /// Latency-sensitive requests should not wait much longer than this.
     pub fn latency(&self) -> Duration {
-        self.common.latency()
+        self.stats.latency()
     }
 
     /// Returns whether the upstreams have capacity for hedged attempts, which
     /// would slow all requests down on busy upstreams.
     pub fn has_spare_capacity(&self) -> bool {
-        let is_idle = self.common.utilization <= self.options.hedge_utilization_max;
-        is_idle && self.refusal_budget.is_ample()
+        let is_idle = self.stats.utilization <= self.options.hedge_utilization_max;
+        is_idle && self.rejection_budget.is_ample()
     }
 
     /// Returns each upstream with its status.
@@ -34,14 +34,14 @@
             .map(move |c| (&*c.upstream, status(c)))
     }
 
-    /// Returns the upstreams of this instance's subset, each with the most
-    /// connections that the instance may keep to it.
+    /// Returns the upstreams of this instance's subset, each with the
+    /// maximum number of the instance's connections to it.
     pub fn connection_limits(&self) -> impl Iterator<Item = (&Upstream, u32)> {
         let in_subset = self.candidates.iter().filter(|c| c.in_subset);
         in_subset.map(|c| (&*c.upstream, c.connection_limit))
     }
 
-    /// Returns the bytes of state for each upstream, without its configuration.
+    /// Returns the size of one upstream's state in bytes, without its configuration.
     pub const fn state_bytes_per_upstream() -> usize {
         size_of::<Candidate>()
     }
--- a/crates/foxtide-core/src/limits/bucket.rs
+++ b/crates/foxtide-core/src/limits/bucket.rs
@@ -88,9 +88,9 @@
     }
 
     fn refill(&mut self, now: MonotonicTime) {
-        let passed = now.since(self.refilled_at).as_secs_f64();
+        let elapsed = now.since(self.refilled_at).as_secs_f64();
         self.refilled_at = self.refilled_at.max(now);
-        self.tokens = (self.tokens + passed * self.refill_per_s).min(self.burst);
+        self.tokens = (self.tokens + elapsed * self.refill_per_s).min(self.burst);
     }
 }
 
@@ -117,7 +117,7 @@
     }
 
     #[test]
-    fn verify_no_second_holds_more_than_the_rate() {
+    fn verify_no_second_exceeds_the_rate() {
         for rate in [1.5, 2.0, 7.0, 25.0, 250.0] {
             assert!(sent_in_busiest_second(rate) as f64 <= rate, "{rate}");
         }
@@ -125,7 +125,7 @@
     }
 
     #[test]
-    fn verify_a_rate_of_nothing_passes_nothing() {
+    fn verify_a_rate_of_zero_passes_nothing() {
         let mut bucket = TokenBucket::new(RequestRate::ZERO, MonotonicTime::ZERO);
         assert!(!bucket.has_token(MonotonicTime::from_ms(60_000)));
         assert_eq!(bucket.next_token_in(), None);
--- a/crates/foxtide-core/src/limits/claim.rs
+++ b/crates/foxtide-core/src/limits/claim.rs
@@ -1,4 +1,4 @@
-//! Claims of instances on a limit, and the lowest claim that peers may know.
+//! Claims of instances on a limit, and the part of a claim that all peers know.
 
 use crate::time::MonotonicTime;
 use crate::units::RequestRate;
@@ -104,7 +104,7 @@
 pub struct ClaimWindow {
     published: VecDeque<(MonotonicTime, Claim)>,
     usable: Claim,
-    known: bool,
+    is_known: bool,
     connected_since: Option<MonotonicTime>,
 }
 
@@ -137,15 +137,15 @@
     /// This is the minimum of the claims in force since `now - window`, or zero
     /// if none is that old. It grows only after a whole window of full
     /// connectivity: an unreachable peer may not receive published claims.
-    pub fn settle(&mut self, window: Duration, connectivity: Connectivity, now: MonotonicTime) {
+    pub fn update(&mut self, window: Duration, connectivity: Connectivity, now: MonotonicTime) {
         let is_known = |(at, _): &(MonotonicTime, Claim)| now.since(*at) >= window;
         while self.published.get(1).is_some_and(is_known) {
             self.published.pop_front();
         }
         let claims = self.published.iter().map(|(_, claim)| *claim);
         let mut least = claims.reduce(Claim::min).unwrap_or_default();
-        let published = self.published.front().is_some_and(is_known);
-        if !published {
+        let is_published = self.published.front().is_some_and(is_known);
+        if !is_published {
             least = Claim::default();
         }
         if connectivity != Connectivity::Full {
@@ -155,9 +155,9 @@
             let since = *self.connected_since.get_or_insert(now);
             now.since(since) >= window
         };
-        self.known = match connectivity {
+        self.is_known = match connectivity {
             Connectivity::Isolated => false,
-            _ => self.known || (may_grow && published),
+            _ => self.is_known || (may_grow && is_published),
         };
         self.usable = match connectivity {
             Connectivity::Isolated => Claim::default(),
@@ -168,10 +168,10 @@
 
     /// Returns whether all peers know a claim of this instance.
     pub fn is_known(&self) -> bool {
-        self.known
+        self.is_known
     }
 
-    /// Returns the claim computed by [`Self::settle`].
+    /// Returns the claim computed by [`Self::update`].
     pub fn usable(&self) -> Claim {
         self.usable
     }
@@ -179,8 +179,8 @@
 
 fn with_hysteresis(published: RequestRate, need: RequestRate) -> RequestRate {
     let (published_rps, need_rps) = (published.get(), need.get());
-    let within = need_rps <= published_rps && need_rps >= published_rps * LOWER_BELOW_SHARE;
-    if within {
+    let is_close = need_rps <= published_rps && need_rps >= published_rps * LOWER_BELOW_SHARE;
+    if is_close {
         return published;
     }
     RequestRate::clamped(need_rps * RAISE_FACTOR)
--- a/crates/foxtide-core/src/quota/bucket.rs
+++ b/crates/foxtide-core/src/quota/bucket.rs
@@ -6,27 +6,27 @@
 
 /// The share of a bucket's capacity that is reserved for the organisation's
 /// highest-priority requests.
-const URGENT_RESERVE_SHARE: f64 = 0.1;
+const PRIORITY_RESERVE_SHARE: f64 = 0.1;
 
-/// How long the reserve is held after the last highest-priority request.
-const URGENT_RESERVE_TIME: Duration = Duration::from_secs(5);
+/// The time after the last highest-priority request for which the reserve is held.
+const PRIORITY_RESERVE_TIME: Duration = Duration::from_secs(5);
 
 /// The share of the capacity below which tokens are handed out one at a time, since tokens
 /// cached at one instance are missing at the others.
 const PREFETCH_RESERVE_SHARE: f64 = 0.5;
 
 /// The share of its refill rate that a newly started process uses, since another instance
-/// may still hand out the same part for a moment.
+/// may briefly hand out the same part.
 pub(super) const STARTUP_RATE_SHARE: f64 = 0.65;
 
-/// How long a process refills at the reduced rate: as long as a membership change takes to
-/// reach all instances.
+/// The time for which a process refills at the reduced rate, in which a membership change
+/// reaches all instances.
 pub(super) const STARTUP_TIME: Duration = Duration::from_secs(3);
 
-/// The longest retry delay in a refusal.
+/// The longest retry delay in a rejection.
 const RETRY_AFTER_MAX: Duration = Duration::from_secs(10);
 
-/// A token bucket that assigns future tokens to refused requests in order of arrival.
+/// A token bucket that assigns future tokens to rejected requests in order of arrival.
 #[derive(Clone, Debug)]
 pub(super) struct Bucket {
     tokens: f64,
@@ -34,7 +34,7 @@
     /// When the latest assigned token becomes available.
     last_retry_at: MonotonicTime,
     /// The highest recent priority, and when it was last seen.
-    most_urgent: (u32, MonotonicTime),
+    highest_priority: (u32, MonotonicTime),
 }
 
 impl Bucket {
@@ -44,7 +44,7 @@
             tokens,
             refilled_at: now,
             last_retry_at: now,
-            most_urgent: (priority, now),
+            highest_priority: (priority, now),
         }
     }
 
@@ -74,22 +74,22 @@
     }
 
     fn refill(&mut self, rate_rps: f64, capacity: f64, now: MonotonicTime) {
-        let passed_s = (now - self.refilled_at).as_secs_f64();
+        let elapsed_s = (now - self.refilled_at).as_secs_f64();
         self.refilled_at = self.refilled_at.max(now);
-        self.tokens = (self.tokens + passed_s * rate_rps).min(capacity);
+        self.tokens = (self.tokens + elapsed_s * rate_rps).min(capacity);
     }
 
     /// Returns the tokens that are reserved for requests of higher priority.
     fn reserve(&mut self, priority: u32, capacity: f64, now: MonotonicTime) -> f64 {
-        let (most_urgent, seen_at) = self.most_urgent;
-        if priority <= most_urgent || now - seen_at > URGENT_RESERVE_TIME {
-            self.most_urgent = (priority, now);
+        let (highest_priority, seen_at) = self.highest_priority;
+        if priority <= highest_priority || now - seen_at > PRIORITY_RESERVE_TIME {
+            self.highest_priority = (priority, now);
             return 0.0;
         }
-        capacity * URGENT_RESERVE_SHARE
+        capacity * PRIORITY_RESERVE_SHARE
     }
 
-    /// Assigns the next unassigned token to a refusal and returns the time until it is
+    /// Assigns the next unassigned token to a rejection and returns the time until it is
     /// available.
     fn schedule_retry(&mut self, missing: f64, rate_rps: f64, now: MonotonicTime) -> Duration {
         if rate_rps <= 0.0 {
--- a/crates/foxtide-core/src/quota/coordinator.rs
+++ b/crates/foxtide-core/src/quota/coordinator.rs
@@ -11,7 +11,7 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// How long an unused bucket is retained; a new one would hold as many tokens by then.
+/// The time after which an unused bucket is dropped; a new one holds as many tokens by then.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(120);
 
 /// A request for tokens of a quota.
@@ -34,8 +34,8 @@
         tokens: u32,
     },
     /// This part of the quota is used up.
-    Refused {
-        /// The time until a token is available that is not assigned to an earlier refusal.
+    Rejected {
+        /// The time until a token is available that is not assigned to an earlier rejection.
         retry_after: Duration,
     },
     /// The instance does not coordinate this quota or cannot tell whether it does.
@@ -91,7 +91,7 @@
         let wanted = request.wanted;
         match entry.bucket.take(wanted, priority, rate_rps, parts, now) {
             Ok(tokens) => QuotaAnswer::Granted { tokens },
-            Err(retry_after) => QuotaAnswer::Refused { retry_after },
+            Err(retry_after) => QuotaAnswer::Rejected { retry_after },
         }
     }
 
--- a/crates/foxtide-core/src/quota/fallback.rs
+++ b/crates/foxtide-core/src/quota/fallback.rs
@@ -1,4 +1,4 @@
-//! The requests that an instance may forward while its quota coordinators do not answer.
+//! Tokens that an instance may use while its quota coordinators do not answer.
 
 use super::parts::QuotaParts;
 use crate::ids::{
@@ -12,7 +12,7 @@
 /// The maximum number of tokens per organisation, which bounds the search for an owned one.
 const TOKENS_MAX: f64 = 64.0;
 
-/// How long a used token stays unavailable beyond the window, since request latencies vary.
+/// The time beyond the window for which a used token is unavailable, since latencies vary.
 const PERIOD_MARGIN: Duration = Duration::from_millis(500);
 
 /// Tokens that are each owned by one live instance and need no coordination.
@@ -22,20 +22,20 @@
 }
 
 impl FallbackTokens {
-    /// Takes a token for one request and tells whether there was one. `instances` are those
-    /// considered alive, including `own`.
+    /// Takes a token for one request and returns whether there was one. `instances` are those
+    /// considered alive, including `local`.
     pub fn try_take(
         &mut self,
         organisation: &OrganisationId,
         parts: &QuotaParts,
-        own: &InstanceId,
+        local: &InstanceId,
         instances: &[InstanceId],
         now: MonotonicTime,
     ) -> bool {
         let count = parts.fallback_requests().min(TOKENS_MAX) as u64;
         let period = parts.window() + PERIOD_MARGIN;
         self.tokens
-            .try_take(organisation, count, period, own, instances, now)
+            .try_take(organisation, count, period, local, instances, now)
     }
 
     /// Drops the records of tokens that are available again.
--- a/crates/foxtide-core/src/quota/parts.rs
+++ b/crates/foxtide-core/src/quota/parts.rs
@@ -1,4 +1,4 @@
-//! How much of a quota's bound each mechanism may use.
+//! Divides the bound of a quota between buckets and fallback tokens.
 
 use crate::routing::Quota;
 use std::time::Duration;
@@ -89,7 +89,6 @@
         (self.bounds.requests_max(&self.quota) - allowed) * FALLBACK_SHARE
     }
 
-    /// Returns the window in which requests are counted.
     pub(super) fn window(&self) -> Duration {
         self.bounds.window
     }
--- a/crates/foxtide-core/src/retry/attempts.rs
+++ b/crates/foxtide-core/src/retry/attempts.rs
@@ -39,8 +39,8 @@
 pub enum AttemptResult {
     /// No byte of the request was sent.
     NotSent,
-    /// The upstream refused the request and stated that it did not run.
-    Refused {
+    /// The upstream rejected the request and stated that it did not run.
+    Rejected {
         /// The retry delay that the upstream asked for.
         retry_after: Option<Duration>,
     },
@@ -56,9 +56,9 @@
 }
 
 impl AttemptResult {
-    /// Tells whether the request is known not to have run in this attempt.
+    /// Returns whether the request is known not to have run in this attempt.
     pub const fn is_not_run(self) -> bool {
-        matches!(self, Self::NotSent | Self::Refused { .. })
+        matches!(self, Self::NotSent | Self::Rejected { .. })
     }
 }
 
@@ -120,7 +120,7 @@
 
 /// Tracks one request over its attempts.
 ///
-/// Call [`begin`](Self::begin) when an attempt starts and [`ended`](Self::ended) with its
+/// Call [`begin`](Self::begin) when an attempt starts and [`end`](Self::end) with its
 /// result, and carry out the returned step.
 #[derive(Clone, Debug)]
 pub struct Attempts {
@@ -128,7 +128,7 @@
     options: RetryOptions,
     begun: u32,
     running: u32,
-    refused: u32,
+    rejected: u32,
     retries: u32,
     /// Whether an ended attempt may have run.
     may_have_run: bool,
@@ -145,7 +145,7 @@
             options,
             begun: 0,
             running: 0,
-            refused: 0,
+            rejected: 0,
             retries: 0,
             may_have_run: false,
             begun_at: MonotonicTime::ZERO,
@@ -203,7 +203,7 @@
     }
 
     /// Records how an attempt ended and decides the next step.
-    pub fn ended(
+    pub fn end(
         &mut self,
         id: AttemptId,
         result: AttemptResult,
@@ -212,8 +212,8 @@
     ) -> Step {
         self.running = self.running.saturating_sub(1);
         self.may_have_run |= !result.is_not_run();
-        if let AttemptResult::Refused { retry_after } = result {
-            self.refused += 1;
+        if let AttemptResult::Rejected { retry_after } = result {
+            self.rejected += 1;
             self.retry_after = self.retry_after.max(retry_after);
         }
         if result == AttemptResult::Answered {
@@ -223,8 +223,8 @@
         if self.running != 0 {
             return Step::Await;
         }
-        let was_refused = matches!(result, AttemptResult::Refused { .. });
-        if was_refused && self.may_retry_refused(now) {
+        let was_rejected = matches!(result, AttemptResult::Rejected { .. });
+        if was_rejected && self.may_retry_rejected(now) {
             return Step::Retry {
                 after: Duration::ZERO,
             };
@@ -254,16 +254,16 @@
         }
     }
 
-    /// Tells whether a request that was just refused may be retried without using the
+    /// Returns whether a request that was just rejected may be retried without using the
     /// budget.
-    fn may_retry_refused(&self, now: MonotonicTime) -> bool {
+    fn may_retry_rejected(&self, now: MonotonicTime) -> bool {
         let is_safe = self.terms.idempotent || !self.may_have_run;
-        is_safe && self.refused <= self.options.refusals_max && self.has_time(now)
+        is_safe && self.rejected <= self.options.rejections_max && self.has_time(now)
     }
 
     /// Returns the number of attempts that count towards `attempts_max`.
     fn counted_attempts(&self) -> u32 {
-        self.begun - self.refused.min(self.options.refusals_max)
+        self.begun - self.rejected.min(self.options.rejections_max)
     }
 
     /// Takes a retry from the budget, or returns why the request may not be retried.
--- a/crates/foxtide-core/tests/retry_properties.rs
+++ b/crates/foxtide-core/tests/retry_properties.rs
@@ -20,7 +20,7 @@
 fn result() -> impl Strategy<Value = AttemptResult> {
     prop_oneof![
         Just(AttemptResult::NotSent),
-        Just(AttemptResult::Refused { retry_after: None }),
+        Just(AttemptResult::Rejected { retry_after: None }),
         Just(AttemptResult::Answered),
         Just(AttemptResult::ServerError),
         Just(AttemptResult::Lost),
@@ -63,11 +63,11 @@
         self.running.push(self.attempts.begin(self.now));
     }
 
-    /// Ends an attempt; tells whether the request continues.
+    /// Ends an attempt; returns whether the request continues.
     fn end(&mut self, result: AttemptResult) -> bool {
         let id = self.running.remove(0);
         self.may_have_run |= !result.is_not_run();
-        let step = self.attempts.ended(id, result, &mut self.budget, self.now);
+        let step = self.attempts.end(id, result, &mut self.budget, self.now);
         match step {
             Step::Retry { after } => {
                 self.now = self.now + after;
@@ -111,7 +111,7 @@
     })]
 
     #[test]
-    fn verify_outcome_is_true_and_nothing_runs_twice(
+    fn verify_outcomes_are_correct_and_nothing_runs_twice(
         idempotent in any::<bool>(),
         steps in proptest::collection::vec((result(), any::<bool>(), 0..300u64), 1..40),
     ) {
--- a/crates/foxtide-testing/src/scenario/completion.rs
+++ b/crates/foxtide-testing/src/scenario/completion.rs
@@ -65,7 +65,7 @@
         }
         let step = copy
             .attempts
-            .ended(attempt.id, result, &mut state.retry_budget, now);
+            .end(attempt.id, result, &mut state.retry_budget, now);
         let gave_up = matches!(step, Step::GiveUp(_));
         if let (AttemptEnd::Refused, true, Some(steering)) = (end, gave_up, &mut process.steering) {
             steering.record_rejection(&attempt.region, now);
@@ -182,7 +182,7 @@
 fn completion_kind(end: AttemptEnd) -> CompletionKind {
     match end {
         AttemptEnd::NotSent => CompletionKind::NotSent,
-        AttemptEnd::Refused => CompletionKind::Refused,
+        AttemptEnd::Refused => CompletionKind::Rejected,
         AttemptEnd::Answered => CompletionKind::Answered,
         AttemptEnd::Lost => CompletionKind::Lost,
     }
@@ -191,7 +191,7 @@
 fn attempt_result(end: AttemptEnd) -> AttemptResult {
     match end {
         AttemptEnd::NotSent => AttemptResult::NotSent,
-        AttemptEnd::Refused => AttemptResult::Refused { retry_after: None },
+        AttemptEnd::Refused => AttemptResult::Rejected { retry_after: None },
         AttemptEnd::Answered => AttemptResult::Answered,
         AttemptEnd::Lost => AttemptResult::Lost,
     }
--- a/crates/foxtide-testing/src/scenario/requests.rs
+++ b/crates/foxtide-testing/src/scenario/requests.rs
@@ -95,8 +95,8 @@
             Begin::Run(claim) => self.start_copy(number, index, Some(claim)),
             Begin::InProgress { retry_after } => self.defer_caller(number, retry_after),
             Begin::Replay(run) => self.answer_caller(number, run.operation),
-            Begin::Elsewhere => self.redirect(number, index),
-            Begin::Refuse(refusal) => self.notify_caller(number, refusal.outcome().into()),
+            Begin::NotOwner => self.redirect(number, index),
+            Begin::Reject(rejection) => self.notify_caller(number, rejection.outcome().into()),
         }
     }
 
--- a/crates/foxtide-testing/src/scenario/store.rs
+++ b/crates/foxtide-testing/src/scenario/store.rs
@@ -98,7 +98,7 @@
 }
 
 fn sessions_unsupported<T>(step: &'static str) -> StoreResult<T> {
-    Err(StoreError::Refused {
+    Err(StoreError::Rejected {
         step,
         peer: PEER_NAME.to_owned(),
         status: 501,
--- a/crates/foxtide/examples/measure/at_most_once/policy.rs
+++ b/crates/foxtide/examples/measure/at_most_once/policy.rs
@@ -7,7 +7,7 @@
     IdempotencyKey,
     OwnerId,
     ProcessNumber,
-    RefusalReason,
+    RejectionReason,
     ReplayableAnswer,
     Table,
     TableOptions, //
@@ -106,8 +106,8 @@
     }
 }
 
-fn reject<C>(refusal: RefusalReason) -> Decision<C> {
-    Decision::Reply(Reply::Final(refusal.outcome()))
+fn reject<C>(rejection: RejectionReason) -> Decision<C> {
+    Decision::Reply(Reply::Final(rejection.outcome()))
 }
 
 /// The tables of idempotency keys of a fleet, one per process.
@@ -145,14 +145,14 @@
             Begin::Run(claim) => Decision::Run(claim),
             Begin::InProgress { .. } => Decision::Reply(Reply::Retry),
             Begin::Replay(Answer) => Decision::Reply(Reply::Final(Outcome::Done)),
-            Begin::Refuse(refusal) => reject(refusal.reason),
-            Begin::Elsewhere => {
+            Begin::Reject(rejection) => reject(rejection.reason),
+            Begin::NotOwner => {
                 let name = key.owner().instance.as_str().trim_start_matches("entry-");
                 let owner: usize = name.parse().expect("the name ends with a number");
                 if view.members[owner] {
                     Decision::Redirect(owner)
                 } else {
-                    reject(RefusalReason::OwnerGone)
+                    reject(RejectionReason::OwnerGone)
                 }
             }
         }
