--- a/crates/foxtide-testing/src/scenario/statement.rs
+++ b/crates/foxtide-testing/src/scenario/assertion.rs
@@ -2,9 +2,9 @@
 
 use super::fleet::Fleet;
 use super::operation::{
-    Kind,
+    CallerOutcome,
     Operation,
-    Told, //
+    RequestKind, //
 };
 use foxtide_core::ids::{
     RegionId,
@@ -20,78 +20,89 @@
     /// Of this service.
     pub(super) service: ServiceId,
     /// Of this kind.
-    pub(super) kind: Kind,
+    pub(super) kind: RequestKind,
     /// That ended, or had to end, in this time before now.
-    pub(super) last: Duration,
+    pub(super) window: Duration,
 }
 
 /// A statement does not hold.
 #[derive(Clone, Debug, thiserror::Error)]
-pub(super) enum StatementError {
+pub(super) enum AssertionError {
     /// There is nothing that the statement is about.
     #[error("nothing to judge: {0}")]
-    Nothing(String),
+    NoRequests(String),
     /// A figure lies outside what was stated.
-    #[error("{what} is {found}, stated {stated}")]
-    Figure {
+    #[error("{quantity} is {actual}, stated {expected}")]
+    OutOfRange {
         /// What was measured.
-        what: String,
+        quantity: String,
         /// What was found.
-        found: String,
+        actual: String,
         /// What was stated.
-        stated: String,
+        expected: String,
     },
 }
 
-impl StatementError {
-    fn figure(what: impl ToString, found: impl ToString, stated: impl ToString) -> Self {
-        Self::Figure {
-            what: what.to_string(),
-            found: found.to_string(),
-            stated: stated.to_string(),
+impl AssertionError {
+    fn out_of_range(
+        quantity: impl ToString,
+        actual: impl ToString,
+        expected: impl ToString,
+    ) -> Self {
+        Self::OutOfRange {
+            quantity: quantity.to_string(),
+            actual: actual.to_string(),
+            expected: expected.to_string(),
         }
     }
 }
 
 impl Fleet {
-    fn selected(&self, selection: &Selection) -> Result<Vec<&Operation>, StatementError> {
+    fn select(&self, selection: &Selection) -> Result<Vec<&Operation>, AssertionError> {
         let service = self.contract.service(&selection.service);
         let deadline = service.map_or(Duration::ZERO, |service| service.contract.deadline());
         let until = self.now.saturating_sub(deadline);
-        let since = until.saturating_sub(selection.last);
-        let in_time = |operation: &&Operation| {
+        let since = until.saturating_sub(selection.window);
+        let matches = |operation: &&Operation| {
             operation.arrived_at > since
                 && operation.arrived_at <= until
                 && operation.service == selection.service
                 && operation.kind == selection.kind
         };
-        let selected: Vec<&Operation> = self.operations.values().filter(in_time).collect();
+        let selected: Vec<&Operation> = self.operations.values().filter(matches).collect();
         if selected.is_empty() {
             let what = format!("no {} of {}", selection.kind, selection.service);
-            return Err(StatementError::Nothing(what));
+            return Err(AssertionError::NoRequests(what));
         }
         Ok(selected)
     }
 
     /// Checks that at least this part of the requests ended this way.
-    pub(super) fn check_told(
+    pub(super) fn check_outcomes(
         &self,
         selection: &Selection,
-        told: Told,
+        outcome: CallerOutcome,
         least: f64,
         most: f64,
-    ) -> Result<(), StatementError> {
-        let selected = self.selected(selection)?;
-        let ended = selected.iter().filter(|o| o.told == Some(told));
+    ) -> Result<(), AssertionError> {
+        let selected = self.select(selection)?;
+        let ended = selected.iter().filter(|o| o.outcome == Some(outcome));
         let part = ended.count() as f64 / selected.len() as f64;
         if (least..=most).contains(&part) {
             return Ok(());
         }
-        let what = format!("the part of {} told {told}", selection.service);
-        let reasons = &self.record.refusals;
-        let what = format!("{what} ({}; refused so far: {reasons:?})", ends(&selected));
+        let what = format!("the part of {} told {outcome}", selection.service);
+        let reasons = &self.record.rejections;
+        let what = format!(
+            "{what} ({}; refused so far: {reasons:?})",
+            count_outcomes(&selected)
+        );
         let stated = format!("{least} to {most}");
-        Err(StatementError::figure(what, format!("{part:.3}"), stated))
+        Err(AssertionError::out_of_range(
+            what,
+            format!("{part:.3}"),
+            stated,
+        ))
     }
 
     /// Checks that 99 of 100 answers came within this time.
@@ -99,10 +110,12 @@
         &self,
         selection: &Selection,
         p99: Duration,
-    ) -> Result<(), StatementError> {
-        let selected = self.selected(selection)?;
-        let done = selected.iter().filter(|o| o.told == Some(Told::Done));
-        let mut times: Vec<Duration> = done.map(|o| o.told_at - o.arrived_at).collect();
+    ) -> Result<(), AssertionError> {
+        let selected = self.select(selection)?;
+        let done = selected
+            .iter()
+            .filter(|o| o.outcome == Some(CallerOutcome::Done));
+        let mut times: Vec<Duration> = done.map(|o| o.ended_at - o.arrived_at).collect();
         times.sort();
         let index = (times.len() * 99).div_ceil(100).saturating_sub(1);
         let found = times.get(index).copied().unwrap_or(Duration::MAX);
@@ -110,7 +123,7 @@
             return Ok(());
         }
         let what = format!("the 99th percentile of {}", selection.service);
-        Err(StatementError::figure(
+        Err(AssertionError::out_of_range(
             what,
             format!("{found:?}"),
             format!("{p99:?}"),
@@ -124,7 +137,7 @@
         region: &RegionId,
         least: f64,
         most: f64,
-    ) -> Result<(), StatementError> {
+    ) -> Result<(), AssertionError> {
         let rows = self.record.rows.iter().rev();
         let latest = rows
             .clone()
@@ -144,39 +157,48 @@
         }
         let what = format!("the share of {region} in {service}");
         let stated = format!("{least} to {most}");
-        Err(StatementError::figure(what, format!("{share:.3}"), stated))
+        Err(AssertionError::out_of_range(
+            what,
+            format!("{share:.3}"),
+            stated,
+        ))
     }
 
-    /// Checks how many requests an upstream got in the time before now.
+    /// Checks how many requests an upstream received in the time before now.
     pub(super) fn check_received(
         &self,
         upstream: &UpstreamId,
-        last: Duration,
+        window: Duration,
         least: u32,
         most: u32,
-    ) -> Result<(), StatementError> {
+    ) -> Result<(), AssertionError> {
         let series = self.record.upstreams.get(upstream);
-        let since = self.now.saturating_sub(last);
-        let got = series.map_or(0, |series| series.between(since, self.now));
-        if (least..=most).contains(&got) {
+        let since = self.now.saturating_sub(window);
+        let received = series.map_or(0, |series| series.sum_between(since, self.now));
+        if (least..=most).contains(&received) {
             return Ok(());
         }
         let what = format!("the requests that {upstream} got");
-        Err(StatementError::figure(
+        Err(AssertionError::out_of_range(
             what,
-            got,
+            received,
             format!("{least} to {most}"),
         ))
     }
 
     /// Checks that a revision is in force on every instance that runs.
-    pub(super) fn check_revision(&self, revision: u64) -> Result<(), StatementError> {
+    pub(super) fn check_revision(&self, revision: u64) -> Result<(), AssertionError> {
         for instance in self.instances.iter().filter(|i| i.is_awake()) {
-            let held = instance.process.as_ref().and_then(|p| p.revision());
-            if held.map(|held| held.get()) != Some(revision) {
+            let in_force = instance.process.as_ref().and_then(|p| p.revision());
+            if in_force.map(|in_force| in_force.get()) != Some(revision) {
                 let what = format!("the revision on {}", instance.id);
-                let held = held.map_or_else(|| "none".to_owned(), |held| held.to_string());
-                return Err(StatementError::figure(what, held, format!("r{revision}")));
+                let in_force =
+                    in_force.map_or_else(|| "none".to_owned(), |in_force| in_force.to_string());
+                return Err(AssertionError::out_of_range(
+                    what,
+                    in_force,
+                    format!("r{revision}"),
+                ));
             }
         }
         Ok(())
@@ -184,11 +206,16 @@
 }
 
 /// Returns how many requests ended in each way.
-fn ends(operations: &[&Operation]) -> String {
-    let ways = [Told::Done, Told::NotRun, Told::Unknown, Told::Nothing];
-    let counts = ways.map(|way| {
-        let ended = operations.iter().filter(|o| o.told == Some(way));
-        format!("{way}: {}", ended.count())
+fn count_outcomes(operations: &[&Operation]) -> String {
+    let outcomes = [
+        CallerOutcome::Done,
+        CallerOutcome::NotRun,
+        CallerOutcome::Unknown,
+        CallerOutcome::NoResponse,
+    ];
+    let counts = outcomes.map(|outcome| {
+        let ended = operations.iter().filter(|o| o.outcome == Some(outcome));
+        format!("{outcome}: {}", ended.count())
     });
     counts.join(", ")
 }
--- a/crates/foxtide-testing/src/scenario/rules.rs
+++ b/crates/foxtide-testing/src/scenario/broken_rules.rs
@@ -15,43 +15,45 @@
 const SOLD_RATE_FACTOR: f64 = 10.0;
 
 /// Returns the document as the decisions see it under a broken rule.
-pub(super) fn distorted(document: &Organisation, rule: Option<BrokenRule>) -> Organisation {
-    let mut seen = document.clone();
+pub(super) fn with_broken_rule(document: &Organisation, rule: Option<BrokenRule>) -> Organisation {
+    let mut organisation = document.clone();
     match rule {
-        Some(BrokenRule::ShiftCap) => free_shifts(&mut seen),
-        Some(BrokenRule::SpillLimit) => free_spill(&mut seen),
-        Some(BrokenRule::SoldRate) => raise_rates(&mut seen),
-        Some(BrokenRule::Drain) => forget_drains(&mut seen),
+        Some(BrokenRule::ShiftCap) => lift_shift_caps(&mut organisation),
+        Some(BrokenRule::SpillLimit) => lift_spill_limits(&mut organisation),
+        Some(BrokenRule::SoldRate) => raise_sold_rates(&mut organisation),
+        Some(BrokenRule::Drain) => remove_upstream_drains(&mut organisation),
         _ => {}
     }
-    seen
+    organisation
 }
 
-fn free_shifts(seen: &mut Organisation) {
+fn lift_shift_caps(organisation: &mut Organisation) {
     let any_pace = ShareRate::new(1.0);
-    for service in &mut seen.services {
+    for service in &mut organisation.services {
         let cap = &mut service.contract.shift_cap_share_per_s;
         *cap = any_pace.clone().unwrap_or(*cap);
     }
 }
 
-fn free_spill(seen: &mut Organisation) {
-    for service in &mut seen.services {
+fn lift_spill_limits(organisation: &mut Organisation) {
+    for service in &mut organisation.services {
         service.contract.spill_limit_share = Share::ONE;
     }
 }
 
-fn raise_rates(seen: &mut Organisation) {
+fn raise_sold_rates(organisation: &mut Organisation) {
     let raised = |rate: RequestRate| RequestRate::clamped(rate.get() * SOLD_RATE_FACTOR);
-    for region in &mut seen.regions {
+    for region in &mut organisation.regions {
         region.sold_rate_rps = raised(region.sold_rate_rps);
     }
-    for link in &mut seen.links {
+    for link in &mut organisation.links {
         link.sold_rate_rps = raised(link.sold_rate_rps);
     }
 }
 
-fn forget_drains(seen: &mut Organisation) {
+fn remove_upstream_drains(organisation: &mut Organisation) {
     let of_upstream = |target: &DrainTarget| matches!(target, DrainTarget::Upstream { .. });
-    seen.drains.retain(|drain| !of_upstream(&drain.target));
+    organisation
+        .drains
+        .retain(|drain| !of_upstream(&drain.target));
 }
--- a/crates/foxtide-testing/src/scenario/callers.rs
+++ b/crates/foxtide-testing/src/scenario/callers.rs
@@ -7,10 +7,10 @@
 use super::fleet::Fleet;
 use super::instance::true_wall;
 use super::operation::{
-    Kind,
+    CallerOutcome,
     Operation,
     OperationNumber,
-    Told, //
+    RequestKind, //
 };
 use foxtide_core::idempotency::IdempotencyKey;
 use foxtide_core::ids::{
@@ -47,7 +47,7 @@
     pub(super) service: ServiceId,
     pub(super) region: RegionId,
     pub(super) rate: RequestRate,
-    pub(super) kind: Kind,
+    pub(super) kind: RequestKind,
     /// How many requests have come.
     came: usize,
     /// Changes with the rate, so that arrivals of the old one end.
@@ -60,7 +60,7 @@
         &mut self,
         service: &ServiceId,
         region: &RegionId,
-        kind: Kind,
+        kind: RequestKind,
         rate: RequestRate,
     ) {
         let same =
@@ -118,7 +118,7 @@
         &mut self,
         service: ServiceId,
         region: RegionId,
-        kind: Kind,
+        kind: RequestKind,
         turn: usize,
     ) -> OperationNumber {
         let number = self.next_number();
@@ -132,10 +132,10 @@
             sent: 0,
             turn,
             runs: 0,
-            told: None,
-            told_at: self.now,
+            outcome: None,
+            ended_at: self.now,
             received_at: self.now,
-            told_not_run: false,
+            reported_not_run: false,
         };
         self.operations.insert(number, operation);
         self.send_copy(number);
@@ -156,15 +156,15 @@
         }
         operation.sent += 1;
         operation.turn += 1;
-        operation.told = None;
+        operation.outcome = None;
         let sent = operation.sent;
         let Some(instance) = chosen else {
-            self.tell(number, Told::Nothing);
+            self.tell(number, CallerOutcome::NoResponse);
             return;
         };
         self.mint_key(number, instance);
         self.send(instance, CALLER_DELAY, Delivery::Request(number));
-        let event = Event::Patience {
+        let event = Event::CallerTimeout {
             operation: number,
             sent,
         };
@@ -206,26 +206,26 @@
         let Some(operation) = self.operations.get_mut(&number) else {
             return;
         };
-        if operation.kind == Kind::Write && operation.key.is_none() {
+        if operation.kind == RequestKind::Write && operation.key.is_none() {
             operation.key = Some(IdempotencyKey::mint(owner, now, random));
         }
     }
 
     /// Tells a caller how its request ended.
-    pub(super) fn tell(&mut self, number: OperationNumber, told: Told) {
+    pub(super) fn tell(&mut self, number: OperationNumber, told: CallerOutcome) {
         let now = self.now;
         let Some(operation) = self.operations.get_mut(&number) else {
             return;
         };
-        if operation.told.is_some() {
+        if operation.outcome.is_some() {
             return;
         }
-        operation.told = Some(told);
-        operation.told_at = now;
-        operation.told_not_run |= told == Told::NotRun;
-        let unsure = matches!(told, Told::Unknown | Told::Nothing);
+        operation.outcome = Some(told);
+        operation.ended_at = now;
+        operation.reported_not_run |= told == CallerOutcome::NotRun;
+        let unsure = matches!(told, CallerOutcome::Unknown | CallerOutcome::NoResponse);
         if unsure && operation.sent < COPIES_MAX {
-            self.schedule.add(now + AGAIN_AFTER, Event::Again(number));
+            self.schedule.add(now + AGAIN_AFTER, Event::Retry(number));
         }
     }
 
@@ -235,18 +235,18 @@
             return;
         };
         if operation.sent < COPIES_MAX {
-            let event = Event::Again(number);
+            let event = Event::Retry(number);
             self.schedule.add(self.now + wait, event);
         } else {
-            self.tell(number, Told::Unknown);
+            self.tell(number, CallerOutcome::Unknown);
         }
     }
 
     /// Ends the wait of a caller that got no answer to its latest copy.
     pub(super) fn lose_patience(&mut self, number: OperationNumber, sent: u32) {
-        let waits = |operation: &Operation| operation.sent == sent && operation.told.is_none();
+        let waits = |operation: &Operation| operation.sent == sent && operation.outcome.is_none();
         if self.operations.get(&number).is_some_and(waits) {
-            self.tell(number, Told::Nothing);
+            self.tell(number, CallerOutcome::NoResponse);
         }
     }
 }
--- a/crates/foxtide-testing/src/scenario/command.rs
+++ b/crates/foxtide-testing/src/scenario/command.rs
@@ -1,8 +1,8 @@
 //! The commands of the scenario language.
 
 use super::operation::{
-    Kind,
-    Told, //
+    CallerOutcome,
+    RequestKind, //
 };
 use super::operators::DrainKind;
 use super::promise::Promise;
@@ -62,7 +62,7 @@
         #[arg(key)]
         drain_window: Option<DurationArg>,
         #[arg(key)]
-        priority: Option<PriorityName>,
+        priority: Option<PriorityArg>,
     },
     /// `upstreams SERVICE per_region=N slots=N service_time=SPAN`.
     Upstreams {
@@ -88,7 +88,7 @@
         #[arg(key)]
         rate: RequestRate,
         #[arg(key)]
-        kind: Option<Kind>,
+        kind: Option<RequestKind>,
     },
     /// `run SPAN`: lets time pass.
     Run(DurationArg),
@@ -113,13 +113,13 @@
     /// `measurements flowing|late|stopped [by=SPAN]`: what instances hear of
     /// each other's measurements.
     Measurements {
-        state: MeasurementsName,
+        state: MeasurementsState,
         #[arg(key)]
         by: Option<DurationArg>,
     },
     /// `store up|down|slow|losing_answers|down_after_write [by=SPAN] [next=N]`.
     Store {
-        state: StoreName,
+        state: StoreState,
         #[arg(key)]
         by: Option<DurationArg>,
         #[arg(key)]
@@ -130,7 +130,7 @@
     /// all that begin like it.
     Upstream {
         name: String,
-        state: UpstreamName,
+        state: UpstreamState,
         #[arg(key)]
         factor: Option<f64>,
         #[arg(key)]
@@ -178,7 +178,7 @@
     /// [kind=read|write]`: which part of the requests ended this way.
     Told {
         service: ServiceId,
-        told: Told,
+        told: CallerOutcome,
         #[arg(key)]
         least: Option<f64>,
         #[arg(key)]
@@ -186,7 +186,7 @@
         #[arg(key)]
         last: Option<DurationArg>,
         #[arg(key)]
-        kind: Option<Kind>,
+        kind: Option<RequestKind>,
     },
     /// `latency SERVICE p99=SPAN [last=SPAN]`.
     Latency {
@@ -240,8 +240,8 @@
     }
 }
 
-macro_rules! define_words {
-    ($(#[$doc:meta])* $name:ident, $expected:literal, $($variant:ident = $word:literal),+) => {
+macro_rules! define_keywords {
+    ($(#[$doc:meta])* $name:ident, $expected:literal, $($variant:ident = $keyword:literal),+) => {
         $(#[$doc])*
         #[derive(Clone, Copy, Debug, PartialEq, Eq)]
         pub(super) enum $name {
@@ -253,7 +253,7 @@
 
             fn from_str(text: &str) -> Result<Self, Self::Err> {
                 match text {
-                    $($word => Ok(Self::$variant),)+
+                    $($keyword => Ok(Self::$variant),)+
                     _ => Err(foxtide_core::Error::parse(text, $expected)),
                 }
             }
@@ -261,18 +261,18 @@
     };
 }
 
-define_words!(
+define_keywords!(
     /// What instances hear of each other's measurements.
-    MeasurementsName,
+    MeasurementsState,
     "`flowing`, `late` or `stopped`",
     Flowing = "flowing",
     Late = "late",
     Stopped = "stopped"
 );
 
-define_words!(
+define_keywords!(
     /// What the store does.
-    StoreName,
+    StoreState,
     "`up`, `down`, `slow`, `losing_answers` or `down_after_write`",
     Up = "up",
     Down = "down",
@@ -281,9 +281,9 @@
     DownAfterWrite = "down_after_write"
 );
 
-define_words!(
+define_keywords!(
     /// What an upstream does.
-    UpstreamName,
+    UpstreamState,
     "a state of an upstream, such as `well` or `dead`",
     Well = "well",
     Dead = "dead",
@@ -299,9 +299,9 @@
 
 /// A contract's priority as a script names it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) struct PriorityName(pub(super) Priority);
+pub(super) struct PriorityArg(pub(super) Priority);
 
-impl FromStr for PriorityName {
+impl FromStr for PriorityArg {
     type Err = foxtide_core::Error;
 
     fn from_str(text: &str) -> Result<Self, Self::Err> {
--- a/crates/foxtide-testing/src/scenario/spread.rs
+++ b/crates/foxtide-testing/src/scenario/dissemination.rs
@@ -27,24 +27,24 @@
 const WATCHERS_PER_ZONE: usize = 2;
 
 /// The time that the store needs for an answer.
-const STORE_TIME: Duration = Duration::from_millis(5);
+const STORE_RESPONSE_TIME: Duration = Duration::from_millis(5);
 
 /// How late a revision may be in force on an instance that can hear of it.
 const IN_FORCE_WITHIN: Duration = Duration::from_secs(10);
 
 impl Fleet {
     /// Lets an instance that starts meet the instances on the platform's list.
-    pub(super) fn join(&mut self, place: usize) {
+    pub(super) fn join(&mut self, index: usize) {
         for peer in 0..self.instances.len() {
             let listed = !self.instances[peer].is_known_to_have_ended(self.now);
-            if peer != place && listed {
-                self.exchange(place, peer);
+            if peer != index && listed {
+                self.exchange_snapshots(index, peer);
             }
         }
     }
 
     /// Lets two instances tell each other all that they know.
-    fn exchange(&mut self, one: usize, other: usize) {
+    fn exchange_snapshots(&mut self, one: usize, other: usize) {
         let region = self.instances[other].region.clone();
         let Some(delay) = self.delay_to(one, &region) else {
             return;
@@ -57,8 +57,8 @@
         }
     }
 
-    fn snapshot(&self, place: usize) -> Option<Snapshot> {
-        let process = self.instances[place].process.as_ref()?;
+    fn snapshot(&self, index: usize) -> Option<Snapshot> {
+        let process = self.instances[index].process.as_ref()?;
         Some(Snapshot {
             members: process.membership.members().cloned().collect(),
             documents: process.documents.documents().cloned().collect(),
@@ -66,43 +66,45 @@
     }
 
     /// Lets the membership protocol of an instance do what is due.
-    pub(super) fn tick_membership(&mut self, place: usize) {
+    pub(super) fn tick_membership(&mut self, index: usize) {
         let now = self.now;
-        if let Some(process) = self.process(place) {
+        if let Some(process) = self.process(index) {
             let outputs = process.membership.tick(now);
-            self.carry_out(place, outputs);
+            self.handle_outputs(index, outputs);
         }
     }
 
     /// Does what the membership protocol asks for.
-    pub(super) fn carry_out(&mut self, place: usize, outputs: Vec<Output>) {
+    pub(super) fn handle_outputs(&mut self, index: usize, outputs: Vec<Output>) {
         for output in outputs {
             match output {
-                Output::Send { to, packet } => self.send_packet(place, to, packet),
+                Output::Send { to, packet } => self.send_packet(index, to, packet),
                 Output::Synchronise { with } => {
-                    if let Some(peer) = self.at_address(with) {
-                        self.exchange(place, peer);
+                    if let Some(peer) = self.instance_at(with) {
+                        self.exchange_snapshots(index, peer);
                     }
                 }
-                Output::Announced { announcement, by } => self.announced(place, &announcement, by),
+                Output::Announced { announcement, by } => {
+                    self.handle_announcement(index, &announcement, by)
+                }
                 Output::Changed(_) => {}
             }
         }
     }
 
-    fn at_address(&self, address: SocketAddr) -> Option<usize> {
+    fn instance_at(&self, address: SocketAddr) -> Option<usize> {
         let mut instances = self.instances.iter();
         instances.position(|instance| instance.address == address)
     }
 
-    fn send_packet(&mut self, place: usize, to: SocketAddr, packet: Packet) {
-        let Some(target) = self.at_address(to) else {
+    fn send_packet(&mut self, index: usize, to: SocketAddr, packet: Packet) {
+        let Some(target) = self.instance_at(to) else {
             return;
         };
         let region = self.instances[target].region.clone();
-        if let Some(delay) = self.delay_to(place, &region) {
-            let sender = self.instances[place].id.clone();
-            let from = self.instances[place].address;
+        if let Some(delay) = self.delay_to(index, &region) {
+            let sender = self.instances[index].id.clone();
+            let from = self.instances[index].address;
             let delivery = Delivery::Packet {
                 sender,
                 from,
@@ -113,53 +115,53 @@
     }
 
     /// Takes a datagram in.
-    pub(super) fn take_packet(
+    pub(super) fn receive_packet(
         &mut self,
-        place: usize,
+        index: usize,
         sender: &InstanceId,
         from: SocketAddr,
         packet: Packet,
     ) {
         let now = self.now;
-        if let Some(process) = self.process(place) {
+        if let Some(process) = self.process(index) {
             let outputs = process.membership.receive(sender, from, packet, now);
-            self.carry_out(place, outputs);
+            self.handle_outputs(index, outputs);
         }
     }
 
     /// Takes in all that a peer knows.
-    pub(super) fn take_snapshot(&mut self, place: usize, snapshot: Snapshot) {
+    pub(super) fn receive_snapshot(&mut self, index: usize, snapshot: Snapshot) {
         let now = self.now;
-        if let Some(process) = self.process(place) {
+        if let Some(process) = self.process(index) {
             let outputs = process.membership.merge(snapshot.members, now);
-            self.carry_out(place, outputs);
+            self.handle_outputs(index, outputs);
         }
         for document in snapshot.documents {
-            self.take_document(place, &document);
+            self.receive_document(index, &document);
         }
     }
 
-    fn announced(&mut self, place: usize, announcement: &Announcement, by: SocketAddr) {
-        let process = self.instances[place].process.as_ref();
+    fn handle_announcement(&mut self, index: usize, announcement: &Announcement, by: SocketAddr) {
+        let process = self.instances[index].process.as_ref();
         let wanted = process.is_some_and(|process| process.documents.is_newer(announcement));
-        let Some(peer) = self.at_address(by).filter(|_| wanted) else {
+        let Some(peer) = self.instance_at(by).filter(|_| wanted) else {
             return;
         };
         let region = self.instances[peer].region.clone();
-        let delay = self.delay_to(place, &region);
+        let delay = self.delay_to(index, &region);
         let Some((delay, snapshot)) = delay.zip(self.snapshot(peer)) else {
             return;
         };
         for document in snapshot.documents {
-            self.send(place, delay * 2, Delivery::Document(document));
+            self.send(index, delay * 2, Delivery::Document(document));
         }
     }
 
     /// Takes a document in and tells peers of it if it is new.
-    pub(super) fn take_document(&mut self, place: usize, document: &Document) {
+    pub(super) fn receive_document(&mut self, index: usize, document: &Document) {
         let now = self.now;
-        let id = self.instances[place].id.clone();
-        let Some(process) = self.process(place) else {
+        let id = self.instances[index].id.clone();
+        let Some(process) = self.process(index) else {
             return;
         };
         let before = process.revision();
@@ -170,25 +172,25 @@
         let rumour = Rumour::Configuration(document.announcement());
         let outputs = process.membership.spread(rumour, now);
         if after < before {
-            let breach = format!("{id} went back to {}", document.revision);
-            self.record.breaches.reverted.push(breach);
+            let violation = format!("{id} went back to {}", document.revision);
+            self.record.violations.reverted_revisions.push(violation);
         }
-        self.carry_out(place, outputs);
+        self.handle_outputs(index, outputs);
     }
 
     /// Sends an instance's report to all peers that it knows.
-    pub(super) fn report(&mut self, place: usize) {
+    pub(super) fn broadcast_report(&mut self, index: usize) {
         let now = self.now;
-        let region = self.instances[place].region.clone();
-        let from = self.instances[place].id.clone();
-        let Some(heard) = self.process(place).and_then(|p| p.report(now)) else {
+        let region = self.instances[index].region.clone();
+        let from = self.instances[index].id.clone();
+        let Some(heard) = self.process(index).and_then(|p| p.report(now)) else {
             return;
         };
-        self.forget_ended(place);
+        self.remove_ended_reports(index);
         for peer in 0..self.instances.len() {
             let target = self.instances[peer].region.clone();
             let delay = self.network.report_delay(&region, &target);
-            if let Some(delay) = delay.filter(|_| peer != place) {
+            if let Some(delay) = delay.filter(|_| peer != index) {
                 let (from, heard) = (from.clone(), heard.clone());
                 self.send(peer, delay, Delivery::Report { from, heard });
             }
@@ -196,25 +198,25 @@
     }
 
     /// Forgets the reports of instances that the platform's list shows no more.
-    fn forget_ended(&mut self, place: usize) {
+    fn remove_ended_reports(&mut self, index: usize) {
         let now = self.now;
         let ended = self.instances.iter();
         let ended = ended.filter(|instance| instance.is_known_to_have_ended(now));
         let ended: Vec<InstanceId> = ended.map(|instance| instance.id.clone()).collect();
-        if let Some(process) = self.process(place) {
+        if let Some(process) = self.process(index) {
             process.heard.retain(|id, _| !ended.contains(id));
         }
     }
 
     /// Asks the store for documents, where the instance watches it or has none.
-    pub(super) fn watch_store(&mut self, place: usize) {
+    pub(super) fn watch_store(&mut self, index: usize) {
         let Some(answer_time) = self.store.answer_time() else {
             return;
         };
-        let Some(process) = &self.instances[place].process else {
+        let Some(process) = &self.instances[index].process else {
             return;
         };
-        let region = &self.instances[place].region;
+        let region = &self.instances[index].region;
         if self.network.is_cut_from_store(region) {
             return;
         }
@@ -225,7 +227,7 @@
         let Ok(listing) = smol::block_on(self.store.list(ORGANISATION_PREFIX)) else {
             return;
         };
-        let Some(process) = self.process(place) else {
+        let Some(process) = self.process(index) else {
             return;
         };
         if process.store_index == listing.index {
@@ -233,14 +235,14 @@
         }
         process.store_index = listing.index;
         for entry in listing.entries {
-            if let Ok(held) = decode(&entry.key, &entry.value) {
+            if let Ok(organisation) = decode(&entry.key, &entry.value) {
                 let document = Document {
-                    organisation: held.organisation,
-                    revision: held.revision,
+                    organisation: organisation.organisation,
+                    revision: organisation.revision,
                     bytes: entry.value.into(),
                 };
                 let delivery = Delivery::Document(document);
-                self.send(place, answer_time + STORE_TIME, delivery);
+                self.send(index, answer_time + STORE_RESPONSE_TIME, delivery);
             }
         }
     }
@@ -262,8 +264,8 @@
             let process = instance.process.as_ref().filter(|_| reachable);
             let behind = process.is_some_and(|p| p.revision() < Some(due.revision));
             if behind {
-                let breach = format!("{} lacks {} at {now}", instance.id, due.revision);
-                self.record.breaches.late_revision.push(breach);
+                let violation = format!("{} lacks {} at {now}", instance.id, due.revision);
+                self.record.violations.late_revisions.push(violation);
             }
         }
     }
--- a/crates/foxtide-testing/src/scenario/endings.rs
+++ b/crates/foxtide-testing/src/scenario/endings.rs
@@ -6,7 +6,7 @@
     Delivery, //
 };
 use super::fleet::Fleet;
-use super::operation::Told;
+use super::operation::CallerOutcome;
 use super::process::KeptRun;
 use super::requests::RequestCopy;
 use super::upstream::AttemptNumber;
@@ -106,24 +106,24 @@
         let Some(copy) = self.close(number, CompletionKind::Cancelled) else {
             return;
         };
-        let mut told: Told = give_up.outcome.into();
+        let mut told: CallerOutcome = give_up.outcome.into();
         if let (Some(claim), Some(process)) = (copy.claim, self.process(copy.instance)) {
             let outcome = process.table.abandon(claim);
             told = outcome.into();
         }
-        if told == Told::NotRun {
+        if told == CallerOutcome::NotRun {
             let reason = match copy.refused_for {
                 Some(reason) => reason.to_string(),
                 None => give_up.reason.to_string(),
             };
-            *self.record.refusals.entry(reason).or_default() += 1;
+            *self.record.rejections.entry(reason).or_default() += 1;
         }
         let waited = self.now - copy.received_at;
         let time = copy.deadline - copy.received_at;
-        if told == Told::NotRun && waited > time.mul_f64(HELD_BACK_SHARE) {
+        if told == CallerOutcome::NotRun && waited > time.mul_f64(HELD_BACK_SHARE) {
             let operation = copy.operation;
             let breach = format!("request {operation} waited {waited:?} for its refusal");
-            self.record.breaches.held_back.push(breach);
+            self.record.violations.late_rejections.push(breach);
         }
         self.tell(copy.operation, told);
     }
@@ -159,7 +159,7 @@
         let Some(copy) = self.close(number, CompletionKind::TimedOut) else {
             return;
         };
-        let mut told: Told = outcome.into();
+        let mut told: CallerOutcome = outcome.into();
         if let (Some(claim), Some(process)) = (copy.claim, self.process(copy.instance)) {
             told = process.table.abandon(claim).into();
         }
--- a/crates/foxtide-testing/src/scenario/event.rs
+++ b/crates/foxtide-testing/src/scenario/event.rs
@@ -90,11 +90,11 @@
     /// The next request of a load arrives.
     Arrival { load: usize },
     /// A request of a replayed trace arrives.
-    Recorded { index: usize },
+    RecordedArrival { index: usize },
     /// A caller sends its request again.
-    Again(OperationNumber),
+    Retry(OperationNumber),
     /// A caller stops to wait for the copy that it sent last.
-    Patience {
+    CallerTimeout {
         operation: OperationNumber,
         sent: u32,
     },
@@ -115,9 +115,9 @@
         attempt: AttemptNumber,
     },
     /// A paused process wakes.
-    Wake { instance: usize },
+    Resume { instance: usize },
     /// A leaving instance's look-ups have expired at all callers.
-    Leave { instance: usize },
+    EndWhenIdle { instance: usize },
     /// A drained upstream's window is over and its process ends.
-    Vacate { upstream: UpstreamId },
+    DrainWindowEnds { upstream: UpstreamId },
 }
--- a/crates/foxtide-testing/src/scenario/exchange.rs
+++ b/crates/foxtide-testing/src/scenario/exchange.rs
@@ -107,7 +107,7 @@
         if self.now > since + LEAVING_GRACE {
             let late = self.now - since;
             let breach = format!("{upstream} got a request {late:?} after its announcement");
-            self.record.breaches.leaving.push(breach);
+            self.record.violations.sent_to_draining.push(breach);
         }
     }
 
--- a/crates/foxtide-testing/src/scenario/faults.rs
+++ b/crates/foxtide-testing/src/scenario/faults.rs
@@ -10,7 +10,7 @@
     Condition,
     true_wall, //
 };
-use super::operation::Told;
+use super::operation::CallerOutcome;
 use super::upstream::{
     AttemptNumber,
     UpstreamFault, //
@@ -39,7 +39,7 @@
         let on_it = self.copies_on(place);
         for copy in on_it {
             if let Some(copy) = self.close(copy, CompletionKind::Cancelled) {
-                self.tell(copy.operation, Told::Nothing);
+                self.tell(copy.operation, CallerOutcome::NoResponse);
             }
         }
         self.instances[place].process = None;
@@ -62,7 +62,7 @@
     pub(super) fn pause(&mut self, place: usize, span: Duration) {
         let until = self.now + span;
         self.instances[place].condition = Condition::Paused { until };
-        self.schedule.add(until, Event::Wake { instance: place });
+        self.schedule.add(until, Event::Resume { instance: place });
     }
 
     /// Wakes a paused process.
@@ -82,9 +82,9 @@
         self.instances[place].condition = Condition::Leaving;
         if let Some(process) = self.process(place) {
             let outputs = process.membership.leave(now);
-            self.carry_out(place, outputs);
+            self.handle_outputs(place, outputs);
         }
-        let event = Event::Leave { instance: place };
+        let event = Event::EndWhenIdle { instance: place };
         self.schedule.add(now + LOOKUP_TTL, event);
     }
 
@@ -97,7 +97,7 @@
             self.kill(place);
             return;
         }
-        let event = Event::Leave { instance: place };
+        let event = Event::EndWhenIdle { instance: place };
         self.schedule.add(self.now + IDLE_CHECK, event);
     }
 
@@ -111,9 +111,9 @@
         let broken = upstream.set_fault(fault);
         self.break_attempts(broken);
         if fault == UpstreamFault::None {
-            self.record.mend(&region, now);
+            self.record.end_region_fault(&region, now);
         } else {
-            self.record.disturb(&region, now);
+            self.record.begin_region_fault(&region, now);
         }
     }
 
@@ -126,7 +126,7 @@
 
     /// Ends everything that stands in a region.
     pub(super) fn region_down(&mut self, region: &RegionId) {
-        self.record.disturb(region, self.now);
+        self.record.begin_region_fault(region, self.now);
         for place in self.instances_in(region) {
             self.kill(place);
         }
@@ -143,7 +143,7 @@
         for place in self.instances_in(region) {
             self.restart(place);
         }
-        self.record.mend(region, self.now);
+        self.record.end_region_fault(region, self.now);
     }
 
     fn instances_in(&self, region: &RegionId) -> Vec<usize> {
@@ -162,8 +162,8 @@
     /// Loses everything that is sent between two regions.
     pub(super) fn cut(&mut self, one: &RegionId, other: &RegionId) {
         self.network.cut(one, other);
-        self.record.disturb(one, self.now);
-        self.record.disturb(other, self.now);
+        self.record.begin_region_fault(one, self.now);
+        self.record.begin_region_fault(other, self.now);
     }
 
     /// Ends a cut between two regions.
@@ -171,7 +171,7 @@
         let now = self.now;
         self.network.heal(one, other);
         for region in [one, other] {
-            self.record.mend(region, now);
+            self.record.end_region_fault(region, now);
             for place in self.instances_in(region) {
                 self.instances[place].disturbed_at = now;
             }
@@ -190,7 +190,7 @@
             upstream.drains_since = Some(now);
             let upstream = id.clone();
             let at = now + Duration::from_secs(window_s.into());
-            self.schedule.add(at, Event::Vacate { upstream });
+            self.schedule.add(at, Event::DrainWindowEnds { upstream });
         }
     }
 
@@ -202,7 +202,7 @@
         let cut = upstream.set_fault(UpstreamFault::Dead);
         if !cut.is_empty() {
             let breach = format!("{id} ended with {} requests in flight", cut.len());
-            self.record.breaches.cut.push(breach);
+            self.record.violations.aborted_by_stop.push(breach);
         }
         self.break_attempts(cut);
     }
--- a/crates/foxtide-testing/src/scenario/fleet.rs
+++ b/crates/foxtide-testing/src/scenario/fleet.rs
@@ -193,7 +193,7 @@
     /// Lets the time pass.
     pub(super) fn run_for(&mut self, span: Duration) {
         let until = self.now + span;
-        while let Some((at, event)) = self.schedule.next(until) {
+        while let Some((at, event)) = self.schedule.pop_due(until) {
             self.now = at;
             self.handle(event);
         }
@@ -205,9 +205,9 @@
             Event::Tick => self.tick_all(),
             Event::Report => self.report_all(),
             Event::Arrival { load } => self.arrive(load),
-            Event::Recorded { index } => self.arrive_recorded(index),
-            Event::Again(operation) => self.send_copy(operation),
-            Event::Patience { operation, sent } => self.lose_patience(operation, sent),
+            Event::RecordedArrival { index } => self.arrive_recorded(index),
+            Event::Retry(operation) => self.send_copy(operation),
+            Event::CallerTimeout { operation, sent } => self.lose_patience(operation, sent),
             Event::Deliver {
                 instance,
                 process,
@@ -216,9 +216,9 @@
             Event::AttemptArrives(attempt) => self.attempt_arrives(attempt),
             Event::CancelArrives(attempt) => self.cancel_arrives(attempt),
             Event::ServiceEnds { upstream, attempt } => self.service_ends(&upstream, attempt),
-            Event::Wake { instance } => self.wake(instance),
-            Event::Leave { instance } => self.end_if_idle(instance),
-            Event::Vacate { upstream } => self.vacate(&upstream),
+            Event::Resume { instance } => self.wake(instance),
+            Event::EndWhenIdle { instance } => self.end_if_idle(instance),
+            Event::DrainWindowEnds { upstream } => self.vacate(&upstream),
         }
     }
 
@@ -255,14 +255,14 @@
                 sender,
                 from,
                 packet,
-            } => self.take_packet(instance, &sender, from, packet),
+            } => self.receive_packet(instance, &sender, from, packet),
             Delivery::Report { from, heard } => {
                 if let Some(process) = self.process(instance) {
                     process.hear(from, heard);
                 }
             }
-            Delivery::Snapshot(snapshot) => self.take_snapshot(instance, snapshot),
-            Delivery::Document(document) => self.take_document(instance, &document),
+            Delivery::Snapshot(snapshot) => self.receive_snapshot(instance, snapshot),
+            Delivery::Document(document) => self.receive_document(instance, &document),
             Delivery::Poll {
                 service,
                 region,
@@ -305,7 +305,7 @@
         for place in 0..self.instances.len() {
             if self.instances[place].is_awake() {
                 self.sample_rows(place);
-                self.report(place);
+                self.broadcast_report(place);
                 self.watch_store(place);
             }
         }
--- a/crates/foxtide-testing/src/scenario/mod.rs
+++ b/crates/foxtide-testing/src/scenario/mod.rs
@@ -7,8 +7,11 @@
 //! and the store. Each instance has its own state and its own, possibly stale,
 //! view of the others. docs/design/scenarios.md has the language.
 
+mod assertion;
+mod broken_rules;
 mod callers;
 mod command;
+mod dissemination;
 mod endings;
 mod event;
 mod exchange;
@@ -23,14 +26,11 @@
 mod promise;
 mod record;
 mod requests;
-mod rules;
 mod runner;
 mod schedule;
 mod setting;
-mod shift;
-mod spill;
-mod spread;
-mod statement;
+mod shift_cap;
+mod spill_limit;
 mod store;
 mod tenants;
 mod trace;
--- a/crates/foxtide-testing/src/scenario/operation.rs
+++ b/crates/foxtide-testing/src/scenario/operation.rs
@@ -16,7 +16,7 @@
 
 /// How a request ended for its caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Told {
+pub(super) enum CallerOutcome {
     /// It got the whole answer.
     Done,
     /// It was told that the request was not run.
@@ -24,10 +24,10 @@
     /// It was told that nobody knows.
     Unknown,
     /// It got no answer: its connection broke or its time ran out.
-    Nothing,
+    NoResponse,
 }
 
-impl From<Outcome> for Told {
+impl From<Outcome> for CallerOutcome {
     fn from(outcome: Outcome) -> Self {
         match outcome {
             Outcome::Done => Self::Done,
@@ -37,23 +37,23 @@
     }
 }
 
-impl fmt::Display for Told {
+impl fmt::Display for CallerOutcome {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             Self::Done => "done",
             Self::NotRun => "not-run",
             Self::Unknown => "unknown",
-            Self::Nothing => "nothing",
+            Self::NoResponse => "nothing",
         })
     }
 }
 
-impl FromStr for Told {
+impl FromStr for CallerOutcome {
     type Err = foxtide_core::Error;
 
     fn from_str(text: &str) -> Result<Self, Self::Err> {
         match text {
-            "nothing" => Ok(Self::Nothing),
+            "nothing" => Ok(Self::NoResponse),
             _ => Ok(text.parse::<Outcome>()?.into()),
         }
     }
@@ -61,7 +61,7 @@
 
 /// A kind of request.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub(super) enum Kind {
+pub(super) enum RequestKind {
     /// Idempotent, without a key.
     #[default]
     Read,
@@ -69,7 +69,7 @@
     Write,
 }
 
-impl fmt::Display for Kind {
+impl fmt::Display for RequestKind {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             Self::Read => "read",
@@ -78,7 +78,7 @@
     }
 }
 
-impl FromStr for Kind {
+impl FromStr for RequestKind {
     type Err = foxtide_core::Error;
 
     fn from_str(text: &str) -> Result<Self, Self::Err> {
@@ -95,7 +95,7 @@
 pub(super) struct Operation {
     pub(super) service: ServiceId,
     pub(super) region: RegionId,
-    pub(super) kind: Kind,
+    pub(super) kind: RequestKind,
     pub(super) key: Option<IdempotencyKey>,
     pub(super) arrived_at: MonotonicTime,
     /// The instance that the caller asked first.
@@ -107,11 +107,11 @@
     /// How often upstreams began to run it.
     pub(super) runs: u32,
     /// The latest end; none while the caller waits.
-    pub(super) told: Option<Told>,
+    pub(super) outcome: Option<CallerOutcome>,
     /// When the latest end was told.
-    pub(super) told_at: MonotonicTime,
+    pub(super) ended_at: MonotonicTime,
     /// When the latest copy reached an instance.
     pub(super) received_at: MonotonicTime,
     /// Whether the caller was ever told that it was not run.
-    pub(super) told_not_run: bool,
+    pub(super) reported_not_run: bool,
 }
--- a/crates/foxtide-testing/src/scenario/process.rs
+++ b/crates/foxtide-testing/src/scenario/process.rs
@@ -1,8 +1,8 @@
 //! The decisions of one process of one instance, put together.
 
+use super::broken_rules::with_broken_rule;
 use super::operation::OperationNumber;
 use super::options::BrokenRule;
-use super::rules::distorted;
 use foxtide_core::choice::{
     Balancer,
     BalancerOptions, //
@@ -161,7 +161,7 @@
         let Ok(organisation) = serde_json::from_slice(&document.bytes) else {
             return false;
         };
-        let organisation = Arc::new(distorted(&organisation, self.rule));
+        let organisation = Arc::new(with_broken_rule(&organisation, self.rule));
         match &mut self.steering {
             Some(steering) => steering.configure(organisation.clone(), now),
             None => {
--- a/crates/foxtide-testing/src/scenario/promise.rs
+++ b/crates/foxtide-testing/src/scenario/promise.rs
@@ -3,12 +3,12 @@
 use super::callers::WARM_UP;
 use super::fleet::Fleet;
 use super::operation::{
-    Kind,
-    Operation, //
+    Operation,
+    RequestKind, //
 };
 use super::record::Series;
-use super::shift;
-use super::spill;
+use super::shift_cap;
+use super::spill_limit;
 use foxtide_core::time::MonotonicTime;
 use foxtide_core::units::RequestRate;
 use std::fmt;
@@ -102,20 +102,20 @@
     Untested,
     /// It was broken.
     Broken {
-        /// The first breach, and how many there were.
-        breach: String,
+        /// The first violation, and how many there were.
+        violation: String,
     },
 }
 
 impl Verdict {
-    /// Returns the verdict on a list of breaches.
-    pub(super) fn of(breaches: &[String], tested: bool) -> Self {
-        match breaches.first() {
-            Some(first) if breaches.len() > 1 => Self::Broken {
-                breach: format!("{first} (and {} more)", breaches.len() - 1),
+    /// Returns the verdict on a list of violations.
+    pub(super) fn from_violations(violations: &[String], tested: bool) -> Self {
+        match violations.first() {
+            Some(first) if violations.len() > 1 => Self::Broken {
+                violation: format!("{first} (and {} more)", violations.len() - 1),
             },
             Some(first) => Self::Broken {
-                breach: first.clone(),
+                violation: first.clone(),
             },
             None if tested => Self::Kept,
             None => Self::Untested,
@@ -128,7 +128,7 @@
         match self {
             Self::Kept => f.write_str("kept"),
             Self::Untested => f.write_str("untested"),
-            Self::Broken { breach } => write!(f, "BROKEN: {breach}"),
+            Self::Broken { violation } => write!(f, "BROKEN: {violation}"),
         }
     }
 }
@@ -136,25 +136,32 @@
 impl Fleet {
     /// Returns whether a promise has held so far.
     pub(super) fn verdict(&self, promise: Promise) -> Verdict {
-        let breaches = &self.record.breaches;
+        let violations = &self.record.violations;
         let changed = self.record.accepted.len() > 1;
         let drained = !self.record.drains.is_empty() || self.record.planned_stops > 0;
         let answered = self.now > MonotonicTime::ZERO + WARM_UP;
         match promise {
-            Promise::ShiftCap => shift::verdict(self),
+            Promise::ShiftCap => shift_cap::verdict(self),
             Promise::RegionLimit => self.region_limits(),
             Promise::LinkLimit => self.link_limits(),
-            Promise::SpillLimit => spill::verdict(self),
+            Promise::SpillLimit => spill_limit::verdict(self),
             Promise::AtMostOnce => self.at_most_once(),
             Promise::NotRunIsTrue => self.not_run_is_true(),
-            Promise::OwnAnswer => Verdict::of(&breaches.foreign_answer, answered),
-            Promise::LeavingGetsNothing => Verdict::of(&breaches.leaving, drained),
-            Promise::NothingCut => Verdict::of(&breaches.cut, self.record.planned_stops > 0),
-            Promise::InForce => Verdict::of(&breaches.late_revision, changed),
-            Promise::NeverReverts => Verdict::of(&breaches.reverted, changed),
-            Promise::RefusedAtOnce => {
-                Verdict::of(&breaches.held_back, !self.record.refusals.is_empty())
+            Promise::OwnAnswer => Verdict::from_violations(&violations.wrong_answers, answered),
+            Promise::LeavingGetsNothing => {
+                Verdict::from_violations(&violations.sent_to_draining, drained)
             }
+            Promise::NothingCut => {
+                Verdict::from_violations(&violations.aborted_by_stop, self.record.planned_stops > 0)
+            }
+            Promise::InForce => Verdict::from_violations(&violations.late_revisions, changed),
+            Promise::NeverReverts => {
+                Verdict::from_violations(&violations.reverted_revisions, changed)
+            }
+            Promise::RefusedAtOnce => Verdict::from_violations(
+                &violations.late_rejections,
+                !self.record.rejections.is_empty(),
+            ),
         }
     }
 
@@ -180,25 +187,26 @@
 
     fn at_most_once(&self) -> Verdict {
         let writes = self.operations.iter();
-        let writes = writes.filter(|(_, operation)| operation.kind == Kind::Write);
+        let writes = writes.filter(|(_, operation)| operation.kind == RequestKind::Write);
         let twice = writes.clone().filter(|(_, operation)| operation.runs > 1);
-        let breach = |(number, operation): (&u64, &Operation)| {
+        let violation = |(number, operation): (&u64, &Operation)| {
             format!("request {number} ran {} times", operation.runs)
         };
-        let breaches: Vec<String> = twice.map(breach).collect();
-        Verdict::of(&breaches, writes.count() > 0)
+        let violations: Vec<String> = twice.map(violation).collect();
+        Verdict::from_violations(&violations, writes.count() > 0)
     }
 
     fn not_run_is_true(&self) -> Verdict {
         let told = self.operations.iter();
-        let told = told.filter(|(_, operation)| operation.told_not_run);
+        let told = told.filter(|(_, operation)| operation.reported_not_run);
         // Copies of a read without a key are requests of their own.
-        let sure = |operation: &Operation| operation.kind == Kind::Write || operation.sent == 1;
+        let sure =
+            |operation: &Operation| operation.kind == RequestKind::Write || operation.sent == 1;
         let ran = told.clone().filter(|(_, o)| o.runs > 0 && sure(o));
-        let breaches: Vec<String> = ran
+        let violations: Vec<String> = ran
             .map(|(number, _)| format!("request {number} ran"))
             .collect();
-        Verdict::of(&breaches, told.count() > 0)
+        Verdict::from_violations(&violations, told.count() > 0)
     }
 }
 
@@ -210,7 +218,7 @@
 }
 
 fn check_limits<'a>(limits: impl Iterator<Item = Limit<'a>>) -> Verdict {
-    let mut breaches = Vec::new();
+    let mut violations = Vec::new();
     let mut tested = false;
     for limit in limits {
         let busiest = limit.series.and_then(Series::busiest_second);
@@ -221,10 +229,10 @@
         tested |= f64::from(count) >= sold_rps * TESTED_FROM_SHARE;
         if f64::from(count) > sold_rps {
             let name = &limit.name;
-            breaches.push(format!(
+            violations.push(format!(
                 "{name} got {count} in the second from {at}, sold {sold_rps}"
             ));
         }
     }
-    Verdict::of(&breaches, tested)
+    Verdict::from_violations(&violations, tested)
 }
--- a/crates/foxtide-testing/src/scenario/record.rs
+++ b/crates/foxtide-testing/src/scenario/record.rs
@@ -27,7 +27,7 @@
 impl Series {
     /// Counts one.
     pub(super) fn count(&mut self, at: MonotonicTime) {
-        let index = bucket_of(at);
+        let index = bucket_index(at);
         if index >= self.buckets.len() {
             self.buckets.resize(index + 1, 0);
         }
@@ -37,30 +37,30 @@
     /// Returns the most in any second, and when that second began.
     pub(super) fn busiest_second(&self) -> Option<(u32, MonotonicTime)> {
         let starts = 0..self.buckets.len();
-        let seconds = starts.map(|start| (self.from(start), start));
+        let seconds = starts.map(|start| (self.sum_second(start), start));
         let (most, start) = seconds.max_by_key(|(count, start)| (*count, usize::MAX - start))?;
-        Some((most, time_of(start)))
+        Some((most, bucket_start(start)))
     }
 
     /// Returns the sum from one time to another.
-    pub(super) fn between(&self, from: MonotonicTime, to: MonotonicTime) -> u32 {
-        let end = bucket_of(to).min(self.buckets.len());
-        let start = bucket_of(from).min(end);
+    pub(super) fn sum_between(&self, from: MonotonicTime, to: MonotonicTime) -> u32 {
+        let end = bucket_index(to).min(self.buckets.len());
+        let start = bucket_index(from).min(end);
         self.buckets[start..end].iter().sum()
     }
 
-    fn from(&self, start: usize) -> u32 {
+    fn sum_second(&self, start: usize) -> u32 {
         let end = (start + BUCKETS_PER_S).min(self.buckets.len());
         self.buckets[start..end].iter().sum()
     }
 }
 
-fn bucket_of(at: MonotonicTime) -> usize {
+fn bucket_index(at: MonotonicTime) -> usize {
     let buckets = (at - MonotonicTime::ZERO).as_millis() / BUCKET.as_millis();
     usize::try_from(buckets).unwrap_or(usize::MAX)
 }
 
-fn time_of(bucket: usize) -> MonotonicTime {
+fn bucket_start(bucket: usize) -> MonotonicTime {
     MonotonicTime::from_ms(bucket as u64 * BUCKET.as_millis() as u64)
 }
 
@@ -95,7 +95,7 @@
 
 /// A time in which something was wrong with a region on purpose.
 #[derive(Clone, Debug)]
-pub(super) struct Disturbance {
+pub(super) struct RegionFault {
     pub(super) region: RegionId,
     pub(super) from: MonotonicTime,
     /// When it was mended; not yet if `None`.
@@ -112,7 +112,7 @@
     /// The attempts by route.
     pub(super) routes: BTreeMap<Route, Series>,
     /// The requests by service and region of their instance.
-    pub(super) asked: BTreeMap<(ServiceId, RegionId), Series>,
+    pub(super) requests: BTreeMap<(ServiceId, RegionId), Series>,
     /// The attempts at each upstream.
     pub(super) upstreams: BTreeMap<UpstreamId, Series>,
     /// Where requests went, each second.
@@ -126,28 +126,28 @@
     /// How many planned stops there were.
     pub(super) planned_stops: u32,
     /// How many requests were refused as not run, by reason.
-    pub(super) refusals: BTreeMap<String, u32>,
+    pub(super) rejections: BTreeMap<String, u32>,
     /// What was wrong on purpose.
-    pub(super) disturbances: Vec<Disturbance>,
+    pub(super) region_faults: Vec<RegionFault>,
     /// Breaches that were seen as they happened.
-    pub(super) breaches: Breaches,
+    pub(super) violations: Violations,
 }
 
 /// Breaches of promises that are checked as things happen.
 #[derive(Debug, Default)]
-pub(super) struct Breaches {
+pub(super) struct Violations {
     /// Requests sent to upstreams that were leaving.
-    pub(super) leaving: Vec<String>,
+    pub(super) sent_to_draining: Vec<String>,
     /// Requests that a planned stop cut off.
-    pub(super) cut: Vec<String>,
+    pub(super) aborted_by_stop: Vec<String>,
     /// Instances on which a revision was late.
-    pub(super) late_revision: Vec<String>,
+    pub(super) late_revisions: Vec<String>,
     /// Instances on which a revision went back.
-    pub(super) reverted: Vec<String>,
+    pub(super) reverted_revisions: Vec<String>,
     /// Callers that got the answer to another request.
-    pub(super) foreign_answer: Vec<String>,
+    pub(super) wrong_answers: Vec<String>,
     /// Requests that were refused later than at once.
-    pub(super) held_back: Vec<String>,
+    pub(super) late_rejections: Vec<String>,
 }
 
 impl Record {
@@ -173,8 +173,8 @@
     }
 
     /// Notes that something is wrong with a region from now on.
-    pub(super) fn disturb(&mut self, region: &RegionId, now: MonotonicTime) {
-        self.disturbances.push(Disturbance {
+    pub(super) fn begin_region_fault(&mut self, region: &RegionId, now: MonotonicTime) {
+        self.region_faults.push(RegionFault {
             region: region.clone(),
             from: now,
             to: None,
@@ -182,22 +182,22 @@
     }
 
     /// Notes that a region is whole again.
-    pub(super) fn mend(&mut self, region: &RegionId, now: MonotonicTime) {
-        let open = self.disturbances.iter_mut();
+    pub(super) fn end_region_fault(&mut self, region: &RegionId, now: MonotonicTime) {
+        let open = self.region_faults.iter_mut();
         let open = open.filter(|span| span.region == *region && span.to.is_none());
         open.for_each(|span| span.to = Some(now));
     }
 
     /// Tells whether something was wrong with a region in this time.
-    pub(super) fn is_disturbed(
+    pub(super) fn had_region_fault(
         &self,
         region: &RegionId,
         from: MonotonicTime,
         to: MonotonicTime,
     ) -> bool {
-        let overlaps = |span: &&Disturbance| {
+        let overlaps = |span: &&RegionFault| {
             span.from <= to && span.to.is_none_or(|end| end >= from) && span.region == *region
         };
-        self.disturbances.iter().any(|span| overlaps(&span))
+        self.region_faults.iter().any(|span| overlaps(&span))
     }
 }
--- a/crates/foxtide-testing/src/scenario/requests.rs
+++ b/crates/foxtide-testing/src/scenario/requests.rs
@@ -6,9 +6,9 @@
 };
 use super::fleet::Fleet;
 use super::operation::{
-    Kind,
+    CallerOutcome,
     OperationNumber,
-    Told, //
+    RequestKind, //
 };
 use super::options::BrokenRule;
 use super::upstream::AttemptNumber;
@@ -102,7 +102,7 @@
         let instance = &self.instances[place];
         let asked = self
             .record
-            .asked
+            .requests
             .entry((service.clone(), instance.region.clone()));
         asked.or_default().count(self.now);
         let arrivals = self.record.arrivals.entry((instance.id.clone(), service));
@@ -124,9 +124,9 @@
     pub(super) fn tell_answer(&mut self, number: OperationNumber, answered: OperationNumber) {
         if number != answered {
             let breach = format!("request {number} got the answer to {answered}");
-            self.record.breaches.foreign_answer.push(breach);
+            self.record.violations.wrong_answers.push(breach);
         }
-        self.tell(number, Told::Done);
+        self.tell(number, CallerOutcome::Done);
     }
 
     /// Sends a caller to the instance that owns its key.
@@ -150,7 +150,7 @@
                     self.send(place, delay * 2, Delivery::Request(number));
                 }
             }
-            None => self.tell(number, Told::Unknown),
+            None => self.tell(number, CallerOutcome::Unknown),
         }
     }
 
@@ -195,7 +195,7 @@
         &self,
         place: usize,
         service: &ServiceId,
-        kind: Kind,
+        kind: RequestKind,
         deadline: MonotonicTime,
     ) -> RequestTerms {
         let careless = self.options.broken_rule == Some(BrokenRule::NonIdempotentRetry);
@@ -205,9 +205,9 @@
         let tools = process.and_then(|process| process.services.get(service));
         let delay = tools.map(|tools| tools.hedge_delay.get());
         RequestTerms {
-            idempotent: kind == Kind::Read || careless,
+            idempotent: kind == RequestKind::Read || careless,
             deadline,
-            hedge_delay: delay.filter(|_| hedged && kind == Kind::Read),
+            hedge_delay: delay.filter(|_| hedged && kind == RequestKind::Read),
         }
     }
 
--- a/crates/foxtide-testing/src/scenario/runner.rs
+++ b/crates/foxtide-testing/src/scenario/runner.rs
@@ -1,8 +1,9 @@
 //! Runs the commands of a script.
 
+use super::assertion::Selection;
 use super::command::Command;
 use super::fleet::Fleet;
-use super::operation::Kind;
+use super::operation::RequestKind;
 use super::operators::{
     Edit,
     told_not_accepted, //
@@ -13,11 +14,10 @@
     Verdict, //
 };
 use super::setting::{
-    ServiceTerms,
+    ServiceSpec,
     Setting,
-    UpstreamTerms, //
+    UpstreamSpec, //
 };
-use super::statement::Selection;
 use super::trace::RecordedCommand;
 use crate::duration::DurationArg;
 use foxtide_config::change::StoredDocument;
@@ -33,11 +33,11 @@
 use std::time::Duration;
 
 /// The time that statements look back over where they do not say.
-const LAST_DEFAULT: DurationArg = DurationArg(Duration::from_secs(10));
+const WINDOW_DEFAULT: DurationArg = DurationArg(Duration::from_secs(10));
 
 /// What a contract of a scenario says where the script does not.
-const SPILL_DEFAULT: f64 = 0.2;
-const CAP_DEFAULT: f64 = 0.05;
+const SPILL_LIMIT_DEFAULT_SHARE: f64 = 0.2;
+const SHIFT_CAP_DEFAULT_SHARE_PER_S: f64 = 0.05;
 const DEADLINE_DEFAULT: DurationArg = DurationArg(Duration::from_millis(800));
 const DRAIN_WINDOW_DEFAULT: DurationArg = DurationArg(Duration::from_secs(10));
 const ZONES_DEFAULT: u32 = 2;
@@ -51,7 +51,7 @@
     pub(super) setting: Setting,
     pub(super) fleet: Option<Box<Fleet>>,
     pub(super) commands: Vec<RecordedCommand>,
-    reads: BTreeMap<String, StoredDocument>,
+    documents_read: BTreeMap<String, StoredDocument>,
 }
 
 /// A command with the text that it was parsed from.
@@ -84,7 +84,7 @@
             setting: Setting::new().expect("valid names"),
             fleet: None,
             commands: Vec::new(),
-            reads: BTreeMap::new(),
+            documents_read: BTreeMap::new(),
         }
     }
 
@@ -109,12 +109,12 @@
         Ok(self.fleet.as_mut().ok_or("no fleet")?)
     }
 
-    pub(super) fn instance(&mut self, id: &InstanceId) -> Result<usize, Box<dyn Error>> {
-        let place = self.fleet()?.instance(id);
-        Ok(place.ok_or_else(|| format!("no instance {id}"))?)
+    pub(super) fn instance_index(&mut self, id: &InstanceId) -> Result<usize, Box<dyn Error>> {
+        let index = self.fleet()?.instance(id);
+        Ok(index.ok_or_else(|| format!("no instance {id}"))?)
     }
 
-    fn set_up(&mut self, command: &Command) -> CommandResult {
+    fn apply_setting(&mut self, command: &Command) -> CommandResult {
         if self.fleet.is_some() {
             return Err("the scenario has begun".into());
         }
@@ -133,14 +133,15 @@
                 drain_window,
                 priority,
             } => {
-                let terms = ServiceTerms {
-                    spill: spill.unwrap_or(Share::clamped(SPILL_DEFAULT)),
-                    cap: cap.map_or_else(|| ShareRate::new(CAP_DEFAULT), Ok)?,
+                let spec = ServiceSpec {
+                    spill_limit: spill.unwrap_or(Share::clamped(SPILL_LIMIT_DEFAULT_SHARE)),
+                    shift_cap: cap
+                        .map_or_else(|| ShareRate::new(SHIFT_CAP_DEFAULT_SHARE_PER_S), Ok)?,
                     deadline: deadline.unwrap_or(DEADLINE_DEFAULT).0,
                     drain_window: drain_window.unwrap_or(DRAIN_WINDOW_DEFAULT).0,
                     priority: priority.map_or(Priority::Headroom, |name| name.0),
                 };
-                self.setting.add_service(name, &terms);
+                self.setting.add_service(name, &spec);
             }
             Command::Upstreams {
                 service,
@@ -148,12 +149,12 @@
                 slots,
                 service_time,
             } => {
-                let terms = UpstreamTerms {
+                let spec = UpstreamSpec {
                     per_region,
                     slots,
                     service_time: service_time.0,
                 };
-                self.setting.add_upstreams(&service, terms)?;
+                self.setting.add_upstreams(&service, spec)?;
             }
             Command::Instances { per_region } => self.setting.instances_per_region = per_region,
             other => return Err(format!("{other:?} is no part of a setting").into()),
@@ -161,7 +162,7 @@
         Ok(String::new())
     }
 
-    fn act(&mut self, command: &Command, prefix: Option<&str>) -> CommandResult {
+    fn execute(&mut self, command: &Command, prefix: Option<&str>) -> CommandResult {
         match command.clone() {
             Command::Load {
                 service,
@@ -176,21 +177,23 @@
             }
             Command::Run(span) => self.fleet()?.run_for(span.0),
             Command::Read | Command::Move { .. } | Command::Drain { .. } => {
-                return self.operate(command, prefix);
+                return self.execute_as_operator(command, prefix);
             }
-            Command::Spill { .. } | Command::Sold { .. } => return self.operate(command, prefix),
-            Command::Promises(tested) => return self.promises(&tested),
+            Command::Spill { .. } | Command::Sold { .. } => {
+                return self.execute_as_operator(command, prefix);
+            }
+            Command::Promises(tested) => return self.check_promises(&tested),
             Command::Told { .. }
             | Command::Latency { .. }
             | Command::Share { .. }
             | Command::Received { .. }
-            | Command::Revision(_) => return self.state(command),
+            | Command::Revision(_) => return self.check_assertion(command),
             _ => return self.disturb(command),
         }
         Ok(String::new())
     }
 
-    fn operate(&mut self, command: &Command, prefix: Option<&str>) -> CommandResult {
+    fn execute_as_operator(&mut self, command: &Command, prefix: Option<&str>) -> CommandResult {
         let operator = prefix.ok_or("an operator's name is missing, as in `alice: read`")?;
         let edit = match command.clone() {
             Command::Read => return self.read(operator),
@@ -216,7 +219,7 @@
             Command::Sold { region, rate } => Edit::Sold { region, rate },
             other => return Err(format!("{other:?} is no operator's command").into()),
         };
-        let base = match self.reads.remove(operator) {
+        let base = match self.documents_read.remove(operator) {
             Some(base) => base,
             None => match self.fleet()?.read_document() {
                 Ok(document) => document.ok_or("there is no document")?,
@@ -231,14 +234,14 @@
             Ok(document) => {
                 let document = document.ok_or("there is no document")?;
                 let revision = document.document.revision;
-                self.reads.insert(operator.to_owned(), document);
+                self.documents_read.insert(operator.to_owned(), document);
                 Ok(format!("read {revision}"))
             }
             Err(error) => Ok(told_not_accepted(&error)),
         }
     }
 
-    fn promises(&mut self, tested: &[Promise]) -> CommandResult {
+    fn check_promises(&mut self, tested: &[Promise]) -> CommandResult {
         self.fleet()?;
         let mut failures = Vec::new();
         for (promise, verdict) in self.verdicts() {
@@ -254,7 +257,7 @@
         }
     }
 
-    fn state(&mut self, command: &Command) -> CommandResult {
+    fn check_assertion(&mut self, command: &Command) -> CommandResult {
         let fleet = self.fleet()?;
         match command.clone() {
             Command::Told {
@@ -268,10 +271,10 @@
                 let kind = kind.unwrap_or_default();
                 let selection = select(service, kind, last);
                 let (least, most) = (least.unwrap_or(0.0), most.unwrap_or(1.0));
-                fleet.check_told(&selection, told, least, most)?;
+                fleet.check_outcomes(&selection, told, least, most)?;
             }
             Command::Latency { service, p99, last } => {
-                fleet.check_latency(&select(service, Kind::Read, last), p99.0)?;
+                fleet.check_latency(&select(service, RequestKind::Read, last), p99.0)?;
             }
             Command::Share {
                 service,
@@ -289,7 +292,7 @@
                 last,
             } => {
                 let (least, most) = (least.unwrap_or(0), most.unwrap_or(u32::MAX));
-                let last = last.unwrap_or(LAST_DEFAULT).0;
+                let last = last.unwrap_or(WINDOW_DEFAULT).0;
                 fleet.check_received(&upstream, last, least, most)?;
             }
             Command::Revision(revision) => fleet.check_revision(revision)?,
@@ -305,7 +308,7 @@
     fn run(&mut self, line: &ScriptLine, context: &Context) -> CommandResult {
         let prefix = context.prefix.as_deref();
         if line.command.is_setting() {
-            return self.set_up(&line.command);
+            return self.apply_setting(&line.command);
         }
         if line.command.is_traced() {
             let text = match prefix {
@@ -315,18 +318,18 @@
             let at_us = self.fleet()?.now;
             self.commands.push(RecordedCommand { at_us, line: text });
         }
-        self.act(&line.command, prefix)
+        self.execute(&line.command, prefix)
     }
 }
 
 fn select(
     service: foxtide_core::ids::ServiceId,
-    kind: Kind,
+    kind: RequestKind,
     last: Option<DurationArg>,
 ) -> Selection {
     Selection {
         service,
         kind,
-        last: last.unwrap_or(LAST_DEFAULT).0,
+        window: last.unwrap_or(WINDOW_DEFAULT).0,
     }
 }
--- a/crates/foxtide-testing/src/scenario/schedule.rs
+++ b/crates/foxtide-testing/src/scenario/schedule.rs
@@ -9,13 +9,13 @@
 #[derive(Debug)]
 pub(super) struct Schedule<E> {
     entries: BinaryHeap<Entry<E>>,
-    added: u64,
+    sequence: u64,
 }
 
 #[derive(Debug)]
 struct Entry<E> {
     at: MonotonicTime,
-    number: u64,
+    sequence: u64,
     event: E,
 }
 
@@ -24,19 +24,23 @@
     pub(super) fn new() -> Self {
         Self {
             entries: BinaryHeap::new(),
-            added: 0,
+            sequence: 0,
         }
     }
 
     /// Adds an event.
     pub(super) fn add(&mut self, at: MonotonicTime, event: E) {
-        self.added += 1;
-        let number = self.added;
-        self.entries.push(Entry { at, number, event });
+        self.sequence += 1;
+        let sequence = self.sequence;
+        self.entries.push(Entry {
+            at,
+            sequence,
+            event,
+        });
     }
 
     /// Takes the first event that is due at `until` or before.
-    pub(super) fn next(&mut self, until: MonotonicTime) -> Option<(MonotonicTime, E)> {
+    pub(super) fn pop_due(&mut self, until: MonotonicTime) -> Option<(MonotonicTime, E)> {
         let due = self.entries.peek().is_some_and(|entry| entry.at <= until);
         let entry = if due { self.entries.pop() } else { None };
         entry.map(|entry| (entry.at, entry.event))
@@ -60,6 +64,6 @@
 impl<E> Ord for Entry<E> {
     /// The earliest entry is the greatest, as the heap gives out the greatest.
     fn cmp(&self, other: &Self) -> Ordering {
-        (other.at, other.number).cmp(&(self.at, self.number))
+        (other.at, other.sequence).cmp(&(self.at, self.sequence))
     }
 }
--- a/crates/foxtide-testing/src/scenario/setting.rs
+++ b/crates/foxtide-testing/src/scenario/setting.rs
@@ -31,7 +31,7 @@
 use std::time::Duration;
 
 /// The connections that each upstream of a scenario takes.
-const CONNECTIONS: u32 = 330;
+const UPSTREAM_CONNECTIONS: u32 = 330;
 
 /// Why a scenario's setting cannot be used.
 pub(super) type SettingError = foxtide_core::Error;
@@ -50,11 +50,11 @@
 
 /// What a script says of a service.
 #[derive(Clone, Debug)]
-pub(super) struct ServiceTerms {
+pub(super) struct ServiceSpec {
     /// The contract's spill-over limit.
-    pub(super) spill: Share,
+    pub(super) spill_limit: Share,
     /// The contract's shift cap.
-    pub(super) cap: ShareRate,
+    pub(super) shift_cap: ShareRate,
     /// The contract's deadline.
     pub(super) deadline: Duration,
     /// The contract's drain window.
@@ -65,7 +65,7 @@
 
 /// What a script says of the upstreams of a service.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct UpstreamTerms {
+pub(super) struct UpstreamSpec {
     /// How many stand in each region.
     pub(super) per_region: u32,
     /// How many requests each runs at the same time.
@@ -150,7 +150,7 @@
     }
 
     /// Adds a service whose homes are all regions, in equal parts.
-    pub(super) fn add_service(&mut self, service: ServiceId, terms: &ServiceTerms) {
+    pub(super) fn add_service(&mut self, service: ServiceId, spec: &ServiceSpec) {
         let regions = &self.organisation.regions;
         let share = Share::clamped(1.0 / regions.len().max(1) as f64);
         let homes = regions.iter().map(|region| HomeRegion {
@@ -159,11 +159,11 @@
         });
         let contract = Contract {
             homes: homes.collect(),
-            spill_limit_share: terms.spill,
-            shift_cap_share_per_s: terms.cap,
-            drain_window_s: whole_seconds(terms.drain_window),
-            deadline_ms: u32::try_from(terms.deadline.as_millis()).unwrap_or(u32::MAX),
-            priority: terms.priority,
+            spill_limit_share: spec.spill_limit,
+            shift_cap_share_per_s: spec.shift_cap,
+            drain_window_s: whole_seconds(spec.drain_window),
+            deadline_ms: u32::try_from(spec.deadline.as_millis()).unwrap_or(u32::MAX),
+            priority: spec.priority,
             idempotent_methods: vec!["GET".to_owned()],
             idempotent_path_prefixes: Vec::new(),
         };
@@ -182,26 +182,26 @@
     pub(super) fn add_upstreams(
         &mut self,
         service: &ServiceId,
-        terms: UpstreamTerms,
+        spec: UpstreamSpec,
     ) -> Result<(), SettingError> {
         let regions = self.organisation.regions.clone();
         let services = &mut self.organisation.services;
-        let place = services.iter().position(|known| known.service == *service);
+        let index = services.iter().position(|known| known.service == *service);
         let no_service = || SettingError::parse(service.as_str(), "a service of the scenario");
-        let place = place.ok_or_else(no_service)?;
+        let index = index.ok_or_else(no_service)?;
         for (region_index, region) in regions.iter().enumerate() {
-            for number in 0..terms.per_region {
-                let upstream = upstream(service, region, number, terms.slots)?;
-                let address = upstream_address(place, region_index, number);
+            for number in 0..spec.per_region {
+                let upstream = upstream(service, region, number, spec.slots)?;
+                let address = upstream_address(index, region_index, number);
                 let upstream = Upstream {
                     address,
                     ..upstream
                 };
-                services[place].upstreams.push(upstream);
+                services[index].upstreams.push(upstream);
             }
         }
         self.service_times
-            .insert(service.clone(), terms.service_time);
+            .insert(service.clone(), spec.service_time);
         Ok(())
     }
 }
@@ -224,7 +224,7 @@
         region: region.region.clone(),
         availability_zone: zones[number as usize % zones.len()].clone(),
         slots,
-        connections: CONNECTIONS,
+        connections: UPSTREAM_CONNECTIONS,
     })
 }
 
--- a/crates/foxtide-testing/src/scenario/shift.rs
+++ b/crates/foxtide-testing/src/scenario/shift_cap.rs
@@ -43,15 +43,15 @@
 
 /// Returns whether every shift stayed under its cap.
 pub(super) fn verdict(fleet: &Fleet) -> Verdict {
-    let mut breaches = Vec::new();
+    let mut violations = Vec::new();
     let mut tested = false;
     for service in &fleet.contract.services {
         for shift in shifts(fleet, service) {
             tested |= shift.share.abs() > TESTED_FROM_SHARE;
-            breaches.extend(breach(fleet, &shift));
+            violations.extend(violation(fleet, &shift));
         }
     }
-    Verdict::of(&breaches, tested)
+    Verdict::from_violations(&violations, tested)
 }
 
 fn shifts<'a>(fleet: &'a Fleet, service: &'a Service) -> Vec<Shift<'a>> {
@@ -124,12 +124,12 @@
     sample.row.get(region).copied().unwrap_or(0.0)
 }
 
-fn breach(fleet: &Fleet, shift: &Shift<'_>) -> Option<String> {
+fn violation(fleet: &Fleet, shift: &Shift<'_>) -> Option<String> {
     let cap = shift.service.contract.shift_cap_share_per_s.get();
     let allowed = cap * WINDOW.as_secs_f64() + TOLERANCE_SHARE;
     let fell = shift.share < 0.0;
     let since = shift.from.saturating_sub(RECOVERY);
-    let forced = fell && fleet.record.is_disturbed(shift.region, since, shift.to);
+    let forced = fell && fleet.record.had_region_fault(shift.region, since, shift.to);
     if shift.share.abs() <= allowed || forced {
         return None;
     }
--- a/crates/foxtide-testing/src/scenario/spill.rs
+++ b/crates/foxtide-testing/src/scenario/spill_limit.rs
@@ -34,28 +34,28 @@
 /// Times in which something was wrong with any region are left out: what a
 /// broken region cannot serve is planned anew, which is no spill-over.
 pub(super) fn verdict(fleet: &Fleet) -> Verdict {
-    let mut breaches = Vec::new();
+    let mut violations = Vec::new();
     let mut tested = false;
     for service in &fleet.contract.services {
         let mut from = MonotonicTime::ZERO + WARM_UP;
         while from + WINDOW <= fleet.now {
             let spilled = spilled_share(fleet, service, from);
-            if !is_disturbed(fleet, from) {
+            if !had_fault(fleet, from) {
                 tested |= spilled > TESTED_FROM_SHARE;
-                breaches.extend(breach(service, spilled, from));
+                violations.extend(violation(service, spilled, from));
             }
             from = from + STEP;
         }
     }
-    Verdict::of(&breaches, tested)
+    Verdict::from_violations(&violations, tested)
 }
 
-fn is_disturbed(fleet: &Fleet, from: MonotonicTime) -> bool {
+fn had_fault(fleet: &Fleet, from: MonotonicTime) -> bool {
     let since = from.saturating_sub(RECOVERY);
     let mut regions = fleet.contract.regions.iter();
     regions.any(|region| {
         let region = &region.region;
-        fleet.record.is_disturbed(region, since, from + WINDOW)
+        fleet.record.had_region_fault(region, since, from + WINDOW)
     })
 }
 
@@ -78,8 +78,8 @@
 /// they refused among them.
 fn requests(fleet: &Fleet, service: &Service, origin: &RegionId, from: MonotonicTime) -> f64 {
     let key = (service.service.clone(), origin.clone());
-    let series = fleet.record.asked.get(&key);
-    f64::from(series.map_or(0, |series| series.between(from, from + WINDOW)))
+    let series = fleet.record.requests.get(&key);
+    f64::from(series.map_or(0, |series| series.sum_between(from, from + WINDOW)))
 }
 
 /// Returns how many requests went to each region in a window.
@@ -91,7 +91,7 @@
             target: target.clone(),
         };
         let series = fleet.record.routes.get(&route);
-        series.map_or(0, |series| series.between(from, from + WINDOW))
+        series.map_or(0, |series| series.sum_between(from, from + WINDOW))
     };
     let regions = fleet.contract.regions.iter();
     regions
@@ -106,7 +106,7 @@
         .unwrap_or_default()
 }
 
-fn breach(service: &Service, spilled: f64, from: MonotonicTime) -> Option<String> {
+fn violation(service: &Service, spilled: f64, from: MonotonicTime) -> Option<String> {
     let limit = service.contract.spill_limit_share.get();
     let name = &service.service;
     (spilled > limit + TOLERANCE_SHARE).then(|| {
--- a/crates/foxtide-testing/src/scenario/tenants.rs
+++ b/crates/foxtide-testing/src/scenario/tenants.rs
@@ -1,10 +1,10 @@
 //! The settings of the two organisations that use foxtide today.
 
 use super::setting::{
-    ServiceTerms,
+    ServiceSpec,
     Setting,
     SettingError,
-    UpstreamTerms, //
+    UpstreamSpec, //
 };
 use foxtide_core::ids::ServiceId;
 use foxtide_core::organisation::Priority;
@@ -29,7 +29,7 @@
 const CAP_SHARE_PER_S: f64 = 0.02;
 
 /// Twelve targets with three slots each, over three regions.
-const UPSTREAMS: UpstreamTerms = UpstreamTerms {
+const UPSTREAMS: UpstreamSpec = UpstreamSpec {
     per_region: 4,
     slots: 3,
     service_time: Duration::from_millis(50),
@@ -99,14 +99,14 @@
         }
     }
 
-    fn terms(self) -> Result<ServiceTerms, SettingError> {
+    fn terms(self) -> Result<ServiceSpec, SettingError> {
         let (priority, deadline_ms) = match self {
             Self::Hamutenya => (Priority::Headroom, 1_500),
             Self::Kluisdepot => (Priority::Latency, 800),
         };
-        Ok(ServiceTerms {
-            spill: Share::clamped(SPILL_SHARE),
-            cap: ShareRate::new(CAP_SHARE_PER_S)?,
+        Ok(ServiceSpec {
+            spill_limit: Share::clamped(SPILL_SHARE),
+            shift_cap: ShareRate::new(CAP_SHARE_PER_S)?,
             deadline: Duration::from_millis(deadline_ms),
             drain_window: DRAIN_WINDOW,
             priority,
--- a/crates/foxtide-testing/src/scenario/trace.rs
+++ b/crates/foxtide-testing/src/scenario/trace.rs
@@ -5,9 +5,9 @@
 use super::event::Event;
 use super::fleet::Fleet;
 use super::operation::{
-    Kind,
+    CallerOutcome,
     Operation,
-    Told, //
+    RequestKind, //
 };
 use super::options::ScenarioOptions;
 use super::runner::ScenarioRunner;
@@ -54,8 +54,8 @@
     pub(super) service: ServiceId,
     /// The caller's region.
     pub(super) region: RegionId,
-    #[serde(with = "text")]
-    pub(super) kind: Kind,
+    #[serde(with = "display_str")]
+    pub(super) kind: RequestKind,
     /// The instance that it asked first, if that is known.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub(super) instance: Option<InstanceId>,
@@ -105,10 +105,10 @@
         cause: String,
     },
     /// Too many requests ended otherwise than stated.
-    #[error("{different} of {stated} requests ended otherwise than stated, the first at {first}")]
-    Ends {
+    #[error("{differing} of {stated} requests ended otherwise than stated, the first at {first}")]
+    Outcomes {
         /// How many did.
-        different: usize,
+        differing: usize,
         /// Of how many something was stated.
         stated: usize,
         /// The first of them.
@@ -116,7 +116,7 @@
     },
 }
 
-mod text {
+mod display_str {
     //! Values that are written as their text.
 
     use serde::{
@@ -160,7 +160,7 @@
             timed.push((command.at_us, TraceLine::Command(command.clone())));
         }
         for operation in self.fleet()?.operations.values() {
-            let request = recorded(operation);
+            let request = record_request(operation);
             timed.push((request.at_us, TraceLine::Request(request)));
         }
         timed.sort_by_key(|(at, _)| *at);
@@ -190,7 +190,7 @@
     ///
     /// Fails where the trace cannot be read or a statement does not hold.
     pub fn replay(trace: &str, options: ScenarioOptions) -> Result<Self, TraceError> {
-        let mut lines = parse(trace)?.into_iter();
+        let mut lines = parse_lines(trace)?.into_iter();
         let Some(TraceLine::Setting(setting)) = lines.next() else {
             return Err(TraceError::NoSetting);
         };
@@ -201,22 +201,22 @@
         for line in lines {
             match line {
                 TraceLine::Setting(_) => return Err(TraceError::NoSetting),
-                TraceLine::Request(request) => runner.plan(request)?,
+                TraceLine::Request(request) => runner.schedule_request(request)?,
                 TraceLine::Command(command) => commands.push(command),
                 TraceLine::End(last) => end = Some(last),
             }
         }
         for command in commands {
-            runner.obey(&command)?;
+            runner.run_command(&command)?;
         }
         if let Some(end) = end {
             runner.run_until(end.at_us)?;
-            runner.check_ends(end.ends_differ_most)?;
+            runner.check_outcomes(end.ends_differ_most)?;
         }
         Ok(runner)
     }
 
-    fn started(&mut self) -> Result<&mut Fleet, TraceError> {
+    fn started_fleet(&mut self) -> Result<&mut Fleet, TraceError> {
         let fleet = self.fleet();
         fleet.map_err(|error| TraceError::Command {
             at: MonotonicTime::ZERO,
@@ -224,22 +224,24 @@
         })
     }
 
-    fn plan(&mut self, request: RecordedRequest) -> Result<(), TraceError> {
-        let fleet = self.started()?;
+    fn schedule_request(&mut self, request: RecordedRequest) -> Result<(), TraceError> {
+        let fleet = self.started_fleet()?;
         let index = fleet.recorded.len();
-        fleet.schedule.add(request.at_us, Event::Recorded { index });
+        fleet
+            .schedule
+            .add(request.at_us, Event::RecordedArrival { index });
         fleet.recorded.push(request);
         Ok(())
     }
 
     fn run_until(&mut self, at: MonotonicTime) -> Result<(), TraceError> {
-        let fleet = self.started()?;
+        let fleet = self.started_fleet()?;
         let span = at - fleet.now;
         fleet.run_for(span);
         Ok(())
     }
 
-    fn obey(&mut self, command: &RecordedCommand) -> Result<(), TraceError> {
+    fn run_command(&mut self, command: &RecordedCommand) -> Result<(), TraceError> {
         self.run_until(command.at_us)?;
         let script = format!("{}\n---\n", command.line);
         let done = goldenscript::generate(self, &script);
@@ -249,39 +251,39 @@
         })
     }
 
-    fn check_ends(&mut self, differ_most: f64) -> Result<(), TraceError> {
-        let fleet = self.started()?;
+    fn check_outcomes(&mut self, differ_most_share: f64) -> Result<(), TraceError> {
+        let fleet = self.started_fleet()?;
         let mut stated = 0;
-        let mut different = Vec::new();
+        let mut differing = Vec::new();
         for request in &fleet.recorded {
             let Some(ends) = &request.ends else {
                 continue;
             };
             stated += 1;
-            let told = request_end(fleet, request);
-            if told.map(|told| told.to_string()).as_ref() != Some(ends) {
-                different.push(request.at_us.to_string());
+            let outcome = request_outcome(fleet, request);
+            if outcome.map(|outcome| outcome.to_string()).as_ref() != Some(ends) {
+                differing.push(request.at_us.to_string());
             }
         }
-        if different.len() as f64 <= differ_most * f64::from(stated) {
+        if differing.len() as f64 <= differ_most_share * f64::from(stated) {
             return Ok(());
         }
-        Err(TraceError::Ends {
-            different: different.len(),
+        Err(TraceError::Outcomes {
+            differing: differing.len(),
             stated: stated as usize,
-            first: different.swap_remove(0),
+            first: differing.swap_remove(0),
         })
     }
 }
 
-fn request_end(fleet: &Fleet, request: &RecordedRequest) -> Option<Told> {
+fn request_outcome(fleet: &Fleet, request: &RecordedRequest) -> Option<CallerOutcome> {
     let same = |operation: &&Operation| {
         operation.arrived_at == request.at_us
             && operation.service == request.service
             && operation.region == request.region
             && operation.kind == request.kind
     };
-    fleet.operations.values().find(same)?.told
+    fleet.operations.values().find(same)?.outcome
 }
 
 impl From<RecordedSetting> for Setting {
@@ -296,18 +298,18 @@
     }
 }
 
-fn recorded(operation: &Operation) -> RecordedRequest {
+fn record_request(operation: &Operation) -> RecordedRequest {
     RecordedRequest {
         at_us: operation.arrived_at,
         service: operation.service.clone(),
         region: operation.region.clone(),
         kind: operation.kind,
         instance: operation.first_instance.clone(),
-        ends: operation.told.map(|told| told.to_string()),
+        ends: operation.outcome.map(|outcome| outcome.to_string()),
     }
 }
 
-fn parse(trace: &str) -> Result<Vec<TraceLine>, TraceError> {
+fn parse_lines(trace: &str) -> Result<Vec<TraceLine>, TraceError> {
     let lines = trace.lines().enumerate();
     let lines = lines.filter(|(_, line)| !line.trim().is_empty());
     let parsed = lines.map(|(index, line)| {
@@ -324,14 +326,14 @@
     pub(super) fn arrive_recorded(&mut self, index: usize) {
         let request = self.recorded[index].clone();
         let asked = request.instance.and_then(|id| self.instance(&id));
-        let turn = asked.map_or(index, |place| self.turn_of(place));
+        let turn = asked.map_or(index, |instance| self.turn_for(instance));
         self.begin_operation(request.service, request.region, request.kind, turn);
     }
 
     /// Returns the turn in which a caller of its region asks an instance.
-    fn turn_of(&self, place: usize) -> usize {
-        let region = &self.instances[place].region;
-        let before = self.instances[..place].iter();
+    fn turn_for(&self, index: usize) -> usize {
+        let region = &self.instances[index].region;
+        let before = self.instances[..index].iter();
         before.filter(|other| other.region == *region).count()
     }
 }
--- a/crates/foxtide-testing/src/scenario/trouble.rs
+++ b/crates/foxtide-testing/src/scenario/trouble.rs
@@ -2,9 +2,9 @@
 
 use super::command::{
     Command,
-    MeasurementsName,
-    StoreName,
-    UpstreamName, //
+    MeasurementsState,
+    StoreState,
+    UpstreamState, //
 };
 use super::network::Measurements;
 use super::runner::{
@@ -29,19 +29,19 @@
             Command::Cut(one, other) => self.fleet()?.cut(&one, &other),
             Command::Heal(one, other) => self.fleet()?.heal(&one, &other),
             Command::Kill(id) => {
-                let place = self.instance(&id)?;
+                let place = self.instance_index(&id)?;
                 self.fleet()?.kill(place);
             }
             Command::Restart(id) => {
-                let place = self.instance(&id)?;
+                let place = self.instance_index(&id)?;
                 self.fleet()?.restart(place);
             }
             Command::Pause(id, span) => {
-                let place = self.instance(&id)?;
+                let place = self.instance_index(&id)?;
                 self.fleet()?.pause(place, span.0);
             }
             Command::Stop(id) => {
-                let place = self.instance(&id)?;
+                let place = self.instance_index(&id)?;
                 self.fleet()?.stop(place);
             }
             Command::Measurements { state, by } => {
@@ -65,7 +65,7 @@
     fn disturb_upstreams(
         &mut self,
         name: &str,
-        state: UpstreamName,
+        state: UpstreamState,
         factor: Option<f64>,
         by: Option<DurationArg>,
     ) -> Result<(), Box<dyn Error>> {
@@ -88,40 +88,40 @@
     }
 }
 
-fn measurements(state: MeasurementsName, by: Option<DurationArg>) -> Measurements {
+fn measurements(state: MeasurementsState, by: Option<DurationArg>) -> Measurements {
     match state {
-        MeasurementsName::Flowing => Measurements::Flowing,
-        MeasurementsName::Late => Measurements::Late(by.unwrap_or_default().0),
-        MeasurementsName::Stopped => Measurements::Stopped,
+        MeasurementsState::Flowing => Measurements::Flowing,
+        MeasurementsState::Late => Measurements::Late(by.unwrap_or_default().0),
+        MeasurementsState::Stopped => Measurements::Stopped,
     }
 }
 
-fn store_fault(state: StoreName, by: Option<DurationArg>, next: Option<u32>) -> StoreFault {
+fn store_fault(state: StoreState, by: Option<DurationArg>, next: Option<u32>) -> StoreFault {
     match state {
-        StoreName::Up => StoreFault::None,
-        StoreName::Down => StoreFault::Down,
-        StoreName::Slow => StoreFault::Slow(by.unwrap_or_default().0),
-        StoreName::LosingAnswers => StoreFault::LosingAnswers(next.unwrap_or(1)),
-        StoreName::DownAfterWrite => StoreFault::DownAfterWrite,
+        StoreState::Up => StoreFault::None,
+        StoreState::Down => StoreFault::Down,
+        StoreState::Slow => StoreFault::Slow(by.unwrap_or_default().0),
+        StoreState::LosingAnswers => StoreFault::LosingAnswers(next.unwrap_or(1)),
+        StoreState::DownAfterWrite => StoreFault::DownAfterWrite,
     }
 }
 
 /// Returns the fault that a script names; none where the upstream drains.
 fn upstream_fault(
-    state: UpstreamName,
+    state: UpstreamState,
     factor: Option<f64>,
     by: Option<DurationArg>,
 ) -> Option<UpstreamFault> {
     Some(match state {
-        UpstreamName::Well => UpstreamFault::None,
-        UpstreamName::Dead => UpstreamFault::Dead,
-        UpstreamName::Silent => UpstreamFault::Silent,
-        UpstreamName::Slow => UpstreamFault::Slow(factor.unwrap_or(FACTOR_DEFAULT)),
-        UpstreamName::Shedding => UpstreamFault::Shedding,
-        UpstreamName::LosingAnswers => UpstreamFault::LosingAnswers,
-        UpstreamName::Late => UpstreamFault::Late(by.unwrap_or_default().0),
-        UpstreamName::Lying => UpstreamFault::Lying(factor.unwrap_or(0.0)),
-        UpstreamName::Cold => UpstreamFault::Cold(factor.unwrap_or(FACTOR_DEFAULT)),
-        UpstreamName::Draining => return None,
+        UpstreamState::Well => UpstreamFault::None,
+        UpstreamState::Dead => UpstreamFault::Dead,
+        UpstreamState::Silent => UpstreamFault::Silent,
+        UpstreamState::Slow => UpstreamFault::Slow(factor.unwrap_or(FACTOR_DEFAULT)),
+        UpstreamState::Shedding => UpstreamFault::Shedding,
+        UpstreamState::LosingAnswers => UpstreamFault::LosingAnswers,
+        UpstreamState::Late => UpstreamFault::Late(by.unwrap_or_default().0),
+        UpstreamState::Lying => UpstreamFault::Lying(factor.unwrap_or(0.0)),
+        UpstreamState::Cold => UpstreamFault::Cold(factor.unwrap_or(FACTOR_DEFAULT)),
+        UpstreamState::Draining => return None,
     })
 }
--- a/crates/foxtide-testing/tests/scenarios.rs
+++ b/crates/foxtide-testing/tests/scenarios.rs
@@ -59,11 +59,11 @@
     runner
 }
 
-fn breach(runner: &ScenarioRunner, promise: Promise) -> Option<String> {
+fn violation(runner: &ScenarioRunner, promise: Promise) -> Option<String> {
     let verdicts = runner.verdicts();
     let (_, verdict) = verdicts.into_iter().find(|(known, _)| *known == promise)?;
     match verdict {
-        Verdict::Broken { breach } => Some(breach),
+        Verdict::Broken { violation } => Some(violation),
         Verdict::Kept | Verdict::Untested => None,
     }
 }
@@ -74,10 +74,10 @@
         broken_rule: Some(rule),
         ..Default::default()
     };
-    let found = breach(&run_script(name, broken), promise);
+    let found = violation(&run_script(name, broken), promise);
     assert!(found.is_some(), "{rule:?} breaks no {promise} in {name}");
     let whole = run_script(name, ScenarioOptions::default());
-    assert_eq!(breach(&whole, promise), None, "{name}");
+    assert_eq!(violation(&whole, promise), None, "{name}");
 }
 
 #[test]
@@ -164,5 +164,5 @@
     let trace = fs::read_to_string(script(path)).unwrap();
     let falsified = trace.replace("\"ends\":\"done\"", "\"ends\":\"not-run\"");
     let replayed = ScenarioRunner::replay(&falsified, ScenarioOptions::default());
-    assert!(matches!(replayed, Err(TraceError::Ends { .. })));
+    assert!(matches!(replayed, Err(TraceError::Outcomes { .. })));
 }
