--- a/crates/foxtide-testing/src/scenario/assertion.rs
+++ b/crates/foxtide-testing/src/scenario/assertion.rs
@@ -71,8 +71,8 @@
         };
         let selected: Vec<&Operation> = self.operations.values().filter(matches).collect();
         if selected.is_empty() {
-            let what = format!("no {} of {}", selection.kind, selection.service);
-            return Err(AssertionError::NoRequests(what));
+            let cause = format!("no {} of {}", selection.kind, selection.service);
+            return Err(AssertionError::NoRequests(cause));
         }
         Ok(selected)
     }
@@ -87,21 +87,21 @@
     ) -> Result<(), AssertionError> {
         let selected = self.select(selection)?;
         let ended = selected.iter().filter(|o| o.outcome == Some(outcome));
-        let part = ended.count() as f64 / selected.len() as f64;
-        if (least..=most).contains(&part) {
+        let share = ended.count() as f64 / selected.len() as f64;
+        if (least..=most).contains(&share) {
             return Ok(());
         }
-        let what = format!("the part of {} told {outcome}", selection.service);
+        let quantity = format!("the part of {} told {outcome}", selection.service);
         let reasons = &self.record.rejections;
-        let what = format!(
-            "{what} ({}; refused so far: {reasons:?})",
+        let quantity = format!(
+            "{quantity} ({}; refused so far: {reasons:?})",
             count_outcomes(&selected)
         );
-        let stated = format!("{least} to {most}");
+        let expected = format!("{least} to {most}");
         Err(AssertionError::out_of_range(
-            what,
-            format!("{part:.3}"),
-            stated,
+            quantity,
+            format!("{share:.3}"),
+            expected,
         ))
     }
 
@@ -118,14 +118,14 @@
         let mut times: Vec<Duration> = done.map(|o| o.ended_at - o.arrived_at).collect();
         times.sort();
         let index = (times.len() * 99).div_ceil(100).saturating_sub(1);
-        let found = times.get(index).copied().unwrap_or(Duration::MAX);
-        if found <= p99 {
+        let actual = times.get(index).copied().unwrap_or(Duration::MAX);
+        if actual <= p99 {
             return Ok(());
         }
-        let what = format!("the 99th percentile of {}", selection.service);
+        let quantity = format!("the 99th percentile of {}", selection.service);
         Err(AssertionError::out_of_range(
-            what,
-            format!("{found:?}"),
+            quantity,
+            format!("{actual:?}"),
             format!("{p99:?}"),
         ))
     }
@@ -155,12 +155,12 @@
         if (least..=most).contains(&share) {
             return Ok(());
         }
-        let what = format!("the share of {region} in {service}");
-        let stated = format!("{least} to {most}");
+        let quantity = format!("the share of {region} in {service}");
+        let expected = format!("{least} to {most}");
         Err(AssertionError::out_of_range(
-            what,
+            quantity,
             format!("{share:.3}"),
-            stated,
+            expected,
         ))
     }
 
@@ -178,9 +178,9 @@
         if (least..=most).contains(&received) {
             return Ok(());
         }
-        let what = format!("the requests that {upstream} got");
+        let quantity = format!("the requests that {upstream} got");
         Err(AssertionError::out_of_range(
-            what,
+            quantity,
             received,
             format!("{least} to {most}"),
         ))
@@ -189,14 +189,14 @@
     /// Checks that a revision is in force on every instance that runs.
     pub(super) fn check_revision(&self, revision: u64) -> Result<(), AssertionError> {
         for instance in self.instances.iter().filter(|i| i.is_awake()) {
-            let in_force = instance.process.as_ref().and_then(|p| p.revision());
-            if in_force.map(|in_force| in_force.get()) != Some(revision) {
-                let what = format!("the revision on {}", instance.id);
-                let in_force =
-                    in_force.map_or_else(|| "none".to_owned(), |in_force| in_force.to_string());
+            let applied = instance.process.as_ref().and_then(|p| p.revision());
+            if applied.map(|applied| applied.get()) != Some(revision) {
+                let quantity = format!("the revision on {}", instance.id);
+                let applied =
+                    applied.map_or_else(|| "none".to_owned(), |applied| applied.to_string());
                 return Err(AssertionError::out_of_range(
-                    what,
-                    in_force,
+                    quantity,
+                    applied,
                     format!("r{revision}"),
                 ));
             }
--- a/crates/foxtide-testing/src/scenario/dissemination.rs
+++ b/crates/foxtide-testing/src/scenario/dissemination.rs
@@ -36,8 +36,8 @@
     /// Lets an instance that starts meet the instances on the platform's list.
     pub(super) fn join(&mut self, index: usize) {
         for peer in 0..self.instances.len() {
-            let listed = !self.instances[peer].is_known_to_have_ended(self.now);
-            if peer != index && listed {
+            let is_listed = !self.instances[peer].is_known_to_have_ended(self.now);
+            if peer != index && is_listed {
                 self.exchange_snapshots(index, peer);
             }
         }
@@ -220,8 +220,8 @@
         if self.network.is_cut_from_store(region) {
             return;
         }
-        let watches = process.membership.holds(Role::Watcher, WATCHERS_PER_ZONE);
-        if !watches && process.revision().is_some() {
+        let is_watcher = process.membership.holds(Role::Watcher, WATCHERS_PER_ZONE);
+        if !is_watcher && process.revision().is_some() {
             return;
         }
         let Ok(listing) = smol::block_on(self.store.list(ORGANISATION_PREFIX)) else {
@@ -262,8 +262,8 @@
                 && late(instance.disturbed_at)
                 && !self.network.is_cut_off(&instance.region);
             let process = instance.process.as_ref().filter(|_| reachable);
-            let behind = process.is_some_and(|p| p.revision() < Some(due.revision));
-            if behind {
+            let is_behind = process.is_some_and(|p| p.revision() < Some(due.revision));
+            if is_behind {
                 let violation = format!("{} lacks {} at {now}", instance.id, due.revision);
                 self.record.violations.late_revisions.push(violation);
             }
--- a/crates/foxtide-testing/src/scenario/promise.rs
+++ b/crates/foxtide-testing/src/scenario/promise.rs
@@ -137,9 +137,9 @@
     /// Returns whether a promise has held so far.
     pub(super) fn verdict(&self, promise: Promise) -> Verdict {
         let violations = &self.record.violations;
-        let changed = self.record.accepted.len() > 1;
+        let reconfigured = self.record.accepted.len() > 1;
         let drained = !self.record.drains.is_empty() || self.record.planned_stops > 0;
-        let answered = self.now > MonotonicTime::ZERO + WARM_UP;
+        let warmed_up = self.now > MonotonicTime::ZERO + WARM_UP;
         match promise {
             Promise::ShiftCap => shift_cap::verdict(self),
             Promise::RegionLimit => self.region_limits(),
@@ -147,16 +147,16 @@
             Promise::SpillLimit => spill_limit::verdict(self),
             Promise::AtMostOnce => self.at_most_once(),
             Promise::NotRunIsTrue => self.not_run_is_true(),
-            Promise::OwnAnswer => Verdict::from_violations(&violations.wrong_answers, answered),
+            Promise::OwnAnswer => Verdict::from_violations(&violations.wrong_answers, warmed_up),
             Promise::LeavingGetsNothing => {
                 Verdict::from_violations(&violations.sent_to_draining, drained)
             }
             Promise::NothingCut => {
                 Verdict::from_violations(&violations.aborted_by_stop, self.record.planned_stops > 0)
             }
-            Promise::InForce => Verdict::from_violations(&violations.late_revisions, changed),
+            Promise::InForce => Verdict::from_violations(&violations.late_revisions, reconfigured),
             Promise::NeverReverts => {
-                Verdict::from_violations(&violations.reverted_revisions, changed)
+                Verdict::from_violations(&violations.reverted_revisions, reconfigured)
             }
             Promise::RefusedAtOnce => Verdict::from_violations(
                 &violations.late_rejections,
@@ -188,25 +188,25 @@
     fn at_most_once(&self) -> Verdict {
         let writes = self.operations.iter();
         let writes = writes.filter(|(_, operation)| operation.kind == RequestKind::Write);
-        let twice = writes.clone().filter(|(_, operation)| operation.runs > 1);
+        let repeated = writes.clone().filter(|(_, operation)| operation.runs > 1);
         let violation = |(number, operation): (&u64, &Operation)| {
             format!("request {number} ran {} times", operation.runs)
         };
-        let violations: Vec<String> = twice.map(violation).collect();
+        let violations: Vec<String> = repeated.map(violation).collect();
         Verdict::from_violations(&violations, writes.count() > 0)
     }
 
     fn not_run_is_true(&self) -> Verdict {
-        let told = self.operations.iter();
-        let told = told.filter(|(_, operation)| operation.reported_not_run);
+        let reported = self.operations.iter();
+        let reported = reported.filter(|(_, operation)| operation.reported_not_run);
         // Copies of a read without a key are requests of their own.
-        let sure =
+        let run_once =
             |operation: &Operation| operation.kind == RequestKind::Write || operation.sent == 1;
-        let ran = told.clone().filter(|(_, o)| o.runs > 0 && sure(o));
-        let violations: Vec<String> = ran
+        let violating = reported.clone().filter(|(_, o)| o.runs > 0 && run_once(o));
+        let violations: Vec<String> = violating
             .map(|(number, _)| format!("request {number} ran"))
             .collect();
-        Verdict::from_violations(&violations, told.count() > 0)
+        Verdict::from_violations(&violations, reported.count() > 0)
     }
 }
 
--- a/crates/foxtide-testing/src/scenario/runner.rs
+++ b/crates/foxtide-testing/src/scenario/runner.rs
@@ -182,7 +182,7 @@
             Command::Spill { .. } | Command::Sold { .. } => {
                 return self.execute_as_operator(command, prefix);
             }
-            Command::Promises(tested) => return self.check_promises(&tested),
+            Command::Promises(required) => return self.check_promises(&required),
             Command::Told { .. }
             | Command::Latency { .. }
             | Command::Share { .. }
@@ -241,11 +241,11 @@
         }
     }
 
-    fn check_promises(&mut self, tested: &[Promise]) -> CommandResult {
+    fn check_promises(&mut self, required: &[Promise]) -> CommandResult {
         self.fleet()?;
         let mut failures = Vec::new();
         for (promise, verdict) in self.verdicts() {
-            let untested = verdict == Verdict::Untested && tested.contains(&promise);
+            let untested = verdict == Verdict::Untested && required.contains(&promise);
             if untested || matches!(verdict, Verdict::Broken { .. }) {
                 failures.push(format!("{promise}: {verdict}"));
             }
@@ -262,7 +262,7 @@
         match command.clone() {
             Command::Told {
                 service,
-                told,
+                told: outcome,
                 least,
                 most,
                 last,
@@ -271,7 +271,7 @@
                 let kind = kind.unwrap_or_default();
                 let selection = select(service, kind, last);
                 let (least, most) = (least.unwrap_or(0.0), most.unwrap_or(1.0));
-                fleet.check_outcomes(&selection, told, least, most)?;
+                fleet.check_outcomes(&selection, outcome, least, most)?;
             }
             Command::Latency { service, p99, last } => {
                 fleet.check_latency(&select(service, RequestKind::Read, last), p99.0)?;
--- a/crates/foxtide-testing/src/scenario/shift_cap.rs
+++ b/crates/foxtide-testing/src/scenario/shift_cap.rs
@@ -68,7 +68,7 @@
                 region: &region.region,
                 from: *from,
                 to,
-                share: change(before, after, &region.region),
+                share: share_change(before, after, &region.region),
             });
         }
     }
@@ -77,9 +77,9 @@
 
 fn samples_of<'a>(fleet: &'a Fleet, service: &ServiceId) -> Samples<'a> {
     let mut samples = Samples::new();
-    let began = MonotonicTime::ZERO + WARM_UP;
+    let warmed_up_at = MonotonicTime::ZERO + WARM_UP;
     let rows = fleet.record.rows.iter();
-    for row in rows.filter(|row| row.service == *service && row.at >= began) {
+    for row in rows.filter(|row| row.service == *service && row.at >= warmed_up_at) {
         samples.entry(row.at).or_default().push(row);
     }
     samples
@@ -87,15 +87,15 @@
 
 /// Returns the change of a region's share from one sample to another, weighed
 /// by the later one's arrivals.
-fn change(before: &[&RowSample], after: &[&RowSample], region: &RegionId) -> f64 {
+fn share_change(before: &[&RowSample], after: &[&RowSample], region: &RegionId) -> f64 {
     let weight = |sample: &&RowSample| f64::from(sample.arrivals);
     let total: f64 = after.iter().map(weight).sum();
     if total <= 0.0 {
         return 0.0;
     }
     let moved = after.iter().map(|sample| {
-        let was = share_before(before, sample, region);
-        weight(sample) * (share(sample, region) - was)
+        let share_before = share_before(before, sample, region);
+        weight(sample) * (share(sample, region) - share_before)
     });
     moved.sum::<f64>() / total
 }
@@ -103,15 +103,15 @@
 /// Returns the share before: the instance's own, or where it had none, that of
 /// the instances that served its callers.
 fn share_before(before: &[&RowSample], sample: &RowSample, region: &RegionId) -> f64 {
-    let same = before.iter().find(|was| was.instance == sample.instance);
-    if let Some(same) = same {
-        return share(same, region);
+    let own_sample = before.iter().find(|old| old.instance == sample.instance);
+    if let Some(own_sample) = own_sample {
+        return share(own_sample, region);
     }
-    let near = mean(
-        before.iter().filter(|was| was.origin == sample.origin),
+    let local = mean(
+        before.iter().filter(|old| old.origin == sample.origin),
         region,
     );
-    near.or_else(|| mean(before.iter(), region)).unwrap_or(0.0)
+    local.or_else(|| mean(before.iter(), region)).unwrap_or(0.0)
 }
 
 fn mean<'a>(samples: impl Iterator<Item = &'a &'a RowSample>, region: &RegionId) -> Option<f64> {
@@ -129,8 +129,8 @@
     let allowed = cap * WINDOW.as_secs_f64() + TOLERANCE_SHARE;
     let fell = shift.share < 0.0;
     let since = shift.from.saturating_sub(RECOVERY);
-    let forced = fell && fleet.record.had_region_fault(shift.region, since, shift.to);
-    if shift.share.abs() <= allowed || forced {
+    let is_forced = fell && fleet.record.had_region_fault(shift.region, since, shift.to);
+    if shift.share.abs() <= allowed || is_forced {
         return None;
     }
     let (service, region) = (&shift.service.service, shift.region);
--- a/crates/foxtide-testing/src/scenario/spill_limit.rs
+++ b/crates/foxtide-testing/src/scenario/spill_limit.rs
@@ -60,30 +60,30 @@
 }
 
 fn spilled_share(fleet: &Fleet, service: &Service, from: MonotonicTime) -> f64 {
-    let mut asked = 0.0;
-    let mut elsewhere = 0.0;
+    let mut total = 0.0;
+    let mut spilled = 0.0;
     for origin in &fleet.contract.regions {
-        let counts = counts(fleet, service, &origin.region, from);
-        let total = requests(fleet, service, &origin.region, from);
+        let sent = sent(fleet, service, &origin.region, from);
+        let requests = received(fleet, service, &origin.region, from);
         let planned = planned(fleet, service, &origin.region, from + WINDOW / 2);
-        let beyond = counts.iter().zip(planned);
-        let beyond = beyond.map(|(count, share)| (count - share * total).max(0.0));
-        elsewhere += beyond.sum::<f64>();
-        asked += total;
+        let beyond = sent.iter().zip(planned);
+        let beyond = beyond.map(|(sent, share)| (sent - share * requests).max(0.0));
+        spilled += beyond.sum::<f64>();
+        total += requests;
     }
-    if asked > 0.0 { elsewhere / asked } else { 0.0 }
+    if total > 0.0 { spilled / total } else { 0.0 }
 }
 
 /// Returns how many requests instances of a region got in a window, those that
 /// they refused among them.
-fn requests(fleet: &Fleet, service: &Service, origin: &RegionId, from: MonotonicTime) -> f64 {
+fn received(fleet: &Fleet, service: &Service, origin: &RegionId, from: MonotonicTime) -> f64 {
     let key = (service.service.clone(), origin.clone());
     let series = fleet.record.requests.get(&key);
     f64::from(series.map_or(0, |series| series.sum_between(from, from + WINDOW)))
 }
 
 /// Returns how many requests went to each region in a window.
-fn counts(fleet: &Fleet, service: &Service, origin: &RegionId, from: MonotonicTime) -> Vec<f64> {
+fn sent(fleet: &Fleet, service: &Service, origin: &RegionId, from: MonotonicTime) -> Vec<f64> {
     let count = |target: &RegionId| {
         let route = Route {
             service: service.service.clone(),
--- a/crates/foxtide-testing/src/scenario/trace.rs
+++ b/crates/foxtide-testing/src/scenario/trace.rs
@@ -105,12 +105,12 @@
         cause: String,
     },
     /// Too many requests ended otherwise than stated.
-    #[error("{differing} of {stated} requests ended otherwise than stated, the first at {first}")]
+    #[error("{differing} of {expected} requests ended otherwise than stated, the first at {first}")]
     Outcomes {
         /// How many did.
         differing: usize,
         /// Of how many something was stated.
-        stated: usize,
+        expected: usize,
         /// The first of them.
         first: String,
     },
@@ -244,8 +244,8 @@
     fn run_command(&mut self, command: &RecordedCommand) -> Result<(), TraceError> {
         self.run_until(command.at_us)?;
         let script = format!("{}\n---\n", command.line);
-        let done = goldenscript::generate(self, &script);
-        done.map(drop).map_err(|error| TraceError::Command {
+        let result = goldenscript::generate(self, &script);
+        result.map(drop).map_err(|error| TraceError::Command {
             at: command.at_us,
             cause: error.to_string(),
         })
@@ -253,37 +253,37 @@
 
     fn check_outcomes(&mut self, differ_most_share: f64) -> Result<(), TraceError> {
         let fleet = self.started_fleet()?;
-        let mut stated = 0;
+        let mut expected = 0;
         let mut differing = Vec::new();
         for request in &fleet.recorded {
             let Some(ends) = &request.ends else {
                 continue;
             };
-            stated += 1;
+            expected += 1;
             let outcome = request_outcome(fleet, request);
             if outcome.map(|outcome| outcome.to_string()).as_ref() != Some(ends) {
                 differing.push(request.at_us.to_string());
             }
         }
-        if differing.len() as f64 <= differ_most_share * f64::from(stated) {
+        if differing.len() as f64 <= differ_most_share * f64::from(expected) {
             return Ok(());
         }
         Err(TraceError::Outcomes {
             differing: differing.len(),
-            stated: stated as usize,
+            expected: expected as usize,
             first: differing.swap_remove(0),
         })
     }
 }
 
 fn request_outcome(fleet: &Fleet, request: &RecordedRequest) -> Option<CallerOutcome> {
-    let same = |operation: &&Operation| {
+    let matches = |operation: &&Operation| {
         operation.arrived_at == request.at_us
             && operation.service == request.service
             && operation.region == request.region
             && operation.kind == request.kind
     };
-    fleet.operations.values().find(same)?.outcome
+    fleet.operations.values().find(matches)?.outcome
 }
 
 impl From<RecordedSetting> for Setting {
@@ -325,8 +325,8 @@
     /// Lets a recorded request arrive.
     pub(super) fn arrive_recorded(&mut self, index: usize) {
         let request = self.recorded[index].clone();
-        let asked = request.instance.and_then(|id| self.instance(&id));
-        let turn = asked.map_or(index, |instance| self.turn_for(instance));
+        let instance = request.instance.and_then(|id| self.instance(&id));
+        let turn = instance.map_or(index, |instance| self.turn_for(instance));
         self.begin_operation(request.service, request.region, request.kind, turn);
     }
 
--- a/crates/foxtide-testing/tests/scenarios.rs
+++ b/crates/foxtide-testing/tests/scenarios.rs
@@ -16,13 +16,13 @@
 };
 use std::thread;
 
-fn script(name: &str) -> PathBuf {
+fn script_path(name: &str) -> PathBuf {
     let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/scenarios");
     root.join(name)
 }
 
-fn scripts(directory: &str) -> Vec<PathBuf> {
-    let entries = fs::read_dir(script(directory)).unwrap();
+fn script_paths(directory: &str) -> Vec<PathBuf> {
+    let entries = fs::read_dir(script_path(directory)).unwrap();
     let mut paths: Vec<PathBuf> = entries.map(|entry| entry.unwrap().path()).collect();
     paths.sort();
     paths
@@ -34,7 +34,7 @@
         let mut runner = ScenarioRunner::new(ScenarioOptions::default());
         goldenscript::run(&mut runner, &path)
     };
-    let scripts = scripts(directory);
+    let scripts = script_paths(directory);
     let started = scripts.iter().cloned();
     let threads: Vec<_> = started
         .map(|path| thread::spawn(move || run(path)))
@@ -53,7 +53,7 @@
 /// Runs a script under options, as far as its statements hold.
 fn run_script(name: &str, options: ScenarioOptions) -> ScenarioRunner {
     let mut runner = ScenarioRunner::new(options);
-    let text = fs::read_to_string(script(name)).unwrap();
+    let text = fs::read_to_string(script_path(name)).unwrap();
     // A statement that does not hold ends the run.
     goldenscript::generate(&mut runner, &text).ok();
     runner
@@ -69,15 +69,15 @@
 }
 
 /// Breaks a rule and asserts that the script that watches over it notices.
-fn assert_noticed(rule: BrokenRule, name: &str, promise: Promise) {
-    let broken = ScenarioOptions {
+fn assert_detected(rule: BrokenRule, name: &str, promise: Promise) {
+    let options = ScenarioOptions {
         broken_rule: Some(rule),
         ..Default::default()
     };
-    let found = violation(&run_script(name, broken), promise);
-    assert!(found.is_some(), "{rule:?} breaks no {promise} in {name}");
-    let whole = run_script(name, ScenarioOptions::default());
-    assert_eq!(violation(&whole, promise), None, "{name}");
+    let detected = violation(&run_script(name, options), promise);
+    assert!(detected.is_some(), "{rule:?} breaks no {promise} in {name}");
+    let unbroken = run_script(name, ScenarioOptions::default());
+    assert_eq!(violation(&unbroken, promise), None, "{name}");
 }
 
 #[test]
@@ -91,35 +91,35 @@
 }
 
 #[test]
-fn verify_a_broken_shift_cap_is_noticed() {
+fn verify_a_broken_shift_cap_is_detected() {
     let name = "alone/region_fails";
-    assert_noticed(BrokenRule::ShiftCap, name, Promise::ShiftCap);
+    assert_detected(BrokenRule::ShiftCap, name, Promise::ShiftCap);
 }
 
 #[test]
-fn verify_broken_limits_are_noticed() {
+fn verify_broken_limits_are_detected() {
     let name = "alone/spill_is_limited";
-    assert_noticed(BrokenRule::SpillLimit, name, Promise::SpillLimit);
-    assert_noticed(BrokenRule::SoldRate, name, Promise::RegionLimit);
+    assert_detected(BrokenRule::SpillLimit, name, Promise::SpillLimit);
+    assert_detected(BrokenRule::SoldRate, name, Promise::RegionLimit);
 }
 
 #[test]
-fn verify_a_resent_unlock_is_noticed() {
+fn verify_a_duplicate_write_is_detected() {
     let name = "alone/answers_lost";
-    assert_noticed(BrokenRule::NonIdempotentRetry, name, Promise::AtMostOnce);
-    assert_noticed(BrokenRule::ForgottenKey, name, Promise::AtMostOnce);
+    assert_detected(BrokenRule::NonIdempotentRetry, name, Promise::AtMostOnce);
+    assert_detected(BrokenRule::ForgottenKey, name, Promise::AtMostOnce);
 }
 
 #[test]
-fn verify_an_unheard_drain_is_noticed() {
+fn verify_an_ignored_drain_is_detected() {
     let name = "alone/upstream_drains";
-    assert_noticed(BrokenRule::Drain, name, Promise::LeavingGetsNothing);
+    assert_detected(BrokenRule::Drain, name, Promise::LeavingGetsNothing);
 }
 
 #[test]
-fn verify_a_reverted_configuration_is_noticed() {
+fn verify_a_reverted_configuration_is_detected() {
     let name = "pairs/late_answer_and_newer_change";
-    assert_noticed(BrokenRule::Revision, name, Promise::NeverReverts);
+    assert_detected(BrokenRule::Revision, name, Promise::NeverReverts);
 }
 
 #[test]
@@ -138,7 +138,7 @@
 }
 
 #[test]
-fn verify_a_recorded_run_replays_to_the_same_ends() {
+fn verify_a_recorded_run_replays_to_the_same_verdicts() {
     for name in ["alone/answers_lost", "pairs/lost_answer_and_two_operators"] {
         let mut runner = run_script(name, ScenarioOptions::default());
         let trace = runner.trace().unwrap();
@@ -148,7 +148,7 @@
 }
 
 #[test]
-fn verify_recorded_traces_hold() {
+fn verify_recorded_traces_replay() {
     let directory = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/traces");
     for entry in fs::read_dir(directory).unwrap() {
         let path = entry.unwrap().path();
@@ -159,9 +159,9 @@
 }
 
 #[test]
-fn verify_a_false_outcome_of_a_trace_is_noticed() {
+fn verify_a_wrong_outcome_in_a_trace_is_detected() {
     let path = "../traces/unlocks_lost_and_owner_killed.jsonl";
-    let trace = fs::read_to_string(script(path)).unwrap();
+    let trace = fs::read_to_string(script_path(path)).unwrap();
     let falsified = trace.replace("\"ends\":\"done\"", "\"ends\":\"not-run\"");
     let replayed = ScenarioRunner::replay(&falsified, ScenarioOptions::default());
     assert!(matches!(replayed, Err(TraceError::Outcomes { .. })));
