--- a/crates/foxtide-testing/src/scenario/assertion.rs
+++ b/crates/foxtide-testing/src/scenario/assertion.rs
@@ -1,4 +1,4 @@
-//! Statements about what callers and upstreams of a scenario saw.
+//! Assertions on the outcomes of requests, routing and configuration.
 
 use super::fleet::Fleet;
 use super::operation::{
@@ -14,31 +14,26 @@
 use foxtide_core::time::MonotonicTime;
 use std::time::Duration;
 
-/// The requests that a statement is about.
+/// Filter for the requests that an assertion checks.
 #[derive(Clone, Debug)]
 pub(super) struct Selection {
-    /// Of this service.
     pub(super) service: ServiceId,
-    /// Of this kind.
     pub(super) kind: RequestKind,
-    /// That ended, or had to end, in this time before now.
+    /// Length of the period, up to now, in which the deadlines of the requests passed.
     pub(super) window: Duration,
 }
 
-/// A statement does not hold.
+/// Failure of an assertion.
 #[derive(Clone, Debug, thiserror::Error)]
 pub(super) enum AssertionError {
-    /// There is nothing that the statement is about.
-    #[error("nothing to judge: {0}")]
+    /// No request matches the assertion.
+    #[error("nothing to check: {0}")]
     NoRequests(String),
-    /// A figure lies outside what was stated.
-    #[error("{quantity} is {actual}, stated {expected}")]
+    /// A value is outside the expected range.
+    #[error("{quantity} is {actual}, expected {expected}")]
     OutOfRange {
-        /// What was measured.
         quantity: String,
-        /// What was found.
         actual: String,
-        /// What was stated.
         expected: String,
     },
 }
@@ -77,7 +72,7 @@
         Ok(selected)
     }
 
-    /// Checks that at least this part of the requests ended this way.
+    /// Checks the share of the selected requests with this outcome.
     pub(super) fn check_outcomes(
         &self,
         selection: &Selection,
@@ -91,10 +86,10 @@
         if (least..=most).contains(&share) {
             return Ok(());
         }
-        let quantity = format!("the part of {} told {outcome}", selection.service);
+        let quantity = format!("the share of {} with outcome {outcome}", selection.service);
         let reasons = &self.record.rejections;
         let quantity = format!(
-            "{quantity} ({}; refused so far: {reasons:?})",
+            "{quantity} ({}; rejected so far: {reasons:?})",
             count_outcomes(&selected)
         );
         let expected = format!("{least} to {most}");
@@ -105,7 +100,7 @@
         ))
     }
 
-    /// Checks that 99 of 100 answers came within this time.
+    /// Checks the 99th percentile of the latency of completed requests.
     pub(super) fn check_latency(
         &self,
         selection: &Selection,
@@ -122,7 +117,7 @@
         if actual <= p99 {
             return Ok(());
         }
-        let quantity = format!("the 99th percentile of {}", selection.service);
+        let quantity = format!("the 99th percentile latency of {}", selection.service);
         Err(AssertionError::out_of_range(
             quantity,
             format!("{actual:?}"),
@@ -130,7 +125,7 @@
         ))
     }
 
-    /// Checks which share of a service's requests goes to a region now.
+    /// Checks the share of a service that instances send to a region, in the latest sample.
     pub(super) fn check_share(
         &self,
         service: &ServiceId,
@@ -164,7 +159,7 @@
         ))
     }
 
-    /// Checks how many requests an upstream received in the time before now.
+    /// Checks the number of attempts that an upstream received in the window before now.
     pub(super) fn check_received(
         &self,
         upstream: &UpstreamId,
@@ -178,7 +173,7 @@
         if (least..=most).contains(&received) {
             return Ok(());
         }
-        let quantity = format!("the requests that {upstream} got");
+        let quantity = format!("the number of requests at {upstream}");
         Err(AssertionError::out_of_range(
             quantity,
             received,
@@ -186,7 +181,7 @@
         ))
     }
 
-    /// Checks that a revision is in force on every instance that runs.
+    /// Checks that all running instances have applied a revision.
     pub(super) fn check_revision(&self, revision: u64) -> Result<(), AssertionError> {
         for instance in self.instances.iter().filter(|i| i.is_awake()) {
             let applied = instance.process.as_ref().and_then(|p| p.revision());
@@ -205,7 +200,7 @@
     }
 }
 
-/// Returns how many requests ended in each way.
+/// Formats the number of requests with each outcome.
 fn count_outcomes(operations: &[&Operation]) -> String {
     let outcomes = [
         CallerOutcome::Done,
--- a/crates/foxtide-testing/src/scenario/broken_rules.rs
+++ b/crates/foxtide-testing/src/scenario/broken_rules.rs
@@ -1,4 +1,4 @@
-//! Breaks a rule on purpose, by what the decisions get to see.
+//! Changes the contract that the decisions see, to break a rule on purpose.
 
 use super::options::BrokenRule;
 use foxtide_core::organisation::{
@@ -11,10 +11,10 @@
     ShareRate, //
 };
 
-/// By how much sold rates are overstated.
+/// Factor by which sold rates are overstated.
 const SOLD_RATE_FACTOR: f64 = 10.0;
 
-/// Returns the document as the decisions see it under a broken rule.
+/// Returns a copy of the document without the rule.
 pub(super) fn with_broken_rule(document: &Organisation, rule: Option<BrokenRule>) -> Organisation {
     let mut organisation = document.clone();
     match rule {
--- a/crates/foxtide-testing/src/scenario/command.rs
+++ b/crates/foxtide-testing/src/scenario/command.rs
@@ -1,4 +1,4 @@
-//! The commands of the scenario language.
+//! Commands of the script language and their arguments.
 
 use super::operation::{
     CallerOutcome,
@@ -24,17 +24,17 @@
 
 /// One command of a script.
 ///
-/// Commands of operators have the operator's name as prefix: `alice: read`.
+/// Commands of operators have the name of the operator as a prefix: `alice: read`.
 #[derive(Clone, Debug, goldenscript::Command)]
 pub(super) enum Command {
-    /// `tenant hamutenya|kluisdepot [SERVICE...]`: the setting of an
-    /// organisation of today, with all of its services or those named.
+    /// `tenant hamutenya|kluisdepot [SERVICE...]`: adds the regions, links and services of
+    /// an existing organisation, with all services or only those named.
     Tenant {
         name: Tenant,
         #[arg(many, optional)]
         services: Vec<ServiceId>,
     },
-    /// `region NAME sold=RATE [zones=N]`: a region and what was sold there.
+    /// `region NAME sold=RATE [zones=N]`: adds a region with this sold rate.
     Region {
         name: RegionId,
         #[arg(key)]
@@ -42,7 +42,7 @@
         #[arg(key)]
         zones: Option<u32>,
     },
-    /// `links sold=RATE delay=SPAN`: links between every two regions.
+    /// `links sold=RATE delay=SPAN`: links all pairs of regions, with this one-way delay.
     Links {
         #[arg(key)]
         sold: RequestRate,
@@ -50,7 +50,7 @@
         delay: DurationArg,
     },
     /// `service NAME [spill=] [cap=] [deadline=] [drain_window=] [priority=]`:
-    /// a service and its contract; all regions are its homes.
+    /// adds a service and its contract, with equal shares for all regions.
     Service {
         name: ServiceId,
         #[arg(key)]
@@ -64,7 +64,8 @@
         #[arg(key)]
         priority: Option<PriorityArg>,
     },
-    /// `upstreams SERVICE per_region=N slots=N service_time=SPAN`.
+    /// `upstreams SERVICE per_region=N slots=N service_time=SPAN`: adds upstreams to all
+    /// regions.
     Upstreams {
         service: ServiceId,
         #[arg(key)]
@@ -74,13 +75,13 @@
         #[arg(key)]
         service_time: DurationArg,
     },
-    /// `instances per_region=N`.
+    /// `instances per_region=N`: sets the number of instances.
     Instances {
         #[arg(key)]
         per_region: u32,
     },
-    /// `load SERVICE REGION... rate=RATE [kind=read|write]`: steady callers in
-    /// each of the regions.
+    /// `load SERVICE REGION... rate=RATE [kind=read|write]`: sets the rate of requests from
+    /// callers in each of the regions.
     Load {
         service: ServiceId,
         #[arg(many)]
@@ -90,34 +91,35 @@
         #[arg(key)]
         kind: Option<RequestKind>,
     },
-    /// `run SPAN`: lets time pass.
+    /// `run SPAN`: advances virtual time.
     Run(DurationArg),
 
-    /// `region_down REGION`: all that stands there dies.
+    /// `region_down REGION`: kills all instances and upstreams in a region.
     RegionDown(RegionId),
-    /// `region_up REGION`: all that stands there starts again.
+    /// `region_up REGION`: restarts them.
     RegionUp(RegionId),
-    /// `cut REGION REGION`: all that is sent between them is lost; `store`
-    /// stands for the store.
+    /// `cut REGION REGION`: drops all messages between two regions. The name `store` stands
+    /// for the store.
     Cut(RegionId, RegionId),
     /// `heal REGION REGION`: ends a cut.
     Heal(RegionId, RegionId),
-    /// `kill INSTANCE`: its process dies.
+    /// `kill INSTANCE`: kills its process.
     Kill(InstanceId),
-    /// `restart INSTANCE`: a new process starts on it.
+    /// `restart INSTANCE`: starts a new process if none runs.
     Restart(InstanceId),
-    /// `pause INSTANCE SPAN`: its process stands still.
+    /// `pause INSTANCE SPAN`: suspends its process.
     Pause(InstanceId, DurationArg),
-    /// `stop INSTANCE`: a planned stop.
+    /// `stop INSTANCE`: shuts it down gracefully.
     Stop(InstanceId),
-    /// `measurements flowing|late|stopped [by=SPAN]`: what instances hear of
-    /// each other's measurements.
+    /// `measurements flowing|late|stopped [by=SPAN]`: delivers, delays or drops the reports
+    /// between instances.
     Measurements {
         state: MeasurementsState,
         #[arg(key)]
         by: Option<DurationArg>,
     },
-    /// `store up|down|slow|losing_answers|down_after_write [by=SPAN] [next=N]`.
+    /// `store up|down|slow|losing_answers|down_after_write [by=SPAN] [next=N]`: sets the
+    /// fault of the store. `next` is the number of writes whose responses are lost.
     Store {
         state: StoreState,
         #[arg(key)]
@@ -126,8 +128,8 @@
         next: Option<u32>,
     },
     /// `upstream NAME well|dead|silent|slow|shedding|losing_answers|late|lying
-    /// |cold|draining [factor=X] [by=SPAN]`; a name that ends in `*` stands for
-    /// all that begin like it.
+    /// |cold|draining [factor=X] [by=SPAN]`: sets the fault of an upstream, or of all with
+    /// a prefix if the name ends in `*`.
     Upstream {
         name: String,
         state: UpstreamState,
@@ -137,9 +139,9 @@
         by: Option<DurationArg>,
     },
 
-    /// `OPERATOR: read`: the operator reads the document.
+    /// `OPERATOR: read`: reads the document; the next change of the operator is based on it.
     Read,
-    /// `OPERATOR: move SERVICE from=REGION to=REGION share=S pace=P`.
+    /// `OPERATOR: move SERVICE from=REGION to=REGION share=S pace=P`: adds a planned move.
     Move {
         service: ServiceId,
         #[arg(key)]
@@ -151,31 +153,31 @@
         #[arg(key)]
         pace: ShareRate,
     },
-    /// `OPERATOR: drain upstream|zone|region|instance NAME [service=SERVICE]`.
+    /// `OPERATOR: drain upstream|zone|region|instance NAME [service=SERVICE]`: adds a drain.
     Drain {
         kind: DrainKind,
         name: String,
         #[arg(key)]
         service: Option<ServiceId>,
     },
-    /// `OPERATOR: spill SERVICE limit=S`.
+    /// `OPERATOR: spill SERVICE limit=S`: sets the spill-over limit of a service.
     Spill {
         service: ServiceId,
         #[arg(key)]
         limit: Share,
     },
-    /// `OPERATOR: sold REGION rate=RATE`.
+    /// `OPERATOR: sold REGION rate=RATE`: sets the sold rate of a region.
     Sold {
         region: RegionId,
         #[arg(key)]
         rate: RequestRate,
     },
 
-    /// `promises [PROMISE...]`: every promise was kept, and those named were
-    /// put to the test.
+    /// `promises [PROMISE...]`: asserts that no promise was broken and that those named were
+    /// tested.
     Promises(#[arg(many, optional)] Vec<Promise>),
     /// `told SERVICE done|not-run|unknown|nothing [least=P] [most=P] [last=SPAN]
-    /// [kind=read|write]`: which part of the requests ended this way.
+    /// [kind=read|write]`: asserts the share of requests with an outcome.
     Told {
         service: ServiceId,
         told: CallerOutcome,
@@ -188,7 +190,7 @@
         #[arg(key)]
         kind: Option<RequestKind>,
     },
-    /// `latency SERVICE p99=SPAN [last=SPAN]`.
+    /// `latency SERVICE p99=SPAN [last=SPAN]`: asserts the 99th percentile of reads.
     Latency {
         service: ServiceId,
         #[arg(key)]
@@ -196,7 +198,8 @@
         #[arg(key)]
         last: Option<DurationArg>,
     },
-    /// `share SERVICE REGION [least=S] [most=S]`: where requests go now.
+    /// `share SERVICE REGION [least=S] [most=S]`: asserts the share of requests that goes
+    /// to a region now.
     Share {
         service: ServiceId,
         region: RegionId,
@@ -205,7 +208,8 @@
         #[arg(key)]
         most: Option<f64>,
     },
-    /// `received UPSTREAM [least=N] [most=N] [last=SPAN]`.
+    /// `received UPSTREAM [least=N] [most=N] [last=SPAN]`: asserts the number of requests
+    /// that an upstream received.
     Received {
         upstream: UpstreamId,
         #[arg(key)]
@@ -215,12 +219,12 @@
         #[arg(key)]
         last: Option<DurationArg>,
     },
-    /// `revision N`: it is in force on every instance that runs.
+    /// `revision N`: asserts that all running instances have applied a revision.
     Revision(u64),
 }
 
 impl Command {
-    /// Tells whether the command is part of the setting.
+    /// Returns whether the command must precede the start of the fleet.
     pub(super) fn is_setting(&self) -> bool {
         matches!(
             self,
@@ -233,8 +237,8 @@
         )
     }
 
-    /// Tells whether a trace holds the command; loads are held as requests,
-    /// and time passes by itself.
+    /// Returns whether a trace contains the command. It contains the requests of a load
+    /// instead of the load, and timestamps instead of `run`.
     pub(super) fn is_traced(&self) -> bool {
         !self.is_setting() && !matches!(self, Self::Load { .. } | Self::Run(_))
     }
@@ -262,7 +266,7 @@
 }
 
 define_keywords!(
-    /// What instances hear of each other's measurements.
+    /// State of the delivery of reports between instances.
     MeasurementsState,
     "`flowing`, `late` or `stopped`",
     Flowing = "flowing",
@@ -271,7 +275,7 @@
 );
 
 define_keywords!(
-    /// What the store does.
+    /// State of the store.
     StoreState,
     "`up`, `down`, `slow`, `losing_answers` or `down_after_write`",
     Up = "up",
@@ -282,7 +286,7 @@
 );
 
 define_keywords!(
-    /// What an upstream does.
+    /// State of an upstream.
     UpstreamState,
     "a state of an upstream, such as `well` or `dead`",
     Well = "well",
@@ -297,7 +301,7 @@
     Draining = "draining"
 );
 
-/// A contract's priority as a script names it.
+/// A priority argument of a command.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct PriorityArg(pub(super) Priority);
 
--- a/crates/foxtide-testing/src/scenario/dissemination.rs
+++ b/crates/foxtide-testing/src/scenario/dissemination.rs
@@ -1,4 +1,4 @@
-//! How instances learn of each other, of measurements and of documents.
+//! Exchange of members, load reports and configuration documents between instances.
 
 use super::event::{
     Delivery,
@@ -23,17 +23,17 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// How many instances of each availability zone watch the store.
+/// Number of store watchers in each availability zone.
 const WATCHERS_PER_ZONE: usize = 2;
 
-/// The time that the store needs for an answer.
+/// Response time of a store without a fault.
 const STORE_RESPONSE_TIME: Duration = Duration::from_millis(5);
 
-/// How late a revision may be in force on an instance that can hear of it.
+/// Time within which a reachable instance must apply an accepted revision.
 const IN_FORCE_WITHIN: Duration = Duration::from_secs(10);
 
 impl Fleet {
-    /// Lets an instance that starts meet the instances on the platform's list.
+    /// Exchanges snapshots between a starting instance and all on the instance list.
     pub(super) fn join(&mut self, index: usize) {
         for peer in 0..self.instances.len() {
             let is_listed = !self.instances[peer].is_known_to_have_ended(self.now);
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Lets two instances tell each other all that they know.
+    /// Sends each of two instances the snapshot of the other.
     fn exchange_snapshots(&mut self, one: usize, other: usize) {
         let region = self.instances[other].region.clone();
         let Some(delay) = self.delay_to(one, &region) else {
@@ -65,7 +65,7 @@
         })
     }
 
-    /// Lets the membership protocol of an instance do what is due.
+    /// Runs the periodic work of the membership protocol of an instance.
     pub(super) fn tick_membership(&mut self, index: usize) {
         let now = self.now;
         if let Some(process) = self.process(index) {
@@ -74,7 +74,7 @@
         }
     }
 
-    /// Does what the membership protocol asks for.
+    /// Carries out the outputs of the membership protocol.
     pub(super) fn handle_outputs(&mut self, index: usize, outputs: Vec<Output>) {
         for output in outputs {
             match output {
@@ -114,7 +114,7 @@
         }
     }
 
-    /// Takes a datagram in.
+    /// Passes a datagram to the membership protocol.
     pub(super) fn receive_packet(
         &mut self,
         index: usize,
@@ -129,7 +129,7 @@
         }
     }
 
-    /// Takes in all that a peer knows.
+    /// Merges the snapshot of a peer.
     pub(super) fn receive_snapshot(&mut self, index: usize, snapshot: Snapshot) {
         let now = self.now;
         if let Some(process) = self.process(index) {
@@ -157,7 +157,7 @@
         }
     }
 
-    /// Takes a document in and tells peers of it if it is new.
+    /// Applies a document, and announces it to peers if it is newer.
     pub(super) fn receive_document(&mut self, index: usize, document: &Document) {
         let now = self.now;
         let id = self.instances[index].id.clone();
@@ -172,13 +172,13 @@
         let rumour = Rumour::Configuration(document.announcement());
         let outputs = process.membership.spread(rumour, now);
         if after < before {
-            let violation = format!("{id} went back to {}", document.revision);
+            let violation = format!("{id} reverted to {}", document.revision);
             self.record.violations.reverted_revisions.push(violation);
         }
         self.handle_outputs(index, outputs);
     }
 
-    /// Sends an instance's report to all peers that it knows.
+    /// Sends the load report of an instance to all peers.
     pub(super) fn broadcast_report(&mut self, index: usize) {
         let now = self.now;
         let region = self.instances[index].region.clone();
@@ -197,7 +197,7 @@
         }
     }
 
-    /// Forgets the reports of instances that the platform's list shows no more.
+    /// Removes the reports of ended instances that have left the instance list.
     fn remove_ended_reports(&mut self, index: usize) {
         let now = self.now;
         let ended = self.instances.iter();
@@ -208,7 +208,7 @@
         }
     }
 
-    /// Asks the store for documents, where the instance watches it or has none.
+    /// Reads the documents from the store if the instance is a watcher or has no document.
     pub(super) fn watch_store(&mut self, index: usize) {
         let Some(answer_time) = self.store.answer_time() else {
             return;
@@ -247,7 +247,7 @@
         }
     }
 
-    /// Checks that each accepted revision is in force wherever it must be.
+    /// Checks that all reachable instances have applied the accepted revisions in time.
     pub(super) fn check_revisions(&mut self) {
         let due = self.record.accepted.iter().rev();
         let now = self.now;
@@ -264,7 +264,8 @@
             let process = instance.process.as_ref().filter(|_| reachable);
             let is_behind = process.is_some_and(|p| p.revision() < Some(due.revision));
             if is_behind {
-                let violation = format!("{} lacks {} at {now}", instance.id, due.revision);
+                let violation =
+                    format!("{} has not applied {} at {now}", instance.id, due.revision);
                 self.record.violations.late_revisions.push(violation);
             }
         }
--- a/crates/foxtide-testing/src/scenario/event.rs
+++ b/crates/foxtide-testing/src/scenario/event.rs
@@ -1,4 +1,4 @@
-//! What happens in a scenario.
+//! Events of the simulation and messages to instances.
 
 use super::operation::OperationNumber;
 use super::process::Heard;
@@ -20,30 +20,30 @@
 };
 use std::net::SocketAddr;
 
-/// Names one copy of a request at one instance.
+/// Identifies one copy of a request at one instance.
 pub(super) type CopyNumber = u64;
 
-/// How an attempt ended, as its instance sees it.
+/// End of an attempt as its instance sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum AttemptEnd {
     /// The connection was refused.
     NotSent,
-    /// The upstream refused it without running it.
+    /// The upstream rejected the request without running it.
     Refused,
-    /// The whole answer came.
+    /// The complete response arrived.
     Answered,
-    /// The connection broke.
+    /// The connection broke after the request was sent.
     Lost,
 }
 
-/// All that a process knows of members and documents.
+/// Members and documents known to a process.
 #[derive(Clone, Debug)]
 pub(super) struct Snapshot {
     pub(super) members: Vec<Member>,
     pub(super) documents: Vec<Document>,
 }
 
-/// A message to one process of one instance.
+/// A message or timer for the process of an instance.
 #[derive(Debug)]
 pub(super) enum Delivery {
     /// A datagram of the membership protocol.
@@ -52,72 +52,72 @@
         from: SocketAddr,
         packet: Packet,
     },
-    /// A peer's report.
+    /// A load report of a peer.
     Report { from: InstanceId, heard: Heard },
-    /// All that a peer knew when it sent this.
+    /// State of a peer when it sent this.
     Snapshot(Snapshot),
     /// A document from the store or from a peer.
     Document(Document),
-    /// The answer to a poll of an upstream's load endpoint.
+    /// Result of a poll of the load endpoint of an upstream.
     Poll {
         service: ServiceId,
         region: RegionId,
         poll: Poll,
         result: PollResult,
     },
-    /// A copy of a request goes on.
+    /// Time for the next attempt of a copy.
     Proceed(CopyNumber),
-    /// A copy's hedge is due.
+    /// Time for a hedged attempt of a copy.
     Hedge(CopyNumber),
-    /// A copy's time has run out.
+    /// The deadline of a copy has passed.
     Deadline(CopyNumber),
     /// An attempt has ended.
     AttemptEnds {
         attempt: AttemptNumber,
         end: AttemptEnd,
     },
-    /// A caller's request arrives.
+    /// A request of a caller arrives.
     Request(OperationNumber),
 }
 
-/// What happens at one moment.
+/// An event of the simulation.
 #[derive(Debug)]
 pub(super) enum Event {
-    /// All processes do what is due.
+    /// All processes run their periodic work.
     Tick,
-    /// All processes report, and those that watch the store ask it.
+    /// All processes send their reports, and watchers read the store.
     Report,
     /// The next request of a load arrives.
     Arrival { load: usize },
     /// A request of a replayed trace arrives.
     RecordedArrival { index: usize },
-    /// A caller sends its request again.
+    /// A caller retries its request.
     Retry(OperationNumber),
-    /// A caller stops to wait for the copy that it sent last.
+    /// A caller stops waiting for the copy with number `sent`.
     CallerTimeout {
         operation: OperationNumber,
         sent: u32,
     },
-    /// Something reaches an instance's process.
+    /// A message reaches a process; dropped if the process has ended.
     Deliver {
         instance: usize,
         process: u64,
-        /// Boxed, as events are moved about in the queue.
+        /// Boxed to keep events in the queue small.
         delivery: Box<Delivery>,
     },
     /// An attempt reaches its upstream.
     AttemptArrives(AttemptNumber),
-    /// An upstream hears that an attempt was given up.
+    /// The cancellation of an attempt reaches its upstream.
     CancelArrives(AttemptNumber),
-    /// An upstream is done with an attempt.
+    /// An upstream finishes an attempt.
     ServiceEnds {
         upstream: UpstreamId,
         attempt: AttemptNumber,
     },
-    /// A paused process wakes.
+    /// A paused process resumes.
     Resume { instance: usize },
-    /// A leaving instance's look-ups have expired at all callers.
+    /// A leaving instance ends if it is idle; first due when its look-ups have expired.
     EndWhenIdle { instance: usize },
-    /// A drained upstream's window is over and its process ends.
+    /// The drain window of an upstream is over and its process ends.
     DrainWindowEnds { upstream: UpstreamId },
 }
--- a/crates/foxtide-testing/src/scenario/mod.rs
+++ b/crates/foxtide-testing/src/scenario/mod.rs
@@ -1,11 +1,10 @@
-//! Scripted scenarios and replayed traces over the pure decisions.
+//! Simulation of a fleet in virtual time, driven by a script or a recorded trace.
 //!
-//! A script sets up regions, contracts and load, injects faults, lets virtual
-//! time pass and states what must hold. The decisions are those of
-//! `foxtide-core` and the change flow of `foxtide-config`, unchanged; only what
-//! stands around them is modelled: callers, the network, upstreams with slots,
-//! and the store. Each instance has its own state and its own, possibly stale,
-//! view of the others. docs/design/scenarios.md has the language.
+//! A script defines regions, contracts and load, injects faults, advances virtual time
+//! and asserts what must hold. The decision code of `foxtide-core` and the change flow of
+//! `foxtide-config` run unmodified; callers, network, upstreams and the store are
+//! simulated. Each instance has its own state and its own, possibly stale, view of the
+//! others. docs/design/scenarios.md describes the script language.
 
 mod assertion;
 mod broken_rules;
--- a/crates/foxtide-testing/src/scenario/operation.rs
+++ b/crates/foxtide-testing/src/scenario/operation.rs
@@ -1,4 +1,4 @@
-//! What callers of a scenario want, and what they were told.
+//! Logical requests of callers and their outcomes.
 
 use foxtide_core::idempotency::IdempotencyKey;
 use foxtide_core::ids::{
@@ -11,19 +11,19 @@
 use std::fmt;
 use std::str::FromStr;
 
-/// Names what a caller wants, over all the copies of its request.
+/// Identifies a logical request, which all of its copies share.
 pub(super) type OperationNumber = u64;
 
-/// How a request ended for its caller.
+/// Outcome of a request as its caller sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum CallerOutcome {
-    /// It got the whole answer.
+    /// The complete response arrived.
     Done,
-    /// It was told that the request was not run.
+    /// The instance reported that the request did not run.
     NotRun,
-    /// It was told that nobody knows.
+    /// The instance reported that the outcome is unknown.
     Unknown,
-    /// It got no answer: its connection broke or its time ran out.
+    /// No response: the connection failed or the caller timed out.
     NoResponse,
 }
 
@@ -59,7 +59,7 @@
     }
 }
 
-/// A kind of request.
+/// Whether a request may be repeated.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) enum RequestKind {
     /// Idempotent, without a key.
@@ -90,7 +90,7 @@
     }
 }
 
-/// What one caller wants.
+/// A logical request of one caller.
 #[derive(Clone, Debug)]
 pub(super) struct Operation {
     pub(super) service: ServiceId,
@@ -98,20 +98,20 @@
     pub(super) kind: RequestKind,
     pub(super) key: Option<IdempotencyKey>,
     pub(super) arrived_at: MonotonicTime,
-    /// The instance that the caller asked first.
+    /// The instance to which the caller sent the first copy.
     pub(super) first_instance: Option<InstanceId>,
-    /// How many copies of the request the caller has sent.
+    /// Number of copies sent so far.
     pub(super) sent: u32,
-    /// Which instance the caller asks first.
+    /// Round-robin position of the caller among the instances.
     pub(super) turn: usize,
-    /// How often upstreams began to run it.
+    /// Number of times that an upstream started to run it.
     pub(super) runs: u32,
-    /// The latest end; none while the caller waits.
+    /// Outcome of the latest copy; `None` while the caller waits.
     pub(super) outcome: Option<CallerOutcome>,
-    /// When the latest end was told.
+    /// Time of the latest outcome.
     pub(super) ended_at: MonotonicTime,
-    /// When the latest copy reached an instance.
+    /// Time at which the latest copy reached an instance.
     pub(super) received_at: MonotonicTime,
-    /// Whether the caller was ever told that it was not run.
+    /// Whether any copy was reported as not run.
     pub(super) reported_not_run: bool,
 }
--- a/crates/foxtide-testing/src/scenario/options.rs
+++ b/crates/foxtide-testing/src/scenario/options.rs
@@ -1,11 +1,11 @@
-//! How a scenario runs.
+//! Options of a scenario run.
 
-/// How a scenario runs.
+/// Options of a scenario run.
 #[derive(Clone, Copy, Debug)]
 pub struct ScenarioOptions {
-    /// The seed of everything that comes by chance. Default: 1.
+    /// Seed of the random number generators. Default: 1.
     pub seed: u64,
-    /// The rule that the decisions are made to break. Default: none.
+    /// Rule to break on purpose. Default: none.
     pub broken_rule: Option<BrokenRule>,
 }
 
@@ -18,23 +18,23 @@
     }
 }
 
-/// A rule that is broken on purpose, to prove that a promise notices it.
+/// A rule that is broken on purpose, to prove that the check of a promise detects it.
 ///
-/// The decisions are given inputs without the rule; the promises are checked
-/// against the contract as it is.
+/// The decisions see a contract without the rule; the promises are checked against the
+/// actual contract.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BrokenRule {
-    /// Traffic shifts at any pace.
+    /// Traffic shifts at any rate.
     ShiftCap,
-    /// Any part of a service may spill over.
+    /// Any share of a service may spill over.
     SpillLimit,
-    /// Sold rates of regions and links are taken to be ten times as high.
+    /// Sold rates of regions and links are multiplied by ten.
     SoldRate,
-    /// Every request is taken to be idempotent.
+    /// Every request is treated as idempotent.
     NonIdempotentRetry,
-    /// A key's table forgets that the key was run.
+    /// Instances forget the idempotency keys of earlier requests.
     ForgottenKey,
-    /// Announced drains of upstreams are not heard.
+    /// Drains of upstreams are ignored.
     Drain,
     /// An older configuration replaces a newer one.
     Revision,
--- a/crates/foxtide-testing/src/scenario/promise.rs
+++ b/crates/foxtide-testing/src/scenario/promise.rs
@@ -1,4 +1,4 @@
-//! What always has to hold, checked against what a scenario wrote down.
+//! Promises: the invariants of a run, checked against its record.
 
 use super::callers::WARM_UP;
 use super::fleet::Fleet;
@@ -14,35 +14,35 @@
 use std::fmt;
 use std::str::FromStr;
 
-/// A limit was tested where the busiest second came this close to it.
+/// A limit counts as tested if the busiest second reached this share of it.
 const TESTED_FROM_SHARE: f64 = 0.8;
 
-/// What always has to hold.
+/// An invariant that must hold in every run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Promise {
-    /// A region's share of a service changes no faster than the contract says.
+    /// The share of a region in a service changes no faster than the contract allows.
     ShiftCap,
-    /// No region gets more than was sold there.
+    /// No region receives more than its sold rate.
     RegionLimit,
-    /// No link carries more than was sold on it.
+    /// No link carries more than its sold rate.
     LinkLimit,
-    /// No more of a service spills over than the contract says.
+    /// No more of a service spills over than the contract allows.
     SpillLimit,
     /// A non-idempotent request runs at most once.
     AtMostOnce,
-    /// What was told to be not run did not run.
+    /// A request that was reported as not run did not run.
     NotRunIsTrue,
-    /// Every caller gets the answer to its own request.
+    /// Every caller receives the response to its own request.
     OwnAnswer,
-    /// A leaving upstream gets no new request after 2 s.
+    /// A draining upstream receives no new request after 2 s.
     LeavingGetsNothing,
-    /// A planned stop cuts nothing off.
+    /// A graceful shutdown aborts no request.
     NothingCut,
-    /// An accepted configuration is in force everywhere within seconds.
+    /// All reachable instances apply an accepted configuration within seconds.
     InForce,
-    /// A configuration never reverts.
+    /// No instance replaces a configuration by an older one.
     NeverReverts,
-    /// A refusal comes at once.
+    /// A request that cannot be served is rejected without delay.
     RefusedAtOnce,
 }
 
@@ -93,22 +93,21 @@
     }
 }
 
-/// Whether a promise held in a scenario.
+/// Result of the check of a promise.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// It held where it could have been broken.
+    /// It was tested and not broken.
     Kept,
-    /// Nothing happened that could have broken it.
+    /// The run did not test it.
     Untested,
     /// It was broken.
     Broken {
-        /// The first violation, and how many there were.
+        /// The first violation and the number of others.
         violation: String,
     },
 }
 
 impl Verdict {
-    /// Returns the verdict on a list of violations.
     pub(super) fn from_violations(violations: &[String], tested: bool) -> Self {
         match violations.first() {
             Some(first) if violations.len() > 1 => Self::Broken {
@@ -134,7 +133,7 @@
 }
 
 impl Fleet {
-    /// Returns whether a promise has held so far.
+    /// Returns the verdict on a promise for the run so far.
     pub(super) fn verdict(&self, promise: Promise) -> Verdict {
         let violations = &self.record.violations;
         let reconfigured = self.record.accepted.len() > 1;
@@ -199,18 +198,18 @@
     fn not_run_is_true(&self) -> Verdict {
         let reported = self.operations.iter();
         let reported = reported.filter(|(_, operation)| operation.reported_not_run);
-        // Copies of a read without a key are requests of their own.
+        // Each copy of a read is a separate request, so another copy may have run.
         let run_once =
             |operation: &Operation| operation.kind == RequestKind::Write || operation.sent == 1;
         let violating = reported.clone().filter(|(_, o)| o.runs > 0 && run_once(o));
         let violations: Vec<String> = violating
-            .map(|(number, _)| format!("request {number} ran"))
+            .map(|(number, _)| format!("request {number} was reported as not run and ran"))
             .collect();
         Verdict::from_violations(&violations, reported.count() > 0)
     }
 }
 
-/// A sold rate and what was sent through it.
+/// A sold rate and the requests that it limits.
 struct Limit<'a> {
     name: String,
     sold: RequestRate,
@@ -230,7 +229,7 @@
         if f64::from(count) > sold_rps {
             let name = &limit.name;
             violations.push(format!(
-                "{name} got {count} in the second from {at}, sold {sold_rps}"
+                "{name} got {count} requests in the second from {at}, limit {sold_rps}"
             ));
         }
     }
--- a/crates/foxtide-testing/src/scenario/record.rs
+++ b/crates/foxtide-testing/src/scenario/record.rs
@@ -1,4 +1,4 @@
-//! What a scenario writes down, for its promises to be checked against.
+//! Observations of a run, against which the promises are checked.
 
 use foxtide_core::ids::{
     InstanceId,
@@ -12,20 +12,19 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// The width of a bucket of a [`Series`].
+/// Bucket width of a [`Series`].
 pub(super) const BUCKET: Duration = Duration::from_millis(100);
 
-/// How many buckets make up a second.
 const BUCKETS_PER_S: usize = 10;
 
-/// How often something happened, over time.
+/// Number of events over time, in buckets.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Series {
     buckets: Vec<u32>,
 }
 
 impl Series {
-    /// Counts one.
+    /// Counts one event.
     pub(super) fn count(&mut self, at: MonotonicTime) {
         let index = bucket_index(at);
         if index >= self.buckets.len() {
@@ -34,7 +33,7 @@
         self.buckets[index] += 1;
     }
 
-    /// Returns the most in any second, and when that second began.
+    /// Returns the highest count in any second and the start of the first such second.
     pub(super) fn busiest_second(&self) -> Option<(u32, MonotonicTime)> {
         let starts = 0..self.buckets.len();
         let seconds = starts.map(|start| (self.sum_second(start), start));
@@ -42,7 +41,7 @@
         Some((most, bucket_start(start)))
     }
 
-    /// Returns the sum from one time to another.
+    /// Returns the number of events from one time to another.
     pub(super) fn sum_between(&self, from: MonotonicTime, to: MonotonicTime) -> u32 {
         let end = bucket_index(to).min(self.buckets.len());
         let start = bucket_index(from).min(end);
@@ -64,21 +63,21 @@
     MonotonicTime::from_ms(bucket as u64 * BUCKET.as_millis() as u64)
 }
 
-/// Where an instance's requests of a service go, at one moment.
+/// Distribution over the regions that an instance uses for a service at one time.
 #[derive(Clone, Debug)]
 pub(super) struct RowSample {
     pub(super) at: MonotonicTime,
     pub(super) instance: InstanceId,
-    /// The region of the instance.
+    /// Region of the instance.
     pub(super) origin: RegionId,
     pub(super) service: ServiceId,
-    /// The requests that its callers sent in the second before.
+    /// Number of requests that it received in the second before.
     pub(super) arrivals: u32,
-    /// The share that goes to each region.
+    /// Share of each region.
     pub(super) row: BTreeMap<RegionId, f64>,
 }
 
-/// Whose requests went where.
+/// Requests of a service from instances in one region to upstreams in another.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct Route {
     pub(super) service: ServiceId,
@@ -86,72 +85,71 @@
     pub(super) target: RegionId,
 }
 
-/// A revision that operators were told is accepted.
+/// A revision that was reported as accepted.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct AcceptedRevision {
     pub(super) revision: Revision,
     pub(super) at: MonotonicTime,
 }
 
-/// A time in which something was wrong with a region on purpose.
+/// Period of an injected fault in a region.
 #[derive(Clone, Debug)]
 pub(super) struct RegionFault {
     pub(super) region: RegionId,
     pub(super) from: MonotonicTime,
-    /// When it was mended; not yet if `None`.
+    /// `None` while the fault lasts.
     pub(super) to: Option<MonotonicTime>,
 }
 
-/// Everything that a scenario writes down.
+/// Observations of a run.
 #[derive(Debug, Default)]
 pub(super) struct Record {
-    /// The attempts that reached each region.
+    /// Attempts that arrived in each region.
     pub(super) regions: BTreeMap<RegionId, Series>,
-    /// The attempts that crossed each link.
+    /// Attempts that crossed each link.
     pub(super) links: BTreeMap<LinkId, Series>,
-    /// The attempts by route.
+    /// Attempts on each route.
     pub(super) routes: BTreeMap<Route, Series>,
-    /// The requests by service and region of their instance.
+    /// Requests received, by service and region of the instance.
     pub(super) requests: BTreeMap<(ServiceId, RegionId), Series>,
-    /// The attempts at each upstream.
+    /// Attempts that arrived at each upstream.
     pub(super) upstreams: BTreeMap<UpstreamId, Series>,
-    /// Where requests went, each second.
+    /// Samples of all instances, once a second.
     pub(super) rows: Vec<RowSample>,
-    /// The requests that reached each instance since the last sample.
+    /// Requests that each instance received since the last sample.
     pub(super) arrivals: BTreeMap<(InstanceId, ServiceId), u32>,
-    /// The revisions that were accepted.
+    /// Accepted revisions, oldest first.
     pub(super) accepted: Vec<AcceptedRevision>,
-    /// When the drain of each leaving upstream was accepted.
+    /// Time at which the drain of each draining upstream was accepted.
     pub(super) drains: BTreeMap<UpstreamId, MonotonicTime>,
-    /// How many planned stops there were.
+    /// Number of graceful shutdowns of instances and upstreams.
     pub(super) planned_stops: u32,
-    /// How many requests were refused as not run, by reason.
+    /// Number of requests that were rejected without running, by reason.
     pub(super) rejections: BTreeMap<String, u32>,
-    /// What was wrong on purpose.
     pub(super) region_faults: Vec<RegionFault>,
-    /// Breaches that were seen as they happened.
+    /// Violations that were detected during the run.
     pub(super) violations: Violations,
 }
 
-/// Breaches of promises that are checked as things happen.
+/// Violations of the promises that are checked during the run.
 #[derive(Debug, Default)]
 pub(super) struct Violations {
-    /// Requests sent to upstreams that were leaving.
+    /// Requests sent to draining upstreams.
     pub(super) sent_to_draining: Vec<String>,
-    /// Requests that a planned stop cut off.
+    /// Requests aborted by a graceful shutdown.
     pub(super) aborted_by_stop: Vec<String>,
-    /// Instances on which a revision was late.
+    /// Instances that applied a revision too late.
     pub(super) late_revisions: Vec<String>,
-    /// Instances on which a revision went back.
+    /// Instances that replaced a revision by an older one.
     pub(super) reverted_revisions: Vec<String>,
-    /// Callers that got the answer to another request.
+    /// Callers that received the response to another request.
     pub(super) wrong_answers: Vec<String>,
-    /// Requests that were refused later than at once.
+    /// Requests that were rejected only after a long wait.
     pub(super) late_rejections: Vec<String>,
 }
 
 impl Record {
-    /// Counts an attempt that reaches its upstream.
+    /// Counts an attempt that arrives at its upstream.
     pub(super) fn count_attempt(
         &mut self,
         route: &Route,
@@ -172,7 +170,6 @@
         self.routes.entry(route.clone()).or_default().count(now);
     }
 
-    /// Notes that something is wrong with a region from now on.
     pub(super) fn begin_region_fault(&mut self, region: &RegionId, now: MonotonicTime) {
         self.region_faults.push(RegionFault {
             region: region.clone(),
@@ -181,14 +178,14 @@
         });
     }
 
-    /// Notes that a region is whole again.
+    /// Ends all current faults of a region.
     pub(super) fn end_region_fault(&mut self, region: &RegionId, now: MonotonicTime) {
         let open = self.region_faults.iter_mut();
         let open = open.filter(|span| span.region == *region && span.to.is_none());
         open.for_each(|span| span.to = Some(now));
     }
 
-    /// Tells whether something was wrong with a region in this time.
+    /// Returns whether a fault of the region overlaps this period.
     pub(super) fn had_region_fault(
         &self,
         region: &RegionId,
--- a/crates/foxtide-testing/src/scenario/runner.rs
+++ b/crates/foxtide-testing/src/scenario/runner.rs
@@ -1,4 +1,4 @@
-//! Runs the commands of a script.
+//! Executes the commands of a script.
 
 use super::assertion::Selection;
 use super::command::Command;
@@ -32,10 +32,10 @@
 use std::error::Error;
 use std::time::Duration;
 
-/// The time that statements look back over where they do not say.
+/// Window of assertions without a `last` argument.
 const WINDOW_DEFAULT: DurationArg = DurationArg(Duration::from_secs(10));
 
-/// What a contract of a scenario says where the script does not.
+// Defaults of omitted arguments of `service` and `region`.
 const SPILL_LIMIT_DEFAULT_SHARE: f64 = 0.2;
 const SHIFT_CAP_DEFAULT_SHARE_PER_S: f64 = 0.05;
 const DEADLINE_DEFAULT: DurationArg = DurationArg(Duration::from_millis(800));
@@ -73,11 +73,11 @@
 }
 
 impl ScenarioRunner {
-    /// Returns a runner of a script.
+    /// Returns a runner without regions, services or load.
     ///
     /// # Panics
     ///
-    /// Panics where the names that every scenario has are not valid.
+    /// Panics if a built-in name is not valid.
     pub fn new(options: ScenarioOptions) -> Self {
         Self {
             options,
@@ -88,7 +88,7 @@
         }
     }
 
-    /// Returns of every promise whether it held so far.
+    /// Returns the verdicts on all promises so far; empty until the fleet has started.
     pub fn verdicts(&self) -> Vec<(Promise, Verdict)> {
         let Some(fleet) = &self.fleet else {
             return Vec::new();
@@ -99,24 +99,24 @@
             .collect()
     }
 
-    /// Returns the fleet, which starts with the first command that needs it.
+    /// Returns the fleet. The first call starts it.
     pub(super) fn fleet(&mut self) -> Result<&mut Fleet, Box<dyn Error>> {
         if self.fleet.is_none() {
             let mut fleet = Fleet::new(&self.setting, self.options)?;
             fleet.open()?;
             self.fleet = Some(Box::new(fleet));
         }
-        Ok(self.fleet.as_mut().ok_or("no fleet")?)
+        Ok(self.fleet.as_mut().ok_or("the fleet has not started")?)
     }
 
     pub(super) fn instance_index(&mut self, id: &InstanceId) -> Result<usize, Box<dyn Error>> {
         let index = self.fleet()?.instance(id);
-        Ok(index.ok_or_else(|| format!("no instance {id}"))?)
+        Ok(index.ok_or_else(|| format!("no instance is named `{id}`"))?)
     }
 
     fn apply_setting(&mut self, command: &Command) -> CommandResult {
         if self.fleet.is_some() {
-            return Err("the scenario has begun".into());
+            return Err("the fleet has started; its configuration is fixed".into());
         }
         match command.clone() {
             Command::Tenant { name, services } => self.setting.add_tenant(name, &services)?,
@@ -157,7 +157,7 @@
                 self.setting.add_upstreams(&service, spec)?;
             }
             Command::Instances { per_region } => self.setting.instances_per_region = per_region,
-            other => return Err(format!("{other:?} is no part of a setting").into()),
+            other => return Err(format!("not a setup command: {other:?}").into()),
         }
         Ok(String::new())
     }
@@ -194,7 +194,8 @@
     }
 
     fn execute_as_operator(&mut self, command: &Command, prefix: Option<&str>) -> CommandResult {
-        let operator = prefix.ok_or("an operator's name is missing, as in `alice: read`")?;
+        let operator =
+            prefix.ok_or("expected a prefix that names the operator, as in `alice: read`")?;
         let edit = match command.clone() {
             Command::Read => return self.read(operator),
             Command::Move {
@@ -217,12 +218,12 @@
             } => Edit::drain(kind, &name, service)?,
             Command::Spill { service, limit } => Edit::Spill { service, limit },
             Command::Sold { region, rate } => Edit::Sold { region, rate },
-            other => return Err(format!("{other:?} is no operator's command").into()),
+            other => return Err(format!("not a command of operators: {other:?}").into()),
         };
         let base = match self.documents_read.remove(operator) {
             Some(base) => base,
             None => match self.fleet()?.read_document() {
-                Ok(document) => document.ok_or("there is no document")?,
+                Ok(document) => document.ok_or("the store has no document")?,
                 Err(error) => return Ok(told_not_accepted(&error)),
             },
         };
@@ -232,7 +233,7 @@
     fn read(&mut self, operator: &str) -> CommandResult {
         match self.fleet()?.read_document() {
             Ok(document) => {
-                let document = document.ok_or("there is no document")?;
+                let document = document.ok_or("the store has no document")?;
                 let revision = document.document.revision;
                 self.documents_read.insert(operator.to_owned(), document);
                 Ok(format!("read {revision}"))
@@ -296,7 +297,7 @@
                 fleet.check_received(&upstream, last, least, most)?;
             }
             Command::Revision(revision) => fleet.check_revision(revision)?,
-            other => return Err(format!("{other:?} is no statement").into()),
+            other => return Err(format!("not an assertion: {other:?}").into()),
         }
         Ok("holds".to_owned())
     }
--- a/crates/foxtide-testing/src/scenario/schedule.rs
+++ b/crates/foxtide-testing/src/scenario/schedule.rs
@@ -1,11 +1,11 @@
-//! The virtual clock's queue of what happens when.
+//! Event queue of the simulation.
 
 use foxtide_core::time::MonotonicTime;
 use std::cmp::Ordering;
 use std::collections::BinaryHeap;
 
-/// Events in the order of their times, those of one time in the order in which
-/// they were added.
+/// Events in order of time; events at the same time keep the order in which they were
+/// added.
 #[derive(Debug)]
 pub(super) struct Schedule<E> {
     entries: BinaryHeap<Entry<E>>,
@@ -20,7 +20,6 @@
 }
 
 impl<E> Schedule<E> {
-    /// Returns an empty queue.
     pub(super) fn new() -> Self {
         Self {
             entries: BinaryHeap::new(),
@@ -28,7 +27,6 @@
         }
     }
 
-    /// Adds an event.
     pub(super) fn add(&mut self, at: MonotonicTime, event: E) {
         self.sequence += 1;
         let sequence = self.sequence;
@@ -39,7 +37,7 @@
         });
     }
 
-    /// Takes the first event that is due at `until` or before.
+    /// Removes and returns the first event that is due at `until` or before.
     pub(super) fn pop_due(&mut self, until: MonotonicTime) -> Option<(MonotonicTime, E)> {
         let due = self.entries.peek().is_some_and(|entry| entry.at <= until);
         let entry = if due { self.entries.pop() } else { None };
@@ -62,7 +60,7 @@
 }
 
 impl<E> Ord for Entry<E> {
-    /// The earliest entry is the greatest, as the heap gives out the greatest.
+    /// Reversed, since `BinaryHeap` is a max-heap.
     fn cmp(&self, other: &Self) -> Ordering {
         (other.at, other.sequence).cmp(&(self.at, self.sequence))
     }
--- a/crates/foxtide-testing/src/scenario/setting.rs
+++ b/crates/foxtide-testing/src/scenario/setting.rs
@@ -1,4 +1,4 @@
-//! What a scenario starts from: regions, links, contracts and upstreams.
+//! Initial configuration of the fleet: regions, links, contracts and upstreams.
 
 use foxtide_core::ids::{
     AvailabilityZoneId,
@@ -30,56 +30,49 @@
 };
 use std::time::Duration;
 
-/// The connections that each upstream of a scenario takes.
+/// Connection limit of each upstream.
 const UPSTREAM_CONNECTIONS: u32 = 330;
 
-/// Why a scenario's setting cannot be used.
+/// An initial configuration that is not valid.
 pub(super) type SettingError = foxtide_core::Error;
 
-/// A scenario's setting while it is put together.
+/// Initial configuration of the fleet.
 #[derive(Debug)]
 pub(super) struct Setting {
     organisation: Organisation,
-    /// The delay from one region to any other, one way.
+    /// One-way delay between any two regions.
     pub(super) link_delay: Duration,
-    /// How long the upstreams of each service need for a request.
+    /// Time that the upstreams of each service need for a request.
     pub(super) service_times: BTreeMap<ServiceId, Duration>,
-    /// How many instances stand in each region.
     pub(super) instances_per_region: u32,
 }
 
-/// What a script says of a service.
+/// Contract terms of a service.
 #[derive(Clone, Debug)]
 pub(super) struct ServiceSpec {
-    /// The contract's spill-over limit.
     pub(super) spill_limit: Share,
-    /// The contract's shift cap.
     pub(super) shift_cap: ShareRate,
-    /// The contract's deadline.
     pub(super) deadline: Duration,
-    /// The contract's drain window.
     pub(super) drain_window: Duration,
-    /// What it weighs most.
     pub(super) priority: Priority,
 }
 
-/// What a script says of the upstreams of a service.
+/// Number and capacity of the upstreams of a service.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct UpstreamSpec {
-    /// How many stand in each region.
     pub(super) per_region: u32,
-    /// How many requests each runs at the same time.
+    /// Number of requests that each runs concurrently.
     pub(super) slots: u32,
-    /// How long a request takes.
+    /// Time that each needs for a request.
     pub(super) service_time: Duration,
 }
 
 impl Setting {
-    /// Returns a setting without regions and services.
+    /// Returns a configuration without regions and services.
     ///
     /// # Errors
     ///
-    /// Never fails in practice: the names are valid.
+    /// Fails if a built-in name is not valid.
     pub(super) fn new() -> Result<Self, SettingError> {
         Ok(Self {
             organisation: Organisation {
@@ -101,7 +94,7 @@
         })
     }
 
-    /// Takes over a whole document, of a recorded trace.
+    /// Returns the configuration with the document of a recorded trace.
     pub(super) fn with_organisation(organisation: Organisation) -> Self {
         Self {
             organisation,
@@ -111,12 +104,11 @@
         }
     }
 
-    /// Returns the document.
     pub(super) fn organisation(&self) -> &Organisation {
         &self.organisation
     }
 
-    /// Adds a region with this many availability zones.
+    /// Adds a region with `zones` availability zones.
     pub(super) fn add_region(
         &mut self,
         region: RegionId,
@@ -132,7 +124,7 @@
         Ok(())
     }
 
-    /// Links every two regions both ways.
+    /// Links all pairs of regions in both directions.
     pub(super) fn link_all(&mut self, sold_rate_rps: RequestRate, delay: Duration) {
         self.link_delay = delay;
         let regions = self.organisation.regions.iter();
@@ -149,7 +141,7 @@
         }
     }
 
-    /// Adds a service whose homes are all regions, in equal parts.
+    /// Adds a service with equal shares for all regions.
     pub(super) fn add_service(&mut self, service: ServiceId, spec: &ServiceSpec) {
         let regions = &self.organisation.regions;
         let share = Share::clamped(1.0 / regions.len().max(1) as f64);
@@ -174,11 +166,11 @@
         });
     }
 
-    /// Adds upstreams of a service to every region, spread over its zones.
+    /// Adds upstreams of a service to every region, distributed over its zones.
     ///
     /// # Errors
     ///
-    /// Fails where there is no such service.
+    /// Fails if the service does not exist.
     pub(super) fn add_upstreams(
         &mut self,
         service: &ServiceId,
@@ -237,7 +229,7 @@
         .into()
 }
 
-/// Returns the peer address of an instance of a scenario.
+/// Returns the address of an instance.
 pub(super) fn instance_address(number: usize) -> SocketAddr {
     (
         Ipv4Addr::new(10, 2, low_byte(number / 250), low_byte(number % 250)),
--- a/crates/foxtide-testing/src/scenario/shift_cap.rs
+++ b/crates/foxtide-testing/src/scenario/shift_cap.rs
@@ -1,9 +1,8 @@
-//! Checks the shift cap: how fast the share of a region changes.
+//! Check of the shift cap: the rate at which the share of a region changes.
 //!
-//! What counts is the share of all requests of a service that instances send
-//! to a region, each instance weighed by its callers' requests. Callers that
-//! move from one instance to another shift nothing by themselves, so the same
-//! weights are used for both ends of the time in between.
+//! The share of a region is the mean over the instances, weighted by the requests that
+//! they receive. Both samples of a change use the weights of the later one, so that
+//! callers who switch instances do not count as a shift.
 
 use super::callers::WARM_UP;
 use super::fleet::Fleet;
@@ -18,21 +17,21 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// The time over which the cap is kept.
+/// Time between the two samples of a change.
 const WINDOW: Duration = Duration::from_secs(10);
 
-/// What rounding and uneven arrivals may add to a change, as a share.
+/// Allowance for rounding and uneven arrivals.
 const TOLERANCE_SHARE: f64 = 0.01;
 
-/// A change that is worth a check, as a share.
+/// Changes above this share count as a test of the cap.
 const TESTED_FROM_SHARE: f64 = 0.03;
 
-/// How long a region that was disturbed may lose traffic at any pace.
+/// Time after a fault in which a region may lose traffic at any rate.
 const RECOVERY: Duration = Duration::from_secs(20);
 
 type Samples<'a> = BTreeMap<MonotonicTime, Vec<&'a RowSample>>;
 
-/// How far the share of a region moved.
+/// Change of the share of a region within one window.
 struct Shift<'a> {
     service: &'a Service,
     region: &'a RegionId,
@@ -41,7 +40,7 @@
     share: f64,
 }
 
-/// Returns whether every shift stayed under its cap.
+/// Checks that no share changed faster than the shift cap of its service.
 pub(super) fn verdict(fleet: &Fleet) -> Verdict {
     let mut violations = Vec::new();
     let mut tested = false;
@@ -85,8 +84,7 @@
     samples
 }
 
-/// Returns the change of a region's share from one sample to another, weighed
-/// by the later one's arrivals.
+/// Returns the change of the share of a region, weighted by the later arrivals.
 fn share_change(before: &[&RowSample], after: &[&RowSample], region: &RegionId) -> f64 {
     let weight = |sample: &&RowSample| f64::from(sample.arrivals);
     let total: f64 = after.iter().map(weight).sum();
@@ -100,8 +98,8 @@
     moved.sum::<f64>() / total
 }
 
-/// Returns the share before: the instance's own, or where it had none, that of
-/// the instances that served its callers.
+/// Returns the earlier share of the instance. For one that has just started it is the mean
+/// of its region, or of the fleet if the region has no other sample.
 fn share_before(before: &[&RowSample], sample: &RowSample, region: &RegionId) -> f64 {
     let own_sample = before.iter().find(|old| old.instance == sample.instance);
     if let Some(own_sample) = own_sample {
@@ -137,6 +135,6 @@
     let (share, to) = (shift.share, shift.to);
     Some(format!(
         "the share of {region} in {service} changed by {share:.3} in the 10 s to {to}, \
-         allowed {allowed:.3}"
+         limit {allowed:.3}"
     ))
 }
--- a/crates/foxtide-testing/src/scenario/spill_limit.rs
+++ b/crates/foxtide-testing/src/scenario/spill_limit.rs
@@ -1,4 +1,4 @@
-//! Checks the spill-over limit: how much is served elsewhere than planned.
+//! Check of the spill-over limit: the share of requests sent to other regions than planned.
 
 use super::callers::WARM_UP;
 use super::fleet::Fleet;
@@ -14,25 +14,25 @@
 use foxtide_core::time::MonotonicTime;
 use std::time::Duration;
 
-/// The time over which the share is taken.
+/// Window over which the share is computed.
 const WINDOW: Duration = Duration::from_secs(10);
 
-/// The time from one check to the next.
+/// Time between the starts of two windows.
 const STEP: Duration = Duration::from_secs(1);
 
-/// What rounding and retries may add, as a share.
+/// Allowance for rounding and retries.
 const TOLERANCE_SHARE: f64 = 0.03;
 
-/// A share that is worth a check.
+/// Spill-over above this share counts as a test of the limit.
 const TESTED_FROM_SHARE: f64 = 0.02;
 
-/// How long after a disturbance traffic may still be away from its plan.
+/// Time after a fault in which traffic may still deviate from the plan.
 const RECOVERY: Duration = Duration::from_secs(60);
 
-/// Returns whether the spill-over of every service stayed under its limit.
+/// Checks that the spill-over of every service stayed within its limit.
 ///
-/// Times in which something was wrong with any region are left out: what a
-/// broken region cannot serve is planned anew, which is no spill-over.
+/// Windows with a fault in any region are skipped: traffic that a failed region cannot
+/// serve is planned again and does not count as spill-over.
 pub(super) fn verdict(fleet: &Fleet) -> Verdict {
     let mut violations = Vec::new();
     let mut tested = false;
@@ -74,15 +74,15 @@
     if total > 0.0 { spilled / total } else { 0.0 }
 }
 
-/// Returns how many requests instances of a region got in a window, those that
-/// they refused among them.
+/// Returns the number of requests that the instances of a region received in a window,
+/// including rejected ones.
 fn received(fleet: &Fleet, service: &Service, origin: &RegionId, from: MonotonicTime) -> f64 {
     let key = (service.service.clone(), origin.clone());
     let series = fleet.record.requests.get(&key);
     f64::from(series.map_or(0, |series| series.sum_between(from, from + WINDOW)))
 }
 
-/// Returns how many requests went to each region in a window.
+/// Returns the number of requests sent to each region in a window.
 fn sent(fleet: &Fleet, service: &Service, origin: &RegionId, from: MonotonicTime) -> Vec<f64> {
     let count = |target: &RegionId| {
         let route = Route {
@@ -110,6 +110,6 @@
     let limit = service.contract.spill_limit_share.get();
     let name = &service.service;
     (spilled > limit + TOLERANCE_SHARE).then(|| {
-        format!("{spilled:.3} of {name} was served elsewhere from {from} on, allowed {limit:.3}")
+        format!("{spilled:.3} of {name} spilled over in the 10 s from {from}, limit {limit:.3}")
     })
 }
--- a/crates/foxtide-testing/src/scenario/trace.rs
+++ b/crates/foxtide-testing/src/scenario/trace.rs
@@ -1,6 +1,6 @@
-//! Recorded traces: what came when, and what was stated of it.
+//! Recording and replay of traces.
 //!
-//! A trace is a file of JSON objects, one a line (docs/TRACES.md).
+//! A trace is a file of JSON objects, one per line (docs/TRACES.md).
 
 use super::event::Event;
 use super::fleet::Fleet;
@@ -36,7 +36,7 @@
     End(RecordedEnd),
 }
 
-/// The first line: what the trace starts from.
+/// The first line: the initial configuration.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct RecordedSetting {
@@ -49,26 +49,24 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct RecordedRequest {
-    /// When, since the beginning.
     pub(super) at_us: MonotonicTime,
     pub(super) service: ServiceId,
-    /// The caller's region.
+    /// Region of the caller.
     pub(super) region: RegionId,
     #[serde(with = "display_str")]
     pub(super) kind: RequestKind,
-    /// The instance that it asked first, if that is known.
+    /// Instance to which the caller sent the first copy, if known.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub(super) instance: Option<InstanceId>,
-    /// How it ended, if that is stated.
+    /// Expected outcome, if any.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub(super) ends: Option<String>,
 }
 
-/// A command of the scenario language, a fault, a change or a statement.
+/// A command of the script language.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct RecordedCommand {
-    /// When, since the beginning.
     pub(super) at_us: MonotonicTime,
     pub(super) line: String,
 }
@@ -78,46 +76,46 @@
 #[serde(deny_unknown_fields)]
 struct RecordedEnd {
     at_us: MonotonicTime,
-    /// The part of the requests that may end otherwise than stated.
+    /// Share of the requests whose outcome may differ from the expected one.
     ends_differ_most: f64,
 }
 
-/// Why a trace cannot be replayed, or what it states does not hold.
+/// Failure to replay a trace, or of an assertion in it.
 #[derive(Debug, thiserror::Error)]
 pub enum TraceError {
-    /// A line is not one of a trace.
+    /// A line is malformed.
     #[error("line {line}: {cause}")]
     Line {
-        /// Its number, from 1.
+        /// Line number, from 1.
         line: usize,
-        /// What is wrong with it.
+        /// Cause of the failure.
         cause: serde_json::Error,
     },
-    /// The trace does not begin with its setting.
-    #[error("line 1: a trace begins with its setting")]
+    /// The `setting` line is missing, repeated or not the first.
+    #[error("a trace must start with its only `setting` line")]
     NoSetting,
-    /// A command failed or a statement does not hold.
+    /// A command or an assertion failed.
     #[error("at {at}: {cause}")]
     Command {
-        /// When.
+        /// Time of the command.
         at: MonotonicTime,
-        /// What went wrong.
+        /// Cause of the failure.
         cause: String,
     },
-    /// Too many requests ended otherwise than stated.
-    #[error("{differing} of {expected} requests ended otherwise than stated, the first at {first}")]
+    /// Too many requests had another outcome than expected.
+    #[error("{differing} of {expected} requests had an unexpected outcome, the first at {first}")]
     Outcomes {
-        /// How many did.
+        /// Number of such requests.
         differing: usize,
-        /// Of how many something was stated.
+        /// Number of requests with an expected outcome.
         expected: usize,
-        /// The first of them.
+        /// Time of the first of them.
         first: String,
     },
 }
 
 mod display_str {
-    //! Values that are written as their text.
+    //! Serializes a value as its `Display` text.
 
     use serde::{
         Deserialize,
@@ -146,12 +144,11 @@
 }
 
 impl ScenarioRunner {
-    /// Returns what has happened so far as a trace, with how each request
-    /// ended as its stated outcome.
+    /// Returns the run so far as a trace that expects the outcomes of its requests.
     ///
     /// # Errors
     ///
-    /// Fails where the scenario has not begun.
+    /// Fails if the fleet cannot be started.
     pub fn trace(&mut self) -> Result<String, Box<dyn std::error::Error>> {
         let end = self.fleet()?.now;
         let mut lines = vec![TraceLine::Setting(self.recorded_setting())];
@@ -183,12 +180,12 @@
         }
     }
 
-    /// Replays a trace and checks everything that it states. Returns the
-    /// runner for its verdicts.
+    /// Replays a trace and checks its assertions and expected outcomes. Returns the runner
+    /// for its verdicts.
     ///
     /// # Errors
     ///
-    /// Fails where the trace cannot be read or a statement does not hold.
+    /// Fails if the trace is malformed or a check fails.
     pub fn replay(trace: &str, options: ScenarioOptions) -> Result<Self, TraceError> {
         let mut lines = parse_lines(trace)?.into_iter();
         let Some(TraceLine::Setting(setting)) = lines.next() else {
@@ -322,7 +319,7 @@
 }
 
 impl Fleet {
-    /// Lets a recorded request arrive.
+    /// Starts a recorded request.
     pub(super) fn arrive_recorded(&mut self, index: usize) {
         let request = self.recorded[index].clone();
         let instance = request.instance.and_then(|id| self.instance(&id));
@@ -330,7 +327,7 @@
         self.begin_operation(request.service, request.region, request.kind, turn);
     }
 
-    /// Returns the turn in which a caller of its region asks an instance.
+    /// Returns the round-robin position at which callers of the region choose an instance.
     fn turn_for(&self, index: usize) -> usize {
         let region = &self.instances[index].region;
         let before = self.instances[..index].iter();
