--- a/crates/foxtide-testing/examples/scenario.rs
+++ b/crates/foxtide-testing/examples/scenario.rs
@@ -1,8 +1,7 @@
-//! Runs one script and prints its output, or replays one trace.
+//! Runs a script and prints its output, or replays a trace and prints the verdicts.
 //!
-//! `cargo run -p foxtide-testing --example scenario -- FILE [--seed N]`; a
-//! file whose name ends in `.jsonl` is a trace. `--trace` prints the script's
-//! run as a trace instead.
+//! `cargo run -p foxtide-testing --example scenario -- FILE [--seed N] [--trace]`: a file
+//! whose name ends in `.jsonl` is a trace. `--trace` prints the run of a script as a trace.
 
 use anyhow::Context as _;
 use argh::FromArgs;
@@ -21,10 +20,10 @@
     /// the script or the trace
     #[argh(positional)]
     file: PathBuf,
-    /// the seed of everything that comes by chance; 1 by default
+    /// seed of the random number generators; 1 by default
     #[argh(option, default = "1")]
     seed: u64,
-    /// print the script's run as a trace
+    /// print the run of the script as a trace
     #[argh(switch)]
     trace: bool,
 }
--- a/crates/foxtide-testing/tests/scenarios.rs
+++ b/crates/foxtide-testing/tests/scenarios.rs
@@ -1,5 +1,4 @@
-//! Runs every script below `scenarios/`, and proves that they notice broken
-//! rules.
+//! Runs all scripts in `scenarios/` and checks that they detect broken rules.
 
 use foxtide_testing::scenario::{
     BrokenRule,
@@ -28,7 +27,7 @@
     paths
 }
 
-/// Runs all scripts of a directory side by side and names those that fail.
+/// Runs all scripts of a directory in parallel and reports those that fail.
 fn run_all(directory: &str) {
     let run = |path: PathBuf| {
         let mut runner = ScenarioRunner::new(ScenarioOptions::default());
@@ -50,11 +49,11 @@
     assert!(failed.is_empty(), "{}", failed.join("\n"));
 }
 
-/// Runs a script under options, as far as its statements hold.
+/// Runs a script up to its first failed assertion.
 fn run_script(name: &str, options: ScenarioOptions) -> ScenarioRunner {
     let mut runner = ScenarioRunner::new(options);
     let text = fs::read_to_string(script_path(name)).unwrap();
-    // A statement that does not hold ends the run.
+    // The check of the promises follows, so a failed assertion is not an error here.
     goldenscript::generate(&mut runner, &text).ok();
     runner
 }
@@ -68,14 +67,17 @@
     }
 }
 
-/// Breaks a rule and asserts that the script that watches over it notices.
+/// Asserts that the promise is broken if, and only if, the rule is broken.
 fn assert_detected(rule: BrokenRule, name: &str, promise: Promise) {
     let options = ScenarioOptions {
         broken_rule: Some(rule),
         ..Default::default()
     };
     let detected = violation(&run_script(name, options), promise);
-    assert!(detected.is_some(), "{rule:?} breaks no {promise} in {name}");
+    assert!(
+        detected.is_some(),
+        "{promise} is not broken without {rule:?} in {name}"
+    );
     let unbroken = run_script(name, ScenarioOptions::default());
     assert_eq!(violation(&unbroken, promise), None, "{name}");
 }
@@ -131,7 +133,7 @@
             ..Default::default()
         };
         let trace = run_script(name, options).trace().unwrap();
-        // The first line names the change that made the document.
+        // The first line is the initial configuration, which does not depend on the seed.
         trace.split_once('\n').unwrap().1.to_owned()
     };
     assert_eq!(trace(7), trace(7));
