--- a/crates/foxtide-testing/src/scenario/promise.rs
+++ b/crates/foxtide-testing/src/scenario/promise.rs
@@ -199,9 +199,9 @@
         let reported = self.operations.iter();
         let reported = reported.filter(|(_, operation)| operation.reported_not_run);
         // Each copy of a read is a separate request, so another copy may have run.
-        let run_once =
+        let is_single =
             |operation: &Operation| operation.kind == RequestKind::Write || operation.sent == 1;
-        let violating = reported.clone().filter(|(_, o)| o.runs > 0 && run_once(o));
+        let violating = reported.clone().filter(|(_, o)| o.runs > 0 && is_single(o));
         let violations: Vec<String> = violating
             .map(|(number, _)| format!("request {number} was reported as not run and ran"))
             .collect();
--- a/crates/foxtide-testing/src/scenario/runner.rs
+++ b/crates/foxtide-testing/src/scenario/runner.rs
@@ -270,12 +270,12 @@
                 kind,
             } => {
                 let kind = kind.unwrap_or_default();
-                let selection = select(service, kind, last);
+                let selection = selection(service, kind, last);
                 let (least, most) = (least.unwrap_or(0.0), most.unwrap_or(1.0));
                 fleet.check_outcomes(&selection, outcome, least, most)?;
             }
             Command::Latency { service, p99, last } => {
-                fleet.check_latency(&select(service, RequestKind::Read, last), p99.0)?;
+                fleet.check_latency(&selection(service, RequestKind::Read, last), p99.0)?;
             }
             Command::Share {
                 service,
@@ -323,7 +323,7 @@
     }
 }
 
-fn select(
+fn selection(
     service: foxtide_core::ids::ServiceId,
     kind: RequestKind,
     last: Option<DurationArg>,
