--- a/crates/foxtide-testing/tests/scenarios.rs
+++ b/crates/foxtide-testing/tests/scenarios.rs
@@ -67,7 +67,7 @@
     }
 }
 
-/// Asserts that the promise is broken if, and only if, the rule is broken.
+/// Asserts that the script breaks the promise if, and only if, the rule is broken.
 fn assert_detected(rule: BrokenRule, name: &str, promise: Promise) {
     let options = ScenarioOptions {
         broken_rule: Some(rule),
@@ -76,7 +76,7 @@
     let detected = violation(&run_script(name, options), promise);
     assert!(
         detected.is_some(),
-        "{promise} is not broken without {rule:?} in {name}"
+        "breaking {rule:?} does not break {promise} in {name}"
     );
     let unbroken = run_script(name, ScenarioOptions::default());
     assert_eq!(violation(&unbroken, promise), None, "{name}");
