--- a/crates/foxtide-testing/src/scenario/callers.rs
+++ b/crates/foxtide-testing/src/scenario/callers.rs
@@ -7,10 +7,10 @@
 use super::fleet::Fleet;
 use super::instance::true_wall;
 use super::operation::{
-    Kind,
+    CallerOutcome,
     Operation,
     OperationNumber,
-    Told, //
+    RequestKind, //
 };
 use foxtide_core::idempotency::IdempotencyKey;
 use foxtide_core::ids::{
@@ -47,7 +47,7 @@
     pub(super) service: ServiceId,
     pub(super) region: RegionId,
     pub(super) rate: RequestRate,
-    pub(super) kind: Kind,
+    pub(super) kind: RequestKind,
     arrivals: usize,
     /// Whether the next arrival is in the schedule.
     is_scheduled: bool,
@@ -59,7 +59,7 @@
         &mut self,
         service: &ServiceId,
         region: &RegionId,
-        kind: Kind,
+        kind: RequestKind,
         rate: RequestRate,
     ) {
         let is_same =
@@ -117,7 +117,7 @@
         &mut self,
         service: ServiceId,
         region: RegionId,
-        kind: Kind,
+        kind: RequestKind,
         turn: usize,
     ) -> OperationNumber {
         let number = self.next_number();
@@ -131,10 +131,10 @@
             sent: 0,
             turn,
             runs: 0,
-            told: None,
-            told_at: self.now,
+            outcome: None,
+            ended_at: self.now,
             received_at: self.now,
-            told_not_run: false,
+            reported_not_run: false,
         };
         self.operations.insert(number, operation);
         self.send_copy(number);
@@ -154,15 +154,15 @@
         }
         operation.sent += 1;
         operation.turn += 1;
-        operation.told = None;
+        operation.outcome = None;
         let sent = operation.sent;
         let Some(instance) = chosen else {
-            self.notify_caller(number, Told::Nothing);
+            self.notify_caller(number, CallerOutcome::NoResponse);
             return;
         };
         self.mint_key(number, instance);
         self.send(instance, CALLER_DELAY, Delivery::Request(number));
-        let event = Event::Patience {
+        let event = Event::CallerTimeout {
             operation: number,
             sent,
         };
@@ -205,27 +205,27 @@
         let Some(operation) = self.operations.get_mut(&number) else {
             return;
         };
-        if operation.kind == Kind::Write && operation.key.is_none() {
+        if operation.kind == RequestKind::Write && operation.key.is_none() {
             operation.key = Some(IdempotencyKey::mint(owner, now, random));
         }
     }
 
     /// Reports an outcome to a caller, which resends its request if the outcome is
     /// unknown.
-    pub(super) fn notify_caller(&mut self, number: OperationNumber, result: Told) {
+    pub(super) fn notify_caller(&mut self, number: OperationNumber, result: CallerOutcome) {
         let now = self.now;
         let Some(operation) = self.operations.get_mut(&number) else {
             return;
         };
-        if operation.told.is_some() {
+        if operation.outcome.is_some() {
             return;
         }
-        operation.told = Some(result);
-        operation.told_at = now;
-        operation.told_not_run |= result == Told::NotRun;
-        let uncertain = matches!(result, Told::Unknown | Told::Nothing);
+        operation.outcome = Some(result);
+        operation.ended_at = now;
+        operation.reported_not_run |= result == CallerOutcome::NotRun;
+        let uncertain = matches!(result, CallerOutcome::Unknown | CallerOutcome::NoResponse);
         if uncertain && operation.sent < COPIES_MAX {
-            self.schedule.add(now + RETRY_DELAY, Event::Again(number));
+            self.schedule.add(now + RETRY_DELAY, Event::Retry(number));
         }
     }
 
@@ -236,18 +236,19 @@
             return;
         };
         if operation.sent < COPIES_MAX {
-            let event = Event::Again(number);
+            let event = Event::Retry(number);
             self.schedule.add(self.now + wait, event);
         } else {
-            self.notify_caller(number, Told::Unknown);
+            self.notify_caller(number, CallerOutcome::Unknown);
         }
     }
 
     /// Times out a caller that has no answer to its latest copy.
     pub(super) fn time_out_caller(&mut self, number: OperationNumber, sent: u32) {
-        let is_waiting = |operation: &Operation| operation.sent == sent && operation.told.is_none();
+        let is_waiting =
+            |operation: &Operation| operation.sent == sent && operation.outcome.is_none();
         if self.operations.get(&number).is_some_and(is_waiting) {
-            self.notify_caller(number, Told::Nothing);
+            self.notify_caller(number, CallerOutcome::NoResponse);
         }
     }
 }
--- a/crates/foxtide-testing/src/scenario/completion.rs
+++ b/crates/foxtide-testing/src/scenario/completion.rs
@@ -6,7 +6,7 @@
     Delivery, //
 };
 use super::fleet::Fleet;
-use super::operation::Told;
+use super::operation::CallerOutcome;
 use super::process::StoredAnswer;
 use super::requests::RequestCopy;
 use super::upstream::AttemptNumber;
@@ -108,24 +108,24 @@
         let Some(copy) = self.close_copy(number, CompletionKind::Cancelled) else {
             return;
         };
-        let mut result: Told = give_up.outcome.into();
+        let mut result: CallerOutcome = give_up.outcome.into();
         if let (Some(claim), Some(process)) = (copy.claim, self.process(copy.instance)) {
             let outcome = process.key_table.abandon(claim);
             result = outcome.into();
         }
-        if result == Told::NotRun {
+        if result == CallerOutcome::NotRun {
             let reason = match copy.rejection {
                 Some(reason) => reason.to_string(),
                 None => give_up.reason.to_string(),
             };
-            *self.record.refusals.entry(reason).or_default() += 1;
+            *self.record.rejections.entry(reason).or_default() += 1;
         }
         let waited = self.now - copy.received_at;
         let time_limit = copy.deadline - copy.received_at;
-        if result == Told::NotRun && waited > time_limit.mul_f64(LATE_REJECTION_SHARE) {
+        if result == CallerOutcome::NotRun && waited > time_limit.mul_f64(LATE_REJECTION_SHARE) {
             let operation = copy.operation;
             let breach = format!("request {operation} waited {waited:?} for its refusal");
-            self.record.breaches.held_back.push(breach);
+            self.record.violations.late_rejections.push(breach);
         }
         self.notify_caller(copy.operation, result);
     }
@@ -161,7 +161,7 @@
         let Some(copy) = self.close_copy(number, CompletionKind::TimedOut) else {
             return;
         };
-        let mut result: Told = outcome.into();
+        let mut result: CallerOutcome = outcome.into();
         if let (Some(claim), Some(process)) = (copy.claim, self.process(copy.instance)) {
             result = process.key_table.abandon(claim).into();
         }
--- a/crates/foxtide-testing/src/scenario/fault_commands.rs
+++ b/crates/foxtide-testing/src/scenario/fault_commands.rs
@@ -2,9 +2,9 @@
 
 use super::command::{
     Command,
-    MeasurementsName,
-    StoreName,
-    UpstreamName, //
+    MeasurementsState,
+    StoreState,
+    UpstreamState, //
 };
 use super::network::Measurements;
 use super::runner::{
@@ -29,19 +29,19 @@
             Command::Cut(first, second) => self.fleet()?.cut(&first, &second),
             Command::Heal(first, second) => self.fleet()?.heal(&first, &second),
             Command::Kill(id) => {
-                let index = self.instance(&id)?;
+                let index = self.instance_index(&id)?;
                 self.fleet()?.kill(index);
             }
             Command::Restart(id) => {
-                let index = self.instance(&id)?;
+                let index = self.instance_index(&id)?;
                 self.fleet()?.restart(index);
             }
             Command::Pause(id, span) => {
-                let index = self.instance(&id)?;
+                let index = self.instance_index(&id)?;
                 self.fleet()?.pause(index, span.0);
             }
             Command::Stop(id) => {
-                let index = self.instance(&id)?;
+                let index = self.instance_index(&id)?;
                 self.fleet()?.stop(index);
             }
             Command::Measurements { state, by } => {
@@ -65,7 +65,7 @@
     fn set_upstream_states(
         &mut self,
         name: &str,
-        state: UpstreamName,
+        state: UpstreamState,
         factor: Option<f64>,
         by: Option<DurationArg>,
     ) -> Result<(), Box<dyn Error>> {
@@ -88,40 +88,40 @@
     }
 }
 
-fn measurements(state: MeasurementsName, by: Option<DurationArg>) -> Measurements {
+fn measurements(state: MeasurementsState, by: Option<DurationArg>) -> Measurements {
     match state {
-        MeasurementsName::Flowing => Measurements::Flowing,
-        MeasurementsName::Late => Measurements::Late(by.unwrap_or_default().0),
-        MeasurementsName::Stopped => Measurements::Stopped,
+        MeasurementsState::Flowing => Measurements::Flowing,
+        MeasurementsState::Late => Measurements::Late(by.unwrap_or_default().0),
+        MeasurementsState::Stopped => Measurements::Stopped,
     }
 }
 
-fn store_fault(state: StoreName, by: Option<DurationArg>, next: Option<u32>) -> StoreFault {
+fn store_fault(state: StoreState, by: Option<DurationArg>, next: Option<u32>) -> StoreFault {
     match state {
-        StoreName::Up => StoreFault::None,
-        StoreName::Down => StoreFault::Down,
-        StoreName::Slow => StoreFault::Slow(by.unwrap_or_default().0),
-        StoreName::LosingAnswers => StoreFault::LosingAnswers(next.unwrap_or(1)),
-        StoreName::DownAfterWrite => StoreFault::DownAfterWrite,
+        StoreState::Up => StoreFault::None,
+        StoreState::Down => StoreFault::Down,
+        StoreState::Slow => StoreFault::Slow(by.unwrap_or_default().0),
+        StoreState::LosingAnswers => StoreFault::LosingAnswers(next.unwrap_or(1)),
+        StoreState::DownAfterWrite => StoreFault::DownAfterWrite,
     }
 }
 
 /// Returns the fault of a state in a script, or `None` for a draining upstream.
 fn upstream_fault(
-    state: UpstreamName,
+    state: UpstreamState,
     factor: Option<f64>,
     by: Option<DurationArg>,
 ) -> Option<UpstreamFault> {
     Some(match state {
-        UpstreamName::Well => UpstreamFault::None,
-        UpstreamName::Dead => UpstreamFault::Dead,
-        UpstreamName::Silent => UpstreamFault::Silent,
-        UpstreamName::Slow => UpstreamFault::Slow(factor.unwrap_or(FACTOR_DEFAULT)),
-        UpstreamName::Shedding => UpstreamFault::Shedding,
-        UpstreamName::LosingAnswers => UpstreamFault::LosingAnswers,
-        UpstreamName::Late => UpstreamFault::Late(by.unwrap_or_default().0),
-        UpstreamName::Lying => UpstreamFault::FixedUtilization(factor.unwrap_or(0.0)),
-        UpstreamName::Cold => UpstreamFault::Cold(factor.unwrap_or(FACTOR_DEFAULT)),
-        UpstreamName::Draining => return None,
+        UpstreamState::Well => UpstreamFault::None,
+        UpstreamState::Dead => UpstreamFault::Dead,
+        UpstreamState::Silent => UpstreamFault::Silent,
+        UpstreamState::Slow => UpstreamFault::Slow(factor.unwrap_or(FACTOR_DEFAULT)),
+        UpstreamState::Shedding => UpstreamFault::Shedding,
+        UpstreamState::LosingAnswers => UpstreamFault::LosingAnswers,
+        UpstreamState::Late => UpstreamFault::Late(by.unwrap_or_default().0),
+        UpstreamState::Lying => UpstreamFault::FixedUtilization(factor.unwrap_or(0.0)),
+        UpstreamState::Cold => UpstreamFault::Cold(factor.unwrap_or(FACTOR_DEFAULT)),
+        UpstreamState::Draining => return None,
     })
 }
--- a/crates/foxtide-testing/src/scenario/faults.rs
+++ b/crates/foxtide-testing/src/scenario/faults.rs
@@ -10,7 +10,7 @@
     Condition,
     true_wall, //
 };
-use super::operation::Told;
+use super::operation::CallerOutcome;
 use super::upstream::{
     AttemptNumber,
     UpstreamFault, //
@@ -39,7 +39,7 @@
         let copies = self.copies_at(index);
         for copy in copies {
             if let Some(copy) = self.close_copy(copy, CompletionKind::Cancelled) {
-                self.notify_caller(copy.operation, Told::Nothing);
+                self.notify_caller(copy.operation, CallerOutcome::NoResponse);
             }
         }
         self.instances[index].process = None;
@@ -62,7 +62,7 @@
     pub(super) fn pause(&mut self, index: usize, span: Duration) {
         let until = self.now + span;
         self.instances[index].condition = Condition::Paused { until };
-        self.schedule.add(until, Event::Wake { instance: index });
+        self.schedule.add(until, Event::Resume { instance: index });
     }
 
     /// Resumes a paused process whose pause is over.
@@ -83,9 +83,9 @@
         self.instances[index].condition = Condition::Leaving;
         if let Some(process) = self.process(index) {
             let outputs = process.membership.leave(now);
-            self.carry_out(index, outputs);
+            self.handle_outputs(index, outputs);
         }
-        let event = Event::Leave { instance: index };
+        let event = Event::EndWhenIdle { instance: index };
         self.schedule.add(now + LOOKUP_TTL, event);
     }
 
@@ -99,7 +99,7 @@
             self.kill(index);
             return;
         }
-        let event = Event::Leave { instance: index };
+        let event = Event::EndWhenIdle { instance: index };
         self.schedule.add(self.now + IDLE_CHECK_INTERVAL, event);
     }
 
@@ -113,9 +113,9 @@
         let aborted = upstream.set_fault(fault);
         self.fail_attempts(aborted);
         if fault == UpstreamFault::None {
-            self.record.mend(&region, now);
+            self.record.end_region_fault(&region, now);
         } else {
-            self.record.disturb(&region, now);
+            self.record.begin_region_fault(&region, now);
         }
     }
 
@@ -128,7 +128,7 @@
 
     /// Kills all instances and upstreams of a region.
     pub(super) fn region_down(&mut self, region: &RegionId) {
-        self.record.disturb(region, self.now);
+        self.record.begin_region_fault(region, self.now);
         for index in self.instances_in(region) {
             self.kill(index);
         }
@@ -145,7 +145,7 @@
         for index in self.instances_in(region) {
             self.restart(index);
         }
-        self.record.mend(region, self.now);
+        self.record.end_region_fault(region, self.now);
     }
 
     fn instances_in(&self, region: &RegionId) -> Vec<usize> {
@@ -165,8 +165,8 @@
     /// Drops all messages between two regions.
     pub(super) fn cut(&mut self, first: &RegionId, second: &RegionId) {
         self.network.cut(first, second);
-        self.record.disturb(first, self.now);
-        self.record.disturb(second, self.now);
+        self.record.begin_region_fault(first, self.now);
+        self.record.begin_region_fault(second, self.now);
     }
 
     /// Restores the link between two regions.
@@ -174,7 +174,7 @@
         let now = self.now;
         self.network.heal(first, second);
         for region in [first, second] {
-            self.record.mend(region, now);
+            self.record.end_region_fault(region, now);
             for index in self.instances_in(region) {
                 self.instances[index].disturbed_at = now;
             }
@@ -193,7 +193,7 @@
             upstream.draining_since = Some(now);
             let upstream = id.clone();
             let at = now + Duration::from_secs(window_s.into());
-            self.schedule.add(at, Event::Vacate { upstream });
+            self.schedule.add(at, Event::DrainWindowEnds { upstream });
         }
     }
 
@@ -206,7 +206,7 @@
         let aborted = upstream.set_fault(UpstreamFault::Dead);
         if !aborted.is_empty() {
             let breach = format!("{id} ended with {} requests in flight", aborted.len());
-            self.record.breaches.cut.push(breach);
+            self.record.violations.aborted_by_stop.push(breach);
         }
         self.fail_attempts(aborted);
     }
--- a/crates/foxtide-testing/src/scenario/fleet.rs
+++ b/crates/foxtide-testing/src/scenario/fleet.rs
@@ -191,7 +191,7 @@
     /// Advances the virtual clock and handles the events that fall due.
     pub(super) fn run_for(&mut self, span: Duration) {
         let until = self.now + span;
-        while let Some((at, event)) = self.schedule.next(until) {
+        while let Some((at, event)) = self.schedule.pop_due(until) {
             self.now = at;
             self.handle(event);
         }
@@ -203,9 +203,9 @@
             Event::Tick => self.tick_all(),
             Event::Report => self.report_all(),
             Event::Arrival { load } => self.handle_arrival(load),
-            Event::Recorded { index } => self.arrive_recorded(index),
-            Event::Again(operation) => self.send_copy(operation),
-            Event::Patience { operation, sent } => self.time_out_caller(operation, sent),
+            Event::RecordedArrival { index } => self.arrive_recorded(index),
+            Event::Retry(operation) => self.send_copy(operation),
+            Event::CallerTimeout { operation, sent } => self.time_out_caller(operation, sent),
             Event::Deliver {
                 instance,
                 process,
@@ -214,9 +214,9 @@
             Event::AttemptArrives(attempt) => self.receive_attempt(attempt),
             Event::CancelArrives(attempt) => self.receive_cancel(attempt),
             Event::ServiceEnds { upstream, attempt } => self.finish_service(&upstream, attempt),
-            Event::Wake { instance } => self.wake(instance),
-            Event::Leave { instance } => self.end_if_idle(instance),
-            Event::Vacate { upstream } => self.end_drained_upstream(&upstream),
+            Event::Resume { instance } => self.wake(instance),
+            Event::EndWhenIdle { instance } => self.end_if_idle(instance),
+            Event::DrainWindowEnds { upstream } => self.end_drained_upstream(&upstream),
         }
     }
 
@@ -254,14 +254,14 @@
                 sender,
                 from,
                 packet,
-            } => self.take_packet(instance, &sender, from, packet),
+            } => self.receive_packet(instance, &sender, from, packet),
             Delivery::Report { from, heard } => {
                 if let Some(process) = self.process(instance) {
                     process.receive_report(from, heard);
                 }
             }
-            Delivery::Snapshot(snapshot) => self.take_snapshot(instance, snapshot),
-            Delivery::Document(document) => self.take_document(instance, &document),
+            Delivery::Snapshot(snapshot) => self.receive_snapshot(instance, snapshot),
+            Delivery::Document(document) => self.receive_document(instance, &document),
             Delivery::Poll {
                 service,
                 region,
@@ -304,7 +304,7 @@
         for index in 0..self.instances.len() {
             if self.instances[index].is_awake() {
                 self.sample_rows(index);
-                self.report(index);
+                self.broadcast_report(index);
                 self.watch_store(index);
             }
         }
--- a/crates/foxtide-testing/src/scenario/process.rs
+++ b/crates/foxtide-testing/src/scenario/process.rs
@@ -1,9 +1,9 @@
 //! Runs the decisions of an instance's process: steering, balancing, membership and
 //! idempotency.
 
+use super::broken_rules::with_broken_rule;
 use super::operation::OperationNumber;
 use super::options::BrokenRule;
-use super::rules::distorted;
 use foxtide_core::choice::{
     Balancer,
     BalancerOptions, //
@@ -161,7 +161,7 @@
         let Ok(organisation) = serde_json::from_slice(&document.bytes) else {
             return false;
         };
-        let organisation = Arc::new(distorted(&organisation, self.broken_rule));
+        let organisation = Arc::new(with_broken_rule(&organisation, self.broken_rule));
         match &mut self.steering {
             Some(steering) => steering.configure(organisation.clone(), now),
             None => {
--- a/crates/foxtide-testing/src/scenario/promise.rs
+++ b/crates/foxtide-testing/src/scenario/promise.rs
@@ -1,48 +1,48 @@
-//! What always has to hold, checked against what a scenario wrote down.
+//! Promises: the invariants of a run, checked against its record.
 
 use super::callers::WARM_UP;
 use super::fleet::Fleet;
 use super::operation::{
-    Kind,
-    Operation, //
+    Operation,
+    RequestKind, //
 };
 use super::record::Series;
-use super::shift;
-use super::spill;
+use super::shift_cap;
+use super::spill_limit;
 use foxtide_core::time::MonotonicTime;
 use foxtide_core::units::RequestRate;
 use std::fmt;
 use std::str::FromStr;
 
-/// A limit was tested where the busiest second came this close to it.
+/// A limit counts as tested if the busiest second reached this share of it.
 const TESTED_FROM_SHARE: f64 = 0.8;
 
-/// What always has to hold.
+/// An invariant that must hold in every run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Promise {
-    /// A region's share of a service changes no faster than the contract says.
+    /// The share of a region in a service changes no faster than the contract allows.
     ShiftCap,
-    /// No region gets more than was sold there.
+    /// No region receives more than its sold rate.
     RegionLimit,
-    /// No link carries more than was sold on it.
+    /// No link carries more than its sold rate.
     LinkLimit,
-    /// No more of a service spills over than the contract says.
+    /// No more of a service spills over than the contract allows.
     SpillLimit,
     /// A non-idempotent request runs at most once.
     AtMostOnce,
-    /// What was told to be not run did not run.
+    /// A request that was reported as not run did not run.
     NotRunIsTrue,
-    /// Every caller gets the answer to its own request.
+    /// Every caller receives the response to its own request.
     OwnAnswer,
-    /// A leaving upstream gets no new request after 2 s.
+    /// A draining upstream receives no new request after 2 s.
     LeavingGetsNothing,
-    /// A planned stop cuts nothing off.
+    /// A graceful shutdown aborts no request.
     NothingCut,
-    /// An accepted configuration is in force everywhere within seconds.
+    /// All reachable instances apply an accepted configuration within seconds.
     InForce,
-    /// A configuration never reverts.
+    /// No instance replaces a configuration by an older one.
     NeverReverts,
-    /// A refusal comes at once.
+    /// A request that cannot be served is rejected without delay.
     RefusedAtOnce,
 }
 
@@ -93,29 +93,28 @@
     }
 }
 
-/// Whether a promise held in a scenario.
+/// Result of the check of a promise.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// It held where it could have been broken.
+    /// It was tested and not broken.
     Kept,
-    /// Nothing happened that could have broken it.
+    /// The run did not test it.
     Untested,
     /// It was broken.
     Broken {
-        /// The first breach, and how many there were.
-        breach: String,
+        /// The first violation and the number of others.
+        violation: String,
     },
 }
 
 impl Verdict {
-    /// Returns the verdict on a list of breaches.
-    pub(super) fn of(breaches: &[String], tested: bool) -> Self {
-        match breaches.first() {
-            Some(first) if breaches.len() > 1 => Self::Broken {
-                breach: format!("{first} (and {} more)", breaches.len() - 1),
+    pub(super) fn from_violations(violations: &[String], tested: bool) -> Self {
+        match violations.first() {
+            Some(first) if violations.len() > 1 => Self::Broken {
+                violation: format!("{first} (and {} more)", violations.len() - 1),
             },
             Some(first) => Self::Broken {
-                breach: first.clone(),
+                violation: first.clone(),
             },
             None if tested => Self::Kept,
             None => Self::Untested,
@@ -128,33 +127,40 @@
         match self {
             Self::Kept => f.write_str("kept"),
             Self::Untested => f.write_str("untested"),
-            Self::Broken { breach } => write!(f, "BROKEN: {breach}"),
+            Self::Broken { violation } => write!(f, "BROKEN: {violation}"),
         }
     }
 }
 
 impl Fleet {
-    /// Returns whether a promise has held so far.
+    /// Returns the verdict on a promise for the run so far.
     pub(super) fn verdict(&self, promise: Promise) -> Verdict {
-        let breaches = &self.record.breaches;
-        let changed = self.record.accepted.len() > 1;
+        let violations = &self.record.violations;
+        let reconfigured = self.record.accepted.len() > 1;
         let drained = !self.record.drains.is_empty() || self.record.planned_stops > 0;
-        let answered = self.now > MonotonicTime::ZERO + WARM_UP;
+        let warmed_up = self.now > MonotonicTime::ZERO + WARM_UP;
         match promise {
-            Promise::ShiftCap => shift::verdict(self),
+            Promise::ShiftCap => shift_cap::verdict(self),
             Promise::RegionLimit => self.region_limits(),
             Promise::LinkLimit => self.link_limits(),
-            Promise::SpillLimit => spill::verdict(self),
+            Promise::SpillLimit => spill_limit::verdict(self),
             Promise::AtMostOnce => self.at_most_once(),
             Promise::NotRunIsTrue => self.not_run_is_true(),
-            Promise::OwnAnswer => Verdict::of(&breaches.foreign_answer, answered),
-            Promise::LeavingGetsNothing => Verdict::of(&breaches.leaving, drained),
-            Promise::NothingCut => Verdict::of(&breaches.cut, self.record.planned_stops > 0),
-            Promise::InForce => Verdict::of(&breaches.late_revision, changed),
-            Promise::NeverReverts => Verdict::of(&breaches.reverted, changed),
-            Promise::RefusedAtOnce => {
-                Verdict::of(&breaches.held_back, !self.record.refusals.is_empty())
+            Promise::OwnAnswer => Verdict::from_violations(&violations.wrong_answers, warmed_up),
+            Promise::LeavingGetsNothing => {
+                Verdict::from_violations(&violations.sent_to_draining, drained)
             }
+            Promise::NothingCut => {
+                Verdict::from_violations(&violations.aborted_by_stop, self.record.planned_stops > 0)
+            }
+            Promise::InForce => Verdict::from_violations(&violations.late_revisions, reconfigured),
+            Promise::NeverReverts => {
+                Verdict::from_violations(&violations.reverted_revisions, reconfigured)
+            }
+            Promise::RefusedAtOnce => Verdict::from_violations(
+                &violations.late_rejections,
+                !self.record.rejections.is_empty(),
+            ),
         }
     }
 
@@ -180,29 +186,30 @@
 
     fn at_most_once(&self) -> Verdict {
         let writes = self.operations.iter();
-        let writes = writes.filter(|(_, operation)| operation.kind == Kind::Write);
-        let twice = writes.clone().filter(|(_, operation)| operation.runs > 1);
-        let breach = |(number, operation): (&u64, &Operation)| {
+        let writes = writes.filter(|(_, operation)| operation.kind == RequestKind::Write);
+        let repeated = writes.clone().filter(|(_, operation)| operation.runs > 1);
+        let violation = |(number, operation): (&u64, &Operation)| {
             format!("request {number} ran {} times", operation.runs)
         };
-        let breaches: Vec<String> = twice.map(breach).collect();
-        Verdict::of(&breaches, writes.count() > 0)
+        let violations: Vec<String> = repeated.map(violation).collect();
+        Verdict::from_violations(&violations, writes.count() > 0)
     }
 
     fn not_run_is_true(&self) -> Verdict {
-        let told = self.operations.iter();
-        let told = told.filter(|(_, operation)| operation.told_not_run);
-        // Copies of a read without a key are requests of their own.
-        let sure = |operation: &Operation| operation.kind == Kind::Write || operation.sent == 1;
-        let ran = told.clone().filter(|(_, o)| o.runs > 0 && sure(o));
-        let breaches: Vec<String> = ran
-            .map(|(number, _)| format!("request {number} ran"))
+        let reported = self.operations.iter();
+        let reported = reported.filter(|(_, operation)| operation.reported_not_run);
+        // Each copy of a read is a separate request, so another copy may have run.
+        let is_single =
+            |operation: &Operation| operation.kind == RequestKind::Write || operation.sent == 1;
+        let violating = reported.clone().filter(|(_, o)| o.runs > 0 && is_single(o));
+        let violations: Vec<String> = violating
+            .map(|(number, _)| format!("request {number} was reported as not run and ran"))
             .collect();
-        Verdict::of(&breaches, told.count() > 0)
+        Verdict::from_violations(&violations, reported.count() > 0)
     }
 }
 
-/// A sold rate and what was sent through it.
+/// A sold rate and the requests that it limits.
 struct Limit<'a> {
     name: String,
     sold: RequestRate,
@@ -210,7 +217,7 @@
 }
 
 fn check_limits<'a>(limits: impl Iterator<Item = Limit<'a>>) -> Verdict {
-    let mut breaches = Vec::new();
+    let mut violations = Vec::new();
     let mut tested = false;
     for limit in limits {
         let busiest = limit.series.and_then(Series::busiest_second);
@@ -221,10 +228,10 @@
         tested |= f64::from(count) >= sold_rps * TESTED_FROM_SHARE;
         if f64::from(count) > sold_rps {
             let name = &limit.name;
-            breaches.push(format!(
-                "{name} got {count} in the second from {at}, sold {sold_rps}"
+            violations.push(format!(
+                "{name} got {count} requests in the second from {at}, limit {sold_rps}"
             ));
         }
     }
-    Verdict::of(&breaches, tested)
+    Verdict::from_violations(&violations, tested)
 }
--- a/crates/foxtide-testing/src/scenario/requests.rs
+++ b/crates/foxtide-testing/src/scenario/requests.rs
@@ -7,9 +7,9 @@
 };
 use super::fleet::Fleet;
 use super::operation::{
-    Kind,
+    CallerOutcome,
     OperationNumber,
-    Told, //
+    RequestKind, //
 };
 use super::options::BrokenRule;
 use super::upstream::AttemptNumber;
@@ -104,7 +104,7 @@
         let instance = &self.instances[index];
         let requests = self
             .record
-            .asked
+            .requests
             .entry((service.clone(), instance.region.clone()));
         requests.or_default().count(self.now);
         let arrivals = self.record.arrivals.entry((instance.id.clone(), service));
@@ -126,9 +126,9 @@
     pub(super) fn answer_caller(&mut self, number: OperationNumber, answered: OperationNumber) {
         if number != answered {
             let breach = format!("request {number} got the answer to {answered}");
-            self.record.breaches.foreign_answer.push(breach);
+            self.record.violations.wrong_answers.push(breach);
         }
-        self.notify_caller(number, Told::Done);
+        self.notify_caller(number, CallerOutcome::Done);
     }
 
     /// Redirects a caller to the instance that owns its idempotency key.
@@ -152,7 +152,7 @@
                     self.send(index, delay * 2, Delivery::Request(number));
                 }
             }
-            None => self.notify_caller(number, Told::Unknown),
+            None => self.notify_caller(number, CallerOutcome::Unknown),
         }
     }
 
@@ -197,7 +197,7 @@
         &self,
         index: usize,
         service: &ServiceId,
-        kind: Kind,
+        kind: RequestKind,
         deadline: MonotonicTime,
     ) -> RequestTerms {
         let retries_writes = self.options.broken_rule == Some(BrokenRule::NonIdempotentRetry);
@@ -207,9 +207,9 @@
         let state = process.and_then(|process| process.services.get(service));
         let delay = state.map(|state| state.hedge_delay.get());
         RequestTerms {
-            idempotent: kind == Kind::Read || retries_writes,
+            idempotent: kind == RequestKind::Read || retries_writes,
             deadline,
-            hedge_delay: delay.filter(|_| is_hedged && kind == Kind::Read),
+            hedge_delay: delay.filter(|_| is_hedged && kind == RequestKind::Read),
         }
     }
 
--- a/crates/foxtide-testing/src/scenario/runner.rs
+++ b/crates/foxtide-testing/src/scenario/runner.rs
@@ -1,8 +1,9 @@
-//! Runs the commands of a script.
+//! Executes the commands of a script.
 
+use super::assertion::Selection;
 use super::command::Command;
 use super::fleet::Fleet;
-use super::operation::Kind;
+use super::operation::RequestKind;
 use super::operators::{
     Edit,
     rejection_text, //
@@ -13,11 +14,10 @@
     Verdict, //
 };
 use super::setting::{
-    ServiceTerms,
+    ServiceSpec,
     Setting,
-    UpstreamTerms, //
+    UpstreamSpec, //
 };
-use super::statement::Selection;
 use super::trace::RecordedCommand;
 use crate::duration::DurationArg;
 use foxtide_config::change::StoredDocument;
@@ -32,12 +32,12 @@
 use std::error::Error;
 use std::time::Duration;
 
-/// The time that statements look back over where they do not say.
-const LAST_DEFAULT: DurationArg = DurationArg(Duration::from_secs(10));
+/// Window of assertions without a `last` argument.
+const WINDOW_DEFAULT: DurationArg = DurationArg(Duration::from_secs(10));
 
-/// What a contract of a scenario says where the script does not.
-const SPILL_DEFAULT: f64 = 0.2;
-const CAP_DEFAULT: f64 = 0.05;
+// Defaults of omitted arguments of `service` and `region`.
+const SPILL_LIMIT_DEFAULT_SHARE: f64 = 0.2;
+const SHIFT_CAP_DEFAULT_SHARE_PER_S: f64 = 0.05;
 const DEADLINE_DEFAULT: DurationArg = DurationArg(Duration::from_millis(800));
 const DRAIN_WINDOW_DEFAULT: DurationArg = DurationArg(Duration::from_secs(10));
 const ZONES_DEFAULT: u32 = 2;
@@ -51,7 +51,7 @@
     pub(super) setting: Setting,
     pub(super) fleet: Option<Box<Fleet>>,
     pub(super) commands: Vec<RecordedCommand>,
-    reads: BTreeMap<String, StoredDocument>,
+    documents_read: BTreeMap<String, StoredDocument>,
 }
 
 /// A command with the text that it was parsed from.
@@ -73,22 +73,22 @@
 }
 
 impl ScenarioRunner {
-    /// Returns a runner of a script.
+    /// Returns a runner without regions, services or load.
     ///
     /// # Panics
     ///
-    /// Panics where the names that every scenario has are not valid.
+    /// Panics if a built-in name is not valid.
     pub fn new(options: ScenarioOptions) -> Self {
         Self {
             options,
             setting: Setting::new().expect("valid names"),
             fleet: None,
             commands: Vec::new(),
-            reads: BTreeMap::new(),
+            documents_read: BTreeMap::new(),
         }
     }
 
-    /// Returns of every promise whether it held so far.
+    /// Returns the verdicts on all promises so far; empty until the fleet has started.
     pub fn verdicts(&self) -> Vec<(Promise, Verdict)> {
         let Some(fleet) = &self.fleet else {
             return Vec::new();
@@ -99,24 +99,24 @@
             .collect()
     }
 
-    /// Returns the fleet, which starts with the first command that needs it.
+    /// Returns the fleet. The first call starts it.
     pub(super) fn fleet(&mut self) -> Result<&mut Fleet, Box<dyn Error>> {
         if self.fleet.is_none() {
             let mut fleet = Fleet::new(&self.setting, self.options)?;
             fleet.start()?;
             self.fleet = Some(Box::new(fleet));
         }
-        Ok(self.fleet.as_mut().ok_or("no fleet")?)
+        Ok(self.fleet.as_mut().ok_or("the fleet has not started")?)
     }
 
-    pub(super) fn instance(&mut self, id: &InstanceId) -> Result<usize, Box<dyn Error>> {
-        let place = self.fleet()?.instance_index(id);
-        Ok(place.ok_or_else(|| format!("no instance {id}"))?)
+    pub(super) fn instance_index(&mut self, id: &InstanceId) -> Result<usize, Box<dyn Error>> {
+        let index = self.fleet()?.instance_index(id);
+        Ok(index.ok_or_else(|| format!("no instance is named `{id}`"))?)
     }
 
-    fn set_up(&mut self, command: &Command) -> CommandResult {
+    fn apply_setting(&mut self, command: &Command) -> CommandResult {
         if self.fleet.is_some() {
-            return Err("the scenario has begun".into());
+            return Err("the fleet has started; its configuration is fixed".into());
         }
         match command.clone() {
             Command::Tenant { name, services } => self.setting.add_tenant(name, &services)?,
@@ -133,14 +133,15 @@
                 drain_window,
                 priority,
             } => {
-                let terms = ServiceTerms {
-                    spill: spill.unwrap_or(Share::clamped(SPILL_DEFAULT)),
-                    cap: cap.map_or_else(|| ShareRate::new(CAP_DEFAULT), Ok)?,
+                let spec = ServiceSpec {
+                    spill_limit: spill.unwrap_or(Share::clamped(SPILL_LIMIT_DEFAULT_SHARE)),
+                    shift_cap: cap
+                        .map_or_else(|| ShareRate::new(SHIFT_CAP_DEFAULT_SHARE_PER_S), Ok)?,
                     deadline: deadline.unwrap_or(DEADLINE_DEFAULT).0,
                     drain_window: drain_window.unwrap_or(DRAIN_WINDOW_DEFAULT).0,
                     priority: priority.map_or(Priority::Headroom, |name| name.0),
                 };
-                self.setting.add_service(name, &terms);
+                self.setting.add_service(name, &spec);
             }
             Command::Upstreams {
                 service,
@@ -148,20 +149,20 @@
                 slots,
                 service_time,
             } => {
-                let terms = UpstreamTerms {
+                let spec = UpstreamSpec {
                     per_region,
                     slots,
                     service_time: service_time.0,
                 };
-                self.setting.add_upstreams(&service, terms)?;
+                self.setting.add_upstreams(&service, spec)?;
             }
             Command::Instances { per_region } => self.setting.instances_per_region = per_region,
-            other => return Err(format!("{other:?} is no part of a setting").into()),
+            other => return Err(format!("not a setup command: {other:?}").into()),
         }
         Ok(String::new())
     }
 
-    fn act(&mut self, command: &Command, prefix: Option<&str>) -> CommandResult {
+    fn execute(&mut self, command: &Command, prefix: Option<&str>) -> CommandResult {
         match command.clone() {
             Command::Load {
                 service,
@@ -176,22 +177,25 @@
             }
             Command::Run(span) => self.fleet()?.run_for(span.0),
             Command::Read | Command::Move { .. } | Command::Drain { .. } => {
-                return self.operate(command, prefix);
+                return self.execute_as_operator(command, prefix);
             }
-            Command::Spill { .. } | Command::Sold { .. } => return self.operate(command, prefix),
-            Command::Promises(tested) => return self.promises(&tested),
+            Command::Spill { .. } | Command::Sold { .. } => {
+                return self.execute_as_operator(command, prefix);
+            }
+            Command::Promises(required) => return self.check_promises(&required),
             Command::Told { .. }
             | Command::Latency { .. }
             | Command::Share { .. }
             | Command::Received { .. }
-            | Command::Revision(_) => return self.state(command),
+            | Command::Revision(_) => return self.check_assertion(command),
             _ => return self.inject_fault(command),
         }
         Ok(String::new())
     }
 
-    fn operate(&mut self, command: &Command, prefix: Option<&str>) -> CommandResult {
-        let operator = prefix.ok_or("an operator's name is missing, as in `alice: read`")?;
+    fn execute_as_operator(&mut self, command: &Command, prefix: Option<&str>) -> CommandResult {
+        let operator =
+            prefix.ok_or("expected a prefix that names the operator, as in `alice: read`")?;
         let edit = match command.clone() {
             Command::Read => return self.read(operator),
             Command::Move {
@@ -214,12 +218,12 @@
             } => Edit::drain(kind, &name, service)?,
             Command::Spill { service, limit } => Edit::SpillLimit { service, limit },
             Command::Sold { region, rate } => Edit::SoldRate { region, rate },
-            other => return Err(format!("{other:?} is no operator's command").into()),
+            other => return Err(format!("not a command of operators: {other:?}").into()),
         };
-        let base = match self.reads.remove(operator) {
+        let base = match self.documents_read.remove(operator) {
             Some(base) => base,
             None => match self.fleet()?.read_document() {
-                Ok(document) => document.ok_or("there is no document")?,
+                Ok(document) => document.ok_or("the store has no document")?,
                 Err(error) => return Ok(rejection_text(&error)),
             },
         };
@@ -229,20 +233,20 @@
     fn read(&mut self, operator: &str) -> CommandResult {
         match self.fleet()?.read_document() {
             Ok(document) => {
-                let document = document.ok_or("there is no document")?;
+                let document = document.ok_or("the store has no document")?;
                 let revision = document.document.revision;
-                self.reads.insert(operator.to_owned(), document);
+                self.documents_read.insert(operator.to_owned(), document);
                 Ok(format!("read {revision}"))
             }
             Err(error) => Ok(rejection_text(&error)),
         }
     }
 
-    fn promises(&mut self, tested: &[Promise]) -> CommandResult {
+    fn check_promises(&mut self, required: &[Promise]) -> CommandResult {
         self.fleet()?;
         let mut failures = Vec::new();
         for (promise, verdict) in self.verdicts() {
-            let untested = verdict == Verdict::Untested && tested.contains(&promise);
+            let untested = verdict == Verdict::Untested && required.contains(&promise);
             if untested || matches!(verdict, Verdict::Broken { .. }) {
                 failures.push(format!("{promise}: {verdict}"));
             }
@@ -254,24 +258,24 @@
         }
     }
 
-    fn state(&mut self, command: &Command) -> CommandResult {
+    fn check_assertion(&mut self, command: &Command) -> CommandResult {
         let fleet = self.fleet()?;
         match command.clone() {
             Command::Told {
                 service,
-                told,
+                told: outcome,
                 least,
                 most,
                 last,
                 kind,
             } => {
                 let kind = kind.unwrap_or_default();
-                let selection = select(service, kind, last);
+                let selection = selection(service, kind, last);
                 let (least, most) = (least.unwrap_or(0.0), most.unwrap_or(1.0));
-                fleet.check_told(&selection, told, least, most)?;
+                fleet.check_outcomes(&selection, outcome, least, most)?;
             }
             Command::Latency { service, p99, last } => {
-                fleet.check_latency(&select(service, Kind::Read, last), p99.0)?;
+                fleet.check_latency(&selection(service, RequestKind::Read, last), p99.0)?;
             }
             Command::Share {
                 service,
@@ -289,11 +293,11 @@
                 last,
             } => {
                 let (least, most) = (least.unwrap_or(0), most.unwrap_or(u32::MAX));
-                let last = last.unwrap_or(LAST_DEFAULT).0;
+                let last = last.unwrap_or(WINDOW_DEFAULT).0;
                 fleet.check_received(&upstream, last, least, most)?;
             }
             Command::Revision(revision) => fleet.check_revision(revision)?,
-            other => return Err(format!("{other:?} is no statement").into()),
+            other => return Err(format!("not an assertion: {other:?}").into()),
         }
         Ok("holds".to_owned())
     }
@@ -305,7 +309,7 @@
     fn run(&mut self, line: &ScriptLine, context: &Context) -> CommandResult {
         let prefix = context.prefix.as_deref();
         if line.command.is_setting() {
-            return self.set_up(&line.command);
+            return self.apply_setting(&line.command);
         }
         if line.command.is_traced() {
             let text = match prefix {
@@ -315,18 +319,18 @@
             let at_us = self.fleet()?.now;
             self.commands.push(RecordedCommand { at_us, line: text });
         }
-        self.act(&line.command, prefix)
+        self.execute(&line.command, prefix)
     }
 }
 
-fn select(
+fn selection(
     service: foxtide_core::ids::ServiceId,
-    kind: Kind,
+    kind: RequestKind,
     last: Option<DurationArg>,
 ) -> Selection {
     Selection {
         service,
         kind,
-        last: last.unwrap_or(LAST_DEFAULT).0,
+        window: last.unwrap_or(WINDOW_DEFAULT).0,
     }
 }
--- a/crates/foxtide-testing/src/scenario/schedule.rs
+++ b/crates/foxtide-testing/src/scenario/schedule.rs
@@ -1,42 +1,44 @@
-//! The virtual clock's queue of what happens when.
+//! Event queue of the simulation.
 
 use foxtide_core::time::MonotonicTime;
 use std::cmp::Ordering;
 use std::collections::BinaryHeap;
 
-/// Events in the order of their times, those of one time in the order in which
-/// they were added.
+/// Events in order of time; events at the same time keep the order in which they were
+/// added.
 #[derive(Debug)]
 pub(super) struct Schedule<E> {
     entries: BinaryHeap<Entry<E>>,
-    added: u64,
+    sequence: u64,
 }
 
 #[derive(Debug)]
 struct Entry<E> {
     at: MonotonicTime,
-    number: u64,
+    sequence: u64,
     event: E,
 }
 
 impl<E> Schedule<E> {
-    /// Returns an empty queue.
     pub(super) fn new() -> Self {
         Self {
             entries: BinaryHeap::new(),
-            added: 0,
+            sequence: 0,
         }
     }
 
-    /// Adds an event.
     pub(super) fn add(&mut self, at: MonotonicTime, event: E) {
-        self.added += 1;
-        let number = self.added;
-        self.entries.push(Entry { at, number, event });
+        self.sequence += 1;
+        let sequence = self.sequence;
+        self.entries.push(Entry {
+            at,
+            sequence,
+            event,
+        });
     }
 
-    /// Takes the first event that is due at `until` or before.
-    pub(super) fn next(&mut self, until: MonotonicTime) -> Option<(MonotonicTime, E)> {
+    /// Removes and returns the first event that is due at `until` or before.
+    pub(super) fn pop_due(&mut self, until: MonotonicTime) -> Option<(MonotonicTime, E)> {
         let due = self.entries.peek().is_some_and(|entry| entry.at <= until);
         let entry = if due { self.entries.pop() } else { None };
         entry.map(|entry| (entry.at, entry.event))
@@ -58,8 +60,8 @@
 }
 
 impl<E> Ord for Entry<E> {
-    /// The earliest entry is the greatest, as the heap gives out the greatest.
+    /// Reversed, since `BinaryHeap` is a max-heap.
     fn cmp(&self, other: &Self) -> Ordering {
-        (other.at, other.number).cmp(&(self.at, self.number))
+        (other.at, other.sequence).cmp(&(self.at, self.sequence))
     }
 }
--- a/crates/foxtide-testing/src/scenario/spill.rs
+++ b/crates/foxtide-testing/src/scenario/spill_limit.rs
@@ -1,4 +1,4 @@
-//! Checks the spill-over limit: how much is served elsewhere than planned.
+//! Check of the spill-over limit: the share of requests sent to other regions than planned.
 
 use super::callers::WARM_UP;
 use super::fleet::Fleet;
@@ -14,76 +14,76 @@
 use foxtide_core::time::MonotonicTime;
 use std::time::Duration;
 
-/// The time over which the share is taken.
+/// Window over which the share is computed.
 const WINDOW: Duration = Duration::from_secs(10);
 
-/// The time from one check to the next.
+/// Time between the starts of two windows.
 const STEP: Duration = Duration::from_secs(1);
 
-/// What rounding and retries may add, as a share.
+/// Allowance for rounding and retries.
 const TOLERANCE_SHARE: f64 = 0.03;
 
-/// A share that is worth a check.
+/// Spill-over above this share counts as a test of the limit.
 const TESTED_FROM_SHARE: f64 = 0.02;
 
-/// How long after a disturbance traffic may still be away from its plan.
+/// Time after a fault in which traffic may still deviate from the plan.
 const RECOVERY: Duration = Duration::from_secs(60);
 
-/// Returns whether the spill-over of every service stayed under its limit.
+/// Checks that the spill-over of every service stayed within its limit.
 ///
-/// Times in which something was wrong with any region are left out: what a
-/// broken region cannot serve is planned anew, which is no spill-over.
+/// Windows with a fault in any region are skipped: traffic that a failed region cannot
+/// serve is planned again and does not count as spill-over.
 pub(super) fn verdict(fleet: &Fleet) -> Verdict {
-    let mut breaches = Vec::new();
+    let mut violations = Vec::new();
     let mut tested = false;
     for service in &fleet.organisation.services {
         let mut from = MonotonicTime::ZERO + WARM_UP;
         while from + WINDOW <= fleet.now {
             let spilled = spilled_share(fleet, service, from);
-            if !is_disturbed(fleet, from) {
+            if !had_fault(fleet, from) {
                 tested |= spilled > TESTED_FROM_SHARE;
-                breaches.extend(breach(service, spilled, from));
+                violations.extend(violation(service, spilled, from));
             }
             from = from + STEP;
         }
     }
-    Verdict::of(&breaches, tested)
+    Verdict::from_violations(&violations, tested)
 }
 
-fn is_disturbed(fleet: &Fleet, from: MonotonicTime) -> bool {
+fn had_fault(fleet: &Fleet, from: MonotonicTime) -> bool {
     let since = from.saturating_sub(RECOVERY);
     let mut regions = fleet.organisation.regions.iter();
     regions.any(|region| {
         let region = &region.region;
-        fleet.record.is_disturbed(region, since, from + WINDOW)
+        fleet.record.had_region_fault(region, since, from + WINDOW)
     })
 }
 
 fn spilled_share(fleet: &Fleet, service: &Service, from: MonotonicTime) -> f64 {
-    let mut asked = 0.0;
-    let mut elsewhere = 0.0;
+    let mut total = 0.0;
+    let mut spilled = 0.0;
     for origin in &fleet.organisation.regions {
-        let counts = counts(fleet, service, &origin.region, from);
-        let total = requests(fleet, service, &origin.region, from);
+        let sent = sent(fleet, service, &origin.region, from);
+        let requests = received(fleet, service, &origin.region, from);
         let planned = planned(fleet, service, &origin.region, from + WINDOW / 2);
-        let beyond = counts.iter().zip(planned);
-        let beyond = beyond.map(|(count, share)| (count - share * total).max(0.0));
-        elsewhere += beyond.sum::<f64>();
-        asked += total;
+        let beyond = sent.iter().zip(planned);
+        let beyond = beyond.map(|(sent, share)| (sent - share * requests).max(0.0));
+        spilled += beyond.sum::<f64>();
+        total += requests;
     }
-    if asked > 0.0 { elsewhere / asked } else { 0.0 }
+    if total > 0.0 { spilled / total } else { 0.0 }
 }
 
-/// Returns how many requests instances of a region got in a window, those that
-/// they refused among them.
-fn requests(fleet: &Fleet, service: &Service, origin: &RegionId, from: MonotonicTime) -> f64 {
+/// Returns the number of requests that the instances of a region received in a window,
+/// including rejected ones.
+fn received(fleet: &Fleet, service: &Service, origin: &RegionId, from: MonotonicTime) -> f64 {
     let key = (service.service.clone(), origin.clone());
-    let series = fleet.record.asked.get(&key);
-    f64::from(series.map_or(0, |series| series.between(from, from + WINDOW)))
+    let series = fleet.record.requests.get(&key);
+    f64::from(series.map_or(0, |series| series.sum_between(from, from + WINDOW)))
 }
 
-/// Returns how many requests went to each region in a window.
-fn counts(fleet: &Fleet, service: &Service, origin: &RegionId, from: MonotonicTime) -> Vec<f64> {
+/// Returns the number of requests sent to each region in a window.
+fn sent(fleet: &Fleet, service: &Service, origin: &RegionId, from: MonotonicTime) -> Vec<f64> {
     let count = |target: &RegionId| {
         let route = Route {
             service: service.service.clone(),
@@ -91,7 +91,7 @@
             target: target.clone(),
         };
         let series = fleet.record.routes.get(&route);
-        series.map_or(0, |series| series.between(from, from + WINDOW))
+        series.map_or(0, |series| series.sum_between(from, from + WINDOW))
     };
     let regions = fleet.organisation.regions.iter();
     regions
@@ -106,10 +106,10 @@
         .unwrap_or_default()
 }
 
-fn breach(service: &Service, spilled: f64, from: MonotonicTime) -> Option<String> {
+fn violation(service: &Service, spilled: f64, from: MonotonicTime) -> Option<String> {
     let limit = service.contract.spill_limit_share.get();
     let name = &service.service;
     (spilled > limit + TOLERANCE_SHARE).then(|| {
-        format!("{spilled:.3} of {name} was served elsewhere from {from} on, allowed {limit:.3}")
+        format!("{spilled:.3} of {name} spilled over in the 10 s from {from}, limit {limit:.3}")
     })
 }
--- a/crates/foxtide-testing/src/scenario/trace.rs
+++ b/crates/foxtide-testing/src/scenario/trace.rs
@@ -1,13 +1,13 @@
-//! Recorded traces: what came when, and what was stated of it.
+//! Recording and replay of traces.
 //!
-//! A trace is a file of JSON objects, one a line (docs/TRACES.md).
+//! A trace is a file of JSON objects, one per line (docs/TRACES.md).
 
 use super::event::Event;
 use super::fleet::Fleet;
 use super::operation::{
-    Kind,
+    CallerOutcome,
     Operation,
-    Told, //
+    RequestKind, //
 };
 use super::options::ScenarioOptions;
 use super::runner::ScenarioRunner;
@@ -36,7 +36,7 @@
     End(RecordedEnd),
 }
 
-/// The first line: what the trace starts from.
+/// The first line: the initial configuration.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct RecordedSetting {
@@ -49,26 +49,24 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct RecordedRequest {
-    /// When, since the beginning.
     pub(super) at_us: MonotonicTime,
     pub(super) service: ServiceId,
-    /// The caller's region.
+    /// Region of the caller.
     pub(super) region: RegionId,
-    #[serde(with = "text")]
-    pub(super) kind: Kind,
-    /// The instance that it asked first, if that is known.
+    #[serde(with = "display_str")]
+    pub(super) kind: RequestKind,
+    /// Instance to which the caller sent the first copy, if known.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub(super) instance: Option<InstanceId>,
-    /// How it ended, if that is stated.
+    /// Expected outcome, if any.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub(super) ends: Option<String>,
 }
 
-/// A command of the scenario language, a fault, a change or a statement.
+/// A command of the script language.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct RecordedCommand {
-    /// When, since the beginning.
     pub(super) at_us: MonotonicTime,
     pub(super) line: String,
 }
@@ -78,46 +76,46 @@
 #[serde(deny_unknown_fields)]
 struct RecordedEnd {
     at_us: MonotonicTime,
-    /// The part of the requests that may end otherwise than stated.
+    /// Share of the requests whose outcome may differ from the expected one.
     ends_differ_most: f64,
 }
 
-/// Why a trace cannot be replayed, or what it states does not hold.
+/// Failure to replay a trace, or of an assertion in it.
 #[derive(Debug, thiserror::Error)]
 pub enum TraceError {
-    /// A line is not one of a trace.
+    /// A line is malformed.
     #[error("line {line}: {cause}")]
     Line {
-        /// Its number, from 1.
+        /// Line number, from 1.
         line: usize,
-        /// What is wrong with it.
+        /// Cause of the failure.
         cause: serde_json::Error,
     },
-    /// The trace does not begin with its setting.
-    #[error("line 1: a trace begins with its setting")]
+    /// The `setting` line is missing, repeated or not the first.
+    #[error("a trace must start with its only `setting` line")]
     NoSetting,
-    /// A command failed or a statement does not hold.
+    /// A command or an assertion failed.
     #[error("at {at}: {cause}")]
     Command {
-        /// When.
+        /// Time of the command.
         at: MonotonicTime,
-        /// What went wrong.
+        /// Cause of the failure.
         cause: String,
     },
-    /// Too many requests ended otherwise than stated.
-    #[error("{different} of {stated} requests ended otherwise than stated, the first at {first}")]
-    Ends {
-        /// How many did.
-        different: usize,
-        /// Of how many something was stated.
-        stated: usize,
-        /// The first of them.
+    /// Too many requests had another outcome than expected.
+    #[error("{differing} of {expected} requests had an unexpected outcome, the first at {first}")]
+    Outcomes {
+        /// Number of such requests.
+        differing: usize,
+        /// Number of requests with an expected outcome.
+        expected: usize,
+        /// Time of the first of them.
         first: String,
     },
 }
 
-mod text {
-    //! Values that are written as their text.
+mod display_str {
+    //! Serializes a value as its `Display` text.
 
     use serde::{
         Deserialize,
@@ -146,12 +144,11 @@
 }
 
 impl ScenarioRunner {
-    /// Returns what has happened so far as a trace, with how each request
-    /// ended as its stated outcome.
+    /// Returns the run so far as a trace that expects the outcomes of its requests.
     ///
     /// # Errors
     ///
-    /// Fails where the scenario has not begun.
+    /// Fails if the fleet cannot be started.
     pub fn trace(&mut self) -> Result<String, Box<dyn std::error::Error>> {
         let end = self.fleet()?.now;
         let mut lines = vec![TraceLine::Setting(self.recorded_setting())];
@@ -160,7 +157,7 @@
             timed.push((command.at_us, TraceLine::Command(command.clone())));
         }
         for operation in self.fleet()?.operations.values() {
-            let request = recorded(operation);
+            let request = record_request(operation);
             timed.push((request.at_us, TraceLine::Request(request)));
         }
         timed.sort_by_key(|(at, _)| *at);
@@ -183,14 +180,14 @@
         }
     }
 
-    /// Replays a trace and checks everything that it states. Returns the
-    /// runner for its verdicts.
+    /// Replays a trace and checks its assertions and expected outcomes. Returns the runner
+    /// for its verdicts.
     ///
     /// # Errors
     ///
-    /// Fails where the trace cannot be read or a statement does not hold.
+    /// Fails if the trace is malformed or a check fails.
     pub fn replay(trace: &str, options: ScenarioOptions) -> Result<Self, TraceError> {
-        let mut lines = parse(trace)?.into_iter();
+        let mut lines = parse_lines(trace)?.into_iter();
         let Some(TraceLine::Setting(setting)) = lines.next() else {
             return Err(TraceError::NoSetting);
         };
@@ -201,22 +198,22 @@
         for line in lines {
             match line {
                 TraceLine::Setting(_) => return Err(TraceError::NoSetting),
-                TraceLine::Request(request) => runner.plan(request)?,
+                TraceLine::Request(request) => runner.schedule_request(request)?,
                 TraceLine::Command(command) => commands.push(command),
                 TraceLine::End(last) => end = Some(last),
             }
         }
         for command in commands {
-            runner.obey(&command)?;
+            runner.run_command(&command)?;
         }
         if let Some(end) = end {
             runner.run_until(end.at_us)?;
-            runner.check_ends(end.ends_differ_most)?;
+            runner.check_outcomes(end.ends_differ_most)?;
         }
         Ok(runner)
     }
 
-    fn started(&mut self) -> Result<&mut Fleet, TraceError> {
+    fn started_fleet(&mut self) -> Result<&mut Fleet, TraceError> {
         let fleet = self.fleet();
         fleet.map_err(|error| TraceError::Command {
             at: MonotonicTime::ZERO,
@@ -224,64 +221,66 @@
         })
     }
 
-    fn plan(&mut self, request: RecordedRequest) -> Result<(), TraceError> {
-        let fleet = self.started()?;
+    fn schedule_request(&mut self, request: RecordedRequest) -> Result<(), TraceError> {
+        let fleet = self.started_fleet()?;
         let index = fleet.recorded_requests.len();
-        fleet.schedule.add(request.at_us, Event::Recorded { index });
+        fleet
+            .schedule
+            .add(request.at_us, Event::RecordedArrival { index });
         fleet.recorded_requests.push(request);
         Ok(())
     }
 
     fn run_until(&mut self, at: MonotonicTime) -> Result<(), TraceError> {
-        let fleet = self.started()?;
+        let fleet = self.started_fleet()?;
         let span = at - fleet.now;
         fleet.run_for(span);
         Ok(())
     }
 
-    fn obey(&mut self, command: &RecordedCommand) -> Result<(), TraceError> {
+    fn run_command(&mut self, command: &RecordedCommand) -> Result<(), TraceError> {
         self.run_until(command.at_us)?;
         let script = format!("{}\n---\n", command.line);
-        let done = goldenscript::generate(self, &script);
-        done.map(drop).map_err(|error| TraceError::Command {
+        let result = goldenscript::generate(self, &script);
+        result.map(drop).map_err(|error| TraceError::Command {
             at: command.at_us,
             cause: error.to_string(),
         })
     }
 
-    fn check_ends(&mut self, differ_most: f64) -> Result<(), TraceError> {
-        let fleet = self.started()?;
-        let mut stated = 0;
-        let mut different = Vec::new();
+    fn check_outcomes(&mut self, differ_most_share: f64) -> Result<(), TraceError> {
+        let fleet = self.started_fleet()?;
+        let mut expected = 0;
+        let mut differing = Vec::new();
         for request in &fleet.recorded_requests {
             let Some(ends) = &request.ends else {
                 continue;
             };
-            stated += 1;
-            let told = request_end(fleet, request);
-            if told.map(|told| told.to_string()).as_ref() != Some(ends) {
-                different.push(request.at_us.to_string());
+            expected += 1;
+            let outcome = request_outcome(fleet, request);
+            if outcome.map(|outcome| outcome.to_string()).as_ref() != Some(ends) {
+                differing.push(request.at_us.to_string());
             }
         }
-        if different.len() as f64 <= differ_most * f64::from(stated) {
+        if differing.len() as f64 <= differ_most_share * f64::from(expected) {
             return Ok(());
         }
-        Err(TraceError::Ends {
-            different: different.len(),
-            stated: stated as usize,
-            first: different.swap_remove(0),
+        Err(TraceError::Outcomes {
+            differing: differing.len(),
+            expected: expected as usize,
+            first: differing.swap_remove(0),
         })
     }
 }
 
-fn request_end(fleet: &Fleet, request: &RecordedRequest) -> Option<Told> {
-    let same = |operation: &&Operation| {
+fn request_outcome(fleet: &Fleet, request: &RecordedRequest) -> Option<CallerOutcome> {
+    let matches = |operation: &&Operation| {
         operation.arrived_at == request.at_us
             && operation.service == request.service
             && operation.region == request.region
             && operation.kind == request.kind
     };
-    fleet.operations.values().find(same)?.told
+    fleet.operations.values().find(matches)?.outcome
 }
 
 impl From<RecordedSetting> for Setting {
@@ -296,18 +295,18 @@
     }
 }
 
-fn recorded(operation: &Operation) -> RecordedRequest {
+fn record_request(operation: &Operation) -> RecordedRequest {
     RecordedRequest {
         at_us: operation.arrived_at,
         service: operation.service.clone(),
         region: operation.region.clone(),
         kind: operation.kind,
         instance: operation.first_instance.clone(),
-        ends: operation.told.map(|told| told.to_string()),
+        ends: operation.outcome.map(|outcome| outcome.to_string()),
     }
 }
 
-fn parse(trace: &str) -> Result<Vec<TraceLine>, TraceError> {
+fn parse_lines(trace: &str) -> Result<Vec<TraceLine>, TraceError> {
     let lines = trace.lines().enumerate();
     let lines = lines.filter(|(_, line)| !line.trim().is_empty());
     let parsed = lines.map(|(index, line)| {
@@ -320,18 +319,18 @@
 }
 
 impl Fleet {
-    /// Lets a recorded request arrive.
+    /// Starts a recorded request.
     pub(super) fn arrive_recorded(&mut self, index: usize) {
         let request = self.recorded_requests[index].clone();
-        let asked = request.instance.and_then(|id| self.instance_index(&id));
-        let turn = asked.map_or(index, |place| self.turn_of(place));
+        let instance = request.instance.and_then(|id| self.instance_index(&id));
+        let turn = instance.map_or(index, |instance| self.turn_for(instance));
         self.begin_operation(request.service, request.region, request.kind, turn);
     }
 
-    /// Returns the turn in which a caller of its region asks an instance.
-    fn turn_of(&self, place: usize) -> usize {
-        let region = &self.instances[place].region;
-        let before = self.instances[..place].iter();
+    /// Returns the round-robin position at which callers of the region choose an instance.
+    fn turn_for(&self, index: usize) -> usize {
+        let region = &self.instances[index].region;
+        let before = self.instances[..index].iter();
         before.filter(|other| other.region == *region).count()
     }
 }
