--- a/crates/foxtidectl/src/arguments.rs
+++ b/crates/foxtidectl/src/arguments.rs
@@ -25,10 +25,12 @@
     pub(crate) command: Command,
 }
 
-/// Operates foxtide: organisations, drains, moves, and what the instances do.
+/// Manages organisations, drains, moves and client blocks of foxtide, and queries
+/// its instances.
 ///
-/// Exit status: 0 done, 1 refused or invalid, 2 usage, 3 conflict, 4 unsettled
-/// (run it again), 5 store unreachable, 6 no instance answered.
+/// Exit status: 0 done, 1 refused or invalid, 2 usage error, 3 conflict,
+/// 4 outcome unknown (run the command again), 5 store unreachable, 6 no instance
+/// responded.
 #[derive(Debug, FromArgs)]
 struct CommandLine {
     /// the store's address, default 127.0.0.1:8500
@@ -37,20 +39,20 @@
     /// the admin address of an instance; can be given several times
     #[argh(option)]
     admin: Vec<SocketAddr>,
-    /// print JSON
+    /// print the result as JSON
     #[argh(switch)]
     json: bool,
-    /// write the change; without it the change is only shown
+    /// write the change; without this flag it is only previewed
     #[argh(switch)]
     yes: bool,
-    /// apply the change on top of one that came first, if no field is changed
-    /// by both
+    /// apply the change on top of a concurrent one, unless both change the same
+    /// field
     #[argh(switch)]
     rebase: bool,
-    /// refuse the change unless this revision, such as r7, is in force
+    /// reject the change unless this revision, such as r7, is the current one
     #[argh(option)]
     revision: Option<Revision>,
-    /// who makes the change, default $USER
+    /// the author recorded with the change, default $USER
     #[argh(option, default = "default_author()")]
     author: String,
     #[argh(subcommand)]
--- a/crates/foxtidectl/src/commands/blocks/change.rs
+++ b/crates/foxtidectl/src/commands/blocks/change.rs
@@ -14,7 +14,7 @@
 use foxtide_core::blocks::Block;
 use ipnet::IpNet;
 
-/// Direct a block of addresses to a site
+/// Assign a client block to a site
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "set")]
 pub(super) struct Set {
@@ -26,7 +26,7 @@
     site: String,
 }
 
-/// Take a block of addresses out
+/// Remove a client block
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "remove")]
 pub(super) struct Remove {
--- a/crates/foxtidectl/src/commands/blocks/find.rs
+++ b/crates/foxtidectl/src/commands/blocks/find.rs
@@ -9,11 +9,11 @@
 use serde_json::json;
 use std::net::IpAddr;
 
-/// Show the site of a client's address
+/// Show the site of a client address
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "find")]
 pub(super) struct Find {
-    /// the address
+    /// the client address
     #[argh(positional)]
     client: IpAddr,
 }
--- a/crates/foxtidectl/src/commands/blocks/load.rs
+++ b/crates/foxtidectl/src/commands/blocks/load.rs
@@ -26,11 +26,12 @@
 use std::collections::BTreeMap;
 use std::path::Path;
 
-/// Replace all sites and client blocks by those of a file
+/// Replace all sites and client blocks with those of a file
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "load")]
 pub(super) struct Load {
-    /// the file, JSON with comments: `sites`, and `blocks` from block to site
+    /// a file of JSON with comments: the list `sites` and the map `blocks` from
+    /// client block to site
     #[argh(positional)]
     file: String,
 }
--- a/crates/foxtidectl/src/commands/blocks/mod.rs
+++ b/crates/foxtidectl/src/commands/blocks/mod.rs
@@ -20,7 +20,7 @@
 };
 use serde_json::json;
 
-/// Work on client blocks
+/// Manage client blocks
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "blocks")]
 pub(crate) struct BlocksCommand {
--- a/crates/foxtidectl/src/commands/blocks/show.rs
+++ b/crates/foxtidectl/src/commands/blocks/show.rs
@@ -14,7 +14,7 @@
 };
 use serde_json::json;
 
-/// Show the sites and how large the table is
+/// Show the sites and the size of the table of client blocks
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "show")]
 pub(super) struct Show {}
--- a/crates/foxtidectl/src/commands/check.rs
+++ b/crates/foxtidectl/src/commands/check.rs
@@ -24,7 +24,7 @@
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "check")]
 pub(crate) struct Check {
-    /// the file
+    /// the file to check
     #[argh(positional)]
     file: String,
 }
--- a/crates/foxtidectl/src/commands/drain/mod.rs
+++ b/crates/foxtidectl/src/commands/drain/mod.rs
@@ -10,7 +10,7 @@
 use argh::FromArgs;
 use foxtide_core::organisation::DrainTarget;
 
-/// Work on drains
+/// Manage drains
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "drain")]
 pub(crate) struct DrainCommand {
--- a/crates/foxtidectl/src/commands/drain/start.rs
+++ b/crates/foxtidectl/src/commands/drain/start.rs
@@ -18,27 +18,26 @@
 };
 use std::time::Duration;
 
-/// Announce that an upstream, an instance, an availability zone or a region
-/// leaves
+/// Drain an upstream, an instance, an availability zone or a region
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "start")]
 pub(super) struct Start {
     /// the organisation's name
     #[argh(positional)]
     organisation: String,
-    /// an upstream, SERVICE/UPSTREAM
+    /// the upstream to drain, as SERVICE/UPSTREAM
     #[argh(option)]
     upstream: Option<String>,
-    /// an instance
+    /// the instance to drain
     #[argh(option)]
     instance: Option<String>,
-    /// an availability zone
+    /// the availability zone to drain
     #[argh(option)]
     availability_zone: Option<String>,
-    /// a region
+    /// the region to drain
     #[argh(option)]
     region: Option<String>,
-    /// start it in this many seconds, default 0
+    /// the delay before the drain starts in seconds, default 0
     #[argh(option, default = "0")]
     in_s: u32,
 }
--- a/crates/foxtidectl/src/commands/drain/stop.rs
+++ b/crates/foxtidectl/src/commands/drain/stop.rs
@@ -9,14 +9,14 @@
 use crate::session::Session;
 use argh::FromArgs;
 
-/// Take a drain back: what left takes new work again
+/// Stop a drain, so that its target receives new requests again
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "stop")]
 pub(super) struct Stop {
     /// the organisation's name
     #[argh(positional)]
     organisation: String,
-    /// the drain's name, as `drain status` shows it
+    /// the drain's name, as shown by `drain status`
     #[argh(positional)]
     drain: String,
 }
--- a/crates/foxtidectl/src/commands/explain/mod.rs
+++ b/crates/foxtidectl/src/commands/explain/mod.rs
@@ -9,7 +9,7 @@
 use crate::session::Session;
 use argh::FromArgs;
 
-/// Explain why look-ups and requests went where they did
+/// Explain how look-ups and requests were routed
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "explain")]
 pub(crate) struct ExplainCommand {
--- a/crates/foxtidectl/src/commands/explain/request/mod.rs
+++ b/crates/foxtidectl/src/commands/explain/request/mod.rs
@@ -13,16 +13,16 @@
 use foxtide_core::events::RequestId;
 use trace::RequestTrace;
 
-/// Explain where a request went
+/// Explain how a request was routed
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "request")]
 pub(super) struct Request {
-    /// the request's id, from the answer's `foxtide-request-id`; with --lines as
-    /// the caller sent it
+    /// the request id from the response header `foxtide-request-id`; with --lines,
+    /// the id that the caller sent
     #[argh(positional)]
     id: String,
-    /// a file with the structured lines of instances, `-` for standard input; can
-    /// be given several times. No instance is asked then
+    /// a file with structured log lines of instances, `-` for standard input; can
+    /// be given several times; no instance is queried then
     #[argh(option)]
     lines: Vec<String>,
 }
--- a/crates/foxtidectl/src/commands/instances.rs
+++ b/crates/foxtidectl/src/commands/instances.rs
@@ -9,7 +9,7 @@
 use crate::session::Session;
 use argh::FromArgs;
 
-/// Show the instances as one of them knows them
+/// Show the instances known to the first instance that responds
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "instances")]
 pub(crate) struct Instances {}
--- a/crates/foxtidectl/src/commands/losses/mod.rs
+++ b/crates/foxtidectl/src/commands/losses/mod.rs
@@ -14,19 +14,19 @@
 use std::path::PathBuf;
 use tally::Tally;
 
-/// Sum up from the structured lines of instances how requests ended
+/// Summarise the outcomes of requests from structured log lines of instances
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "losses")]
 pub(crate) struct Losses {
-    /// a file with the structured lines of instances, `-` for standard input; can
+    /// a file with structured log lines of instances, `-` for standard input; can
     /// be given several times
     #[argh(option)]
     lines: Vec<String>,
-    /// length of a window in seconds, default 2
+    /// the length of a time window in seconds, default 2
     #[argh(option, default = "2.0")]
     window_s: f64,
-    /// a file into which a picture is drawn as SVG: how requests ended, what waited for
-    /// slots, and where requests went, over time
+    /// the SVG file to write, with charts of request outcomes, slot waits and requests
+    /// by region over time
     #[argh(option)]
     svg: Option<PathBuf>,
 }
--- a/crates/foxtidectl/src/commands/movement/mod.rs
+++ b/crates/foxtidectl/src/commands/movement/mod.rs
@@ -13,7 +13,7 @@
 use crate::session::Session;
 use argh::FromArgs;
 
-/// Work on planned moves of traffic between regions
+/// Manage planned moves of traffic between regions
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "move")]
 pub(crate) struct MoveCommand {
--- a/crates/foxtidectl/src/commands/movement/pause.rs
+++ b/crates/foxtidectl/src/commands/movement/pause.rs
@@ -13,14 +13,14 @@
     PlannedMove, //
 };
 
-/// Hold a move where it is
+/// Pause a move at its current position
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "pause")]
 pub(super) struct Pause {
     /// the organisation's name
     #[argh(positional)]
     organisation: String,
-    /// the move's name, as `move status` shows it
+    /// the move's name, as shown by `move status`
     #[argh(positional)]
     movement: String,
 }
--- a/crates/foxtidectl/src/commands/movement/plan.rs
+++ b/crates/foxtidectl/src/commands/movement/plan.rs
@@ -27,7 +27,7 @@
 /// The number of steps in the table of a plan.
 const PLAN_STEPS: u32 = 5;
 
-/// Show what a move would do; writes nothing
+/// Preview a move without writing it
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "plan")]
 pub(super) struct Plan {
@@ -37,20 +37,21 @@
     /// the service whose traffic moves
     #[argh(option)]
     service: String,
-    /// the region that gives
+    /// the source region
     #[argh(option)]
     from: String,
-    /// the region that takes
+    /// the target region
     #[argh(option)]
     to: String,
-    /// the part of the giving region's traffic that moves in the end
+    /// the share of the source region's traffic to move, such as 0.25
     #[argh(option)]
     share: String,
-    /// how fast, such as 0.01/s; default the contract's shift cap
+    /// the share to move per second, such as 0.01/s; default the contract's shift
+    /// cap
     #[argh(option)]
     pace: Option<String>,
-    /// the service's traffic that arrives in the giving region, such as
-    /// 300rps; the plan is then held against what was sold
+    /// the service's traffic that arrives in the source region, such as
+    /// 300rps; if given, the move is checked against the sold rates
     #[argh(option)]
     demand: Option<RequestRate>,
 }
--- a/crates/foxtidectl/src/commands/movement/resume.rs
+++ b/crates/foxtidectl/src/commands/movement/resume.rs
@@ -12,14 +12,14 @@
 use foxtide_core::organisation::PlannedMove;
 use foxtide_core::time::WallTime;
 
-/// Let a paused move go on from where it is
+/// Resume a paused move from its current position
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "resume")]
 pub(super) struct Resume {
     /// the organisation's name
     #[argh(positional)]
     organisation: String,
-    /// the move's name, as `move status` shows it
+    /// the move's name, as shown by `move status`
     #[argh(positional)]
     movement: String,
 }
--- a/crates/foxtidectl/src/commands/movement/start.rs
+++ b/crates/foxtidectl/src/commands/movement/start.rs
@@ -22,7 +22,7 @@
 /// instances.
 const DEFAULT_START_DELAY_S: u32 = 20;
 
-/// Start moving a part of a region's traffic to another region
+/// Start moving a share of a region's traffic to another region
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "start")]
 pub(super) struct Start {
@@ -32,19 +32,20 @@
     /// the service whose traffic moves
     #[argh(option)]
     service: String,
-    /// the region that gives
+    /// the source region
     #[argh(option)]
     from: String,
-    /// the region that takes
+    /// the target region
     #[argh(option)]
     to: String,
-    /// the part of the giving region's traffic that moves in the end
+    /// the share of the source region's traffic to move, such as 0.25
     #[argh(option)]
     share: String,
-    /// how fast, such as 0.01/s; default the contract's shift cap
+    /// the share to move per second, such as 0.01/s; default the contract's shift
+    /// cap
     #[argh(option)]
     pace: Option<String>,
-    /// start it in this many seconds, default 20
+    /// the delay before the move starts in seconds, default 20
     #[argh(option, default = "DEFAULT_START_DELAY_S")]
     in_s: u32,
 }
--- a/crates/foxtidectl/src/commands/movement/status.rs
+++ b/crates/foxtidectl/src/commands/movement/status.rs
@@ -18,7 +18,7 @@
     json, //
 };
 
-/// Show the moves of an organisation and how far they are
+/// Show the moves of an organisation and their progress
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "status")]
 pub(super) struct Status {
--- a/crates/foxtidectl/src/commands/organisation/create.rs
+++ b/crates/foxtidectl/src/commands/organisation/create.rs
@@ -26,10 +26,10 @@
     /// the template's file
     #[argh(option)]
     template: String,
-    /// a file of parameters
+    /// a file with template parameters
     #[argh(option)]
     parameters: Option<String>,
-    /// one parameter, NAME=VALUE; can be given several times
+    /// a template parameter as NAME=VALUE; can be given several times
     #[argh(option)]
     set: Vec<String>,
 }
--- a/crates/foxtidectl/src/commands/organisation/diff.rs
+++ b/crates/foxtidectl/src/commands/organisation/diff.rs
@@ -24,10 +24,10 @@
     /// the template's file
     #[argh(option)]
     template: String,
-    /// a file of parameters; without it, those that the organisation has
+    /// a file with template parameters, default the organisation's parameters
     #[argh(option)]
     parameters: Option<String>,
-    /// one parameter, NAME=VALUE; can be given several times
+    /// a template parameter as NAME=VALUE; can be given several times
     #[argh(option)]
     set: Vec<String>,
 }
--- a/crates/foxtidectl/src/commands/organisation/edit.rs
+++ b/crates/foxtidectl/src/commands/organisation/edit.rs
@@ -22,14 +22,14 @@
     /// the template's file
     #[argh(option)]
     template: String,
-    /// one parameter, NAME=VALUE; can be given several times
+    /// a template parameter as NAME=VALUE; can be given several times
     #[argh(option)]
     set: Vec<String>,
-    /// a parameter that is to take the template's default again
+    /// a parameter to reset to the template's default; can be given several times
     #[argh(option)]
     unset: Vec<String>,
-    /// take over this version of the template, where it is another than the
-    /// one that the organisation was made from
+    /// apply the template even if it differs in name or version from the one that
+    /// the organisation was created from
     #[argh(switch)]
     upgrade: bool,
 }
--- a/crates/foxtidectl/src/commands/organisation/mod.rs
+++ b/crates/foxtidectl/src/commands/organisation/mod.rs
@@ -13,7 +13,7 @@
 use crate::session::Session;
 use argh::FromArgs;
 
-/// Work on organisations
+/// Manage organisations
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "organisation")]
 pub(crate) struct OrganisationCommand {
--- a/crates/foxtidectl/src/commands/promises.rs
+++ b/crates/foxtidectl/src/commands/promises.rs
@@ -16,11 +16,11 @@
 use serde_json::json;
 use std::collections::BTreeMap;
 
-/// Show what was promised and whether all instances keep it
+/// Show the promises and whether all instances keep them
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "promises")]
 pub(crate) struct Promises {
-    /// only those of this organisation
+    /// only promises of this organisation
     #[argh(option)]
     organisation: Option<String>,
 }
--- a/crates/foxtidectl/src/commands/template/list.rs
+++ b/crates/foxtidectl/src/commands/template/list.rs
@@ -19,7 +19,7 @@
 /// The suffix of template file names.
 const FILE_SUFFIX: &str = "template.jsonc";
 
-/// List the templates in a directory and the directories in it
+/// List the templates in a directory and its direct subdirectories
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "list")]
 pub(super) struct List {
--- a/crates/foxtidectl/src/commands/timeline.rs
+++ b/crates/foxtidectl/src/commands/timeline.rs
@@ -39,7 +39,7 @@
 /// `--follow`; events of slower instances arrive late.
 const FOLLOW_LOOKBACK: Duration = Duration::from_secs(10);
 
-/// Show the events of all instances in one causal order
+/// Show the events of all instances in causal order
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "timeline")]
 pub(crate) struct TimeLine {
@@ -55,13 +55,13 @@
     /// only events of this kind: a number such as F5003, or a name
     #[argh(option)]
     kind: Option<EventCode>,
-    /// also events of the level debug
+    /// include events of the level debug
     #[argh(switch)]
     debug: bool,
-    /// the latest so many, default 200
+    /// the maximum number of events, the latest ones, default 200
     #[argh(option, default = "200")]
     limit: usize,
-    /// go on showing new events until interrupted
+    /// keep showing new events until interrupted
     #[argh(switch)]
     follow: bool,
 }
