--- a/crates/foxtide/tests/explain_failures.rs
+++ b/crates/foxtide/tests/explain_failures.rs
@@ -175,7 +175,7 @@
         "{explanation}"
     );
     assert!(
-        explanation.contains("had no room (i-viewer had"),
+        explanation.contains("was at capacity (i-viewer had"),
         "{explanation}"
     );
 }
@@ -194,7 +194,7 @@
     );
     assert!(explanation.contains("i-notices: "), "{explanation}");
     assert!(
-        explanation.contains("it must not run twice"),
+        explanation.contains("it was not retried, since it must not run twice"),
         "{explanation}"
     );
 }
@@ -216,12 +216,12 @@
     assert_eq!(fleet.request("blind", true), Some(200));
     let explanation = fleet.explanation("blind");
     assert!(
-        explanation.contains("by what the store said"),
+        explanation.contains("the instance used data of the store that was"),
         "{explanation}"
     );
-    assert!(explanation.contains("lost at"), "{explanation}");
+    assert!(explanation.contains("unreachable since"), "{explanation}");
     assert!(
-        explanation.contains("the store does not answer"),
+        explanation.contains("the store is unreachable: "),
         "{explanation}"
     );
 }
--- a/crates/foxtidectl/src/admin.rs
+++ b/crates/foxtidectl/src/admin.rs
@@ -99,13 +99,13 @@
 fn no_response(errors: &[String]) -> Failure {
     if errors.is_empty() {
         return Failure::no_instance(
-            "no instance is named",
-            "name one with --admin ADDRESS before the command",
+            "no admin address was given",
+            "give the address of an instance with --admin ADDRESS before the command",
         );
     }
     Failure::no_instance(
         errors.join("\n"),
-        "check --admin, that an instance is running there, and that it is of this version",
+        "check --admin, that an instance is running there, and that it has the same version",
     )
 }
 
@@ -113,7 +113,10 @@
 async fn get(address: SocketAddr, path: &str) -> Result<Value, String> {
     let expired = async {
         Timer::after(RESPONSE_TIMEOUT).await;
-        Err(format!("no answer within {} s", RESPONSE_TIMEOUT.as_secs()))
+        Err(format!(
+            "no response within {} s",
+            RESPONSE_TIMEOUT.as_secs()
+        ))
     };
     let result = exchange(address, path).or(expired).await;
     result.map_err(|cause| format!("instance {address}, {path}: {cause}"))
@@ -132,7 +135,7 @@
         .and_then(|values| values.as_str().parse::<usize>().ok());
     let body = response.body_bytes().await.map_err(error_text)?;
     if content_length.is_some_and(|length| length != body.len()) {
-        return Err(format!("answer cut off after {} bytes", body.len()));
+        return Err(format!("response truncated after {} bytes", body.len()));
     }
     if !response.status().is_success() {
         return Err(format!("status {}", response.status()));
--- a/crates/foxtidectl/src/change_document.rs
+++ b/crates/foxtidectl/src/change_document.rs
@@ -74,7 +74,7 @@
         .base
         .as_ref()
         .map_or(Revision::ZERO, |base| base.document.revision);
-    let text = format!("Nothing to change: {revision} already says so.");
+    let text = format!("Nothing to change: {revision} already has these values.");
     Report::new(
         text,
         json!({"written": false, "revision": revision, "differences": []}),
@@ -95,7 +95,7 @@
     let document = &accepted.document;
     let (organisation, revision) = (&document.organisation, document.revision);
     let note = match accepted.settled {
-        true => " (the answer was lost; found by reading)",
+        true => " (the response was lost; confirmed by reading the store)",
         false => "",
     };
     let text = format!(
--- a/crates/foxtidectl/src/commands/blocks/change.rs
+++ b/crates/foxtidectl/src/commands/blocks/change.rs
@@ -68,8 +68,9 @@
 fn parse_block(text: &str) -> Result<IpNet, Failure> {
     let net: Option<IpNet> = text.parse().ok();
     net.filter(|net| net.trunc() == *net).ok_or_else(|| {
-        let problem = format!("`{text}` is not a block");
-        let advice = "write it as 10.1.0.0/16 or 2001:db8::/32, no bits set beyond the length";
+        let problem = format!("`{text}` is not a valid address block");
+        let advice =
+            "write it as 10.1.0.0/16 or 2001:db8::/32, no bits set beyond the prefix length";
         Failure::refused(problem, advice)
     })
 }
--- a/crates/foxtidectl/src/commands/blocks/mod.rs
+++ b/crates/foxtidectl/src/commands/blocks/mod.rs
@@ -70,7 +70,7 @@
 fn accepted_report(published: &PublishedBlocks) -> Report {
     let revision = published.manifest.revision;
     let note = match published.settled {
-        true => " (the answer was lost; found by reading)",
+        true => " (the response was lost; confirmed by reading the store)",
         false => "",
     };
     Report::new(
--- a/crates/foxtidectl/src/commands/drain/status.rs
+++ b/crates/foxtidectl/src/commands/drain/status.rs
@@ -47,7 +47,7 @@
     if drain.start_us > now {
         return format!("starts in {} s", (drain.start_us - now).as_secs());
     }
-    format!("since {} s", (now - drain.start_us).as_secs())
+    format!("started {} s ago", (now - drain.start_us).as_secs())
 }
 
 /// Formats the number of remaining upstreams of each affected service.
--- a/crates/foxtidectl/src/commands/explain/decisions.rs
+++ b/crates/foxtidectl/src/commands/explain/decisions.rs
@@ -28,11 +28,15 @@
     }
     for error in &responses.errors {
         // Writing to a string cannot fail.
-        let _ = writeln!(text, "not asked: {error}");
+        let _ = writeln!(text, "missing: {error}");
     }
     if explanations.is_empty() {
-        let problem = format!("{}no instance remembers {what}", with_line_break(&text));
-        let advice = "instances keep the latest only; ask soon after, or see `foxtidectl timeline`";
+        let problem = format!(
+            "{}no instance has a record of {what}",
+            with_line_break(&text)
+        );
+        let advice =
+            "instances keep only the latest records; query sooner, or see `foxtidectl timeline`";
         return Err(Failure::refused(problem, advice));
     }
     Ok(Report::new(text, json!(explanations)))
@@ -51,7 +55,7 @@
     let at = explanation.get("at_us").and_then(Value::as_u64);
     let at = at.map_or("-".to_owned(), |us| utc(WallTime::from_us(us)));
     let mut text = format!(
-        "{} {}: {}\n  at {at} by {admin_address}, region {}, figures {} ms old\n",
+        "{} {}: {}\n  at {at} by {admin_address}, region {}, view {} ms old\n",
         field("kind"),
         field("rule"),
         field("because"),
--- a/crates/foxtidectl/src/commands/explain/lookup.rs
+++ b/crates/foxtidectl/src/commands/explain/lookup.rs
@@ -26,6 +26,6 @@
             service,
         } = &self;
         let query = format!("kind=lookup&organisation={organisation}&service={service}");
-        decisions::explain(session, &query, "a look-up of it").await
+        decisions::explain(session, &query, "a look-up of this service").await
     }
 }
--- a/crates/foxtidectl/src/commands/explain/request/cause.rs
+++ b/crates/foxtidectl/src/commands/explain/request/cause.rs
@@ -10,11 +10,12 @@
 /// Returns the cause of a request's outcome.
 pub(super) fn describe(trace: &RequestTrace<'_>) -> String {
     let Some(end) = trace.end() else {
-        return "its end is not in these lines: the instance was killed, or the line was left out"
+        return "the log lines do not contain the end of the request: the instance was killed, or \
+                the line was omitted"
             .to_owned();
     };
     match end.event.as_str() {
-        "request-cancelled" => "its caller went away before the reply".to_owned(),
+        "request-cancelled" => "its caller cancelled it before the response".to_owned(),
         "request-answered" => answered(trace, end),
         _ => failed(trace, end),
     }
@@ -24,12 +25,12 @@
     let status = end.text("status");
     let reason = match end.text("reason").as_str() {
         "upstream_refused" => format!(
-            "it did not run: each upstream that was asked had no room ({})",
+            "it did not run: every upstream tried was at capacity ({})",
             occupancies(trace)
         ),
         "no_slot_in_time" => format!(
             "it did not run: it waited {:.0} ms for a slot of upstream {}, and none was expected \
-             in its time (coordinator {})",
+             within its time limit (coordinator {})",
             end.number("slot_wait_ms").unwrap_or_default(),
             end.text("upstream"),
             end.text("coordinator")
@@ -38,21 +39,23 @@
             "it did not run: no connection could be made ({})",
             causes(trace)
         ),
-        "upstreams_cold" => "it did not run: the upstreams that are left have just started and \
-                             had their part of requests"
+        "upstreams_cold" => "it did not run: the remaining upstreams have just started and \
+                             have received their share of requests"
             .to_owned(),
         "no_upstream_registered" => "it did not run: no upstream of the service is registered \
                                      where the route may be served"
             .to_owned(),
-        "upstreams_tried" => format!("it did not run anywhere ({})", causes(trace)),
-        "time_up_before_sending" => "it did not run: its time passed between attempts".to_owned(),
+        "upstreams_tried" => format!("it did not run at any upstream ({})", causes(trace)),
+        "time_up_before_sending" => {
+            "it did not run: its time limit expired between attempts".to_owned()
+        }
         "no_configuration_yet" => "it did not run: the instance had just started and had not \
                                    read the configuration"
             .to_owned(),
         "no_service_has_weight" => {
             "it did not run: no service of its route has a weight".to_owned()
         }
-        "stopping" => "it did not run: the instance was stopping and would have ended before \
+        "stopping" => "it did not run: the instance was stopping and would have exited before \
                        the route's timeout"
             .to_owned(),
         "response_lost" => format!(
@@ -70,14 +73,14 @@
             "version {} of the configuration has no route for it",
             end.text("version")
         ),
-        "key_missing" => "its caller showed no key, and its route is not public".to_owned(),
-        "key_unreadable" => "its caller showed something else than one key".to_owned(),
+        "key_missing" => "its caller sent no key, and its route is not public".to_owned(),
+        "key_unreadable" => "its caller did not send exactly one well-formed key".to_owned(),
         "key_unknown" => format!(
-            "no organisation holds its caller's key in version {}",
+            "no organisation in version {} of the configuration has its caller's key",
             end.text("version")
         ),
         "key_changed_hands" => {
-            "its caller's key went to another organisation while it waited".to_owned()
+            "its caller's key was assigned to another organisation while it waited".to_owned()
         }
         "quota_reached" => format!(
             "it did not run: organisation {} had used up its quota",
@@ -88,12 +91,13 @@
             end.text("organisation")
         ),
         "ends_its_upstreams" => format!(
-            "it did not run: upstreams end under requests of its content ({}), which are held back",
+            "it did not run: requests with its fingerprint ({}) are quarantined, since upstreams \
+             ended while handling them",
             end.text("fingerprint")
         ),
-        "malformed" => "the request cannot be understood".to_owned(),
-        "head_too_long" | "body_too_long" => "the request is longer than the limits".to_owned(),
-        "caller_too_slow" => "the caller took too long to send it".to_owned(),
+        "malformed" => "the request is malformed".to_owned(),
+        "head_too_long" | "body_too_long" => "the request exceeds the size limit".to_owned(),
+        "caller_too_slow" => "the caller took too long to send the request".to_owned(),
         other => format!("{other}; docs/OPERATIONS.md lists the reasons"),
     };
     format!("status {status}: {reason}{}", outage_note(trace, end))
@@ -107,32 +111,30 @@
     let mut text = format!("answered by upstream {upstream} after {latency_ms:.0} ms");
     if latency_ms > objective_ms {
         text.push_str(&format!(
-            ", later than the {objective_ms:.0} ms it is to take"
+            ", above the latency objective of {objective_ms:.0} ms"
         ));
     }
     let attempts = trace.failed_attempts().count();
     if attempts > 0 {
         text.push_str(&format!(
-            "; {attempts} attempts before it failed ({})",
+            "; {attempts} earlier attempts failed ({})",
             causes(trace)
         ));
     }
     if end.number("rank").is_some_and(|rank| rank > 0.0) {
         text.push_str(
-            "; the object's own upstream was passed over, so this one may not have \
-                       had the object before",
+            "; the object's preferred upstream was not used, so this one may not have \
+                       served the object before",
         );
     }
     let occupancy = end.number("occupancy").unwrap_or_default();
     if occupancy > 0.0 {
-        text.push_str(&format!(
-            "; {occupancy} requests were at the upstream before it"
-        ));
+        text.push_str(&format!("; the upstream already had {occupancy} requests"));
     }
     if let Some(evacuated) = trace.latest_state_event("zones-evacuated") {
         let zones = evacuated.text("zones");
         if zones != "-" {
-            text.push_str(&format!("; availability zones that get nothing: {zones}"));
+            text.push_str(&format!("; evacuated availability zones: {zones}"));
         }
     }
     text.push_str(&outage_note(trace, end));
@@ -146,16 +148,20 @@
         return String::new();
     }
     let since = match trace.latest_state_event("store-unreachable") {
-        Some(lost) => format!(" (lost at {}: {})", lost.time(), lost.text("cause")),
+        Some(lost) => format!(
+            " (unreachable since {}: {})",
+            lost.time(),
+            lost.text("cause")
+        ),
         None => String::new(),
     };
     let age_s = age_ms / 1_000.0;
-    format!("; the instance decided by what the store said {age_s:.1} s before{since}")
+    format!("; the instance used data of the store that was {age_s:.1} s old{since}")
 }
 
 fn no_retry_note(end: &LogLine) -> &'static str {
     match end.boolean("is_idempotent") {
-        Some(false) => "; it was not sent again since it must not run twice",
+        Some(false) => "; it was not retried, since it must not run twice",
         _ => "",
     }
 }
@@ -180,7 +186,7 @@
     let field = |name: &str| line.text(name);
     match line.event.as_str() {
         "attempt-failed" => format!(
-            "attempt at {} in {}, place {} of the object's order, {} requests there: {}, {}",
+            "attempt at {} in {}, rank {} for the object, {} requests at the upstream: {}, {}",
             field("upstream"),
             field("zone"),
             field("rank"),
@@ -203,24 +209,24 @@
             field("latency_ms")
         ),
         "configuration-applied" => format!("configuration version {} in force", field("version")),
-        "zones-evacuated" => format!("availability zones that get nothing: {}", field("zones")),
-        "store-unreachable" => format!("the store does not answer: {}", field("cause")),
+        "zones-evacuated" => format!("evacuated availability zones: {}", field("zones")),
+        "store-unreachable" => format!("the store is unreachable: {}", field("cause")),
         "quota-reached" => format!(
             "organisation {} has used up its quota",
             field("organisation")
         ),
         "request-quarantined" => format!(
-            "requests of content {} are quarantined: {} upstreams ended under them",
+            "requests with fingerprint {} are quarantined: {} upstreams ended while handling them",
             field("fingerprint"),
             field("ends")
         ),
         "quarantine-learnt" => format!(
-            "requests of content {} are quarantined, as {} says",
+            "requests with fingerprint {} are quarantined, as reported by {}",
             field("fingerprint"),
             field("from")
         ),
         "store-restored" => format!(
-            "the store has come back from an older copy: {}",
+            "the store was restored from an older copy: {}",
             field("index")
         ),
         "configuration-kept" => format!(
@@ -228,9 +234,9 @@
             field("version"),
             field("told")
         ),
-        "store-reachable" => "the store answers".to_owned(),
+        "store-reachable" => "the store is reachable".to_owned(),
         "relay-lost" => format!(
-            "a peer does not tell what the store says: {}",
+            "a peer does not relay the data of the store: {}",
             field("cause")
         ),
         event if event.starts_with("upstream-") => {
--- a/crates/foxtidectl/src/commands/explain/request/mod.rs
+++ b/crates/foxtidectl/src/commands/explain/request/mod.rs
@@ -32,7 +32,7 @@
     pub(super) async fn run(self, session: &Session) -> Result<Report, Failure> {
         if self.lines.is_empty() {
             let id: RequestId = self.id.parse()?;
-            return decisions::explain(session, &format!("request={id}"), "that request").await;
+            return decisions::explain(session, &format!("request={id}"), "this request").await;
         }
         let lines = log_lines::read(&self.lines)?.events;
         match RequestTrace::collect(&self.id, &lines) {
@@ -43,7 +43,7 @@
                     lines.len(),
                     self.id
                 ),
-                "give the lines of all instances; look for lines-left-out (F1011) and \
+                "give the log lines of all instances; look for lines-left-out (F1011) and \
                  lines-dropped (F1012) at the time of the request",
             )),
         }
--- a/crates/foxtidectl/src/commands/explain/request/report.rs
+++ b/crates/foxtidectl/src/commands/explain/request/report.rs
@@ -13,12 +13,8 @@
 pub(super) fn report(trace: &RequestTrace<'_>) -> Report {
     let cause = cause::describe(trace);
     let mut text = format!("request {}\ncause: {cause}\n", trace.id);
-    append_lines(&mut text, "what happened to it:", &trace.request_lines);
-    append_lines(
-        &mut text,
-        "what the instance believed:",
-        &trace.instance_state,
-    );
+    append_lines(&mut text, "events of the request:", &trace.request_lines);
+    append_lines(&mut text, "state of the instance:", &trace.instance_state);
     let json_of = |lines: &[&LogLine]| lines.iter().map(|line| line.json()).collect::<Value>();
     let json = json!({
         "request": trace.id,
--- a/crates/foxtidectl/src/commands/log_lines.rs
+++ b/crates/foxtidectl/src/commands/log_lines.rs
@@ -129,7 +129,7 @@
         if lines.events.len() == before {
             return Err(Failure::refused(
                 format!("{file}: none of its lines is an event"),
-                "valid: what instances wrote to standard output, one JSON object a line with \
+                "valid: the standard output of instances, one JSON object per line with \
                  `time_s` and `event`",
             ));
         }
--- a/crates/foxtidectl/src/commands/losses/mod.rs
+++ b/crates/foxtidectl/src/commands/losses/mod.rs
@@ -36,13 +36,13 @@
     pub(crate) fn run(self) -> Result<Report, Failure> {
         if self.lines.is_empty() {
             return Err(Failure::refused(
-                "no lines were given",
-                "give the lines of all instances with --lines FILE, `-` for standard input",
+                "no log lines were given",
+                "give the log lines of all instances with --lines FILE, `-` for standard input",
             ));
         }
         if !(self.window_s.is_finite() && self.window_s > 0.0) {
             return Err(Failure::refused(
-                format!("--window-s {}: not a length", self.window_s),
+                format!("--window-s {}: not a valid window length", self.window_s),
                 "valid: a number of seconds above 0",
             ));
         }
--- a/crates/foxtidectl/src/commands/losses/organisations.rs
+++ b/crates/foxtidectl/src/commands/losses/organisations.rs
@@ -65,7 +65,7 @@
             table.cells(cells.chain(values.map(|value| value.to_string())));
         }
         format!(
-            "\nby organisation, those that lost most\n{}turned away without a known key: {}\n",
+            "\nby organisation, most losses first\n{}requests rejected without a known key: {}\n",
             table.text(),
             self.without_key
         )
--- a/crates/foxtidectl/src/commands/losses/plot.rs
+++ b/crates/foxtidectl/src/commands/losses/plot.rs
@@ -56,9 +56,9 @@
     area.fill(&WHITE)?;
     let parts = area.split_evenly((3, 1));
     let charts = [
-        ("requests a second, by their end", &outcomes[..]),
-        ("requests that wait for a slot", &waits[..]),
-        ("requests a second, by the region of the upstream", &regions),
+        ("requests per second by outcome", &outcomes[..]),
+        ("requests waiting for a slot", &waits[..]),
+        ("requests per second by region of the upstream", &regions),
     ];
     for (part, (title, curves)) in parts.iter().zip(charts) {
         chart(part, title, curves, tally.window_s)?;
--- a/crates/foxtidectl/src/commands/losses/report.rs
+++ b/crates/foxtidectl/src/commands/losses/report.rs
@@ -29,7 +29,7 @@
         routes.iter(),
         |(service, route)| vec![service.clone(), route.clone()],
     ));
-    text.push_str("\nby window, from second\n");
+    text.push_str("\nby time window (start in seconds since the first event)\n");
     text.push_str(&table(["second"], windows.iter(), |&window| {
         vec![window_start(tally, window)]
     }));
@@ -105,15 +105,18 @@
 
 /// Formats the counts of lines and requests missing from the tables.
 fn footer(tally: &Tally, unreadable: &[UnreadableLine]) -> String {
-    let mut text = format!("\ncallers that left: {}\n", tally.cancelled);
+    let mut text = format!(
+        "\nrequests cancelled by their callers: {}\n",
+        tally.cancelled
+    );
     let (answered, others) = tally.lines_omitted;
     let _ = writeln!(
         text,
-        "lines that instances left out: {answered} of requests answered in time, {others} of \
+        "log lines omitted by instances: {answered} of requests answered in time, {others} of \
          others; dropped: {}",
         tally.lines_dropped
     );
-    let _ = writeln!(text, "lines that are no events: {}", unreadable.len());
+    let _ = writeln!(text, "lines that are not events: {}", unreadable.len());
     for line in unreadable.iter().take(UNREADABLE_LISTED_MAX) {
         let _ = writeln!(text, "  {}:{}: {}", line.file, line.number, line.cause);
     }
--- a/crates/foxtidectl/src/commands/losses/store_calls.rs
+++ b/crates/foxtidectl/src/commands/losses/store_calls.rs
@@ -46,7 +46,7 @@
         }
         table.cells(row("all".to_owned(), &self.totals()));
         let text = table.text();
-        format!("\ncalls to the store, told up to 3 s after they were made\n{text}")
+        format!("\ncalls to the store, logged up to 3 s after they were made\n{text}")
     }
 
     /// Returns the totals of all windows.
--- a/crates/foxtidectl/src/commands/movement/demand.rs
+++ b/crates/foxtidectl/src/commands/movement/demand.rs
@@ -32,12 +32,13 @@
         };
         if moved_rate > sold_rate {
             let problem = format!(
-                "the move sends {:.0}rps from {} to {}, where {sold_rate} are sold",
+                "the move sends {:.0}rps from {} to {}, above the sold rate of {sold_rate}",
                 moved_rate.get(),
                 movement.from,
                 region.region
             );
-            let advice = "move a smaller share, or sell more on the link and in the region first";
+            let advice =
+                "move a smaller share, or raise the sold rates of the link and the region first";
             return Err(Failure::refused(problem, advice));
         }
     }
--- a/crates/foxtidectl/src/commands/movement/plan.rs
+++ b/crates/foxtidectl/src/commands/movement/plan.rs
@@ -91,8 +91,8 @@
         table.cells(std::iter::once(time).chain(cells));
     }
     let text = format!(
-        "{} of {}'s traffic of {} moves to {} in {:.0} s; accepted by all checks.\n\
-         Where the traffic that arrives in {} is served, by time since the start:\n\n{}",
+        "{} of {}'s traffic of {} moves to {} in {:.0} s; the move passes all checks.\n\
+         Shares of the traffic arriving in {}, by time since the start and region:\n\n{}",
         movement.share,
         movement.from,
         movement.service,
--- a/crates/foxtidectl/src/commands/movement/start.rs
+++ b/crates/foxtidectl/src/commands/movement/start.rs
@@ -143,8 +143,11 @@
     if same_share && known.pace_share_per_s == movement.pace_share_per_s {
         return Ok(true);
     }
-    let problem = format!("move `{}` is under way with other figures", known.id);
-    let advice = "see `foxtidectl move status`; pause it, or move the rest back first";
+    let problem = format!(
+        "move `{}` already exists with another share or pace",
+        known.id
+    );
+    let advice = "see `foxtidectl move status`; pause the move, or move the rest back first";
     Err(Failure::refused(problem, advice))
 }
 
--- a/crates/foxtidectl/src/commands/organisation/create.rs
+++ b/crates/foxtidectl/src/commands/organisation/create.rs
@@ -64,7 +64,7 @@
     let differences = change::differences(Some(stored), document);
     if differences.is_empty() {
         let text = format!(
-            "Nothing to change: {} already says so.",
+            "Nothing to change: {} already has these values.",
             stored.document.revision
         );
         return Ok(Report::new(text, serde_json::json!({"written": false})));
--- a/crates/foxtidectl/src/commands/organisation/diff.rs
+++ b/crates/foxtidectl/src/commands/organisation/diff.rs
@@ -55,7 +55,7 @@
         };
         let differences = change::differences(Some(&stored), &document);
         let text = match differences.is_empty() {
-            true => format!("No difference to {}.", stored.document.revision),
+            true => format!("No differences from {}.", stored.document.revision),
             false => difference_lines(&differences),
         };
         Ok(Report::new(text, json!(differences)))
--- a/crates/foxtidectl/src/commands/organisation/edit.rs
+++ b/crates/foxtidectl/src/commands/organisation/edit.rs
@@ -71,8 +71,11 @@
         current: &Organisation,
     ) -> Result<Parameters, Failure> {
         let Some(used) = &current.template else {
-            let problem = "the organisation was not made from a template";
-            return Err(Failure::refused(problem, "give it one by creating it anew"));
+            let problem = "the organisation was not created from a template";
+            return Err(Failure::refused(
+                problem,
+                "create the organisation again from a template",
+            ));
         };
         let same = used.name == template.template && used.version == template.version;
         if same || self.upgrade {
--- a/crates/foxtidectl/src/commands/promises.rs
+++ b/crates/foxtidectl/src/commands/promises.rs
@@ -108,7 +108,7 @@
 
 fn summary_table(summaries: &[PromiseSummary]) -> String {
     if summaries.is_empty() {
-        return "Nothing was measured yet: no traffic.\n".to_owned();
+        return "No promise has been measured yet: there was no traffic.\n".to_owned();
     }
     let heading = [
         "organisation",
--- a/crates/foxtidectl/src/commands/template/show.rs
+++ b/crates/foxtidectl/src/commands/template/show.rs
@@ -28,7 +28,7 @@
             let default = parameter.default.as_ref();
             table.row([
                 name.clone(),
-                default.map_or("(must be given)".to_owned(), |value| value.to_string()),
+                default.map_or("(required)".to_owned(), |value| value.to_string()),
                 parameter.expected(),
                 parameter.description.clone(),
             ]);
--- a/crates/foxtidectl/src/failure.rs
+++ b/crates/foxtidectl/src/failure.rs
@@ -82,7 +82,7 @@
             ChangeError::Unsettled { .. } => Self::new(
                 ExitStatus::Unsettled,
                 error,
-                "run the same command again: it finds the change if it took effect",
+                "run the same command again; it detects whether the change took effect",
             ),
             ChangeError::Store(_) => Self::new(
                 ExitStatus::StoreUnreachable,
@@ -108,12 +108,12 @@
             BlocksChangeError::Blocks(error) => error.into(),
             BlocksChangeError::Conflict { .. } => Self::conflict(
                 error,
-                "look at the table, then run the command again if it is still right",
+                "see `foxtidectl blocks show`, then run the command again if still needed",
             ),
             BlocksChangeError::Unsettled { .. } => Self::new(
                 ExitStatus::Unsettled,
                 error,
-                "see `foxtidectl blocks show` for whether it took effect",
+                "see `foxtidectl blocks show` to find out whether the change took effect",
             ),
             BlocksChangeError::Store(_) => Self::new(
                 ExitStatus::StoreUnreachable,
--- a/crates/foxtidectl/tests/explain_lines.rs
+++ b/crates/foxtidectl/tests/explain_lines.rs
@@ -41,7 +41,7 @@
 fn verify_a_refusal_names_the_load_of_the_upstreams() {
     let (status, text) = explain("refused.log", LINES, "full");
     assert_eq!(status, ExitStatus::Done);
-    let cause = "cause: status 503: it did not run: each upstream that was asked had no room \
+    let cause = "cause: status 503: it did not run: every upstream tried was at capacity \
                  (i-1 had 15 requests, i-2 had 17 requests)";
     assert!(text.contains(cause), "{text}");
     assert!(text.contains("configuration version 4 in force"), "{text}");
@@ -59,7 +59,7 @@
         "{text}"
     );
     assert!(
-        text.contains("it was not sent again since it must not run twice"),
+        text.contains("it was not retried, since it must not run twice"),
         "{text}"
     );
 }
@@ -68,11 +68,11 @@
 fn verify_a_late_answer_names_the_outage_and_the_evacuation() {
     let (_, text) = explain("late.log", LINES, "late");
     for part in [
-        "answered by upstream i-2 after 1180 ms, later than the 600 ms it is to take",
-        "the object's own upstream was passed over",
-        "availability zones that get nothing: khomas-b",
-        "by what the store said 5.0 s before (lost at 1970-01-01T00:01:42.000000Z: store: no \
-         answer in time)",
+        "answered by upstream i-2 after 1180 ms, above the latency objective of 600 ms",
+        "the object's preferred upstream was not used",
+        "evacuated availability zones: khomas-b",
+        "data of the store that was 5.0 s old (unreachable since 1970-01-01T00:01:42.000000Z: \
+         store: no answer in time)",
     ] {
         assert!(text.contains(part), "{part}: {text}");
     }
@@ -82,7 +82,10 @@
 fn verify_a_request_without_an_end_is_reported() {
     let (status, text) = explain("open.log", LINES, "open");
     assert_eq!(status, ExitStatus::Done);
-    assert!(text.contains("its end is not in these lines"), "{text}");
+    assert!(
+        text.contains("the log lines do not contain the end of the request"),
+        "{text}"
+    );
 }
 
 #[test]
@@ -108,6 +111,6 @@
 fn verify_a_refusal_without_a_slot_names_the_wait_and_the_coordinator() {
     let (_, text) = explain("unslotted.log", LINES, "unslotted");
     let cause = "cause: status 503: it did not run: it waited 310 ms for a slot of upstream i-2, \
-                 and none was expected in its time (coordinator edge-2)";
+                 and none was expected within its time limit (coordinator edge-2)";
     assert!(text.contains(cause), "{text}");
 }
--- a/crates/foxtidectl/tests/losses.rs
+++ b/crates/foxtidectl/tests/losses.rs
@@ -121,7 +121,10 @@
     let hot = text.lines().find(|line| line.starts_with("hot")).unwrap();
     let cells: Vec<&str> = hot.split_whitespace().collect();
     assert_eq!(cells, ["hot", "0", "1", "1"]);
-    assert!(text.contains("without a known key: 1"), "{text}");
+    assert!(
+        text.contains("requests rejected without a known key: 1"),
+        "{text}"
+    );
     let (_, text) = losses("losses-organisations-json.log", ORGANISATIONS, &["--json"]);
     let json: Value = serde_json::from_str(&text).unwrap();
     assert_eq!(json["organisations"]["by_name"]["calm"]["answered"], 1);
--- a/crates/foxtidectl/tests/operations.rs
+++ b/crates/foxtidectl/tests/operations.rs
@@ -194,7 +194,7 @@
     assert!(
         refused
             .errors
-            .contains("450rps from khomas to erongo, where 400rps are sold"),
+            .contains("450rps from khomas to erongo, above the sold rate of 400rps"),
         "{refused:?}"
     );
 }
@@ -290,7 +290,7 @@
     operator.server.lose_answers(1);
     let output = successful_output(set_deadline(&operator, &["--yes"], "900"));
     assert!(
-        output.contains("the answer was lost; found by reading"),
+        output.contains("the response was lost; confirmed by reading the store"),
         "{output}"
     );
     assert_eq!(operator.stored()["revision"], 2);
@@ -341,7 +341,10 @@
     let operator = Operator::with_example();
     operator.server.set_answer_loss_probability(1.0);
     let output = successful_output(set_deadline(&operator, &["--yes"], "900"));
-    assert!(output.contains("found by reading"), "{output}");
+    assert!(
+        output.contains("confirmed by reading the store"),
+        "{output}"
+    );
 }
 
 #[test]
