--- a/crates/foxtidectl/src/commands/blocks/change.rs
+++ b/crates/foxtidectl/src/commands/blocks/change.rs
@@ -14,7 +14,7 @@
 use foxtide_core::blocks::Block;
 use ipnet::IpNet;
 
-/// Direct a block of addresses to a site
+/// Assign a client block to a site
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "set")]
 pub(super) struct Set {
@@ -26,7 +26,7 @@
     site: String,
 }
 
-/// Take a block of addresses out
+/// Remove a client block
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "remove")]
 pub(super) struct Remove {
@@ -68,8 +68,9 @@
 fn parse_block(text: &str) -> Result<IpNet, Failure> {
     let net: Option<IpNet> = text.parse().ok();
     net.filter(|net| net.trunc() == *net).ok_or_else(|| {
-        let problem = format!("`{text}` is not a block");
-        let advice = "write it as 10.1.0.0/16 or 2001:db8::/32, no bits set beyond the length";
+        let problem = format!("`{text}` is not a valid address block");
+        let advice =
+            "write it as 10.1.0.0/16 or 2001:db8::/32, no bits set beyond the prefix length";
         Failure::refused(problem, advice)
     })
 }
--- a/crates/foxtidectl/src/commands/blocks/mod.rs
+++ b/crates/foxtidectl/src/commands/blocks/mod.rs
@@ -20,7 +20,7 @@
 };
 use serde_json::json;
 
-/// Work on client blocks
+/// Manage client blocks
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "blocks")]
 pub(crate) struct BlocksCommand {
@@ -70,7 +70,7 @@
 fn accepted_report(published: &PublishedBlocks) -> Report {
     let revision = published.manifest.revision;
     let note = match published.settled {
-        true => " (the answer was lost; found by reading)",
+        true => " (the response was lost; confirmed by reading the store)",
         false => "",
     };
     Report::new(
--- a/crates/foxtidectl/src/commands/organisation/create.rs
+++ b/crates/foxtidectl/src/commands/organisation/create.rs
@@ -26,10 +26,10 @@
     /// the template's file
     #[argh(option)]
     template: String,
-    /// a file of parameters
+    /// a file with template parameters
     #[argh(option)]
     parameters: Option<String>,
-    /// one parameter, NAME=VALUE; can be given several times
+    /// a template parameter as NAME=VALUE; can be given several times
     #[argh(option)]
     set: Vec<String>,
 }
@@ -64,7 +64,7 @@
     let differences = change::differences(Some(stored), document);
     if differences.is_empty() {
         let text = format!(
-            "Nothing to change: {} already says so.",
+            "Nothing to change: {} already has these values.",
             stored.document.revision
         );
         return Ok(Report::new(text, serde_json::json!({"written": false})));
--- a/crates/foxtidectl/src/commands/promises.rs
+++ b/crates/foxtidectl/src/commands/promises.rs
@@ -16,11 +16,11 @@
 use serde_json::json;
 use std::collections::BTreeMap;
 
-/// Show what was promised and whether all instances keep it
+/// Show the promises and whether all instances keep them
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "promises")]
 pub(crate) struct Promises {
-    /// only those of this organisation
+    /// only promises of this organisation
     #[argh(option)]
     organisation: Option<String>,
 }
@@ -108,7 +108,7 @@
 
 fn summary_table(summaries: &[PromiseSummary]) -> String {
     if summaries.is_empty() {
-        return "Nothing was measured yet: no traffic.\n".to_owned();
+        return "No promise has been measured yet: there was no traffic.\n".to_owned();
     }
     let heading = [
         "organisation",
