--- a/crates/foxtide/examples/demo/callers.rs
+++ b/crates/foxtide/examples/demo/callers.rs
@@ -1,11 +1,11 @@
 //! Callers: they look an instance up, keep the answer for its time to live,
 //! read often and write now and then.
 
-use crate::tally::{
-    End,
-    Tally, //
+use crate::deployment::Deployment;
+use crate::stats::{
+    CallerStats,
+    Outcome, //
 };
-use crate::world::World;
 use foxtide_core::idempotency::{
     IdempotencyKey,
     OwnerId, //
@@ -32,7 +32,7 @@
 };
 
 /// The time between two requests of a caller.
-const PACE: Duration = Duration::from_millis(25);
+const REQUEST_INTERVAL: Duration = Duration::from_millis(25);
 
 /// How long a caller waits for an answer.
 const CALL_TIMEOUT: Duration = Duration::from_secs(10);
@@ -47,21 +47,21 @@
 const OUTCOME_HEADER: &str = "foxtide-outcome";
 
 /// How often a caller tries a read at another instance.
-const TRIES: usize = 3;
+const READ_ATTEMPTS: usize = 3;
 
 #[derive(Clone, Debug, Deserialize)]
-struct Found {
+struct ListedInstance {
     address: SocketAddr,
 }
 
 #[derive(Debug, Deserialize)]
 struct LookupAnswer {
-    instances: Vec<Found>,
+    instances: Vec<ListedInstance>,
     ttl_s: u64,
 }
 
 #[derive(Debug, Deserialize)]
-struct RefusalAnswer {
+struct RejectionAnswer {
     reason: String,
 }
 
@@ -72,25 +72,25 @@
 
 /// One caller.
 pub(crate) struct Caller {
-    pub(crate) world: Arc<World>,
-    pub(crate) tally: Arc<Tally>,
+    pub(crate) deployment: Arc<Deployment>,
+    pub(crate) stats: Arc<CallerStats>,
     pub(crate) number: usize,
     pub(crate) stop: Arc<AtomicBool>,
-    cached: Vec<Found>,
+    cached: Vec<ListedInstance>,
     cached_until: Instant,
     owner: Option<(SocketAddr, OwnerId)>,
 }
 
 impl Caller {
     pub(crate) fn new(
-        world: Arc<World>,
-        tally: Arc<Tally>,
+        deployment: Arc<Deployment>,
+        stats: Arc<CallerStats>,
         number: usize,
         stop: Arc<AtomicBool>,
     ) -> Self {
         Self {
-            world,
-            tally,
+            deployment,
+            stats,
             number,
             stop,
             cached: Vec::new(),
@@ -112,14 +112,14 @@
             } else {
                 self.read(count).await;
             }
-            Timer::after(PACE).await;
+            Timer::after(REQUEST_INTERVAL).await;
         }
     }
 
     async fn look_up(&mut self, count: u64) {
-        let addresses = self.world.caller_addresses();
+        let addresses = self.deployment.caller_addresses();
         let start = self.number + usize::try_from(count).unwrap_or_default();
-        let tenant = &self.world.tenant;
+        let tenant = &self.deployment.tenant;
         let path = format!(
             "/v1/lookup?organisation={}&service={}",
             tenant.name, tenant.read_service
@@ -127,12 +127,12 @@
         for step in 0..addresses.len() {
             let address = addresses[(start + step) % addresses.len()];
             let call = http_call(address, Method::Get, &path, &[], &[]);
-            let Ok(answer) = within(CALL_TIMEOUT, call).await else {
+            let Ok(answer) = with_timeout(CALL_TIMEOUT, call).await else {
                 continue;
             };
-            if let Ok(found) = serde_json::from_slice::<LookupAnswer>(&answer.body) {
-                self.cached = found.instances;
-                self.cached_until = Instant::now() + Duration::from_secs(found.ttl_s);
+            if let Ok(lookup) = serde_json::from_slice::<LookupAnswer>(&answer.body) {
+                self.cached = lookup.instances;
+                self.cached_until = Instant::now() + Duration::from_secs(lookup.ttl_s);
                 return;
             }
         }
@@ -141,18 +141,19 @@
     async fn read(&mut self, count: u64) {
         let path = format!("/item/{}-{count}", self.number);
         let started = Instant::now();
-        let mut end = End::Unreachable;
-        for place in 0..TRIES.min(self.cached.len()) {
-            let address = self.cached[place].address;
-            end = self.send(address, Method::Get, &path, None).await;
-            if end == End::Answered {
-                self.tally.latency(started.elapsed().as_micros() as u64);
+        let mut outcome = Outcome::Unreachable;
+        for attempt in 0..READ_ATTEMPTS.min(self.cached.len()) {
+            let address = self.cached[attempt].address;
+            outcome = self.send(address, Method::Get, &path, None).await;
+            if outcome == Outcome::Answered {
+                self.stats
+                    .record_read_latency(started.elapsed().as_micros() as u64);
             }
-            if !matches!(end, End::Unreachable | End::Cut) {
+            if !matches!(outcome, Outcome::Unreachable | Outcome::Cut) {
                 break;
             }
         }
-        self.tally.count(end);
+        self.stats.record_outcome(outcome);
     }
 
     /// Writes with a new key at the instance whose process name is known; it
@@ -163,19 +164,19 @@
         };
         let key = IdempotencyKey::mint(
             owner,
-            wall(),
+            wall_time(),
             fastrand::u128(..).to_le_bytes()[..10]
                 .try_into()
                 .unwrap_or_default(),
         );
         let path = format!("/order/{}-{count}", self.number);
         let key = key.to_string();
-        let end = self.send(address, Method::Post, &path, Some(&key)).await;
-        if matches!(end, End::Unreachable | End::Cut) {
+        let outcome = self.send(address, Method::Post, &path, Some(&key)).await;
+        if matches!(outcome, Outcome::Unreachable | Outcome::Cut) {
             self.owner = None;
         }
-        self.tally.count(end);
-        self.tally.write(key, end);
+        self.stats.record_outcome(outcome);
+        self.stats.record_write(key, outcome);
     }
 
     async fn send(
@@ -184,8 +185,8 @@
         method: Method,
         path: &str,
         key: Option<&str>,
-    ) -> End {
-        let tenant = self.world.tenant;
+    ) -> Outcome {
+        let tenant = self.deployment.tenant;
         let service = match key {
             Some(_) => tenant.write_service,
             None => tenant.read_service,
@@ -196,24 +197,24 @@
             .into_iter()
             .collect();
         let call = http_call(address, method, &target, &headers, &[]);
-        match within(CALL_TIMEOUT, call).await {
+        match with_timeout(CALL_TIMEOUT, call).await {
             Ok(answer) => {
-                self.note_owner(address, &answer);
-                self.note_reason(&answer);
-                judge(&answer, path)
+                self.remember_owner(address, &answer);
+                self.record_rejection_reason(&answer);
+                classify(&answer, path)
             }
-            Err(error) if is_refused(&error) => End::Unreachable,
-            Err(_) => End::Cut,
+            Err(error) if is_connection_refused(&error) => Outcome::Unreachable,
+            Err(_) => Outcome::Cut,
         }
     }
 
-    fn note_reason(&self, answer: &HttpAnswer) {
-        if let Ok(refusal) = serde_json::from_slice::<RefusalAnswer>(&answer.body) {
-            self.tally.reason(refusal.reason);
+    fn record_rejection_reason(&self, answer: &HttpAnswer) {
+        if let Ok(rejection) = serde_json::from_slice::<RejectionAnswer>(&answer.body) {
+            self.stats.record_rejection_reason(rejection.reason);
         }
     }
 
-    fn note_owner(&mut self, address: SocketAddr, answer: &HttpAnswer) {
+    fn remember_owner(&mut self, address: SocketAddr, answer: &HttpAnswer) {
         let owner = answer
             .header(OWNER_HEADER)
             .and_then(|text| text.parse().ok());
@@ -224,7 +225,7 @@
 }
 
 /// Gives a call up after `timeout`, as a caller's patience does.
-async fn within(
+async fn with_timeout(
     timeout: Duration,
     call: impl Future<Output = http_types::Result<HttpAnswer>>,
 ) -> http_types::Result<HttpAnswer> {
@@ -235,25 +236,29 @@
     smol::future::or(call, expired).await
 }
 
-fn judge(answer: &HttpAnswer, path: &str) -> End {
+fn classify(answer: &HttpAnswer, path: &str) -> Outcome {
     if answer.status == 200 {
         let body = serde_json::from_slice::<UpstreamAnswer>(&answer.body);
-        let own = body.is_ok_and(|body| body.path.ends_with(path));
-        return if own { End::Answered } else { End::Wrong };
+        let matches_request = body.is_ok_and(|body| body.path.ends_with(path));
+        return if matches_request {
+            Outcome::Answered
+        } else {
+            Outcome::Wrong
+        };
     }
     match answer.header(OUTCOME_HEADER) {
-        Some("not-run") => End::NotRun,
-        Some("unknown") => End::Unknown,
-        _ => End::Wrong,
+        Some("not-run") => Outcome::NotRun,
+        Some("unknown") => Outcome::Unknown,
+        _ => Outcome::Wrong,
     }
 }
 
-fn is_refused(error: &http_types::Error) -> bool {
+fn is_connection_refused(error: &http_types::Error) -> bool {
     let io = error.downcast_ref::<std::io::Error>();
     io.is_some_and(|error| error.kind() == std::io::ErrorKind::ConnectionRefused)
 }
 
-fn wall() -> WallTime {
+fn wall_time() -> WallTime {
     let now = SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .unwrap_or_default();
--- a/crates/foxtide/examples/demo/world.rs
+++ b/crates/foxtide/examples/demo/deployment.rs
@@ -68,10 +68,10 @@
 pub(crate) const LOOKUP_TTL_S: u32 = 1;
 
 /// The longest wait for anything that the demo sets up.
-const SETUP_WAIT: Duration = Duration::from_secs(20);
+const SETUP_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// The time between two looks at a condition.
-const POLL: Duration = Duration::from_millis(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// What tells the tenants apart.
 #[derive(Clone, Copy, Debug)]
@@ -119,7 +119,7 @@
 }
 
 /// A tenant's running stand-ins and instances.
-pub(crate) struct World {
+pub(crate) struct Deployment {
     pub(crate) tenant: Tenant,
     pub(crate) organisation: OrganisationId,
     pub(crate) regions: Vec<RegionId>,
@@ -129,7 +129,7 @@
     client: HttpStore,
 }
 
-impl World {
+impl Deployment {
     /// Starts everything and waits until every instance serves.
     pub(crate) async fn start(tenant: Tenant, options: &NodeOptions) -> Result<Self> {
         let organisation: OrganisationId = tenant.name.parse()?;
@@ -142,7 +142,7 @@
         });
         let upstreams = start_upstreams(&mut document, tenant.zone_delay).await?;
         let regions = document.regions.iter().map(|it| it.region.clone());
-        let world = Self {
+        let deployment = Self {
             tenant,
             organisation,
             regions: regions.collect(),
@@ -151,23 +151,23 @@
             nodes: Mutex::default(),
             client,
         };
-        let places = places(&document);
+        let placements = placements(&document);
         let change = ChangeRequest {
             base: None,
             document,
             author: "demo".to_owned(),
             summary: "create".to_owned(),
         };
-        change::accept(&world.client, change).await?;
+        change::accept(&deployment.client, change).await?;
         for number in 0..INSTANCES {
-            let place = &places[number % places.len()];
-            world.start_node(number, place, options.clone())?;
+            let placement = &placements[number % placements.len()];
+            deployment.start_node(number, placement, options.clone())?;
         }
-        world.wait_until_known(INSTANCES).await?;
-        Ok(world)
+        deployment.wait_until_listed(INSTANCES).await?;
+        Ok(deployment)
     }
 
-    fn start_node(&self, number: usize, place: &Place, options: NodeOptions) -> Result<()> {
+    fn start_node(&self, number: usize, placement: &Placement, options: NodeOptions) -> Result<()> {
         let seeds = self
             .nodes
             .lock()
@@ -176,11 +176,11 @@
             .map(Node::peer_address)
             .collect();
         let settings = Settings {
-            instance: format!("{}-{number}", place.availability_zone).parse()?,
-            region: place.region.clone(),
-            availability_zone: place.availability_zone.clone(),
+            instance: format!("{}-{number}", placement.availability_zone).parse()?,
+            region: placement.region.clone(),
+            availability_zone: placement.availability_zone.clone(),
             cluster: self.tenant.name.to_owned(),
-            upstream_source: Some(place.source),
+            upstream_source: Some(placement.source),
             caller: any_port(),
             admin: any_port(),
             peer: any_port(),
@@ -203,14 +203,14 @@
     }
 
     /// Waits until every instance names `count` instances in its look-ups.
-    pub(crate) async fn wait_until_known(&self, count: usize) -> Result<()> {
-        let known = || {
+    pub(crate) async fn wait_until_listed(&self, count: usize) -> Result<()> {
+        let all_listed = || {
             let nodes = self.nodes.lock();
             nodes
                 .values()
                 .all(|node| node.tables().instances().len() == count)
         };
-        wait_until(known)
+        wait_until(all_listed)
             .await
             .context("instances know each other")?;
         let serving = || self.lowest_revision() > Revision::ZERO;
@@ -296,25 +296,25 @@
 }
 
 /// Where an instance stands.
-struct Place {
+struct Placement {
     region: RegionId,
     source: IpAddr,
     availability_zone: AvailabilityZoneId,
 }
 
-fn places(document: &Organisation) -> Vec<Place> {
-    let mut places = Vec::new();
-    let sources = sources(document);
+fn placements(document: &Organisation) -> Vec<Placement> {
+    let mut placements = Vec::new();
+    let source_addresses = source_addresses(document);
     for region in &document.regions {
         for zone in &region.availability_zones {
-            places.push(Place {
+            placements.push(Placement {
                 region: region.region.clone(),
-                source: sources[&region.region],
+                source: source_addresses[&region.region],
                 availability_zone: zone.clone(),
             });
         }
     }
-    places
+    placements
 }
 
 fn any_port() -> Listener {
@@ -330,15 +330,15 @@
     zone_delay: Duration,
 ) -> Result<BTreeMap<UpstreamId, UpstreamServer>> {
     let mut servers = BTreeMap::new();
-    let sources = sources(document);
+    let source_addresses = source_addresses(document);
     let links = document.links.clone();
     let upstreams = document
         .services
         .iter_mut()
         .flat_map(|it| &mut it.upstreams);
     for (number, upstream) in upstreams.enumerate() {
-        let server = UpstreamServer::start(options_of(upstream, number)).await?;
-        for (region, source) in &sources {
+        let server = UpstreamServer::start(upstream_options(upstream, number)).await?;
+        for (region, source) in &source_addresses {
             let link = links
                 .iter()
                 .find(|it| it.from == *region && it.to == upstream.region);
@@ -353,7 +353,7 @@
 
 /// Returns the address from which the instances of each region connect, by
 /// which the upstreams' stand-ins tell how far away they are.
-fn sources(document: &Organisation) -> BTreeMap<RegionId, IpAddr> {
+fn source_addresses(document: &Organisation) -> BTreeMap<RegionId, IpAddr> {
     let regions = document.regions.iter().zip(1..);
     let source = |(region, number): (&Region, u8)| {
         (
@@ -364,7 +364,7 @@
     regions.map(source).collect()
 }
 
-fn options_of(upstream: &Upstream, number: usize) -> UpstreamOptions {
+fn upstream_options(upstream: &Upstream, number: usize) -> UpstreamOptions {
     UpstreamOptions {
         name: upstream.upstream.to_string(),
         slots: upstream.slots,
@@ -381,10 +381,10 @@
 pub(crate) async fn wait_until(condition: impl Fn() -> bool) -> Result<()> {
     let started = Instant::now();
     while !condition() {
-        if started.elapsed() > SETUP_WAIT {
-            return Err(anyhow!("waited {} s in vain", SETUP_WAIT.as_secs()));
+        if started.elapsed() > SETUP_TIMEOUT {
+            return Err(anyhow!("waited {} s in vain", SETUP_TIMEOUT.as_secs()));
         }
-        Timer::after(POLL).await;
+        Timer::after(POLL_INTERVAL).await;
     }
     Ok(())
 }
--- a/crates/foxtide/examples/demo/main.rs
+++ b/crates/foxtide/examples/demo/main.rs
@@ -5,29 +5,29 @@
 //! another, and prints which promises held.
 
 mod callers;
+mod deployment;
 mod promises;
 mod script;
-mod tally;
-mod world;
+mod stats;
 
 use anyhow::{
     Result,
     bail, //
 };
 use argh::FromArgs;
+use deployment::{
+    Deployment,
+    INSTANCES,
+    TENANTS,
+    Tenant, //
+};
 use foxtide::node::NodeOptions;
 use foxtide_core::steering::SteeringOptions;
 use std::process::ExitCode;
 use std::sync::Arc;
-use world::{
-    INSTANCES,
-    TENANTS,
-    Tenant,
-    World, //
-};
 
 /// A factor on the shift cap that no contract allows.
-const BROKEN_CAP_FACTOR: f64 = 50.0;
+const CAP_BREAKING_FACTOR: f64 = 50.0;
 
 /// Both tenants of today on embedded stand-ins, in one process.
 #[derive(Debug, FromArgs)]
@@ -64,14 +64,14 @@
     let mut steering = SteeringOptions::default();
     match arguments.break_promise.as_deref() {
         None => {}
-        Some("shift-cap") => steering.shift_cap_factor = BROKEN_CAP_FACTOR,
+        Some("shift-cap") => steering.shift_cap_factor = CAP_BREAKING_FACTOR,
         Some(other) => bail!("--break-promise {other}: valid is shift-cap"),
     }
     Ok(NodeOptions { steering })
 }
 
 async fn run_tenant(tenant: Tenant, options: NodeOptions) -> Result<Vec<promises::Promise>> {
-    let world = Arc::new(World::start(tenant, &options).await?);
+    let deployment = Arc::new(Deployment::start(tenant, &options).await?);
     println!("{:<11} {INSTANCES} instances serve", tenant.name);
-    script::run(world).await
+    script::run(deployment).await
 }
--- a/crates/foxtide/examples/demo/script.rs
+++ b/crates/foxtide/examples/demo/script.rs
@@ -1,15 +1,15 @@
 //! What happens to each tenant, step by step, and what is measured meanwhile.
 
 use crate::callers::Caller;
-use crate::promises::Promise;
-use crate::tally::{
-    End,
-    Tally, //
-};
-use crate::world::{
+use crate::deployment::{
+    Deployment,
     INSTANCES,
-    LOOKUP_TTL_S,
-    World, //
+    LOOKUP_TTL_S, //
+};
+use crate::promises::Promise;
+use crate::stats::{
+    CallerStats,
+    Outcome, //
 };
 use anyhow::{
     Context,
@@ -45,37 +45,37 @@
 const CALLERS: usize = 24;
 
 /// How long traffic runs between two steps.
-const CALM: Duration = Duration::from_secs(2);
+const STEP_PAUSE: Duration = Duration::from_secs(2);
 
 /// How long the move runs.
-const MOVE_TIME: Duration = Duration::from_secs(8);
+const MOVE_DURATION: Duration = Duration::from_secs(8);
 
 /// How long a region is drained before the store goes.
-const DRAIN_TIME: Duration = Duration::from_secs(8);
+const REGION_DRAIN_DURATION: Duration = Duration::from_secs(8);
 
 /// How long the store is away.
-const OUTAGE: Duration = Duration::from_secs(4);
+const OUTAGE_DURATION: Duration = Duration::from_secs(4);
 
 /// The most time in which a leaving upstream may still get new work, in
 /// seconds.
-const LEAVING_LIMIT: Duration = Duration::from_secs(2);
+const DRAINING_LIMIT: Duration = Duration::from_secs(2);
 
 /// The most time until a change is in force everywhere, in seconds.
 const IN_FORCE_LIMIT_S: f64 = 2.0;
 
 /// Runs the whole script on one tenant.
-pub(crate) async fn run(world: Arc<World>) -> Result<Vec<Promise>> {
-    let tally = Arc::new(Tally::default());
+pub(crate) async fn run(deployment: Arc<Deployment>) -> Result<Vec<Promise>> {
+    let stats = Arc::new(CallerStats::default());
     let stop = Arc::new(AtomicBool::new(false));
     let callers: Vec<_> = (0..CALLERS)
         .map(|number| {
-            let caller = Caller::new(world.clone(), tally.clone(), number, stop.clone());
+            let caller = Caller::new(deployment.clone(), stats.clone(), number, stop.clone());
             smol::spawn(caller.run())
         })
         .collect();
     let mut script = Script {
-        world: world.clone(),
-        tally: tally.clone(),
+        deployment: deployment.clone(),
+        stats: stats.clone(),
         promises: Vec::new(),
     };
     script.steps().await?;
@@ -83,35 +83,35 @@
     for caller in callers {
         caller.await;
     }
-    script.judge_outcomes();
+    script.check_outcomes();
     Ok(script.promises)
 }
 
 struct Script {
-    world: Arc<World>,
-    tally: Arc<Tally>,
+    deployment: Arc<Deployment>,
+    stats: Arc<CallerStats>,
     promises: Vec<Promise>,
 }
 
 impl Script {
     async fn steps(&mut self) -> Result<()> {
-        self.say("traffic runs");
-        Timer::after(CALM).await;
+        self.print("traffic runs");
+        Timer::after(STEP_PAUSE).await;
         self.drain_upstream().await.context("drain an upstream")?;
         self.move_traffic().await.context("move traffic")?;
         self.drain_region().await.context("drain a region")?;
         self.lose_store().await.context("lose the store")?;
         self.stop_instance().await;
         self.kill_instance().await?;
-        self.judge_own_measures().await?;
-        self.say(&format!("callers saw: {}", self.tally.summary()));
+        self.check_reported_promises().await?;
+        self.print(&format!("callers saw: {}", self.stats.summary()));
         Ok(())
     }
 
     async fn drain_upstream(&mut self) -> Result<()> {
-        let service = self.world.tenant.read_service;
+        let service = self.deployment.tenant.read_service;
         let upstream = format!("{service}-1").parse()?;
-        self.say(&format!("drains upstream {upstream}"));
+        self.print(&format!("drains upstream {upstream}"));
         let target = DrainTarget::Upstream {
             service: service.parse()?,
             upstream: format!("{service}-1").parse()?,
@@ -119,143 +119,151 @@
         let drain = Drain {
             id: "demo-drain".parse()?,
             target,
-            start_us: wall(),
+            start_us: wall_time(),
         };
         let announced_at = Instant::now();
         let edit = |document: &mut Organisation| document.drains.push(drain);
-        let (revision, took) = self.world.change("drain an upstream", edit).await?;
-        self.say(&format!("{revision} in force everywhere after {took:?}"));
-        self.timed(
+        let (revision, propagation) = self.deployment.change("drain an upstream", edit).await?;
+        self.print(&format!(
+            "{revision} in force everywhere after {propagation:?}"
+        ));
+        self.check_time(
             "change in force everywhere",
             IN_FORCE_LIMIT_S,
-            took.as_secs_f64(),
+            propagation.as_secs_f64(),
             "s",
         );
-        Timer::after(LEAVING_LIMIT + CALM).await;
-        let late = self.world.upstreams.get(&upstream);
-        let late = late.map_or(0, |server| {
-            server.received_after(announced_at + LEAVING_LIMIT)
+        Timer::after(DRAINING_LIMIT + STEP_PAUSE).await;
+        let late_requests = self.deployment.upstreams.get(&upstream);
+        let late_requests = late_requests.map_or(0, |server| {
+            server.received_after(announced_at + DRAINING_LIMIT)
         });
-        self.counted("requests to a leaving upstream after 2 s", 0.0, late as f64);
+        self.check_count(
+            "requests to a leaving upstream after 2 s",
+            0.0,
+            late_requests as f64,
+        );
         Ok(())
     }
 
     async fn move_traffic(&mut self) -> Result<()> {
-        let [from, to, ..] = &self.world.regions[..] else {
+        let [from, to, ..] = &self.deployment.regions[..] else {
             return Ok(());
         };
-        self.say(&format!("moves traffic from {from} to {to}"));
+        self.print(&format!("moves traffic from {from} to {to}"));
         let planned = PlannedMove {
             id: "demo-move".parse()?,
-            service: self.world.tenant.read_service.parse()?,
+            service: self.deployment.tenant.read_service.parse()?,
             from: from.clone(),
             to: to.clone(),
             share: Share::new(0.1)?,
             pace_share_per_s: ShareRate::new(0.02)?,
-            start_us: wall(),
+            start_us: wall_time(),
             paused_us: None,
         };
         let edit = |document: &mut Organisation| document.moves.push(planned);
-        let (revision, _) = self.world.change("move traffic", edit).await?;
-        self.say(&format!("{revision}: the move runs"));
-        Timer::after(MOVE_TIME).await;
+        let (revision, _) = self.deployment.change("move traffic", edit).await?;
+        self.print(&format!("{revision}: the move runs"));
+        Timer::after(MOVE_DURATION).await;
         Ok(())
     }
 
     /// Drains the last region; its traffic moves under the shift cap.
     async fn drain_region(&mut self) -> Result<()> {
-        let Some(region) = self.world.regions.last().cloned() else {
+        let Some(region) = self.deployment.regions.last().cloned() else {
             return Ok(());
         };
-        self.say(&format!("drains region {region}"));
+        self.print(&format!("drains region {region}"));
         let drain = Drain {
             id: "demo-region".parse()?,
             target: DrainTarget::Region(region),
-            start_us: wall(),
+            start_us: wall_time(),
         };
         let edit = |document: &mut Organisation| document.drains.push(drain);
-        self.world.change("drain a region", edit).await?;
-        Timer::after(DRAIN_TIME).await;
+        self.deployment.change("drain a region", edit).await?;
+        Timer::after(REGION_DRAIN_DURATION).await;
         Ok(())
     }
 
     async fn lose_store(&mut self) -> Result<()> {
-        self.say("takes the store away");
-        let before = self.tally.ended(End::Answered);
-        let revision = self.world.lowest_revision();
-        self.world
+        self.print("takes the store away");
+        let answered_before = self.stats.outcome_count(Outcome::Answered);
+        let revision = self.deployment.lowest_revision();
+        self.deployment
             .store
             .set_availability(Availability::Refusing)
             .await;
-        Timer::after(OUTAGE).await;
-        let during = self.tally.ended(End::Answered) - before;
-        self.world
+        Timer::after(OUTAGE_DURATION).await;
+        let answered_during = self.stats.outcome_count(Outcome::Answered) - answered_before;
+        self.deployment
             .store
             .set_availability(Availability::Serving)
             .await;
-        self.say(&format!(
-            "gives the store back; {during} requests were answered without it"
+        self.print(&format!(
+            "gives the store back; {answered_during} requests were answered without it"
         ));
-        self.counted(
+        self.check_count(
             "store away and no request answered",
             0.0,
-            f64::from(u8::from(during == 0)),
+            f64::from(u8::from(answered_during == 0)),
         );
-        let reverted = self.world.lowest_revision() < revision;
-        self.counted(
+        let reverted = self.deployment.lowest_revision() < revision;
+        self.check_count(
             "configurations that reverted",
             0.0,
             f64::from(u8::from(reverted)),
         );
-        let (revision, took) = self
-            .world
+        let (revision, propagation) = self
+            .deployment
             .change("after the outage", |document| document.drains.clear())
             .await?;
-        self.say(&format!(
-            "{revision} in force everywhere {took:?} after the store's return"
+        self.print(&format!(
+            "{revision} in force everywhere {propagation:?} after the store's return"
         ));
         Ok(())
     }
 
     async fn stop_instance(&mut self) {
-        let Some((id, node)) = self.world.take_node(1) else {
+        let Some((id, node)) = self.deployment.take_node(1) else {
             return;
         };
-        self.say(&format!("stops instance {id} as planned"));
-        let cut = self.tally.ended(End::Cut);
+        self.print(&format!("stops instance {id} as planned"));
+        let cut_before = self.stats.outcome_count(Outcome::Cut);
         node.stop().await;
-        let cut = self.tally.ended(End::Cut) - cut;
-        self.counted("requests cut by a planned stop", 0.0, cut as f64);
+        let cut = self.stats.outcome_count(Outcome::Cut) - cut_before;
+        self.check_count("requests cut by a planned stop", 0.0, cut as f64);
     }
 
     async fn kill_instance(&mut self) -> Result<()> {
-        let Some((id, node)) = self.world.take_node(2) else {
+        let Some((id, node)) = self.deployment.take_node(2) else {
             return Ok(());
         };
-        self.say(&format!("kills instance {id}"));
+        self.print(&format!("kills instance {id}"));
         let killed_at = Instant::now();
         node.kill();
-        self.world.wait_until_known(INSTANCES - 2).await?;
-        let gone = killed_at.elapsed();
-        self.say(&format!("no look-up names it any more after {gone:?}"));
-        self.timed(
+        self.deployment.wait_until_listed(INSTANCES - 2).await?;
+        let removed_after = killed_at.elapsed();
+        self.print(&format!(
+            "no look-up names it any more after {removed_after:?}"
+        ));
+        self.check_time(
             "killed instance out of all look-ups",
             3.0,
-            gone.as_secs_f64(),
+            removed_after.as_secs_f64(),
             "s",
         );
-        Timer::after(Duration::from_secs(LOOKUP_TTL_S.into()) + CALM).await;
+        Timer::after(Duration::from_secs(LOOKUP_TTL_S.into()) + STEP_PAUSE).await;
         Ok(())
     }
 
     /// Asks every instance which promises it found broken.
-    async fn judge_own_measures(&mut self) -> Result<()> {
+    async fn check_reported_promises(&mut self) -> Result<()> {
         let kinds = [
             ("shift-cap", "shift above its cap"),
             ("spill-limit", "spill above its limit"),
             ("sold-rate", "region sent more than an instance's part"),
         ];
-        let rows = self.world.promises().await?;
+        let rows = self.deployment.promises().await?;
         for (kind, name) in kinds {
             let rows: Vec<_> = rows.iter().filter(|row| row.promise == kind).collect();
             if rows.is_empty() {
@@ -263,56 +271,64 @@
             }
             let broken: Vec<_> = rows.iter().filter(|row| !row.held).collect();
             for row in &broken {
-                self.say(&format!("broken: {row:?}"));
+                self.print(&format!("broken: {row:?}"));
             }
-            self.counted(name, 0.0, broken.len() as f64);
+            self.check_count(name, 0.0, broken.len() as f64);
         }
         Ok(())
     }
 
-    fn judge_outcomes(&mut self) {
-        let writes = self.tally.writes();
-        let doubled = writes
+    fn check_outcomes(&mut self) {
+        let writes = self.stats.writes();
+        let run_twice = writes
             .iter()
-            .filter(|write| self.world.runs_of(&write.key) > 1);
-        let doubled = doubled.count();
-        let false_not_run = writes
-            .iter()
-            .filter(|write| write.end == End::NotRun && self.world.runs_of(&write.key) > 0);
-        let false_not_run = false_not_run.count();
-        let lost = writes
-            .iter()
-            .filter(|write| write.end == End::Answered && self.world.runs_of(&write.key) != 1);
-        let lost = lost.count();
-        self.counted("non-idempotent requests run twice", 0.0, doubled as f64);
-        self.counted("requests told not-run that ran", 0.0, false_not_run as f64);
-        self.counted("answered writes that did not run once", 0.0, lost as f64);
-        self.counted(
+            .filter(|write| self.deployment.runs_of(&write.key) > 1);
+        let run_twice = run_twice.count();
+        let ran_despite_not_run = writes.iter().filter(|write| {
+            write.outcome == Outcome::NotRun && self.deployment.runs_of(&write.key) > 0
+        });
+        let ran_despite_not_run = ran_despite_not_run.count();
+        let not_run_once = writes.iter().filter(|write| {
+            write.outcome == Outcome::Answered && self.deployment.runs_of(&write.key) != 1
+        });
+        let not_run_once = not_run_once.count();
+        self.check_count("non-idempotent requests run twice", 0.0, run_twice as f64);
+        self.check_count(
+            "requests told not-run that ran",
+            0.0,
+            ran_despite_not_run as f64,
+        );
+        self.check_count(
+            "answered writes that did not run once",
+            0.0,
+            not_run_once as f64,
+        );
+        self.check_count(
             "answers not whole or not the caller's own",
             0.0,
-            self.tally.ended(End::Wrong) as f64,
+            self.stats.outcome_count(Outcome::Wrong) as f64,
         );
-        self.counted(
+        self.check_count(
             "callers made no write",
             0.0,
             f64::from(u8::from(writes.is_empty())),
         );
-        self.timed("p99 latency of reads", 250.0, self.tally.p99_ms(), "ms");
+        self.check_time("p99 latency of reads", 250.0, self.stats.p99_ms(), "ms");
     }
 
-    fn say(&self, text: &str) {
-        println!("{:<11} {text}", self.world.tenant.name);
+    fn print(&self, text: &str) {
+        println!("{:<11} {text}", self.deployment.tenant.name);
     }
 
-    fn counted(&mut self, name: &'static str, limit: f64, measured: f64) {
-        self.promise(name, limit, measured, "count", false);
+    fn check_count(&mut self, name: &'static str, limit: f64, measured: f64) {
+        self.record(name, limit, measured, "count", false);
     }
 
-    fn timed(&mut self, name: &'static str, limit: f64, measured: f64, unit: &'static str) {
-        self.promise(name, limit, measured, unit, true);
+    fn check_time(&mut self, name: &'static str, limit: f64, measured: f64, unit: &'static str) {
+        self.record(name, limit, measured, unit, true);
     }
 
-    fn promise(
+    fn record(
         &mut self,
         name: &'static str,
         limit: f64,
@@ -321,7 +337,7 @@
         timed: bool,
     ) {
         self.promises.push(Promise {
-            tenant: self.world.tenant.name,
+            tenant: self.deployment.tenant.name,
             name,
             limit,
             measured,
@@ -331,7 +347,7 @@
     }
 }
 
-fn wall() -> WallTime {
+fn wall_time() -> WallTime {
     let now = SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .unwrap_or_default();
