--- a/crates/foxtide/examples/demo/callers.rs
+++ b/crates/foxtide/examples/demo/callers.rs
@@ -1,5 +1,5 @@
-//! Callers: they look an instance up, keep the answer for its time to live,
-//! read often and write now and then.
+//! Callers that look up instances, cache the answer for its time to live, and
+//! send reads and non-idempotent writes.
 
 use crate::deployment::Deployment;
 use crate::stats::{
@@ -31,22 +31,21 @@
     UNIX_EPOCH, //
 };
 
-/// The time between two requests of a caller.
 const REQUEST_INTERVAL: Duration = Duration::from_millis(25);
 
-/// How long a caller waits for an answer.
 const CALL_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Every so many requests of a caller is a write.
+/// One in this many requests of a caller is a write.
 const WRITE_EVERY: u64 = 5;
 
-/// The header that names the process which may run a key.
+/// The response header that names the process to which new idempotency keys
+/// belong.
 const OWNER_HEADER: &str = "foxtide-owner";
 
-/// The header that tells what is known of a request.
+/// The response header that says whether a failed request may have run.
 const OUTCOME_HEADER: &str = "foxtide-outcome";
 
-/// How often a caller tries a read at another instance.
+/// The number of instances at which a caller tries a read.
 const READ_ATTEMPTS: usize = 3;
 
 #[derive(Clone, Debug, Deserialize)]
@@ -70,7 +69,6 @@
     path: String,
 }
 
-/// One caller.
 pub(crate) struct Caller {
     pub(crate) deployment: Arc<Deployment>,
     pub(crate) stats: Arc<CallerStats>,
@@ -99,7 +97,7 @@
         }
     }
 
-    /// Sends requests until it is told to stop.
+    /// Sends requests until `stop` is set.
     pub(crate) async fn run(mut self) {
         let mut count = 0;
         while !self.stop.load(Ordering::Relaxed) {
@@ -156,8 +154,8 @@
         self.stats.record_outcome(outcome);
     }
 
-    /// Writes with a new key at the instance whose process name is known; it
-    /// is never sent again.
+    /// Sends a write with a new idempotency key to the instance that owns the
+    /// key; the write is never retried.
     async fn write(&mut self, count: u64) {
         let Some((address, owner)) = self.owner.clone() else {
             return;
@@ -224,7 +222,7 @@
     }
 }
 
-/// Gives a call up after `timeout`, as a caller's patience does.
+/// Fails a call that takes longer than `timeout`.
 async fn with_timeout(
     timeout: Duration,
     call: impl Future<Output = http_types::Result<HttpAnswer>>,
--- a/crates/foxtide/examples/demo/deployment.rs
+++ b/crates/foxtide/examples/demo/deployment.rs
@@ -1,4 +1,5 @@
-//! One tenant of the demo: its stand-ins, its instances and its operator.
+//! One tenant of the demo: its fake store and upstreams, its instances, and
+//! configuration changes as an operator makes them.
 
 use anyhow::{
     Context,
@@ -61,34 +62,32 @@
     Instant, //
 };
 
-/// How many instances each tenant has today.
+/// The number of instances of each tenant.
 pub(crate) const INSTANCES: usize = 10;
 
-/// How long a caller may keep the answer to a look-up, in seconds.
+/// The time to live of an answer to a look-up, in seconds.
 pub(crate) const LOOKUP_TTL_S: u32 = 1;
 
-/// The longest wait for anything that the demo sets up.
+/// The longest wait for any condition.
 const SETUP_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// The time between two looks at a condition.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// What tells the tenants apart.
+/// The properties in which the tenants differ.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Tenant {
-    /// The organisation's name.
+    /// The name of its organisation.
     pub(crate) name: &'static str,
-    /// The template it is made from.
+    /// The text of its organisation's template.
     pub(crate) template: &'static str,
-    /// The service that callers read from.
+    /// The service to which callers send reads.
     pub(crate) read_service: &'static str,
-    /// The service that callers write to, at most once.
+    /// The service to which callers send writes that run at most once.
     pub(crate) write_service: &'static str,
-    /// The delay between upstream and instance in one region.
+    /// The delay between an instance and an upstream of the same region.
     pub(crate) zone_delay: Duration,
 }
 
-/// The two tenants of today.
 pub(crate) const TENANTS: [Tenant; 2] = [
     Tenant {
         name: "hamutenya",
@@ -106,9 +105,9 @@
     },
 ];
 
-/// A promise as an instance's page shows it.
+/// A promise as an instance reports it at `/v1/promises`.
 #[derive(Debug, Deserialize)]
-#[expect(dead_code, reason = "printed whole where the promise is broken")]
+#[expect(dead_code, reason = "printed with `Debug` if the promise is broken")]
 pub(crate) struct PromiseRow {
     pub(crate) promise: String,
     service: Option<String>,
@@ -118,7 +117,7 @@
     pub(crate) held: bool,
 }
 
-/// A tenant's running stand-ins and instances.
+/// The running store, upstreams and instances of a tenant.
 pub(crate) struct Deployment {
     pub(crate) tenant: Tenant,
     pub(crate) organisation: OrganisationId,
@@ -130,7 +129,7 @@
 }
 
 impl Deployment {
-    /// Starts everything and waits until every instance serves.
+    /// Starts everything and waits until every instance has a configuration.
     pub(crate) async fn start(tenant: Tenant, options: &NodeOptions) -> Result<Self> {
         let organisation: OrganisationId = tenant.name.parse()?;
         let template = Template::parse(tenant.name, tenant.template)?;
@@ -202,7 +201,8 @@
         Ok(())
     }
 
-    /// Waits until every instance names `count` instances in its look-ups.
+    /// Waits until every instance lists `count` instances in its look-ups and
+    /// has a configuration.
     pub(crate) async fn wait_until_listed(&self, count: usize) -> Result<()> {
         let all_listed = || {
             let nodes = self.nodes.lock();
@@ -212,14 +212,14 @@
         };
         wait_until(all_listed)
             .await
-            .context("instances know each other")?;
+            .context("wait until every instance lists all others")?;
         let serving = || self.lowest_revision() > Revision::ZERO;
         wait_until(serving)
             .await
-            .context("a configuration is in force")
+            .context("wait until a configuration is in force")
     }
 
-    /// Returns the lowest revision in force at any instance.
+    /// Returns the lowest revision that is in force at any instance.
     pub(crate) fn lowest_revision(&self) -> Revision {
         let nodes = self.nodes.lock();
         let revisions = nodes.values().map(|node| {
@@ -229,8 +229,8 @@
         revisions.min().unwrap_or(Revision::ZERO)
     }
 
-    /// Changes the document as an operator does; returns its new revision and
-    /// the time until it was in force at every instance.
+    /// Changes the configuration as an operator does; returns the new revision
+    /// and the time until it was in force at every instance.
     pub(crate) async fn change(
         &self,
         summary: &str,
@@ -251,11 +251,13 @@
         let accepted_at = Instant::now();
         wait_until(|| self.lowest_revision() >= revision)
             .await
-            .with_context(|| format!("{summary}: {revision} in force everywhere"))?;
+            .with_context(|| {
+                format!("{summary}: wait until {revision} is in force at every instance")
+            })?;
         Ok((revision, accepted_at.elapsed()))
     }
 
-    /// Returns where callers may look up, every instance in turn.
+    /// Returns the addresses at which instances serve callers.
     pub(crate) fn caller_addresses(&self) -> Vec<SocketAddr> {
         self.nodes
             .lock()
@@ -264,14 +266,14 @@
             .collect()
     }
 
-    /// Takes an instance out of the world, to be stopped or killed.
+    /// Removes an instance from the deployment, for the caller to stop or kill.
     pub(crate) fn take_node(&self, number: usize) -> Option<(InstanceId, Node)> {
         let mut nodes = self.nodes.lock();
         let id = nodes.keys().nth(number)?.clone();
         nodes.remove_entry(&id)
     }
 
-    /// Returns the promises as every instance measures them.
+    /// Returns the promises as all instances report them.
     pub(crate) async fn promises(&self) -> Result<Vec<PromiseRow>> {
         let addresses: Vec<SocketAddr> = self
             .nodes
@@ -289,13 +291,14 @@
         Ok(rows)
     }
 
-    /// Returns how often a key was run, at all upstreams together.
+    /// Returns how often all upstreams together ran the request with this key.
     pub(crate) fn runs_of(&self, key: &str) -> usize {
         self.upstreams.values().map(|it| it.runs_of(key)).sum()
     }
 }
 
-/// Where an instance stands.
+/// Where an instance runs, and the address from which it connects to
+/// upstreams.
 struct Placement {
     region: RegionId,
     source: IpAddr,
@@ -324,7 +327,8 @@
     }
 }
 
-/// Starts a stand-in for every upstream and puts its address into the document.
+/// Starts a fake server for every upstream and sets its address in the
+/// document.
 async fn start_upstreams(
     document: &mut Organisation,
     zone_delay: Duration,
@@ -351,8 +355,8 @@
     Ok(servers)
 }
 
-/// Returns the address from which the instances of each region connect, by
-/// which the upstreams' stand-ins tell how far away they are.
+/// Returns the address from which the instances of each region connect. The
+/// fake upstreams choose the link's delay by this address.
 fn source_addresses(document: &Organisation) -> BTreeMap<RegionId, IpAddr> {
     let regions = document.regions.iter().zip(1..);
     let source = |(region, number): (&Region, u8)| {
@@ -377,12 +381,14 @@
     }
 }
 
-/// Waits until a condition holds.
 pub(crate) async fn wait_until(condition: impl Fn() -> bool) -> Result<()> {
     let started = Instant::now();
     while !condition() {
         if started.elapsed() > SETUP_TIMEOUT {
-            return Err(anyhow!("waited {} s in vain", SETUP_TIMEOUT.as_secs()));
+            return Err(anyhow!(
+                "the condition did not hold within {} s",
+                SETUP_TIMEOUT.as_secs()
+            ));
         }
         Timer::after(POLL_INTERVAL).await;
     }
--- a/crates/foxtide/examples/demo/main.rs
+++ b/crates/foxtide/examples/demo/main.rs
@@ -1,8 +1,9 @@
-//! Both tenants of today on embedded stand-ins, in one process.
+//! Runs both example tenants in one process, with fake stores and upstreams,
+//! and checks promises about the requests that are served meanwhile.
 //!
 //! `cargo run --release --example demo` sends look-ups and requests, drains an
-//! upstream, moves traffic, takes the store away, stops one instance and kills
-//! another, and prints which promises held.
+//! upstream, moves traffic, drains a region, makes the store unavailable,
+//! stops one instance and kills another, and prints which promises held.
 
 mod callers;
 mod deployment;
@@ -26,13 +27,15 @@
 use std::process::ExitCode;
 use std::sync::Arc;
 
-/// A factor on the shift cap that no contract allows.
+/// The factor on the shift cap with `--break-promise shift-cap`; larger than
+/// any contract allows.
 const CAP_BREAKING_FACTOR: f64 = 50.0;
 
-/// Both tenants of today on embedded stand-ins, in one process.
+/// Runs both example tenants with fake stores and upstreams in one process,
+/// and checks promises.
 #[derive(Debug, FromArgs)]
 struct Arguments {
-    /// break a promise on purpose, to see that it is told: shift-cap
+    /// break a promise on purpose, to check that it is reported; valid: shift-cap
     #[argh(option)]
     break_promise: Option<String>,
 }
@@ -72,6 +75,6 @@
 
 async fn run_tenant(tenant: Tenant, options: NodeOptions) -> Result<Vec<promises::Promise>> {
     let deployment = Arc::new(Deployment::start(tenant, &options).await?);
-    println!("{:<11} {INSTANCES} instances serve", tenant.name);
+    println!("{:<11} {INSTANCES} instances are ready", tenant.name);
     script::run(deployment).await
 }
--- a/crates/foxtide/examples/demo/promises.rs
+++ b/crates/foxtide/examples/demo/promises.rs
@@ -1,8 +1,8 @@
-//! The promises that the demo checks, as a table.
+//! The result table: each promise with its limit and the measured value.
 
 use std::fmt;
 
-/// One promise with what was measured.
+/// A promise, its limit and the measured value.
 #[derive(Clone, Debug)]
 pub(crate) struct Promise {
     pub(crate) tenant: &'static str,
@@ -10,17 +10,17 @@
     pub(crate) limit: f64,
     pub(crate) measured: f64,
     pub(crate) unit: &'static str,
-    /// Whether a slow machine alone could break it: then CI only prints it.
+    /// Whether a slow machine alone can break it; CI prints such a promise
+    /// without judging it.
     pub(crate) timed: bool,
 }
 
 impl Promise {
-    /// Tells whether it held.
     pub(crate) fn held(&self) -> bool {
         self.measured <= self.limit
     }
 
-    /// Tells whether a break makes the demo fail.
+    /// Returns whether the demo fails if this promise is broken.
     fn judged(&self, in_ci: bool) -> bool {
         !(self.timed && in_ci)
     }
@@ -37,7 +37,7 @@
     }
 }
 
-/// Prints all promises; returns whether all that are judged held.
+/// Prints all promises; returns whether every judged promise held.
 pub(crate) fn print_table(promises: &[Promise]) -> bool {
     let in_ci = std::env::var("CI").is_ok_and(|value| value == "true");
     println!(
--- a/crates/foxtide/examples/demo/script.rs
+++ b/crates/foxtide/examples/demo/script.rs
@@ -1,4 +1,4 @@
-//! What happens to each tenant, step by step, and what is measured meanwhile.
+//! The steps that the demo runs on each tenant, and the promises it checks.
 
 use crate::callers::Caller;
 use crate::deployment::{
@@ -41,29 +41,27 @@
     UNIX_EPOCH, //
 };
 
-/// How many callers each tenant has in the demo.
+/// The number of callers of each tenant.
 const CALLERS: usize = 24;
 
-/// How long traffic runs between two steps.
+/// The time between two steps.
 const STEP_PAUSE: Duration = Duration::from_secs(2);
 
-/// How long the move runs.
 const MOVE_DURATION: Duration = Duration::from_secs(8);
 
-/// How long a region is drained before the store goes.
+/// The time between the drain of the region and the store's outage.
 const REGION_DRAIN_DURATION: Duration = Duration::from_secs(8);
 
-/// How long the store is away.
 const OUTAGE_DURATION: Duration = Duration::from_secs(4);
 
-/// The most time in which a leaving upstream may still get new work, in
-/// seconds.
+/// The longest time after its drain is announced in which an upstream may
+/// still receive new requests.
 const DRAINING_LIMIT: Duration = Duration::from_secs(2);
 
-/// The most time until a change is in force everywhere, in seconds.
+/// The longest time until a change is in force at every instance, in seconds.
 const IN_FORCE_LIMIT_S: f64 = 2.0;
 
-/// Runs the whole script on one tenant.
+/// Runs all steps on one tenant while its callers send requests.
 pub(crate) async fn run(deployment: Arc<Deployment>) -> Result<Vec<Promise>> {
     let stats = Arc::new(CallerStats::default());
     let stop = Arc::new(AtomicBool::new(false));
@@ -95,7 +93,7 @@
 
 impl Script {
     async fn steps(&mut self) -> Result<()> {
-        self.print("traffic runs");
+        self.print("callers send requests");
         Timer::after(STEP_PAUSE).await;
         self.drain_upstream().await.context("drain an upstream")?;
         self.move_traffic().await.context("move traffic")?;
@@ -111,7 +109,7 @@
     async fn drain_upstream(&mut self) -> Result<()> {
         let service = self.deployment.tenant.read_service;
         let upstream = format!("{service}-1").parse()?;
-        self.print(&format!("drains upstream {upstream}"));
+        self.print(&format!("draining upstream {upstream}"));
         let target = DrainTarget::Upstream {
             service: service.parse()?,
             upstream: format!("{service}-1").parse()?,
@@ -125,7 +123,7 @@
         let edit = |document: &mut Organisation| document.drains.push(drain);
         let (revision, propagation) = self.deployment.change("drain an upstream", edit).await?;
         self.print(&format!(
-            "{revision} in force everywhere after {propagation:?}"
+            "{revision} in force at every instance after {propagation:?}"
         ));
         self.check_time(
             "change in force everywhere",
@@ -150,7 +148,7 @@
         let [from, to, ..] = &self.deployment.regions[..] else {
             return Ok(());
         };
-        self.print(&format!("moves traffic from {from} to {to}"));
+        self.print(&format!("moving traffic from {from} to {to}"));
         let planned = PlannedMove {
             id: "demo-move".parse()?,
             service: self.deployment.tenant.read_service.parse()?,
@@ -163,17 +161,17 @@
         };
         let edit = |document: &mut Organisation| document.moves.push(planned);
         let (revision, _) = self.deployment.change("move traffic", edit).await?;
-        self.print(&format!("{revision}: the move runs"));
+        self.print(&format!("{revision} in force; the move is under way"));
         Timer::after(MOVE_DURATION).await;
         Ok(())
     }
 
-    /// Drains the last region; its traffic moves under the shift cap.
+    /// Drains the last region; the shift cap limits how fast its traffic moves.
     async fn drain_region(&mut self) -> Result<()> {
         let Some(region) = self.deployment.regions.last().cloned() else {
             return Ok(());
         };
-        self.print(&format!("drains region {region}"));
+        self.print(&format!("draining region {region}"));
         let drain = Drain {
             id: "demo-region".parse()?,
             target: DrainTarget::Region(region),
@@ -186,7 +184,7 @@
     }
 
     async fn lose_store(&mut self) -> Result<()> {
-        self.print("takes the store away");
+        self.print("making the store unavailable");
         let answered_before = self.stats.outcome_count(Outcome::Answered);
         let revision = self.deployment.lowest_revision();
         self.deployment
@@ -200,7 +198,7 @@
             .set_availability(Availability::Serving)
             .await;
         self.print(&format!(
-            "gives the store back; {answered_during} requests were answered without it"
+            "store available again; {answered_during} requests were answered during the outage"
         ));
         self.check_count(
             "store away and no request answered",
@@ -218,7 +216,7 @@
             .change("after the outage", |document| document.drains.clear())
             .await?;
         self.print(&format!(
-            "{revision} in force everywhere {propagation:?} after the store's return"
+            "{revision} in force at every instance {propagation:?} after the outage"
         ));
         Ok(())
     }
@@ -227,7 +225,7 @@
         let Some((id, node)) = self.deployment.take_node(1) else {
             return;
         };
-        self.print(&format!("stops instance {id} as planned"));
+        self.print(&format!("stopping instance {id} (planned)"));
         let cut_before = self.stats.outcome_count(Outcome::Cut);
         node.stop().await;
         let cut = self.stats.outcome_count(Outcome::Cut) - cut_before;
@@ -238,14 +236,12 @@
         let Some((id, node)) = self.deployment.take_node(2) else {
             return Ok(());
         };
-        self.print(&format!("kills instance {id}"));
+        self.print(&format!("killing instance {id}"));
         let killed_at = Instant::now();
         node.kill();
         self.deployment.wait_until_listed(INSTANCES - 2).await?;
         let removed_after = killed_at.elapsed();
-        self.print(&format!(
-            "no look-up names it any more after {removed_after:?}"
-        ));
+        self.print(&format!("no instance lists it after {removed_after:?}"));
         self.check_time(
             "killed instance out of all look-ups",
             3.0,
@@ -256,7 +252,7 @@
         Ok(())
     }
 
-    /// Asks every instance which promises it found broken.
+    /// Checks the promises that the instances measure themselves.
     async fn check_reported_promises(&mut self) -> Result<()> {
         let kinds = [
             ("shift-cap", "shift above its cap"),
@@ -267,7 +263,7 @@
         for (kind, name) in kinds {
             let rows: Vec<_> = rows.iter().filter(|row| row.promise == kind).collect();
             if rows.is_empty() {
-                return Err(anyhow!("no instance measured {kind}"));
+                return Err(anyhow!("no instance reports the promise {kind}"));
             }
             let broken: Vec<_> = rows.iter().filter(|row| !row.held).collect();
             for row in &broken {
--- a/crates/foxtide/examples/demo/stats.rs
+++ b/crates/foxtide/examples/demo/stats.rs
@@ -1,33 +1,33 @@
-//! What the demo's callers saw.
+//! Outcomes, writes and latencies of the callers' requests.
 
 use parking_lot::Mutex;
 use std::collections::BTreeMap;
 
-/// How a caller's request ended.
+/// The outcome of a request as its caller sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Outcome {
-    /// The whole answer to the caller's own request came.
+    /// The complete answer to this request was received.
     Answered,
-    /// The request surely did not run.
+    /// The answer says that the request did not run.
     NotRun,
-    /// The request may have run.
+    /// The answer says that the request may have run.
     Unknown,
-    /// No connection to the instance could be opened.
+    /// The instance refused the connection.
     Unreachable,
-    /// The connection ended before the answer did.
+    /// The connection failed, or no complete answer came in time.
     Cut,
-    /// An answer came that is not the caller's, or not whole.
+    /// The answer is malformed or belongs to another request.
     Wrong,
 }
 
-/// A write that was given up as not run, or answered.
+/// A write with its idempotency key.
 #[derive(Clone, Debug)]
 pub(crate) struct Write {
     pub(crate) key: String,
     pub(crate) outcome: Outcome,
 }
 
-/// Counts over all callers of a tenant.
+/// Statistics of all callers of a tenant.
 #[derive(Debug, Default)]
 pub(crate) struct CallerStats {
     outcomes: Mutex<BTreeMap<Outcome, u64>>,
@@ -37,27 +37,23 @@
 }
 
 impl CallerStats {
-    /// Counts one request's end.
     pub(crate) fn record_outcome(&self, outcome: Outcome) {
         *self.outcomes.lock().entry(outcome).or_default() += 1;
     }
 
-    /// Notes how a write ended.
     pub(crate) fn record_write(&self, key: String, outcome: Outcome) {
         self.writes.lock().push(Write { key, outcome });
     }
 
-    /// Counts the reason that a refusal gave.
     pub(crate) fn record_rejection_reason(&self, reason: String) {
         *self.rejection_reasons.lock().entry(reason).or_default() += 1;
     }
 
-    /// Notes the time of an answered read.
     pub(crate) fn record_read_latency(&self, latency_us: u64) {
         self.latencies_us.lock().push(latency_us);
     }
 
-    /// Returns how many requests ended so.
+    /// Returns the number of requests with this outcome.
     pub(crate) fn outcome_count(&self, outcome: Outcome) -> u64 {
         self.outcomes
             .lock()
@@ -66,7 +62,7 @@
             .unwrap_or_default()
     }
 
-    /// Returns all counts, for people.
+    /// Returns the counts of outcomes and rejection reasons as text.
     pub(crate) fn summary(&self) -> String {
         let outcomes = self.outcomes.lock();
         let parts = outcomes
@@ -76,12 +72,11 @@
         format!("{parts}; reasons {:?}", self.rejection_reasons.lock())
     }
 
-    /// Returns all writes.
     pub(crate) fn writes(&self) -> Vec<Write> {
         self.writes.lock().clone()
     }
 
-    /// Returns the 99th percentile of the latency of reads, in milliseconds.
+    /// Returns the 99th percentile of the read latency, in milliseconds.
     pub(crate) fn p99_ms(&self) -> f64 {
         let mut latencies = self.latencies_us.lock().clone();
         latencies.sort_unstable();
