--- a/crates/foxtide/examples/measure/proxy.rs
+++ b/crates/foxtide/examples/measure/proxy.rs
@@ -31,7 +31,7 @@
 };
 use usage::{
     resident_bytes,
-    workers_cpu, //
+    worker_cpu_time, //
 };
 
 const WORKERS: usize = 2;
@@ -40,18 +40,18 @@
 const SATURATED_RUNS: u32 = 7;
 const REQUEST: &str = "/hamutenya/viewer/cracks/17";
 const LOOKUP: &str = "/v1/lookup?organisation=hamutenya&service=viewer";
-const PATIENCE: Duration = Duration::from_secs(20);
+const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// The connections between two readings of the memory.
-const CONNECTIONS_STEP: usize = 1_000;
+const CONNECTIONS_PER_STEP: usize = 1_000;
 
 /// The sizes between which the control's slope is measured.
 const CONTROL_UPSTREAMS: [usize; 2] = [48, 1_248];
-const CONTROL_SETTLE: Duration = Duration::from_secs(2);
+const CONTROL_WARM_UP: Duration = Duration::from_secs(2);
 const CONTROL_TIME: Duration = Duration::from_secs(3);
 
 /// How many of the held requests are sent without a pause.
-const ASKED_AT_ONCE: usize = 20;
+const HELD_BATCH: usize = 20;
 
 /// Measures the request path.
 pub(crate) fn run(report: &mut Report) {
@@ -65,14 +65,14 @@
     stops::run(report);
 }
 
-fn callers(address: SocketAddr, target: &'static str, rate_rps: Option<f64>) -> Run {
+fn run_callers(address: SocketAddr, target: &'static str, rate_rps: Option<f64>) -> Run {
     let callers = Callers {
         address: Arc::new(Mutex::new(address)),
         method: "GET",
         target,
         count: CALLERS,
         rate_rps,
-        time: RUN_TIME,
+        duration: RUN_TIME,
     };
     callers.run()
 }
@@ -82,21 +82,21 @@
 /// machine can only make a run slower.
 fn saturate(address: SocketAddr, target: &'static str) -> (Run, f64) {
     let run = |_| {
-        let cpu_before = workers_cpu();
-        let run = callers(address, target, None);
-        let cpu = workers_cpu() - cpu_before;
+        let cpu_before = worker_cpu_time();
+        let run = run_callers(address, target, None);
+        let cpu = worker_cpu_time() - cpu_before;
         let cpu_us = cpu.as_secs_f64() * 1e6 / run.answered as f64;
         (run, cpu_us)
     };
     let (runs, cpu_us): (Vec<Run>, Vec<f64>) = (0..SATURATED_RUNS).map(run).unzip();
-    let least_us = cpu_us.into_iter().fold(f64::INFINITY, f64::min);
+    let min_cpu_us = cpu_us.into_iter().fold(f64::INFINITY, f64::min);
     let fastest = |a: &Run, b: &Run| a.rate_rps().total_cmp(&b.rate_rps());
     let fastest = runs.into_iter().max_by(fastest);
-    (fastest.expect("there is a run"), least_us)
+    (fastest.expect("there is a run"), min_cpu_us)
 }
 
 fn measure_rates(report: &mut Report, entry: SocketAddr, upstream: SocketAddr) {
-    let direct = callers(upstream, REQUEST, None);
+    let direct = run_callers(upstream, REQUEST, None);
     let (saturated, cpu_us) = saturate(entry, REQUEST);
     report.figure("proxy.direct_rate", direct.rate_rps(), "1/s", Limit::None);
     report.figure(
@@ -113,8 +113,8 @@
         Limit::AtMost(0.0),
     );
     let half_rps = Some(saturated.rate_rps() / 2.0);
-    let direct = callers(upstream, REQUEST, half_rps);
-    let proxied = callers(entry, REQUEST, half_rps);
+    let direct = run_callers(upstream, REQUEST, half_rps);
+    let proxied = run_callers(entry, REQUEST, half_rps);
     report.figure("proxy.half_rate", proxied.rate_rps(), "1/s", Limit::None);
     for (name, quantile, limit_ms) in [("p50", 0.5, 0.2), ("p99", 0.99, 2.0)] {
         let (direct_ms, proxied_ms) = (direct.latency_ms(quantile), proxied.latency_ms(quantile));
@@ -146,23 +146,23 @@
 /// Measures slopes: a first step takes up what the process has free, the
 /// second one is measured.
 fn measure_memory(report: &mut Report, instance: &Instance, upstream: &FastUpstream) {
-    let mut first = connections(instance, CONNECTIONS_STEP);
+    let mut first = open_connections(instance, CONNECTIONS_PER_STEP);
     let before = resident_bytes();
-    let mut second = connections(instance, CONNECTIONS_STEP);
-    let idle_bytes = (resident_bytes() - before) / CONNECTIONS_STEP as f64;
+    let mut second = open_connections(instance, CONNECTIONS_PER_STEP);
+    let idle_bytes = (resident_bytes() - before) / CONNECTIONS_PER_STEP as f64;
     report.figure("proxy.idle_connection", idle_bytes, "bytes", Limit::None);
-    upstream.hold(true);
-    ask_held(&mut first, upstream);
-    let busy_bytes = ask_held(&mut second, upstream);
-    let mut direct: Vec<TcpStream> = (0..CONNECTIONS_STEP)
+    upstream.set_holding(true);
+    send_held_requests(&mut first, upstream);
+    let busy_bytes = send_held_requests(&mut second, upstream);
+    let mut direct: Vec<TcpStream> = (0..CONNECTIONS_PER_STEP)
         .map(|_| connect(upstream.address))
         .collect();
     // The upstream here takes a thread for each request, in this process too.
-    let upstream_bytes = ask_held(&mut direct, upstream);
+    let upstream_bytes = send_held_requests(&mut direct, upstream);
     report.figure("proxy.busy_upstream", upstream_bytes, "bytes", Limit::None);
     let busy_bytes = busy_bytes - upstream_bytes;
     report.figure("proxy.busy_request", busy_bytes, "bytes", Limit::None);
-    upstream.hold(false);
+    upstream.set_holding(false);
 }
 
 /// Measures what an instance without callers spends on its upstreams: ticks,
@@ -190,41 +190,41 @@
     };
     let addresses: Vec<SocketAddr> = (0..count).map(address).collect();
     let _instance = Instance::start(1, &addresses);
-    std::thread::sleep(CONTROL_SETTLE);
-    let before = workers_cpu();
+    std::thread::sleep(CONTROL_WARM_UP);
+    let before = worker_cpu_time();
     std::thread::sleep(CONTROL_TIME);
-    (workers_cpu() - before).as_secs_f64() / CONTROL_TIME.as_secs_f64()
+    (worker_cpu_time() - before).as_secs_f64() / CONTROL_TIME.as_secs_f64()
 }
 
 /// Sends a request on each connection to an upstream that holds its answers;
 /// returns the memory that one takes, in bytes.
-fn ask_held(streams: &mut [TcpStream], upstream: &FastUpstream) -> f64 {
+fn send_held_requests(streams: &mut [TcpStream], upstream: &FastUpstream) -> f64 {
     let before = resident_bytes();
-    let got = upstream.requests.load(Ordering::SeqCst);
+    let received_before = upstream.received.load(Ordering::SeqCst);
     let request = format!("GET {REQUEST} HTTP/1.1\r\nhost: x\r\n\r\n");
-    for some in streams.chunks_mut(ASKED_AT_ONCE) {
-        for stream in some {
+    for batch in streams.chunks_mut(HELD_BATCH) {
+        for stream in batch {
             let _ = stream.write_all(request.as_bytes());
         }
         // New connections to the upstream must not overrun its backlog.
         std::thread::sleep(Duration::from_millis(5));
     }
-    let all = got + streams.len() as u64;
-    wait_until(|| upstream.requests.load(Ordering::SeqCst) >= all);
+    let expected = received_before + streams.len() as u64;
+    wait_until(|| upstream.received.load(Ordering::SeqCst) >= expected);
     (resident_bytes() - before) / streams.len() as f64
 }
 
-fn connections(instance: &Instance, count: usize) -> Vec<TcpStream> {
+fn open_connections(instance: &Instance, count: usize) -> Vec<TcpStream> {
     let before = instance.entry.connections();
     let address = instance.entry.caller_address();
-    let open = (0..count).map(|_| connect(address)).collect();
+    let streams = (0..count).map(|_| connect(address)).collect();
     wait_until(|| instance.entry.connections() >= before + count);
-    open
+    streams
 }
 
 pub(crate) fn wait_until(condition: impl Fn() -> bool) {
     let started = Instant::now();
-    while !condition() && started.elapsed() < PATIENCE {
+    while !condition() && started.elapsed() < WAIT_TIMEOUT {
         std::thread::sleep(Duration::from_millis(5));
     }
 }
--- a/crates/foxtide/examples/measure/proxy/instance.rs
+++ b/crates/foxtide/examples/measure/proxy/instance.rs
@@ -50,7 +50,7 @@
 const INSTANCES: u16 = 10;
 
 /// What the request path works with here.
-pub(crate) struct InstanceParts {
+pub(crate) struct EntryDependencies {
     traffic: TrafficTables,
     revision: AtomicU64,
     clock: SystemClock,
@@ -63,9 +63,9 @@
 /// A running request path.
 pub(crate) struct Instance {
     /// The entry.
-    pub(crate) entry: Arc<Entry<InstanceParts>>,
+    pub(crate) entry: Arc<Entry<EntryDependencies>>,
     /// Its parts.
-    pub(crate) parts: Arc<InstanceParts>,
+    pub(crate) dependencies: Arc<EntryDependencies>,
     /// The pool that runs it, which ends when this is dropped.
     _workers: Workers,
 }
@@ -73,8 +73,8 @@
 impl Instance {
     /// Starts a request path with this many workers before these upstreams.
     pub(crate) fn start(threads: usize, upstreams: &[SocketAddr]) -> Self {
-        let parts = Arc::new(InstanceParts::new());
-        parts.configure(upstreams, &[]);
+        let dependencies = Arc::new(EntryDependencies::new());
+        dependencies.configure(upstreams, &[]);
         let workers = Workers::start(threads).expect("threads can be started");
         let options = EntryOptions {
             caller_address: ANY_PORT,
@@ -86,16 +86,16 @@
             },
             ..EntryOptions::default()
         };
-        let entry = Entry::start(options, Arc::clone(&parts), &workers.executor());
+        let entry = Entry::start(options, Arc::clone(&dependencies), &workers.executor());
         Self {
             entry: Arc::new(entry.expect("ports can be bound")),
-            parts,
+            dependencies,
             _workers: workers,
         }
     }
 }
 
-impl InstanceParts {
+impl EntryDependencies {
     /// Puts these upstreams in force, and drains of some by their number.
     pub(crate) fn configure(&self, upstreams: &[SocketAddr], drained: &[usize]) {
         let revision = self.revision.fetch_add(1, Ordering::Relaxed) + 1;
@@ -119,7 +119,7 @@
             availability_zone: "khomas-a".parse().expect("a valid name"),
         };
         let instances: Arc<[ServingInstance]> = (0..INSTANCES).map(instance).collect();
-        let own = instances[0].owner.clone();
+        let first_owner = instances[0].owner.clone();
         let options = TrafficOptions {
             steering: SteeringOptions {
                 startup_wait: Duration::ZERO,
@@ -131,15 +131,15 @@
             traffic: TrafficTables::new(options),
             revision: AtomicU64::new(0),
             clock: SystemClock::default(),
-            recorder: Recorder::new(own.instance.clone(), RecorderOptions::default()),
+            recorder: Recorder::new(first_owner.instance.clone(), RecorderOptions::default()),
             explainer: Explainer::default(),
-            owner: own,
+            owner: first_owner,
             instances,
         }
     }
 }
 
-impl Dependencies for InstanceParts {
+impl Dependencies for EntryDependencies {
     type Directory = Self;
     type Clock = SystemClock;
     type Admin = Self;
@@ -173,7 +173,7 @@
     }
 }
 
-impl Directory for InstanceParts {
+impl Directory for EntryDependencies {
     fn instances(&self) -> Arc<[ServingInstance]> {
         Arc::clone(&self.instances)
     }
@@ -189,7 +189,7 @@
     fn leave(&self) {}
 }
 
-impl Admin for InstanceParts {
+impl Admin for EntryDependencies {
     fn page(&self, _path: &str, _query: Option<&str>) -> Option<AdminPage> {
         None
     }
--- a/crates/foxtide/examples/measure/proxy/load.rs
+++ b/crates/foxtide/examples/measure/proxy/load.rs
@@ -43,13 +43,13 @@
     /// How many requests brought anything else.
     pub(crate) failed: u64,
     /// How long the callers ran.
-    pub(crate) took: Duration,
+    pub(crate) elapsed: Duration,
 }
 
 impl Run {
     /// Returns the answers a second.
     pub(crate) fn rate_rps(&self) -> f64 {
-        self.answered as f64 / self.took.as_secs_f64()
+        self.answered as f64 / self.elapsed.as_secs_f64()
     }
 
     /// Returns a quantile of the latency, in milliseconds.
@@ -63,8 +63,8 @@
     /// Where it listens.
     pub(crate) address: SocketAddr,
     /// How many requests it got.
-    pub(crate) requests: Arc<AtomicU64>,
-    held: Arc<AtomicBool>,
+    pub(crate) received: Arc<AtomicU64>,
+    holding: Arc<AtomicBool>,
     stopped: Arc<AtomicBool>,
 }
 
@@ -75,19 +75,19 @@
         let bound = listener.local_addr().expect("the listener has an address");
         let upstream = Self {
             address: SocketAddr::from((Ipv4Addr::LOCALHOST, bound.port())),
-            requests: Arc::default(),
-            held: Arc::default(),
+            received: Arc::default(),
+            holding: Arc::default(),
             stopped: Arc::default(),
         };
-        let connection = Connection {
-            requests: Arc::clone(&upstream.requests),
-            held: Arc::clone(&upstream.held),
+        let state = SharedState {
+            received: Arc::clone(&upstream.received),
+            holding: Arc::clone(&upstream.holding),
             stopped: Arc::clone(&upstream.stopped),
         };
         std::thread::spawn(move || {
             for stream in listener.incoming().flatten() {
-                let connection = connection.clone();
-                let serve = move || connection.serve(stream);
+                let state = state.clone();
+                let serve = move || state.serve(stream);
                 let _ = std::thread::Builder::new()
                     .stack_size(64 * 1_024)
                     .spawn(serve);
@@ -98,25 +98,25 @@
 
     /// Stops as a process does: what comes from now on is not answered. Or
     /// starts again.
-    pub(crate) fn stop(&self, stopped: bool) {
+    pub(crate) fn set_stopped(&self, stopped: bool) {
         self.stopped.store(stopped, Ordering::SeqCst);
     }
 
     /// Keeps back all answers, or gives them.
-    pub(crate) fn hold(&self, held: bool) {
-        self.held.store(held, Ordering::SeqCst);
+    pub(crate) fn set_holding(&self, holding: bool) {
+        self.holding.store(holding, Ordering::SeqCst);
     }
 }
 
 /// What all connections of an upstream share.
 #[derive(Clone)]
-struct Connection {
-    requests: Arc<AtomicU64>,
-    held: Arc<AtomicBool>,
+struct SharedState {
+    received: Arc<AtomicU64>,
+    holding: Arc<AtomicBool>,
     stopped: Arc<AtomicBool>,
 }
 
-impl Connection {
+impl SharedState {
     fn serve(&self, mut stream: TcpStream) {
         let _ = stream.set_nodelay(true);
         let mut buffer = [0; 4_096];
@@ -131,8 +131,8 @@
                 continue;
             }
             filled = 0;
-            self.requests.fetch_add(1, Ordering::Relaxed);
-            while self.held.load(Ordering::SeqCst) {
+            self.received.fetch_add(1, Ordering::Relaxed);
+            while self.holding.load(Ordering::SeqCst) {
                 std::thread::sleep(Duration::from_millis(5));
             }
             if stream.write_all(ANSWER).is_err() {
@@ -143,13 +143,13 @@
 }
 
 /// Where callers connect; they look again as often as a look-up expires.
-pub(crate) type Address = Arc<Mutex<SocketAddr>>;
+pub(crate) type SharedAddress = Arc<Mutex<SocketAddr>>;
 
 /// How callers ask.
 #[derive(Clone, Debug)]
 pub(crate) struct Callers {
     /// Where they connect.
-    pub(crate) address: Address,
+    pub(crate) address: SharedAddress,
     /// The method of their requests.
     pub(crate) method: &'static str,
     /// The target of their requests.
@@ -159,7 +159,7 @@
     /// How many requests a second they send together; none: as many as can be.
     pub(crate) rate_rps: Option<f64>,
     /// How long they run.
-    pub(crate) time: Duration,
+    pub(crate) duration: Duration,
 }
 
 impl Callers {
@@ -171,16 +171,16 @@
             std::thread::spawn(move || callers.run_one(started))
         };
         let threads: Vec<JoinHandle<Run>> = (0..self.count).map(spawn).collect();
-        let mut whole = Run::empty(started.elapsed());
+        let mut total = Run::empty(started.elapsed());
         for thread in threads {
-            let one = thread.join().expect("a caller does not panic");
-            whole.answered += one.answered;
-            whole.failed += one.failed;
-            let added = whole.latency_ns.add(&one.latency_ns);
+            let run = thread.join().expect("a caller does not panic");
+            total.answered += run.answered;
+            total.failed += run.failed;
+            let added = total.latency_ns.add(&run.latency_ns);
             added.expect("the histograms have the same bounds");
         }
-        whole.took = started.elapsed();
-        whole
+        total.elapsed = started.elapsed();
+        total
     }
 
     fn run_one(&self, started: Instant) -> Run {
@@ -193,34 +193,34 @@
             self.method, self.target
         );
         let mut address = *self.address.lock();
-        let mut looked_up = Instant::now();
+        let mut looked_up_at = Instant::now();
         let mut stream = connect(address);
-        let mut next = Instant::now();
-        while started.elapsed() < self.time {
+        let mut next_send_at = Instant::now();
+        while started.elapsed() < self.duration {
             if let Some(interval) = interval {
-                std::thread::sleep(next.saturating_duration_since(Instant::now()));
-                next = (next + interval).max(Instant::now() - interval);
+                std::thread::sleep(next_send_at.saturating_duration_since(Instant::now()));
+                next_send_at = (next_send_at + interval).max(Instant::now() - interval);
             }
-            if looked_up.elapsed() > LOOKUP_TTL {
-                looked_up = Instant::now();
-                let before = std::mem::replace(&mut address, *self.address.lock());
-                if before != address {
+            if looked_up_at.elapsed() > LOOKUP_TTL {
+                looked_up_at = Instant::now();
+                let previous = std::mem::replace(&mut address, *self.address.lock());
+                if previous != address {
                     stream = connect(address);
                 }
             }
-            let asked = Instant::now();
-            let answered = ask(&mut stream, request.as_bytes());
-            let took_ns = u64::try_from(asked.elapsed().as_nanos()).unwrap_or(u64::MAX);
-            match answered {
-                Answered::Whole { closes } => {
+            let sent_at = Instant::now();
+            let reply = exchange(&mut stream, request.as_bytes());
+            let latency_ns = u64::try_from(sent_at.elapsed().as_nanos()).unwrap_or(u64::MAX);
+            match reply {
+                Reply::Complete { closes } => {
                     run.answered += 1;
-                    let recorded = run.latency_ns.record(took_ns);
+                    let recorded = run.latency_ns.record(latency_ns);
                     recorded.expect("the histogram grows as it must");
                     if closes {
                         stream = connect(address);
                     }
                 }
-                Answered::Failed => {
+                Reply::Failed => {
                     run.failed += 1;
                     stream = connect(address);
                 }
@@ -231,12 +231,12 @@
 }
 
 impl Run {
-    fn empty(took: Duration) -> Self {
+    fn empty(elapsed: Duration) -> Self {
         Self {
             latency_ns: Histogram::new(3).expect("three digits are valid"),
             answered: 0,
             failed: 0,
-            took,
+            elapsed,
         }
     }
 }
@@ -248,21 +248,21 @@
     stream
 }
 
-enum Answered {
-    Whole { closes: bool },
+enum Reply {
+    Complete { closes: bool },
     Failed,
 }
 
-fn ask(stream: &mut TcpStream, request: &[u8]) -> Answered {
+fn exchange(stream: &mut TcpStream, request: &[u8]) -> Reply {
     if stream.write_all(request).is_err() {
-        return Answered::Failed;
+        return Reply::Failed;
     }
     let mut buffer = [0; 8_192];
     let mut filled = 0;
     loop {
         match stream.read(&mut buffer[filled..]) {
             Ok(size_bytes @ 1..) => filled += size_bytes,
-            _ => return Answered::Failed,
+            _ => return Reply::Failed,
         }
         let Some(head_bytes) = find(&buffer[..filled], HEAD_END) else {
             continue;
@@ -272,10 +272,10 @@
             continue;
         }
         return match head.starts_with(b"HTTP/1.1 200 ") {
-            true => Answered::Whole {
+            true => Reply::Complete {
                 closes: find(head, b"connection: close").is_some(),
             },
-            false => Answered::Failed,
+            false => Reply::Failed,
         };
     }
 }
--- a/crates/foxtide/examples/measure/proxy/stops.rs
+++ b/crates/foxtide/examples/measure/proxy/stops.rs
@@ -3,10 +3,10 @@
 
 use super::instance::Instance;
 use super::load::{
-    Address,
     Callers,
     FastUpstream,
-    Run, //
+    Run,
+    SharedAddress, //
 };
 use crate::report::{
     Limit,
@@ -24,7 +24,7 @@
 
 /// The time from the announcement until an upstream stops; new work must end
 /// within 2 s of the announcement.
-const ANNOUNCED: Duration = Duration::from_millis(500);
+const DRAIN_NOTICE: Duration = Duration::from_millis(500);
 
 /// The time between two stops.
 const PAUSE: Duration = Duration::from_millis(100);
@@ -34,12 +34,12 @@
     let upstreams: Vec<FastUpstream> = (0..UPSTREAMS).map(|_| FastUpstream::start()).collect();
     let addresses: Vec<SocketAddr> = upstreams.iter().map(|upstream| upstream.address).collect();
     let run = stop_instances(&addresses);
-    figures(report, "instance_stops", &run);
+    report_figures(report, "instance_stops", &run);
     let run = stop_upstreams(&upstreams, &addresses);
-    figures(report, "upstream_stops", &run);
+    report_figures(report, "upstream_stops", &run);
 }
 
-fn figures(report: &mut Report, name: &str, run: &Run) {
+fn report_figures(report: &mut Report, name: &str, run: &Run) {
     let answered = run.answered as f64;
     let whole = Limit::AtLeast(1.0);
     report.figure(&format!("proxy.{name}.answered"), answered, "", whole);
@@ -50,9 +50,9 @@
 /// Replaces the instance again and again.
 fn stop_instances(addresses: &[SocketAddr]) -> Run {
     let mut instance = Instance::start(2, addresses);
-    let address: Address = Arc::new(Mutex::new(instance.entry.caller_address()));
-    let time = (ANNOUNCED + PAUSE * 2) * STOPS as u32;
-    let running = start_callers(&address, time);
+    let address: SharedAddress = Arc::new(Mutex::new(instance.entry.caller_address()));
+    let duration = (DRAIN_NOTICE + PAUSE * 2) * STOPS as u32;
+    let callers = start_callers(&address, duration);
     for _ in 0..STOPS {
         std::thread::sleep(PAUSE);
         let next = Instance::start(2, addresses);
@@ -60,36 +60,36 @@
         let leaving = std::mem::replace(&mut instance, next);
         smol::block_on(leaving.entry.drain());
     }
-    running.join().expect("the callers do not panic")
+    callers.join().expect("the callers do not panic")
 }
 
 /// Drains and stops one upstream after the other.
 fn stop_upstreams(upstreams: &[FastUpstream], addresses: &[SocketAddr]) -> Run {
     let instance = Instance::start(2, addresses);
-    let address: Address = Arc::new(Mutex::new(instance.entry.caller_address()));
-    let time = (ANNOUNCED + PAUSE * 2) * STOPS as u32;
-    let running = start_callers(&address, time);
+    let address: SharedAddress = Arc::new(Mutex::new(instance.entry.caller_address()));
+    let duration = (DRAIN_NOTICE + PAUSE * 2) * STOPS as u32;
+    let callers = start_callers(&address, duration);
     for stop in 0..STOPS {
         let number = stop % UPSTREAMS;
         std::thread::sleep(PAUSE);
-        instance.parts.configure(addresses, &[number]);
-        std::thread::sleep(ANNOUNCED);
-        upstreams[number].stop(true);
+        instance.dependencies.configure(addresses, &[number]);
+        std::thread::sleep(DRAIN_NOTICE);
+        upstreams[number].set_stopped(true);
         std::thread::sleep(PAUSE);
-        upstreams[number].stop(false);
-        instance.parts.configure(addresses, &[]);
+        upstreams[number].set_stopped(false);
+        instance.dependencies.configure(addresses, &[]);
     }
-    running.join().expect("the callers do not panic")
+    callers.join().expect("the callers do not panic")
 }
 
-fn start_callers(address: &Address, time: Duration) -> std::thread::JoinHandle<Run> {
+fn start_callers(address: &SharedAddress, duration: Duration) -> std::thread::JoinHandle<Run> {
     let callers = Callers {
         address: Arc::clone(address),
         method: "POST",
         target: REQUEST,
         count: 8,
         rate_rps: Some(RATE_RPS),
-        time,
+        duration,
     };
     std::thread::spawn(move || callers.run())
 }
--- a/crates/foxtide/examples/measure/proxy/usage.rs
+++ b/crates/foxtide/examples/measure/proxy/usage.rs
@@ -6,12 +6,12 @@
 const PAGE_BYTES: f64 = 4_096.0;
 
 /// Returns the processor time of the worker threads and the reactor's so far.
-pub(crate) fn workers_cpu() -> Duration {
+pub(crate) fn worker_cpu_time() -> Duration {
     let tasks = fs::read_dir("/proc/self/task")
         .into_iter()
         .flatten()
         .flatten();
-    let of_instance = |task: &fs::DirEntry| {
+    let is_worker = |task: &fs::DirEntry| {
         let name = fs::read_to_string(task.path().join("comm")).unwrap_or_default();
         name.starts_with("worker-") || name.starts_with("async-io")
     };
@@ -20,7 +20,7 @@
         let running = text.split(' ').next().and_then(|field| field.parse().ok());
         running.unwrap_or(0_u64)
     };
-    Duration::from_nanos(tasks.filter(of_instance).map(cpu_ns).sum())
+    Duration::from_nanos(tasks.filter(is_worker).map(cpu_ns).sum())
 }
 
 /// Returns the process's resident memory, in bytes.
--- a/crates/foxtide/examples/measure/steering.rs
+++ b/crates/foxtide/examples/measure/steering.rs
@@ -57,19 +57,19 @@
 
 /// Measures the steering decisions.
 pub(crate) fn run(report: &mut Report) {
-    promises::<Steering>(report, "steering", SCENARIOS, Limit::AtMost(0.0));
-    promises::<EvenSplit>(report, "even_split", BASELINE_SCENARIOS, Limit::None);
-    promises::<TwoChoices>(report, "two_choices", BASELINE_SCENARIOS, Limit::None);
-    use_of_sold_rate(report);
-    lost_region(report);
+    count_violations::<Steering>(report, "steering", SCENARIOS, Limit::AtMost(0.0));
+    count_violations::<EvenSplit>(report, "even_split", BASELINE_SCENARIOS, Limit::None);
+    count_violations::<TwoChoices>(report, "two_choices", BASELINE_SCENARIOS, Limit::None);
+    measure_served_share(report);
+    measure_region_loss(report);
     costs::run(report);
 }
 
 /// Counts broken promises over random scenarios.
-fn promises<D: Decider>(report: &mut Report, name: &str, scenarios: u64, limit: Limit) {
+fn count_violations<D: Decider>(report: &mut Report, name: &str, scenarios: u64, limit: Limit) {
     let tallies = run_all::<D>(scenarios);
     let sum = |count: fn(&Tally) -> u64| tallies.iter().map(count).sum::<u64>() as f64;
-    let most = |figure: fn(&Tally) -> f64| tallies.iter().map(figure).fold(0.0, f64::max);
+    let max = |figure: fn(&Tally) -> f64| tallies.iter().map(figure).fold(0.0, f64::max);
     let mut figure = |what: &str, value: f64, unit: &str, limit: Limit| {
         report.figure(&format!("{name}.{what}"), value, unit, limit);
     };
@@ -95,19 +95,19 @@
     );
     figure(
         "fastest_of_cap_in_10s",
-        most(|t| t.fastest_of_cap),
+        max(|t| t.fastest_of_cap),
         "x cap",
         Limit::None,
     );
     figure(
         "fastest_of_cap_in_1s",
-        most(|t| t.fastest_second_of_cap),
+        max(|t| t.fastest_second_of_cap),
         "x cap",
         Limit::None,
     );
     figure(
         "fullest_region",
-        most(|t| t.fullest_region),
+        max(|t| t.fullest_region),
         "x sold",
         Limit::None,
     );
@@ -117,16 +117,18 @@
 }
 
 fn run_all<D: Decider>(scenarios: u64) -> Vec<Tally> {
-    let part = |thread: u64| {
+    let run_seeds = |thread: u64| {
         let seeds = (thread..scenarios).step_by(THREADS as usize);
         let run = |seed| Fleet::<D>::run(Scenario::random(seed), SteeringOptions::default());
         seeds.map(run).collect::<Vec<_>>()
     };
     std::thread::scope(|scope| {
-        let threads: Vec<_> = (0..THREADS).map(|t| scope.spawn(move || part(t))).collect();
-        let parts = threads.into_iter().map(|thread| thread.join());
-        parts
-            .flat_map(|part| part.expect("a scenario runs"))
+        let threads: Vec<_> = (0..THREADS)
+            .map(|t| scope.spawn(move || run_seeds(t)))
+            .collect();
+        let results = threads.into_iter().map(|thread| thread.join());
+        results
+            .flat_map(|result| result.expect("a scenario runs"))
             .collect()
     })
 }
@@ -158,16 +160,16 @@
 }
 
 /// Shows how much of what could be served is served.
-fn use_of_sold_rate(report: &mut Report) {
+fn measure_served_share(report: &mut Report) {
     for load in &LOADS {
         for priority in ["latency", "headroom"] {
-            let ours = served_of_possible::<Steering>(load, priority);
+            let steering = served_of_possible::<Steering>(load, priority);
             let name = format!("use.{}.{priority}", load.name);
-            report.figure(&name, ours, "of possible", Limit::None);
+            report.figure(&name, steering, "of possible", Limit::None);
         }
-        let even = served_of_possible::<EvenSplit>(load, "headroom");
+        let even_split = served_of_possible::<EvenSplit>(load, "headroom");
         let name = format!("use.{}.even_split", load.name);
-        report.figure(&name, even, "of possible", Limit::None);
+        report.figure(&name, even_split, "of possible", Limit::None);
     }
 }
 
@@ -196,8 +198,8 @@
         .map(|part| (part - 1.0).max(0.0).min(part * spill))
         .sum();
     let free: f64 = load.regions.iter().map(|part| (1.0 - part).max(0.0)).sum();
-    let at_home: f64 = load.regions.iter().map(|part| part.min(1.0)).sum();
-    let possible = (at_home + excess.min(free)) * sold * length_s;
+    let served_at_home: f64 = load.regions.iter().map(|part| part.min(1.0)).sum();
+    let possible = (served_at_home + excess.min(free)) * sold * length_s;
     total(&tally, |service| service.served) / possible
 }
 
@@ -206,29 +208,33 @@
 }
 
 /// Shows how long it takes until a lost region's callers are served again.
-fn lost_region(report: &mut Report) {
-    const LOST_MS: u64 = 30_000;
+fn measure_region_loss(report: &mut Report) {
+    const LOSS_AT_MS: u64 = 30_000;
     for cap in [0.02, 0.05] {
         let options = OrganisationOptions {
             shift_cap_share_per_s: cap,
             ..OrganisationOptions::default()
         };
         let mut scenario = Scenario::quiet(11, options, 120.0);
-        scenario.at(LOST_MS, Event::Health(0, false));
+        scenario.at(LOSS_AT_MS, Event::Health(0, false));
         let name = format!("lost_region.cap_{cap}");
-        let ours = Fleet::<Steering>::run(scenario.clone(), SteeringOptions::default());
-        let even = Fleet::<EvenSplit>::run(scenario, SteeringOptions::default());
+        let steering = Fleet::<Steering>::run(scenario.clone(), SteeringOptions::default());
+        let even_split = Fleet::<EvenSplit>::run(scenario, SteeringOptions::default());
         let mut figure = |what: &str, value: f64, unit: &str| {
             report.figure(&format!("{name}.{what}"), value, unit, Limit::None);
         };
-        figure("until_served", ours.recovered_after_s(LOST_MS), "s");
+        figure("until_served", steering.recovered_after_s(LOSS_AT_MS), "s");
         figure(
             "until_served_even_split",
-            even.recovered_after_s(LOST_MS),
+            even_split.recovered_after_s(LOSS_AT_MS),
             "s",
         );
         figure("until_served_at_fleet_cap", 1.0 / 6.0 / cap, "s");
-        figure("fastest_of_cap", ours.fastest_of_cap, "x cap");
-        figure("fastest_of_cap_even_split", even.fastest_of_cap, "x cap");
+        figure("fastest_of_cap", steering.fastest_of_cap, "x cap");
+        figure(
+            "fastest_of_cap_even_split",
+            even_split.fastest_of_cap,
+            "x cap",
+        );
     }
 }
--- a/crates/foxtide/examples/measure/steering/baselines.rs
+++ b/crates/foxtide/examples/measure/steering/baselines.rs
@@ -54,26 +54,26 @@
             .regions
             .iter()
             .map(|region| region.region.clone());
-        let healthy = |region: &RegionId| !self.unhealthy.contains(region);
+        let is_healthy = |region: &RegionId| !self.unhealthy.contains(region);
         let mut row: Vec<(RegionId, f64)> = regions.zip(planned).collect();
-        let lost: f64 = row
+        let unhealthy_share: f64 = row
             .iter()
-            .filter(|(region, _)| !healthy(region))
+            .filter(|(region, _)| !is_healthy(region))
             .map(|(_, s)| s)
             .sum();
-        row.retain(|(region, _)| healthy(region));
-        let staying = row.len() as f64;
+        row.retain(|(region, _)| is_healthy(region));
+        let healthy_count = row.len() as f64;
         for (_, share) in &mut row {
-            *share += lost / staying;
+            *share += unhealthy_share / healthy_count;
         }
         row
     }
 
-    fn set_parts(&mut self, now: MonotonicTime) {
+    fn reset_buckets(&mut self, now: MonotonicTime) {
         self.buckets.clear();
         for region in &self.organisation.regions {
-            let part = RequestRate::clamped(region.sold_rate_rps.get() / INSTANCES);
-            let bucket = TokenBucket::new(part, now);
+            let rate = RequestRate::clamped(region.sold_rate_rps.get() / INSTANCES);
+            let bucket = TokenBucket::new(rate, now);
             self.buckets.insert(region.region.clone(), bucket);
         }
     }
@@ -92,19 +92,19 @@
             buckets: BTreeMap::new(),
             wall: WallTime::ZERO,
         };
-        decider.set_parts(MonotonicTime::ZERO);
+        decider.reset_buckets(MonotonicTime::ZERO);
         decider
     }
 
     fn configure(&mut self, organisation: &Arc<Organisation>, now: MonotonicTime) {
         self.organisation = Arc::clone(organisation);
-        self.set_parts(now);
+        self.reset_buckets(now);
     }
 
     fn observe(&mut self, _view: &FleetView, _now: MonotonicTime) {}
 
     fn set_health(&mut self, region: &RegionId, healthy: Share) {
-        self.unhealthy.retain(|known| known != region);
+        self.unhealthy.retain(|id| id != region);
         if healthy == Share::ZERO {
             self.unhealthy.push(region.clone());
         }
@@ -124,8 +124,8 @@
 
     fn admit(&mut self, attempt: &Attempt<'_>, now: MonotonicTime) -> Admission {
         let row = self.healthy_row(attempt.service);
-        let Some(planned) = drawn(&row, attempt.draw) else {
-            return refuse();
+        let Some(planned) = draw_region(&row, attempt.draw) else {
+            return reject();
         };
         let others = row
             .iter()
@@ -141,7 +141,7 @@
                 };
             }
         }
-        refuse()
+        reject()
     }
 
     fn refused_by(&mut self, _region: &RegionId, _now: MonotonicTime) {}
@@ -159,15 +159,15 @@
 /// reported last (Mitzenmacher, The Power of Two Choices in Randomized Load
 /// Balancing, 2001). It keeps no limit of its own.
 pub(super) struct TwoChoices {
-    way: EvenSplit,
-    use_of_sold: BTreeMap<RegionId, f64>,
+    even_split: EvenSplit,
+    utilization: BTreeMap<RegionId, f64>,
     sent: BTreeMap<RegionId, u32>,
     reported_at: MonotonicTime,
 }
 
 impl TwoChoices {
     fn load(&self, region: &RegionId) -> f64 {
-        self.use_of_sold.get(region).copied().unwrap_or_default()
+        self.utilization.get(region).copied().unwrap_or_default()
     }
 }
 
@@ -178,43 +178,46 @@
         options: &SteeringOptions,
     ) -> Self {
         Self {
-            way: EvenSplit::start(organisation, origin, options),
-            use_of_sold: BTreeMap::new(),
+            even_split: EvenSplit::start(organisation, origin, options),
+            utilization: BTreeMap::new(),
             sent: BTreeMap::new(),
             reported_at: MonotonicTime::ZERO,
         }
     }
 
     fn configure(&mut self, organisation: &Arc<Organisation>, now: MonotonicTime) {
-        self.way.configure(organisation, now);
+        self.even_split.configure(organisation, now);
     }
 
     fn observe(&mut self, view: &FleetView, _now: MonotonicTime) {
-        for region in &self.way.organisation.regions {
+        for region in &self.even_split.organisation.regions {
             let id = &region.region;
-            let limits = view.regions.values().filter_map(|told| told.limits.get(id));
+            let limits = view
+                .regions
+                .values()
+                .filter_map(|region| region.limits.get(id));
             let sent_rps: f64 = limits.map(|limit| limit.claim.planned_rps.get()).sum();
-            let used = sent_rps / region.sold_rate_rps.get();
-            self.use_of_sold.insert(id.clone(), used);
+            let used_share = sent_rps / region.sold_rate_rps.get();
+            self.utilization.insert(id.clone(), used_share);
         }
     }
 
     fn set_health(&mut self, region: &RegionId, healthy: Share) {
-        self.way.set_health(region, healthy);
+        self.even_split.set_health(region, healthy);
     }
 
     fn tick(&mut self, now: MonotonicTime, wall: WallTime) {
-        self.way.tick(now, wall);
+        self.even_split.tick(now, wall);
     }
 
     /// Tells what it sent, in the place of a claim.
     fn report(&mut self, now: MonotonicTime) -> InstanceReport {
-        let passed_s = now.since(self.reported_at).as_secs_f64().max(0.1);
+        let elapsed_s = now.since(self.reported_at).as_secs_f64().max(0.1);
         self.reported_at = now;
         let mut report = InstanceReport::default();
         for (region, sent) in std::mem::take(&mut self.sent) {
             let limit = report.limits.entry(region).or_default();
-            limit.claim.planned_rps = RequestRate::clamped(f64::from(sent) / passed_s);
+            limit.claim.planned_rps = RequestRate::clamped(f64::from(sent) / elapsed_s);
         }
         report
     }
@@ -224,17 +227,17 @@
     }
 
     fn admit(&mut self, attempt: &Attempt<'_>, _now: MonotonicTime) -> Admission {
-        let row = self.way.healthy_row(attempt.service);
-        let Some(planned) = drawn(&row, attempt.draw) else {
-            return refuse();
+        let row = self.even_split.healthy_row(attempt.service);
+        let Some(planned) = draw_region(&row, attempt.draw) else {
+            return reject();
         };
         let others: Vec<&RegionId> = row
             .iter()
             .map(|(region, _)| region)
             .filter(|region| **region != planned)
             .collect();
-        let place = (attempt.draw * 1e6) as usize % others.len().max(1);
-        let other = others.get(place).copied().unwrap_or(&planned);
+        let index = (attempt.draw * 1e6) as usize % others.len().max(1);
+        let other = others.get(index).copied().unwrap_or(&planned);
         let region = if self.load(other) < self.load(&planned) {
             other
         } else {
@@ -250,22 +253,22 @@
     fn refused_by(&mut self, _region: &RegionId, _now: MonotonicTime) {}
 
     fn row(&self, service: &ServiceId, origin: &RegionId) -> Option<BTreeMap<RegionId, Share>> {
-        self.way.row(service, origin)
+        self.even_split.row(service, origin)
     }
 }
 
-fn drawn(row: &[(RegionId, f64)], draw: f64) -> Option<RegionId> {
-    let mut left = draw;
+fn draw_region(row: &[(RegionId, f64)], draw: f64) -> Option<RegionId> {
+    let mut remaining = draw;
     for (region, share) in row {
-        if left < *share {
+        if remaining < *share {
             return Some(region.clone());
         }
-        left -= share;
+        remaining -= share;
     }
     row.last().map(|(region, _)| region.clone())
 }
 
-fn refuse() -> Admission {
+fn reject() -> Admission {
     Admission::Refuse {
         reason: RefusalReason::RegionLimit,
         retry_after: RETRY_AFTER,
--- a/crates/foxtide/examples/measure/steering/costs.rs
+++ b/crates/foxtide/examples/measure/steering/costs.rs
@@ -39,16 +39,16 @@
 
 /// Measures one decision, one tick, one view, and the state.
 pub(super) fn run(report: &mut Report) {
-    admit(report);
-    let small = tick_and_view(report, REGIONS.len());
-    let large = tick_and_view(report, 7);
-    let slope = (large - small) / (7 * 7 - REGIONS.len() * REGIONS.len()) as f64;
+    measure_admit(report);
+    let few_ns = measure_tick_and_observe(report, REGIONS.len());
+    let many_ns = measure_tick_and_observe(report, 7);
+    let slope = (many_ns - few_ns) / (7 * 7 - REGIONS.len() * REGIONS.len()) as f64;
     report.figure("cost.tick_per_pair_of_regions", slope, "ns", Limit::None);
-    state(report);
+    measure_state(report);
 }
 
 /// An organisation whose regions are the fixture's and copies of the last one.
-fn organisation_of(regions: usize) -> Organisation {
+fn organisation_with(regions: usize) -> Organisation {
     let mut organisation = organisation(&OrganisationOptions::default());
     let Some(last) = organisation.regions.last().cloned() else {
         return organisation;
@@ -85,7 +85,7 @@
     organisation
 }
 
-fn started(organisation: &Arc<Organisation>) -> Steering {
+fn steady_steering(organisation: &Arc<Organisation>) -> Steering {
     let options = SteeringOptions::default();
     let mut steering = Steering::new(Arc::clone(organisation), region("khomas"), options);
     for step in 0..100 {
@@ -100,18 +100,18 @@
 /// A view in which every region tells what this instance tells.
 fn view_of(organisation: &Organisation, steering: &mut Steering, now: MonotonicTime) -> FleetView {
     let report = steering.report(now);
-    let heard = organisation.regions.iter().map(|origin| ReceivedReport {
+    let reports = organisation.regions.iter().map(|origin| ReceivedReport {
         origin: &origin.region,
         made_at: now,
         report: &report,
     });
-    FleetView::from_reports(heard, ViewOptions::default(), now)
+    FleetView::from_reports(reports, ViewOptions::default(), now)
 }
 
-fn admit(report: &mut Report) {
-    let mut steering = started(&Arc::new(organisation_of(7)));
+fn measure_admit(report: &mut Report) {
+    let mut steering = steady_steering(&Arc::new(organisation_with(7)));
     let service: ServiceId = SERVICES[0].parse().expect("a service's name");
-    let begun = Instant::now();
+    let started = Instant::now();
     let mut sent = 0_u32;
     for number in 0..ADMITS {
         let now = MonotonicTime::from_us(10_000_000 + u64::from(number));
@@ -122,28 +122,28 @@
             foxtide_core::steering::Admission::Send { .. }
         ));
     }
-    let each_ns = begun.elapsed().as_secs_f64() * 1e9 / f64::from(ADMITS);
-    report.figure("cost.admit", each_ns, "ns", Limit::AtMost(2_000.0));
+    let admit_ns = started.elapsed().as_secs_f64() * 1e9 / f64::from(ADMITS);
+    report.figure("cost.admit", admit_ns, "ns", Limit::AtMost(2_000.0));
     report.figure("cost.admit_sent", f64::from(sent), "requests", Limit::None);
 }
 
 /// Returns the time of one tick, in nanoseconds.
-fn tick_and_view(report: &mut Report, regions: usize) -> f64 {
-    let organisation = Arc::new(organisation_of(regions));
-    let mut steering = started(&organisation);
+fn measure_tick_and_observe(report: &mut Report, regions: usize) -> f64 {
+    let organisation = Arc::new(organisation_with(regions));
+    let mut steering = steady_steering(&organisation);
     let now = MonotonicTime::from_ms(10_000);
     let view = view_of(&organisation, &mut steering, now);
-    let begun = Instant::now();
+    let started = Instant::now();
     for _ in 0..TICKS {
         steering.observe(&view, now);
     }
-    let observe_ns = begun.elapsed().as_secs_f64() * 1e9 / f64::from(TICKS);
-    let begun = Instant::now();
+    let observe_ns = started.elapsed().as_secs_f64() * 1e9 / f64::from(TICKS);
+    let started = Instant::now();
     for step in 0..TICKS {
-        let passed = Duration::from_millis(u64::from(step) * 100);
-        steering.tick(now + passed, WallTime::from_ms(2_000_000) + passed);
+        let elapsed = Duration::from_millis(u64::from(step) * 100);
+        steering.tick(now + elapsed, WallTime::from_ms(2_000_000) + elapsed);
     }
-    let tick_ns = begun.elapsed().as_secs_f64() * 1e9 / f64::from(TICKS);
+    let tick_ns = started.elapsed().as_secs_f64() * 1e9 / f64::from(TICKS);
     let name = format!("cost.regions_{regions}");
     report.figure(&format!("{name}.observe"), observe_ns, "ns", Limit::None);
     report.figure(&format!("{name}.tick"), tick_ns, "ns", Limit::None);
@@ -159,15 +159,15 @@
 }
 
 /// Measures the memory of one organisation's decisions at seven regions.
-fn state(report: &mut Report) {
-    let organisation = Arc::new(organisation_of(7));
-    let one = started(&organisation);
+fn measure_state(report: &mut Report) {
+    let organisation = Arc::new(organisation_with(7));
+    let steering = steady_steering(&organisation);
     let before = resident_bytes();
-    let copies = vec![one; COPIES];
-    let each = (resident_bytes() - before) / copies.len() as f64;
+    let copies = vec![steering; COPIES];
+    let copy_bytes = (resident_bytes() - before) / copies.len() as f64;
     report.figure(
         "cost.regions_7.state",
-        each,
+        copy_bytes,
         "bytes",
         Limit::AtMost(100_000.0),
     );
