--- a/crates/foxtide/examples/measure/proxy.rs
+++ b/crates/foxtide/examples/measure/proxy.rs
@@ -1,5 +1,5 @@
-//! What the request path adds to a request, how much it carries, and what a
-//! connection takes; beside it the same requests sent to the upstream directly.
+//! Measures latency, throughput, memory and processor time of the request path,
+//! compared with requests sent to the upstream directly.
 
 mod instance;
 mod load;
@@ -42,18 +42,17 @@
 const LOOKUP: &str = "/v1/lookup?organisation=hamutenya&service=viewer";
 const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// The connections between two readings of the memory.
+/// The number of connections opened between two memory readings.
 const CONNECTIONS_PER_STEP: usize = 1_000;
 
-/// The sizes between which the control's slope is measured.
+/// The numbers of upstreams between which the slope of control work is measured.
 const CONTROL_UPSTREAMS: [usize; 2] = [48, 1_248];
 const CONTROL_WARM_UP: Duration = Duration::from_secs(2);
 const CONTROL_TIME: Duration = Duration::from_secs(3);
 
-/// How many of the held requests are sent without a pause.
+/// The number of held requests sent without a pause.
 const HELD_BATCH: usize = 20;
 
-/// Measures the request path.
 pub(crate) fn run(report: &mut Report) {
     let upstream = FastUpstream::start();
     let instance = Instance::start(WORKERS, &[upstream.address]);
@@ -77,9 +76,8 @@
     callers.run()
 }
 
-/// Returns the fastest of some runs without a pause, and the least processor
-/// time of the instance for a request, in microseconds: what else runs on the
-/// machine can only make a run slower.
+/// Returns the fastest of several saturated runs, and the least processor time
+/// per request, in microseconds. Other load on the machine only slows runs down.
 fn saturate(address: SocketAddr, target: &'static str) -> (Run, f64) {
     let run = |_| {
         let cpu_before = worker_cpu_time();
@@ -143,8 +141,8 @@
     report.figure("proxy.lookup_rate_per_core", per_core, "1/s", Limit::None);
 }
 
-/// Measures slopes: a first step takes up what the process has free, the
-/// second one is measured.
+/// Measures the memory of idle connections and of requests in flight. The first
+/// step uses up memory that the process holds free; the second is measured.
 fn measure_memory(report: &mut Report, instance: &Instance, upstream: &FastUpstream) {
     let mut first = open_connections(instance, CONNECTIONS_PER_STEP);
     let before = resident_bytes();
@@ -157,7 +155,7 @@
     let mut direct: Vec<TcpStream> = (0..CONNECTIONS_PER_STEP)
         .map(|_| connect(upstream.address))
         .collect();
-    // The upstream here takes a thread for each request, in this process too.
+    // The fake upstream runs in this process, with a thread per connection.
     let upstream_bytes = send_held_requests(&mut direct, upstream);
     report.figure("proxy.busy_upstream", upstream_bytes, "bytes", Limit::None);
     let busy_bytes = busy_bytes - upstream_bytes;
@@ -165,8 +163,8 @@
     upstream.set_holding(false);
 }
 
-/// Measures what an instance without callers spends on its upstreams: ticks,
-/// and a poll of each twice a second, since nothing else is heard of them.
+/// Measures the processor time of an instance without callers: its ticks, and
+/// polls of every upstream twice a second.
 fn measure_control(report: &mut Report, upstream: SocketAddr) {
     let [few, many] = CONTROL_UPSTREAMS.map(|count| control_share(upstream, count));
     let added = (CONTROL_UPSTREAMS[1] - CONTROL_UPSTREAMS[0]) as f64;
@@ -181,10 +179,10 @@
     report.figure("proxy.control_per_1000", slope, "% of a core", Limit::None);
 }
 
-/// Returns the part of a core that an instance with so many upstreams takes.
+/// Returns the share of a core that an instance with `count` upstreams uses.
 fn control_share(upstream: SocketAddr, count: usize) -> f64 {
     let address = |number: usize| {
-        // Each its own, so that connections are kept as they would be.
+        // Distinct addresses, so that the instance keeps separate connections.
         let [.., high, low] = (number as u32 + 1).to_be_bytes();
         SocketAddr::from(([127, 1, high, low], upstream.port()))
     };
@@ -197,7 +195,7 @@
 }
 
 /// Sends a request on each connection to an upstream that holds its answers;
-/// returns the memory that one takes, in bytes.
+/// returns the memory per request, in bytes.
 fn send_held_requests(streams: &mut [TcpStream], upstream: &FastUpstream) -> f64 {
     let before = resident_bytes();
     let received_before = upstream.received.load(Ordering::SeqCst);
@@ -206,7 +204,7 @@
         for stream in batch {
             let _ = stream.write_all(request.as_bytes());
         }
-        // New connections to the upstream must not overrun its backlog.
+        // Keeps new connections to the upstream within its listen backlog.
         std::thread::sleep(Duration::from_millis(5));
     }
     let expected = received_before + streams.len() as u64;
--- a/crates/foxtide/examples/measure/proxy/instance.rs
+++ b/crates/foxtide/examples/measure/proxy/instance.rs
@@ -1,4 +1,5 @@
-//! An instance's request path alone, before upstreams in this process.
+//! The request path of an instance with fixed dependencies, in front of
+//! upstreams in the same process.
 
 use super::load::LOOKUP_TTL;
 use foxtide_core::idempotency::{
@@ -46,10 +47,11 @@
 
 const ANY_PORT: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 0);
 
-/// How many instances the directory knows, as many as a tenant has today.
+/// The number of instances in the directory.
 const INSTANCES: u16 = 10;
 
-/// What the request path works with here.
+/// The dependencies of the request path: a fixed directory and an
+/// administrative interface without pages.
 pub(crate) struct EntryDependencies {
     traffic: TrafficTables,
     revision: AtomicU64,
@@ -62,16 +64,14 @@
 
 /// A running request path.
 pub(crate) struct Instance {
-    /// The entry.
     pub(crate) entry: Arc<Entry<EntryDependencies>>,
-    /// Its parts.
     pub(crate) dependencies: Arc<EntryDependencies>,
-    /// The pool that runs it, which ends when this is dropped.
+    /// The worker pool of the entry; dropping it stops the workers.
     _workers: Workers,
 }
 
 impl Instance {
-    /// Starts a request path with this many workers before these upstreams.
+    /// Starts a request path in front of `upstreams`.
     pub(crate) fn start(threads: usize, upstreams: &[SocketAddr]) -> Self {
         let dependencies = Arc::new(EntryDependencies::new());
         dependencies.configure(upstreams, &[]);
@@ -96,7 +96,8 @@
 }
 
 impl EntryDependencies {
-    /// Puts these upstreams in force, and drains of some by their number.
+    /// Applies a configuration with these upstreams, of which those with the
+    /// numbers in `drained` are draining.
     pub(crate) fn configure(&self, upstreams: &[SocketAddr], drained: &[usize]) {
         let revision = self.revision.fetch_add(1, Ordering::Relaxed) + 1;
         let document = document(upstreams, drained, revision);
@@ -199,7 +200,7 @@
     }
 }
 
-/// A service whose limits are out of reach, so that the path alone is measured.
+/// Returns an organisation whose limits are too high to affect the measurement.
 fn document(upstreams: &[SocketAddr], drained: &[usize], revision: u64) -> serde_json::Value {
     let upstream = |(number, address): (usize, &SocketAddr)| {
         json!({
--- a/crates/foxtide/examples/measure/proxy/load.rs
+++ b/crates/foxtide/examples/measure/proxy/load.rs
@@ -1,4 +1,5 @@
-//! Blocking callers and a blocking upstream, as cheap as they can be.
+//! A load generator and a fake upstream on blocking sockets, with little
+//! overhead of their own.
 
 use hdrhistogram::Histogram;
 use parking_lot::Mutex;
@@ -25,29 +26,27 @@
     Instant, //
 };
 
-/// All addresses of the machine, so that one upstream can stand for many.
+/// All local addresses, so that one listener can serve as many upstreams.
 const ANY_ADDRESS: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::UNSPECIFIED), 0);
-/// How long callers keep the answer to a look-up.
+/// The time to live of an answer to a look-up.
 pub(crate) const LOOKUP_TTL: Duration = Duration::from_millis(200);
 
 const HEAD_END: &[u8] = b"\r\n\r\n";
 const ANSWER: &[u8] = b"HTTP/1.1 200 OK\r\ncontent-type: text/plain\r\ncontent-length: 64\r\n\r\n\
 0123456789abcdef0123456789abcdef0123456789abcdef0123456789abcdef";
 
-/// The figures of one run of callers.
+/// The results of one run of callers.
 pub(crate) struct Run {
-    /// Latencies in nanoseconds.
     pub(crate) latency_ns: Histogram<u64>,
-    /// How many whole answers came.
+    /// The number of complete answers with status 200.
     pub(crate) answered: u64,
-    /// How many requests brought anything else.
+    /// The number of other requests.
     pub(crate) failed: u64,
-    /// How long the callers ran.
     pub(crate) elapsed: Duration,
 }
 
 impl Run {
-    /// Returns the answers a second.
+    /// Returns the answers per second.
     pub(crate) fn rate_rps(&self) -> f64 {
         self.answered as f64 / self.elapsed.as_secs_f64()
     }
@@ -58,11 +57,10 @@
     }
 }
 
-/// An upstream that answers each request at once.
+/// A fake upstream that answers each request immediately.
 pub(crate) struct FastUpstream {
-    /// Where it listens.
     pub(crate) address: SocketAddr,
-    /// How many requests it got.
+    /// The number of requests received.
     pub(crate) received: Arc<AtomicU64>,
     holding: Arc<AtomicBool>,
     stopped: Arc<AtomicBool>,
@@ -96,19 +94,19 @@
         upstream
     }
 
-    /// Stops as a process does: what comes from now on is not answered. Or
-    /// starts again.
+    /// Stops or restarts the upstream. While stopped, it closes connections on
+    /// which it receives data, without an answer.
     pub(crate) fn set_stopped(&self, stopped: bool) {
         self.stopped.store(stopped, Ordering::SeqCst);
     }
 
-    /// Keeps back all answers, or gives them.
+    /// Sets whether answers are held back.
     pub(crate) fn set_holding(&self, holding: bool) {
         self.holding.store(holding, Ordering::SeqCst);
     }
 }
 
-/// What all connections of an upstream share.
+/// The state that all connections of an upstream share.
 #[derive(Clone)]
 struct SharedState {
     received: Arc<AtomicU64>,
@@ -122,7 +120,6 @@
         let mut buffer = [0; 4_096];
         let mut filled = 0;
         while let Ok(size_bytes @ 1..) = stream.read(&mut buffer[filled..]) {
-            // A stopped process answers nothing that came after its stop.
             if self.stopped.load(Ordering::SeqCst) {
                 return;
             }
@@ -142,28 +139,26 @@
     }
 }
 
-/// Where callers connect; they look again as often as a look-up expires.
+/// The address to which callers connect; they read it again when their look-up
+/// expires.
 pub(crate) type SharedAddress = Arc<Mutex<SocketAddr>>;
 
-/// How callers ask.
+/// Callers that send the same request again and again.
 #[derive(Clone, Debug)]
 pub(crate) struct Callers {
-    /// Where they connect.
     pub(crate) address: SharedAddress,
-    /// The method of their requests.
     pub(crate) method: &'static str,
-    /// The target of their requests.
+    /// The request target, RFC 9112 section 3.2.
     pub(crate) target: &'static str,
-    /// How many there are, each with one connection.
+    /// The number of callers, each with one connection.
     pub(crate) count: u32,
-    /// How many requests a second they send together; none: as many as can be.
+    /// The rate of all callers together; `None` sends without a pause.
     pub(crate) rate_rps: Option<f64>,
-    /// How long they run.
     pub(crate) duration: Duration,
 }
 
 impl Callers {
-    /// Runs all callers to their end.
+    /// Runs all callers and returns their combined results.
     pub(crate) fn run(&self) -> Run {
         let started = Instant::now();
         let spawn = |_| {
@@ -177,7 +172,7 @@
             total.answered += run.answered;
             total.failed += run.failed;
             let added = total.latency_ns.add(&run.latency_ns);
-            added.expect("the histograms have the same bounds");
+            added.expect("the histogram resizes itself");
         }
         total.elapsed = started.elapsed();
         total
@@ -215,7 +210,7 @@
                 Reply::Complete { closes } => {
                     run.answered += 1;
                     let recorded = run.latency_ns.record(latency_ns);
-                    recorded.expect("the histogram grows as it must");
+                    recorded.expect("the histogram resizes itself");
                     if closes {
                         stream = connect(address);
                     }
@@ -233,7 +228,7 @@
 impl Run {
     fn empty(elapsed: Duration) -> Self {
         Self {
-            latency_ns: Histogram::new(3).expect("three digits are valid"),
+            latency_ns: Histogram::new(3).expect("three significant digits are valid"),
             answered: 0,
             failed: 0,
             elapsed,
@@ -241,9 +236,8 @@
     }
 }
 
-/// Connects as a caller.
 pub(crate) fn connect(address: SocketAddr) -> TcpStream {
-    let stream = TcpStream::connect(address).expect("the listener takes connections");
+    let stream = TcpStream::connect(address).expect("the listener accepts connections");
     let _ = stream.set_nodelay(true);
     stream
 }
--- a/crates/foxtide/examples/measure/proxy/stops.rs
+++ b/crates/foxtide/examples/measure/proxy/stops.rs
@@ -1,5 +1,5 @@
-//! Planned stops of instances and upstreams under load: requests that must not
-//! run twice are sent all the time, and none may be cut.
+//! Measures planned stops of instances and upstreams under load of requests
+//! that must not run twice; none of them may fail.
 
 use super::instance::Instance;
 use super::load::{
@@ -22,14 +22,13 @@
 const RATE_RPS: f64 = 2_000.0;
 const REQUEST: &str = "/hamutenya/viewer/notices";
 
-/// The time from the announcement until an upstream stops; new work must end
-/// within 2 s of the announcement.
+/// The time from the announcement of an upstream's drain until it stops. Drained
+/// upstreams must receive no new requests 2 s after the announcement.
 const DRAIN_NOTICE: Duration = Duration::from_millis(500);
 
-/// The time between two stops.
+/// The time before and after each stop.
 const PAUSE: Duration = Duration::from_millis(100);
 
-/// Measures both kinds of stops.
 pub(crate) fn run(report: &mut Report) {
     let upstreams: Vec<FastUpstream> = (0..UPSTREAMS).map(|_| FastUpstream::start()).collect();
     let addresses: Vec<SocketAddr> = upstreams.iter().map(|upstream| upstream.address).collect();
@@ -47,7 +46,7 @@
     report.figure(&format!("proxy.{name}.cut"), cut, "", Limit::AtMost(0.0));
 }
 
-/// Replaces the instance again and again.
+/// Repeatedly starts a new instance, moves callers to it and drains the old one.
 fn stop_instances(addresses: &[SocketAddr]) -> Run {
     let mut instance = Instance::start(2, addresses);
     let address: SharedAddress = Arc::new(Mutex::new(instance.entry.caller_address()));
@@ -63,7 +62,7 @@
     callers.join().expect("the callers do not panic")
 }
 
-/// Drains and stops one upstream after the other.
+/// Repeatedly drains, stops and restarts one upstream after another.
 fn stop_upstreams(upstreams: &[FastUpstream], addresses: &[SocketAddr]) -> Run {
     let instance = Instance::start(2, addresses);
     let address: SharedAddress = Arc::new(Mutex::new(instance.entry.caller_address()));
--- a/crates/foxtide/examples/measure/proxy/usage.rs
+++ b/crates/foxtide/examples/measure/proxy/usage.rs
@@ -1,11 +1,11 @@
-//! What the workers and the process use, as Linux tells it in `/proc`.
+//! Processor time of the workers and resident memory, read from `/proc` (proc(5)).
 
 use std::fs;
 use std::time::Duration;
 
 const PAGE_BYTES: f64 = 4_096.0;
 
-/// Returns the processor time of the worker threads and the reactor's so far.
+/// Returns the processor time used so far by the worker and reactor threads.
 pub(crate) fn worker_cpu_time() -> Duration {
     let tasks = fs::read_dir("/proc/self/task")
         .into_iter()
@@ -23,7 +23,7 @@
     Duration::from_nanos(tasks.filter(is_worker).map(cpu_ns).sum())
 }
 
-/// Returns the process's resident memory, in bytes.
+/// Returns the resident memory of the process, in bytes.
 pub(crate) fn resident_bytes() -> f64 {
     let text = fs::read_to_string("/proc/self/statm").unwrap_or_default();
     let pages: f64 = text
--- a/crates/foxtide/examples/measure/steering.rs
+++ b/crates/foxtide/examples/measure/steering.rs
@@ -1,4 +1,5 @@
-//! The steering decisions in seeded scenarios, against simpler ways.
+//! Measures steering decisions in simulated fleets and compares them with
+//! simpler baselines.
 
 #[path = "steering/baselines.rs"]
 mod baselines;
@@ -46,16 +47,14 @@
     Tally, //
 };
 
-/// How many random scenarios the product's decisions run.
+/// The number of random scenarios for [`Steering`].
 const SCENARIOS: u64 = 1_000;
 
-/// How many of them the simpler ways run.
+/// The number of these scenarios for each baseline.
 const BASELINE_SCENARIOS: u64 = 100;
 
-/// How many threads run scenarios.
 const THREADS: u64 = 4;
 
-/// Measures the steering decisions.
 pub(crate) fn run(report: &mut Report) {
     count_violations::<Steering>(report, "steering", SCENARIOS, Limit::AtMost(0.0));
     count_violations::<EvenSplit>(report, "even_split", BASELINE_SCENARIOS, Limit::None);
@@ -65,7 +64,7 @@
     costs::run(report);
 }
 
-/// Counts broken promises over random scenarios.
+/// Reports the limit violations over random scenarios.
 fn count_violations<D: Decider>(report: &mut Report, name: &str, scenarios: u64, limit: Limit) {
     let tallies = run_all::<D>(scenarios);
     let sum = |count: fn(&Tally) -> u64| tallies.iter().map(count).sum::<u64>() as f64;
@@ -128,17 +127,17 @@
             .collect();
         let results = threads.into_iter().map(|thread| thread.join());
         results
-            .flat_map(|result| result.expect("a scenario runs"))
+            .flat_map(|result| result.expect("a scenario does not panic"))
             .collect()
     })
 }
 
-/// How the load lies on the instances and regions.
+/// The distribution of the load among regions and instances.
 struct Load {
     name: &'static str,
-    /// What each region's callers ask for, as a part of its sold rate.
+    /// The demand of each region's callers, as a share of its sold rate.
     regions: [f64; REGIONS.len()],
-    /// The weight of the first instance of each region among its own.
+    /// The weight of each region's first instance; its others have weight 1.
     first_weight: f64,
 }
 
@@ -159,7 +158,7 @@
     }
 }
 
-/// Shows how much of what could be served is served.
+/// Reports the requests served, as a share of those that the limits allow.
 fn measure_served_share(report: &mut Report) {
     for load in &LOADS {
         for priority in ["latency", "headroom"] {
@@ -173,8 +172,8 @@
     }
 }
 
-/// Returns what was served as a part of what callers asked for and the sold
-/// rates, with the spill-over limit, allow.
+/// Returns the requests served, as a share of those that the demand, the sold
+/// rates and the spill-over limit allow.
 fn served_of_possible<D: Decider>(load: &Load, priority: &'static str) -> f64 {
     let options = OrganisationOptions {
         priority,
@@ -207,7 +206,8 @@
     tally.services.iter().map(count).sum::<u64>() as f64
 }
 
-/// Shows how long it takes until a lost region's callers are served again.
+/// Reports how long it takes until the callers of a failed region are served
+/// again.
 fn measure_region_loss(report: &mut Report) {
     const LOSS_AT_MS: u64 = 30_000;
     for cap in [0.02, 0.05] {
--- a/crates/foxtide/examples/measure/steering/baselines.rs
+++ b/crates/foxtide/examples/measure/steering/baselines.rs
@@ -1,4 +1,5 @@
-//! Simpler ways of deciding, kept to compare with.
+//! Baseline steering decisions: an even split of the limits, and the less
+//! loaded of two regions.
 
 use super::decider::{
     Attempt,
@@ -30,13 +31,14 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// How many instances the limits are split among.
+/// The number of instances among which the limits are split.
 const INSTANCES: f64 = 10.0;
 
 const RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// Follows the plan, fails over at once by the homes' weights, and has an even
-/// part of each region's sold rate.
+/// Follows the planned rows and splits each region's sold rate evenly among the
+/// instances. The share of unhealthy regions moves to the healthy ones at once,
+/// in equal parts.
 pub(super) struct EvenSplit {
     organisation: Arc<Organisation>,
     rows: PlannedRows,
@@ -46,7 +48,7 @@
 }
 
 impl EvenSplit {
-    /// Returns the row of a service with unhealthy regions left out.
+    /// Returns the row of a service without its unhealthy regions.
     fn healthy_row(&self, service: &ServiceId) -> Vec<(RegionId, f64)> {
         let planned = self.rows.row(service, self.wall).unwrap_or_default();
         let regions = self
@@ -155,9 +157,9 @@
     }
 }
 
-/// Sends to the less loaded of the planned and one other region, by what peers
-/// reported last (Mitzenmacher, The Power of Two Choices in Randomized Load
-/// Balancing, 2001). It keeps no limit of its own.
+/// Sends to the less loaded of the planned region and one other, by the latest
+/// reports of peers (Mitzenmacher, The Power of Two Choices in Randomized Load
+/// Balancing, 2001). Enforces no limit.
 pub(super) struct TwoChoices {
     even_split: EvenSplit,
     utilization: BTreeMap<RegionId, f64>,
@@ -210,7 +212,7 @@
         self.even_split.tick(now, wall);
     }
 
-    /// Tells what it sent, in the place of a claim.
+    /// Reports the rate that was sent as the planned rate of its claim.
     fn report(&mut self, now: MonotonicTime) -> InstanceReport {
         let elapsed_s = now.since(self.reported_at).as_secs_f64().max(0.1);
         self.reported_at = now;
--- a/crates/foxtide/examples/measure/steering/costs.rs
+++ b/crates/foxtide/examples/measure/steering/costs.rs
@@ -1,4 +1,4 @@
-//! What the steering decisions cost an instance.
+//! Measures the processor time and memory of steering decisions.
 
 use super::fixture::{
     OrganisationOptions,
@@ -37,7 +37,7 @@
 const TICKS: u32 = 2_000;
 const COPIES: usize = 400;
 
-/// Measures one decision, one tick, one view, and the state.
+/// Measures admissions, ticks, applied views and the size of the state.
 pub(super) fn run(report: &mut Report) {
     measure_admit(report);
     let few_ns = measure_tick_and_observe(report, REGIONS.len());
@@ -47,7 +47,7 @@
     measure_state(report);
 }
 
-/// An organisation whose regions are the fixture's and copies of the last one.
+/// Returns the fixture's organisation, enlarged by copies of its last region.
 fn organisation_with(regions: usize) -> Organisation {
     let mut organisation = organisation(&OrganisationOptions::default());
     let Some(last) = organisation.regions.last().cloned() else {
@@ -97,7 +97,7 @@
     steering
 }
 
-/// A view in which every region tells what this instance tells.
+/// Returns a view in which every region sent the report of this instance.
 fn view_of(organisation: &Organisation, steering: &mut Steering, now: MonotonicTime) -> FleetView {
     let report = steering.report(now);
     let reports = organisation.regions.iter().map(|origin| ReceivedReport {
@@ -147,7 +147,7 @@
     let name = format!("cost.regions_{regions}");
     report.figure(&format!("{name}.observe"), observe_ns, "ns", Limit::None);
     report.figure(&format!("{name}.tick"), tick_ns, "ns", Limit::None);
-    // Ten ticks and one view a second.
+    // An instance runs ten ticks and applies one view per second.
     let core_share = (10.0 * tick_ns + observe_ns) / 1e9;
     report.figure(
         &format!("{name}.core_share"),
@@ -158,7 +158,7 @@
     tick_ns
 }
 
-/// Measures the memory of one organisation's decisions at seven regions.
+/// Measures the memory of one organisation's steering with seven regions.
 fn measure_state(report: &mut Report) {
     let organisation = Arc::new(organisation_with(7));
     let steering = steady_steering(&organisation);
@@ -173,7 +173,7 @@
     );
 }
 
-/// Returns the process's resident memory (proc(5), `/proc/self/statm`).
+/// Returns the resident memory of the process (proc(5), `/proc/self/statm`).
 fn resident_bytes() -> f64 {
     const PAGE_BYTES: f64 = 4_096.0;
     let statm = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
