--- a/crates/foxtide/examples/measure/blocks/data.rs
+++ b/crates/foxtide/examples/measure/blocks/generator.rs
@@ -32,14 +32,14 @@
 const SEED: u64 = 970_000;
 
 /// Draws blocks and clients.
-pub(crate) struct Data {
+pub(crate) struct BlockGenerator {
     random: StdRng,
     indices: Vec<SiteIndex>,
     /// The sites.
     pub(crate) sites: SiteTable,
 }
 
-impl Data {
+impl BlockGenerator {
     /// Returns a source with the fixed seed.
     pub(crate) fn new() -> Self {
         let site = |number: usize| Site {
@@ -86,12 +86,12 @@
     }
 
     fn v4_net(&mut self, allocations: &mut Vec<u32>) -> IpNet {
-        let inside = !allocations.is_empty() && self.random.random_bool(0.6);
-        let (address, length) = if inside {
-            let place = self.random.random_range(0..allocations.len());
+        let nested = !allocations.is_empty() && self.random.random_bool(0.6);
+        let (address, length) = if nested {
+            let index = self.random.random_range(0..allocations.len());
             let offset: u32 = self.random.random_range(0..1 << 14);
             (
-                allocations[place] | offset,
+                allocations[index] | offset,
                 self.random.random_range(21..=24),
             )
         } else {
@@ -117,11 +117,11 @@
     }
 
     fn v6_net(&mut self, allocations: &mut Vec<u128>) -> IpNet {
-        let inside = !allocations.is_empty() && self.random.random_bool(0.8);
-        let (address, length) = if inside {
-            let place = self.random.random_range(0..allocations.len());
-            let rest = u128::from(self.random.random_range(0..u32::MAX)) << 64;
-            (allocations[place] | rest, self.v6_length())
+        let nested = !allocations.is_empty() && self.random.random_bool(0.8);
+        let (address, length) = if nested {
+            let index = self.random.random_range(0..allocations.len());
+            let offset = u128::from(self.random.random_range(0..u32::MAX)) << 64;
+            (allocations[index] | offset, self.v6_length())
         } else {
             let first = u128::from(self.random.random_range(0x2400_0000u32..0x2c00_0000));
             (first << 96, self.random.random_range(28..=36))
@@ -143,18 +143,18 @@
     }
 
     fn client(&mut self, blocks: &[Block]) -> IpAddr {
-        let noise: u128 = self.random.random();
+        let random_bits: u128 = self.random.random();
         let net = blocks[self.random.random_range(0..blocks.len())].net;
         if self.random.random_bool(0.1) {
-            return IpAddr::V4(Ipv4Addr::from_bits(noise as u32));
+            return IpAddr::V4(Ipv4Addr::from_bits(random_bits as u32));
         }
         match net {
             IpNet::V4(net) => {
-                let host = noise as u32 & net.hostmask().to_bits();
+                let host = random_bits as u32 & net.hostmask().to_bits();
                 IpAddr::V4(Ipv4Addr::from_bits(net.addr().to_bits() | host))
             }
             IpNet::V6(net) => {
-                let host = noise & net.hostmask().to_bits();
+                let host = random_bits & net.hostmask().to_bits();
                 IpAddr::V6(Ipv6Addr::from_bits(net.addr().to_bits() | host))
             }
         }
--- a/crates/foxtide/examples/measure/blocks/mod.rs
+++ b/crates/foxtide/examples/measure/blocks/mod.rs
@@ -1,22 +1,22 @@
 //! Client blocks at target size: look-up, memory, load and change, in the
 //! structure in use and in others.
 
-mod data;
+mod generator;
 mod poptrie;
-mod ways;
+mod tables;
 
 use crate::report::{
     Limit,
     Report, //
 };
 use arc_swap::ArcSwap;
-use data::Data;
 use foxtide_core::blocks::{
     Block,
     ClientBlocks,
     Delta,
     Manifest, //
 };
+use generator::BlockGenerator;
 use poptrie::Poptrie;
 use std::hint::black_box;
 use std::net::IpAddr;
@@ -26,14 +26,14 @@
     Ordering, //
 };
 use std::time::Instant;
-use ways::{
-    Both,
+use tables::{
+    DualStack,
     EytzingerRanges,
     HashMaps,
-    Linear,
+    LinearScan,
+    LookupTable,
     NO_SITE,
-    SortedRanges,
-    Way, //
+    SortedRanges, //
 };
 
 const CLIENTS: usize = 1_000_000;
@@ -45,28 +45,28 @@
 
 /// Measures the client blocks.
 pub(crate) fn run(report: &mut Report) {
-    let mut data = Data::new();
-    let blocks = data.blocks();
-    let clients = data.clients(&blocks, CLIENTS);
-    let table = ClientBlocks::new(1, data.sites.clone(), &blocks).expect("good blocks");
+    let mut generator = BlockGenerator::new();
+    let blocks = generator.blocks();
+    let clients = generator.clients(&blocks, CLIENTS);
+    let table = ClientBlocks::new(1, generator.sites.clone(), &blocks).expect("good blocks");
     report.figure("blocks.count", table.len() as f64, "blocks", Limit::None);
-    let us = time_each(&clients, |client| table.site_of(client).is_some());
+    let us = mean_lookup_us(&clients, |client| table.site_of(client).is_some());
     report.figure("blocks.lookup", us, "us", Limit::AtMost(LOOKUP_MAX_US));
     let size = table.size_bytes() as f64;
     report.figure("blocks.size", size, "bytes", Limit::AtMost(SIZE_MAX_BYTES));
-    load(report, &table);
-    change(report, &table, &blocks, &mut data);
-    look_up_while_changing(report, table.clone(), &blocks, &clients, &mut data);
-    let few = &clients[..LINEAR_CLIENTS];
+    measure_load(report, &table);
+    measure_change(report, &table, &blocks, &mut generator);
+    measure_lookups_while_changing(report, table.clone(), &blocks, &clients, &mut generator);
+    let linear_clients = &clients[..LINEAR_CLIENTS];
     compare::<SortedRanges>(report, "sorted_ranges", &table, &blocks, &clients);
     compare::<EytzingerRanges>(report, "eytzinger_ranges", &table, &blocks, &clients);
     compare::<Poptrie>(report, "poptrie", &table, &blocks, &clients);
     compare::<HashMaps>(report, "baseline_hash_maps", &table, &blocks, &clients);
-    compare::<Linear>(report, "baseline_linear", &table, &blocks, few);
+    compare::<LinearScan>(report, "baseline_linear", &table, &blocks, linear_clients);
 }
 
 /// Returns the mean time of a look-up, in microseconds.
-fn time_each(clients: &[IpAddr], mut find: impl FnMut(IpAddr) -> bool) -> f64 {
+fn mean_lookup_us(clients: &[IpAddr], mut find: impl FnMut(IpAddr) -> bool) -> f64 {
     let started = Instant::now();
     for client in clients {
         black_box(find(*client));
@@ -75,7 +75,7 @@
 }
 
 /// Measures another way and checks that it finds the same sites.
-fn compare<W: Way>(
+fn compare<T: LookupTable>(
     report: &mut Report,
     name: &str,
     table: &ClientBlocks,
@@ -83,34 +83,34 @@
     clients: &[IpAddr],
 ) {
     let started = Instant::now();
-    let way: Both<W> = Both::build(blocks);
+    let other: DualStack<T> = DualStack::build(blocks);
     let build_ms = started.elapsed().as_secs_f64() * 1e3;
-    let different = clients.iter().filter(|client| {
+    let mismatches = clients.iter().filter(|client| {
         let found = table.site_of(**client).map(|site| site.site.clone());
         let index = found.and_then(|site| table.sites().index_of(&site));
-        way.find(**client) != index.map_or(NO_SITE, |i| i.get().into())
+        other.find(**client) != index.map_or(NO_SITE, |i| i.get().into())
     });
-    let different = different.take(1_000).count() as f64;
-    let us = time_each(clients, |client| way.find(client) == 0);
+    let mismatches = mismatches.take(1_000).count() as f64;
+    let us = mean_lookup_us(clients, |client| other.find(client) == 0);
     let figure = |what| format!("blocks.{name}.{what}");
     report.figure(&figure("lookup"), us, "us", Limit::None);
     report.figure(
         &figure("size"),
-        way.size_bytes() as f64,
+        other.size_bytes() as f64,
         "bytes",
         Limit::None,
     );
     report.figure(&figure("build"), build_ms, "ms", Limit::None);
     report.figure(
         &figure("different"),
-        different,
+        mismatches,
         "look-ups",
         Limit::AtMost(0.0),
     );
 }
 
 /// Measures a load from the store's values.
-fn load(report: &mut Report, table: &ClientBlocks) {
+fn measure_load(report: &mut Report, table: &ClientBlocks) {
     let (manifest, values) = Manifest::of(table);
     let manifest_size = manifest.encode().expect("a good manifest").len() as f64;
     report.figure("blocks.manifest", manifest_size, "bytes", Limit::None);
@@ -118,8 +118,8 @@
     let largest = values.iter().map(Vec::len).max().unwrap_or(0);
     report.figure("blocks.chunks", values.len() as f64, "values", Limit::None);
     report.figure("blocks.chunks_total", total as f64, "bytes", Limit::None);
-    let most = Limit::AtMost(foxtide_core::store::VALUE_MAX_BYTES as f64);
-    report.figure("blocks.chunk_largest", largest as f64, "bytes", most);
+    let limit = Limit::AtMost(foxtide_core::store::VALUE_MAX_BYTES as f64);
+    report.figure("blocks.chunk_largest", largest as f64, "bytes", limit);
     let started = Instant::now();
     let loaded = manifest.load(values).expect("good values");
     let ms = started.elapsed().as_secs_f64() * 1e3;
@@ -127,12 +127,12 @@
     report.figure("blocks.load", ms, "ms", Limit::None);
 }
 
-fn delta(blocks: &[Block], data: &mut Data, base_revision: u64) -> Delta {
+fn draw_delta(blocks: &[Block], generator: &mut BlockGenerator, base_revision: u64) -> Delta {
     let stride = blocks.len() / CHANGED_BLOCKS;
     let chosen = blocks.iter().step_by(stride).take(CHANGED_BLOCKS);
     let set = chosen.map(|block| Block {
         net: block.net,
-        site: data.site(),
+        site: generator.site(),
     });
     Delta {
         base_revision,
@@ -142,8 +142,13 @@
     }
 }
 
-fn change(report: &mut Report, table: &ClientBlocks, blocks: &[Block], data: &mut Data) {
-    let delta = delta(blocks, data, 1);
+fn measure_change(
+    report: &mut Report,
+    table: &ClientBlocks,
+    blocks: &[Block],
+    generator: &mut BlockGenerator,
+) {
+    let delta = draw_delta(blocks, generator, 1);
     let size = delta.encode().expect("a good delta").len() as f64;
     report.figure("blocks.delta_100.size", size, "bytes", Limit::None);
     let started = Instant::now();
@@ -163,12 +168,12 @@
 }
 
 /// Looks clients up while another thread applies changes and swaps tables in.
-fn look_up_while_changing(
+fn measure_lookups_while_changing(
     report: &mut Report,
     table: ClientBlocks,
     blocks: &[Block],
     clients: &[IpAddr],
-    data: &mut Data,
+    generator: &mut BlockGenerator,
 ) {
     let current = Arc::new(ArcSwap::from_pointee(table));
     let done = AtomicBool::new(false);
@@ -178,7 +183,9 @@
     std::thread::scope(|scope| {
         scope.spawn(|| {
             for base_revision in 1..=CHANGES {
-                let changed = current.load().apply(&delta(blocks, data, base_revision));
+                let changed = current
+                    .load()
+                    .apply(&draw_delta(blocks, generator, base_revision));
                 current.store(Arc::new(changed.expect("a good delta")));
             }
             done.store(true, Ordering::Release);
@@ -186,7 +193,7 @@
         while !done.load(Ordering::Acquire) {
             for batch in clients.chunks(1_000).take(100) {
                 let table = current.load();
-                let us = time_each(batch, |client| table.site_of(client).is_some());
+                let us = mean_lookup_us(batch, |client| table.site_of(client).is_some());
                 worst_us = worst_us.max(us);
                 lookups += batch.len();
             }
--- a/crates/foxtide/examples/measure/blocks/poptrie.rs
+++ b/crates/foxtide/examples/measure/blocks/poptrie.rs
@@ -1,9 +1,9 @@
 //! A compressed trie of client blocks, measured beside the table in use.
 
-use super::ways::{
+use super::tables::{
     Entry,
-    NO_SITE,
-    Way, //
+    LookupTable,
+    NO_SITE, //
 };
 use std::mem::size_of;
 
@@ -37,14 +37,14 @@
         let mut sites = [inherited; SLOTS];
         let mut begins = [usize::MAX; SLOTS];
         let mut ends = [0; SLOTS];
-        for (place, entry) in entries.iter().enumerate() {
+        for (index, entry) in entries.iter().enumerate() {
             let first = slot(entry.start, depth);
             if entry.length > depth + STRIDE {
-                begins[first] = begins[first].min(place);
-                ends[first] = place + 1;
+                begins[first] = begins[first].min(index);
+                ends[first] = index + 1;
             } else {
-                let wide = 1 << (depth + STRIDE - entry.length).min(STRIDE);
-                sites[first..(first + wide).min(SLOTS)].fill(entry.site as u8);
+                let width = 1 << (depth + STRIDE - entry.length).min(STRIDE);
+                sites[first..(first + width).min(SLOTS)].fill(entry.site as u8);
             }
         }
         let children = (0..SLOTS).filter(|slot| ends[*slot] > 0);
@@ -53,10 +53,10 @@
         let count = u64::count_ones(children) as usize;
         self.nodes.resize(first_child + count, Node::default());
         self.nodes[node] = self.add_leaves(children, &sites, first_child);
-        let with_child = (0..SLOTS).filter(|slot| ends[*slot] > 0);
-        for (child, slot) in (first_child..).zip(with_child) {
-            let inside = &entries[begins[slot]..ends[slot]];
-            self.fill(child, inside, depth + STRIDE, sites[slot]);
+        let child_slots = (0..SLOTS).filter(|slot| ends[*slot] > 0);
+        for (child, slot) in (first_child..).zip(child_slots) {
+            let child_entries = &entries[begins[slot]..ends[slot]];
+            self.fill(child, child_entries, depth + STRIDE, sites[slot]);
         }
     }
 
@@ -79,7 +79,7 @@
     }
 }
 
-impl Way for Poptrie {
+impl LookupTable for Poptrie {
     fn build(entries: &[Entry]) -> Self {
         let mut trie = Self::default();
         trie.nodes.push(Node::default());
@@ -92,18 +92,18 @@
         let mut depth = 0;
         loop {
             let slot = slot(address, depth);
-            let up_to = u64::MAX >> (SLOTS - 1 - slot);
+            let mask = u64::MAX >> (SLOTS - 1 - slot);
             if node.children >> slot & 1 == 0 {
-                let place = (node.leaf_starts & up_to).count_ones() - 1;
-                let site = self.leaves[(node.first_leaf + place) as usize];
+                let index = (node.leaf_starts & mask).count_ones() - 1;
+                let site = self.leaves[(node.first_leaf + index) as usize];
                 return if site == NO_LEAF {
                     NO_SITE
                 } else {
                     site.into()
                 };
             }
-            let place = (node.children & up_to).count_ones() - 1;
-            node = &self.nodes[(node.first_child + place) as usize];
+            let index = (node.children & mask).count_ones() - 1;
+            node = &self.nodes[(node.first_child + index) as usize];
             depth += STRIDE;
         }
     }
--- a/crates/foxtide/examples/measure/blocks/ways.rs
+++ b/crates/foxtide/examples/measure/blocks/tables.rs
@@ -45,7 +45,7 @@
 }
 
 /// One way to find the site of an address.
-pub(crate) trait Way {
+pub(crate) trait LookupTable {
     /// Builds it.
     fn build(entries: &[Entry]) -> Self;
     /// Returns the site of the longest block that holds an address.
@@ -67,23 +67,23 @@
             starts: vec![0],
             sites: vec![NO_SITE],
         };
-        let mut open: Vec<(u64, u16)> = Vec::new();
+        let mut enclosing: Vec<(u64, u16)> = Vec::new();
         for entry in entries {
-            ranges.close(&mut open, entry.start);
-            let host = u64::MAX.checked_shr(entry.length.into()).unwrap_or(0);
-            open.push((entry.start | host, entry.site));
+            ranges.close(&mut enclosing, entry.start);
+            let host_bits = u64::MAX.checked_shr(entry.length.into()).unwrap_or(0);
+            enclosing.push((entry.start | host_bits, entry.site));
             ranges.add(entry.start, entry.site);
         }
-        ranges.close(&mut open, u64::MAX);
+        ranges.close(&mut enclosing, u64::MAX);
         ranges
     }
 
     /// Ends the blocks that lie wholly before an address.
-    fn close(&mut self, open: &mut Vec<(u64, u16)>, before: u64) {
-        while let Some((end, _)) = open.last().copied().filter(|(end, _)| *end < before) {
-            open.pop();
-            let around = open.last().map_or(NO_SITE, |(_, site)| *site);
-            self.add(end + 1, around);
+    fn close(&mut self, enclosing: &mut Vec<(u64, u16)>, before: u64) {
+        while let Some((end, _)) = enclosing.last().copied().filter(|(end, _)| *end < before) {
+            enclosing.pop();
+            let site = enclosing.last().map_or(NO_SITE, |(_, site)| *site);
+            self.add(end + 1, site);
         }
     }
 
@@ -102,7 +102,7 @@
 /// Ranges in ascending order, by binary search.
 pub(crate) struct SortedRanges(Ranges);
 
-impl Way for SortedRanges {
+impl LookupTable for SortedRanges {
     fn build(entries: &[Entry]) -> Self {
         Self(Ranges::new(entries))
     }
@@ -125,37 +125,37 @@
 }
 
 impl EytzingerRanges {
-    fn fill(&mut self, ranges: &Ranges, next: &mut usize, place: usize) {
-        if place >= self.starts.len() {
+    fn fill(&mut self, ranges: &Ranges, next: &mut usize, index: usize) {
+        if index >= self.starts.len() {
             return;
         }
-        self.fill(ranges, next, 2 * place);
-        self.starts[place] = ranges.starts[*next];
-        self.sites[place] = ranges.sites[*next];
+        self.fill(ranges, next, 2 * index);
+        self.starts[index] = ranges.starts[*next];
+        self.sites[index] = ranges.sites[*next];
         *next += 1;
-        self.fill(ranges, next, 2 * place + 1);
+        self.fill(ranges, next, 2 * index + 1);
     }
 }
 
-impl Way for EytzingerRanges {
+impl LookupTable for EytzingerRanges {
     fn build(entries: &[Entry]) -> Self {
         let ranges = Ranges::new(entries);
         let count = ranges.starts.len() + 1;
-        let mut way = Self {
+        let mut table = Self {
             starts: vec![0; count],
             sites: vec![NO_SITE; count],
         };
-        way.fill(&ranges, &mut 0, 1);
-        way
+        table.fill(&ranges, &mut 0, 1);
+        table
     }
 
     fn find(&self, address: u64) -> u16 {
         let mut best = 0;
-        let mut place = 1;
-        while place < self.starts.len() {
-            let right = self.starts[place] <= address;
-            best = if right { place } else { best };
-            place = 2 * place + usize::from(right);
+        let mut index = 1;
+        while index < self.starts.len() {
+            let right = self.starts[index] <= address;
+            best = if right { index } else { best };
+            index = 2 * index + usize::from(right);
         }
         self.sites[best]
     }
@@ -168,15 +168,15 @@
 /// A table for each length, from the longest on.
 pub(crate) struct HashMaps(Vec<(u8, HashMap<u64, u16>)>);
 
-impl Way for HashMaps {
+impl LookupTable for HashMaps {
     fn build(entries: &[Entry]) -> Self {
         let mut maps: Vec<(u8, HashMap<u64, u16>)> = (0..=64)
             .rev()
             .map(|length| (length, HashMap::new()))
             .collect();
         for entry in entries {
-            let place = usize::from(64 - entry.length);
-            maps[place].1.insert(entry.start, entry.site);
+            let index = usize::from(64 - entry.length);
+            maps[index].1.insert(entry.start, entry.site);
         }
         maps.retain(|(_, map)| !map.is_empty());
         Self(maps)
@@ -184,8 +184,8 @@
 
     fn find(&self, address: u64) -> u16 {
         for (length, map) in &self.0 {
-            let host = u64::MAX.checked_shr((*length).into()).unwrap_or(0);
-            if let Some(site) = map.get(&(address & !host)) {
+            let host_bits = u64::MAX.checked_shr((*length).into()).unwrap_or(0);
+            if let Some(site) = map.get(&(address & !host_bits)) {
                 return *site;
             }
         }
@@ -194,26 +194,26 @@
 
     /// Counts a control byte and a padded pair for each place.
     fn size_bytes(&self, start_bytes: usize) -> usize {
-        let places = self.0.iter().map(|(_, map)| map.capacity() * 8 / 7);
-        places.sum::<usize>() * (2 * start_bytes + 1)
+        let slots = self.0.iter().map(|(_, map)| map.capacity() * 8 / 7);
+        slots.sum::<usize>() * (2 * start_bytes + 1)
     }
 }
 
 /// All blocks, one after the other.
-pub(crate) struct Linear(Vec<Entry>);
+pub(crate) struct LinearScan(Vec<Entry>);
 
-impl Way for Linear {
+impl LookupTable for LinearScan {
     fn build(entries: &[Entry]) -> Self {
         Self(entries.to_vec())
     }
 
     fn find(&self, address: u64) -> u16 {
-        let holds = |entry: &&Entry| {
-            let host = u64::MAX.checked_shr(entry.length.into()).unwrap_or(0);
-            address & !host == entry.start
+        let contains = |entry: &&Entry| {
+            let host_bits = u64::MAX.checked_shr(entry.length.into()).unwrap_or(0);
+            address & !host_bits == entry.start
         };
-        let holding = self.0.iter().filter(holds);
-        let longest = holding.max_by_key(|entry| entry.length);
+        let containing = self.0.iter().filter(contains);
+        let longest = containing.max_by_key(|entry| entry.length);
         longest.map_or(NO_SITE, |entry| entry.site)
     }
 
@@ -224,24 +224,24 @@
 }
 
 /// Both families kept the same way.
-pub(crate) struct Both<W> {
-    v4: W,
-    v6: W,
+pub(crate) struct DualStack<T> {
+    v4: T,
+    v6: T,
 }
 
-impl<W: Way> Both<W> {
+impl<T: LookupTable> DualStack<T> {
     /// Builds both.
     pub(crate) fn build(blocks: &[Block]) -> Self {
         Self {
-            v4: W::build(&entries(blocks, true)),
-            v6: W::build(&entries(blocks, false)),
+            v4: T::build(&entries(blocks, true)),
+            v6: T::build(&entries(blocks, false)),
         }
     }
 
     /// Returns the site of the longest block that holds a client.
     pub(crate) fn find(&self, client: IpAddr) -> u16 {
-        let way = if client.is_ipv4() { &self.v4 } else { &self.v6 };
-        way.find(left_aligned(client))
+        let table = if client.is_ipv4() { &self.v4 } else { &self.v6 };
+        table.find(left_aligned(client))
     }
 
     /// Returns the memory in use, in bytes.
--- a/crates/foxtide/examples/measure/choice/in_use.rs
+++ b/crates/foxtide/examples/measure/choice/balancer.rs
@@ -1,10 +1,10 @@
 //! The balancer that is in use, as one of the ways.
 
-use super::ways::{
+use super::policies::{
+    COMPLETION_WAIT,
     Choice,
-    Finished,
-    WAIT,
-    Way, //
+    FinishedAttempt,
+    Policy, //
 };
 use foxtide_core::choice::{
     Balancer,
@@ -22,13 +22,13 @@
 
 /// The balancer that is in use.
 #[derive(Debug)]
-pub(crate) struct InUse {
+pub(crate) struct BalancerPolicy {
     balancer: Balancer,
     names: Vec<UpstreamId>,
     polls: Vec<(usize, Poll)>,
 }
 
-impl InUse {
+impl BalancerPolicy {
     fn index(&self, upstream: &Upstream) -> usize {
         let same = |name: &UpstreamId| *name == upstream.upstream;
         self.names.iter().position(same).expect("it is known")
@@ -39,8 +39,8 @@
     utilization.map(|utilization| LoadReport { utilization })
 }
 
-impl Way for InUse {
-    const REFUSALS_MAX: u32 = 16;
+impl Policy for BalancerPolicy {
+    const REJECTIONS_MAX: u32 = 16;
 
     fn new(upstreams: &[Upstream], instance: usize, instances: usize) -> Self {
         let mut balancer = Balancer::new(BalancerOptions::default(), instance as u64);
@@ -62,18 +62,18 @@
         match self.balancer.pick_avoiding(now, draw, &tried) {
             Pick::Take(ticket) => Choice::Send(self.index(ticket.upstream()), Some(ticket)),
             Pick::Wait { retry_in } => Choice::Wait(retry_in),
-            Pick::Empty => Choice::Wait(WAIT),
+            Pick::Empty => Choice::Wait(COMPLETION_WAIT),
         }
     }
 
-    fn finished(&mut self, end: Finished, now: MonotonicTime) {
+    fn record_finished(&mut self, attempt: FinishedAttempt, now: MonotonicTime) {
         let completion = Completion {
-            kind: end.kind,
-            latency: end.latency,
-            load: load(end.utilization),
+            kind: attempt.kind,
+            latency: attempt.latency,
+            load: load(attempt.utilization),
             draining: false,
         };
-        let ticket = end.ticket.expect("each attempt has its ticket");
+        let ticket = attempt.ticket.expect("each attempt has its ticket");
         self.balancer.finish(ticket, completion, now);
     }
 
@@ -81,7 +81,7 @@
         self.balancer.has_spare_capacity()
     }
 
-    fn polls(&mut self, now: MonotonicTime) -> Vec<usize> {
+    fn due_polls(&mut self, now: MonotonicTime) -> Vec<usize> {
         let mut due = Vec::new();
         while let Some(poll) = self.balancer.next_poll(now) {
             let index = self.index(poll.upstream());
@@ -91,9 +91,9 @@
         due
     }
 
-    fn polled(&mut self, index: usize, utilization: Option<f64>, now: MonotonicTime) {
-        let found = self.polls.iter().position(|(polled, _)| *polled == index);
-        let Some(position) = found else {
+    fn record_poll(&mut self, index: usize, utilization: Option<f64>, now: MonotonicTime) {
+        let position = self.polls.iter().position(|(polled, _)| *polled == index);
+        let Some(position) = position else {
             return;
         };
         let (_, poll) = self.polls.swap_remove(position);
--- a/crates/foxtide/examples/measure/choice/cost.rs
+++ b/crates/foxtide/examples/measure/choice/cost.rs
@@ -1,6 +1,6 @@
 //! What a choice costs, today and at target size.
 
-use super::listed;
+use super::configured_upstreams;
 use super::upstream::UpstreamProfile;
 use crate::report::{
     Limit,
@@ -27,7 +27,7 @@
 
 /// Returns the time of one pick with its finish, in nanoseconds.
 fn pick_and_finish_ns(upstreams: usize) -> f64 {
-    let list = listed(&vec![UpstreamProfile::default(); upstreams]);
+    let list = configured_upstreams(&vec![UpstreamProfile::default(); upstreams]);
     let mut balancer = Balancer::new(BalancerOptions::default(), 1);
     balancer.configure(&list, 1, MonotonicTime::ZERO);
     let started = Instant::now();
@@ -61,7 +61,7 @@
 /// Shares 12 upstreams among 600 instances: how many use each.
 fn subset_at_target(report: &mut Report, name: &str, ranked: bool) {
     const INSTANCES: u32 = 600;
-    let list = listed(&vec![UpstreamProfile::default(); 12]);
+    let list = configured_upstreams(&vec![UpstreamProfile::default(); 12]);
     let mut connections: BTreeMap<String, u32> = BTreeMap::new();
     let mut used = 0;
     for instance in 0..INSTANCES {
@@ -100,7 +100,7 @@
 fn idle_polls(report: &mut Report) {
     const TIME_S: u64 = 600;
     let mut balancer = Balancer::new(BalancerOptions::default(), 1);
-    let list = listed(&[UpstreamProfile::default()]);
+    let list = configured_upstreams(&[UpstreamProfile::default()]);
     balancer.configure(&list, 1, MonotonicTime::ZERO);
     let mut polls = 0;
     for tick in 0..TIME_S * 10 {
--- a/crates/foxtide/examples/measure/choice/fleet.rs
+++ b/crates/foxtide/examples/measure/choice/fleet.rs
@@ -1,5 +1,10 @@
 //! Instances and upstreams in virtual time, driven by a heap of events.
 
+use super::policies::{
+    Choice,
+    FinishedAttempt,
+    Policy, //
+};
 use super::scenario::{
     Scenario,
     Summary, //
@@ -8,11 +13,6 @@
     FakeUpstream,
     Reception, //
 };
-use super::ways::{
-    Choice,
-    Finished,
-    Way, //
-};
 use foxtide_core::choice::{
     CompletionKind,
     Ticket, //
@@ -46,7 +46,7 @@
     TimeOut(usize),
     Hedge(usize),
     Wake(usize),
-    Polls(usize),
+    Poll(usize),
     PollAnswer(usize, usize, bool),
 }
 
@@ -56,7 +56,7 @@
     instance: usize,
     attempts: Attempts,
     tried: Vec<usize>,
-    open: Vec<usize>,
+    open_attempts: Vec<usize>,
     done: bool,
 }
 
@@ -69,12 +69,12 @@
     sent: MonotonicTime,
     result: AttemptResult,
     utilization: Option<f64>,
-    over: bool,
+    ended: bool,
 }
 
 #[derive(Debug)]
-struct FakeInstance<W> {
-    way: W,
+struct FakeInstance<P> {
+    policy: P,
     budget: RetryBudget,
     waiting: VecDeque<usize>,
     /// The one timer that is set for what waits.
@@ -83,9 +83,9 @@
 
 /// A fleet at work.
 #[derive(Debug)]
-pub(crate) struct Fleet<W> {
+pub(crate) struct Fleet<P> {
     scenario: Scenario,
-    instances: Vec<FakeInstance<W>>,
+    instances: Vec<FakeInstance<P>>,
     upstreams: Vec<FakeUpstream>,
     requests: Vec<Request>,
     attempts: Vec<Attempt>,
@@ -96,16 +96,16 @@
     summary: Summary,
 }
 
-const POLL_EACH: Duration = Duration::from_millis(100);
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
 /// How long a poll may take.
 const POLL_TIMEOUT: Duration = Duration::from_millis(500);
 
-impl<W: Way> Fleet<W> {
+impl<P: Policy> Fleet<P> {
     /// Runs a scenario to its end.
     pub(crate) fn run(scenario: Scenario, upstreams: &[Upstream]) -> Summary {
         let instance = |number| FakeInstance {
-            way: W::new(upstreams, number, scenario.instances),
+            policy: P::new(upstreams, number, scenario.instances),
             budget: RetryBudget::new(RetryBudgetOptions::default(), MonotonicTime::ZERO),
             waiting: VecDeque::new(),
             wake_at: None,
@@ -127,14 +127,14 @@
             summary: Summary::default(),
             scenario,
         };
-        fleet.play();
+        fleet.run_events();
         fleet.summary
     }
 
-    fn play(&mut self) {
+    fn run_events(&mut self) {
         self.schedule(Duration::ZERO, Event::Arrive);
         for instance in 0..self.instances.len() {
-            self.schedule(POLL_EACH * instance as u32 / 10, Event::Polls(instance));
+            self.schedule(POLL_INTERVAL * instance as u32 / 10, Event::Poll(instance));
         }
         let end = MonotonicTime::ZERO + self.scenario.duration;
         while let Some(Reverse((at, _, event))) = self.events.pop() {
@@ -159,21 +159,21 @@
         match event {
             Event::Arrive => self.arrive(),
             Event::Dispatch(request) => self.dispatch(request),
-            Event::Reach(attempt) => self.reach(attempt),
+            Event::Reach(attempt) => self.reach_upstream(attempt),
             Event::RunEnds(attempt) => self.run_ends(attempt),
-            Event::Answer(attempt) => self.end(attempt),
+            Event::Answer(attempt) => self.end_attempt(attempt),
             Event::TimeOut(attempt) => self.time_out(attempt),
             Event::Hedge(request) => self.hedge(request),
             Event::Wake(instance) => {
                 self.instances[instance].wake_at = None;
                 self.serve_waiting(instance);
             }
-            Event::Polls(instance) => self.poll(instance),
-            Event::PollAnswer(instance, upstream, heard) => {
-                let told = heard.then(|| self.upstreams[upstream].reported());
+            Event::Poll(instance) => self.poll(instance),
+            Event::PollAnswer(instance, upstream, answered) => {
+                let utilization = answered.then(|| self.upstreams[upstream].reported_utilization());
                 self.instances[instance]
-                    .way
-                    .polled(upstream, told, self.now);
+                    .policy
+                    .record_poll(upstream, utilization, self.now);
             }
         }
     }
@@ -186,7 +186,7 @@
         self.upstreams.iter().map(rate).sum()
     }
 
-    fn counts(&self) -> bool {
+    fn is_measured(&self) -> bool {
         self.now - MonotonicTime::ZERO >= self.scenario.warm_up
     }
 
@@ -195,17 +195,21 @@
     }
 
     /// Returns the load now: bursts of a second in each four.
-    fn load_now(&self) -> f64 {
-        const BURST_EACH_S: u64 = 4;
-        let in_burst = (self.now.as_ms() / 1_000).is_multiple_of(BURST_EACH_S);
-        let others = BURST_EACH_S as f64 - 1.0;
-        let quiet = (BURST_EACH_S as f64 - self.scenario.burst) / others;
-        let factor = if in_burst { self.scenario.burst } else { quiet };
+    fn current_load(&self) -> f64 {
+        const BURST_PERIOD_S: u64 = 4;
+        let in_burst = (self.now.as_ms() / 1_000).is_multiple_of(BURST_PERIOD_S);
+        let others = BURST_PERIOD_S as f64 - 1.0;
+        let quiet_factor = (BURST_PERIOD_S as f64 - self.scenario.burst_factor) / others;
+        let factor = if in_burst {
+            self.scenario.burst_factor
+        } else {
+            quiet_factor
+        };
         self.scenario.load * factor
     }
 
     fn arrive(&mut self) {
-        let gap = Duration::from_secs_f64(1.0 / (self.capacity_rps() * self.load_now()));
+        let gap = Duration::from_secs_f64(1.0 / (self.capacity_rps() * self.current_load()));
         let gap = self.exponential(gap);
         self.schedule(gap, Event::Arrive);
         let terms = RequestTerms {
@@ -220,15 +224,15 @@
             attempts: Attempts::new(
                 terms,
                 RetryOptions {
-                    refusals_max: W::REFUSALS_MAX,
+                    refusals_max: P::REJECTIONS_MAX,
                     ..RetryOptions::default()
                 },
             ),
             tried: Vec::new(),
-            open: Vec::new(),
+            open_attempts: Vec::new(),
             done: false,
         });
-        self.summary.offered += u64::from(self.counts());
+        self.summary.offered += u64::from(self.is_measured());
         let request = self.requests.len() - 1;
         if self.instances[instance].waiting.is_empty() {
             self.dispatch(request);
@@ -250,8 +254,8 @@
     fn try_send(&mut self, number: usize) -> Option<Duration> {
         let draw = self.random.u64(..);
         let request = &mut self.requests[number];
-        let way = &mut self.instances[request.instance].way;
-        match way.choose(self.now, draw, &request.tried) {
+        let policy = &mut self.instances[request.instance].policy;
+        match policy.choose(self.now, draw, &request.tried) {
             Choice::Wait(wait) => Some(wait),
             Choice::Send(upstream, ticket) => {
                 self.send(number, upstream, ticket);
@@ -266,7 +270,7 @@
         let id = request.attempts.begin(now);
         let is_first = request.attempts.begun() == 1;
         request.tried.push(upstream);
-        request.open.push(self.attempts.len());
+        request.open_attempts.push(self.attempts.len());
         self.attempts.push(Attempt {
             request: number,
             id,
@@ -275,36 +279,36 @@
             sent: now,
             result: AttemptResult::Answered,
             utilization: None,
-            over: false,
+            ended: false,
         });
         let attempt = self.attempts.len() - 1;
-        let left = request.attempts.terms().deadline - now;
+        let time_left = request.attempts.terms().deadline - now;
         if let Some(at) = request.attempts.hedge_at().filter(|_| is_first) {
             self.schedule(at - now, Event::Hedge(number));
         }
-        self.schedule(left, Event::TimeOut(attempt));
+        self.schedule(time_left, Event::TimeOut(attempt));
         self.schedule(self.scenario.delay, Event::Reach(attempt));
-        self.summary.attempts += u64::from(self.counts());
-        self.note_sent_to_dead(upstream);
+        self.summary.attempts += u64::from(self.is_measured());
+        self.record_sent_to_dead(upstream);
     }
 
-    fn note_sent_to_dead(&mut self, upstream: usize) {
+    fn record_sent_to_dead(&mut self, upstream: usize) {
         if !self.upstreams[upstream].is_dead(self.now) {
             return;
         }
         let died_at = self.upstreams[upstream].profile.dies_at;
-        self.summary.last_to_dead = died_at.map(|at| self.now - at);
+        self.summary.last_sent_to_dead = died_at.map(|at| self.now - at);
     }
 
-    fn reach(&mut self, number: usize) {
+    fn reach_upstream(&mut self, number: usize) {
         let upstream = self.attempts[number].upstream;
         match self.upstreams[upstream].receive(number, self.now) {
             Reception::Runs => self.start_run(number),
-            Reception::Refused => {
-                let refused = AttemptResult::Refused { retry_after: None };
-                self.answer(number, refused);
+            Reception::Rejected => {
+                let rejected = AttemptResult::Refused { retry_after: None };
+                self.answer(number, rejected);
             }
-            Reception::Waits | Reception::Swallowed => {}
+            Reception::Waits | Reception::Dropped => {}
         }
     }
 
@@ -319,7 +323,7 @@
 
     fn run_ends(&mut self, number: usize) {
         let upstream = self.attempts[number].upstream;
-        if let Some(next) = self.upstreams[upstream].end_one() {
+        if let Some(next) = self.upstreams[upstream].finish_request() {
             self.start_run(next);
         }
         if self.upstreams[upstream].is_dead(self.now) {
@@ -335,41 +339,41 @@
     }
 
     fn answer(&mut self, number: usize, result: AttemptResult) {
-        let reported = self.upstreams[self.attempts[number].upstream].reported();
+        let reported = self.upstreams[self.attempts[number].upstream].reported_utilization();
         self.attempts[number].result = result;
         self.attempts[number].utilization = Some(reported);
         self.schedule(self.scenario.delay, Event::Answer(number));
     }
 
     fn time_out(&mut self, number: usize) {
-        if !self.attempts[number].over {
+        if !self.attempts[number].ended {
             self.attempts[number].result = AttemptResult::TimedOut;
             self.attempts[number].utilization = None;
-            self.end(number);
+            self.end_attempt(number);
         }
     }
 
     /// Ends an attempt at its instance.
-    fn end(&mut self, number: usize) {
-        if self.attempts[number].over {
+    fn end_attempt(&mut self, number: usize) {
+        if self.attempts[number].ended {
             return;
         }
         let result = self.attempts[number].result;
-        self.give_back(number, completion_kind(result));
+        self.release(number, completion_kind(result));
         let request_number = self.attempts[number].request;
         let request = &mut self.requests[request_number];
         let instance = request.instance;
         let budget = &mut self.instances[instance].budget;
         let id = self.attempts[number].id;
         let step = request.attempts.ended(id, result, budget, self.now);
-        self.obey(request_number, step, result);
+        self.apply_step(request_number, step, result);
         self.serve_waiting(instance);
     }
 
-    fn give_back(&mut self, number: usize, kind: CompletionKind) {
+    fn release(&mut self, number: usize, kind: CompletionKind) {
         let attempt = &mut self.attempts[number];
-        attempt.over = true;
-        let end = Finished {
+        attempt.ended = true;
+        let finished = FinishedAttempt {
             index: attempt.upstream,
             ticket: attempt.ticket.take(),
             kind,
@@ -377,13 +381,15 @@
             utilization: attempt.utilization,
         };
         let instance = self.requests[attempt.request].instance;
-        self.instances[instance].way.finished(end, self.now);
-        if kind == CompletionKind::Refused && self.counts() {
-            self.summary.refused_attempts += 1;
+        self.instances[instance]
+            .policy
+            .record_finished(finished, self.now);
+        if kind == CompletionKind::Refused && self.is_measured() {
+            self.summary.rejected_attempts += 1;
         }
     }
 
-    fn obey(&mut self, number: usize, step: Step, result: AttemptResult) {
+    fn apply_step(&mut self, number: usize, step: Step, result: AttemptResult) {
         match step {
             Step::Answer(_) if result == AttemptResult::Answered => self.finish(number, true),
             Step::Answer(_) | Step::GiveUp(_) => self.finish(number, false),
@@ -399,19 +405,19 @@
         }
     }
 
-    fn finish(&mut self, number: usize, good: bool) {
+    fn finish(&mut self, number: usize, answered: bool) {
         let request = &mut self.requests[number];
         request.done = true;
         let latency = self.now - request.arrived;
-        for attempt in std::mem::take(&mut request.open) {
-            if !self.attempts[attempt].over {
-                self.give_back(attempt, CompletionKind::Cancelled);
+        for attempt in std::mem::take(&mut request.open_attempts) {
+            if !self.attempts[attempt].ended {
+                self.release(attempt, CompletionKind::Cancelled);
             }
         }
-        if !self.counts() {
+        if !self.is_measured() {
             return;
         }
-        if good {
+        if answered {
             self.summary.latencies_us.push(latency.as_micros() as u64);
         } else {
             self.summary.given_up += 1;
@@ -421,18 +427,18 @@
     fn hedge(&mut self, number: usize) {
         let request = &mut self.requests[number];
         let instance = &mut self.instances[request.instance];
-        if request.done || !instance.way.may_hedge() {
+        if request.done || !instance.policy.may_hedge() {
             return;
         }
         let budget = &mut instance.budget;
         let step = request.attempts.hedge(budget, self.now);
-        self.obey(number, step, AttemptResult::NotSent);
+        self.apply_step(number, step, AttemptResult::NotSent);
     }
 
     fn wake_in(&mut self, instance: usize, wait: Duration) {
         let at = self.now + wait;
-        let set = self.instances[instance].wake_at;
-        if set.is_none_or(|set| set <= self.now) {
+        let current = self.instances[instance].wake_at;
+        if current.is_none_or(|at| at <= self.now) {
             self.instances[instance].wake_at = Some(at);
             self.schedule(wait, Event::Wake(instance));
         }
@@ -455,15 +461,15 @@
     }
 
     fn poll(&mut self, instance: usize) {
-        self.schedule(POLL_EACH, Event::Polls(instance));
-        for upstream in self.instances[instance].way.polls(self.now) {
-            let heard = !self.upstreams[upstream].is_dead(self.now);
-            let after = if heard {
+        self.schedule(POLL_INTERVAL, Event::Poll(instance));
+        for upstream in self.instances[instance].policy.due_polls(self.now) {
+            let answered = !self.upstreams[upstream].is_dead(self.now);
+            let after = if answered {
                 self.scenario.delay * 2
             } else {
                 POLL_TIMEOUT
             };
-            self.schedule(after, Event::PollAnswer(instance, upstream, heard));
+            self.schedule(after, Event::PollAnswer(instance, upstream, answered));
         }
     }
 }
--- a/crates/foxtide/examples/measure/choice/mod.rs
+++ b/crates/foxtide/examples/measure/choice/mod.rs
@@ -1,43 +1,43 @@
 //! Choice of an upstream and retries, against simpler ways.
 
+mod balancer;
 mod cost;
 mod fleet;
-mod in_use;
+mod policies;
 mod scenario;
 mod upstream;
-mod ways;
 
 use crate::report::{
     Limit,
     Report, //
 };
+use balancer::BalancerPolicy;
 use fleet::Fleet;
 use foxtide_core::organisation::Upstream;
-use in_use::InUse;
-use scenario::{
-    Scenario,
-    Summary, //
-};
-use std::time::Duration;
-use upstream::UpstreamProfile;
-use ways::{
+use policies::{
     LeastInFlight,
     LeastLoadedFullView,
+    Policy,
     RoundRobin,
-    Simple,
+    RulePolicy,
     SlotCredits,
     Subset,
-    TwoChoicesReported,
-    Way, //
+    TwoChoicesReported, //
+};
+use scenario::{
+    Scenario,
+    Summary, //
 };
+use std::time::Duration;
+use upstream::UpstreamProfile;
 
 const SEEDS: u64 = 12;
 
 /// Where an upstream queues as many requests as the stand-in does.
-const QUEUEING: usize = 8;
+const QUEUE_LENGTH: usize = 8;
 
 /// Where an upstream refuses whatever finds no free slot.
-const SHEDDING: usize = 0;
+const NO_QUEUE: usize = 0;
 
 /// Twelve upstreams with 3 and 4 slots in turn.
 fn profiles(queue: usize) -> Vec<UpstreamProfile> {
@@ -58,7 +58,7 @@
 }
 
 /// Returns upstreams of these profiles as an organisation lists them.
-fn listed(profiles: &[UpstreamProfile]) -> Vec<Upstream> {
+fn configured_upstreams(profiles: &[UpstreamProfile]) -> Vec<Upstream> {
     let upstream = |(number, profile): (usize, &UpstreamProfile)| Upstream {
         upstream: format!("viewer-{number}").parse().expect("a valid name"),
         address: ([127, 0, 0, 1], 9_000 + number as u16).into(),
@@ -71,18 +71,18 @@
 }
 
 /// Runs a scenario with several seeds and joins what came of it.
-fn run_way<W: Way>(scenario: &Scenario) -> Summary {
-    let mut joined = Summary::default();
+fn run_policy<P: Policy>(scenario: &Scenario) -> Summary {
+    let mut total = Summary::default();
     for seed in 0..SEEDS {
         let scenario = Scenario {
             seed,
             ..scenario.clone()
         };
-        let upstreams = listed(&scenario.upstreams);
-        joined.join(Fleet::<W>::run(scenario, &upstreams));
+        let upstreams = configured_upstreams(&scenario.upstreams);
+        total.merge(Fleet::<P>::run(scenario, &upstreams));
     }
-    joined.goodput /= SEEDS as f64;
-    joined
+    total.goodput /= SEEDS as f64;
+    total
 }
 
 /// What a way is told to keep, beside being told.
@@ -93,13 +93,18 @@
     goodput: Limit,
 }
 
-const TOLD: Limits = Limits {
+const UNLIMITED: Limits = Limits {
     p99: Limit::None,
     given_up: Limit::None,
     goodput: Limit::None,
 };
 
-fn tell(report: &mut Report, name: &str, mut summary: Summary, limits: Limits) -> Summary {
+fn report_summary(
+    report: &mut Report,
+    name: &str,
+    mut summary: Summary,
+    limits: Limits,
+) -> Summary {
     let p99_ms = summary.quantile_ms(0.99);
     report.figure(&format!("{name}.p99"), p99_ms, "ms", limits.p99);
     let given_up = summary.given_up_share();
@@ -109,10 +114,10 @@
         "share",
         limits.given_up,
     );
-    let refused = summary.refused_share();
+    let rejections = summary.rejections_per_request();
     report.figure(
         &format!("{name}.refusals"),
-        refused,
+        rejections,
         "/request",
         Limit::None,
     );
@@ -127,46 +132,53 @@
 }
 
 /// Tells the simpler ways; returns round robin and two choices.
-fn tell_baselines(report: &mut Report, name: &str, scenario: &Scenario) -> [Summary; 2] {
-    let mut tell_one = |way: &str, summary| tell(report, &format!("{name}.{way}"), summary, TOLD);
-    let round_robin = tell_one("round_robin", run_way::<Simple<RoundRobin>>(scenario));
-    let two = tell_one(
+fn report_baselines(report: &mut Report, name: &str, scenario: &Scenario) -> [Summary; 2] {
+    let mut report_one = |policy: &str, summary| {
+        report_summary(report, &format!("{name}.{policy}"), summary, UNLIMITED)
+    };
+    let round_robin = report_one(
+        "round_robin",
+        run_policy::<RulePolicy<RoundRobin>>(scenario),
+    );
+    let two = report_one(
         "two_choices",
-        run_way::<Simple<TwoChoicesReported>>(scenario),
+        run_policy::<RulePolicy<TwoChoicesReported>>(scenario),
     );
-    tell_one(
+    report_one(
         "least_in_flight",
-        run_way::<Simple<LeastInFlight>>(scenario),
+        run_policy::<RulePolicy<LeastInFlight>>(scenario),
     );
-    tell_one(
+    report_one(
         "least_loaded",
-        run_way::<Simple<LeastLoadedFullView>>(scenario),
+        run_policy::<RulePolicy<LeastLoadedFullView>>(scenario),
     );
-    tell_one("subset", run_way::<Simple<Subset>>(scenario));
-    tell_one("slot_credits", run_way::<SlotCredits>(scenario));
+    report_one("subset", run_policy::<RulePolicy<Subset>>(scenario));
+    report_one("slot_credits", run_policy::<SlotCredits>(scenario));
     [round_robin, two]
 }
 
 /// Compares the ways at three loads where upstreams queue.
 fn compare_queueing(report: &mut Report) {
     for (load, goodput) in [(0.6, 0.59), (0.9, 0.88), (1.2, 0.95)] {
-        let scenario = scenario(load, QUEUEING);
+        let scenario = scenario(load, QUEUE_LENGTH);
         let name = format!("choice.queueing_{:.0}", load * 100.0);
-        let mut simple = tell_baselines(report, &name, &scenario);
-        let best_p99 = simple.each_mut().map(|summary| summary.quantile_ms(0.99));
-        let best_given_up = simple.each_ref().map(Summary::given_up_share);
+        let mut baselines = report_baselines(report, &name, &scenario);
+        let best_p99 = baselines
+            .each_mut()
+            .map(|summary| summary.quantile_ms(0.99));
+        let best_given_up = baselines.each_ref().map(Summary::given_up_share);
         let mut limits = Limits {
             goodput: Limit::AtLeast(goodput),
-            ..TOLD
+            ..UNLIMITED
         };
         if load < 1.0 {
             limits.p99 = Limit::AtMost(best_p99[0].min(best_p99[1]));
             limits.given_up = Limit::AtMost(best_given_up[0].min(best_given_up[1]));
         }
-        tell(
+        report_summary(
             report,
             &format!("{name}.in_use"),
-            run_way::<InUse>(&scenario),
+            run_policy::<BalancerPolicy>(&scenario),
             limits,
         );
     }
@@ -177,18 +189,18 @@
 /// latencies are those of the lucky ones and bound nothing.
 fn compare_shedding(report: &mut Report) {
     for load in [0.6, 0.9, 1.2] {
-        let scenario = scenario(load, SHEDDING);
+        let scenario = scenario(load, NO_QUEUE);
         let name = format!("choice.shedding_{:.0}", load * 100.0);
-        let simple = tell_baselines(report, &name, &scenario);
-        let given_up = simple.each_ref().map(Summary::given_up_share);
+        let baselines = report_baselines(report, &name, &scenario);
+        let given_up = baselines.each_ref().map(Summary::given_up_share);
         let limits = Limits {
             given_up: Limit::AtMost(given_up[0].min(given_up[1])),
-            ..TOLD
+            ..UNLIMITED
         };
-        tell(
+        report_summary(
             report,
             &format!("{name}.in_use"),
-            run_way::<InUse>(&scenario),
+            run_policy::<BalancerPolicy>(&scenario),
             limits,
         );
     }
@@ -201,22 +213,27 @@
     p99_limit: fn(f64) -> Limit,
     change: impl Fn(&mut Scenario),
 ) -> Summary {
-    let mut scenario = scenario(0.8, QUEUEING);
+    let mut scenario = scenario(0.8, QUEUE_LENGTH);
     change(&mut scenario);
     let name = format!("choice.{fault}");
-    let round_robin = run_way::<Simple<RoundRobin>>(&scenario);
-    let mut round_robin = tell(report, &format!("{name}.round_robin"), round_robin, TOLD);
-    let two = run_way::<Simple<TwoChoicesReported>>(&scenario);
-    tell(report, &format!("{name}.two_choices"), two, TOLD);
+    let round_robin = run_policy::<RulePolicy<RoundRobin>>(&scenario);
+    let mut round_robin = report_summary(
+        report,
+        &format!("{name}.round_robin"),
+        round_robin,
+        UNLIMITED,
+    );
+    let two = run_policy::<RulePolicy<TwoChoicesReported>>(&scenario);
+    report_summary(report, &format!("{name}.two_choices"), two, UNLIMITED);
     let limits = Limits {
         p99: p99_limit(round_robin.quantile_ms(0.99)),
         given_up: Limit::AtMost(round_robin.given_up_share()),
         goodput: Limit::AtLeast(round_robin.goodput * 0.99),
     };
-    tell(
+    report_summary(
         report,
         &format!("{name}.in_use"),
-        run_way::<InUse>(&scenario),
+        run_policy::<BalancerPolicy>(&scenario),
         limits,
     )
 }
@@ -224,12 +241,12 @@
 fn compare_faults(report: &mut Report) {
     compare_fault(report, "lying_idle", Limit::AtMost, |scenario| {
         for profile in &mut scenario.upstreams[..3] {
-            profile.lie = Some(0.0);
+            profile.false_utilization = Some(0.0);
         }
     });
     compare_fault(report, "lying_busy", Limit::AtMost, |scenario| {
         for profile in &mut scenario.upstreams[..3] {
-            profile.lie = Some(3.0);
+            profile.false_utilization = Some(3.0);
         }
     });
     compare_fault(report, "one_slow", Limit::AtMost, |scenario| {
@@ -243,44 +260,44 @@
         |_| Limit::None,
         |scenario| {
             scenario.load = 0.7;
-            scenario.burst = 1.5;
+            scenario.burst_factor = 1.5;
         },
     );
     let dead = compare_fault(report, "one_dead", Limit::AtMost, |scenario| {
         scenario.upstreams[0].dies_at = Some(foxtide_core::time::MonotonicTime::from_ms(5_000));
     });
-    let last_s = dead.last_to_dead.unwrap_or_default().as_secs_f64();
+    let last_s = dead.last_sent_to_dead.unwrap_or_default().as_secs_f64();
     let name = "choice.one_dead.last_request_after_death";
     report.figure(name, last_s, "s", Limit::AtMost(3.0));
 }
 
 /// Half of all answers are errors: retries must not multiply the load.
-fn storm(report: &mut Report) {
-    let mut scenario = scenario(0.6, QUEUEING);
+fn measure_retry_storm(report: &mut Report) {
+    let mut scenario = scenario(0.6, QUEUE_LENGTH);
     for profile in &mut scenario.upstreams {
         profile.error_share = 0.5;
     }
-    let attempts = run_way::<InUse>(&scenario).attempts_per_request();
+    let attempts = run_policy::<BalancerPolicy>(&scenario).attempts_per_request();
     let limit = Limit::AtMost(1.2);
     report.figure("retry.half_errors.attempts", attempts, "/request", limit);
 }
 
 /// Reads of a service that puts latency first are hedged, here where run times
 /// have a long tail: exponential, 5 % above three times the mean.
-fn hedging(report: &mut Report) {
+fn measure_hedging(report: &mut Report) {
     for load in [0.6, 0.9] {
         let plain = Scenario {
             fixed_run_share: 0.0,
-            ..scenario(load, QUEUEING)
+            ..scenario(load, QUEUE_LENGTH)
         };
         let hedged = Scenario {
             hedge_delay: Some(Duration::from_millis(60)),
             ..plain.clone()
         };
         let name = format!("retry.hedging_{:.0}", load * 100.0);
-        let mut without = run_way::<InUse>(&plain);
+        let mut without = run_policy::<BalancerPolicy>(&plain);
         let without_ms = without.quantile_ms(0.99);
-        let mut with = run_way::<InUse>(&hedged);
+        let mut with = run_policy::<BalancerPolicy>(&hedged);
         report.figure(
             &format!("{name}.p99_without"),
             without_ms,
@@ -305,7 +322,7 @@
     compare_queueing(report);
     compare_shedding(report);
     compare_faults(report);
-    storm(report);
-    hedging(report);
+    measure_retry_storm(report);
+    measure_hedging(report);
     cost::run(report);
 }
--- a/crates/foxtide/examples/measure/choice/ways.rs
+++ b/crates/foxtide/examples/measure/choice/policies.rs
@@ -19,7 +19,7 @@
 
 /// What a way is told of a finished attempt.
 #[derive(Debug)]
-pub(crate) struct Finished {
+pub(crate) struct FinishedAttempt {
     pub(crate) index: usize,
     pub(crate) ticket: Option<Ticket>,
     pub(crate) kind: CompletionKind,
@@ -28,9 +28,9 @@
 }
 
 /// One way to choose, as one instance runs it.
-pub(crate) trait Way {
+pub(crate) trait Policy {
     /// How many refused attempts a request may have beside the budget.
-    const REFUSALS_MAX: u32 = 0;
+    const REJECTIONS_MAX: u32 = 0;
 
     /// Returns the state of the instance of this number out of `instances`.
     fn new(upstreams: &[Upstream], instance: usize, instances: usize) -> Self;
@@ -39,7 +39,7 @@
     fn choose(&mut self, now: MonotonicTime, draw: u64, tried: &[usize]) -> Choice;
 
     /// Learns from a finished attempt.
-    fn finished(&mut self, end: Finished, now: MonotonicTime);
+    fn record_finished(&mut self, attempt: FinishedAttempt, now: MonotonicTime);
 
     /// Tells whether a hedge may be sent.
     fn may_hedge(&self) -> bool {
@@ -47,15 +47,15 @@
     }
 
     /// Returns the upstreams to be polled now.
-    fn polls(&mut self, now: MonotonicTime) -> Vec<usize>;
+    fn due_polls(&mut self, now: MonotonicTime) -> Vec<usize>;
 
     /// Learns from a poll; `None` where it was not answered.
-    fn polled(&mut self, index: usize, utilization: Option<f64>, now: MonotonicTime);
+    fn record_poll(&mut self, index: usize, utilization: Option<f64>, now: MonotonicTime);
 }
 
 /// What the simpler ways keep of each upstream.
 #[derive(Clone, Debug)]
-pub(crate) struct View {
+pub(crate) struct UpstreamView {
     slots: usize,
     in_flight: usize,
     reported: f64,
@@ -71,24 +71,24 @@
     }
 
     /// Chooses among candidates; `turn` counts the choices so far.
-    fn choose(views: &[View], among: &[usize], turn: usize, draw: u64) -> usize;
+    fn choose(views: &[UpstreamView], candidates: &[usize], turn: usize, draw: u64) -> usize;
 }
 
 /// A way that follows a [`Rule`] and knows no more than its views.
 #[derive(Debug)]
-pub(crate) struct Simple<R> {
-    views: Vec<View>,
+pub(crate) struct RulePolicy<R> {
+    views: Vec<UpstreamView>,
     candidates: Vec<usize>,
     turn: usize,
     rule: std::marker::PhantomData<R>,
 }
 
 /// The time between two polls of the simple ways.
-const POLL_EACH: Duration = Duration::from_millis(500);
+const POLL_INTERVAL: Duration = Duration::from_millis(500);
 
-impl<R: Rule> Way for Simple<R> {
+impl<R: Rule> Policy for RulePolicy<R> {
     fn new(upstreams: &[Upstream], instance: usize, instances: usize) -> Self {
-        let view = |upstream: &Upstream| View {
+        let view = |upstream: &Upstream| UpstreamView {
             slots: upstream.slots as usize,
             in_flight: 0,
             reported: 0.0,
@@ -103,27 +103,27 @@
     }
 
     fn choose(&mut self, _: MonotonicTime, draw: u64, tried: &[usize]) -> Choice {
-        let mut among = self.candidates.clone();
-        among.retain(|index| !tried.contains(index));
-        if among.is_empty() {
-            among.clone_from(&self.candidates);
+        let mut candidates = self.candidates.clone();
+        candidates.retain(|index| !tried.contains(index));
+        if candidates.is_empty() {
+            candidates.clone_from(&self.candidates);
         }
         self.turn += 1;
-        let index = R::choose(&self.views, &among, self.turn, draw);
+        let index = R::choose(&self.views, &candidates, self.turn, draw);
         self.views[index].in_flight += 1;
         Choice::Send(index, None)
     }
 
-    fn finished(&mut self, end: Finished, _: MonotonicTime) {
-        let view = &mut self.views[end.index];
+    fn record_finished(&mut self, attempt: FinishedAttempt, _: MonotonicTime) {
+        let view = &mut self.views[attempt.index];
         view.in_flight -= 1;
-        view.reported = end.utilization.unwrap_or(view.reported);
+        view.reported = attempt.utilization.unwrap_or(view.reported);
     }
 
-    fn polls(&mut self, now: MonotonicTime) -> Vec<usize> {
+    fn due_polls(&mut self, now: MonotonicTime) -> Vec<usize> {
         let mut due = Vec::new();
         for (index, view) in self.views.iter_mut().enumerate() {
-            if now - view.polled_at >= POLL_EACH {
+            if now - view.polled_at >= POLL_INTERVAL {
                 view.polled_at = now;
                 due.push(index);
             }
@@ -131,7 +131,7 @@
         due
     }
 
-    fn polled(&mut self, index: usize, utilization: Option<f64>, _: MonotonicTime) {
+    fn record_poll(&mut self, index: usize, utilization: Option<f64>, _: MonotonicTime) {
         let view = &mut self.views[index];
         view.reported = utilization.unwrap_or(view.reported);
     }
@@ -142,8 +142,8 @@
 pub(crate) struct RoundRobin;
 
 impl Rule for RoundRobin {
-    fn choose(_: &[View], among: &[usize], turn: usize, _: u64) -> usize {
-        among[turn % among.len()]
+    fn choose(_: &[UpstreamView], candidates: &[usize], turn: usize, _: u64) -> usize {
+        candidates[turn % candidates.len()]
     }
 }
 
@@ -152,9 +152,9 @@
 pub(crate) struct TwoChoicesReported;
 
 impl Rule for TwoChoicesReported {
-    fn choose(views: &[View], among: &[usize], _: usize, draw: u64) -> usize {
-        let first = among[draw as usize % among.len()];
-        let second = among[(draw >> 32) as usize % among.len()];
+    fn choose(views: &[UpstreamView], candidates: &[usize], _: usize, draw: u64) -> usize {
+        let first = candidates[draw as usize % candidates.len()];
+        let second = candidates[(draw >> 32) as usize % candidates.len()];
         if views[first].reported <= views[second].reported {
             first
         } else {
@@ -168,8 +168,8 @@
 pub(crate) struct LeastInFlight;
 
 impl Rule for LeastInFlight {
-    fn choose(views: &[View], among: &[usize], _: usize, draw: u64) -> usize {
-        least(among, draw, |index| {
+    fn choose(views: &[UpstreamView], candidates: &[usize], _: usize, draw: u64) -> usize {
+        least_cost(candidates, draw, |index| {
             (views[index].in_flight + 1) as f64 / views[index].slots as f64
         })
     }
@@ -180,10 +180,10 @@
 pub(crate) struct LeastLoadedFullView;
 
 impl Rule for LeastLoadedFullView {
-    fn choose(views: &[View], among: &[usize], _: usize, draw: u64) -> usize {
-        least(among, draw, |index| {
-            let own = (views[index].in_flight + 1) as f64 / views[index].slots as f64;
-            own + views[index].reported
+    fn choose(views: &[UpstreamView], candidates: &[usize], _: usize, draw: u64) -> usize {
+        least_cost(candidates, draw, |index| {
+            let own_load = (views[index].in_flight + 1) as f64 / views[index].slots as f64;
+            own_load + views[index].reported
         })
     }
 }
@@ -200,16 +200,16 @@
             .collect()
     }
 
-    fn choose(views: &[View], among: &[usize], turn: usize, draw: u64) -> usize {
-        LeastInFlight::choose(views, among, turn, draw)
+    fn choose(views: &[UpstreamView], candidates: &[usize], turn: usize, draw: u64) -> usize {
+        LeastInFlight::choose(views, candidates, turn, draw)
     }
 }
 
 /// Returns the candidate of the least cost, equals by draw.
-fn least(among: &[usize], draw: u64, cost: impl Fn(usize) -> f64) -> usize {
-    let start = draw as usize % among.len();
-    let turned = (0..among.len()).map(|n| among[(start + n) % among.len()]);
-    turned
+fn least_cost(candidates: &[usize], draw: u64, cost: impl Fn(usize) -> f64) -> usize {
+    let start = draw as usize % candidates.len();
+    let rotated = (0..candidates.len()).map(|n| candidates[(start + n) % candidates.len()]);
+    rotated
         .min_by(|a, b| cost(*a).total_cmp(&cost(*b)))
         .expect("there is a candidate")
 }
@@ -221,9 +221,9 @@
 }
 
 /// The wait where only a completion can help.
-pub(crate) const WAIT: Duration = Duration::from_millis(50);
+pub(crate) const COMPLETION_WAIT: Duration = Duration::from_millis(50);
 
-impl Way for SlotCredits {
+impl Policy for SlotCredits {
     fn new(upstreams: &[Upstream], instance: usize, instances: usize) -> Self {
         let mut credits = vec![0; upstreams.len()];
         let slots = upstreams
@@ -238,19 +238,19 @@
 
     fn choose(&mut self, _: MonotonicTime, _: u64, _: &[usize]) -> Choice {
         let Some(index) = self.credits.iter().position(|credits| *credits > 0) else {
-            return Choice::Wait(WAIT);
+            return Choice::Wait(COMPLETION_WAIT);
         };
         self.credits[index] -= 1;
         Choice::Send(index, None)
     }
 
-    fn finished(&mut self, end: Finished, _: MonotonicTime) {
-        self.credits[end.index] += 1;
+    fn record_finished(&mut self, attempt: FinishedAttempt, _: MonotonicTime) {
+        self.credits[attempt.index] += 1;
     }
 
-    fn polls(&mut self, _: MonotonicTime) -> Vec<usize> {
+    fn due_polls(&mut self, _: MonotonicTime) -> Vec<usize> {
         Vec::new()
     }
 
-    fn polled(&mut self, _: usize, _: Option<f64>, _: MonotonicTime) {}
+    fn record_poll(&mut self, _: usize, _: Option<f64>, _: MonotonicTime) {}
 }
--- a/crates/foxtide/examples/measure/choice/scenario.rs
+++ b/crates/foxtide/examples/measure/choice/scenario.rs
@@ -22,7 +22,7 @@
     /// How long a request is given before a second attempt; none: no hedging.
     pub(crate) hedge_delay: Option<Duration>,
     /// The load in one second of each four, as a multiple of the mean load.
-    pub(crate) burst: f64,
+    pub(crate) burst_factor: f64,
     /// The part of the mean run time that every request takes.
     pub(crate) fixed_run_share: f64,
     pub(crate) seed: u64,
@@ -41,7 +41,7 @@
             wait_max: Duration::from_millis(40),
             delay: Duration::from_micros(500),
             hedge_delay: None,
-            burst: 1.0,
+            burst_factor: 1.0,
             fixed_run_share: 0.8,
             seed: 0,
         }
@@ -55,23 +55,23 @@
     pub(crate) offered: u64,
     pub(crate) given_up: u64,
     pub(crate) attempts: u64,
-    pub(crate) refused_attempts: u64,
+    pub(crate) rejected_attempts: u64,
     /// Answers in time, as a part of what the upstreams can serve.
     pub(crate) goodput: f64,
     /// When the last new request was sent to an upstream after its death.
-    pub(crate) last_to_dead: Option<Duration>,
+    pub(crate) last_sent_to_dead: Option<Duration>,
 }
 
 impl Summary {
     /// Adds another run of the same scenario.
-    pub(crate) fn join(&mut self, other: Self) {
+    pub(crate) fn merge(&mut self, other: Self) {
         self.latencies_us.extend(other.latencies_us);
         self.offered += other.offered;
         self.given_up += other.given_up;
         self.attempts += other.attempts;
-        self.refused_attempts += other.refused_attempts;
+        self.rejected_attempts += other.rejected_attempts;
         self.goodput += other.goodput;
-        self.last_to_dead = self.last_to_dead.max(other.last_to_dead);
+        self.last_sent_to_dead = self.last_sent_to_dead.max(other.last_sent_to_dead);
     }
 
     /// Returns a quantile of the answers' latencies, in milliseconds.
@@ -93,7 +93,7 @@
     }
 
     /// Returns the refused attempts a request.
-    pub(crate) fn refused_share(&self) -> f64 {
-        self.refused_attempts as f64 / self.offered.max(1) as f64
+    pub(crate) fn rejections_per_request(&self) -> f64 {
+        self.rejected_attempts as f64 / self.offered.max(1) as f64
     }
 }
--- a/crates/foxtide/examples/measure/choice/upstream.rs
+++ b/crates/foxtide/examples/measure/choice/upstream.rs
@@ -16,7 +16,7 @@
     /// The part of its answers that are server errors.
     pub(crate) error_share: f64,
     /// The utilization it reports whatever the truth is.
-    pub(crate) lie: Option<f64>,
+    pub(crate) false_utilization: Option<f64>,
     /// When it stops to answer anything.
     pub(crate) dies_at: Option<MonotonicTime>,
 }
@@ -28,7 +28,7 @@
             queue: 0,
             run_mean: Duration::from_millis(20),
             error_share: 0.0,
-            lie: None,
+            false_utilization: None,
             dies_at: None,
         }
     }
@@ -42,9 +42,9 @@
     /// It waits for a slot.
     Waits,
     /// It is refused.
-    Refused,
+    Rejected,
     /// Nothing is ever heard of it.
-    Swallowed,
+    Dropped,
 }
 
 /// One upstream; requests are known by number.
@@ -73,7 +73,7 @@
     /// Takes a request in or refuses it.
     pub(crate) fn receive(&mut self, attempt: usize, now: MonotonicTime) -> Reception {
         if self.is_dead(now) {
-            return Reception::Swallowed;
+            return Reception::Dropped;
         }
         if self.running < self.profile.slots {
             self.running += 1;
@@ -83,11 +83,11 @@
             self.waiting.push_back(attempt);
             return Reception::Waits;
         }
-        Reception::Refused
+        Reception::Rejected
     }
 
     /// Ends a request; returns the one that starts in its slot.
-    pub(crate) fn end_one(&mut self) -> Option<usize> {
+    pub(crate) fn finish_request(&mut self) -> Option<usize> {
         let next = self.waiting.pop_front();
         if next.is_none() {
             self.running -= 1;
@@ -96,9 +96,9 @@
     }
 
     /// Returns the utilization that it reports.
-    pub(crate) fn reported(&self) -> f64 {
-        let present = (self.running + self.waiting.len()) as f64;
-        let truth = present / self.profile.slots as f64;
-        self.profile.lie.unwrap_or(truth)
+    pub(crate) fn reported_utilization(&self) -> f64 {
+        let requests = (self.running + self.waiting.len()) as f64;
+        let utilization = requests / self.profile.slots as f64;
+        self.profile.false_utilization.unwrap_or(utilization)
     }
 }
