--- a/crates/foxtide/examples/measure/blocks/generator.rs
+++ b/crates/foxtide/examples/measure/blocks/generator.rs
@@ -1,4 +1,4 @@
-//! Client blocks of the target's size, drawn with a fixed seed.
+//! Generates random client blocks and clients at target size, with a fixed seed.
 
 use foxtide_core::blocks::{
     Block,
@@ -23,24 +23,23 @@
     Ipv6Addr, //
 };
 
-/// Blocks at target size; two of three are v4.
+/// The number of IPv4 blocks at target size.
 pub(crate) const V4_BLOCKS: usize = 640_000;
-/// The others.
+/// The number of IPv6 blocks at target size.
 pub(crate) const V6_BLOCKS: usize = 330_000;
 const SITES: usize = 130;
 const REGIONS: usize = 7;
 const SEED: u64 = 970_000;
 
-/// Draws blocks and clients.
+/// Generates blocks and clients.
 pub(crate) struct BlockGenerator {
     random: StdRng,
     indices: Vec<SiteIndex>,
-    /// The sites.
     pub(crate) sites: SiteTable,
 }
 
 impl BlockGenerator {
-    /// Returns a source with the fixed seed.
+    /// Returns a generator with the fixed seed.
     pub(crate) fn new() -> Self {
         let site = |number: usize| Site {
             site: format!("site-{number}").parse().expect("a name"),
@@ -57,8 +56,8 @@
         }
     }
 
-    /// Draws the blocks: allocations, and more specific ones, most of which
-    /// lie in an allocation.
+    /// Generates allocations, and more specific blocks, most of which lie within
+    /// an allocation.
     pub(crate) fn blocks(&mut self) -> Vec<Block> {
         let mut blocks = HashMap::new();
         let mut v4_allocations = Vec::new();
@@ -75,12 +74,12 @@
         blocks.into_iter().map(block).collect()
     }
 
-    /// Draws clients; most lie in one of the blocks.
+    /// Generates client addresses, most of which lie within one of the blocks.
     pub(crate) fn clients(&mut self, blocks: &[Block], count: usize) -> Vec<IpAddr> {
         (0..count).map(|_| self.client(blocks)).collect()
     }
 
-    /// Draws a site.
+    /// Returns a random site.
     pub(crate) fn site(&mut self) -> SiteIndex {
         self.indices[self.random.random_range(0..SITES)]
     }
--- a/crates/foxtide/examples/measure/blocks/mod.rs
+++ b/crates/foxtide/examples/measure/blocks/mod.rs
@@ -1,5 +1,5 @@
-//! Client blocks at target size: look-up, memory, load and change, in the
-//! structure in use and in others.
+//! Measures look-ups, memory, loading and changes of client blocks at target
+//! size, and compares [`ClientBlocks`] with other data structures.
 
 mod generator;
 mod poptrie;
@@ -43,7 +43,6 @@
 const SIZE_MAX_BYTES: f64 = 8_000_000.0;
 const LOOKUP_MAX_US: f64 = 1.0;
 
-/// Measures the client blocks.
 pub(crate) fn run(report: &mut Report) {
     let mut generator = BlockGenerator::new();
     let blocks = generator.blocks();
@@ -65,7 +64,6 @@
     compare::<LinearScan>(report, "baseline_linear", &table, &blocks, linear_clients);
 }
 
-/// Returns the mean time of a look-up, in microseconds.
 fn mean_lookup_us(clients: &[IpAddr], mut find: impl FnMut(IpAddr) -> bool) -> f64 {
     let started = Instant::now();
     for client in clients {
@@ -74,7 +72,7 @@
     started.elapsed().as_secs_f64() * 1e6 / clients.len() as f64
 }
 
-/// Measures another way and checks that it finds the same sites.
+/// Measures another data structure and counts look-ups whose result differs.
 fn compare<T: LookupTable>(
     report: &mut Report,
     name: &str,
@@ -109,7 +107,7 @@
     );
 }
 
-/// Measures a load from the store's values.
+/// Measures the encoded size of the blocks and a load from the store's values.
 fn measure_load(report: &mut Report, table: &ClientBlocks) {
     let (manifest, values) = Manifest::of(table);
     let manifest_size = manifest.encode().expect("a good manifest").len() as f64;
@@ -157,7 +155,7 @@
     }
     let ms = started.elapsed().as_secs_f64() * 1e3 / CHANGES as f64;
     report.figure("blocks.delta_100.apply", ms, "ms", Limit::None);
-    // 2,800 changes a day, were each of them one of blocks.
+    // The share of a core if all 2,800 changes of a day change client blocks.
     let core_share = ms / 1e3 * 2_800.0 / 86_400.0;
     report.figure(
         "blocks.delta_100.core_share",
@@ -167,7 +165,7 @@
     );
 }
 
-/// Looks clients up while another thread applies changes and swaps tables in.
+/// Measures look-ups while another thread applies changes and swaps tables.
 fn measure_lookups_while_changing(
     report: &mut Report,
     table: ClientBlocks,
--- a/crates/foxtide/examples/measure/blocks/poptrie.rs
+++ b/crates/foxtide/examples/measure/blocks/poptrie.rs
@@ -1,4 +1,6 @@
-//! A compressed trie of client blocks, measured beside the table in use.
+//! A Poptrie of client blocks, for comparison with [`ClientBlocks`].
+//!
+//! [`ClientBlocks`]: foxtide_core::blocks::ClientBlocks
 
 use super::tables::{
     Entry,
@@ -7,9 +9,9 @@
 };
 use std::mem::size_of;
 
-/// A compressed trie of six bits a level (Asai and Ohara, "Poptrie", SIGCOMM
-/// 2015): a bit map tells children from leaves, equal neighbouring leaves are
-/// kept once, and places are found by counting bits.
+/// A compressed trie with a stride of six bits (Asai and Ohara, "Poptrie",
+/// SIGCOMM 2015). A bitmap distinguishes children from leaves, equal adjacent
+/// leaves are stored once, and indices are found by counting bits.
 #[derive(Default)]
 pub(crate) struct Poptrie {
     nodes: Vec<Node>,
--- a/crates/foxtide/examples/measure/blocks/tables.rs
+++ b/crates/foxtide/examples/measure/blocks/tables.rs
@@ -1,27 +1,30 @@
-//! Other ways to keep client blocks, measured beside the one in use.
+//! Data structures for client blocks, for comparison with [`ClientBlocks`].
 //!
-//! All keep addresses left-aligned in 64 bits, one structure a family.
+//! All store addresses left-aligned in 64 bits, with one structure for each
+//! address family.
+//!
+//! [`ClientBlocks`]: foxtide_core::blocks::ClientBlocks
 
 use foxtide_core::blocks::Block;
 use std::collections::HashMap;
 use std::mem::size_of;
 use std::net::IpAddr;
 
-/// The site's number where no block holds an address.
+/// The result of a look-up if no block contains the address.
 pub(crate) const NO_SITE: u16 = u16::MAX;
 
-/// A block, left-aligned.
+/// A block with a left-aligned address.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct Entry {
-    /// Its first address.
+    /// The first address.
     pub(crate) start: u64,
-    /// How many bits are fixed.
+    /// The prefix length.
     pub(crate) length: u8,
     /// The site's number.
     pub(crate) site: u16,
 }
 
-/// Returns the blocks of one family, ascending.
+/// Returns the blocks of one address family in ascending order.
 pub(crate) fn entries(blocks: &[Block], v4: bool) -> Vec<Entry> {
     let of_family = blocks
         .iter()
@@ -36,7 +39,7 @@
     entries
 }
 
-/// Returns an address's first 64 bits.
+/// Returns the first 64 bits of an address, left-aligned.
 pub(crate) fn left_aligned(address: IpAddr) -> u64 {
     match address {
         IpAddr::V4(address) => u64::from(address.to_bits()) << 32,
@@ -44,18 +47,18 @@
     }
 }
 
-/// One way to find the site of an address.
+/// A table that finds the site of an address by longest-prefix match.
 pub(crate) trait LookupTable {
-    /// Builds it.
+    /// Builds a table from the entries in ascending order.
     fn build(entries: &[Entry]) -> Self;
-    /// Returns the site of the longest block that holds an address.
+    /// Returns the site of the longest block that contains an address.
     fn find(&self, address: u64) -> u16;
-    /// Returns the memory in use, in bytes, were a first address packed into
-    /// `start_bytes` and a site into one byte.
+    /// Returns the memory that the table would use, in bytes, if each first
+    /// address took `start_bytes` and each site one byte.
     fn size_bytes(&self, start_bytes: usize) -> usize;
 }
 
-/// Each address range between two borders of blocks, by its first address.
+/// Disjoint address ranges, each with its first address and its site.
 struct Ranges {
     starts: Vec<u64>,
     sites: Vec<u16>,
@@ -78,7 +81,7 @@
         ranges
     }
 
-    /// Ends the blocks that lie wholly before an address.
+    /// Closes the enclosing blocks that end before an address.
     fn close(&mut self, enclosing: &mut Vec<(u64, u16)>, before: u64) {
         while let Some((end, _)) = enclosing.last().copied().filter(|(end, _)| *end < before) {
             enclosing.pop();
@@ -99,7 +102,7 @@
     }
 }
 
-/// Ranges in ascending order, by binary search.
+/// Ranges in ascending order, for binary search.
 pub(crate) struct SortedRanges(Ranges);
 
 impl LookupTable for SortedRanges {
@@ -117,8 +120,8 @@
     }
 }
 
-/// Ranges in the order of a breadth-first search tree (Eytzinger), whose first
-/// levels share cache lines.
+/// Ranges in the Eytzinger layout, the breadth-first order of a search tree,
+/// whose first levels share cache lines.
 pub(crate) struct EytzingerRanges {
     starts: Vec<u64>,
     sites: Vec<u16>,
@@ -165,7 +168,7 @@
     }
 }
 
-/// A table for each length, from the longest on.
+/// A hash map for each prefix length, the longest first.
 pub(crate) struct HashMaps(Vec<(u8, HashMap<u64, u16>)>);
 
 impl LookupTable for HashMaps {
@@ -192,14 +195,14 @@
         NO_SITE
     }
 
-    /// Counts a control byte and a padded pair for each place.
+    /// Counts a control byte and a padded pair for each slot.
     fn size_bytes(&self, start_bytes: usize) -> usize {
         let slots = self.0.iter().map(|(_, map)| map.capacity() * 8 / 7);
         slots.sum::<usize>() * (2 * start_bytes + 1)
     }
 }
 
-/// All blocks, one after the other.
+/// All blocks in a list that is searched linearly.
 pub(crate) struct LinearScan(Vec<Entry>);
 
 impl LookupTable for LinearScan {
@@ -217,20 +220,19 @@
         longest.map_or(NO_SITE, |entry| entry.site)
     }
 
-    /// Counts a byte for the length.
+    /// Includes one byte for the prefix length of each block.
     fn size_bytes(&self, start_bytes: usize) -> usize {
         self.0.len() * (start_bytes + 2)
     }
 }
 
-/// Both families kept the same way.
+/// A table for each address family.
 pub(crate) struct DualStack<T> {
     v4: T,
     v6: T,
 }
 
 impl<T: LookupTable> DualStack<T> {
-    /// Builds both.
     pub(crate) fn build(blocks: &[Block]) -> Self {
         Self {
             v4: T::build(&entries(blocks, true)),
@@ -238,13 +240,13 @@
         }
     }
 
-    /// Returns the site of the longest block that holds a client.
+    /// Returns the site of the longest block that contains a client.
     pub(crate) fn find(&self, client: IpAddr) -> u16 {
         let table = if client.is_ipv4() { &self.v4 } else { &self.v6 };
         table.find(left_aligned(client))
     }
 
-    /// Returns the memory in use, in bytes.
+    /// Returns the memory that both tables would use, in bytes.
     pub(crate) fn size_bytes(&self) -> usize {
         self.v4.size_bytes(size_of::<u32>()) + self.v6.size_bytes(size_of::<u64>())
     }
--- a/crates/foxtide/examples/measure/choice/balancer.rs
+++ b/crates/foxtide/examples/measure/choice/balancer.rs
@@ -1,4 +1,4 @@
-//! The balancer that is in use, as one of the ways.
+//! The [`Balancer`] as a policy of the comparison.
 
 use super::policies::{
     COMPLETION_WAIT,
@@ -20,7 +20,7 @@
 use foxtide_core::organisation::Upstream;
 use foxtide_core::time::MonotonicTime;
 
-/// The balancer that is in use.
+/// A policy that applies the [`Balancer`].
 #[derive(Debug)]
 pub(crate) struct BalancerPolicy {
     balancer: Balancer,
@@ -31,7 +31,10 @@
 impl BalancerPolicy {
     fn index(&self, upstream: &Upstream) -> usize {
         let same = |name: &UpstreamId| *name == upstream.upstream;
-        self.names.iter().position(same).expect("it is known")
+        self.names
+            .iter()
+            .position(same)
+            .expect("the upstream is configured")
     }
 }
 
@@ -73,7 +76,7 @@
             load: load(attempt.utilization),
             draining: false,
         };
-        let ticket = attempt.ticket.expect("each attempt has its ticket");
+        let ticket = attempt.ticket.expect("every attempt has a ticket");
         self.balancer.finish(ticket, completion, now);
     }
 
--- a/crates/foxtide/examples/measure/choice/cost.rs
+++ b/crates/foxtide/examples/measure/choice/cost.rs
@@ -1,4 +1,4 @@
-//! What a choice costs, today and at target size.
+//! Measures the processor time, memory, connections and polls of the balancer.
 
 use super::configured_upstreams;
 use super::upstream::UpstreamProfile;
@@ -25,7 +25,7 @@
 
 const ROUNDS: u64 = 200_000;
 
-/// Returns the time of one pick with its finish, in nanoseconds.
+/// Returns the time of one pick and its completion, in nanoseconds.
 fn pick_and_finish_ns(upstreams: usize) -> f64 {
     let list = configured_upstreams(&vec![UpstreamProfile::default(); upstreams]);
     let mut balancer = Balancer::new(BalancerOptions::default(), 1);
@@ -58,7 +58,8 @@
     );
 }
 
-/// Shares 12 upstreams among 600 instances: how many use each.
+/// Reports the subset size and the connections to an upstream if 600 instances
+/// share 12 upstreams.
 fn subset_at_target(report: &mut Report, name: &str, ranked: bool) {
     const INSTANCES: u32 = 600;
     let list = configured_upstreams(&vec![UpstreamProfile::default(); 12]);
@@ -96,7 +97,7 @@
     report.figure(&name, most.into(), "of 360", limit);
 }
 
-/// Counts the polls of an idle upstream that answers.
+/// Reports the rate of polls to an idle upstream that answers.
 fn idle_polls(report: &mut Report) {
     const TIME_S: u64 = 600;
     let mut balancer = Balancer::new(BalancerOptions::default(), 1);
@@ -118,7 +119,6 @@
     report.figure("choice.idle_polls", rate, "/s/upstream", Limit::AtMost(1.0));
 }
 
-/// Measures what a choice costs.
 pub(crate) fn run(report: &mut Report) {
     pick_cost(report);
     idle_polls(report);
--- a/crates/foxtide/examples/measure/choice/fleet.rs
+++ b/crates/foxtide/examples/measure/choice/fleet.rs
@@ -1,4 +1,4 @@
-//! Instances and upstreams in virtual time, driven by a heap of events.
+//! A discrete-event simulation of instances and upstreams in virtual time.
 
 use super::policies::{
     Choice,
@@ -77,11 +77,11 @@
     policy: P,
     budget: RetryBudget,
     waiting: VecDeque<usize>,
-    /// The one timer that is set for what waits.
+    /// The time of the wake-up that is scheduled for waiting requests.
     wake_at: Option<MonotonicTime>,
 }
 
-/// A fleet at work.
+/// The state of a simulation.
 #[derive(Debug)]
 pub(crate) struct Fleet<P> {
     scenario: Scenario,
@@ -98,11 +98,11 @@
 
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// How long a poll may take.
+/// The time after which an unanswered poll fails.
 const POLL_TIMEOUT: Duration = Duration::from_millis(500);
 
 impl<P: Policy> Fleet<P> {
-    /// Runs a scenario to its end.
+    /// Runs a scenario and returns its results.
     pub(crate) fn run(scenario: Scenario, upstreams: &[Upstream]) -> Summary {
         let instance = |number| FakeInstance {
             policy: P::new(upstreams, number, scenario.instances),
@@ -178,7 +178,7 @@
         }
     }
 
-    /// Returns what the upstreams that live can serve.
+    /// Returns the rate that all upstreams together can serve.
     fn capacity_rps(&self) -> f64 {
         let rate = |upstream: &FakeUpstream| {
             upstream.profile.slots as f64 / upstream.profile.run_mean.as_secs_f64()
@@ -194,7 +194,7 @@
         mean.mul_f64(-(1.0 - self.random.f64()).ln())
     }
 
-    /// Returns the load now: bursts of a second in each four.
+    /// Returns the current load, with a burst in the first second of every four.
     fn current_load(&self) -> f64 {
         const BURST_PERIOD_S: u64 = 4;
         let in_burst = (self.now.as_ms() / 1_000).is_multiple_of(BURST_PERIOD_S);
@@ -241,7 +241,7 @@
         }
     }
 
-    /// Sends a request or lets it wait.
+    /// Sends a request or queues it at its instance.
     fn dispatch(&mut self, number: usize) {
         if let Some(wait) = self.try_send(number) {
             let instance = self.requests[number].instance;
@@ -250,7 +250,7 @@
         }
     }
 
-    /// Sends a request; returns how long to wait where none has room.
+    /// Sends a request, or returns how long to wait if no upstream is available.
     fn try_send(&mut self, number: usize) -> Option<Duration> {
         let draw = self.random.u64(..);
         let request = &mut self.requests[number];
@@ -353,7 +353,7 @@
         }
     }
 
-    /// Ends an attempt at its instance.
+    /// Applies the result of an attempt at its instance.
     fn end_attempt(&mut self, number: usize) {
         if self.attempts[number].ended {
             return;
@@ -444,7 +444,7 @@
         }
     }
 
-    /// Sends what waits at an instance, the oldest first.
+    /// Sends the waiting requests of an instance in order.
     fn serve_waiting(&mut self, instance: usize) {
         while let Some(&number) = self.instances[instance].waiting.front() {
             if self.now - self.requests[number].arrived >= self.scenario.wait_max {
--- a/crates/foxtide/examples/measure/choice/mod.rs
+++ b/crates/foxtide/examples/measure/choice/mod.rs
@@ -1,4 +1,5 @@
-//! Choice of an upstream and retries, against simpler ways.
+//! Measures the choice of an upstream and retries in simulated fleets, and
+//! compares the balancer with simpler policies.
 
 mod balancer;
 mod cost;
@@ -33,13 +34,13 @@
 
 const SEEDS: u64 = 12;
 
-/// Where an upstream queues as many requests as the stand-in does.
+/// The queue length of upstreams that queue requests.
 const QUEUE_LENGTH: usize = 8;
 
-/// Where an upstream refuses whatever finds no free slot.
+/// The queue length of upstreams that reject requests when no slot is free.
 const NO_QUEUE: usize = 0;
 
-/// Twelve upstreams with 3 and 4 slots in turn.
+/// Returns twelve upstreams that alternate between 3 and 4 slots.
 fn profiles(queue: usize) -> Vec<UpstreamProfile> {
     let profile = |number: usize| UpstreamProfile {
         slots: 3 + number % 2,
@@ -57,7 +58,7 @@
     }
 }
 
-/// Returns upstreams of these profiles as an organisation lists them.
+/// Returns the configuration of upstreams with these profiles.
 fn configured_upstreams(profiles: &[UpstreamProfile]) -> Vec<Upstream> {
     let upstream = |(number, profile): (usize, &UpstreamProfile)| Upstream {
         upstream: format!("viewer-{number}").parse().expect("a valid name"),
@@ -70,7 +71,7 @@
     profiles.iter().enumerate().map(upstream).collect()
 }
 
-/// Runs a scenario with several seeds and joins what came of it.
+/// Runs a scenario with every seed and returns the merged summary.
 fn run_policy<P: Policy>(scenario: &Scenario) -> Summary {
     let mut total = Summary::default();
     for seed in 0..SEEDS {
@@ -85,7 +86,7 @@
     total
 }
 
-/// What a way is told to keep, beside being told.
+/// The limits of a policy's figures.
 #[derive(Clone, Copy, Debug)]
 struct Limits {
     p99: Limit,
@@ -131,7 +132,7 @@
     summary
 }
 
-/// Tells the simpler ways; returns round robin and two choices.
+/// Reports all baselines; returns the summaries of round robin and two choices.
 fn report_baselines(report: &mut Report, name: &str, scenario: &Scenario) -> [Summary; 2] {
     let mut report_one = |policy: &str, summary| {
         report_summary(report, &format!("{name}.{policy}"), summary, UNLIMITED)
@@ -157,7 +158,7 @@
     [round_robin, two]
 }
 
-/// Compares the ways at three loads where upstreams queue.
+/// Compares the policies at three loads with upstreams that queue requests.
 fn compare_queueing(report: &mut Report) {
     for (load, goodput) in [(0.6, 0.59), (0.9, 0.88), (1.2, 0.95)] {
         let scenario = scenario(load, QUEUE_LENGTH);
@@ -184,9 +185,9 @@
     }
 }
 
-/// Compares the ways where upstreams refuse whatever finds no free slot. The
-/// simpler ways give up a quarter of the requests there, so that their
-/// latencies are those of the lucky ones and bound nothing.
+/// Compares the policies with upstreams that reject requests when no slot is
+/// free. Baselines give up so many requests there that the latencies of the
+/// others are no useful limit.
 fn compare_shedding(report: &mut Report) {
     for load in [0.6, 0.9, 1.2] {
         let scenario = scenario(load, NO_QUEUE);
@@ -206,7 +207,7 @@
     }
 }
 
-/// Induces a fault at 80 % load and compares with round robin.
+/// Injects a fault at 80 % load and compares the balancer with round robin.
 fn compare_fault(
     report: &mut Report,
     fault: &str,
@@ -252,8 +253,8 @@
     compare_fault(report, "one_slow", Limit::AtMost, |scenario| {
         scenario.upstreams[0].run_mean *= 5;
     });
-    // Bursts are the matter of services that put headroom first: requests wait
-    // at the instance rather than being given up.
+    // No limit on the latency: during bursts, the balancer lets requests wait at
+    // the instance instead of giving them up, as the priority `headroom` asks.
     compare_fault(
         report,
         "bursts",
@@ -271,7 +272,8 @@
     report.figure(name, last_s, "s", Limit::AtMost(3.0));
 }
 
-/// Half of all answers are errors: retries must not multiply the load.
+/// Checks that retries do not multiply the load if half of all answers are
+/// errors.
 fn measure_retry_storm(report: &mut Report) {
     let mut scenario = scenario(0.6, QUEUE_LENGTH);
     for profile in &mut scenario.upstreams {
@@ -282,8 +284,8 @@
     report.figure("retry.half_errors.attempts", attempts, "/request", limit);
 }
 
-/// Reads of a service that puts latency first are hedged, here where run times
-/// have a long tail: exponential, 5 % above three times the mean.
+/// Compares the latency with and without hedging if run times have a long tail:
+/// they are exponential, with 5 % above three times the mean.
 fn measure_hedging(report: &mut Report) {
     for load in [0.6, 0.9] {
         let plain = Scenario {
@@ -317,7 +319,6 @@
     }
 }
 
-/// Measures the choice of an upstream and retries.
 pub(crate) fn run(report: &mut Report) {
     compare_queueing(report);
     compare_shedding(report);
--- a/crates/foxtide/examples/measure/choice/policies.rs
+++ b/crates/foxtide/examples/measure/choice/policies.rs
@@ -1,4 +1,4 @@
-//! The ways to choose an upstream that are compared.
+//! The policy interface for the choice of an upstream, and baseline policies.
 
 use foxtide_core::choice::{
     CompletionKind,
@@ -8,16 +8,16 @@
 use foxtide_core::time::MonotonicTime;
 use std::time::Duration;
 
-/// What a way wants done with a request.
+/// The decision of a policy on a request.
 #[derive(Debug)]
 pub(crate) enum Choice {
-    /// Send it to the upstream of this index.
+    /// Send the request to the upstream with this index.
     Send(usize, Option<Ticket>),
-    /// Ask again after this time or the next completion.
+    /// Let the request wait for this time or until the next completion.
     Wait(Duration),
 }
 
-/// What a way is told of a finished attempt.
+/// A finished attempt.
 #[derive(Debug)]
 pub(crate) struct FinishedAttempt {
     pub(crate) index: usize,
@@ -27,33 +27,33 @@
     pub(crate) utilization: Option<f64>,
 }
 
-/// One way to choose, as one instance runs it.
+/// A policy for the choice of an upstream, with the state of one instance.
 pub(crate) trait Policy {
-    /// How many refused attempts a request may have beside the budget.
+    /// The number of rejected attempts that a request may repeat without drawing
+    /// on the retry budget.
     const REJECTIONS_MAX: u32 = 0;
 
-    /// Returns the state of the instance of this number out of `instances`.
+    /// Returns the state of instance number `instance` out of `instances`.
     fn new(upstreams: &[Upstream], instance: usize, instances: usize) -> Self;
 
-    /// Chooses an upstream.
+    /// Chooses an upstream, preferably one that is not in `tried`.
     fn choose(&mut self, now: MonotonicTime, draw: u64, tried: &[usize]) -> Choice;
 
-    /// Learns from a finished attempt.
     fn record_finished(&mut self, attempt: FinishedAttempt, now: MonotonicTime);
 
-    /// Tells whether a hedge may be sent.
+    /// Returns whether a hedge may be sent.
     fn may_hedge(&self) -> bool {
         true
     }
 
-    /// Returns the upstreams to be polled now.
+    /// Returns the upstreams to poll now.
     fn due_polls(&mut self, now: MonotonicTime) -> Vec<usize>;
 
-    /// Learns from a poll; `None` where it was not answered.
+    /// Records the result of a poll; `None` if it was not answered.
     fn record_poll(&mut self, index: usize, utilization: Option<f64>, now: MonotonicTime);
 }
 
-/// What the simpler ways keep of each upstream.
+/// The state that baseline policies keep of each upstream.
 #[derive(Clone, Debug)]
 pub(crate) struct UpstreamView {
     slots: usize,
@@ -62,19 +62,19 @@
     polled_at: MonotonicTime,
 }
 
-/// A simple way: a rule that ranks upstreams by what is kept of them.
+/// A rule that chooses among upstreams by their [`UpstreamView`].
 pub(crate) trait Rule {
-    /// Returns the upstreams among which an instance chooses.
+    /// Returns the indices of the upstreams that an instance uses.
     fn candidates(upstreams: usize, instance: usize, instances: usize) -> Vec<usize> {
         let _ = (instance, instances);
         (0..upstreams).collect()
     }
 
-    /// Chooses among candidates; `turn` counts the choices so far.
+    /// Chooses a candidate; `turn` increases with each choice.
     fn choose(views: &[UpstreamView], candidates: &[usize], turn: usize, draw: u64) -> usize;
 }
 
-/// A way that follows a [`Rule`] and knows no more than its views.
+/// A policy that applies a [`Rule`].
 #[derive(Debug)]
 pub(crate) struct RulePolicy<R> {
     views: Vec<UpstreamView>,
@@ -83,7 +83,7 @@
     rule: std::marker::PhantomData<R>,
 }
 
-/// The time between two polls of the simple ways.
+/// The time between two polls of an upstream.
 const POLL_INTERVAL: Duration = Duration::from_millis(500);
 
 impl<R: Rule> Policy for RulePolicy<R> {
@@ -137,7 +137,7 @@
     }
 }
 
-/// Each upstream in turn.
+/// Chooses each upstream in turn.
 #[derive(Debug)]
 pub(crate) struct RoundRobin;
 
@@ -147,7 +147,7 @@
     }
 }
 
-/// The better of two by reported load alone.
+/// Chooses the one of two random upstreams with the lower reported load.
 #[derive(Debug)]
 pub(crate) struct TwoChoicesReported;
 
@@ -163,7 +163,7 @@
     }
 }
 
-/// The one with the fewest of this instance's own requests a slot.
+/// Chooses the upstream with the fewest requests of this instance per slot.
 #[derive(Debug)]
 pub(crate) struct LeastInFlight;
 
@@ -175,7 +175,8 @@
     }
 }
 
-/// The one with the least reported load and own requests a slot.
+/// Chooses the upstream with the lowest sum of its reported load and the
+/// requests of this instance per slot.
 #[derive(Debug)]
 pub(crate) struct LeastLoadedFullView;
 
@@ -188,7 +189,7 @@
     }
 }
 
-/// The fewest own requests among a subset of four upstreams an instance.
+/// Applies [`LeastInFlight`] to a subset of four upstreams for each instance.
 #[derive(Debug)]
 pub(crate) struct Subset;
 
@@ -205,7 +206,7 @@
     }
 }
 
-/// Returns the candidate of the least cost, equals by draw.
+/// Returns the candidate with the lowest cost; the draw breaks ties.
 fn least_cost(candidates: &[usize], draw: u64, cost: impl Fn(usize) -> f64) -> usize {
     let start = draw as usize % candidates.len();
     let rotated = (0..candidates.len()).map(|n| candidates[(start + n) % candidates.len()]);
@@ -214,13 +215,14 @@
         .expect("there is a candidate")
 }
 
-/// Each slot belongs to one instance, which waits where its own are in use.
+/// Assigns each slot to one instance, which lets requests wait while all its
+/// slots are in use.
 #[derive(Debug)]
 pub(crate) struct SlotCredits {
     credits: Vec<usize>,
 }
 
-/// The wait where only a completion can help.
+/// The longest wait if only a completion makes an upstream available.
 pub(crate) const COMPLETION_WAIT: Duration = Duration::from_millis(50);
 
 impl Policy for SlotCredits {
--- a/crates/foxtide/examples/measure/choice/scenario.rs
+++ b/crates/foxtide/examples/measure/choice/scenario.rs
@@ -1,29 +1,30 @@
-//! What is simulated and what came of it.
+//! The parameters of a simulation and the summary of its results.
 
 use super::upstream::UpstreamProfile;
 use std::time::Duration;
 
-/// What is simulated.
+/// The parameters of a simulation.
 #[derive(Clone, Debug)]
 pub(crate) struct Scenario {
     pub(crate) instances: usize,
     pub(crate) upstreams: Vec<UpstreamProfile>,
-    /// The requests offered, as a part of what the upstreams can serve.
+    /// The offered load, as a share of the upstreams' capacity.
     pub(crate) load: f64,
     pub(crate) idempotent: bool,
     pub(crate) duration: Duration,
-    /// The time from the beginning that is not counted.
+    /// The time from the start that the summary excludes.
     pub(crate) warm_up: Duration,
     pub(crate) deadline: Duration,
-    /// How long a request may wait at an instance.
+    /// The longest time that a request may wait at an instance.
     pub(crate) wait_max: Duration,
-    /// The delay one way between an instance and an upstream.
+    /// The one-way delay between an instance and an upstream.
     pub(crate) delay: Duration,
-    /// How long a request is given before a second attempt; none: no hedging.
+    /// The time after which a request is hedged; `None` disables hedging.
     pub(crate) hedge_delay: Option<Duration>,
-    /// The load in one second of each four, as a multiple of the mean load.
+    /// The load in the first of every four seconds, as a multiple of the mean.
     pub(crate) burst_factor: f64,
-    /// The part of the mean run time that every request takes.
+    /// The share of the mean run time that every request takes; the rest is
+    /// exponential.
     pub(crate) fixed_run_share: f64,
     pub(crate) seed: u64,
 }
@@ -48,7 +49,7 @@
     }
 }
 
-/// What came of a scenario.
+/// The results of a scenario.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Summary {
     pub(crate) latencies_us: Vec<u64>,
@@ -56,14 +57,14 @@
     pub(crate) given_up: u64,
     pub(crate) attempts: u64,
     pub(crate) rejected_attempts: u64,
-    /// Answers in time, as a part of what the upstreams can serve.
+    /// The rate of answers in time, as a share of the upstreams' capacity.
     pub(crate) goodput: f64,
-    /// When the last new request was sent to an upstream after its death.
+    /// The time from an upstream's death to the last request sent to it.
     pub(crate) last_sent_to_dead: Option<Duration>,
 }
 
 impl Summary {
-    /// Adds another run of the same scenario.
+    /// Adds the results of another run of the same scenario.
     pub(crate) fn merge(&mut self, other: Self) {
         self.latencies_us.extend(other.latencies_us);
         self.offered += other.offered;
@@ -74,7 +75,7 @@
         self.last_sent_to_dead = self.last_sent_to_dead.max(other.last_sent_to_dead);
     }
 
-    /// Returns a quantile of the answers' latencies, in milliseconds.
+    /// Returns a quantile of the latency, in milliseconds.
     pub(crate) fn quantile_ms(&mut self, quantile: f64) -> f64 {
         self.latencies_us.sort_unstable();
         let last = self.latencies_us.len().saturating_sub(1);
@@ -82,17 +83,14 @@
         self.latencies_us.get(index).copied().unwrap_or(0) as f64 / 1e3
     }
 
-    /// Returns the attempts a request.
     pub(crate) fn attempts_per_request(&self) -> f64 {
         self.attempts as f64 / self.offered.max(1) as f64
     }
 
-    /// Returns the part of the requests that were given up.
     pub(crate) fn given_up_share(&self) -> f64 {
         self.given_up as f64 / self.offered.max(1) as f64
     }
 
-    /// Returns the refused attempts a request.
     pub(crate) fn rejections_per_request(&self) -> f64 {
         self.rejected_attempts as f64 / self.offered.max(1) as f64
     }
--- a/crates/foxtide/examples/measure/choice/upstream.rs
+++ b/crates/foxtide/examples/measure/choice/upstream.rs
@@ -1,23 +1,23 @@
-//! A fake upstream in virtual time: slots, a short queue, refusals.
+//! A simulated upstream with slots and a bounded queue.
 
 use foxtide_core::time::MonotonicTime;
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// How an upstream behaves.
+/// The behaviour of an upstream.
 #[derive(Clone, Debug)]
 pub(crate) struct UpstreamProfile {
-    /// How many requests it runs at a time.
+    /// The number of requests that run concurrently.
     pub(crate) slots: usize,
-    /// How many requests may wait there; further ones are refused.
+    /// The number of requests that may wait; further ones are rejected.
     pub(crate) queue: usize,
-    /// The mean time that a request runs.
+    /// The mean run time of a request.
     pub(crate) run_mean: Duration,
-    /// The part of its answers that are server errors.
+    /// The share of answers that are server errors.
     pub(crate) error_share: f64,
-    /// The utilization it reports whatever the truth is.
+    /// The utilization that it reports instead of the actual one.
     pub(crate) false_utilization: Option<f64>,
-    /// When it stops to answer anything.
+    /// The time from which it answers nothing.
     pub(crate) dies_at: Option<MonotonicTime>,
 }
 
@@ -34,20 +34,20 @@
     }
 }
 
-/// What an upstream does with a request that reaches it.
+/// The upstream's reaction to a request that reaches it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Reception {
-    /// It starts to run.
+    /// The request starts to run.
     Runs,
-    /// It waits for a slot.
+    /// The request waits for a slot.
     Waits,
-    /// It is refused.
+    /// The request is rejected.
     Rejected,
-    /// Nothing is ever heard of it.
+    /// The request is never answered.
     Dropped,
 }
 
-/// One upstream; requests are known by number.
+/// A simulated upstream; requests are identified by number.
 #[derive(Debug)]
 pub(crate) struct FakeUpstream {
     pub(crate) profile: UpstreamProfile,
@@ -65,12 +65,11 @@
         }
     }
 
-    /// Tells whether it has stopped to answer.
     pub(crate) fn is_dead(&self, now: MonotonicTime) -> bool {
         self.profile.dies_at.is_some_and(|at| now >= at)
     }
 
-    /// Takes a request in or refuses it.
+    /// Accepts or rejects a request.
     pub(crate) fn receive(&mut self, attempt: usize, now: MonotonicTime) -> Reception {
         if self.is_dead(now) {
             return Reception::Dropped;
@@ -86,7 +85,7 @@
         Reception::Rejected
     }
 
-    /// Ends a request; returns the one that starts in its slot.
+    /// Ends a running request; returns the waiting one that takes its slot.
     pub(crate) fn finish_request(&mut self) -> Option<usize> {
         let next = self.waiting.pop_front();
         if next.is_none() {
@@ -95,7 +94,6 @@
         next
     }
 
-    /// Returns the utilization that it reports.
     pub(crate) fn reported_utilization(&self) -> f64 {
         let requests = (self.running + self.waiting.len()) as f64;
         let utilization = requests / self.profile.slots as f64;
