--- a/crates/foxtide/examples/demo/world.rs
+++ b/crates/foxtide/examples/demo/deployment.rs
@@ -1,4 +1,5 @@
-//! One tenant of the demo: its stand-ins, its instances and its operator.
+//! One tenant of the demo: its fake store and upstreams, its instances, and
+//! configuration changes as an operator makes them.
 
 use anyhow::{
     Context,
@@ -61,34 +62,32 @@
     Instant, //
 };
 
-/// How many instances each tenant has today.
+/// The number of instances of each tenant.
 pub(crate) const INSTANCES: usize = 10;
 
-/// How long a caller may keep the answer to a look-up, in seconds.
+/// The time to live of an answer to a look-up, in seconds.
 pub(crate) const LOOKUP_TTL_S: u32 = 1;
 
-/// The longest wait for anything that the demo sets up.
-const SETUP_WAIT: Duration = Duration::from_secs(20);
+/// The longest wait for any condition.
+const SETUP_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// The time between two looks at a condition.
-const POLL: Duration = Duration::from_millis(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// What tells the tenants apart.
+/// The properties in which the tenants differ.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Tenant {
-    /// The organisation's name.
+    /// The name of its organisation.
     pub(crate) name: &'static str,
-    /// The template it is made from.
+    /// The text of its organisation's template.
     pub(crate) template: &'static str,
-    /// The service that callers read from.
+    /// The service to which callers send reads.
     pub(crate) read_service: &'static str,
-    /// The service that callers write to, at most once.
+    /// The service to which callers send writes that run at most once.
     pub(crate) write_service: &'static str,
-    /// The delay between upstream and instance in one region.
+    /// The delay between an instance and an upstream of the same region.
     pub(crate) zone_delay: Duration,
 }
 
-/// The two tenants of today.
 pub(crate) const TENANTS: [Tenant; 2] = [
     Tenant {
         name: "hamutenya",
@@ -106,9 +105,9 @@
     },
 ];
 
-/// A promise as an instance's page shows it.
+/// A promise as an instance reports it at `/v1/promises`.
 #[derive(Debug, Deserialize)]
-#[expect(dead_code, reason = "printed whole where the promise is broken")]
+#[expect(dead_code, reason = "printed with `Debug` if the promise is broken")]
 pub(crate) struct PromiseRow {
     pub(crate) promise: String,
     service: Option<String>,
@@ -118,8 +117,8 @@
     pub(crate) held: bool,
 }
 
-/// A tenant's running stand-ins and instances.
-pub(crate) struct World {
+/// The running store, upstreams and instances of a tenant.
+pub(crate) struct Deployment {
     pub(crate) tenant: Tenant,
     pub(crate) organisation: OrganisationId,
     pub(crate) regions: Vec<RegionId>,
@@ -129,8 +128,8 @@
     client: HttpStore,
 }
 
-impl World {
-    /// Starts everything and waits until every instance serves.
+impl Deployment {
+    /// Starts everything and waits until every instance has a configuration.
     pub(crate) async fn start(tenant: Tenant, options: &NodeOptions) -> Result<Self> {
         let organisation: OrganisationId = tenant.name.parse()?;
         let template = Template::parse(tenant.name, tenant.template)?;
@@ -142,7 +141,7 @@
         });
         let upstreams = start_upstreams(&mut document, tenant.zone_delay).await?;
         let regions = document.regions.iter().map(|it| it.region.clone());
-        let world = Self {
+        let deployment = Self {
             tenant,
             organisation,
             regions: regions.collect(),
@@ -151,23 +150,23 @@
             nodes: Mutex::default(),
             client,
         };
-        let places = places(&document);
+        let placements = placements(&document);
         let change = ChangeRequest {
             base: None,
             document,
             author: "demo".to_owned(),
             summary: "create".to_owned(),
         };
-        change::accept(&world.client, change).await?;
+        change::accept(&deployment.client, change).await?;
         for number in 0..INSTANCES {
-            let place = &places[number % places.len()];
-            world.start_node(number, place, options.clone())?;
+            let placement = &placements[number % placements.len()];
+            deployment.start_node(number, placement, options.clone())?;
         }
-        world.wait_until_known(INSTANCES).await?;
-        Ok(world)
+        deployment.wait_until_listed(INSTANCES).await?;
+        Ok(deployment)
     }
 
-    fn start_node(&self, number: usize, place: &Place, options: NodeOptions) -> Result<()> {
+    fn start_node(&self, number: usize, placement: &Placement, options: NodeOptions) -> Result<()> {
         let seeds = self
             .nodes
             .lock()
@@ -176,11 +175,11 @@
             .map(Node::peer_address)
             .collect();
         let settings = Settings {
-            instance: format!("{}-{number}", place.availability_zone).parse()?,
-            region: place.region.clone(),
-            availability_zone: place.availability_zone.clone(),
+            instance: format!("{}-{number}", placement.availability_zone).parse()?,
+            region: placement.region.clone(),
+            availability_zone: placement.availability_zone.clone(),
             cluster: self.tenant.name.to_owned(),
-            upstream_source: Some(place.source),
+            upstream_source: Some(placement.source),
             caller: any_port(),
             admin: any_port(),
             peer: any_port(),
@@ -202,24 +201,25 @@
         Ok(())
     }
 
-    /// Waits until every instance names `count` instances in its look-ups.
-    pub(crate) async fn wait_until_known(&self, count: usize) -> Result<()> {
-        let known = || {
+    /// Waits until every instance lists `count` instances in its look-ups and
+    /// has a configuration.
+    pub(crate) async fn wait_until_listed(&self, count: usize) -> Result<()> {
+        let all_listed = || {
             let nodes = self.nodes.lock();
             nodes
                 .values()
                 .all(|node| node.tables().instances().len() == count)
         };
-        wait_until(known)
+        wait_until(all_listed)
             .await
-            .context("instances know each other")?;
+            .context("wait until every instance lists all others")?;
         let serving = || self.lowest_revision() > Revision::ZERO;
         wait_until(serving)
             .await
-            .context("a configuration is in force")
+            .context("wait until a configuration is in force")
     }
 
-    /// Returns the lowest revision in force at any instance.
+    /// Returns the lowest revision that is in force at any instance.
     pub(crate) fn lowest_revision(&self) -> Revision {
         let nodes = self.nodes.lock();
         let revisions = nodes.values().map(|node| {
@@ -229,8 +229,8 @@
         revisions.min().unwrap_or(Revision::ZERO)
     }
 
-    /// Changes the document as an operator does; returns its new revision and
-    /// the time until it was in force at every instance.
+    /// Changes the configuration as an operator does; returns the new revision
+    /// and the time until it was in force at every instance.
     pub(crate) async fn change(
         &self,
         summary: &str,
@@ -251,11 +251,13 @@
         let accepted_at = Instant::now();
         wait_until(|| self.lowest_revision() >= revision)
             .await
-            .with_context(|| format!("{summary}: {revision} in force everywhere"))?;
+            .with_context(|| {
+                format!("{summary}: wait until {revision} is in force at every instance")
+            })?;
         Ok((revision, accepted_at.elapsed()))
     }
 
-    /// Returns where callers may look up, every instance in turn.
+    /// Returns the addresses at which instances serve callers.
     pub(crate) fn caller_addresses(&self) -> Vec<SocketAddr> {
         self.nodes
             .lock()
@@ -264,14 +266,14 @@
             .collect()
     }
 
-    /// Takes an instance out of the world, to be stopped or killed.
+    /// Removes an instance from the deployment, for the caller to stop or kill.
     pub(crate) fn take_node(&self, number: usize) -> Option<(InstanceId, Node)> {
         let mut nodes = self.nodes.lock();
         let id = nodes.keys().nth(number)?.clone();
         nodes.remove_entry(&id)
     }
 
-    /// Returns the promises as every instance measures them.
+    /// Returns the promises as all instances report them.
     pub(crate) async fn promises(&self) -> Result<Vec<PromiseRow>> {
         let addresses: Vec<SocketAddr> = self
             .nodes
@@ -289,32 +291,33 @@
         Ok(rows)
     }
 
-    /// Returns how often a key was run, at all upstreams together.
+    /// Returns how often all upstreams together ran the request with this key.
     pub(crate) fn runs_of(&self, key: &str) -> usize {
         self.upstreams.values().map(|it| it.runs_of(key)).sum()
     }
 }
 
-/// Where an instance stands.
-struct Place {
+/// Where an instance runs, and the address from which it connects to
+/// upstreams.
+struct Placement {
     region: RegionId,
     source: IpAddr,
     availability_zone: AvailabilityZoneId,
 }
 
-fn places(document: &Organisation) -> Vec<Place> {
-    let mut places = Vec::new();
-    let sources = sources(document);
+fn placements(document: &Organisation) -> Vec<Placement> {
+    let mut placements = Vec::new();
+    let source_addresses = source_addresses(document);
     for region in &document.regions {
         for zone in &region.availability_zones {
-            places.push(Place {
+            placements.push(Placement {
                 region: region.region.clone(),
-                source: sources[&region.region],
+                source: source_addresses[&region.region],
                 availability_zone: zone.clone(),
             });
         }
     }
-    places
+    placements
 }
 
 fn any_port() -> Listener {
@@ -324,21 +327,22 @@
     }
 }
 
-/// Starts a stand-in for every upstream and puts its address into the document.
+/// Starts a fake server for every upstream and sets its address in the
+/// document.
 async fn start_upstreams(
     document: &mut Organisation,
     zone_delay: Duration,
 ) -> Result<BTreeMap<UpstreamId, UpstreamServer>> {
     let mut servers = BTreeMap::new();
-    let sources = sources(document);
+    let source_addresses = source_addresses(document);
     let links = document.links.clone();
     let upstreams = document
         .services
         .iter_mut()
         .flat_map(|it| &mut it.upstreams);
     for (number, upstream) in upstreams.enumerate() {
-        let server = UpstreamServer::start(options_of(upstream, number)).await?;
-        for (region, source) in &sources {
+        let server = UpstreamServer::start(upstream_options(upstream, number)).await?;
+        for (region, source) in &source_addresses {
             let link = links
                 .iter()
                 .find(|it| it.from == *region && it.to == upstream.region);
@@ -351,9 +355,9 @@
     Ok(servers)
 }
 
-/// Returns the address from which the instances of each region connect, by
-/// which the upstreams' stand-ins tell how far away they are.
-fn sources(document: &Organisation) -> BTreeMap<RegionId, IpAddr> {
+/// Returns the address from which the instances of each region connect. The
+/// fake upstreams choose the link's delay by this address.
+fn source_addresses(document: &Organisation) -> BTreeMap<RegionId, IpAddr> {
     let regions = document.regions.iter().zip(1..);
     let source = |(region, number): (&Region, u8)| {
         (
@@ -364,7 +368,7 @@
     regions.map(source).collect()
 }
 
-fn options_of(upstream: &Upstream, number: usize) -> UpstreamOptions {
+fn upstream_options(upstream: &Upstream, number: usize) -> UpstreamOptions {
     UpstreamOptions {
         name: upstream.upstream.to_string(),
         slots: upstream.slots,
@@ -377,14 +381,16 @@
     }
 }
 
-/// Waits until a condition holds.
 pub(crate) async fn wait_until(condition: impl Fn() -> bool) -> Result<()> {
     let started = Instant::now();
     while !condition() {
-        if started.elapsed() > SETUP_WAIT {
-            return Err(anyhow!("waited {} s in vain", SETUP_WAIT.as_secs()));
+        if started.elapsed() > SETUP_TIMEOUT {
+            return Err(anyhow!(
+                "the condition did not hold within {} s",
+                SETUP_TIMEOUT.as_secs()
+            ));
         }
-        Timer::after(POLL).await;
+        Timer::after(POLL_INTERVAL).await;
     }
     Ok(())
 }
--- a/crates/foxtide/examples/demo/main.rs
+++ b/crates/foxtide/examples/demo/main.rs
@@ -1,38 +1,41 @@
-//! Both tenants of today on embedded stand-ins, in one process.
+//! Runs both example tenants in one process, with fake stores and upstreams,
+//! and checks promises about the requests that are served meanwhile.
 //!
 //! `cargo run --release --example demo` sends look-ups and requests, drains an
-//! upstream, moves traffic, takes the store away, stops one instance and kills
-//! another, and prints which promises held.
+//! upstream, moves traffic, drains a region, makes the store unavailable,
+//! stops one instance and kills another, and prints which promises held.
 
 mod callers;
+mod deployment;
 mod promises;
 mod script;
-mod tally;
-mod world;
+mod stats;
 
 use anyhow::{
     Result,
     bail, //
 };
 use argh::FromArgs;
+use deployment::{
+    Deployment,
+    INSTANCES,
+    TENANTS,
+    Tenant, //
+};
 use foxtide::node::NodeOptions;
 use foxtide_core::steering::SteeringOptions;
 use std::process::ExitCode;
 use std::sync::Arc;
-use world::{
-    INSTANCES,
-    TENANTS,
-    Tenant,
-    World, //
-};
 
-/// A factor on the shift cap that no contract allows.
-const BROKEN_CAP_FACTOR: f64 = 50.0;
+/// The factor on the shift cap with `--break-promise shift-cap`; larger than
+/// any contract allows.
+const CAP_BREAKING_FACTOR: f64 = 50.0;
 
-/// Both tenants of today on embedded stand-ins, in one process.
+/// Runs both example tenants with fake stores and upstreams in one process,
+/// and checks promises.
 #[derive(Debug, FromArgs)]
 struct Arguments {
-    /// break a promise on purpose, to see that it is told: shift-cap
+    /// break a promise on purpose, to check that it is reported; valid: shift-cap
     #[argh(option)]
     break_promise: Option<String>,
 }
@@ -64,14 +67,14 @@
     let mut steering = SteeringOptions::default();
     match arguments.break_promise.as_deref() {
         None => {}
-        Some("shift-cap") => steering.shift_cap_factor = BROKEN_CAP_FACTOR,
+        Some("shift-cap") => steering.shift_cap_factor = CAP_BREAKING_FACTOR,
         Some(other) => bail!("--break-promise {other}: valid is shift-cap"),
     }
     Ok(NodeOptions { steering })
 }
 
 async fn run_tenant(tenant: Tenant, options: NodeOptions) -> Result<Vec<promises::Promise>> {
-    let world = Arc::new(World::start(tenant, &options).await?);
-    println!("{:<11} {INSTANCES} instances serve", tenant.name);
-    script::run(world).await
+    let deployment = Arc::new(Deployment::start(tenant, &options).await?);
+    println!("{:<11} {INSTANCES} instances are ready", tenant.name);
+    script::run(deployment).await
 }
--- a/crates/foxtide/examples/measure/proxy/instance.rs
+++ b/crates/foxtide/examples/measure/proxy/instance.rs
@@ -1,4 +1,5 @@
-//! An instance's request path alone, before upstreams in this process.
+//! The request path of an instance with fixed dependencies, in front of
+//! upstreams in the same process.
 
 use super::load::LOOKUP_TTL;
 use foxtide_core::idempotency::{
@@ -46,11 +47,12 @@
 
 const ANY_PORT: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 0);
 
-/// How many instances the directory knows, as many as a tenant has today.
+/// The number of instances in the directory.
 const INSTANCES: u16 = 10;
 
-/// What the request path works with here.
-pub(crate) struct InstanceParts {
+/// The dependencies of the request path: a fixed directory and an
+/// administrative interface without pages.
+pub(crate) struct EntryDependencies {
     traffic: TrafficTables,
     revision: AtomicU64,
     clock: SystemClock,
@@ -62,19 +64,17 @@
 
 /// A running request path.
 pub(crate) struct Instance {
-    /// The entry.
-    pub(crate) entry: Arc<Entry<InstanceParts>>,
-    /// Its parts.
-    pub(crate) parts: Arc<InstanceParts>,
-    /// The pool that runs it, which ends when this is dropped.
+    pub(crate) entry: Arc<Entry<EntryDependencies>>,
+    pub(crate) dependencies: Arc<EntryDependencies>,
+    /// The worker pool of the entry; dropping it stops the workers.
     _workers: Workers,
 }
 
 impl Instance {
-    /// Starts a request path with this many workers before these upstreams.
+    /// Starts a request path in front of `upstreams`.
     pub(crate) fn start(threads: usize, upstreams: &[SocketAddr]) -> Self {
-        let parts = Arc::new(InstanceParts::new());
-        parts.configure(upstreams, &[]);
+        let dependencies = Arc::new(EntryDependencies::new());
+        dependencies.configure(upstreams, &[]);
         let workers = Workers::start(threads).expect("threads can be started");
         let options = EntryOptions {
             caller_address: ANY_PORT,
@@ -86,17 +86,18 @@
             },
             ..EntryOptions::default()
         };
-        let entry = Entry::start(options, Arc::clone(&parts), &workers.executor());
+        let entry = Entry::start(options, Arc::clone(&dependencies), &workers.executor());
         Self {
             entry: Arc::new(entry.expect("ports can be bound")),
-            parts,
+            dependencies,
             _workers: workers,
         }
     }
 }
 
-impl InstanceParts {
-    /// Puts these upstreams in force, and drains of some by their number.
+impl EntryDependencies {
+    /// Applies a configuration with these upstreams, of which those with the
+    /// numbers in `drained` are draining.
     pub(crate) fn configure(&self, upstreams: &[SocketAddr], drained: &[usize]) {
         let revision = self.revision.fetch_add(1, Ordering::Relaxed) + 1;
         let document = document(upstreams, drained, revision);
@@ -119,7 +120,7 @@
             availability_zone: "khomas-a".parse().expect("a valid name"),
         };
         let instances: Arc<[ServingInstance]> = (0..INSTANCES).map(instance).collect();
-        let own = instances[0].owner.clone();
+        let first_owner = instances[0].owner.clone();
         let options = TrafficOptions {
             steering: SteeringOptions {
                 startup_wait: Duration::ZERO,
@@ -131,15 +132,15 @@
             traffic: TrafficTables::new(options),
             revision: AtomicU64::new(0),
             clock: SystemClock::default(),
-            recorder: Recorder::new(own.instance.clone(), RecorderOptions::default()),
+            recorder: Recorder::new(first_owner.instance.clone(), RecorderOptions::default()),
             explainer: Explainer::default(),
-            owner: own,
+            owner: first_owner,
             instances,
         }
     }
 }
 
-impl Dependencies for InstanceParts {
+impl Dependencies for EntryDependencies {
     type Directory = Self;
     type Clock = SystemClock;
     type Admin = Self;
@@ -173,7 +174,7 @@
     }
 }
 
-impl Directory for InstanceParts {
+impl Directory for EntryDependencies {
     fn instances(&self) -> Arc<[ServingInstance]> {
         Arc::clone(&self.instances)
     }
@@ -189,7 +190,7 @@
     fn leave(&self) {}
 }
 
-impl Admin for InstanceParts {
+impl Admin for EntryDependencies {
     fn page(&self, _path: &str, _query: Option<&str>) -> Option<AdminPage> {
         None
     }
@@ -199,7 +200,7 @@
     }
 }
 
-/// A service whose limits are out of reach, so that the path alone is measured.
+/// Returns an organisation whose limits are too high to affect the measurement.
 fn document(upstreams: &[SocketAddr], drained: &[usize], revision: u64) -> serde_json::Value {
     let upstream = |(number, address): (usize, &SocketAddr)| {
         json!({
--- a/crates/foxtide/examples/measure/proxy/load.rs
+++ b/crates/foxtide/examples/measure/proxy/load.rs
@@ -1,4 +1,5 @@
-//! Blocking callers and a blocking upstream, as cheap as they can be.
+//! A load generator and a fake upstream on blocking sockets, with little
+//! overhead of their own.
 
 use hdrhistogram::Histogram;
 use parking_lot::Mutex;
@@ -25,31 +26,29 @@
     Instant, //
 };
 
-/// All addresses of the machine, so that one upstream can stand for many.
+/// All local addresses, so that one listener can serve as many upstreams.
 const ANY_ADDRESS: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::UNSPECIFIED), 0);
-/// How long callers keep the answer to a look-up.
+/// The time to live of an answer to a look-up.
 pub(crate) const LOOKUP_TTL: Duration = Duration::from_millis(200);
 
 const HEAD_END: &[u8] = b"\r\n\r\n";
 const ANSWER: &[u8] = b"HTTP/1.1 200 OK\r\ncontent-type: text/plain\r\ncontent-length: 64\r\n\r\n\
 0123456789abcdef0123456789abcdef0123456789abcdef0123456789abcdef";
 
-/// The figures of one run of callers.
+/// The results of one run of callers.
 pub(crate) struct Run {
-    /// Latencies in nanoseconds.
     pub(crate) latency_ns: Histogram<u64>,
-    /// How many whole answers came.
+    /// The number of complete answers with status 200.
     pub(crate) answered: u64,
-    /// How many requests brought anything else.
+    /// The number of other requests.
     pub(crate) failed: u64,
-    /// How long the callers ran.
-    pub(crate) took: Duration,
+    pub(crate) elapsed: Duration,
 }
 
 impl Run {
-    /// Returns the answers a second.
+    /// Returns the answers per second.
     pub(crate) fn rate_rps(&self) -> f64 {
-        self.answered as f64 / self.took.as_secs_f64()
+        self.answered as f64 / self.elapsed.as_secs_f64()
     }
 
     /// Returns a quantile of the latency, in milliseconds.
@@ -58,13 +57,12 @@
     }
 }
 
-/// An upstream that answers each request at once.
+/// A fake upstream that answers each request immediately.
 pub(crate) struct FastUpstream {
-    /// Where it listens.
     pub(crate) address: SocketAddr,
-    /// How many requests it got.
-    pub(crate) requests: Arc<AtomicU64>,
-    held: Arc<AtomicBool>,
+    /// The number of requests received.
+    pub(crate) received: Arc<AtomicU64>,
+    holding: Arc<AtomicBool>,
     stopped: Arc<AtomicBool>,
 }
 
@@ -75,19 +73,19 @@
         let bound = listener.local_addr().expect("the listener has an address");
         let upstream = Self {
             address: SocketAddr::from((Ipv4Addr::LOCALHOST, bound.port())),
-            requests: Arc::default(),
-            held: Arc::default(),
+            received: Arc::default(),
+            holding: Arc::default(),
             stopped: Arc::default(),
         };
-        let connection = Connection {
-            requests: Arc::clone(&upstream.requests),
-            held: Arc::clone(&upstream.held),
+        let state = SharedState {
+            received: Arc::clone(&upstream.received),
+            holding: Arc::clone(&upstream.holding),
             stopped: Arc::clone(&upstream.stopped),
         };
         std::thread::spawn(move || {
             for stream in listener.incoming().flatten() {
-                let connection = connection.clone();
-                let serve = move || connection.serve(stream);
+                let state = state.clone();
+                let serve = move || state.serve(stream);
                 let _ = std::thread::Builder::new()
                     .stack_size(64 * 1_024)
                     .spawn(serve);
@@ -96,33 +94,32 @@
         upstream
     }
 
-    /// Stops as a process does: what comes from now on is not answered. Or
-    /// starts again.
-    pub(crate) fn stop(&self, stopped: bool) {
+    /// Stops or restarts the upstream. While stopped, it closes connections on
+    /// which it receives data, without an answer.
+    pub(crate) fn set_stopped(&self, stopped: bool) {
         self.stopped.store(stopped, Ordering::SeqCst);
     }
 
-    /// Keeps back all answers, or gives them.
-    pub(crate) fn hold(&self, held: bool) {
-        self.held.store(held, Ordering::SeqCst);
+    /// Sets whether answers are held back.
+    pub(crate) fn set_holding(&self, holding: bool) {
+        self.holding.store(holding, Ordering::SeqCst);
     }
 }
 
-/// What all connections of an upstream share.
+/// The state that all connections of an upstream share.
 #[derive(Clone)]
-struct Connection {
-    requests: Arc<AtomicU64>,
-    held: Arc<AtomicBool>,
+struct SharedState {
+    received: Arc<AtomicU64>,
+    holding: Arc<AtomicBool>,
     stopped: Arc<AtomicBool>,
 }
 
-impl Connection {
+impl SharedState {
     fn serve(&self, mut stream: TcpStream) {
         let _ = stream.set_nodelay(true);
         let mut buffer = [0; 4_096];
         let mut filled = 0;
         while let Ok(size_bytes @ 1..) = stream.read(&mut buffer[filled..]) {
-            // A stopped process answers nothing that came after its stop.
             if self.stopped.load(Ordering::SeqCst) {
                 return;
             }
@@ -131,8 +128,8 @@
                 continue;
             }
             filled = 0;
-            self.requests.fetch_add(1, Ordering::Relaxed);
-            while self.held.load(Ordering::SeqCst) {
+            self.received.fetch_add(1, Ordering::Relaxed);
+            while self.holding.load(Ordering::SeqCst) {
                 std::thread::sleep(Duration::from_millis(5));
             }
             if stream.write_all(ANSWER).is_err() {
@@ -142,28 +139,26 @@
     }
 }
 
-/// Where callers connect; they look again as often as a look-up expires.
-pub(crate) type Address = Arc<Mutex<SocketAddr>>;
+/// The address to which callers connect; they read it again when their look-up
+/// expires.
+pub(crate) type SharedAddress = Arc<Mutex<SocketAddr>>;
 
-/// How callers ask.
+/// Callers that send the same request again and again.
 #[derive(Clone, Debug)]
 pub(crate) struct Callers {
-    /// Where they connect.
-    pub(crate) address: Address,
-    /// The method of their requests.
+    pub(crate) address: SharedAddress,
     pub(crate) method: &'static str,
-    /// The target of their requests.
+    /// The request target, RFC 9112 section 3.2.
     pub(crate) target: &'static str,
-    /// How many there are, each with one connection.
+    /// The number of callers, each with one connection.
     pub(crate) count: u32,
-    /// How many requests a second they send together; none: as many as can be.
+    /// The rate of all callers together; `None` sends without a pause.
     pub(crate) rate_rps: Option<f64>,
-    /// How long they run.
-    pub(crate) time: Duration,
+    pub(crate) duration: Duration,
 }
 
 impl Callers {
-    /// Runs all callers to their end.
+    /// Runs all callers and returns their combined results.
     pub(crate) fn run(&self) -> Run {
         let started = Instant::now();
         let spawn = |_| {
@@ -171,16 +166,16 @@
             std::thread::spawn(move || callers.run_one(started))
         };
         let threads: Vec<JoinHandle<Run>> = (0..self.count).map(spawn).collect();
-        let mut whole = Run::empty(started.elapsed());
+        let mut total = Run::empty(started.elapsed());
         for thread in threads {
-            let one = thread.join().expect("a caller does not panic");
-            whole.answered += one.answered;
-            whole.failed += one.failed;
-            let added = whole.latency_ns.add(&one.latency_ns);
-            added.expect("the histograms have the same bounds");
+            let run = thread.join().expect("a caller does not panic");
+            total.answered += run.answered;
+            total.failed += run.failed;
+            let added = total.latency_ns.add(&run.latency_ns);
+            added.expect("the histogram resizes itself");
         }
-        whole.took = started.elapsed();
-        whole
+        total.elapsed = started.elapsed();
+        total
     }
 
     fn run_one(&self, started: Instant) -> Run {
@@ -193,34 +188,34 @@
             self.method, self.target
         );
         let mut address = *self.address.lock();
-        let mut looked_up = Instant::now();
+        let mut looked_up_at = Instant::now();
         let mut stream = connect(address);
-        let mut next = Instant::now();
-        while started.elapsed() < self.time {
+        let mut next_send_at = Instant::now();
+        while started.elapsed() < self.duration {
             if let Some(interval) = interval {
-                std::thread::sleep(next.saturating_duration_since(Instant::now()));
-                next = (next + interval).max(Instant::now() - interval);
+                std::thread::sleep(next_send_at.saturating_duration_since(Instant::now()));
+                next_send_at = (next_send_at + interval).max(Instant::now() - interval);
             }
-            if looked_up.elapsed() > LOOKUP_TTL {
-                looked_up = Instant::now();
-                let before = std::mem::replace(&mut address, *self.address.lock());
-                if before != address {
+            if looked_up_at.elapsed() > LOOKUP_TTL {
+                looked_up_at = Instant::now();
+                let previous = std::mem::replace(&mut address, *self.address.lock());
+                if previous != address {
                     stream = connect(address);
                 }
             }
-            let asked = Instant::now();
-            let answered = ask(&mut stream, request.as_bytes());
-            let took_ns = u64::try_from(asked.elapsed().as_nanos()).unwrap_or(u64::MAX);
-            match answered {
-                Answered::Whole { closes } => {
+            let sent_at = Instant::now();
+            let reply = exchange(&mut stream, request.as_bytes());
+            let latency_ns = u64::try_from(sent_at.elapsed().as_nanos()).unwrap_or(u64::MAX);
+            match reply {
+                Reply::Complete { closes } => {
                     run.answered += 1;
-                    let recorded = run.latency_ns.record(took_ns);
-                    recorded.expect("the histogram grows as it must");
+                    let recorded = run.latency_ns.record(latency_ns);
+                    recorded.expect("the histogram resizes itself");
                     if closes {
                         stream = connect(address);
                     }
                 }
-                Answered::Failed => {
+                Reply::Failed => {
                     run.failed += 1;
                     stream = connect(address);
                 }
@@ -231,38 +226,37 @@
 }
 
 impl Run {
-    fn empty(took: Duration) -> Self {
+    fn empty(elapsed: Duration) -> Self {
         Self {
-            latency_ns: Histogram::new(3).expect("three digits are valid"),
+            latency_ns: Histogram::new(3).expect("three significant digits are valid"),
             answered: 0,
             failed: 0,
-            took,
+            elapsed,
         }
     }
 }
 
-/// Connects as a caller.
 pub(crate) fn connect(address: SocketAddr) -> TcpStream {
-    let stream = TcpStream::connect(address).expect("the listener takes connections");
+    let stream = TcpStream::connect(address).expect("the listener accepts connections");
     let _ = stream.set_nodelay(true);
     stream
 }
 
-enum Answered {
-    Whole { closes: bool },
+enum Reply {
+    Complete { closes: bool },
     Failed,
 }
 
-fn ask(stream: &mut TcpStream, request: &[u8]) -> Answered {
+fn exchange(stream: &mut TcpStream, request: &[u8]) -> Reply {
     if stream.write_all(request).is_err() {
-        return Answered::Failed;
+        return Reply::Failed;
     }
     let mut buffer = [0; 8_192];
     let mut filled = 0;
     loop {
         match stream.read(&mut buffer[filled..]) {
             Ok(size_bytes @ 1..) => filled += size_bytes,
-            _ => return Answered::Failed,
+            _ => return Reply::Failed,
         }
         let Some(head_bytes) = find(&buffer[..filled], HEAD_END) else {
             continue;
@@ -272,10 +266,10 @@
             continue;
         }
         return match head.starts_with(b"HTTP/1.1 200 ") {
-            true => Answered::Whole {
+            true => Reply::Complete {
                 closes: find(head, b"connection: close").is_some(),
             },
-            false => Answered::Failed,
+            false => Reply::Failed,
         };
     }
 }
